--- a/Makefile
+++ b/Makefile
@@ -29,9 +29,10 @@
 # After a change of the control channel's messages or a capture's records.
 proto: build
 	$(BIN)/pip -q install --disable-pip-version-check -e '.[proto]'
-	for each in control capture members overload; do $(BIN)/python -m grpc_tools.protoc -Imagpieshift/$$each/wire \
-		--python_out=magpieshift/$$each/wire --pyi_out=magpieshift/$$each/wire \
-		magpieshift/$$each/wire/$$each.proto; done
+	for each in control/wire/control capture/wire/capture membership/wire/members overload/wire/overload; do \
+		$(BIN)/python -m grpc_tools.protoc -Imagpieshift/$$(dirname $$each) \
+		--python_out=magpieshift/$$(dirname $$each) --pyi_out=magpieshift/$$(dirname $$each) \
+		magpieshift/$$each.proto; done
 
 # For a first look: a router amid stand-ins that fail, and a report of what came of it.
 demo: build
--- a/magpieshift/console/call.py
+++ b/magpieshift/admin/command.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Callable, Mapping
 
-from magpieshift.lifecycle import NotNow
+from magpieshift.lifecycle import InvalidStateError
 
 MOST_LINE = 256  # bytes; the longest call has eight
 END = b"\n"
 
-Calls = Mapping[str, Callable[[], str]]
-Worded = Mapping[str, Callable[[str], str]]  # calls that take the rest of the line
+Commands = Mapping[str, Callable[[], str]]
+CommandsWithArgument = Mapping[str, Callable[[str], str]]  # calls that take the rest of the line
 
 
 def ok(text: str) -> bytes:
@@ -21,10 +21,10 @@
     return f"ERR {reason}\n".encode()
 
 
-class Call:
+class AdminCommand:
     """One connection's call. What comes behind its first line is not read."""
 
-    def __init__(self, calls: Calls, worded: Worded | None = None) -> None:
+    def __init__(self, calls: Commands, worded: CommandsWithArgument | None = None) -> None:
         self._calls, self._worded = calls, worded or {}
         self._got = bytearray()
 
@@ -55,5 +55,5 @@
             return err(f"call: found {ascii(word)[:80]}, expected one of {self._known}")
         try:
             return ok(call())
-        except NotNow as why:
+        except InvalidStateError as why:
             return err(f"{word} not now: {why}")
--- a/magpieshift/console/door.py
+++ b/magpieshift/admin/server.py
@@ -9,11 +9,11 @@
 
 from tornado.iostream import StreamClosedError
 
+from magpieshift.admin.command import AdminCommand
 from magpieshift.config import Address
-from magpieshift.console.call import Call
 from magpieshift.lifecycle import Lifecycle
 from magpieshift.log import fields
-from magpieshift.streams import LingeringClose, LingeringStream, Listener, listen_socket
+from magpieshift.sockets import LingeringClose, LingeringStream, Listener, listen_socket
 
 log = logging.getLogger(__name__)
 
@@ -24,13 +24,15 @@
 MOST_LOGGED = 200  # bytes of an answer: some are figures for programs
 
 
-class Door:
+class AdminServer:
     """Listens for operators; owner of its listener and of all callers' connections."""
 
     def __init__(
-        self, lifecycle: Lifecycle, more: Mapping[str, Callable[[], str]] | None = None,
+        self,
+        lifecycle: Lifecycle,
+        more: Mapping[str, Callable[[], str]] | None = None,
         worded: Mapping[str, Callable[[str], str]] | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._calls: dict[str, Callable[[], str]] = {
             "PING": lifecycle.ping,
             "LAMEDUCK": lifecycle.lame_duck,
@@ -54,7 +56,7 @@
         self._callers[stream] = asyncio.ensure_future(self._serve(stream))
 
     async def _serve(self, stream: LingeringStream) -> None:
-        call = Call(self._calls, self._worded)
+        call = AdminCommand(self._calls, self._worded)
         answer: bytes | None = None
         try:
             async with asyncio.timeout(WHOLE_S):
--- a/magpieshift/app.py
+++ b/magpieshift/app.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import contextlib
-import dataclasses
 import gc
 import logging
 import os
@@ -14,25 +13,25 @@
 from functools import partial
 from typing import TYPE_CHECKING, NamedTuple
 
-from magpieshift.back.lines import MOST_BODY
-from magpieshift.back.pool import Pool
 from magpieshift.clock import LoopClock
-from magpieshift.config import Config, ConfigError, Document, Limits, load, settings_by_name
-from magpieshift.core.engine import Engine
-from magpieshift.core.model import Call, Member
-from magpieshift.core.numbers import aligned
-from magpieshift.feed.changes import ChangeLog, ChangeSource
-from magpieshift.feed.client import FeedClient
-from magpieshift.front.server import FrontServer
+from magpieshift.config import Config, ConfigError, Document, Limits, load, settings_by_name, shown_membership
+from magpieshift.config_transaction import Part, PreparationFailed, Prepared, SettingsRejected, prepare
+from magpieshift.discovery.changes import ChangeLog, ChangeSource
+from magpieshift.discovery.client import ChangeLogClient
+from magpieshift.downstream.server import DownstreamServer
+from magpieshift.engine.engine import Engine
+from magpieshift.engine.model import ClientRequest, ListedEndpoint
+from magpieshift.engine.numbers import aligned
 from magpieshift.lifecycle import LAST_CALL_US, Lifecycle, State
 from magpieshift.log import fields, setup
-from magpieshift.streams import LINGER_S, listen_socket, steer_to_second
-from magpieshift.transaction import NotPrepared, Part, Prepared, TurnedDown, prepare
-from molecleat import interface as api
+from magpieshift.policy.events import EndpointListKind
+from magpieshift.sockets import LINGER_S, listen_socket, steer_to_second
+from magpieshift.upstream.lines import MOST_BODY
+from magpieshift.upstream.pool import ConnectionPool
 
 if TYPE_CHECKING:
-    from magpieshift.claim import Claim
-    from magpieshift.console.door import Door
+    from magpieshift.admin.server import AdminServer
+    from magpieshift.process_lock import ProcessLock
 
 log = logging.getLogger(__name__)
 
@@ -81,13 +80,13 @@
             "name": document.name,
             "listen": list(document.listen),
             "console": list(door) if door else None,
-            "members": dataclasses.asdict(document.members) if document.members else None,
+            "members": shown_membership(document.members) if document.members else None,
         }
 
     def prepare(self, old: Document, new: Document) -> Callable[[], None]:
         for what, wanted in self._of(new).items():
             if (now := self._fixed[what]) != wanted:
-                raise TurnedDown(
+                raise SettingsRejected(
                     f"{what} is {now} and cannot become {wanted} without a restart", at_start=True
                 )
         return lambda: None
@@ -101,7 +100,7 @@
 
     part = "limits"
 
-    def __init__(self, limits: Limits, engine: Engine, front: FrontServer, pool: Pool) -> None:
+    def __init__(self, limits: Limits, engine: Engine, front: DownstreamServer, pool: ConnectionPool) -> None:
         self._limits, self._sharing = limits, False
         self._engine, self._front, self._pool = engine, front, pool
 
@@ -116,18 +115,18 @@
         """Another process of this router has come, or gone."""
         if sharing != self._sharing:
             self._sharing = sharing
-            self._engine.share(int(sharing))
+            self._engine.set_sibling_processes(int(sharing))
             log.info("limits shared" if sharing else "limits not shared", extra=fields(**self._apply()))
 
     def _apply(self) -> dict[str, int]:
         bounds = Bounds.of(self._limits, self._sharing)
         self._pool.most_connections = bounds.stores
         self._front.most_connections = bounds.clients
-        self._engine.most_held = self._front.most_held = bounds.bytes_each
+        self._engine.max_body_bytes = self._front.most_held = bounds.bytes_each
         return bounds._asdict()
 
     def running(self) -> dict[str, object]:
-        held = self._engine.most_held if self._engine.most_held == self._front.most_held else -1
+        held = self._engine.max_body_bytes if self._engine.max_body_bytes == self._front.most_held else -1
         return {
             "clients": self._front.most_connections,
             "stores": self._pool.most_connections,
@@ -144,16 +143,18 @@
         "engine": settings_by_name(settings, names, classes),
         "front": {"classes": sorted(names.classes)},
         "back": {
-            "report": list(settings.report_columns),
+            "report": list(settings.load_report_columns),
             "connect_timeout_us": settings.connect_timeout_us,
             "streams": document.streams_per_connection,
             "idle_us": document.idle_us,
         },
         "feed": {
-            "address": list(document.changelog), "zones": sorted(names.zones), "kinds": sorted(names.kinds),
+            "address": list(document.changelog),
+            "zones": sorted(names.zones),
+            "kinds": sorted(names.kinds),
         },
         "limits": {"clients": bounds.clients, "stores": bounds.stores, "bytes_each": bounds.bytes_each},
-    }  # fmt: skip
+    }
 
 
 class EdgeRouter:
@@ -164,7 +165,7 @@
         self.document, self.version = document, config.version
         clock = LoopClock()
         bounds = Bounds.of(document.limits)
-        self._pool = Pool(
+        self._pool = ConnectionPool(
             clock,
             document.names.report,
             document.settings.connect_timeout_us,
@@ -177,28 +178,33 @@
         )
         self.lifecycle = Lifecycle(clock.now_us)
         self.lifecycle.watchers.append(self._changed)
-        self._front = FrontServer(
+        self._front = DownstreamServer(
             self.engine, clock, self.engine.classes, bounds.clients, bounds.bytes_each, self.lifecycle
         )
-        self._door: Door | None = None
+        self._door: AdminServer | None = None
         self.changes = ChangeLog(document.names, self)
-        self._feed = FeedClient(document.changelog, self.changes, config.seed)
+        self._feed = ChangeLogClient(document.changelog, self.changes, config.seed)
         self.change_source: ChangeSource = self._feed  # another may take its place before the start
         self._stopping = asyncio.Event()
         self._limits = _Limits(document.limits, self.engine, self._front, self._pool)
-        self._claim: Claim | None = None
+        self._claim: ProcessLock | None = None
         self.committed: list[Callable[[Document, int], None]] = []  # told of each document put in force
         self.calls: dict[str, Callable[[], str]] = {}  # what optional parts answer at the door
         self.worded: dict[str, Callable[[str], str]] = {}  # the same, of calls with something behind the word
         # the engine last but one: it enters the module, which may send at once
         self.parts: list[Part] = [
-            _AtStart(document), self._feed, self._pool, self._limits, self._front, self.engine,
-        ]  # fmt: skip
-
-    def list_changed(self, kind: api.ListKind, version: int, members: Sequence[Member]) -> None:
+            _AtStart(document),
+            self._feed,
+            self._pool,
+            self._limits,
+            self._front,
+            self.engine,
+        ]
+
+    def list_changed(self, kind: EndpointListKind, version: int, members: Sequence[ListedEndpoint]) -> None:
         """Stores have come, changed or gone; all but a ``DELTA`` is the whole list."""
         self.engine.list_changed(kind, version, members)
-        self._pool.list_changed(members, whole=kind != api.ListKind.DELTA)
+        self._pool.list_changed(members, whole=kind != EndpointListKind.DELTA)
 
     def purged(self, key: str, group: int, made_us: int) -> None:
         """An object (16 hex digits), or with no key a group, was purged at this Unix microsecond."""
@@ -215,12 +221,12 @@
         self._known = {}
         self.engine.flush()
         if self.document.console is not None:
-            from magpieshift.claim import Claim  # only where they are used
-            from magpieshift.console.door import Door
+            from magpieshift.admin.server import AdminServer
+            from magpieshift.process_lock import ProcessLock  # only where they are used
 
-            self._claim = Claim(self.document.listen)
+            self._claim = ProcessLock(self.document.listen)
             self.look_round()
-            self._door = Door(self.lifecycle, self.calls, self.worded)
+            self._door = AdminServer(self.lifecycle, self.calls, self.worded)
             self._door.open(self.document.console)
         self.change_source.start()
 
@@ -251,7 +257,7 @@
         if state == State.ENDING:
             self._stopping.set()
 
-    def relieve(self, handed_over: Callable[[Call], bool] | None) -> None:
+    def relieve(self, handed_over: Callable[[ClientRequest], bool] | None) -> None:
         """Have clients whose requests are a neighbour's to take turned away at once, by what this says."""
         self._front.relieved = handed_over
 
@@ -259,7 +265,7 @@
     def pressed(self) -> float:
         """How much of what may be held for clients and of their connections is in use: the larger part."""
         front, engine = self._front, self.engine
-        held = max(front.held, engine.held) / max(1, engine.most_held)
+        held = max(front.held, engine.held_body_bytes) / max(1, engine.max_body_bytes)
         return max(held, front.connected / max(1, front.most_connections))
 
     def running(self) -> dict[str, dict[str, object]]:
@@ -267,8 +273,8 @@
         return {part.part: dict(part.running()) for part in self.parts}
 
     async def prepare(self, document: Document) -> Prepared:
-        """Let all parts make ready for a document; ``NotPrepared`` where one turns it down. What comes back
-        is for ``commit``, before any other document is prepared."""
+        """Let all parts make ready for a document; ``PreparationFailed`` where one rejects it. What comes
+        back is for ``commit``, before any other document is prepared."""
         return await prepare(self.parts, self.document, aligned(self.document, document))
 
     def commit(self, prepared: Prepared, version: int) -> None:
@@ -317,7 +323,7 @@
             async with asyncio.timeout_at(end):
                 while self.engine.open_requests or self._front.owing:
                     await asyncio.sleep(0.01)
-        self.engine.end_all()
+        self.engine.answer_all()
         # what comes from here on is answered at once, and all that rests is closed
         left_s = end - asyncio.get_running_loop().time()
         await self._front.end(min(max(left_s, 0.0) + CLOSE_S, LINGER_S))
@@ -379,9 +385,9 @@
     """The platform's router: its configuration is a file, and has no versions."""
     router = EdgeRouter(config)
     if traced:
-        from magpieshift.core.trace import Trace
+        from magpieshift.engine.trace import Trace
 
-        router.engine.tap = Trace()
+        router.engine.policy_observer = Trace()
     reloads: asyncio.Queue[Document] = asyncio.Queue()
 
     def reload() -> None:
@@ -395,7 +401,7 @@
             document = await reloads.get()
             try:
                 router.commit(await router.prepare(document), router.version)
-            except NotPrepared as err:
+            except PreparationFailed as err:
                 log.error("configuration not reloaded", extra=fields(reason=err))
             else:
                 host, port = document.changelog
--- a/magpieshift/capture/codec.py
+++ b/magpieshift/capture/codec.py
@@ -1,4 +1,4 @@
-"""Events and actions to protobuf records and back, by the names of classes and fields."""
+"""Events and actions to protobuf records and back, by the recorded names of classes and fields."""
 
 from __future__ import annotations
 
@@ -6,10 +6,12 @@
 from typing import Any
 
 from magpieshift.capture.policy import Policy
+from magpieshift.capture.recorded_names import CURRENT
 from magpieshift.capture.wire import capture_pb2 as wire
 
-LOW = (1 << 64) - 1
-Plain = tuple[Any, ...]  # the class's name, then its fields: equal for equal actions of any version
+LOW = (1 << 64) - 1  # the part of an object's number that one protobuf field holds
+RecordedAction = tuple[Any, ...]
+"""The class's recorded name, then its fields: equal for equal actions of any version."""
 
 
 class Codec:
@@ -17,84 +19,88 @@
 
     def __init__(self, policy: Policy) -> None:
         self._policy = policy
-        self._fields: dict[str, tuple[Any, list[str]]] = {}
-        for name in [f.name for m in (wire.Event, wire.Action) for f in m.DESCRIPTOR.fields]:
+        self._classes: dict[str, Any] = {}  # by recorded name
+        self._own_fields: dict[str, list[str]] = {}
+        self._recorded_fields: dict[str, list[str]] = {}
+        self._recorded_names: dict[type, str] = {}
+        for name in [field.name for m in (wire.Event, wire.Action) for field in m.DESCRIPTOR.fields]:
             cls = policy.named(name)
             if cls is not None:
-                self._fields[name] = cls, [field.name for field in dataclasses.fields(cls)]
+                own_fields = [field.name for field in dataclasses.fields(cls)]
+                self._classes[name] = cls
+                self._own_fields[name] = own_fields
+                self._recorded_fields[name] = list(policy.names.recorded_fields(cls.__name__, own_fields))
+                self._recorded_names[cls] = name
 
     def event(self, message: wire.Event) -> Any:
+        """An event of this policy."""
         name = message.WhichOneof("what")
         found = getattr(message, name)
-        if name == "Request":
-            return self._policy.interface.Request(
-                found.id, found.cls, found.tenant, found.key | found.key_high << 64,
-                found.patience_us, found.size_kb, found.group, found.part, found.repeat, found.write,
-            )  # fmt: skip
-        if name == "Ended":
-            interface = self._policy.interface
-            return interface.Ended(
-                found.id, interface.Outcome(found.outcome), found.latency_us, found.fill_wait_us,
-                found.closed, found.note, found.store, found.attempt, tuple(found.load),
-            )  # fmt: skip
-        if name == "Purged":
-            key = found.key | found.key_high << 64
-            return self._policy.interface.Purged(key, found.group, found.age_us)
+        named = self._policy.named
+        cls = self._classes[name]
         if name == "StoreList":
-            interface = self._policy.interface
-            entries = tuple(
-                interface.Entry(
-                    e.store, e.zone, e.kind, e.cell, interface.Phase(e.phase), e.weight, e.up_since_us
-                )
+            state = named("Phase")
+            endpoints = tuple(
+                named("Entry")(e.store, e.zone, e.kind, e.cell, state(e.phase), e.weight, e.up_since_us)
                 for e in found.entries
             )
-            return interface.StoreList(interface.ListKind(found.kind), found.version, entries)
-        cls, fields = self._fields[name]
-        values = [getattr(found, field) for field in fields]
-        if name == "Probed":
-            values[1], values[3] = self._policy.interface.Outcome(found.outcome), tuple(found.load)
-        return cls(*values)
-
-    def plain(self, action: Any) -> Plain:
+            return cls(named("ListKind")(found.kind), found.version, endpoints)
+        return cls(*(self._value(found, field) for field in self._recorded_fields[name]))
+
+    def _value(self, found: Any, field: str) -> Any:
+        """One field of a recorded event, in the policy's type."""
+        value = getattr(found, field)
+        if field == "key":
+            return value | found.key_high << 64
+        if field == "outcome":
+            return self._policy.named("Outcome")(value)
+        return tuple(value) if field == "load" else value
+
+    def plain(self, action: Any) -> RecordedAction:
         """An action of this policy for comparison."""
-        name = type(action).__name__
-        known = self._fields.get(name)
-        return (name, *(getattr(action, field) for field in known[1])) if known else (name,)
+        name = self._recorded_names.get(type(action))
+        if name is None:
+            return (type(action).__name__,)
+        return (name, *(getattr(action, field) for field in self._own_fields[name]))
 
-    def recorded(self, message: wire.Action) -> Plain:
+    def recorded(self, message: wire.Action) -> RecordedAction:
         """A recorded action for comparison."""
         name = message.WhichOneof("what")
         found = getattr(message, name)
-        return (name, *(getattr(found, field) for field in self._fields[name][1]))
+        return (name, *(getattr(found, field) for field in self._recorded_fields[name]))
+
+
+def _fields_of(item: Any) -> dict[str, Any]:
+    """The fields of an event, an action or an endpoint, by their recorded names."""
+    kind = type(item).__name__
+    values: dict[str, Any] = {}
+    for name in item.__slots__:
+        recorded = CURRENT.recorded_field(kind, name)
+        values[recorded] = getattr(item, name)
+    if "key" in values:
+        object_key = values["key"]
+        values["key"] = object_key & LOW
+        values["key_high"] = object_key >> 64
+    if "entries" in values:
+        values["entries"] = [wire.Entry(**_fields_of(entry)) for entry in values["entries"]]
+    return values
 
 
 def write_event(event: Any) -> wire.Event:
-    name = type(event).__name__
-    if name == "Request":
-        return wire.Event(
-            Request=wire.Request(
-                id=event.id, cls=event.cls, tenant=event.tenant,
-                key=event.key & LOW, key_high=event.key >> 64,
-                patience_us=event.patience_us, size_kb=event.size_kb, group=event.group, part=event.part,
-                repeat=event.repeat, write=event.write,
-            )
-        )  # fmt: skip
-    if name == "Purged":
-        return wire.Event(
-            Purged=wire.Purged(
-                key=event.key & LOW, key_high=event.key >> 64, group=event.group, age_us=event.age_us
-            )
-        )
-    if name == "StoreList":
-        entries = [wire.Entry(**{f: getattr(e, f) for f in e.__slots__}) for e in event.entries]
-        return wire.Event(StoreList=wire.StoreList(kind=event.kind, version=event.version, entries=entries))
-    return wire.Event(**{name: getattr(wire, name)(**{f: getattr(event, f) for f in event.__slots__})})
+    """An event of this checkout's policy as a record."""
+    name = CURRENT.recorded_class(type(event).__name__)
+    return wire.Event(**{name: getattr(wire, name)(**_fields_of(event))})
 
 
 def write_action(action: Any) -> wire.Action:
-    name = type(action).__name__
-    return wire.Action(**{name: getattr(wire, name)(**{f: getattr(action, f) for f in action.__slots__})})
+    """An action of this checkout's policy as a record."""
+    name = CURRENT.recorded_class(type(action).__name__)
+    return wire.Action(**{name: getattr(wire, name)(**_fields_of(action))})
+
+
+def is_recorded(item: Any) -> bool:
+    """Whether captures have a form for this event or action; messages between routers have none."""
+    return CURRENT.recorded_class(type(item).__name__) in _RECORDED
 
 
-KNOWN = frozenset(f.name for m in (wire.Event, wire.Action) for f in m.DESCRIPTOR.fields)
-"""Other events and actions have no form on these sockets: messages between routers."""
+_RECORDED = frozenset(field.name for m in (wire.Event, wire.Action) for field in m.DESCRIPTOR.fields)
--- a/magpieshift/capture/explanation.py
+++ b/magpieshift/capture/explanation.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from magpieshift.capture.codec import Plain
+from magpieshift.capture.codec import RecordedAction
 from magpieshift.capture.replay import Difference, Player, Replay, Result
 from magpieshift.capture.segments import Missing
 from magpieshift.capture.wire import capture_pb2 as wire
-from molecleat.records import FILL, LOOK, WRITE
+from magpieshift.policy.state import FILL, LOOKUP, WRITE
 
 Records = Callable[[], Iterable[wire.Record | Missing]]
-LANES = (("fills", FILL), ("looks", LOOK), ("writes", WRITE))
+LANES = (("fills", FILL), ("looks", LOOKUP), ("writes", WRITE))
 MOST_SHOWN = 12  # stores, or examples of a kind of difference
 
 
@@ -30,7 +30,7 @@
     def __call__(self, number: int) -> str:
         return self._names.get(number, f"#{number:x}" if number > 1 << 32 else f"#{number}")
 
-    def action(self, action: Plain) -> str:
+    def action(self, action: RecordedAction) -> str:
         name, *rest = action
         match name:
             case "Send":
@@ -50,34 +50,39 @@
                 return f"timer in {rest[0] / 1000:.1f} ms"
         return " ".join([name, *map(str, rest)])
 
-    def actions(self, actions: Iterable[Plain]) -> str:
+    def actions(self, actions: Iterable[RecordedAction]) -> str:
         return "; ".join(map(self.action, actions)) or "nothing"
 
 
 def stores(player: Player, names: Names) -> list[str]:
     """The stores as the module sees them, the busiest first."""
-    router, now = player.router, player.router.now
+    router, now = player.router, player.router.now_us
     rows = []
-    busy = sorted(router.stores.values(), key=lambda s: (-s.flying, -s.bad, s.entry.store))
+    busy = sorted(router.endpoints.values(), key=lambda s: (-s.in_flight, -s.failure_rate, s.endpoint.number))
     for store in busy[:MOST_SHOWN]:
-        entry = store.entry
+        entry = store.endpoint
         role = "cache"
-        if entry.store in router.parents:
+        if entry.number in router.parents:
             role = "parent"
-        elif entry.store in router.origins:
+        elif entry.number in router.origins:
             role = "origin"
-        words = [f"{names(entry.store)} ({role}, {entry.phase.name.lower()})", f"in flight {store.flying}"]
-        if any(store.busy) or role != "cache":
-            lanes = (f"{what} {store.busy[at]} of {router._cap(store, at)}" for what, at in LANES)
+        words = [
+            f"{names(entry.number)} ({role}, {entry.state.name.lower()})",
+            f"in flight {store.in_flight}",
+        ]
+        if any(store.in_flight_by_kind) or role != "cache":
+            lanes = (
+                f"{what} {store.in_flight_by_kind[at]} of {router._cap(store, at)}" for what, at in LANES
+            )
             words.append(f"{', '.join(lanes)}, waiting {len(store.queue)}")
-        if store.bad > 0.005:
-            words.append(f"failures {store.bad:.2f}")
-        if store.shun_until > now:
-            words.append(f"passed over for {(store.shun_until - now) / 1000:.0f} ms more")
-        if store.slower > 0.05:
-            words.append(f"slower by {store.slower:.2f}")
-        if store.next_cold_us > now:
-            words.append(f"cold, next in {(store.next_cold_us - now) / 1000:.0f} ms")
+        if store.failure_rate > 0.005:
+            words.append(f"failures {store.failure_rate:.2f}")
+        if store.ejected_until_us > now:
+            words.append(f"passed over for {(store.ejected_until_us - now) / 1000:.0f} ms more")
+        if store.slowdown > 0.05:
+            words.append(f"slower by {store.slowdown:.2f}")
+        if store.next_warming_us > now:
+            words.append(f"cold, next in {(store.next_warming_us - now) / 1000:.0f} ms")
         rows.append(", ".join(words))
     if len(busy) > MOST_SHOWN:
         rows.append(f"and {len(busy) - MOST_SHOWN} more")
@@ -86,18 +91,21 @@
 
 def job(player: Player, request: int, names: Names) -> str:
     """What the module keeps of a request."""
-    found = player.router.jobs.get(request)
+    found = player.router.requests.get(request)
     if found is None:
         return "not open"
-    words = [f"attempts {found.legs}", f"{(found.end_us - player.router.now) / 1000:.1f} ms left"]
-    if found.out >= 0:
-        words.append(f"attempt {found.out} is out")
-    if found.missed is not None:
-        words.append(f"missed at {names(found.missed.entry.store)}")
-    if found.failed:
-        words.append("failed at " + " ".join(map(names, sorted(found.failed))))
-    if found.held is not None:
-        words.append(f"waits for {names(found.held.entry.store)}")
+    words = [
+        f"attempts {found.attempts_started}",
+        f"{(found.answer_by_us - player.router.now_us) / 1000:.1f} ms left",
+    ]
+    if found.attempt_in_flight >= 0:
+        words.append(f"attempt {found.attempt_in_flight} is out")
+    if found.missed_at is not None:
+        words.append(f"missed at {names(found.missed_at.entry.number)}")
+    if found.failed_endpoints:
+        words.append("failed at " + " ".join(map(names, sorted(found.failed_endpoints))))
+    if found.queued_at is not None:
+        words.append(f"waits for {names(found.held.entry.number)}")
     return ", ".join(words)
 
 
@@ -171,9 +179,9 @@
                 f"{found.patience_us / 1000:.0f} ms to live" + (", a repeat" if found.repeat else "")
             )
         case "Ended":
-            from molecleat.interface import Note, Outcome
+            from magpieshift.policy.outcomes import CacheStatus, Outcome
 
-            note = f", {Note(found.note).name.lower()}" if found.note else ""
+            note = f", {CacheStatus(found.note).name.lower()}" if found.note else ""
             return (
                 f"attempt {found.attempt} at {names(found.store)} ended: "
                 f"{Outcome(found.outcome).name.lower()}{note} after {found.latency_us / 1000:.1f} ms"
--- a/magpieshift/capture/recorder.py
+++ b/magpieshift/capture/recorder.py
@@ -20,8 +20,10 @@
 from magpieshift.capture import codec, segments, state
 from magpieshift.capture.wire import capture_pb2 as wire
 from magpieshift.log import fields
-from molecleat import interface as api
-from molecleat.heed import Act, Leave
+from magpieshift.policy.actions import Action
+from magpieshift.policy.events import EndpointListReceived, Event
+from magpieshift.policy.health_override import Eject, HealthOverride
+from magpieshift.policy.settings import Settings
 
 log = logging.getLogger(__name__)
 
@@ -35,9 +37,9 @@
 class Module(Protocol):
     """The deciding module, as the engine calls it."""
 
-    actions: list[api.Action]
+    actions: list[Action]
 
-    def handle(self, now_us: int, events: Sequence[api.Event]) -> list[api.Action]: ...
+    def handle(self, now_us: int, events: Sequence[Event]) -> list[Action]: ...
 
 
 @dataclass(frozen=True)
@@ -82,7 +84,7 @@
 @dataclass(slots=True)
 class _Heed:
     now_us: int
-    acts: Sequence[Act]
+    acts: Sequence[HealthOverride]
 
 
 _Item = _Batch | _Keyframe | _Retune | _Heed | _Gap
@@ -123,12 +125,12 @@
 
     # --- on the event loop
 
-    def name(self, number: int, ident: str) -> None:
+    def register_name(self, number: int, ident: str) -> None:
         """A request's or a store's id in the log, for people who look for it."""
         if len(self._names) < MOST_PENDING:  # where nothing is ever handled, nothing piles up
             self._names.append((number, ident))
 
-    def handle(self, module: Module, now_us: int, events: Sequence[api.Event]) -> list[api.Action]:
+    def handle(self, module: Module, now_us: int, events: Sequence[Event]) -> list[Action]:
         """Let the module decide, and note what it was told and said."""
         names, self._names = self._names, []
         drop = self._full(now_us)
@@ -138,7 +140,7 @@
             if self._over is not None:  # behind the keyframe, in the segment that it begins
                 self._put(1, self._over)
                 self._over = None
-        raised, actions = "", list[api.Action]()
+        raised, actions = "", list[Action]()
         try:
             actions = module.handle(now_us, events)
         except Exception as err:
@@ -149,18 +151,18 @@
                 self.batches += 1
                 weight = 1 + len(events) + len(actions)
                 for event in events:
-                    if type(event) is api.StoreList:
-                        weight += len(event.entries)
+                    if type(event) is EndpointListReceived:
+                        weight += len(event.endpoints)
                 self._put(weight, _Batch(now_us, events, actions, raised, names))
         return actions
 
-    def retuned(self, settings: api.Settings, fresh: Collection[int]) -> None:
+    def reconfigured(self, settings: Settings, fresh: Collection[int]) -> None:
         """The module has gone over to other settings, between two batches."""
         self._header.config_version = self.version()
         if self._dropping is None:
             self._put(50, _Retune(state.snapshot_record(settings), sorted(fresh), self.version()))
 
-    def heeded(self, now_us: int, acts: Sequence[Act]) -> None:
+    def overrides_applied(self, now_us: int, acts: Sequence[HealthOverride]) -> None:
         """The module has heeded what other routers say, between two batches."""
         if self._dropping is None:
             self._put(len(acts), _Heed(now_us, acts))
@@ -279,8 +281,8 @@
             return wire.Record(
                 batch=wire.Batch(
                     now_us=item.now_us,
-                    events=[codec.write_event(e) for e in item.events if type(e).__name__ in codec.KNOWN],
-                    actions=[codec.write_action(a) for a in item.actions if type(a).__name__ in codec.KNOWN],
+                    events=[codec.write_event(e) for e in item.events if codec.is_recorded(e)],
+                    actions=[codec.write_action(a) for a in item.actions if codec.is_recorded(a)],
                     raised=item.raised,
                     names=_names(item.names),
                 )
@@ -299,8 +301,8 @@
     return wire.Record(keyframe=wire.Keyframe(state=state.encode(item.state), stores=_names(item.stores)))
 
 
-def _act(act: Act) -> wire.Act:
-    if isinstance(act, Leave):
+def _act(act: HealthOverride) -> wire.Act:
+    if isinstance(act, Eject):
         return wire.Act(store=act.number, leave=True, us=act.for_us)
     return wire.Act(store=act.number, us=act.in_us, pause_us=act.pause_us)
 
--- a/magpieshift/capture/replay.py
+++ b/magpieshift/capture/replay.py
@@ -14,12 +14,10 @@
 from typing import Any
 
 from magpieshift.capture import state
-from magpieshift.capture.codec import Codec, Plain
+from magpieshift.capture.codec import Codec, RecordedAction
 from magpieshift.capture.policy import Policy, own
 from magpieshift.capture.segments import Missing
 from magpieshift.capture.wire import capture_pb2 as wire
-from molecleat.heed import Act, Allow, Leave, heed
-from molecleat.retune import retune
 
 MOST_DIFFERENCES = 1000  # kept in full; all are counted
 MOST_NAMES = 100_000
@@ -35,8 +33,8 @@
     now_us: int
     request: int  # 0 where it is about none
     kind: str
-    recorded: tuple[Plain, ...]
-    replayed: tuple[Plain, ...]
+    recorded: tuple[RecordedAction, ...]
+    replayed: tuple[RecordedAction, ...]
 
 
 @dataclass
@@ -63,12 +61,20 @@
 
     def figures(self) -> dict[str, Any]:
         return {
-            "batches": self.batches, "events": self.events, "decisions": self.decisions,
-            "requests": self.requests, "differences": self.differences, "followed": self.followed,
+            "batches": self.batches,
+            "events": self.events,
+            "decisions": self.decisions,
+            "requests": self.requests,
+            "differences": self.differences,
+            "followed": self.followed,
             "kinds": dict(self.kinds),
-            "keyframes": self.keyframes, "retunes": self.retunes, "raised": self.raised,
-            "missing": len(self.missing), "skipped": self.skipped, "seconds": round(self.span_us / 1e6, 3),
-        }  # fmt: skip
+            "keyframes": self.keyframes,
+            "retunes": self.retunes,
+            "raised": self.raised,
+            "missing": len(self.missing),
+            "skipped": self.skipped,
+            "seconds": round(self.span_us / 1e6, 3),
+        }
 
 
 class Player:
@@ -81,18 +87,19 @@
     def keyframe(self, data: bytes) -> None:
         self.router = state.restore(data, self.policy)
 
-    def retune(self, record: wire.Retune) -> None:
+    def reconfigure(self, record: wire.Retune) -> None:
         settings = state.restore_record(record.settings, self.policy)
-        retune(self.router, settings, frozenset(record.fresh))
+        self.policy.reconfigure(self.router, settings, frozenset(record.fresh))
 
-    def heed(self, record: wire.Heed) -> None:
-        acts: list[Act] = [
-            Leave(act.store, act.us) if act.leave else Allow(act.store, act.us, act.pause_us)
+    def apply_overrides(self, record: wire.Heed) -> None:
+        policy = self.policy
+        overrides = [
+            policy.eject(act.store, act.us) if act.leave else policy.readmit(act.store, act.us, act.pause_us)
             for act in record.acts
         ]
-        heed(self.router, record.now_us, acts)
+        policy.apply_overrides(self.router, record.now_us, overrides)
 
-    def batch(self, record: wire.Batch) -> tuple[list[Plain], str]:
+    def batch(self, record: wire.Batch) -> tuple[list[RecordedAction], str]:
         """What the module does, and what it raised."""
         event, plain = self.codec.event, self.codec.plain
         events = [event(message) for message in record.events]
@@ -107,12 +114,12 @@
         return state.encode(state.snapshot(self.router))
 
 
-def subject(action: Plain) -> int:
+def subject(action: RecordedAction) -> int:
     """The request that an action is about; 0 for none."""
     return 0 if action[0] in MUTE or len(action) < 2 or not isinstance(action[1], int) else action[1]
 
 
-def kind_of(recorded: tuple[Plain, ...], replayed: tuple[Plain, ...]) -> str:
+def kind_of(recorded: tuple[RecordedAction, ...], replayed: tuple[RecordedAction, ...]) -> str:
     """What sort of difference it is, in words for people."""
     if sorted(recorded, key=repr) == sorted(replayed, key=repr):
         return "other order"
@@ -126,14 +133,21 @@
             return "other time-out"
         return "other age, rank or mode"
     words = {
-        "Send": "sent", "Get": "sent", "Refuse": "refused", "Fail": "failed", "nothing": "kept waiting",
-        "Cancel": "cancelled", "SetTimer": "timer",
-    }  # fmt: skip
+        "Send": "sent",
+        "Get": "sent",
+        "Refuse": "refused",
+        "Fail": "failed",
+        "nothing": "kept waiting",
+        "Cancel": "cancelled",
+        "SetTimer": "timer",
+    }
     a, b = words.get(old[0], old[0].lower()), words.get(new[0], new[0].lower())
     return f"other {a}" if a == b else f"{b} instead of {a}"
 
 
-def compare(number: int, now_us: int, old: list[Plain], new: list[Plain]) -> list[Difference]:
+def compare(
+    number: int, now_us: int, old: list[RecordedAction], new: list[RecordedAction]
+) -> list[Difference]:
     """The differences of one batch, one a request."""
     if old == new:
         return []
@@ -190,10 +204,10 @@
             case "retune" if self._usable:
                 result.retunes += 1
                 for player in self._players():
-                    player.retune(record.retune)
+                    player.reconfigure(record.retune)
             case "heed" if self._usable:
                 for player in self._players():
-                    player.heed(record.heed)
+                    player.apply_overrides(record.heed)
             case "gap":
                 gap = record.gap
                 result.missing.append(f"{gap.batches} batches dropped when recording: {gap.reason}")
--- a/magpieshift/capture/state.py
+++ b/magpieshift/capture/state.py
@@ -18,8 +18,9 @@
 from typing import Any
 
 from magpieshift.capture.policy import Policy
+from magpieshift.capture.recorded_names import CURRENT
 
-LEFT_OUT = ("actions", "reactions")  # made anew by each batch, and by the constructor
+LEFT_OUT = ("actions", "handlers", "reactions")  # made anew by each batch, and by the constructor
 ATOMS = (int, float, str, bool, type(None))
 
 
@@ -61,34 +62,46 @@
         if kind in (set, frozenset):
             return {"s": sorted(value)}
         if isinstance(value, Enum):
-            return {"e": [kind.__name__, value.value]}
+            return {"e": [self._recorded_name(kind), value.value]}
         if kind.__name__ == "Random":
             return {"g": value.getstate()[1]}
         return {"r": self.record(value)}
 
+    def _recorded_name(self, kind: type) -> str:
+        name = self._names.get(kind)
+        if name is None:
+            name = self._names[kind] = CURRENT.recorded_class(kind.__name__)
+        return name
+
     def record(self, value: Any) -> int:
         number = self.numbers.get(id(value))
         if number is not None:
             return number
         kind = type(value)
+        name = self._recorded_name(kind)
         getter = self._getters.get(kind)
         if getter is None:
             names = [field.name for field in dataclasses.fields(value)]
             # with one name, attrgetter gives the value itself and no tuple
             get = operator.attrgetter(*names)
             getter = self._getters[kind] = get if len(names) > 1 else lambda item: (get(item),)
-            self.fields[kind.__name__] = names
+            self.fields[name] = list(CURRENT.recorded_fields(kind.__name__, names))
         number = self.numbers[id(value)] = len(self.rows)
         self.kept.append(value)
-        self.rows.append((kind.__name__, ()))  # its place, before what it leads to comes round to it
-        self.rows[number] = kind.__name__, tuple(self.value(item) for item in getter(value))
+        self.rows.append((name, ()))  # its place, before what it leads to comes round to it
+        self.rows[number] = name, tuple(self.value(item) for item in getter(value))
         return number
 
 
 def snapshot(router: Any) -> Snapshot:
     """What a router's state is made of, right now."""
     walk = _Walk()
-    root = {name: walk.value(value) for name, value in vars(router).items() if name not in LEFT_OUT}
+    kind = type(router).__name__
+    root = {
+        CURRENT.recorded_field(kind, name): walk.value(value)
+        for name, value in vars(router).items()
+        if name not in LEFT_OUT
+    }
     return Snapshot(root, walk.rows, walk.fields)
 
 
@@ -141,15 +154,17 @@
                 raise StateError(f"this module has no {name}")
             made = self._made[number] = cls.__new__(cls)  # there already when its own records lead back to it
             given = dict(zip(self._fields[name], values, strict=True))
+            names = self._policy.names
             for field in dataclasses.fields(cls):
-                if field.name in given:
-                    value = self.value(given[field.name])
+                recorded = names.recorded_field(cls.__name__, field.name)
+                if recorded in given:
+                    value = self.value(given[recorded])
                 elif field.default is not dataclasses.MISSING:
                     value = field.default
                 elif field.default_factory is not dataclasses.MISSING:
                     value = field.default_factory()
                 else:
-                    raise StateError(f"{name} lacks {field.name}, which has no default")
+                    raise StateError(f"{name} lacks {recorded}, which has no default")
                 setattr(made, field.name, value)
         return self._made[number]
 
@@ -168,7 +183,8 @@
     try:
         found = {name: build.value(raw) for name, raw in root.items()}
         router = policy.new_router(found["cfg"], 0)
-        for name, value in found.items():
+        for recorded, value in found.items():
+            name = policy.names.own_field(type(router).__name__, recorded)
             if hasattr(router, name):
                 setattr(router, name, value)
         return router
--- a/magpieshift/cli/capacity.py
+++ b/magpieshift/cli/capacity.py
@@ -20,9 +20,21 @@
   magpieshift lab capacity --json --save docs/capacity/after.json
 """
 SHOWN = (
-    "role", "resource", "by", "unit", "measured_to", "at_half", "at_target", "at_twice", "budget", "ratio",
-    "exponent", "interval", "prediction_error", "how",
-)  # fmt: skip
+    "role",
+    "resource",
+    "by",
+    "unit",
+    "measured_to",
+    "at_half",
+    "at_target",
+    "at_twice",
+    "budget",
+    "ratio",
+    "exponent",
+    "interval",
+    "prediction_error",
+    "how",
+)
 
 
 def _role_names() -> list[str]:
@@ -40,14 +52,18 @@
 
 @click.command(epilog=EPILOG)
 @click.option(
-    "--role", "names", multiple=True, type=OneOf(_role_names),
+    "--role",
+    "names",
+    multiple=True,
+    type=OneOf(_role_names),
     help="Only this role, or all with this before the colon; may be given again.",
-)  # fmt: skip
+)
 @click.option("--list", "listing", is_flag=True, help="Name the roles, and measure nothing.")
 @click.option(
-    "--quick", is_flag=True,
+    "--quick",
+    is_flag=True,
     help="A trial, not a result: fewer sizes, once each, without sources and relays.",
-)  # fmt: skip
+)
 @click.option(
     "--seed", default=1, show_default=True, type=SEED, help="Of the order of turns and of what is told."
 )
@@ -56,9 +72,15 @@
 @click.option("--page", "make_page", is_flag=True, help="Make docs/CAPACITY.md's tables from saved results.")
 @JSON
 def capacity(
-    names: tuple[str, ...], listing: bool, quick: bool, seed: int, folder: str, save: str, make_page: bool,
+    names: tuple[str, ...],
+    listing: bool,
+    quick: bool,
+    seed: int,
+    folder: str,
+    save: str,
+    make_page: bool,
     as_json: bool,
-) -> None:  # fmt: skip
+) -> None:
     """Measure what each role costs by what grows with the fleet, fit it, and hold it against its budget."""
     from magpieshift.cli import show
     from magpieshift.lab.capacity import measure, page, results
--- a/magpieshift/cli/captures.py
+++ b/magpieshift/cli/captures.py
@@ -53,12 +53,20 @@
     paths = segments.files(file)
     size = sum(path.stat().st_size for path in paths)
     found = {
-        "files": len(paths), "bytes": size, "batches": batches, "keyframes": count.get("keyframe", 0),
-        "retunes": count.get("retune", 0), "from_us": first, "to_us": last, "missing": missing,
-        "router": header.router if header else "", "program": header.program if header else "",
-        "policy": header.policy_digest if header else "", "hashed": bool(header and header.hashed),
+        "files": len(paths),
+        "bytes": size,
+        "batches": batches,
+        "keyframes": count.get("keyframe", 0),
+        "retunes": count.get("retune", 0),
+        "from_us": first,
+        "to_us": last,
+        "missing": missing,
+        "router": header.router if header else "",
+        "program": header.program if header else "",
+        "policy": header.policy_digest if header else "",
+        "hashed": bool(header and header.hashed),
         "config_version": header.config_version if header else 0,
-    }  # fmt: skip
+    }
     if as_json:
         return show.as_json(found)
     rows = [(name, value) for name, value in found.items() if name not in ("missing", "from_us", "to_us")]
@@ -146,10 +154,12 @@
         differences += result.differences
     spent = time.process_time() - began
     figures = result.figures() | {
-        "differences": differences, "runs": times, "cpu_seconds": round(spent, 3),
+        "differences": differences,
+        "runs": times,
+        "cpu_seconds": round(spent, 3),
         "speed": round(times * result.span_us / 1e6 / spent, 1) if spent else 0.0,
         "policy_as_recorded": result.policies == {own.digest},
-    }  # fmt: skip
+    }
     if as_json:
         show.as_json(figures)
     else:
--- a/magpieshift/cli/configuration.py
+++ b/magpieshift/cli/configuration.py
@@ -51,7 +51,7 @@
     """A document's data: a file's, or by its number that of a version kept."""
     from magpieshift.control import schema
     from magpieshift.control import store as stores
-    from magpieshift.installation import runner
+    from magpieshift.extensions import runner
 
     if state and what.isdecimal():
         for kept in reversed(stores.read(state).kept):
@@ -122,17 +122,23 @@
     if as_json:
         show.as_json(
             {
-                "damaged": contents.damaged, "torn_bytes": contents.torn,
+                "damaged": contents.damaged,
+                "torn_bytes": contents.torn,
                 "versions": [
                     {
-                        "number": r.number, "state": r.state.value, "at_us": r.at_us, "digest": r.digest,
-                        "source": r.source, "reason": r.reason.name.lower(), "detail": r.detail,
+                        "number": r.number,
+                        "state": r.state.value,
+                        "at_us": r.at_us,
+                        "digest": r.digest,
+                        "source": r.source,
+                        "reason": r.reason.name.lower(),
+                        "detail": r.detail,
                         "skipped": r.skipped,
                     }
                     for r in records
                 ],
             }
-        )  # fmt: skip
+        )
         return
     rows = []
     for r in records:
--- a/magpieshift/cli/fleet.py
+++ b/magpieshift/cli/fleet.py
@@ -18,8 +18,16 @@
 PRINTED = ("name", "standing", "for_s", "address", "zone", "state", "program", "settings", "load", "why")
 TALK_KEYS = ("failing", "left", "over", "share", "why", "pressure", "rate")
 MEMBERS_KEYS = (
-    "members", "history", "isolated", "own", "view", "digest", "here", "share", "zone_share",
-)  # fmt: skip
+    "members",
+    "history",
+    "isolated",
+    "own",
+    "view",
+    "digest",
+    "here",
+    "share",
+    "zone_share",
+)
 
 
 def _asked(console: str, word: str, keys: Sequence[str], hint: str) -> dict[str, Any]:
@@ -62,8 +70,13 @@
     found = _asked(console, "TALK", TALK_KEYS, "is (members (digests yes) ...) set?")
     if as_json:
         return show.as_json(found)
-    show.rows([{"store": store, "said by": ", ".join(who), "left to others": store in found["left"]}
-               for store, who in found["failing"].items()], False)  # fmt: skip
+    show.rows(
+        [
+            {"store": store, "said by": ", ".join(who), "left to others": store in found["left"]}
+            for store, who in found["failing"].items()
+        ],
+        False,
+    )
     over = f"hands over {found['share']:.0%} ({found['why']})" if found["over"] else "hands nothing over"
     click.echo(f"pressure {found['pressure']:.2f}, {found['rate']:.0f} requests a second, {over}")
 
@@ -81,9 +94,9 @@
     found = _asked(console, "MEMBERS", MEMBERS_KEYS, "is (members ...) set?")
     if as_json:
         return show.as_json(found)
-    rows = found["history"] if history else [
-        {name: row[name] for name in PRINTED} for row in found["members"]
-    ]  # fmt: skip
+    rows = (
+        found["history"] if history else [{name: row[name] for name in PRINTED} for row in found["members"]]
+    )
     show.rows(rows, False)
     alone = ", hears nobody" if found["isolated"] else ""
     click.echo(
@@ -112,9 +125,15 @@
 )
 @JSON
 def lab_members(
-    routers: tuple[int, ...], seed: int, minutes: float, loss: float, deaths: int, without: str | None,
-    explore: int, as_json: bool,
-) -> None:  # fmt: skip
+    routers: tuple[int, ...],
+    seed: int,
+    minutes: float,
+    loss: float,
+    deaths: int,
+    without: str | None,
+    explore: int,
+    as_json: bool,
+) -> None:
     """Membership on a simulated network: loss, pauses, deaths, a partition and its healing."""
     from magpieshift.cli import show
 
@@ -130,8 +149,8 @@
             raise SystemExit(1)
         return
     from magpieshift.lab.experiments.members import play
-    from magpieshift.members.codec import encode
-    from magpieshift.members.detector import Tuning
+    from magpieshift.membership.codec import encode
+    from magpieshift.membership.failure_detector import Tuning
 
     tuning = Tuning(health=without != "health")
     if without == "observers":
@@ -139,9 +158,14 @@
     rows = []
     for size in routers:
         found = play(
-            size, seed, minutes, loss,
-            tuning=tuning, size=lambda datagram: len(encode(datagram)), deaths=deaths,
-        )  # fmt: skip
+            size,
+            seed,
+            minutes,
+            loss,
+            tuning=tuning,
+            size=lambda datagram: len(encode(datagram)),
+            deaths=deaths,
+        )
         rows.append(vars(found))
         if not as_json:
             show.rows([vars(found)], False)
@@ -179,9 +203,16 @@
 @click.option("--map", "whole", is_flag=True, help="Instead: loads, triggers and clients, one by one.")
 @JSON
 def lab_overload(
-    scenario: str, routers: int, seed: int, load: float, without: bool, digests_lost: float, liars: int,
-    whole: bool, as_json: bool,
-) -> None:  # fmt: skip
+    scenario: str,
+    routers: int,
+    seed: int,
+    load: float,
+    without: bool,
+    digests_lost: float,
+    liars: int,
+    whole: bool,
+    as_json: bool,
+) -> None:
     """Overload on a simulated fleet of real engines and modules: what all routers do together."""
     import os
 
@@ -222,8 +253,8 @@
     from pathlib import Path
 
     from magpieshift.control.sexp import Unusable
-    from magpieshift.lab.proving import run as runs
-    from magpieshift.lab.proving import scenario as scenarios
+    from magpieshift.lab.fault_injection import run as runs
+    from magpieshift.lab.fault_injection import scenario as scenarios
 
     if listed:
         for name, data in scenarios.KNOWN.items():
@@ -261,9 +292,9 @@
     import tempfile
     from pathlib import Path
 
-    from magpieshift.lab.proving import run as runs_of
-    from magpieshift.lab.proving import scenario as scenarios
-    from magpieshift.lab.proving import trials as drawn
+    from magpieshift.lab.fault_injection import random_runs as drawn
+    from magpieshift.lab.fault_injection import run as runs_of
+    from magpieshift.lab.fault_injection import scenario as scenarios
 
     where = Path(folder) if folder else Path(tempfile.mkdtemp(prefix="trials-"))
     broken = 0
@@ -287,7 +318,9 @@
             click.echo(json.dumps(verdict | {"folder": str(where / f"{number}")}))
         else:
             told = "; ".join(verdict["rules_broken"]) or "all held"
-            click.echo(f"seed {number}: {len(run.faults)} faults, asked {verdict['asked']}, "
-                       f"served {verdict['served']}: {told}")  # fmt: skip
+            click.echo(
+                f"seed {number}: {len(run.faults)} faults, asked {verdict['asked']}, "
+                f"served {verdict['served']}: {told}"
+            )
     if broken:
         raise SystemExit(1)
--- a/magpieshift/cli/laboratory.py
+++ b/magpieshift/cli/laboratory.py
@@ -115,7 +115,7 @@
 def door(calls: int, rate: float, as_json: bool) -> None:
     """Measure how long the operators' door takes to answer under load, with mute callers crowding it."""
     from magpieshift.cli import show
-    from magpieshift.lab.experiments.door import measure
+    from magpieshift.lab.experiments.admin_client import measure
 
     show.rows([asyncio.run(measure(calls, rate))], as_json)
 
--- a/magpieshift/cli/logs.py
+++ b/magpieshift/cli/logs.py
@@ -13,9 +13,13 @@
 
 ORDER = ["time", "level", "logger", "event"]
 LOG = click.option(
-    "--log", "log_form", type=click.Choice(["pairs", "json"]), default="pairs", envvar="EDGE_LOG",
+    "--log",
+    "log_form",
+    type=click.Choice(["pairs", "json"]),
+    default="pairs",
+    envvar="EDGE_LOG",
     help="Form of the log's lines.  [pairs]",
-)  # fmt: skip
+)
 
 
 def _pairs(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
--- a/magpieshift/cli/parameters.py
+++ b/magpieshift/cli/parameters.py
@@ -70,8 +70,9 @@
             self.fail(
                 f"found {value!r}, expected whole numbers from {self._each.min} to {self._each.max} "
                 "with commas between them",
-                param, ctx,
-            )  # fmt: skip
+                param,
+                ctx,
+            )
 
 
 class Address(click.ParamType[Any]):
--- a/magpieshift/cli/relays.py
+++ b/magpieshift/cli/relays.py
@@ -53,8 +53,10 @@
     _run(lambda: SourceNode(options))
 
 
-@relay.command(epilog="\b\nExample:\n  magpieshift relay serve --source 10.0.0.1:7090 --listen 0.0.0.0:7091 "
-               "--name n1 --region north")  # fmt: skip
+@relay.command(
+    epilog="\b\nExample:\n  magpieshift relay serve --source 10.0.0.1:7090 --listen 0.0.0.0:7091 "
+    "--name n1 --region north"
+)
 @click.option("--source", "sources", required=True, help="host:port of the source; several with commas.")
 @LISTEN
 @click.option("--name", required=True, help="Unique among the source's relays.")
@@ -110,16 +112,23 @@
         f"entry {report.head}, done everywhere {report.done}, {age}"
     )
     version = f"version {report.version} {report.digest[:SHOWN_DIGEST]}" if report.version else "no version"
-    click.echo(f"{version}; {report.followers_count} followers, "
-               f"{report.behind_count} without it: {' '.join(report.behind)}")  # fmt: skip
+    click.echo(
+        f"{version}; {report.followers_count} followers, "
+        f"{report.behind_count} without it: {' '.join(report.behind)}"
+    )
     show.table(
         ("follower", "connected", "counts", "applied", "behind", "heard s ago", "version", "refused"),
         [
             (
-                each.name, each.connected, each.counts, each.applied, each.behind,
-                f"{each.heard_us / 1e6:.1f}", each.configuration[:SHOWN_DIGEST],
+                each.name,
+                each.connected,
+                each.counts,
+                each.applied,
+                each.behind,
+                f"{each.heard_us / 1e6:.1f}",
+                each.configuration[:SHOWN_DIGEST],
                 f"{each.refused}: {each.refusal}" if each.refused else "",
             )
             for each in report.followers
         ],
-    )  # fmt: skip
+    )
--- a/magpieshift/cli/rollouts.py
+++ b/magpieshift/cli/rollouts.py
@@ -18,8 +18,19 @@
 STATE = click.option("--state", required=True, help="Folder of the rollout's journal.")
 LEAST_REAL, MOST_REAL = 2, 16  # router processes on one machine
 STATUS_KEYS = (
-    "name", "term", "way", "stages", "stage", "new", "old", "away", "figures", "verdict", "why", "fenced",
-)  # fmt: skip
+    "name",
+    "term",
+    "way",
+    "stages",
+    "stage",
+    "new",
+    "old",
+    "away",
+    "figures",
+    "verdict",
+    "why",
+    "fenced",
+)
 
 
 @click.group(cls=Hinting)
@@ -50,10 +61,16 @@
     for stage in found.stages:
         fresh = [name for name in stage.targets if name not in before]
         before |= set(stage.targets)
-        rows.append({
-            "stage": stage.name, "new": len(before), "of": len(found.routers), "soak_s": stage.soak_s,
-            "most_s": stage.most_s, "changes": " ".join(fresh[:12]),
-        })  # fmt: skip
+        rows.append(
+            {
+                "stage": stage.name,
+                "new": len(before),
+                "of": len(found.routers),
+                "soak_s": stage.soak_s,
+                "most_s": stage.most_s,
+                "changes": " ".join(fresh[:12]),
+            }
+        )
     show.rows(rows, as_json)
 
 
@@ -66,8 +83,10 @@
 
     def told(status: Any) -> None:
         nonlocal last
-        line = (f"{status['way']:8} {status['stage']:10} new {len(status['new'])} old {len(status['old'])} "
-                f"away {len(status['away'])}  {status['verdict']}: {status['why']}")  # fmt: skip
+        line = (
+            f"{status['way']:8} {status['stage']:10} new {len(status['new'])} old {len(status['old'])} "
+            f"away {len(status['away'])}  {status['verdict']}: {status['why']}"
+        )
         if line != last and not as_json:
             click.echo(line)
         last = line
@@ -134,11 +153,20 @@
             click.echo(f"{found['name']} (term {found['term']}): {found['way']}, {stages}")
             away = ", ".join(found["away"]) or "nobody"
             click.echo(f"new {len(found['new'])}, old {len(found['old'])}, away: {away}")
-            show.rows([
-                {"class": name, "new served": row["new"][0], "of": row["new"][1], "old served": row["old"][0],
-                 "of ": row["old"][1], "difference": "{} to {}".format(*row["between"])}
-                for name, row in found["figures"]["classes"].items()
-            ], False)  # fmt: skip
+            show.rows(
+                [
+                    {
+                        "class": name,
+                        "new served": row["new"][0],
+                        "of": row["new"][1],
+                        "old served": row["old"][0],
+                        "of ": row["old"][1],
+                        "difference": "{} to {}".format(*row["between"]),
+                    }
+                    for name, row in found["figures"]["classes"].items()
+                ],
+                False,
+            )
             click.echo(f"{found['verdict']}: {found['why']}")
         if not watch or found["way"] in ("ended", "hold") or found["fenced"]:
             return
@@ -211,16 +239,22 @@
 )
 @JSON
 def lab_rollout(
-    scenario: str, routers: int, seed: int, simulated: bool, runs: int, before: bool, folder: str,
+    scenario: str,
+    routers: int,
+    seed: int,
+    simulated: bool,
+    runs: int,
+    before: bool,
+    folder: str,
     as_json: bool,
-) -> None:  # fmt: skip
+) -> None:
     """Whole rollouts: of real processes under load, or thousands simulated; exit code 1 if one was judged
     wrongly or a rule was broken."""
     import os
     import tempfile
 
     from magpieshift.cli import show
-    from magpieshift.lab.proving import rollouts as proving
+    from magpieshift.lab.fault_injection import rollouts as proving
     from magpieshift.lab.simulated import rollout as simulation
     from magpieshift.lab.simulated import rollout_scenarios
 
--- a/magpieshift/cli/router.py
+++ b/magpieshift/cli/router.py
@@ -60,13 +60,24 @@
     log_form: str,
 ) -> None:
     """Run an edge router, with versions kept and followed where it is told to."""
-    from magpieshift.installation.runner import Options, run
+    from magpieshift.extensions.runner import Options, run
 
     setup(log_form)
     options = Options(
-        config, state, control, name, listen, console, capture, capture_mb, hash_key, label, term,
-        relays, region,
-    )  # fmt: skip
+        config,
+        state,
+        control,
+        name,
+        listen,
+        console,
+        capture,
+        capture_mb,
+        hash_key,
+        label,
+        term,
+        relays,
+        region,
+    )
     try:
         run(options)
     except OSError as err:
--- a/magpieshift/cli/scale.py
+++ b/magpieshift/cli/scale.py
@@ -40,9 +40,10 @@
 
 
 @click.command(
-    "scale", epilog="\b\nExamples:\n  magpieshift lab scale steady --routers 50 --seed 1 --json\n"
+    "scale",
+    epilog="\b\nExamples:\n  magpieshift lab scale steady --routers 50 --seed 1 --json\n"
     "  magpieshift lab scale calibrate --runs 3 --save docs/capacity/calibration.json",
-)  # fmt: skip
+)
 @click.argument("scenario", required=False, type=OneOf(scenarios))
 @click.option("--list", "listed", is_flag=True, help="The scenarios.")
 @click.option("--routers", type=Whole(), default=20, show_default=True, help="Hollow routers.")
@@ -81,10 +82,22 @@
 @click.option("--save", type=NewFile(), default="", help="File to write the whole result to, as JSON.")
 @JSON
 def lab_scale(
-    scenario: str | None, listed: bool, routers: int, seed: int, seconds: float, settle: float, feed: str,
-    caches: int, topology: str, runs: int, sizes: tuple[int, ...], drop_every: int, logs: str, save: str,
+    scenario: str | None,
+    listed: bool,
+    routers: int,
+    seed: int,
+    seconds: float,
+    settle: float,
+    feed: str,
+    caches: int,
+    topology: str,
+    runs: int,
+    sizes: tuple[int, ...],
+    drop_every: int,
+    logs: str,
+    save: str,
     as_json: bool,
-) -> None:  # fmt: skip
+) -> None:
     """Many hollow routers (the control side of real ones) under the load of a large fleet; exit code 1 if an
     invariant broke. SCENARIO is one of --list; or "calibrate", which holds hollow ones against real ones; or
     "topology", which prints a generated file for --topology."""
@@ -109,9 +122,17 @@
             return
         places = read_file(topology) if topology else None
         plan = Plan(
-            SCENARIOS[scenario], len(places.places) if places else routers, seed, seconds, feed, caches,
-            topology=places, settle_s=settle, drop_every=drop_every, logs=logs,
-        )  # fmt: skip
+            SCENARIOS[scenario],
+            len(places.places) if places else routers,
+            seed,
+            seconds,
+            feed,
+            caches,
+            topology=places,
+            settle_s=settle,
+            drop_every=drop_every,
+            logs=logs,
+        )
         Path(logs or ".").mkdir(parents=True, exist_ok=True)
         _play(plan, save, as_json)
     except ProcessEnded as err:
@@ -185,7 +206,10 @@
 
     setup("pairs")  # as ``run`` has it: what a router logs is part of what it costs
     parts = {
-        "log": changelog.run, "control": controller.run, "node": node.run, "network": network.run,
+        "log": changelog.run,
+        "control": controller.run,
+        "node": node.run,
+        "network": network.run,
         "worker": worker.run,
-    }  # fmt: skip
+    }
     asyncio.run(parts[role]())
--- a/magpieshift/config.py
+++ b/magpieshift/config.py
@@ -1,7 +1,7 @@
 """The configuration: environment variables and one JSON file, read into typed values.
 
-The nested settings become molecleat's ``Settings`` by way of molecleat's own parser, which takes the same
-object as ``path=value`` lines.
+The nested settings become the policy's ``Settings`` by way of ``simulator_codec``'s parser, which takes the
+same object as ``path=value`` lines.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import Any
 
-from molecleat import interface as api
-from molecleat.wire import SettingsError, parse_settings
+from magpieshift.policy.settings import RequestClass, Settings
+from magpieshift.policy.simulator_codec import SettingsError, parse_settings
 
 Address = tuple[str, int]
 CLASS_NAME = re.compile(r"[!-+\--~]{1,64}")  # it goes into a list on a store's line
@@ -50,17 +50,17 @@
 
 
 @dataclass(frozen=True)
-class Members:
+class MembershipSettings:
     """How a router talks with the others of its fleet, where it does."""
 
     fleet: str  # datagrams of another are dropped
     listen: Address  # of its datagrams
     advertise: Address  # where the others send them
     seeds: tuple[Address, ...] = ()  # to join by
-    council: tuple[str, ...] = ()  # names of those who choose who deals out shares
-    alone: float = 1.0  # part of its share by the settings that a router uses whatever it hears
+    voters: tuple[str, ...] = ()  # names of those who choose who deals out shares
+    solo_quota: float = 1.0  # part of its share by the settings that a router uses whatever it hears
     digests: bool = False  # whether routers tell each other of failing stores
-    hand_over: bool = False  # whether one that has too much sends clients to its neighbours
+    may_offload: bool = False  # whether one that has too much sends clients to its neighbours
 
 
 @dataclass(frozen=True)
@@ -72,12 +72,12 @@
     listen: Address
     limits: Limits
     changelog: Address
-    settings: api.Settings
+    settings: Settings
     names: Names
     idle_us: int
     streams_per_connection: int
     console: Address | None = None  # where operators call; nowhere if there is none
-    members: Members | None = None  # None: it talks to no other router
+    members: MembershipSettings | None = None  # None: it talks to no other router
 
 
 @dataclass(frozen=True)
@@ -91,30 +91,82 @@
     version: int = 0  # of the document; 0 for one without a number, as the platform's
 
 
+SHOWN_SETTINGS = {
+    "router_count": "routers",
+    "router_index": "self_index",
+    "zone_router_counts": "zone_routers",
+    "client_kb_per_s": "flow_kb_per_s",
+    "slow_start_fraction": "cold_from",
+    "slow_start_us": "cold_us",
+    "overload_multiple": "fall_multiple",
+    "overload_window_us": "fall_us",
+    "parent_slow_start_fraction": "parent_cold_from",
+    "parent_slow_start_us": "parent_cold_us",
+    "parent_overload_multiple": "parent_fall_multiple",
+    "purge_propagation_us": "purge_done_us",
+    "can_cancel_attempts": "may_cancel",
+    "can_check_health": "may_probe",
+    "can_message_peers": "may_message",
+    "may_bypass_caches": "may_pass_by",
+    "hedged_requests": "second_copies",
+    "coalesces_fills": "joins_fills",
+    "reports_cache_status": "notes",
+    "load_report_columns": "report_columns",
+}
+"""Names under which settings are shown and compared between processes, where the field has another."""
+
+SHOWN_CLASS_FIGURES = {
+    "idempotency": "effect",
+    "deduplication_scope": "scope",
+    "deduplication_us": "dedup_us",
+    "latency_objective_us": "aim_us",
+    "latency_objective_stretch": "aim_stretch",
+    "priority_weight": "worth",
+    "late_priority_weight": "late_worth",
+    "is_stream": "stream",
+    "is_write": "write",
+    "max_age_us": "fresh_us",
+    "stale_grace_us": "grace_us",
+    "stale_priority_weight": "stale_worth",
+}
+"""The same of the figures of a request class."""
+
+
+def shown_membership(members: MembershipSettings) -> dict[str, object]:
+    """Membership settings under the names that operators are shown."""
+    names = {"voters": "council", "solo_quota": "alone", "may_offload": "hand_over"}
+    return {names.get(name, name): value for name, value in dataclasses.asdict(members).items()}
+
+
 def settings_by_name(
-    settings: api.Settings, names: Names, classes: Mapping[str, api.RequestClass]
+    settings: Settings, names: Names, classes: Mapping[str, RequestClass]
 ) -> dict[str, object]:
     """Settings in JSON's types with zones, kinds and classes by name: the same for equal settings, however
     the parts of a router number them."""
     plain: dict[str, Any] = {
-        field.name: getattr(settings, field.name)
+        SHOWN_SETTINGS.get(field.name, field.name): getattr(settings, field.name)
         for field in dataclasses.fields(settings)
         if field.name != "classes"
     }
     zones = names.zones
     plain["zone"] = zones[settings.zone]
-    for field in ("zone_hub", "zone_routers", "zone_link_kb_per_s"):
-        plain[field] = {name: value for name, value in zip(zones, plain[field], strict=True) if name}
+    for shown in ("zone_hub", "zone_routers", "zone_link_kb_per_s"):
+        plain[shown] = {name: value for name, value in zip(zones, plain[shown], strict=True) if name}
     plain["zone_hub"] = {zone: zones[hub] for zone, hub in plain["zone_hub"].items()}
-    for field in ("parent_kind", "origin_kind"):
-        plain[field] = names.kinds[plain[field]]
-    plain["report_columns"] = list(settings.report_columns)
-    plain["classes"] = {name: dataclasses.asdict(classes[name]) for name in sorted(classes)}
+    for shown in ("parent_kind", "origin_kind"):
+        plain[shown] = names.kinds[plain[shown]]
+    plain["report_columns"] = list(settings.load_report_columns)
+    plain["classes"] = {name: _class_by_name(classes[name]) for name in sorted(classes)}
     return plain
 
 
+def _class_by_name(request_class: RequestClass) -> dict[str, object]:
+    figures = dataclasses.asdict(request_class)
+    return {SHOWN_CLASS_FIGURES.get(name, name): value for name, value in figures.items()}
+
+
 def flatten(value: object, path: str = "") -> Iterator[str]:
-    """Nested settings as the lines that molecleat reads."""
+    """Nested settings as the lines that ``simulator_codec`` reads."""
     if isinstance(value, Mapping):
         for key, inner in value.items():
             yield from flatten(inner, f"{path}.{key}" if path else str(key))
@@ -227,7 +279,7 @@
             classes=tuple(str(_get(c, "Name", str)) for c in _get(nested, "Classes", list)),
             zones=_words(nested, "Zones"),
             kinds=_words(nested, "MachineTypes"),
-            report=settings.report_columns,
+            report=settings.load_report_columns,
         ),
         idle_us=int(_get(nested, "Caps.ConnIdleUs", (int, float))),
         streams_per_connection=max(1, int(_get(nested, "Caps.MaxStreams", (int, float)))),
--- a/magpieshift/transaction.py
+++ b/magpieshift/config_transaction.py
@@ -26,7 +26,7 @@
 Running = Mapping[str, object]
 
 
-class TurnedDown(Exception):
+class SettingsRejected(Exception):
     """A part cannot go over to a document while it runs; the text says why."""
 
     def __init__(self, reason: str, at_start: bool = False) -> None:
@@ -43,7 +43,7 @@
         ...
 
     def prepare(self, old: Document, new: Document) -> Commit | Awaitable[Commit]:
-        """Make ready for ``new``, changing nothing; ``TurnedDown`` where it cannot be."""
+        """Make ready for ``new``, changing nothing; ``SettingsRejected`` where it cannot be."""
         ...
 
     def running(self) -> Running:
@@ -51,7 +51,7 @@
         ...
 
 
-class NotPrepared(Exception):
+class PreparationFailed(Exception):
     """A part turned a document down, raised, or took too long; nothing has changed."""
 
     def __init__(self, part: str, detail: str, kind: str) -> None:
@@ -79,7 +79,7 @@
 async def prepare(
     parts: Sequence[Part], old: Document, new: Document, within_s: float = PREPARE_S
 ) -> Prepared:
-    """Let every part prepare, in order; ``NotPrepared`` at the first that does not."""
+    """Let every part prepare, in order; ``PreparationFailed`` at the first that does not."""
     commits: list[tuple[str, Commit]] = []
     for part in parts:
         try:
@@ -87,12 +87,12 @@
             if inspect.isawaitable(found):
                 async with asyncio.timeout(within_s):
                     found = await found
-        except TurnedDown as err:
-            raise NotPrepared(part.part, str(err), "start" if err.at_start else "part") from None
+        except SettingsRejected as err:
+            raise PreparationFailed(part.part, str(err), "start" if err.at_start else "part") from None
         except TimeoutError:
-            raise NotPrepared(part.part, f"not ready after {within_s} s", "late") from None
+            raise PreparationFailed(part.part, f"not ready after {within_s} s", "late") from None
         except Exception as err:
             log.exception("part raised", extra=fields(part=part.part))
-            raise NotPrepared(part.part, f"{type(err).__name__}: {err}"[:200], "raised") from err
+            raise PreparationFailed(part.part, f"{type(err).__name__}: {err}"[:200], "raised") from err
         commits.append((part.part, found))
     return Prepared(new, commits)
--- a/magpieshift/control/document_form.py
+++ b/magpieshift/control/document_form.py
@@ -146,9 +146,15 @@
 def known_entries(path: tuple[str, ...]) -> list[str]:
     """The names of the entries that a place may have."""
     forms: dict[str, type[_Form]] = {
-        "limits": LimitsForm, "stores": StoresForm, "parents": ParentsForm, "purges": PurgesForm,
-        "attempts": AttemptsForm, "connections": ConnectionsForm, "zones": ZoneForm, "classes": ClassForm,
+        "limits": LimitsForm,
+        "stores": StoresForm,
+        "parents": ParentsForm,
+        "purges": PurgesForm,
+        "attempts": AttemptsForm,
+        "connections": ConnectionsForm,
+        "zones": ZoneForm,
+        "classes": ClassForm,
         "members": MembersForm,
-    }  # fmt: skip
+    }
     form = forms[path[0]] if path else DocumentForm
     return [name.replace("_", "-") for name in form.model_fields]
--- a/magpieshift/control/document_reading.py
+++ b/magpieshift/control/document_reading.py
@@ -3,12 +3,16 @@
 
 from __future__ import annotations
 
-from magpieshift.config import Document, Limits, Members, Names, address
+from magpieshift.config import Document, Limits, MembershipSettings, Names, address
 from magpieshift.control.document_form import ClassForm, DocumentForm, MembersForm, ZoneForm
-from molecleat.interface import Effect, RequestClass, Scope, Settings
+from magpieshift.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-EFFECTS = {"free": Effect.FREE, "keyed": Effect.KEYED, "unsafe": Effect.UNSAFE}
-SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
+EFFECTS = {
+    "free": Idempotency.IDEMPOTENT,
+    "keyed": Idempotency.WITH_KEY,
+    "unsafe": Idempotency.NOT_IDEMPOTENT,
+}
+SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 
 
 def _us(ms: float) -> int:
@@ -21,42 +25,42 @@
     settings = Settings(
         classes=tuple(_class(cls) for cls in form.classes.values()),
         zone=order.index(form.zone),
-        routers=form.routers,
-        self_index=form.router_index,
+        router_count=form.routers,
+        router_index=form.router_index,
         zone_hub=tuple(order.index(zone.attached_to or name) for name, zone in zones.items()),
-        zone_routers=tuple(zone.routers for zone in zones.values()),
+        zone_router_counts=tuple(zone.routers for zone in zones.values()),
         zone_link_kb_per_s=tuple(float(zone.link_kb_per_s) for zone in zones.values()),
         parent_kind=form.kinds.index(form.parent_kind),
         origin_kind=form.kinds.index(form.origin_kind),
         tick_us=_us(form.tick_ms),
-        flow_kb_per_s=float(form.client_kb_per_s),
+        client_kb_per_s=float(form.client_kb_per_s),
         weights_are_sizes=stores.weights == "sizes",
         answer_slack_us=_us(stores.answer_slack_ms),
         drain_grace_us=_us(stores.drain_ms),
-        cold_from=float(stores.cold_from),
-        cold_us=_us(stores.cold_ms),
-        fall_multiple=float(stores.fall_multiple),
-        fall_us=_us(stores.fall_ms),
-        parent_cold_from=float(form.parents.cold_from),
-        parent_cold_us=_us(form.parents.cold_ms),
-        parent_fall_multiple=float(form.parents.fall_multiple),
+        slow_start_fraction=float(stores.cold_from),
+        slow_start_us=_us(stores.cold_ms),
+        overload_multiple=float(stores.fall_multiple),
+        overload_window_us=_us(stores.fall_ms),
+        parent_slow_start_fraction=float(form.parents.cold_from),
+        parent_slow_start_us=_us(form.parents.cold_ms),
+        parent_overload_multiple=float(form.parents.fall_multiple),
         purge_grace_us=_us(form.purges.grace_ms),
-        purge_done_us=_us(form.purges.done_ms),
+        purge_propagation_us=_us(form.purges.done_ms),
         connect_timeout_us=_us(tries.connect_timeout_ms),
         max_attempts=tries.most,
         max_retry_after_us=_us(form.retry_after_ms),
-        may_cancel=tries.cancel,
-        may_probe=tries.probe,
-        may_message=tries.message,
-        may_pass_by=tries.pass_by,
-        second_copies=tries.second_copies,
-        joins_fills=stores.share_fills,
+        can_cancel_attempts=tries.cancel,
+        can_check_health=tries.probe,
+        can_message_peers=tries.message,
+        may_bypass_caches=tries.pass_by,
+        hedged_requests=tries.second_copies,
+        coalesces_fills=stores.share_fills,
         siblings=stores.siblings,
-        notes=stores.notes,
+        reports_cache_status=stores.notes,
         must_subscribe=form.must_subscribe,
-        report_columns=tuple(stores.report),
+        load_report_columns=tuple(stores.report),
     )
-    names = Names(tuple(form.classes), tuple(order), tuple(form.kinds), settings.report_columns)
+    names = Names(tuple(form.classes), tuple(order), tuple(form.kinds), settings.load_report_columns)
     return Document(
         name=form.name,
         listen=address(form.listen, "listen"),
@@ -71,33 +75,33 @@
     )
 
 
-def _members(form: MembersForm) -> Members:
-    return Members(
+def _members(form: MembersForm) -> MembershipSettings:
+    return MembershipSettings(
         fleet=form.fleet,
         listen=address(form.listen, "listen"),
         advertise=address(form.advertise or form.listen, "advertise"),
         seeds=tuple(address(seed, "seeds") for seed in form.seeds),
-        council=tuple(form.council),
-        alone=form.alone,
+        voters=tuple(form.council),
+        solo_quota=form.alone,
         digests=form.digests,
-        hand_over=form.hand_over,
+        may_offload=form.hand_over,
     )
 
 
 def _class(form: ClassForm) -> RequestClass:
     return RequestClass(
-        effect=EFFECTS[form.effect],
-        scope=SCOPES[form.scope],
-        dedup_us=_us(form.dedup_ms),
-        aim_us=_us(form.aim_ms),
-        aim_stretch=float(form.aim_stretch),
+        idempotency=EFFECTS[form.effect],
+        deduplication_scope=SCOPES[form.scope],
+        deduplication_us=_us(form.dedup_ms),
+        latency_objective_us=_us(form.aim_ms),
+        latency_objective_stretch=float(form.aim_stretch),
         deadline_us=_us(form.deadline_ms),
-        worth=float(form.worth),
-        late_worth=float(form.late_worth),
-        stream=form.stream,
-        write=form.write,
+        priority_weight=float(form.worth),
+        late_priority_weight=float(form.late_worth),
+        is_stream=form.stream,
+        is_write=form.write,
         in_parts=form.in_parts,
-        fresh_us=_us(form.fresh_ms),
-        grace_us=_us(form.grace_ms),
-        stale_worth=float(form.stale_worth),
+        max_age_us=_us(form.fresh_ms),
+        stale_grace_us=_us(form.grace_ms),
+        stale_priority_weight=float(form.stale_worth),
     )
--- a/magpieshift/control/document_writing.py
+++ b/magpieshift/control/document_writing.py
@@ -6,9 +6,9 @@
 from collections.abc import Sequence
 from typing import Any
 
-from magpieshift.config import Address, Document, Members
+from magpieshift.config import Address, Document, MembershipSettings
 from magpieshift.control.document_reading import EFFECTS, SCOPES
-from molecleat.interface import RequestClass, Settings
+from magpieshift.policy.settings import RequestClass, Settings
 
 EFFECT_WORDS = {value: word for word, value in EFFECTS.items()}
 SCOPE_WORDS = {value: word for word, value in SCOPES.items()}
@@ -25,8 +25,8 @@
         "change-log": _host_port(document.changelog),
         "limits": {"memory-mb": _number(document.limits.memory_mb), "sockets": document.limits.sockets},
         "zone": names.zones[s.zone],
-        "routers": s.routers,
-        "router-index": s.self_index,
+        "routers": s.router_count,
+        "router-index": s.router_index,
         "zones": {name: _zone(s, names.zones, i) for i, name in enumerate(names.zones)},
         "kinds": _words(names.kinds),
         "parent-kind": names.kinds[s.parent_kind],
@@ -34,11 +34,11 @@
         "classes": {name: _class(c) for name, c in zip(names.classes, s.classes, strict=True)},
         "stores": _stores(s) | {"report": _words(names.report)},
         "parents": {
-            "cold-from": _number(s.parent_cold_from),
-            "cold-ms": _ms(s.parent_cold_us),
-            "fall-multiple": _number(s.parent_fall_multiple),
+            "cold-from": _number(s.parent_slow_start_fraction),
+            "cold-ms": _ms(s.parent_slow_start_us),
+            "fall-multiple": _number(s.parent_overload_multiple),
         },
-        "purges": {"grace-ms": _ms(s.purge_grace_us), "done-ms": _ms(s.purge_done_us)},
+        "purges": {"grace-ms": _ms(s.purge_grace_us), "done-ms": _ms(s.purge_propagation_us)},
         "attempts": _attempts(s),
         "connections": {
             "idle-ms": _ms(document.idle_us),
@@ -46,14 +46,14 @@
         },
         "retry-after-ms": _ms(s.max_retry_after_us),
         "tick-ms": _ms(s.tick_us),
-        "client-kb-per-s": _number(s.flow_kb_per_s),
+        "client-kb-per-s": _number(s.client_kb_per_s),
         "must-subscribe": s.must_subscribe,
     }
 
 
 def _zone(s: Settings, zones: Sequence[str], i: int) -> dict[str, Any]:
     return {
-        "routers": s.zone_routers[i],
+        "routers": s.zone_router_counts[i],
         "link-kb-per-s": _number(s.zone_link_kb_per_s[i]),
         "attached-to": zones[s.zone_hub[i]],
     }
@@ -61,35 +61,35 @@
 
 def _class(c: RequestClass) -> dict[str, Any]:
     return {
-        "aim-ms": _ms(c.aim_us),
-        "aim-stretch": _number(c.aim_stretch),
+        "aim-ms": _ms(c.latency_objective_us),
+        "aim-stretch": _number(c.latency_objective_stretch),
         "deadline-ms": _ms(c.deadline_us),
-        "effect": EFFECT_WORDS[c.effect],
-        "scope": SCOPE_WORDS[c.scope],
-        "dedup-ms": _ms(c.dedup_us),
-        "worth": _number(c.worth),
-        "late-worth": _number(c.late_worth),
-        "stream": c.stream,
-        "write": c.write,
+        "effect": EFFECT_WORDS[c.idempotency],
+        "scope": SCOPE_WORDS[c.deduplication_scope],
+        "dedup-ms": _ms(c.deduplication_us),
+        "worth": _number(c.priority_weight),
+        "late-worth": _number(c.late_priority_weight),
+        "stream": c.is_stream,
+        "write": c.is_write,
         "in-parts": c.in_parts,
-        "fresh-ms": _ms(c.fresh_us),
-        "grace-ms": _ms(c.grace_us),
-        "stale-worth": _number(c.stale_worth),
+        "fresh-ms": _ms(c.max_age_us),
+        "grace-ms": _ms(c.stale_grace_us),
+        "stale-worth": _number(c.stale_priority_weight),
     }
 
 
 def _stores(s: Settings) -> dict[str, Any]:
     return {
         "weights": "sizes" if s.weights_are_sizes else "live",
-        "cold-from": _number(s.cold_from),
-        "cold-ms": _ms(s.cold_us),
-        "fall-multiple": _number(s.fall_multiple),
-        "fall-ms": _ms(s.fall_us),
+        "cold-from": _number(s.slow_start_fraction),
+        "cold-ms": _ms(s.slow_start_us),
+        "fall-multiple": _number(s.overload_multiple),
+        "fall-ms": _ms(s.overload_window_us),
         "drain-ms": _ms(s.drain_grace_us),
         "answer-slack-ms": _ms(s.answer_slack_us),
-        "notes": s.notes,
+        "notes": s.reports_cache_status,
         "siblings": s.siblings,
-        "share-fills": s.joins_fills,
+        "share-fills": s.coalesces_fills,
     }
 
 
@@ -97,25 +97,25 @@
     return {
         "most": s.max_attempts,
         "connect-timeout-ms": _ms(s.connect_timeout_us),
-        "cancel": s.may_cancel,
-        "probe": s.may_probe,
-        "message": s.may_message,
-        "pass-by": s.may_pass_by,
-        "second-copies": s.second_copies,
+        "cancel": s.can_cancel_attempts,
+        "probe": s.can_check_health,
+        "message": s.can_message_peers,
+        "pass-by": s.may_bypass_caches,
+        "second-copies": s.hedged_requests,
     }
 
 
-def _members(members: Members) -> dict[str, Any]:
+def _members(members: MembershipSettings) -> dict[str, Any]:
     seeds = [_host_port(seed) for seed in members.seeds]
     return {
         "fleet": members.fleet,
         "listen": _host_port(members.listen),
         "advertise": _host_port(members.advertise),
         **({"seeds": _words(seeds)} if seeds else {}),
-        **({"council": _words(members.council)} if members.council else {}),
-        "alone": _number(members.alone),
+        **({"council": _words(members.voters)} if members.voters else {}),
+        "alone": _number(members.solo_quota),
         "digests": members.digests,
-        "hand-over": members.hand_over,
+        "hand-over": members.may_offload,
     }
 
 
--- a/magpieshift/control/session.py
+++ b/magpieshift/control/session.py
@@ -9,12 +9,12 @@
 
 from google.protobuf.message import DecodeError
 
+from magpieshift.config_transaction import Running
 from magpieshift.control import sexp
 from magpieshift.control.content import Delta, Full
 from magpieshift.control.sexp import Change, Unusable
 from magpieshift.control.version_history import Answer, Offer, Reason, Record
 from magpieshift.control.wire import control_pb2 as wire
-from magpieshift.transaction import Running
 
 MOST_BYTES = 1 << 20  # of one message; a document of a thousand zones takes a tenth
 MOST_CHANGES = 10_000
@@ -39,9 +39,14 @@
         self, router: str, boot: str, in_force: Record, running: Mapping[str, Running], trouble: str = ""
     ) -> bytes:
         hello = wire.Hello(
-            router=router, boot=boot, in_force=in_force.number, digest=in_force.digest, most_bytes=MOST_BYTES,
-            trouble=trouble, running=running_digests(running),
-        )  # fmt: skip
+            router=router,
+            boot=boot,
+            in_force=in_force.number,
+            digest=in_force.digest,
+            most_bytes=MOST_BYTES,
+            trouble=trouble,
+            running=running_digests(running),
+        )
         return bytes(wire.FromRouter(hello=hello).SerializeToString())
 
     def feed(self, data: bytes) -> Offer | Answer:
@@ -79,11 +84,19 @@
         self.answered += 1
         offer = answer.offer
         said = wire.Answer(
-            number=offer.number, digest=offer.digest, nonce=offer.nonce, accepted=answer.accepted,
-            reason=int(answer.reason), detail=answer.detail, want_full=answer.want_full,
-            in_force=in_force.number, in_force_digest=in_force.digest, running=running_digests(running),
-            apply_us=min(apply_us, (1 << 32) - 1), pause_us=min(pause_us, (1 << 32) - 1),
-        )  # fmt: skip
+            number=offer.number,
+            digest=offer.digest,
+            nonce=offer.nonce,
+            accepted=answer.accepted,
+            reason=int(answer.reason),
+            detail=answer.detail,
+            want_full=answer.want_full,
+            in_force=in_force.number,
+            in_force_digest=in_force.digest,
+            running=running_digests(running),
+            apply_us=min(apply_us, (1 << 32) - 1),
+            pause_us=min(pause_us, (1 << 32) - 1),
+        )
         return bytes(wire.FromRouter(answer=said).SerializeToString())
 
 
--- a/magpieshift/control/store.py
+++ b/magpieshift/control/store.py
@@ -66,20 +66,32 @@
     r = kept.record
     payload = json.dumps(
         {
-            "number": r.number, "digest": r.digest, "source": r.source, "state": r.state.value,
+            "number": r.number,
+            "digest": r.digest,
+            "source": r.source,
+            "state": r.state.value,
             "at_us": r.at_us,
-            "reason": int(r.reason), "detail": r.detail, "skipped": r.skipped, "text": kept.text,
+            "reason": int(r.reason),
+            "detail": r.detail,
+            "skipped": r.skipped,
+            "text": kept.text,
         }
-    ).encode()  # fmt: skip
+    ).encode()
     return (HEAD.pack(MARK, len(payload), crc32c(payload)) + payload) * 2
 
 
 def _decode(payload: bytes) -> Kept:
     raw: dict[str, Any] = json.loads(payload)
     record = Record(
-        raw["number"], raw["digest"], raw["source"], State(raw["state"]), raw["at_us"], Reason(raw["reason"]),
-        raw["detail"], raw["skipped"],
-    )  # fmt: skip
+        raw["number"],
+        raw["digest"],
+        raw["source"],
+        State(raw["state"]),
+        raw["at_us"],
+        Reason(raw["reason"]),
+        raw["detail"],
+        raw["skipped"],
+    )
     return Kept(record, raw["text"])
 
 
@@ -175,10 +187,13 @@
                 log.warning(
                     "version store mended",
                     extra=fields(
-                        folder=self._folder, damaged=contents.damaged, half=contents.twins_lost,
-                        torn_bytes=contents.torn, kept=len(self.kept),
+                        folder=self._folder,
+                        damaged=contents.damaged,
+                        half=contents.twins_lost,
+                        torn_bytes=contents.torn,
+                        kept=len(self.kept),
                     ),
-                )  # fmt: skip
+                )
             self._rewrite()
 
     @property
--- a/magpieshift/control/validation.py
+++ b/magpieshift/control/validation.py
@@ -30,10 +30,14 @@
     try:
         return form.model_validate(data)
     except ValidationError as err:
-        raise Unusable([
-            Problem(
-                " ".join(map(str, e["loc"])), lines.get(tuple(map(str, e["loc"])), 0), sexp.shown(e["input"]),
-                str(e["msg"]).removeprefix("Input should be "),
-            )
-            for e in err.errors(include_url=False)
-        ]) from None  # fmt: skip
+        raise Unusable(
+            [
+                Problem(
+                    " ".join(map(str, e["loc"])),
+                    lines.get(tuple(map(str, e["loc"])), 0),
+                    sexp.shown(e["input"]),
+                    str(e["msg"]).removeprefix("Input should be "),
+                )
+                for e in err.errors(include_url=False)
+            ]
+        ) from None
--- a/magpieshift/control/version_history.py
+++ b/magpieshift/control/version_history.py
@@ -47,10 +47,15 @@
 
 PASSING = frozenset(
     {
-        Reason.PART, Reason.LATE, Reason.RAISED, Reason.WRONG_BASE, Reason.SUPERSEDED, Reason.NOT_KEPT,
+        Reason.PART,
+        Reason.LATE,
+        Reason.RAISED,
+        Reason.WRONG_BASE,
+        Reason.SUPERSEDED,
+        Reason.NOT_KEPT,
         Reason.STOPPING,
     }
-)  # fmt: skip
+)
 """Reasons that say nothing against the version itself: offered again, it is looked at anew."""
 
 
--- a/magpieshift/control/version_manager.py
+++ b/magpieshift/control/version_manager.py
@@ -17,13 +17,13 @@
 from typing import Any, Protocol
 
 from magpieshift.config import Document
+from magpieshift.config_transaction import PreparationFailed, Prepared, Running
 from magpieshift.control import sexp
 from magpieshift.control.content import Full, Overrides, Refused, resolve
 from magpieshift.control.schema import Loaded, to_data
 from magpieshift.control.store import Kept, Store, StoreError
 from magpieshift.control.version_history import Answer, Offer, Reason, Record, State, VersionHistory
 from magpieshift.log import fields
-from magpieshift.transaction import NotPrepared, Prepared, Running
 
 log = logging.getLogger(__name__)
 
@@ -151,7 +151,7 @@
         held = time.perf_counter()
         try:
             prepared = await self._host.prepare(self._overrides.on(loaded.document))
-        except NotPrepared as err:
+        except PreparationFailed as err:
             return await self._turn_down(KINDS[err.kind], str(err))
         pause_us = int(1e6 * (time.perf_counter() - held))
         self.step("prepared")
@@ -178,10 +178,13 @@
         log.info(
             "version in force",
             extra=fields(
-                version=record.number, digest=record.digest, source=record.source, skipped=record.skipped,
+                version=record.number,
+                digest=record.digest,
+                source=record.source,
+                skipped=record.skipped,
                 pause_us=pause_us,
             ),
-        )  # fmt: skip
+        )
         self._tell(answer, pause_us)
         self.step("answered")
         return None
@@ -207,10 +210,13 @@
             log.warning(
                 "version turned down",
                 extra=fields(
-                    version=offer.number, reason=answer.reason.name.lower(), detail=answer.detail,
-                    source=offer.source, in_force=self.in_force.number,
+                    version=offer.number,
+                    reason=answer.reason.name.lower(),
+                    detail=answer.detail,
+                    source=offer.source,
+                    in_force=self.in_force.number,
                 ),
-            )  # fmt: skip
+            )
         for listener in self.listeners:
             listener(answer, apply_us, pause_us)
 
--- a/magpieshift/feed/changes.py
+++ b/magpieshift/discovery/changes.py
@@ -8,15 +8,19 @@
 from typing import Any, Protocol
 
 from magpieshift.config import Names, address
-from magpieshift.core.model import Member, store_number
+from magpieshift.engine.model import ListedEndpoint, endpoint_number
 from magpieshift.log import fields
-from molecleat import interface as api
+from magpieshift.policy.events import Endpoint, EndpointListKind, EndpointState
 
 log = logging.getLogger(__name__)
 
 LINE_EVERY_S = 1.0  # purges are logged together: a line for each is three tenths of what a purge costs
 
-PHASES = {"SERVING": api.Phase.READY, "DRAINING": api.Phase.DRAINING, "DELETED": api.Phase.GONE}
+PHASES = {
+    "SERVING": EndpointState.READY,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.REMOVED,
+}
 
 
 class Gap(Exception):
@@ -26,7 +30,9 @@
 class Listener(Protocol):
     """Who is told of changes."""
 
-    def list_changed(self, kind: api.ListKind, version: int, members: Sequence[Member]) -> None: ...
+    def list_changed(
+        self, kind: EndpointListKind, version: int, members: Sequence[ListedEndpoint]
+    ) -> None: ...
 
     def purged(self, key: str, group: int, made_us: int) -> None: ...
 
@@ -126,27 +132,27 @@
                 members.append(self._member(raw))
             except Exception as err:  # the others count all the same
                 log.warning("unreadable member", extra=fields(reason=f"{type(err).__name__}: {err}"[:200]))
-        kind = api.ListKind.CACHED if first else api.ListKind.FULL
-        kind = kind if fleet.get("complete") else api.ListKind.DELTA
+        kind = EndpointListKind.CACHED if first else EndpointListKind.COMPLETE
+        kind = kind if fleet.get("complete") else EndpointListKind.DELTA
         self._listener.list_changed(kind, int(fleet.get("revision", 0)), members)
 
-    def _member(self, raw: Mapping[str, Any]) -> Member:
+    def _member(self, raw: Mapping[str, Any]) -> ListedEndpoint:
         ident, names, phase = str(raw["id"]), self.names, PHASES[raw["phase"]]
         if not ident or any(mark in ident for mark in " ,=\r\n"):
             raise ValueError(f"id {ident!r}")
         weight = float(raw.get("size", 1.0))
         if not 0 < weight < 1e9:  # also false for what is no number: it would poison every comparison
             raise ValueError(f"size {weight}")
-        entry = api.Entry(
-            store=store_number(ident),
+        entry = Endpoint(
+            number=endpoint_number(ident),
             zone=names.zones.index(raw["locality"] or None),  # numbers out of use have an empty name
             kind=names.kinds.index(raw["flavor"] or None),
             cell=int(raw.get("cell", 0)),
-            phase=phase,
+            state=phase,
             weight=weight,
-            up_since_us=max(0, int(raw.get("up_since_ms", 0) * 1000)),
+            started_us=max(0, int(raw.get("up_since_ms", 0) * 1000)),
         )
-        return Member(ident, address(raw["host_port"], "host_port"), entry)
+        return ListedEndpoint(ident, address(raw["host_port"], "host_port"), entry)
 
     def _purge(self, purge: Mapping[str, Any]) -> None:
         made_us = int(purge["time"] * 1000)
--- a/magpieshift/feed/client.py
+++ b/magpieshift/discovery/client.py
@@ -13,8 +13,8 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from magpieshift.config import Document
-from magpieshift.feed.changes import ChangeLog, Gap
-from magpieshift.feed.sse import SseError, SseParser
+from magpieshift.discovery.changes import ChangeLog, Gap
+from magpieshift.discovery.event_stream import SseError, SseParser
 from magpieshift.log import fields
 
 log = logging.getLogger(__name__)
@@ -28,7 +28,7 @@
 class _Reader(HTTPMessageDelegate):
     """The body of one response, fed to the parser as it comes."""
 
-    def __init__(self, feed: FeedClient, stream: IOStream) -> None:
+    def __init__(self, feed: ChangeLogClient, stream: IOStream) -> None:
         self._feed, self._stream, self._parser = feed, stream, SseParser()
         self.good = False
         self._begun: float | None = None  # since when an event is not whole
@@ -60,7 +60,7 @@
             self._stream.close()
 
 
-class FeedClient:
+class ChangeLogClient:
     """Owner of the one connection to the change log."""
 
     part = "feed"
--- a/magpieshift/front/server.py
+++ b/magpieshift/downstream/server.py
@@ -11,13 +11,13 @@
 
 from magpieshift.clock import LoopClock
 from magpieshift.config import Document
-from magpieshift.core.engine import Engine
-from magpieshift.core.model import Answer, Call
-from magpieshift.front.frames import MOST, FrameError
-from magpieshift.front.session import MOST_OPEN, Abandoned, Asked, Chunks, ReadyAsked, Session, Unusable
+from magpieshift.downstream.frames import MOST, FrameError
+from magpieshift.downstream.session import MOST_OPEN, Abandoned, Asked, Chunks, ReadyAsked, Session, Unusable
+from magpieshift.engine.engine import Engine
+from magpieshift.engine.model import ClientRequest, Response
 from magpieshift.lifecycle import Lifecycle, State
 from magpieshift.log import fields
-from magpieshift.streams import READ_SIZE, LingeringClose, LingeringStream, Listener
+from magpieshift.sockets import READ_SIZE, LingeringClose, LingeringStream, Listener
 
 log = logging.getLogger(__name__)
 
@@ -34,7 +34,7 @@
 class Connection:
     """One client: owner of its socket, of its session and of the bytes held for it."""
 
-    def __init__(self, server: FrontServer, stream: LingeringStream) -> None:
+    def __init__(self, server: DownstreamServer, stream: LingeringStream) -> None:
         self._server, self._stream = server, stream
         self._session = Session(server.classes)
         self._ops: dict[int, int] = {}  # open stream: the engine's number
@@ -134,9 +134,9 @@
         engine, stream = self._server.engine, event.stream
         match event:
             case Asked() if self._server.turning_away:  # told, and asking on: answered at once
-                self._write(self._session.answer(stream, engine.turned_away()))
+                self._write(self._session.answer(stream, engine.draining_response()))
             case Asked(call=call) if self._server.relieved is not None and self._server.relieved(call):
-                self._write(self._session.answer(stream, engine.turned_away()))
+                self._write(self._session.answer(stream, engine.draining_response()))
             case Asked(call=call):
                 waits = self._unsent > HIGH_WATER
                 op = engine.submit(call, lambda answer: self._answer(stream, answer), waits, self._look)
@@ -147,15 +147,15 @@
                 if not self._told_unusable:  # once for each client, or one of them fills the log
                     log.warning("unusable request", extra=fields(reason=reason))
                 self._told_unusable = True
-                self._write(self._session.answer(stream, Answer(verdict)))
+                self._write(self._session.answer(stream, Response(verdict)))
             case Abandoned():
                 op = self._ops[stream]
                 self._release(stream)
-                engine.abandon(op)
+                engine.cancel(op)
             case ReadyAsked():
                 self._write(self._session.ready(stream, self._server.lifecycle.ready))
 
-    def _answer(self, stream: int, answer: Answer) -> None:
+    def _answer(self, stream: int, answer: Response) -> None:
         self._write(self._session.answer(stream, answer))
         self._release(stream)
 
@@ -219,7 +219,7 @@
         while self._held and self._unsent <= HIGH_WATER:
             stream = next(iter(self._held))
             del self._held[stream]
-            self._server.engine.go_on(self._ops[stream])
+            self._server.engine.resume(self._ops[stream])
         self._settle()
         self._account()
         if self._unsent > MOST_UNSENT:  # it asks without end, and takes no answer
@@ -239,13 +239,13 @@
         self._ended = True
         for stream, op in list(self._ops.items()):
             self._release(stream)
-            self._server.engine.abandon(op)
+            self._server.engine.cancel(op)
         self._account()
         self._server.forget(self)
         self._stream.close()
 
 
-class FrontServer:
+class DownstreamServer:
     """Listens for clients; owner of all their connections.
 
     ``classes`` numbers the classes by name; it is whoever made the server that keeps it true, in place."""
@@ -264,7 +264,9 @@
         self.engine, self.clock, self.classes = engine, clock, classes
         self.lifecycle = lifecycle
         self.held = 0  # bytes held for all clients
-        self.relieved: Callable[[Call], bool] | None = None  # whether a request is a neighbour's to take
+        self.relieved: Callable[[ClientRequest], bool] | None = (
+            None  # whether a request is a neighbour's to take
+        )
         self.most_held, self.most_connections = most_held, most_connections
         self._connections: set[Connection] = set()
         self._listener: Listener | None = None
--- a/magpieshift/front/session.py
+++ b/magpieshift/downstream/session.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
 
-from magpieshift.core.model import Answer, Call, Verdict
-from magpieshift.front import frames
-from magpieshift.front.frames import Code, Frame, FrameError, Type
+from magpieshift.downstream import frames
+from magpieshift.downstream.frames import Code, Frame, FrameError, Type
+from magpieshift.engine.model import ClientRequest, Response, Verdict
 
 MOST_OPEN = 32
 MOST_UNUSABLE = 64  # requests that cannot be used; who goes on sending them is let go
@@ -21,7 +21,7 @@
 TOKEN = re.compile(r"[!-+\--~]{1,256}")  # printable, and no comma: it goes into a list on a line
 
 Chunks = tuple[bytes | bytearray, ...]
-CODES = {Verdict.SERVED: Code.OK, Verdict.REFUSED: Code.REFUSED, Verdict.FAILED: Code.FAILED}
+CODES = {Verdict.SERVED: Code.OK, Verdict.REJECTED: Code.REFUSED, Verdict.FAILED: Code.FAILED}
 
 
 @dataclass(slots=True)
@@ -29,7 +29,7 @@
     """A request on a new stream."""
 
     stream: int
-    call: Call
+    call: ClientRequest
 
 
 @dataclass(slots=True)
@@ -80,23 +80,23 @@
     return text
 
 
-def read_call(fields: Mapping[str, str], body: bytes, classes: Mapping[str, int]) -> Call:
+def read_call(fields: Mapping[str, str], body: bytes, classes: Mapping[str, int]) -> ClientRequest:
     """The request in a frame's fields."""
     name = fields.get("c", "")
     if name not in classes:
         raise _Unread(f"class {name!r}"[:100])
-    return Call(
-        ident=_text(fields, "i", IDENT, needed=True),
-        cls=classes[name],
+    return ClientRequest(
+        request_id=_text(fields, "i", IDENT, needed=True),
+        class_index=classes[name],
         class_name=name,
-        key=_text(fields, "o", IDENT, needed=True),
+        object_key=_text(fields, "o", IDENT, needed=True),
         part=int(_number(fields, "slice", 2**31, "0")),
         group=int(_number(fields, "set", 255, "0")),
         size_kb=_number(fields, "m", 1e9, "0"),
-        patience_us=max(1000, int(_number(fields, "d", 3_600_000) * 1000) - MARGIN_US),
-        repeat=fields.get("r") == "1",
-        once=_text(fields, "k", TOKEN, needed=False),
-        known=_text(fields, "seen", TOKEN, needed=False),
+        time_left_us=max(1000, int(_number(fields, "d", 3_600_000) * 1000) - MARGIN_US),
+        is_repeat=fields.get("r") == "1",
+        idempotency_key=_text(fields, "k", TOKEN, needed=False),
+        known_version=_text(fields, "seen", TOKEN, needed=False),
         body=body,
     )
 
@@ -153,7 +153,7 @@
         crowded = len(self._open) >= MOST_OPEN
         self._open.add(stream)
         if crowded:
-            return self._cannot_use(stream, "too many open requests", Verdict.REFUSED)
+            return self._cannot_use(stream, "too many open requests", Verdict.REJECTED)
         fields, at = frames.read_fields(frame.payload)
         try:
             return Asked(stream, read_call(fields, frame.payload[at:], self._classes))
@@ -169,17 +169,17 @@
     def _release(self, stream: int) -> None:
         self._open.discard(stream)
 
-    def answer(self, stream: int, answer: Answer) -> Chunks:
+    def answer(self, stream: int, answer: Response) -> Chunks:
         """What to write for a final answer; nothing for a stream that is not open."""
         if stream not in self._open:
             return ()
         self._release(stream)
         fields: dict[str, str] = {}
-        if answer.current:
+        if answer.not_modified:
             fields["current"] = "1"
-        if answer.verdict == Verdict.REFUSED and answer.retry_after_us:
+        if answer.verdict == Verdict.REJECTED and answer.retry_after_us:
             fields["w"] = str(-(-answer.retry_after_us // 1000))
-        body = b"" if answer.current else answer.body
+        body = b"" if answer.not_modified else answer.body
         start = frames.answer_head(stream, CODES[answer.verdict], fields, len(body))
         return (start, body) if body else (start,)
 
--- a/magpieshift/core/classes.py
+++ b/magpieshift/engine/classes.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping, Sequence, Set
 from dataclasses import dataclass
 
-from molecleat.interface import RequestClass
+from magpieshift.policy.settings import RequestClass
 
 
 @dataclass(frozen=True)
--- a/magpieshift/core/model.py
+++ b/magpieshift/engine/model.py
@@ -7,10 +7,11 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from molecleat import interface as api
+from magpieshift.policy.events import Endpoint
+from magpieshift.policy.outcomes import Outcome
 
 
-def store_number(ident: str) -> int:
+def endpoint_number(ident: str) -> int:
     """The module's number for a store: from the text of its id alone, so that all routers, in every run,
     agree on it. Its address will not do, since a new store may reuse it; nor the order of arrival."""
     return int.from_bytes(hashlib.blake2b(ident.encode(), digest_size=8).digest(), "big")
@@ -22,20 +23,20 @@
 
 
 @dataclass(slots=True)
-class Call:
+class ClientRequest:
     """A client's request."""
 
-    ident: str
-    cls: int
+    request_id: str
+    class_index: int
     class_name: str
-    key: str
+    object_key: str
     part: int
     group: int
     size_kb: float
-    patience_us: int
-    repeat: bool
-    once: str
-    known: str
+    time_left_us: int
+    is_repeat: bool
+    idempotency_key: str
+    known_version: str
     body: bytes  # let go once the request is over
 
 
@@ -43,59 +44,59 @@
     """The final answer to a request."""
 
     SERVED = "served"
-    REFUSED = "refused"
+    REJECTED = "refused"
     FAILED = "failed"
 
 
 @dataclass(slots=True)
-class Answer:
+class Response:
     """The final answer, with the bytes of the copy or the word that the client's own is current."""
 
     verdict: Verdict
     body: bytes | bytearray = b""
-    current: bool = False
+    not_modified: bool = False
     retry_after_us: int = 0
 
 
 @dataclass(slots=True)
-class Member:
+class ListedEndpoint:
     """A store as the list names it."""
 
-    ident: str
+    name: str
     address: tuple[str, int]
-    entry: api.Entry
+    endpoint: Endpoint
 
 
 @dataclass(slots=True)
-class Order:
+class UpstreamRequest:
     """What one attempt asks of a store."""
 
-    call: Call
-    target: Member
-    source: Member | None
-    keep: int
-    age_us: int
-    mode: int
+    request: ClientRequest
+    endpoint: ListedEndpoint
+    source: ListedEndpoint | None
+    retention_rank: int
+    max_age_us: int
+    flags: int
     deadline_us: int
-    once: bool  # running it twice does harm
-    barred: Callable[[], api.Outcome | None]
+    must_not_repeat: bool  # running it twice does harm
+    check_blocked: Callable[[], Outcome | None]
     """Asked right before it is written: how it ends unwritten, or None where it may go."""
-    oldest_copy: Callable[[], int] | None = None
+    current_max_age: Callable[[], int] | None = None
     """Asked right before it is written, where copies may be bounded between the decision and the write: the
     largest age that will do by then, in place of ``age_us``."""
 
-    def copy_age_us(self) -> int:
+    def max_age_now_us(self) -> int:
         """The largest age of a copy that will do now, in microseconds; 0 for the class's own bound."""
-        return self.age_us if self.oldest_copy is None else self.oldest_copy()
+        return self.max_age_us if self.current_max_age is None else self.current_max_age()
 
 
 @dataclass(slots=True)
-class Result:
+class AttemptResult:
     """How an attempt ended, as far as the back can tell."""
 
-    outcome: api.Outcome
-    note: int = 0
+    outcome: Outcome
+    cache_status: int = 0
     fill_wait_us: int = 0
     load: tuple[float, ...] = ()
     body: bytes | bytearray = b""
-    current: bool = False
+    not_modified: bool = False
--- a/magpieshift/core/numbers.py
+++ b/magpieshift/engine/numbers.py
@@ -49,7 +49,7 @@
         s,
         zone=number(s.zone),
         zone_hub=tuple(number(s.zone_hub[i]) if i >= 0 else kept for kept, i in enumerate(at)),
-        zone_routers=tuple(s.zone_routers[i] if i >= 0 else 0 for i in at),
+        zone_router_counts=tuple(s.zone_router_counts[i] if i >= 0 else 0 for i in at),
         zone_link_kb_per_s=tuple(s.zone_link_kb_per_s[i] if i >= 0 else 0.0 for i in at),
         parent_kind=kinds.index(names.kinds[s.parent_kind]),
         origin_kind=kinds.index(names.kinds[s.origin_kind]),
--- a/magpieshift/installation/recording.py
+++ b/magpieshift/extensions/capture_recording.py
@@ -13,15 +13,15 @@
 from magpieshift.capture.segments import FORMAT
 from magpieshift.capture.wire import capture_pb2 as wire
 from magpieshift.config import ConfigError
-from magpieshift.installation.fitting import Plain
+from magpieshift.extensions.extension import BaseExtension
 
 LEAST_KEY = 16
 
 
-class Recording(Plain):
+class CaptureRecording(BaseExtension):
     """Records all that a router's module is told and says; owner of the recorder."""
 
-    fitting = "capture"
+    name = "capture"
 
     def __init__(self, router: EdgeRouter, folder: str, limits: Limits | None = None, hashed: bool = False):
         self.recorder = attach(router, folder, limits, hashed)
@@ -29,7 +29,7 @@
     def start(self) -> None:
         self.recorder.start()
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         self.recorder.stop()
 
 
@@ -37,13 +37,17 @@
     """A recorder of all that this router's module is told and says; ``start`` and ``stop`` are the
     caller's."""
     header = wire.Header(
-        format=FORMAT, program=version("magpieshift"), policy_digest=own().digest,
-        router=router.document.name, config_version=router.version, hashed=hashed,
-    )  # fmt: skip
+        format=FORMAT,
+        program=version("magpieshift"),
+        policy_digest=own().digest,
+        router=router.document.name,
+        config_version=router.version,
+        hashed=hashed,
+    )
     recorder = Recorder(folder, header, limits)
     recorder.version = lambda: router.version
-    recorder.stores = router.engine.store_names
-    router.engine.tap = recorder
+    recorder.stores = router.engine.endpoint_names
+    router.engine.policy_observer = recorder
     return recorder
 
 
--- a/magpieshift/installation/following.py
+++ b/magpieshift/extensions/control_channel.py
@@ -8,14 +8,14 @@
 from magpieshift.app import EdgeRouter
 from magpieshift.control.client import ControlClient
 from magpieshift.control.version_manager import VersionManager
-from magpieshift.installation.fitting import Plain
+from magpieshift.extensions.extension import BaseExtension
 from magpieshift.lifecycle import State
 
 
-class Following(Plain):
+class ControlChannel(BaseExtension):
     """Owner of the client of the control channel; it connects once the router serves."""
 
-    fitting = "control"
+    name = "control"
 
     def __init__(self, router: EdgeRouter, manager: VersionManager, service: str, name: str) -> None:
         self._client = ControlClient(service, manager, name, secrets.token_hex(4), random.Random())
@@ -27,5 +27,5 @@
             self._started = True
             self._client.start()
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         await self._client.stop()
--- a/magpieshift/installation/figures.py
+++ b/magpieshift/extensions/counters.py
@@ -17,16 +17,17 @@
 
 from magpieshift import clock
 from magpieshift.app import EdgeRouter
-from magpieshift.core.model import Call, Verdict
-from magpieshift.installation.fitting import Plain
-from molecleat.interface import NEVER_RAN, Outcome, RequestClass
+from magpieshift.engine.model import ClientRequest, Verdict
+from magpieshift.extensions.extension import BaseExtension
+from magpieshift.policy.outcomes import NEVER_RAN, Outcome
+from magpieshift.policy.settings import RequestClass
 
 MOST_CLASSES = 64  # counted by themselves; settings may name more over time
 MOST_US = 60_000_000
 PAGE = os.sysconf("SC_PAGE_SIZE")
 
 
-class ClassFigures:
+class ClassCounters:
     """What became of one class's requests. ``served`` are those within the wanted time."""
 
     __slots__ = ("asked", "failed", "late", "latency", "left", "refused", "served")
@@ -40,50 +41,52 @@
         return counts | {"latency": self.latency.encode().decode()}
 
 
-class Figures(Plain):
+class RequestCounters(BaseExtension):
     """Counts, and answers ``FIGURES`` at the door with one line of JSON."""
 
-    fitting = "figures"
+    name = "figures"
 
     def __init__(self, router: EdgeRouter, label: str) -> None:
         self._router, self._label = router, label
-        self._classes: dict[str, ClassFigures] = {}
+        self._classes: dict[str, ClassCounters] = {}
         self._attempts = self._fills = self._origin = self._errors = 0
         self._incarnation = f"{time.time_ns() // 1_000_000}.{os.getpid()}"
         self._began_us = clock.source.steady_us()
-        router.engine.watch = self
+        router.engine.request_observer = self
 
-    def calls(self) -> Mapping[str, Callable[[], str]]:
+    def commands(self) -> Mapping[str, Callable[[], str]]:
         return {"FIGURES": self._line}
 
-    async def end(self) -> None:
-        self._router.engine.watch = None
+    async def stop(self) -> None:
+        self._router.engine.request_observer = None
 
     # --- as the engine's watch
 
-    def answered(self, call: Call, cls: RequestClass, verdict: Verdict | None, took_us: int) -> None:
+    def request_ended(
+        self, call: ClientRequest, cls: RequestClass, verdict: Verdict | None, took_us: int
+    ) -> None:
         name = call.class_name
         counts = self._classes.get(name)
         if counts is None:
             if len(self._classes) >= MOST_CLASSES:
                 return
-            counts = self._classes[name] = ClassFigures()
+            counts = self._classes[name] = ClassCounters()
         counts.asked += 1
         if verdict is None:
             counts.left += 1
         elif verdict == Verdict.SERVED:
-            flow = self._router.document.settings.flow_kb_per_s
+            flow = self._router.document.settings.client_kb_per_s
             sending_us = 1e6 * call.size_kb / flow if flow else 0.0
-            within = took_us <= cls.aim_us + cls.aim_stretch * sending_us
+            within = took_us <= cls.latency_objective_us + cls.latency_objective_stretch * sending_us
             counts.served += within
             counts.late += not within
             counts.latency.record_value(max(1, min(took_us, MOST_US)))
-        elif verdict == Verdict.REFUSED:
+        elif verdict == Verdict.REJECTED:
             counts.refused += 1
         else:
             counts.failed += 1
 
-    def ended(self, outcome: Outcome, filled: bool, origin: bool) -> None:
+    def attempt_ended(self, outcome: Outcome, filled: bool, origin: bool) -> None:
         self._attempts += 1
         self._fills += filled
         self._origin += origin
@@ -97,12 +100,24 @@
             descriptors = len(os.listdir("/proc/self/fd"))
         except (OSError, IndexError, ValueError):
             pages = descriptors = 0  # not this system's way of telling: such figures are not compared
-        return json.dumps({
-            "name": self._router.document.name, "label": self._label, "program": version("magpieshift"),
-            "settings": self._router.version, "incarnation": self._incarnation,
-            "state": self._router.lifecycle.word, "up_us": clock.source.steady_us() - self._began_us,
-            "classes": {name: counts.plain() for name, counts in self._classes.items()},
-            "attempts": self._attempts, "fills": self._fills, "origin": self._origin,
-            "errors": self._errors, "cpu_us": time.process_time_ns() // 1000, "rss_kb": pages * PAGE // 1024,
-            "descriptors": descriptors, "open": self._router.engine.open_requests,
-        }, separators=(",", ":"))  # fmt: skip
+        return json.dumps(
+            {
+                "name": self._router.document.name,
+                "label": self._label,
+                "program": version("magpieshift"),
+                "settings": self._router.version,
+                "incarnation": self._incarnation,
+                "state": self._router.lifecycle.word,
+                "up_us": clock.source.steady_us() - self._began_us,
+                "classes": {name: counts.plain() for name, counts in self._classes.items()},
+                "attempts": self._attempts,
+                "fills": self._fills,
+                "origin": self._origin,
+                "errors": self._errors,
+                "cpu_us": time.process_time_ns() // 1000,
+                "rss_kb": pages * PAGE // 1024,
+                "descriptors": descriptors,
+                "open": self._router.engine.open_requests,
+            },
+            separators=(",", ":"),
+        )
--- a/magpieshift/installation/fitting.py
+++ b/magpieshift/extensions/extension.py
@@ -8,12 +8,12 @@
 from magpieshift.config import Document
 
 
-class Fitting(Protocol):
+class Extension(Protocol):
     """An optional part of an installation's router. Its owner is the ``Installation``, which starts it before
     clients come and ends it after the last answer."""
 
     @property
-    def fitting(self) -> str:
+    def name(self) -> str:
         """Its name, for log lines."""
         ...
 
@@ -21,40 +21,40 @@
         """The router is about to serve; what needs it serving watches its lifecycle."""
         ...
 
-    def changed(self, document: Document, version: int) -> None:
+    def configuration_changed(self, document: Document, version: int) -> None:
         """A document has come into force. Called in the turn of the event loop in which it does: must not
         wait, and must not fail."""
         ...
 
-    def calls(self) -> Mapping[str, Callable[[], str]]:
+    def commands(self) -> Mapping[str, Callable[[], str]]:
         """What operators may ask of it at the door: one line each, or ``lifecycle.NotNow``."""
         ...
 
-    def worded(self) -> Mapping[str, Callable[[str], str]]:
+    def commands_with_argument(self) -> Mapping[str, Callable[[str], str]]:
         """The same, of calls that take the rest of the line."""
         ...
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         """Give back all it holds."""
         ...
 
 
-class Plain:
+class BaseExtension:
     """A fitting that heeds nothing; others take from it what they do not need."""
 
-    fitting = "plain"
+    name = "plain"
 
     def start(self) -> None:
         pass
 
-    def changed(self, document: Document, version: int) -> None:
+    def configuration_changed(self, document: Document, version: int) -> None:
         pass
 
-    def calls(self) -> Mapping[str, Callable[[], str]]:
+    def commands(self) -> Mapping[str, Callable[[], str]]:
         return {}
 
-    def worded(self) -> Mapping[str, Callable[[str], str]]:
+    def commands_with_argument(self) -> Mapping[str, Callable[[str], str]]:
         return {}
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         pass
--- a/magpieshift/installation/terms.py
+++ b/magpieshift/extensions/fencing.py
@@ -15,13 +15,13 @@
 
 from magpieshift.app import EdgeRouter
 from magpieshift.config import Address, ConfigError
-from magpieshift.installation.fitting import Plain
-from magpieshift.lifecycle import NotNow
+from magpieshift.extensions.extension import BaseExtension
+from magpieshift.lifecycle import InvalidStateError
 
 MOST_TERM = 1 << 62
 
 
-class Fence:
+class FencingTermFile:
     """The file with the latest term. Each call opens, locks, reads and closes it: it is called seldom."""
 
     def __init__(self, listen: Address, folder: str | None = None) -> None:
@@ -43,14 +43,14 @@
             os.close(file)
 
 
-class Terms(Plain):
+class FencingTerms(BaseExtension):
     """The door's call ``AS TERM WORD``: what only the latest coordinator may ask."""
 
-    fitting = "terms"
+    name = "terms"
 
     def __init__(self, router: EdgeRouter, term: int) -> None:
         """``ConfigError`` where the term that starts this process is over."""
-        self._router, self._fence = router, Fence(router.document.listen)
+        self._router, self._fence = router, FencingTermFile(router.document.listen)
         try:
             latest = self._fence.pass_on(max(term, 0))
         except OSError as err:
@@ -58,33 +58,37 @@
         if 0 <= term < latest:
             raise ConfigError(f"term: found {term}, expected {latest} or later: a rollout has gone on since")
 
-    def calls(self) -> Mapping[str, Callable[[], str]]:
+    def commands(self) -> Mapping[str, Callable[[], str]]:
         return {"TERM": self._latest}
 
-    def worded(self) -> Mapping[str, Callable[[str], str]]:
+    def commands_with_argument(self) -> Mapping[str, Callable[[str], str]]:
         return {"AS": self._as}
 
     def _latest(self) -> str:
         try:
             return str(self._fence.pass_on(0))
         except OSError as err:
-            raise NotNow(f"the term cannot be read: {err.strerror or err}") from err
+            raise InvalidStateError(f"the term cannot be read: {err.strerror or err}") from err
 
     def _as(self, text: str) -> str:
         term, _, word = text.partition(" ")
         lifecycle = self._router.lifecycle
         calls: dict[str, Callable[[], str]] = {
-            "PING": lifecycle.ping, "LAMEDUCK": lifecycle.lame_duck, "REJOIN": lifecycle.rejoin,
+            "PING": lifecycle.ping,
+            "LAMEDUCK": lifecycle.lame_duck,
+            "REJOIN": lifecycle.rejoin,
             "END": self._end,
-        }  # fmt: skip
+        }
         if not term.isdecimal() or int(term) > MOST_TERM or word not in calls:
-            raise NotNow(f"found {ascii(text)[:60]}, expected AS TERM and one of {', '.join(calls)}")
+            raise InvalidStateError(
+                f"found {ascii(text)[:60]}, expected AS TERM and one of {', '.join(calls)}"
+            )
         try:
             latest = self._fence.pass_on(int(term))
         except OSError as err:
-            raise NotNow(f"the term cannot be kept: {err.strerror or err}") from err
+            raise InvalidStateError(f"the term cannot be kept: {err.strerror or err}") from err
         if int(term) < latest:
-            raise NotNow(f"term {term} is over, the latest is {latest}")
+            raise InvalidStateError(f"term {term} is over, the latest is {latest}")
         return calls[word]()
 
     def _end(self) -> str:
--- a/magpieshift/installation/membership.py
+++ b/magpieshift/extensions/membership.py
@@ -14,15 +14,15 @@
 
 from magpieshift import clock
 from magpieshift.app import EdgeRouter
-from magpieshift.config import Document, Members
-from magpieshift.installation.fitting import Plain
+from magpieshift.config import Document, MembershipSettings
+from magpieshift.extensions.extension import BaseExtension
 from magpieshift.lifecycle import State
 from magpieshift.log import fields
-from magpieshift.members.detector import Detector
-from magpieshift.members.driver import Driver, steady_us
-from magpieshift.members.messages import Note
-from magpieshift.members.shares import ALL, ZONE, Shares
-from magpieshift.members.view import Change, Member, Standing
+from magpieshift.membership.driver import Driver, steady_us
+from magpieshift.membership.failure_detector import FailureDetector
+from magpieshift.membership.member_table import Change, Member, Standing
+from magpieshift.membership.messages import Note
+from magpieshift.membership.quota_lease import ALL, ZONE, QuotaLeases
 
 log = logging.getLogger(__name__)
 
@@ -31,23 +31,30 @@
 BIND_AGAIN_S = 0.25
 
 
-class Membership(Plain):
+class Membership(BaseExtension):
     """Owner of the driver, and with it of the socket."""
 
-    fitting = "members"
+    name = "members"
 
-    def __init__(self, router: EdgeRouter, settings: Members, seed: int) -> None:
+    def __init__(self, router: EdgeRouter, settings: MembershipSettings, seed: int) -> None:
         self._router, self._settings = router, settings
         document, rand = router.document, random.Random(seed ^ clock.source.unix_us())
         own = Member(
-            document.name, *settings.advertise, clock.source.unix_us() // 1_000, rand.getrandbits(32),
-            zone=document.names.zones[document.settings.zone], program=version("magpieshift"),
-            settings=router.version, state=router.lifecycle.word,
-        )  # fmt: skip
+            document.name,
+            *settings.advertise,
+            clock.source.unix_us() // 1_000,
+            rand.getrandbits(32),
+            zone=document.names.zones[document.settings.zone],
+            program=version("magpieshift"),
+            settings=router.version,
+            state=router.lifecycle.word,
+        )
         now = steady_us()
-        self._detector = Detector(own, settings.fleet, settings.seeds, now, rand)
+        self._detector = FailureDetector(own, settings.fleet, settings.seeds, now, rand)
         self._scope = ZONE + own.zone
-        self._shares = Shares(own, settings.council, self._slots(document), settings.alone, now, rand)
+        self._shares = QuotaLeases(
+            own, settings.voters, self._slots(document), settings.solo_quota, now, rand
+        )
         self._driver = Driver(self._detector, self._shares, after=self._turned, used=self._check)
         self._history: deque[Change] = deque(maxlen=MOST_HISTORY)
         self._detector.view.listeners.append(self._changed)
@@ -61,12 +68,12 @@
 
     def _slots(self, document: Document) -> dict[str, int]:
         s = document.settings
-        return {ALL: max(1, s.routers), self._scope: max(1, s.zone_routers[s.zone])}
+        return {ALL: max(1, s.router_count), self._scope: max(1, s.zone_router_counts[s.zone])}
 
     # --- as a fitting
 
     def start(self) -> None:
-        self._router.engine.lease = self._check
+        self._router.engine.refresh_quota = self._check
         self._opening = asyncio.ensure_future(self._open())
 
     async def _open(self) -> None:
@@ -85,20 +92,20 @@
                 log.info("members open", extra=fields(address=address, fleet=self._settings.fleet))
                 return
 
-    def changed(self, document: Document, version: int) -> None:
+    def configuration_changed(self, document: Document, version: int) -> None:
         self._shares.slots = self._slots(document)
         self._detector.say(settings=version)
         self._check()
 
-    def calls(self) -> Mapping[str, Callable[[], str]]:
+    def commands(self) -> Mapping[str, Callable[[], str]]:
         return {"MEMBERS": self._members}
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         if self._opening is not None:
             self._opening.cancel()
             await asyncio.wait([self._opening])
         self._driver.close()
-        self._router.engine.lease = None
+        self._router.engine.refresh_quota = None
 
     # --- for other parts
 
@@ -146,38 +153,58 @@
         now = steady_us()
         shares = [self._shares.share(scope, now) for scope in (ALL, self._scope)]
         # the engine has each process of this router take its part of that
-        used = shares[0] / (1 + self._router.engine.beside)
+        used = shares[0] / (1 + self._router.engine.sibling_processes)
         if used != self._share:
             self._share = used
             log.info("share", extra=fields(at_us=now, share=f"{used:.6f}", here=self._detector.view.count))
         divisors = [math.ceil(1 / share - 1e-9) if share > 0 else 1 << 20 for share in shares]
-        self._router.engine.divide(divisors[0], divisors[1])
+        self._router.engine.set_router_counts(divisors[0], divisors[1])
 
     def _changed(self, change: Change) -> None:
         self._history.append(change)
         before = change.before.value if change.before else "unknown"
         level = logging.WARNING if change.after in (Standing.SUSPECTED, Standing.GONE) else logging.INFO
         log.log(
-            level, "member",
-            extra=fields(name=change.name, before=before, after=change.after.value, why=change.why,
-                         view=change.number, here=self._detector.view.count),
-        )  # fmt: skip
+            level,
+            "member",
+            extra=fields(
+                name=change.name,
+                before=before,
+                after=change.after.value,
+                why=change.why,
+                view=change.number,
+                here=self._detector.view.count,
+            ),
+        )
 
     def _members(self) -> str:
         """The view as one line of JSON."""
         view, now = self._detector.view, steady_us()
         rows = sorted(view.known.values(), key=lambda known: (not known.here, known.member.name))
-        return json.dumps({
-            "own": view.own.name, "view": view.number, "digest": f"{view.digest:016x}", "here": view.count,
-            "isolated": self._detector.isolated, "quiet": self._detector.quiet,
-            "share": round(self._shares.share(ALL, now), 6),
-            "zone_share": round(self._shares.share(self._scope, now), 6),
-            "lease_s": round(max(0, self._shares.until_us - now) / 1e6, 2),
-            "dropped": asdict(self._detector.counters),
-            "members": [self._detector.row(known) for known in rows[:MOST_SHOWN]],
-            "history": [
-                {"view": c.number, "ago_s": round((now - c.at_us) / 1e6, 1), "name": c.name,
-                 "before": c.before.value if c.before else "", "after": c.after.value, "why": c.why}
-                for c in self._history
-            ],
-        }, separators=(",", ":"))  # fmt: skip
+        return json.dumps(
+            {
+                "own": view.own.name,
+                "view": view.number,
+                "digest": f"{view.digest:016x}",
+                "here": view.count,
+                "isolated": self._detector.isolated,
+                "quiet": self._detector.quiet,
+                "share": round(self._shares.share(ALL, now), 6),
+                "zone_share": round(self._shares.share(self._scope, now), 6),
+                "lease_s": round(max(0, self._shares.until_us - now) / 1e6, 2),
+                "dropped": asdict(self._detector.counters),
+                "members": [self._detector.row(known) for known in rows[:MOST_SHOWN]],
+                "history": [
+                    {
+                        "view": c.number,
+                        "ago_s": round((now - c.at_us) / 1e6, 1),
+                        "name": c.name,
+                        "before": c.before.value if c.before else "",
+                        "after": c.after.value,
+                        "why": c.why,
+                    }
+                    for c in self._history
+                ],
+            },
+            separators=(",", ":"),
+        )
--- a/magpieshift/installation/talking.py
+++ b/magpieshift/extensions/overload_gossip.py
@@ -9,18 +9,18 @@
 
 from magpieshift import clock
 from magpieshift.app import EdgeRouter
-from magpieshift.core.model import Call
-from magpieshift.installation.fitting import Plain
-from magpieshift.installation.membership import Membership
+from magpieshift.engine.model import ClientRequest
+from magpieshift.extensions.extension import BaseExtension
+from magpieshift.extensions.membership import Membership
 from magpieshift.log import fields
-from magpieshift.members.detector import TURN_US as MEMBERS_TURN_US
-from magpieshift.members.driver import steady_us
-from magpieshift.members.view import Member
+from magpieshift.membership.driver import steady_us
+from magpieshift.membership.failure_detector import TURN_US as MEMBERS_TURN_US
+from magpieshift.membership.member_table import Member
 from magpieshift.overload.codec import Malformed, decode, encode
+from magpieshift.overload.gossip import TURN_US, Gossip
 from magpieshift.overload.offloading import FRESH_US
-from magpieshift.overload.talk import TURN_US, Talker
-from magpieshift.overload.trials import Seen
-from molecleat.heed import Allow, Leave
+from magpieshift.overload.probe_election import Seen
+from magpieshift.policy.health_override import Eject, Readmit
 
 log = logging.getLogger(__name__)
 
@@ -29,16 +29,16 @@
 LATE_SMOOTH, RATE_SMOOTH = 0.2, 0.2
 
 
-class Talking(Plain):
+class OverloadGossip(BaseExtension):
     """One router's talk, by way of the members' datagrams. It holds nothing to be given back: its turns are
     membership's, and end with it."""
 
-    fitting = "talk"
+    name = "talk"
 
     def __init__(self, router: EdgeRouter, membership: Membership, seed: int, hand_over: bool) -> None:
         self._router, self._membership = router, membership
         rand = random.Random(seed ^ clock.source.unix_us() ^ 1)
-        self._talker = Talker(router.document.name, rand, steady_us())
+        self._talker = Gossip(router.document.name, rand, steady_us())
         self._hand_over = hand_over
         self._called_us = self._turned_us = steady_us()
         self._late_us = self._rate = 0.0
@@ -54,10 +54,10 @@
         if self._hand_over:
             self._router.relieve(self._hands_over)
 
-    def calls(self) -> Mapping[str, Callable[[], str]]:
+    def commands(self) -> Mapping[str, Callable[[], str]]:
         return {"TALK": self._line}
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         self._router.relieve(None)
 
     # --- what goes on
@@ -81,24 +81,29 @@
         if since < TURN_US:
             return
         self._turned_us = now
-        taken = self._router.engine.taken
+        taken = self._router.engine.requests_taken
         self._rate += RATE_SMOOTH * (1e6 * (taken - self._taken) / since - self._rate)
         self._taken = taken
         seen = {
-            m.ident: Seen(m.entry.store, (m.entry.kind, m.entry.zone), shunned, failed, good)
-            for m, shunned, failed, good in self._router.engine.store_health()
+            m.name: Seen(m.endpoint.number, (m.endpoint.kind, m.endpoint.zone), shunned, failed, good)
+            for m, shunned, failed, good in self._router.engine.endpoint_health()
         }
         here = self._membership.there()
         names = sorted(member.name for member in here)
         mates = [member.name for member in here if member.zone == self._membership.zone]
         turn = self._talker.turn(now, seen, names, mates, self._pressure(), self._rate)
-        self._router.engine.heed(turn.acts)
-        self._log_acts([act.number for act in turn.acts if isinstance(act, Leave)],
-                       {act.number for act in turn.acts if isinstance(act, Allow)}, seen)  # fmt: skip
+        self._router.engine.apply_overrides(turn.acts)
+        self._log_acts(
+            [act.number for act in turn.acts if isinstance(act, Eject)],
+            {act.number for act in turn.acts if isinstance(act, Readmit)},
+            seen,
+        )
         if turn.offloading_changed:
             offloading = self._talker.offloading
-            log.warning("handing over" if offloading.over else "no longer handing over",
-                        extra=fields(why=offloading.why, handed=offloading.handed))  # fmt: skip
+            log.warning(
+                "handing over" if offloading.over else "no longer handing over",
+                extra=fields(why=offloading.why, handed=offloading.handed),
+            )
         by_name = {member.name: member for member in here}
         for name, digest in turn.sends:
             self._membership.note(by_name[name], TOPIC, encode(digest))
@@ -119,28 +124,41 @@
             log.info("store no longer left", extra=fields(store=names.get(number, "-"), why=why))
         self._left = set(left)
 
-    def _hands_over(self, call: Call) -> bool:
+    def _hands_over(self, call: ClientRequest) -> bool:
         engine = self._router.engine
-        number = engine.object_number(call.key)
-        return self._talker.offloading.hands_over(number, call.repeat, engine.writes(call.cls))
+        number = engine.object_number(call.object_key)
+        return self._talker.offloading.hands_over(number, call.is_repeat, engine.writes(call.class_index))
 
     def _line(self) -> str:
         """What is said and done, as one line of JSON."""
         now, talker = steady_us(), self._talker
-        return json.dumps({
-            "pressure": round(self._pressure(), 3), "rate": round(self._rate, 1),
-            "over": talker.offloading.over, "share": round(talker.offloading.share, 3),
-            "handed": talker.offloading.handed, "why": talker.offloading.why,
-            "changes": talker.offloading.changes,
-            "failing": {
-                store: sorted(said) for store in sorted(talker.reports.stores())
-                if (said := talker.reports.failing(store, now))
+        return json.dumps(
+            {
+                "pressure": round(self._pressure(), 3),
+                "rate": round(self._rate, 1),
+                "over": talker.offloading.over,
+                "share": round(talker.offloading.share, 3),
+                "handed": talker.offloading.handed,
+                "why": talker.offloading.why,
+                "changes": talker.offloading.changes,
+                "failing": {
+                    store: sorted(said)
+                    for store in sorted(talker.reports.stores())
+                    if (said := talker.reports.failing(store, now))
+                },
+                "left": sorted(
+                    m.name
+                    for m, *_ in self._router.engine.endpoint_health()
+                    if m.endpoint.number in self._left
+                ),
+                "neighbours_fresh_s": FRESH_US / 1e6,
+                "sent": talker.sent,
+                "taken": talker.taken,
+                "dropped": {
+                    "malformed": self.malformed,
+                    "flooded": talker.flooded,
+                    "no_room": talker.reports.dropped,
+                },
             },
-            "left": sorted(
-                m.ident for m, *_ in self._router.engine.store_health() if m.entry.store in self._left
-            ),
-            "neighbours_fresh_s": FRESH_US / 1e6, "sent": talker.sent, "taken": talker.taken,
-            "dropped": {
-                "malformed": self.malformed, "flooded": talker.flooded, "no_room": talker.reports.dropped,
-            },
-        }, separators=(",", ":"))  # fmt: skip
+            separators=(",", ":"),
+        )
--- a/magpieshift/installation/relayed.py
+++ b/magpieshift/extensions/relay_subscription.py
@@ -14,7 +14,7 @@
 from magpieshift.control.sexp import Unusable
 from magpieshift.control.version_history import Answer, Reason
 from magpieshift.control.version_manager import VersionManager
-from magpieshift.installation.fitting import Plain
+from magpieshift.extensions.extension import BaseExtension
 from magpieshift.lifecycle import State
 from magpieshift.log import fields
 from magpieshift.relay import configuration
@@ -33,9 +33,12 @@
     router."""
 
     def __init__(
-        self, router: EdgeRouter, follower: Follower, selection: Selection,
+        self,
+        router: EdgeRouter,
+        follower: Follower,
+        selection: Selection,
         offer: Callable[[ConfigurationChange], None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._router, self._offer = router, offer
         self.client = RelayClient(follower, selection, self)
 
@@ -98,10 +101,10 @@
             log.warning("unreadable change", extra=fields(reason=f"{type(err).__name__}: {err}"[:200]))
 
 
-class Relayed(Plain):
+class RelaySubscription(BaseExtension):
     """Owner of a router's place in the fan-out tier, and of the versions that it brings."""
 
-    fitting = "relays"
+    name = "relays"
 
     def __init__(
         self, router: EdgeRouter, manager: VersionManager, relays: Sequence[Relay], region: str, name: str
@@ -117,10 +120,10 @@
         router.lifecycle.watchers.append(self._went)
         manager.listeners.append(self._answered)
 
-    def calls(self) -> Mapping[str, Callable[[], str]]:
+    def commands(self) -> Mapping[str, Callable[[], str]]:
         return {"RELAY": self._line}
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         self._manager.listeners.remove(self._answered)
         await self._changes.client.stop()
 
@@ -130,11 +133,16 @@
     def _line(self) -> str:
         """Where the router stands, for operators."""
         follower, now_us = self._follower, clock.source.steady_us()
-        return json.dumps({
-            "relay": self._changes.client.relay.address, "epoch": follower.epoch.term,
-            "applied": follower.applied, "done": follower.done,
-            "age_us": follower.currency.age_us(now_us), "leased": follower.currency.lease_held(now_us),
-        })  # fmt: skip
+        return json.dumps(
+            {
+                "relay": self._changes.client.relay.address,
+                "epoch": follower.epoch.term,
+                "applied": follower.applied,
+                "done": follower.done,
+                "age_us": follower.currency.age_us(now_us),
+                "leased": follower.currency.lease_held(now_us),
+            }
+        )
 
     # --- versions
 
--- a/magpieshift/installation/runner.py
+++ b/magpieshift/extensions/runner.py
@@ -17,7 +17,7 @@
 from magpieshift.control.schema import Loaded, load_text
 from magpieshift.control.sexp import Unusable
 from magpieshift.control.version_manager import VersionManager, as_loaded, first_version, opened
-from magpieshift.installation.fitting import Fitting
+from magpieshift.extensions.extension import Extension
 from magpieshift.log import fields
 
 log = logging.getLogger(__name__)
@@ -87,46 +87,50 @@
         self.router = EdgeRouter(Config(document, seed, known, versions.in_force.number))
         self.manager = VersionManager(self.router, versions, loaded.data, store, trouble, overrides)
         self._name = document.name
-        self.fittings: list[Fitting] = []
+        self.fittings: list[Extension] = []
         if options.capture or options.hash_key:  # the libraries of each fitting, only where it is used
             from magpieshift.capture.recorder import Limits
-            from magpieshift.installation.recording import Recording, keyed_hash
+            from magpieshift.extensions.capture_recording import CaptureRecording, keyed_hash
 
             if options.hash_key:
                 self.router.engine.object_number = keyed_hash(options.hash_key)
             if options.capture:
                 limits = Limits(budget=options.capture_mb << 20)
-                self.fittings.append(Recording(self.router, options.capture, limits, bool(options.hash_key)))
+                self.fittings.append(
+                    CaptureRecording(self.router, options.capture, limits, bool(options.hash_key))
+                )
         if options.control:
-            from magpieshift.installation.following import Following
+            from magpieshift.extensions.control_channel import ControlChannel
 
-            self.fittings.append(Following(self.router, self.manager, options.control, self._name))
+            self.fittings.append(ControlChannel(self.router, self.manager, options.control, self._name))
         if options.relays:
-            from magpieshift.installation.relayed import Relayed
+            from magpieshift.extensions.relay_subscription import RelaySubscription
             from magpieshift.relay.settings import read_relays
 
             relays = read_relays(options.relays, options.region, "relays")
-            self.fittings.append(Relayed(self.router, self.manager, relays, options.region, self._name))
+            self.fittings.append(
+                RelaySubscription(self.router, self.manager, relays, options.region, self._name)
+            )
         if document.members is not None:
-            from magpieshift.installation.membership import Membership
+            from magpieshift.extensions.membership import Membership
 
             membership = Membership(self.router, document.members, seed)
             self.fittings.append(membership)
             if document.members.digests:
-                from magpieshift.installation.talking import Talking
+                from magpieshift.extensions.overload_gossip import OverloadGossip
 
-                hand_over = document.members.hand_over
-                self.fittings.append(Talking(self.router, membership, seed, hand_over))
+                hand_over = document.members.may_offload
+                self.fittings.append(OverloadGossip(self.router, membership, seed, hand_over))
         if options.label or options.term >= 0:
-            from magpieshift.installation.figures import Figures
-            from magpieshift.installation.terms import Terms
+            from magpieshift.extensions.counters import RequestCounters
+            from magpieshift.extensions.fencing import FencingTerms
 
-            self.fittings.append(Terms(self.router, options.term))
-            self.fittings.append(Figures(self.router, options.label))
+            self.fittings.append(FencingTerms(self.router, options.term))
+            self.fittings.append(RequestCounters(self.router, options.label))
         for fitting in self.fittings:
-            self.router.committed.append(fitting.changed)
-            self.router.calls.update(fitting.calls())
-            self.router.worded.update(fitting.worded())
+            self.router.committed.append(fitting.configuration_changed)
+            self.router.calls.update(fitting.commands())
+            self.router.worded.update(fitting.commands_with_argument())
 
     def reload(self) -> None:
         """SIGHUP: the settings file is offered as a version."""
@@ -156,7 +160,7 @@
                 await self.manager.stop()
             await asyncio.wait([ending])
             for fitting in reversed(self.fittings):
-                await fitting.end()
+                await fitting.stop()
 
     async def _end_with(self) -> None:
         """Nothing else changes while the router drains."""
--- a/magpieshift/lab/capacity/arithmetic.py
+++ b/magpieshift/lab/capacity/arithmetic.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-from magpieshift.feed.client import MOST_PAUSE_S, SILENCE_S
+from magpieshift.discovery.client import MOST_PAUSE_S, SILENCE_S
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.measure import Row
 from magpieshift.lab.capacity.results import Result
--- a/magpieshift/lab/capacity/documents.py
+++ b/magpieshift/lab/capacity/documents.py
@@ -15,12 +15,18 @@
     basket = {"aim-ms": 700, "deadline-ms": 2000, "effect": "keyed", "dedup-ms": 5000, "write": True}
     named = {f"zone-{number}": {"routers": 1, "attached-to": "hub"} for number in range(zones - 2)}
     data = {
-        "name": "lab", "listen": listen, "change-log": change_log,
-        "limits": {"memory-mb": 64, "sockets": 512}, "zone": "shop", "routers": max(1, zones - 1),
+        "name": "lab",
+        "listen": listen,
+        "change-log": change_log,
+        "limits": {"memory-mb": 64, "sockets": 512},
+        "zone": "shop",
+        "routers": max(1, zones - 1),
         "zones": {"hub": {"routers": 0}, **named, "shop": {"routers": 1, "attached-to": "hub"}},
-        "kinds": ["box", "upper", "source"], "parent-kind": "upper", "origin-kind": "source",
+        "kinds": ["box", "upper", "source"],
+        "parent-kind": "upper",
+        "origin-kind": "source",
         "classes": {"picture": picture, "basket": basket},
-    }  # fmt: skip
+    }
     return to_data(load_data(data).document)
 
 
--- a/magpieshift/lab/capacity/log_process.py
+++ b/magpieshift/lab/capacity/log_process.py
@@ -11,7 +11,7 @@
 import sys
 import time
 
-from magpieshift.lab.standins import peers
+from magpieshift.lab.emulators import peers
 
 SEED = 1
 
--- a/magpieshift/lab/capacity/measure.py
+++ b/magpieshift/lab/capacity/measure.py
@@ -141,18 +141,28 @@
     budget = resource.budget
     ratio = at_target / budget.limit if budget is not None and at_target is not None else None
     return Row(
-        role=role.name, resource=resource.name, by=role.by, unit=resource.unit, target=role.target,
-        measured_to=largest, at_half=_figures(at_half),
-        at_target=_figures(at_target), at_twice=_figures(at_twice),
+        role=role.name,
+        resource=resource.name,
+        by=role.by,
+        unit=resource.unit,
+        target=role.target,
+        measured_to=largest,
+        at_half=_figures(at_half),
+        at_target=_figures(at_target),
+        at_twice=_figures(at_twice),
         budget=_figures(budget.limit) if budget is not None else None,
-        derivation=budget.derivation if budget is not None else "", ratio=_figures(ratio),
-        intercept=_figures(law.intercept) if law else None, slope=_figures(law.slope) if law else None,
-        exponent=law.exponent if law else None, interval=law.interval if law else None,
+        derivation=budget.derivation if budget is not None else "",
+        ratio=_figures(ratio),
+        intercept=_figures(law.intercept) if law else None,
+        slope=_figures(law.slope) if law else None,
+        exponent=law.exponent if law else None,
+        interval=law.interval if law else None,
         superlinear=law.superlinear if law else False,
         prediction_error=_figures(error) if error != float("inf") else None,
-        how=_how(role, points, at_target), measurements=len(points),
+        how=_how(role, points, at_target),
+        measurements=len(points),
         command=f"magpieshift lab capacity --json --role '{role.name}'",
-    )  # fmt: skip
+    )
 
 
 def _law(points: Sequence[Point]) -> Fit | None:
--- a/magpieshift/lab/capacity/results.py
+++ b/magpieshift/lab/capacity/results.py
@@ -58,8 +58,11 @@
     try:
         found = subprocess.run(
             ["git", "-C", folder, "describe", "--always", "--abbrev=7", "--dirty"],
-            capture_output=True, text=True, timeout=10, check=True,
-        )  # fmt: skip
+            capture_output=True,
+            text=True,
+            timeout=10,
+            check=True,
+        )
     except (OSError, subprocess.SubprocessError):
         return UNKNOWN
     return found.stdout.strip()
--- a/magpieshift/lab/capacity/roles/capture.py
+++ b/magpieshift/lab/capacity/roles/capture.py
@@ -12,7 +12,8 @@
 from magpieshift.lab.capacity.processor import spending
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.experiments.decisions import Run
-from molecleat import interface as api
+from magpieshift.policy.actions import SendCacheRequest, SendPlainRequest
+from magpieshift.policy.events import Event
 
 HALF_CORE_MS = 500.0
 SHARE = 0.05  # of a request's processor time that recording may take
@@ -27,11 +28,11 @@
         self._recorder = recorder
         super().__init__(caches, seed)
 
-    def _feed(self, event: api.Event) -> None:
+    def _feed(self, event: Event) -> None:
         if self._recorder is None:
             return super()._feed(event)
         for action in self._recorder.handle(self.router, self.now, (event,)):
-            if isinstance(action, api.Send | api.Get):
+            if isinstance(action, SendPlainRequest | SendCacheRequest):
                 self._out.append(action)
 
 
@@ -47,14 +48,16 @@
     simulated = False
     resources = (
         Resource(
-            "processor", "ms a second",
+            "processor",
+            "ms a second",
             Budget(SHARE * HALF_CORE_MS, "a twentieth of the half core that requests may take"),
         ),
         Resource(
-            "bytes", "bytes a second",
+            "bytes",
+            "bytes a second",
             Budget(KEPT_BYTES / KEPT_S, "an hour in the 512 MB that a capture may take"),
         ),
-    )  # fmt: skip
+    )
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
         requests = int(size)
--- a/magpieshift/lab/capacity/roles/changelog.py
+++ b/magpieshift/lab/capacity/roles/changelog.py
@@ -45,9 +45,13 @@
 async def log_process(rate: float) -> AsyncIterator[LogProcess]:
     """A change log in a process of its own that tells purges at this rate."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "magpieshift.lab.capacity.log_process", str(rate),
-        stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
-    )  # fmt: skip
+        sys.executable,
+        "-m",
+        "magpieshift.lab.capacity.log_process",
+        str(rate),
+        stdin=asyncio.subprocess.PIPE,
+        stdout=asyncio.subprocess.PIPE,
+    )
     try:
         assert process.stdout is not None
         async with asyncio.timeout(30):
--- a/magpieshift/lab/capacity/roles/control.py
+++ b/magpieshift/lab/capacity/roles/control.py
@@ -75,9 +75,16 @@
 async def served(folder: str) -> AsyncIterator[tuple[int, int]]:
     """``magpieshift control serve`` on a folder: its process and port."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "magpieshift", "control", "serve", folder, "--listen", "127.0.0.1:0",
+        sys.executable,
+        "-m",
+        "magpieshift",
+        "control",
+        "serve",
+        folder,
+        "--listen",
+        "127.0.0.1:0",
         stderr=asyncio.subprocess.PIPE,
-    )  # fmt: skip
+    )
     assert process.stderr is not None
     try:
         async with asyncio.timeout(WITHIN_S):
--- a/magpieshift/lab/capacity/roles/digests.py
+++ b/magpieshift/lab/capacity/roles/digests.py
@@ -8,8 +8,8 @@
 from magpieshift.lab.capacity.processor import spending
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.overload.codec import decode, encode
-from magpieshift.overload.talk import TURN_US, Talker
-from magpieshift.overload.trials import Seen
+from magpieshift.overload.gossip import TURN_US, Gossip
+from magpieshift.overload.probe_election import Seen
 
 FAILING = 8  # stores of a zone at once: a rack of them
 TALKERS = 8  # of the routers; what goes to the others comes to one of these, as each hears what it says
@@ -38,7 +38,7 @@
         draw = random.Random(seed)
         here = sorted(f"router-{number}" for number in range(int(size)))
         talkers = {
-            name: Talker(name, random.Random(draw.getrandbits(64))) for name in draw.sample(here, TALKERS)
+            name: Gossip(name, random.Random(draw.getrandbits(64))) for name in draw.sample(here, TALKERS)
         }
         sent = sent_bytes = 0
         with spending() as spent:
--- a/magpieshift/lab/capacity/roles/lists.py
+++ b/magpieshift/lab/capacity/roles/lists.py
@@ -7,7 +7,7 @@
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.capacity.routers import HERE, CountedWorld, ready_router
-from magpieshift.lab.standins import peers
+from magpieshift.lab.emulators import peers
 
 CHANGES = 40
 BETWEEN_S = 0.01
--- a/magpieshift/lab/capacity/roles/membership.py
+++ b/magpieshift/lab/capacity/roles/membership.py
@@ -6,8 +6,8 @@
 from magpieshift.lab.capacity.processor import spending
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.experiments.members import SECOND, Form, grown
-from magpieshift.members.codec import decode, encode
-from magpieshift.members.messages import Datagram
+from magpieshift.membership.codec import decode, encode
+from magpieshift.membership.messages import Datagram
 
 FOR_S = 3
 ALL_CONTROL = "all of control on a router"
--- a/magpieshift/lab/capacity/roles/objects.py
+++ b/magpieshift/lab/capacity/roles/objects.py
@@ -10,7 +10,7 @@
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.capacity.roles.decisions import BUDGET
 from magpieshift.lab.experiments.decisions import Run
-from molecleat import interface as api
+from magpieshift.policy.events import Event, RequestReceived
 
 OBJECTS = 35_000_000_000
 LAST = 100  # requests over which the cost of one is measured
@@ -20,9 +20,9 @@
 class EveryObjectOnce(Run):
     """Requests of which each asks for an object that nobody has asked for."""
 
-    def _feed(self, event: api.Event) -> None:
-        if isinstance(event, api.Request):
-            event = replace(event, key=event.id)
+    def _feed(self, event: Event) -> None:
+        if isinstance(event, RequestReceived):
+            event = replace(event, object_key=event.request_id)
         super()._feed(event)
 
 
--- a/magpieshift/lab/capacity/roles/relays.py
+++ b/magpieshift/lab/capacity/roles/relays.py
@@ -93,9 +93,15 @@
 async def node(*words: str) -> AsyncIterator[Node]:
     """``magpieshift relay`` with these words, at a free port; ``RuntimeError`` where it does not come up."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "magpieshift", "relay", *words, "--listen", "127.0.0.1:0",
+        sys.executable,
+        "-m",
+        "magpieshift",
+        "relay",
+        *words,
+        "--listen",
+        "127.0.0.1:0",
         stderr=asyncio.subprocess.PIPE,
-    )  # fmt: skip
+    )
     assert process.stderr is not None
     reading: asyncio.Future[bytes] | None = None
     try:
--- a/magpieshift/lab/capacity/roles/requests.py
+++ b/magpieshift/lab/capacity/roles/requests.py
@@ -8,7 +8,7 @@
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.capacity.routers import HERE, Ready, ready_router
-from magpieshift.lab.standins import peers
+from magpieshift.lab.emulators import peers
 
 SETTLE_S = 0.2
 CLIENTS = 4
@@ -74,11 +74,14 @@
     simulated = False
     resources = (
         Resource(
-            "processor", "us a request",
-            Budget(0.5e6 / fleet.REQUESTS_PER_ROUTER_S,
-                   f"half of a core for {fleet.REQUESTS_PER_ROUTER_S:.0f} requests a second"),
+            "processor",
+            "us a request",
+            Budget(
+                0.5e6 / fleet.REQUESTS_PER_ROUTER_S,
+                f"half of a core for {fleet.REQUESTS_PER_ROUTER_S:.0f} requests a second",
+            ),
         ),
-    )  # fmt: skip
+    )
 
     def __init__(self, folder: str = HERE) -> None:
         self._folder = folder
--- a/magpieshift/lab/capacity/roles/snapshots.py
+++ b/magpieshift/lab/capacity/roles/snapshots.py
@@ -26,12 +26,17 @@
     made_us = sorted(NOW_US - draw.randrange(PURGES_KEPT_US) // 1000 * 1000 for _ in range(purges))
     members = [
         {
-            "id": f"s-{number}", "host_port": f"10.0.{number // 256}.{number % 256}:7000",
-            "locality": f"zone-{number % fleet.ZONES}", "flavor": "box", "cell": number,
-            "phase": "SERVING", "size": 4, "up_since_ms": 0,
+            "id": f"s-{number}",
+            "host_port": f"10.0.{number // 256}.{number % 256}:7000",
+            "locality": f"zone-{number % fleet.ZONES}",
+            "flavor": "box",
+            "cell": number,
+            "phase": "SERVING",
+            "size": 4,
+            "up_since_ms": 0,
         }
         for number in range(fleet.CACHES)
-    ]  # fmt: skip
+    ]
     text = sexp.write(settings(fleet.ZONES))
     return Snapshot(
         Epoch(NOW_US // 1000, 1),
--- a/magpieshift/lab/capacity/roles/versions.py
+++ b/magpieshift/lab/capacity/roles/versions.py
@@ -10,12 +10,12 @@
 from magpieshift.control import sexp
 from magpieshift.control.content import Full
 from magpieshift.control.version_history import Answer, Offer
-from magpieshift.installation.runner import Installation, Options
+from magpieshift.extensions.runner import Installation, Options
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.documents import changed, settings
 from magpieshift.lab.capacity.processor import spending
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
-from magpieshift.lab.standins.world import World
+from magpieshift.lab.emulators.world import World
 
 VERSIONS = 15
 MILLISECONDS = 10 * fleet.CONTROL_CPU_PERCENT / 2 / fleet.VERSIONS_PER_S
@@ -56,7 +56,7 @@
             installation.manager.start()
             try:
                 async with asyncio.timeout(30):
-                    while installation.router.engine.listed < caches + 1:
+                    while installation.router.engine.endpoint_count < caches + 1:
                         await asyncio.sleep(0.01)
                 spent_s = await self._put_in_force(installation, world.settings())
             finally:
--- a/magpieshift/lab/capacity/routers.py
+++ b/magpieshift/lab/capacity/routers.py
@@ -11,9 +11,9 @@
 from pathlib import Path
 
 from magpieshift.lab.capacity.processor import processor_s, resident_mb
+from magpieshift.lab.emulators import peers
+from magpieshift.lab.emulators.world import World
 from magpieshift.lab.experiments.cost import Variant, started
-from magpieshift.lab.standins import peers
-from magpieshift.lab.standins.world import World
 
 HERE = str(Path(__file__).resolve().parents[3])
 CAUGHT_UP_S = 60.0
--- a/magpieshift/lab/capacity/tables.py
+++ b/magpieshift/lab/capacity/tables.py
@@ -105,17 +105,42 @@
 def role(results: Results, *names: str) -> str:
     """All that was measured of these roles: a line a resource and result."""
     head = (
-        "resource", "by (target)", "result", "measured to", "at half", "at target", "at twice", "unit",
-        "slope", "exponent", "error", "budget", "ratio", "how",
-    )  # fmt: skip
+        "resource",
+        "by (target)",
+        "result",
+        "measured to",
+        "at half",
+        "at target",
+        "at twice",
+        "unit",
+        "slope",
+        "exponent",
+        "error",
+        "budget",
+        "ratio",
+        "how",
+    )
     rows = [
         (
-            f"{row.role}: {row.resource}", f"{row.by} ({number(row.target)})", name, number(row.measured_to),
-            number(row.at_half), number(row.at_target), number(row.at_twice), row.unit, number(row.slope),
-            growth(row), error(row), number(row.budget), number(row.ratio), row.how,
+            f"{row.role}: {row.resource}",
+            f"{row.by} ({number(row.target)})",
+            name,
+            number(row.measured_to),
+            number(row.at_half),
+            number(row.at_target),
+            number(row.at_twice),
+            row.unit,
+            number(row.slope),
+            growth(row),
+            error(row),
+            number(row.budget),
+            number(row.ratio),
+            row.how,
         )
-        for name, result in results.items() for row in result.rows if row.role in names
-    ]  # fmt: skip
+        for name, result in results.items()
+        for row in result.rows
+        if row.role in names
+    ]
     if not rows:
         return "Not run."
     commands = dict.fromkeys(
--- a/magpieshift/lab/standins/emulated.py
+++ b/magpieshift/lab/emulators/emulated.py
@@ -14,8 +14,8 @@
 
 from magpieshift.config import Document
 from magpieshift.control.schema import load_data, to_data
-from magpieshift.lab.standins.emulator import Figures, Rules, Store
-from molecleat.interface import Effect
+from magpieshift.lab.emulators.emulator import Figures, Rules, Store
+from magpieshift.policy.settings import Idempotency
 
 KINDS = {
     "box": ("shop", "box", Figures()),
@@ -36,27 +36,38 @@
     """The settings of a router in front of it."""
     picture = {"aim-ms": 300, "deadline-ms": 1500, "in-parts": True, "worth": 2, "late-worth": 0.3}
     basket = {
-        "aim-ms": 500, "deadline-ms": 2000, "effect": "keyed", "dedup-ms": 4000,
-        "write": True, "worth": 3,
-    }  # fmt: skip
+        "aim-ms": 500,
+        "deadline-ms": 2000,
+        "effect": "keyed",
+        "dedup-ms": 4000,
+        "write": True,
+        "worth": 3,
+    }
     order = {"aim-ms": 500, "deadline-ms": 2000, "effect": "unsafe", "write": True, "worth": 3}
     data = {
-        "name": name, "listen": f"127.0.0.1:{port}", "change-log": f"127.0.0.1:{log_port}",
-        "limits": {"memory-mb": 64, "sockets": 512}, "zone": "shop", "routers": routers,
+        "name": name,
+        "listen": f"127.0.0.1:{port}",
+        "change-log": f"127.0.0.1:{log_port}",
+        "limits": {"memory-mb": 64, "sockets": 512},
+        "zone": "shop",
+        "routers": routers,
         "zones": {"hub": {"routers": 0}, "shop": {"routers": routers, "attached-to": "hub"}},
-        "kinds": ["box", "upper", "source"], "parent-kind": "upper", "origin-kind": "source",
-        "classes": {"picture": picture, "basket": basket, "order": order}, "client-kb-per-s": 300,
+        "kinds": ["box", "upper", "source"],
+        "parent-kind": "upper",
+        "origin-kind": "source",
+        "classes": {"picture": picture, "basket": basket, "order": order},
+        "client-kb-per-s": 300,
         "stores": {"cold-ms": 4000, "cold-from": 0.3},
         "parents": {"cold-ms": 4000, "cold-from": 0.3, "fall-multiple": 2},
-    }  # fmt: skip
+    }
     return to_data(load_data(data).document)
 
 
 def may_copy(document: Document) -> frozenset[str]:
     """The classes of which this document lets a second copy run beside the first."""
     classes = zip(document.names.classes, document.settings.classes, strict=True)
-    may = document.settings.second_copies
-    return frozenset(name for name, cls in classes if may and cls.effect == Effect.FREE)
+    may = document.settings.hedged_requests
+    return frozenset(name for name, cls in classes if may and cls.idempotency == Idempotency.IDEMPOTENT)
 
 
 class Emulated:
--- a/magpieshift/lab/standins/emulator.py
+++ b/magpieshift/lab/emulators/emulator.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Collection, Mapping
 from dataclasses import dataclass
 
-from magpieshift.back import lines
+from magpieshift.upstream import lines
 
 Part = tuple[str, str]
 SLACK_S = 0.05  # the protocol page's allowance on sockets
@@ -49,9 +49,11 @@
     first, at another store."""
 
     def __init__(
-        self, slack_s: float = SLACK_S, knew: Callable[[str, float], float] = lambda ident, told: told,
+        self,
+        slack_s: float = SLACK_S,
+        knew: Callable[[str, float], float] = lambda ident, told: told,
         copies: Collection[str] = (),
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.slack_s, self.knew, self.copies = slack_s, knew, copies
         self._out: dict[str, list[str]] = {}  # where each request has an attempt out
         self.attempts = 0
@@ -158,10 +160,15 @@
 
     def listing(self, phase: str = "SERVING") -> dict[str, object]:
         return {
-            "id": self.ident, "host_port": f"127.0.0.1:{self.port}", "locality": self.zone,
-            "flavor": self.kind, "cell": self.cell, "phase": phase, "size": self.figures.size,
+            "id": self.ident,
+            "host_port": f"127.0.0.1:{self.port}",
+            "locality": self.zone,
+            "flavor": self.kind,
+            "cell": self.cell,
+            "phase": phase,
+            "size": self.figures.size,
             "up_since_ms": self.up_since_ms,
-        }  # fmt: skip
+        }
 
     def drop(self, key: str) -> None:
         """A purge reaches this store."""
--- a/magpieshift/lab/standins/load.py
+++ b/magpieshift/lab/emulators/load.py
@@ -14,8 +14,8 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from magpieshift.front import frames
-from magpieshift.front.frames import Code, Type
+from magpieshift.downstream import frames
+from magpieshift.downstream.frames import Code, Type
 
 PATIENCE_MS = {"picture": 1500, "basket": 2000, "order": 2000}
 
@@ -186,11 +186,17 @@
     ``elsewhere``, where there are any."""
 
     def __init__(
-        self, port: int, rate: float, objects: int, seed: int,
-        served: Callable[[str, int, float, str], None], mark: str = "",
-        excused: Callable[[float], bool] = lambda began: False, crossed_s: float = CROSSED_S,
+        self,
+        port: int,
+        rate: float,
+        objects: int,
+        seed: int,
+        served: Callable[[str, int, float, str], None],
+        mark: str = "",
+        excused: Callable[[float], bool] = lambda began: False,
+        crossed_s: float = CROSSED_S,
         elsewhere: Sequence[int] = (),
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._rate, self._objects, self._served = rate, objects, served
         self._mark, self._excused, self._settled = mark, excused, False
         self._draw, self._random = np.random.default_rng(seed), random.Random(seed)
@@ -247,9 +253,14 @@
         for attempt in range(2):
             ident = self._mark + f"{self._random.getrandbits(64):016x}"[len(self._mark) :]
             fields = {
-                "c": name, "i": ident, "d": str(PATIENCE_MS[name]), "o": key,
-                "slice": str(part), "set": str(int(key, 16) % 256), "m": "0.9",
-            }  # fmt: skip
+                "c": name,
+                "i": ident,
+                "d": str(PATIENCE_MS[name]),
+                "o": key,
+                "slice": str(part),
+                "set": str(int(key, 16) % 256),
+                "m": "0.9",
+            }
             if name == "basket":
                 fields["k"] = once
             if attempt:
--- a/magpieshift/lab/standins/peers.py
+++ b/magpieshift/lab/emulators/peers.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from magpieshift.back import lines
-from magpieshift.front import frames
-from magpieshift.front.frames import Code, Type
+from magpieshift.downstream import frames
+from magpieshift.downstream.frames import Code, Type
+from magpieshift.upstream import lines
 
 BODY = b"x" * 600
 
@@ -149,9 +149,15 @@
 def member(store: Store, zone: str, kind: str, cell: int, phase: str = "SERVING") -> dict[str, Any]:
     """A store as the change log lists it."""
     return {
-        "id": store.ident, "host_port": f"127.0.0.1:{store.port}", "locality": zone, "flavor": kind,
-        "cell": cell, "phase": phase, "size": 4, "up_since_ms": 0,
-    }  # fmt: skip
+        "id": store.ident,
+        "host_port": f"127.0.0.1:{store.port}",
+        "locality": zone,
+        "flavor": kind,
+        "cell": cell,
+        "phase": phase,
+        "size": 4,
+        "up_since_ms": 0,
+    }
 
 
 class Client:
@@ -204,9 +210,14 @@
     def _send(self, stream: int, name: str) -> None:
         assert self._writer is not None
         fields = {
-            "c": name, "i": f"{self._random.getrandbits(64):016x}", "d": "1500",
-            "o": f"{self._random.randrange(200) + 1:016x}", "slice": "0", "set": "1", "m": "1",
-        }  # fmt: skip
+            "c": name,
+            "i": f"{self._random.getrandbits(64):016x}",
+            "d": "1500",
+            "o": f"{self._random.randrange(200) + 1:016x}",
+            "slice": "0",
+            "set": "1",
+            "m": "1",
+        }
         if name.startswith("basket"):
             fields["k"] = fields["i"]
         self._writer.write(frames.head(Type.REQUEST, stream, frames.write_fields(fields)))
--- a/magpieshift/lab/standins/world.py
+++ b/magpieshift/lab/emulators/world.py
@@ -8,7 +8,7 @@
 
 from magpieshift.control import sexp
 from magpieshift.control.schema import load_data, to_data
-from magpieshift.lab.standins import peers
+from magpieshift.lab.emulators import peers
 
 
 class World:
@@ -41,12 +41,17 @@
         picture = {"aim-ms": 500, "deadline-ms": 2000, "in-parts": True, "worth": 2}
         basket = {"aim-ms": 700, "deadline-ms": 2000, "effect": "keyed", "dedup-ms": 5000, "write": True}
         data = {
-            "name": "lab", "listen": f"127.0.0.1:{self.port}", "change-log": f"127.0.0.1:{self.log.port}",
-            "limits": {"memory-mb": 64, "sockets": 512}, "zone": "shop",
+            "name": "lab",
+            "listen": f"127.0.0.1:{self.port}",
+            "change-log": f"127.0.0.1:{self.log.port}",
+            "limits": {"memory-mb": 64, "sockets": 512},
+            "zone": "shop",
             "zones": {"hub": {"routers": 0}, "shop": {"routers": 1, "attached-to": "hub"}},
-            "kinds": ["box", "upper", "source"], "parent-kind": "upper", "origin-kind": "source",
+            "kinds": ["box", "upper", "source"],
+            "parent-kind": "upper",
+            "origin-kind": "source",
             "classes": {"picture": picture, "basket": basket},
-        }  # fmt: skip
+        }
         return to_data(load_data(data).document)
 
     def write_settings(self, folder: Path) -> Path:
--- a/magpieshift/lab/experiments/door.py
+++ b/magpieshift/lab/experiments/admin_client.py
@@ -9,10 +9,10 @@
 import time
 from typing import Any
 
-from magpieshift.console.door import MOST_CALLERS
+from magpieshift.admin.server import MOST_CALLERS
+from magpieshift.lab.emulators import peers
+from magpieshift.lab.emulators.world import World
 from magpieshift.lab.experiments.cost import Variant, started
-from magpieshift.lab.standins import peers
-from magpieshift.lab.standins.world import World
 
 
 async def _call(port: int, line: bytes) -> tuple[float, bytes]:
@@ -55,8 +55,11 @@
     world.stop()
     times = [1000 * took for took, _ in found]
     return {
-        "calls": calls, "wrong": sum(answer != b"OK serving\n" for _, answer in found),
-        "median ms": round(statistics.median(times), 2), "slowest ms": round(max(times), 2),
-        "mute callers": len(mute), "requests": sum(c.sent for c in clients),
+        "calls": calls,
+        "wrong": sum(answer != b"OK serving\n" for _, answer in found),
+        "median ms": round(statistics.median(times), 2),
+        "slowest ms": round(max(times), 2),
+        "mute callers": len(mute),
+        "requests": sum(c.sent for c in clients),
         "lost": sum(c.lost for c in clients),
-    }  # fmt: skip
+    }
--- a/magpieshift/lab/experiments/apply.py
+++ b/magpieshift/lab/experiments/apply.py
@@ -24,8 +24,8 @@
 from magpieshift.control import sexp
 from magpieshift.control.content import Full
 from magpieshift.control.version_history import Answer, Offer
-from magpieshift.installation.runner import SWITCH_S, Installation, Options
-from magpieshift.lab.standins.world import World
+from magpieshift.extensions.runner import SWITCH_S, Installation, Options
+from magpieshift.lab.emulators.world import World
 
 KINDS = ("a figure", "classes", "zones anew")
 TICK_S = 0.001
@@ -87,7 +87,7 @@
         manager.start()
         engine = router.engine
         async with asyncio.timeout(30):
-            while engine.listed < members + 1:
+            while engine.endpoint_count < members + 1:
                 await asyncio.sleep(0.01)
         done: asyncio.Queue[tuple[Answer, int, int]] = asyncio.Queue()
         manager.listeners.append(lambda *told: done.put_nowait(told))
--- a/magpieshift/lab/experiments/cost.py
+++ b/magpieshift/lab/experiments/cost.py
@@ -21,8 +21,8 @@
 from pathlib import Path
 from typing import Any
 
-from magpieshift.lab.standins import peers
-from magpieshift.lab.standins.world import World
+from magpieshift.lab.emulators import peers
+from magpieshift.lab.emulators.world import World
 
 TICKS = os.sysconf("SC_CLK_TCK")
 
@@ -43,7 +43,7 @@
 from hdrh.histogram import HdrHistogram
 from magpieshift.capture import segments
 from magpieshift.cli.main import run
-from magpieshift.installation import runner
+from magpieshift.extensions import runner
 plain, late, stuck = runner.run, HdrHistogram(1, 60_000_000, 3), float(sys.argv[1])
 async def tick():
     while True:
@@ -97,36 +97,80 @@
 def platform_json(world: World) -> dict[str, Any]:
     """The platform's configuration for a router in this world."""
     settings = {
-        "Balancers": 1, "Discovery": "pushed", "Locality": 1, "QuantumUs": 2000, "SelfIndex": 0,
-        "Weights": "rough", "Zones": ["hub", "shop"], "MachineTypes": ["box", "upper", "source"],
+        "Balancers": 1,
+        "Discovery": "pushed",
+        "Locality": 1,
+        "QuantumUs": 2000,
+        "SelfIndex": 0,
+        "Weights": "rough",
+        "Zones": ["hub", "shop"],
+        "MachineTypes": ["box", "upper", "source"],
         "Caps": {
-            "Cancelling": True, "ConnIdleUs": 15_000_000, "ConnectTimeoutUs": 400_000, "MaxAttempts": 8,
-            "MaxRetryAfterUs": 900_000, "MaxStreams": 32, "PeerMessages": False, "Probes": True,
+            "Cancelling": True,
+            "ConnIdleUs": 15_000_000,
+            "ConnectTimeoutUs": 400_000,
+            "MaxAttempts": 8,
+            "MaxRetryAfterUs": 900_000,
+            "MaxStreams": 32,
+            "PeerMessages": False,
+            "Probes": True,
             "SecondCopies": False,
         },
-        "Classes": [{
-            "Name": "picture", "AimStretch": 2.0, "AimUs": 500_000, "DedupWindowUs": 0, "Effect": "free",
-            "GiveUpUs": 2_000_000, "Group": "all", "LateWorth": 0.1, "Stream": False, "Worth": 2.0,
-        }],
+        "Classes": [
+            {
+                "Name": "picture",
+                "AimStretch": 2.0,
+                "AimUs": 500_000,
+                "DedupWindowUs": 0,
+                "Effect": "free",
+                "GiveUpUs": 2_000_000,
+                "Group": "all",
+                "LateWorth": 0.1,
+                "Stream": False,
+                "Worth": 2.0,
+            }
+        ],
         "Contract": {
-            "AnswerSlackUs": 8000, "ColdFrom": 0.2, "ColdUs": 18_000_000, "DrainGraceUs": 250_000,
-            "FallMultiple": 2.5, "FallUs": 1_000_000,
+            "AnswerSlackUs": 8000,
+            "ColdFrom": 0.2,
+            "ColdUs": 18_000_000,
+            "DrainGraceUs": 250_000,
+            "FallMultiple": 2.5,
+            "FallUs": 1_000_000,
         },
         "LoadInfo": {"Columns": [], "How": "none"},
         "Specifics": {
-            "AttachedTo": [0, 0], "ClassWrite": [False], "ClientKbPerS": 5000.0, "GraceForUs": [0],
-            "InPieces": [True], "LinkInKbPerS": [0.0, 90_000.0], "MasterKind": 2, "MaxAgeUs": [0],
-            "MayPassBy": True, "ParentBreaksAt": 2.0, "ParentRampUs": 19_000_000, "PurgeSlackUs": 500_000,
-            "PurgeTakesUs": 6_000_000, "Says": "all", "SharesFills": False, "ShieldKind": 1,
-            "Siblings": "location", "StaleEarns": [0.7], "UpperColdFrom": 0.1, "ZoneBalancers": [0, 1],
+            "AttachedTo": [0, 0],
+            "ClassWrite": [False],
+            "ClientKbPerS": 5000.0,
+            "GraceForUs": [0],
+            "InPieces": [True],
+            "LinkInKbPerS": [0.0, 90_000.0],
+            "MasterKind": 2,
+            "MaxAgeUs": [0],
+            "MayPassBy": True,
+            "ParentBreaksAt": 2.0,
+            "ParentRampUs": 19_000_000,
+            "PurgeSlackUs": 500_000,
+            "PurgeTakesUs": 6_000_000,
+            "Says": "all",
+            "SharesFills": False,
+            "ShieldKind": 1,
+            "Siblings": "location",
+            "StaleEarns": [0.7],
+            "UpperColdFrom": 0.1,
+            "ZoneBalancers": [0, 1],
         },
-    }  # fmt: skip
+    }
     return {
-        "name": "lab", "listen": f"127.0.0.1:{world.port}", "seed": "a7",
+        "name": "lab",
+        "listen": f"127.0.0.1:{world.port}",
+        "seed": "a7",
         "changelog": f"127.0.0.1:{world.log.port}",
-        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512}, "known": {"seq": 0, "results": []},
+        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512},
+        "known": {"seq": 0, "results": []},
         "settings": settings,
-    }  # fmt: skip
+    }
 
 
 def _spent(pid: int) -> float:
@@ -144,9 +188,13 @@
         environment = os.environ | {"EDGE_CONFIG": str(config)} | dict(variant.environment or {})
         with log.open("wb") as file:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, *variant.program, *variant.words, cwd=variant.folder, stderr=file,
+                sys.executable,
+                *variant.program,
+                *variant.words,
+                cwd=variant.folder,
+                stderr=file,
                 env={name: value.replace("{folder}", folder) for name, value in environment.items()},
-            )  # fmt: skip
+            )
         try:
             for _ in range(1000):
                 if "event=ready" in log.read_text():
@@ -184,9 +232,13 @@
             await asyncio.wait_for(process.wait(), 20)
             late = re.search(r"^late=(\d+)", log.read_text(), re.M)
             return Cost(
-                1e6 * spent / done, int(peak[1]) / 1024, done, sum(c.served for c in clients),
-                sum(c.lost for c in clients), int(late[1]) / 1000 if late else None,
-            )  # fmt: skip
+                1e6 * spent / done,
+                int(peak[1]) / 1024,
+                done,
+                sum(c.served for c in clients),
+                sum(c.lost for c in clients),
+                int(late[1]) / 1000 if late else None,
+            )
     finally:
         world.stop()
 
@@ -207,8 +259,9 @@
             "requests": sum(c.requests for c in costs),
         }
         for label, values in (
-            ("us a request", [c.us_a_request for c in costs]), ("peak MB", [c.peak_mb for c in costs]),
-        ):  # fmt: skip
+            ("us a request", [c.us_a_request for c in costs]),
+            ("peak MB", [c.peak_mb for c in costs]),
+        ):
             row[label] = round(statistics.median(values), 2)
             row[f"{label} from"], row[f"{label} to"] = round(min(values), 2), round(max(values), 2)
         late = [c.late_ms for c in costs if c.late_ms is not None]
--- a/magpieshift/lab/experiments/decisions.py
+++ b/magpieshift/lab/experiments/decisions.py
@@ -1,5 +1,5 @@
-"""What the decisions alone cost, by the size of the zone: ``Router.handle`` with one hit, or one miss and its
-fill, a request, no sockets. Times are of the processor; the runs of the sizes take turns."""
+"""What the decisions alone cost, by the size of the zone: ``RouterPolicy.handle`` with one hit, or one miss
+and its fill, a request, no sockets. Times are of the processor; the runs of the sizes take turns."""
 
 from __future__ import annotations
 
@@ -10,19 +10,30 @@
 from collections.abc import Sequence
 from typing import Any
 
-from molecleat import interface as api
-from molecleat.control import Router
+from magpieshift.policy.actions import SendCacheRequest, SendPlainRequest
+from magpieshift.policy.events import (
+    AttemptEnded,
+    Endpoint,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    Event,
+    RequestReceived,
+)
+from magpieshift.policy.outcomes import CacheStatus, Outcome
+from magpieshift.policy.router_policy import RouterPolicy
+from magpieshift.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 SECOND = 1_000_000
 OPEN = 40  # requests under way at once
 PARENTS = 4
 
 
-def settings() -> api.Settings:
+def settings() -> Settings:
     """An installation with caches in zone 1, parents and the origin in zone 0."""
-    picture = api.RequestClass(
-        api.Effect.FREE,
-        api.Scope.ALL,
+    picture = RequestClass(
+        Idempotency.IDEMPOTENT,
+        DeduplicationScope.ALL,
         0,
         SECOND // 2,
         2.0,
@@ -36,38 +47,68 @@
         0,
         0.7,
     )
-    return api.Settings(
-        classes=(picture,), zone=1, routers=1, self_index=0, zone_hub=(0, 0), zone_routers=(0, 1),
-        zone_link_kb_per_s=(0.0, 90_000.0), parent_kind=1, origin_kind=2, tick_us=2000, flow_kb_per_s=5000.0,
-        weights_are_sizes=True, answer_slack_us=8000, drain_grace_us=250_000, cold_from=0.2,
-        cold_us=18 * SECOND, fall_multiple=2.5, fall_us=SECOND, parent_cold_from=0.1,
-        parent_cold_us=19 * SECOND, parent_fall_multiple=2.0, purge_grace_us=SECOND // 2,
-        purge_done_us=6 * SECOND, connect_timeout_us=400_000, max_attempts=8, max_retry_after_us=900_000,
-        may_cancel=True, may_probe=True, may_message=False, may_pass_by=True, second_copies=False,
-        joins_fills=False, siblings=True, notes=True, must_subscribe=False, report_columns=(),
-    )  # fmt: skip
+    return Settings(
+        classes=(picture,),
+        zone=1,
+        router_count=1,
+        router_index=0,
+        zone_hub=(0, 0),
+        zone_router_counts=(0, 1),
+        zone_link_kb_per_s=(0.0, 90_000.0),
+        parent_kind=1,
+        origin_kind=2,
+        tick_us=2000,
+        client_kb_per_s=5000.0,
+        weights_are_sizes=True,
+        answer_slack_us=8000,
+        drain_grace_us=250_000,
+        slow_start_fraction=0.2,
+        slow_start_us=18 * SECOND,
+        overload_multiple=2.5,
+        overload_window_us=SECOND,
+        parent_slow_start_fraction=0.1,
+        parent_slow_start_us=19 * SECOND,
+        parent_overload_multiple=2.0,
+        purge_grace_us=SECOND // 2,
+        purge_propagation_us=6 * SECOND,
+        connect_timeout_us=400_000,
+        max_attempts=8,
+        max_retry_after_us=900_000,
+        can_cancel_attempts=True,
+        can_check_health=True,
+        can_message_peers=False,
+        may_bypass_caches=True,
+        hedged_requests=False,
+        coalesces_fills=False,
+        siblings=True,
+        reports_cache_status=True,
+        must_subscribe=False,
+        load_report_columns=(),
+    )
 
 
 class Run:
     """A module with so many caches, and requests that come and end."""
 
     def __init__(self, caches: int, seed: int) -> None:
-        self.router, self._random = Router(settings(), seed), random.Random(seed)
+        self.router, self._random = RouterPolicy(settings(), seed), random.Random(seed)
         self.now, self._ids = 1_764_576_000 * SECOND, 0
-        self._out: list[api.Send | api.Get] = []
+        self._out: list[SendPlainRequest | SendCacheRequest] = []
         self._legs: dict[int, int] = {}
         entries = [self._entry(100 + i, 1, 0) for i in range(caches)]
         entries += [self._entry(10 + i, 0, 1) for i in range(PARENTS)] + [self._entry(1, 0, 2)]
-        self._feed(api.StoreList(api.ListKind.FULL, 1, tuple(entries)))
+        self._feed(EndpointListReceived(EndpointListKind.COMPLETE, 1, tuple(entries)))
 
     @staticmethod
-    def _entry(store: int, zone: int, kind: int) -> api.Entry:
+    def _entry(store: int, zone: int, kind: int) -> Endpoint:
         # numbers as far apart as hashes of ids are
-        return api.Entry(store * 0x9E3779B97F4A7C15 % (1 << 64), zone, kind, store, api.Phase.READY, 4.0, 0)
+        return Endpoint(
+            store * 0x9E3779B97F4A7C15 % (1 << 64), zone, kind, store, EndpointState.READY, 4.0, 0
+        )
 
-    def _feed(self, event: api.Event) -> None:
+    def _feed(self, event: Event) -> None:
         for action in self.router.handle(self.now, (event,)):
-            if isinstance(action, api.Send | api.Get):
+            if isinstance(action, SendPlainRequest | SendCacheRequest):
                 self._out.append(action)
 
     def request(self) -> None:
@@ -75,19 +116,19 @@
         self._ids += 1
         self._legs[self._ids] = 0
         key = int(self._random.paretovariate(0.8)) % 5000 + 1
-        self._feed(api.Request(self._ids, 0, 0, key, 4 * SECOND, 30.0, key % 256, 0, False, False))
+        self._feed(RequestReceived(self._ids, 0, 0, key, 4 * SECOND, 30.0, key % 256, 0, False, False))
         self.now += 500
         while len(self._out) > OPEN:
             sent = self._out.pop(0)
-            leg = self._legs[sent.id]
-            self._legs[sent.id] = leg + 1
-            held = isinstance(sent, api.Get) and sent.source != sent.store
+            leg = self._legs[sent.request_id]
+            self._legs[sent.request_id] = leg + 1
+            held = isinstance(sent, SendCacheRequest) and sent.source != sent.endpoint
             ok = held or self._random.random() < 0.7
-            outcome = api.Outcome.OK if ok else api.Outcome.MISS
-            note = api.Note.FILLED if held else api.Note.HIT if ok else api.Note.NONE
+            outcome = Outcome.OK if ok else Outcome.MISS
+            note = CacheStatus.FILLED if held else CacheStatus.HIT if ok else CacheStatus.NONE
             if ok:
-                del self._legs[sent.id]
-            self._feed(api.Ended(sent.id, outcome, 9_000, 0, ok, note, sent.store, leg, ()))
+                del self._legs[sent.request_id]
+            self._feed(AttemptEnded(sent.request_id, outcome, 9_000, 0, ok, note, sent.endpoint, leg, ()))
 
 
 def measure(sizes: Sequence[int], requests: int, rounds: int, budget_s: float = 20.0) -> list[dict[str, Any]]:
@@ -115,8 +156,11 @@
             counted[size] += done
     return [
         {
-            "caches": size, "us a request": round(statistics.median(times), 1), "from": round(min(times), 1),
-            "to": round(max(times), 1), "requests": counted[size],
+            "caches": size,
+            "us a request": round(statistics.median(times), 1),
+            "from": round(min(times), 1),
+            "to": round(max(times), 1),
+            "requests": counted[size],
         }
         for size, times in found.items()
-    ]  # fmt: skip
+    ]
--- a/magpieshift/lab/experiments/episode.py
+++ b/magpieshift/lab/experiments/episode.py
@@ -16,11 +16,11 @@
 from typing import Any
 
 from magpieshift.control import sexp
+from magpieshift.lab.emulators import peers
+from magpieshift.lab.emulators.emulated import Emulated, settings
+from magpieshift.lab.emulators.emulator import Rules
+from magpieshift.lab.emulators.load import Load
 from magpieshift.lab.experiments.scenario import Failure, Scenario
-from magpieshift.lab.standins import peers
-from magpieshift.lab.standins.emulated import Emulated, settings
-from magpieshift.lab.standins.emulator import Rules
-from magpieshift.lab.standins.load import Load
 
 ROUTER = (sys.executable, "-m", "magpieshift")
 UP_S = 20.0
@@ -149,21 +149,32 @@
             histogram = slice_.latency_us
             outcome.slices.append(
                 {
-                    "second": number, "sent": slice_.sent, "served": slice_.served, "refused": slice_.refused,
-                    "failed": slice_.failed, "lost": slice_.lost,
+                    "second": number,
+                    "sent": slice_.sent,
+                    "served": slice_.served,
+                    "refused": slice_.refused,
+                    "failed": slice_.failed,
+                    "lost": slice_.lost,
                     "p50_ms": histogram.get_value_at_percentile(50) / 1000,
                     "p99_ms": histogram.get_value_at_percentile(99) / 1000,
                 }
-            )  # fmt: skip
+            )
         outcome.figures = {
-            "seconds": round(outcome.seconds, 1), "seed": outcome.scenario.seed, "requests": total.sent,
-            "served": total.served, "refused": total.refused, "failed": total.failed, "lost": total.lost,
-            "retries": load.retries, "attempts": rules.attempts,
+            "seconds": round(outcome.seconds, 1),
+            "seed": outcome.scenario.seed,
+            "requests": total.sent,
+            "served": total.served,
+            "refused": total.refused,
+            "failed": total.failed,
+            "lost": total.lost,
+            "retries": load.retries,
+            "attempts": rules.attempts,
             "p50_ms": total.latency_us.get_value_at_percentile(50) / 1000,
             "p99_ms": total.latency_us.get_value_at_percentile(99) / 1000,
-            "origin_fetches": sum(rules.fetches.values()), "failures": len(outcome.scenario.failures),
+            "origin_fetches": sum(rules.fetches.values()),
+            "failures": len(outcome.scenario.failures),
             "cpu_us_a_request": round(1e6 * spent / max(1, total.sent)),
-        }  # fmt: skip
+        }
 
 
 async def play(
@@ -180,11 +191,14 @@
 def saved(outcome: Outcome) -> str:
     """An outcome as JSON, for a report beside another's later."""
     plain = {
-        "figures": outcome.figures, "slices": outcome.slices, "stores": outcome.stores,
-        "broken": outcome.broken, "examples": outcome.examples,
+        "figures": outcome.figures,
+        "slices": outcome.slices,
+        "stores": outcome.stores,
+        "broken": outcome.broken,
+        "examples": outcome.examples,
         "failures": [
             {"what": f.what, "who": f.who, "at_s": f.at_s, "for_s": f.for_s}
             for f in outcome.scenario.failures
         ],
-    }  # fmt: skip
+    }
     return json.dumps(plain)
