--- a/magpieshift/lab/experiments/fleet.py
+++ b/magpieshift/lab/experiments/fleet.py
@@ -11,9 +11,15 @@
 from pathlib import Path
 
 KINDS: dict[str, tuple[str, ...]] = {  # the events that count, and what each must tell
-    "asked": (), "refused": (), "failed": (), "left": (), "sent": ("store", "source"),
-    "ended": ("outcome", "note"), "connecting": (), "listed": (),
-}  # fmt: skip
+    "asked": (),
+    "refused": (),
+    "failed": (),
+    "left": (),
+    "sent": ("store", "source"),
+    "ended": ("outcome", "note"),
+    "connecting": (),
+    "listed": (),
+}
 
 
 @dataclass(slots=True)
@@ -80,11 +86,15 @@
             most = max(counter["asked"] + counter["fills"] for counter in seconds.values())
             found.append(
                 {
-                    "store": store, "asked": total["asked"], "fills": total["fills"], "most_a_second": most,
-                    "ok": total["ok"], "bad": total["bad"],
+                    "store": store,
+                    "asked": total["asked"],
+                    "fills": total["fills"],
+                    "most_a_second": most,
+                    "ok": total["ok"],
+                    "bad": total["bad"],
                     "silent_for_s": round(self.gone_after_s.get(store, 0.0), 1),
                 }
-            )  # fmt: skip
+            )
         return found
 
 
--- a/magpieshift/lab/experiments/handover.py
+++ b/magpieshift/lab/experiments/handover.py
@@ -13,7 +13,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from magpieshift.streams import listen_socket, steer_to_second
+from magpieshift.sockets import listen_socket, steer_to_second
 
 OUTCOMES = ("answered", "reset", "refused", "closed unread")
 WAYS = ("closed", "emptied", "steered", "passed on")
--- a/magpieshift/lab/experiments/members.py
+++ b/magpieshift/lab/experiments/members.py
@@ -16,10 +16,10 @@
 from itertools import count
 from typing import Any
 
-from magpieshift.members.detector import TURN_US, Detector, Tuning
-from magpieshift.members.messages import Address, Datagram, Send
-from magpieshift.members.shares import ALL, Shares
-from magpieshift.members.view import Change, Member, Standing
+from magpieshift.membership.failure_detector import TURN_US, FailureDetector, Tuning
+from magpieshift.membership.member_table import Change, Member, Standing
+from magpieshift.membership.messages import Address, Datagram, Send
+from magpieshift.membership.quota_lease import ALL, QuotaLeases
 
 SECOND = 1_000_000
 BUFFER = 512  # datagrams that a socket keeps for a process that does not read
@@ -32,8 +32,8 @@
 
     name: str
     address: Address
-    detector: Detector
-    shares: Shares
+    detector: FailureDetector
+    shares: QuotaLeases
     offset_us: int  # of its own clock
     rate: float  # of its own clock
     alive: bool = True
@@ -93,8 +93,8 @@
         rate = 1 + rand.uniform(-form.drift, form.drift)
         offset = rand.randrange(10 * SECOND)
         now = offset + int(self.now_us * rate)
-        detector = Detector(own, "f", seeds, now, rand, form.tuning)
-        shares = Shares(own, council, {ALL: form.routers}, form.alone, now, rand)
+        detector = FailureDetector(own, "f", seeds, now, rand, form.tuning)
+        shares = QuotaLeases(own, council, {ALL: form.routers}, form.alone, now, rand)
         process = Process(name, (host, port), detector, shares, offset, rate)
         detector.view.listeners.append(lambda change: self.changes.append((self.now_us, name, change)))
         detector.other = lambda claim, sender, to: self._claims(
@@ -217,9 +217,10 @@
 def false_removals(network: Network, since: int = 0) -> int:
     """How often somebody who lived was held to be gone."""
     return sum(
-        1 for at, _, change in network.changes[since:]
+        1
+        for at, _, change in network.changes[since:]
         if change.after == Standing.GONE and network.processes[change.name].alive
-    )  # fmt: skip
+    )
 
 
 @dataclass
@@ -244,9 +245,15 @@
 
 
 def play(
-    routers: int, seed: int, minutes: float = 2.0, loss: float = 0.3, pauses: bool = True,
-    tuning: Tuning | None = None, size: Callable[[Datagram], int] | None = None, deaths: int = 5,
-) -> Outcome:  # fmt: skip
+    routers: int,
+    seed: int,
+    minutes: float = 2.0,
+    loss: float = 0.3,
+    pauses: bool = True,
+    tuning: Tuning | None = None,
+    size: Callable[[Datagram], int] | None = None,
+    deaths: int = 5,
+) -> Outcome:
     """One fleet: quiet for its cost, then loss and pauses of up to 5 s, then so many deaths, then
     a partition into halves and its healing."""
     began = time.perf_counter()
@@ -291,8 +298,11 @@
             if change.name == name:
                 firsts.setdefault((who, change.after), at)
         for other in network.living():
-            seen = [at for (who, after), at in firsts.items()
-                    if who == other.name and after in (Standing.SUSPECTED, Standing.GONE)]  # fmt: skip
+            seen = [
+                at
+                for (who, after), at in firsts.items()
+                if who == other.name and after in (Standing.SUSPECTED, Standing.GONE)
+            ]
             noticed.append((min(seen) - died) / 1e6 if seen else 20.0)
             gone.append((firsts.get((other.name, Standing.GONE), died + 20 * SECOND) - died) / 1e6)
         network.start(name)
--- a/magpieshift/lab/experiments/membership_exploration.py
+++ b/magpieshift/lab/experiments/membership_exploration.py
@@ -15,9 +15,9 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from magpieshift.members.detector import Detector
-from magpieshift.members.messages import Address, Datagram, Send
-from magpieshift.members.view import Member, Standing
+from magpieshift.membership.failure_detector import FailureDetector
+from magpieshift.membership.member_table import Member, Standing
+from magpieshift.membership.messages import Address, Datagram, Send
 
 NAMES = ("a", "b", "c")
 TICK_US = 400_000  # a late tick, but none that counts as sleep
@@ -36,7 +36,7 @@
 
     now_us: int = 10_000_000
     lives: dict[str, int] = field(default_factory=dict)
-    members: dict[str, Detector] = field(default_factory=dict)
+    members: dict[str, FailureDetector] = field(default_factory=dict)
     late: list[tuple[str, Send]] = field(default_factory=list)
 
     @classmethod
@@ -53,7 +53,7 @@
         """A process, of no memory, in place of what was there."""
         life = self.lives[name] = self.lives.get(name, 0) + 1
         own = Member(name, *_at(name), life, life)
-        self.members[name] = Detector(own, "f", SEEDS, self.now_us, random.Random(life))
+        self.members[name] = FailureDetector(own, "f", SEEDS, self.now_us, random.Random(life))
 
     def step(
         self, asleep: str = "", lost: Callable[[str, str], bool] = lambda a, b: False, late: str = ""
@@ -104,10 +104,15 @@
                 silent = min((self.now_us - found.heard_us) // STEP_US, 3) if other != name else 0
                 since = min((self.now_us - found.since_us) // STEP_US, 4)
                 judged = found.standing != Standing.ALIVE
-                known.append((
-                    found.standing.value, silent, since if judged else 0, tuple(sorted(found.accusers)),
-                    self.lives[other] - found.member.incarnation,
-                ))  # fmt: skip
+                known.append(
+                    (
+                        found.standing.value,
+                        silent,
+                        since if judged else 0,
+                        tuple(sorted(found.accusers)),
+                        self.lives[other] - found.member.incarnation,
+                    )
+                )
             rows.append((detector.settled, detector.quiet, *known))
         return (*rows, bool(self.late))
 
--- a/magpieshift/lab/experiments/overload.py
+++ b/magpieshift/lab/experiments/overload.py
@@ -149,7 +149,7 @@
     fleet = Fleet(form)
     talk = None
     if talking is not None:
-        from magpieshift.lab.simulated.talk import Talk  # needs the codec's library
+        from magpieshift.lab.simulated.gossip import Talk  # needs the codec's library
 
         talk = Talk(fleet, max(talking.loss, scenario.digests_lost), talking.liars)
     fleet.run(WARM_S + CALM_S)
--- a/magpieshift/lab/experiments/rollout_report.py
+++ b/magpieshift/lab/experiments/rollout_report.py
@@ -47,9 +47,12 @@
             shares = [good / max(1, asked) for good, asked in counts]
             served.plot(when, shares, label=f"{name}, {side}", linestyle="-" if side == "new" else ":")
         width.fill_between(
-            when, [row["classes"][name][4] for row in with_it], [row["classes"][name][5] for row in with_it],
-            alpha=0.3, label=name,
-        )  # fmt: skip
+            when,
+            [row["classes"][name][4] for row in with_it],
+            [row["classes"][name][5] for row in with_it],
+            alpha=0.3,
+            label=name,
+        )
     for row, before in zip(rows[1:], rows, strict=False):
         if (row["stage"], row["way"]) != (before["stage"], before["way"]):
             for axis in (who, served, width):
@@ -79,10 +82,14 @@
         status = {"name": records[0].get("name", "-"), "way": "broken off", "why": ""}
     picture = base64.b64encode(_png(rows)).decode() if rows else ""
     steps = "\n".join(
-        "<tr>" + "".join(f"<td>{html.escape(str(record.get(key, '')))}</td>" for key in (
-            "at", "term", "what", "step", "router", "label", "stage", "way", "why")) + "</tr>"
+        "<tr>"
+        + "".join(
+            f"<td>{html.escape(str(record.get(key, '')))}</td>"
+            for key in ("at", "term", "what", "step", "router", "label", "stage", "way", "why")
+        )
+        + "</tr>"
         for record in records
-    )  # fmt: skip
+    )
     path = folder / "report.html"
     name, way = html.escape(status["name"]), html.escape(status["way"])
     path.write_text(
--- a/magpieshift/lab/experiments/scenario.py
+++ b/magpieshift/lab/experiments/scenario.py
@@ -13,7 +13,7 @@
 from magpieshift.control import sexp
 from magpieshift.control.sexp import Problem, Unusable
 from magpieshift.control.validation import Form, Seconds, checked
-from magpieshift.lab.standins.emulated import places
+from magpieshift.lab.emulators.emulated import places
 
 HEAD = "scenario"
 What = Literal["die", "pause", "late-list", "slow", "lose", "reset", "drain", "purge"]
@@ -75,9 +75,14 @@
     form = checked(ScenarioForm, data, lines or {})
     failures = [Failure(name, f.what, f.who, f.at_s, f.for_s, f.by) for name, f in form.failures.items()]
     found = Scenario(
-        form.seconds, form.seed, form.rate, form.boxes, form.hubs, form.objects,
+        form.seconds,
+        form.seed,
+        form.rate,
+        form.boxes,
+        form.hubs,
+        form.objects,
         tuple(sorted(failures, key=lambda f: f.at_s)),
-    )  # fmt: skip
+    )
     problems = [
         Problem(f"failures {f.name} who", 0, sexp.shown(f.who), "one of " + ", ".join(found.places))
         for f in failures
--- a/magpieshift/lab/experiments/versions.py
+++ b/magpieshift/lab/experiments/versions.py
@@ -28,19 +28,25 @@
 from magpieshift.control.schema import load_data
 from magpieshift.control.service import ControlService, Stream
 from magpieshift.control.wire import control_pb2 as wire
+from magpieshift.lab.emulators import peers
+from magpieshift.lab.emulators.world import World
 from magpieshift.lab.experiments.version_checks import VersionChecks
 from magpieshift.lab.experiments.version_maker import VersionMaker
 from magpieshift.lab.experiments.version_report import Report
-from magpieshift.lab.standins import peers
-from magpieshift.lab.standins.world import World
 
 PATIENCE_S = 20.0
 TOO_LARGE = 64 << 20
 ROUTER = (sys.executable, "-m", "magpieshift")
 UNUSABLE = {  # what must be turned down, and how often each is drawn
-    "version": 12, "digest": 1, "step back": 1, "other content": 1, "noise": 1, "truncated": 1, "empty": 1,
+    "version": 12,
+    "digest": 1,
+    "step back": 1,
+    "other content": 1,
+    "noise": 1,
+    "truncated": 1,
+    "empty": 1,
     "unknown base": 1,
-}  # fmt: skip
+}
 
 
 @dataclass(frozen=True)
@@ -201,9 +207,15 @@
         self._checks.know(0, load_data(versions.data))
         await self._service.start("127.0.0.1:0")
         command = [
-            *plan.program, "run", "--config", str(start), "--state", str(folder / "state"),
-            "--control", f"127.0.0.1:{self._service.port}",
-        ]  # fmt: skip
+            *plan.program,
+            "run",
+            "--config",
+            str(start),
+            "--state",
+            str(folder / "state"),
+            "--control",
+            f"127.0.0.1:{self._service.port}",
+        ]
         client = peers.Client(world.port, random.Random(plan.seed), lambda: not self._killing)
         loading: asyncio.Task[None] | None = None
         events = self._schedule()
--- a/magpieshift/lab/proving/doors.py
+++ b/magpieshift/lab/fault_injection/admin_clients.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable, Iterable
 from typing import Any
 
-from magpieshift.lab.proving.places import Place
+from magpieshift.lab.fault_injection.places import Place
 
 UP_S = 30.0  # generous: a verdict must not hang on the machine's speed
 CALL_S = 2.0
--- a/magpieshift/lab/proving/cluster.py
+++ b/magpieshift/lab/fault_injection/cluster.py
@@ -16,18 +16,18 @@
 
 from magpieshift.control import sexp
 from magpieshift.control.schema import load_data, to_data
-from magpieshift.lab.proving import checks, skewed
-from magpieshift.lab.proving.doors import UP_S
-from magpieshift.lab.proving.network import CLIENTS, LOG, Network
-from magpieshift.lab.proving.outages import Idle
-from magpieshift.lab.proving.places import Place
-from magpieshift.lab.proving.ports import free_ports
-from magpieshift.lab.proving.processes import PROGRAM, Processes
-from magpieshift.lab.proving.surroundings import Surroundings
-from magpieshift.lab.proving.switch import Switch
-from magpieshift.lab.standins import emulated
-from magpieshift.lab.standins.emulator import Rules
-from magpieshift.lab.standins.load import CROSSED_S, Load
+from magpieshift.lab.emulators import emulated
+from magpieshift.lab.emulators.emulator import Rules
+from magpieshift.lab.emulators.load import CROSSED_S, Load
+from magpieshift.lab.fault_injection import checks, skewed
+from magpieshift.lab.fault_injection.admin_clients import UP_S
+from magpieshift.lab.fault_injection.network import CLIENTS, LOG, Network
+from magpieshift.lab.fault_injection.outages import Idle
+from magpieshift.lab.fault_injection.places import Place
+from magpieshift.lab.fault_injection.ports import free_ports
+from magpieshift.lab.fault_injection.processes import PROGRAM, Processes
+from magpieshift.lab.fault_injection.surroundings import Surroundings
+from magpieshift.lab.fault_injection.switch import Switch
 
 OBJECTS = 400
 SLACK_S = 0.05
@@ -43,10 +43,21 @@
     the machine is. ``clocks`` names the routers whose clocks can be set."""
 
     def __init__(
-        self, folder: Path, routers: int, seed: int = 1, alone: float = 0.5, rate: float = 20.0,
-        program: Iterable[str] = PROGRAM, boxes: int = 2, hubs: int = 1, slack_s: float = SLACK_S,
-        clocks: Iterable[str] = (), seeds: int = 3, digests: bool = False, hand_over: bool = False,
-    ) -> None:  # fmt: skip
+        self,
+        folder: Path,
+        routers: int,
+        seed: int = 1,
+        alone: float = 0.5,
+        rate: float = 20.0,
+        program: Iterable[str] = PROGRAM,
+        boxes: int = 2,
+        hubs: int = 1,
+        slack_s: float = SLACK_S,
+        clocks: Iterable[str] = (),
+        seeds: int = 3,
+        digests: bool = False,
+        hand_over: bool = False,
+    ) -> None:
         super().__init__(folder, program, clocks)
         self.count, self.seed, self.alone = routers, seed, alone
         self.network = Network()
@@ -98,15 +109,21 @@
         names = list(self.places)
         seeds = [f"127.0.0.1:{self.places[name].public}" for name in names[: self._seeds]]
         members = {
-            "fleet": "proving", "listen": f"127.0.0.1:{place.members}", "seeds": seeds,
-            "advertise": f"127.0.0.1:{place.public}", "alone": self.alone,
+            "fleet": "proving",
+            "listen": f"127.0.0.1:{place.members}",
+            "seeds": seeds,
+            "advertise": f"127.0.0.1:{place.public}",
+            "alone": self.alone,
             "council": names[: 3 if len(names) >= 3 else 1],
-            "digests": self._digests, "hand-over": self._hand_over,
-        }  # fmt: skip
+            "digests": self._digests,
+            "hand-over": self._hand_over,
+        }
         log_port = self._surroundings.log_port(place.name)
         data = emulated.settings(place.name, place.port, log_port, self.count) | {
-            "console": f"127.0.0.1:{place.console}", "router-index": int(place.name[1:]), "members": members,
-        }  # fmt: skip
+            "console": f"127.0.0.1:{place.console}",
+            "router-index": int(place.name[1:]),
+            "members": members,
+        }
         path = self.folder / f"{place.name}.sexp"
         document = load_data(data).document
         self.rules.copies = emulated.may_copy(document)
@@ -168,11 +185,16 @@
         for number, place in enumerate(self.places.values()):
             name, mark = place.name, f"{number:02x}"
             load = Load(
-                place.clients, self._rate, OBJECTS, self.seed * 1000 + number, self.rules.served, mark,
+                place.clients,
+                self._rate,
+                OBJECTS,
+                self.seed * 1000 + number,
+                self.rules.served,
+                mark,
                 lambda began, name=name: self._excused(name, began),  # type: ignore[misc]
                 CROSSED_S + self.rules.slack_s - SLACK_S,
                 [other.clients for other in self.places.values() if roam and other is not place],
-            )  # fmt: skip
+            )
             self.loads[name] = load
             self._clients.append(asyncio.ensure_future(load.run(float("inf"))))
 
--- a/magpieshift/lab/proving/faulty.py
+++ b/magpieshift/lab/fault_injection/faulty.py
@@ -1,5 +1,5 @@
-"""A router with a defect that is put in on purpose: ``python -m magpieshift.lab.proving.faulty DEFECT BY
-run ...``.
+"""A router with a defect that is put in on purpose:
+``python -m magpieshift.lab.fault_injection.faulty DEFECT BY run ...``.
 
 What a rollout has to notice. The defects are put round the engine from outside: the program itself has none
 of this."""
@@ -17,9 +17,9 @@
 from itertools import count
 from typing import Any
 
-from magpieshift.core.engine import Engine
-from magpieshift.core.model import Call
-from magpieshift.installation import runner
+from magpieshift.engine.engine import Engine
+from magpieshift.engine.model import ClientRequest
+from magpieshift.extensions import runner
 from magpieshift.log import setup
 
 DEFECTS = ("none", "worse", "leak", "slower", "no-start", "mute", "late-crash")
@@ -32,18 +32,18 @@
     submit: Callable[..., int] = engine.submit
     draw, dummies = random.Random(1), count(1 << 40)
 
-    def worse(call: Call, *more: Any) -> int:
+    def worse(call: ClientRequest, *more: Any) -> int:
         if call.class_name == WORSE_CLASS and draw.random() < by:
-            return submit(replace(call, patience_us=1_000), *more)  # given up before any answer
+            return submit(replace(call, time_left_us=1_000), *more)  # given up before any answer
         return submit(call, *more)
 
-    def slower(call: Call, *more: Any) -> int:
+    def slower(call: ClientRequest, *more: Any) -> int:
         end = time.process_time() + by * 1e-3
         while time.process_time() < end:
             pass
         return submit(call, *more)
 
-    def mute(call: Call, *more: Any) -> int:
+    def mute(call: ClientRequest, *more: Any) -> int:
         return next(dummies)  # nothing is ever heard of it
 
     changed = {"worse": worse, "slower": slower, "mute": mute}.get(defect)
--- a/magpieshift/lab/proving/outages.py
+++ b/magpieshift/lab/fault_injection/outages.py
@@ -4,7 +4,7 @@
 
 import time
 
-from magpieshift.lab.proving.network import LinkFault
+from magpieshift.lab.fault_injection.network import LinkFault
 
 KNOWS_S = 3.0  # after a cut from the change log, or a pause, by when a router has read on
 Span = tuple[float, float]
--- a/magpieshift/lab/proving/processes.py
+++ b/magpieshift/lab/fault_injection/processes.py
@@ -9,10 +9,10 @@
 from collections.abc import Iterable, Sequence
 from pathlib import Path
 
-from magpieshift.lab.proving import skewed
-from magpieshift.lab.proving.doors import UP_S, Doors
-from magpieshift.lab.proving.outages import Outages
-from magpieshift.lab.proving.ports import free_ports
+from magpieshift.lab.fault_injection import skewed
+from magpieshift.lab.fault_injection.admin_clients import UP_S, Doors
+from magpieshift.lab.fault_injection.outages import Outages
+from magpieshift.lab.fault_injection.ports import free_ports
 
 PROGRAM = (sys.executable, "-m", "magpieshift")
 COMING_S = 0.6  # after a planned end was asked for, clients may still come
@@ -57,12 +57,18 @@
                 begins = tuple(program) or self._program
                 if name in self._clocks:
                     clock = str(self.folder / f"{name}.clock")
-                    begins = (sys.executable, "-m", "magpieshift.lab.proving.skewed", clock)
+                    begins = (sys.executable, "-m", "magpieshift.lab.fault_injection.skewed", clock)
                 process = await asyncio.create_subprocess_exec(
-                    *begins, "run", "--config", str(self.folder / f"{name}.sexp"),
-                    "--console", f"127.0.0.1:{place.console}", *words,
-                    stderr=log, env=os.environ | {"TMPDIR": str(self.folder)},
-                )  # fmt: skip
+                    *begins,
+                    "run",
+                    "--config",
+                    str(self.folder / f"{name}.sexp"),
+                    "--console",
+                    f"127.0.0.1:{place.console}",
+                    *words,
+                    stderr=log,
+                    env=os.environ | {"TMPDIR": str(self.folder)},
+                )
                 place.process = process
                 self._started.append(process)
 
--- a/magpieshift/lab/proving/trials.py
+++ b/magpieshift/lab/fault_injection/random_runs.py
@@ -12,18 +12,32 @@
 from dataclasses import replace
 
 from magpieshift.control import sexp
-from magpieshift.lab.proving import scenario
-from magpieshift.lab.proving.network import LOG
-from magpieshift.lab.proving.scenario import AT_STORES, ON_LINKS, ON_ROUTERS, Fault, Run
+from magpieshift.lab.fault_injection import scenario
+from magpieshift.lab.fault_injection.network import LOG
+from magpieshift.lab.fault_injection.scenario import AT_STORES, ON_LINKS, ON_ROUTERS, Fault, Run
 
 # how often each is drawn, and how long it lasts in seconds
 KINDS: dict[str, tuple[int, float, float]] = {
-    "pause": (6, 0.5, 8.0), "kill": (6, 0.5, 4.0), "stop": (2, 0.5, 3.0), "step": (2, 2.0, 8.0),
-    "rate": (1, 5.0, 15.0), "cut": (6, 1.0, 12.0), "lose": (3, 2.0, 12.0), "delay": (2, 2.0, 8.0),
-    "double": (1, 2.0, 8.0), "reset": (3, 0.5, 3.0), "silence": (2, 1.0, 5.0), "throttle": (1, 2.0, 5.0),
-    "drain": (2, 1.0, 3.0), "die": (4, 1.0, 5.0), "hang": (2, 0.5, 3.0), "slow": (3, 2.0, 8.0),
-    "err": (2, 2.0, 6.0), "purge": (3, 0.0, 0.0), "late-list": (1, 2.0, 6.0),
-}  # fmt: skip
+    "pause": (6, 0.5, 8.0),
+    "kill": (6, 0.5, 4.0),
+    "stop": (2, 0.5, 3.0),
+    "step": (2, 2.0, 8.0),
+    "rate": (1, 5.0, 15.0),
+    "cut": (6, 1.0, 12.0),
+    "lose": (3, 2.0, 12.0),
+    "delay": (2, 2.0, 8.0),
+    "double": (1, 2.0, 8.0),
+    "reset": (3, 0.5, 3.0),
+    "silence": (2, 1.0, 5.0),
+    "throttle": (1, 2.0, 5.0),
+    "drain": (2, 1.0, 3.0),
+    "die": (4, 1.0, 5.0),
+    "hang": (2, 0.5, 3.0),
+    "slow": (3, 2.0, 8.0),
+    "err": (2, 2.0, 6.0),
+    "purge": (3, 0.0, 0.0),
+    "late-list": (1, 2.0, 6.0),
+}
 SOON, SOON_S = 0.6, 3.0  # share of faults that begin within so long of another's end
 QUIET = 0.75  # of the time, after which nothing new is wrong
 TRIES = 40
@@ -32,9 +46,15 @@
 def _by(what: str, rand: random.Random) -> float:
     """How strong it is, in the unit of its kind."""
     ranges = {
-        "lose": (0.1, 0.7), "double": (0.1, 0.5), "err": (0.2, 0.9), "delay": (20.0, 800.0),
-        "slow": (50.0, 600.0), "throttle": (20.0, 200.0), "step": (-30.0, 30.0), "rate": (0.99, 1.01),
-    }  # fmt: skip
+        "lose": (0.1, 0.7),
+        "double": (0.1, 0.5),
+        "err": (0.2, 0.9),
+        "delay": (20.0, 800.0),
+        "slow": (50.0, 600.0),
+        "throttle": (20.0, 200.0),
+        "step": (-30.0, 30.0),
+        "rate": (0.99, 1.01),
+    }
     least, most = ranges.get(what, (0.0, 0.0))
     return round(rand.uniform(least, most), 3)
 
@@ -82,8 +102,14 @@
     elif what in ON_LINKS:
         router = rand.choice(names)
         if what in ("lose", "double", "delay") or (what == "cut" and rand.random() < 0.7):
-            source, target = rand.choice([(router, "routers"), ("routers", router), ("routers", "routers"),
-                                          (router, rand.choice(names))])  # fmt: skip
+            source, target = rand.choice(
+                [
+                    (router, "routers"),
+                    ("routers", router),
+                    ("routers", "routers"),
+                    (router, rand.choice(names)),
+                ]
+            )
             if what == "cut" and source == target:
                 source, target = router, "routers"
         else:
--- a/magpieshift/lab/proving/relay.py
+++ b/magpieshift/lab/fault_injection/relay.py
@@ -10,7 +10,7 @@
 import socket
 import struct
 
-from magpieshift.lab.proving.network import Network
+from magpieshift.lab.fault_injection.network import Network
 
 CHUNK = 16_384
 LOOK_S = 0.02  # how soon a fault that was put or healed shows on open connections
--- a/magpieshift/lab/proving/rollouts.py
+++ b/magpieshift/lab/fault_injection/rollouts.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from magpieshift.config import Address
-from magpieshift.lab.proving.cluster import Cluster
+from magpieshift.lab.fault_injection.cluster import Cluster
 from magpieshift.rollout import plan as plans
 from magpieshift.rollout.plan import Plan, Router, Side
 from magpieshift.rollout.runner import Runner
@@ -37,9 +37,15 @@
     }
     stages = {"one": {"routers": 1, "soak-s": 3.0, "most-s": 120.0}, "all": {"share": 1.0, "soak-s": 3.0}}
     data: dict[str, Any] = {
-        "name": "proving", "new": {"label": NEW, "start": "-"}, "old": {"label": OLD, "start": "-"},
-        "routers": routers, "stages": stages, "worse-by": {"served": 0.1}, "most-away": 1, "step-s": 15.0,
-    }  # fmt: skip
+        "name": "proving",
+        "new": {"label": NEW, "start": "-"},
+        "old": {"label": OLD, "start": "-"},
+        "routers": routers,
+        "stages": stages,
+        "worse-by": {"served": 0.1},
+        "most-away": 1,
+        "step-s": 15.0,
+    }
     return plans.load(data | more)
 
 
@@ -50,7 +56,7 @@
         words = ("--label", side.label, "--term", str(term))
         program: Sequence[str] = ()
         if side.label == NEW and defect != "none":
-            program = (sys.executable, "-m", "magpieshift.lab.proving.faulty", defect, str(by))
+            program = (sys.executable, "-m", "magpieshift.lab.fault_injection.faulty", defect, str(by))
         await cluster.beside(router.name, door[1], words, program)
 
     return start
@@ -64,9 +70,12 @@
 
 
 async def play(
-    name: str, folder: Path, routers: int, seed: int,
+    name: str,
+    folder: Path,
+    routers: int,
+    seed: int,
     told: Callable[[Mapping[str, Any]], None] = lambda status: None,
-) -> dict[str, Any]:  # fmt: skip
+) -> dict[str, Any]:
     """One rollout of real processes under load, judged by the cluster as well."""
     defect, by, bad = SCENARIOS[name]
     began = time.monotonic()
@@ -86,12 +95,21 @@
         counted = await cluster.settle()
         stopped = status["way"] != "ended" or status["new"] != sorted(cluster.places)
         verdict = {
-            "scenario": name, "routers": routers, "seed": seed, "runs": 1,
-            "stopped_wrongly": int(stopped and not bad), "caught": int(stopped and bad),
-            "exposed_share": round(max(len(status["new"]), 1) / routers, 3), "lost": counted["lost"],
-            "cut": counted["cut"], "asked": counted["sent"], "served": counted["served"],
-            "service_before": round(usual, 4), "service_after": round(service, 4),
-            "why": status["why"], "rules_broken": cluster.broken + cluster.ended_wrong,
+            "scenario": name,
+            "routers": routers,
+            "seed": seed,
+            "runs": 1,
+            "stopped_wrongly": int(stopped and not bad),
+            "caught": int(stopped and bad),
+            "exposed_share": round(max(len(status["new"]), 1) / routers, 3),
+            "lost": counted["lost"],
+            "cut": counted["cut"],
+            "asked": counted["sent"],
+            "served": counted["served"],
+            "service_before": round(usual, 4),
+            "service_after": round(service, 4),
+            "why": status["why"],
+            "rules_broken": cluster.broken + cluster.ended_wrong,
             "seconds": round(time.monotonic() - began, 1),
-        }  # fmt: skip
+        }
     return verdict | {"left_running": cluster.left_running()}
--- a/magpieshift/lab/proving/run.py
+++ b/magpieshift/lab/fault_injection/run.py
@@ -10,9 +10,9 @@
 from pathlib import Path
 from typing import Any
 
-from magpieshift.lab.proving.cluster import Cluster
-from magpieshift.lab.proving.doors import UP_S
-from magpieshift.lab.proving.scenario import ON_LINKS, ON_ROUTERS, Fault, Run, written
+from magpieshift.lab.fault_injection.admin_clients import UP_S
+from magpieshift.lab.fault_injection.cluster import Cluster
+from magpieshift.lab.fault_injection.scenario import ON_LINKS, ON_ROUTERS, Fault, Run, written
 
 QUIET_S = 30.0  # after the last fault, within which all must agree
 
@@ -22,10 +22,14 @@
     await asyncio.sleep(max(0.0, began + fault.at_s - time.monotonic()))
     if fault.what in ON_LINKS:
         faults: dict[str, dict[str, Any]] = {
-            "cut": {"cut": True}, "lose": {"lose": fault.by}, "double": {"double": fault.by},
-            "delay": {"delay_ms": fault.by, "jitter_ms": fault.by}, "reset": {"reset": True},
-            "silence": {"silent": True}, "throttle": {"kb_per_s": fault.by},
-        }  # fmt: skip
+            "cut": {"cut": True},
+            "lose": {"lose": fault.by},
+            "double": {"double": fault.by},
+            "delay": {"delay_ms": fault.by, "jitter_ms": fault.by},
+            "reset": {"reset": True},
+            "silence": {"silent": True},
+            "throttle": {"kb_per_s": fault.by},
+        }
         cluster.network.put(fault.name, fault.source, fault.target, **faults[fault.what])
         await asyncio.sleep(fault.for_s)
         return cluster.network.heal(fault.name)
@@ -76,8 +80,10 @@
                 "share": {name: view["share"] for name, view in views.items()},
             }
             samples.append(row)
-            progress(f"{row['at_s']:6.1f} s  views {sorted(set(row['here'].values()))}  suspected "
-                     f"{row['suspected']}  gone {row['gone']}")  # fmt: skip
+            progress(
+                f"{row['at_s']:6.1f} s  views {sorted(set(row['here'].values()))}  suspected "
+                f"{row['suspected']}  gone {row['gone']}"
+            )
             await asyncio.sleep(1.0)
         for fault, task in zip(run.faults, faults, strict=True):
             if (error := task.exception()) is not None:
@@ -92,11 +98,18 @@
         most, _ = cluster.most_shared()
         wrong += cluster.broken + cluster.ended_wrong
         verdict |= {
-            "asked": counted["sent"], "served": counted["served"], "refused": counted["refused"],
-            "failed": counted["failed"], "lost": counted["lost"], "cut": counted["cut"],
-            "faults": len(run.faults), "most_share": round(most, 4), "rules_broken": wrong,
-            "datagrams": cluster.switch.carried, "dropped": cluster.switch.dropped,
-        }  # fmt: skip
+            "asked": counted["sent"],
+            "served": counted["served"],
+            "refused": counted["refused"],
+            "failed": counted["failed"],
+            "lost": counted["lost"],
+            "cut": counted["cut"],
+            "faults": len(run.faults),
+            "most_share": round(most, 4),
+            "rules_broken": wrong,
+            "datagrams": cluster.switch.carried,
+            "dropped": cluster.switch.dropped,
+        }
     verdict["left_running"] = cluster.left_running()
     (folder / "samples.json").write_text(json.dumps(samples))
     (folder / "verdict.json").write_text(json.dumps(verdict, indent=1))
--- a/magpieshift/lab/proving/scenario.py
+++ b/magpieshift/lab/fault_injection/scenario.py
@@ -13,15 +13,31 @@
 from magpieshift.control import sexp
 from magpieshift.control.sexp import Problem, Unusable
 from magpieshift.control.validation import Form, Seconds, checked
-from magpieshift.lab.proving.network import ANY, CLIENTS, LOG, ROUTERS
-from magpieshift.lab.standins.emulated import places
+from magpieshift.lab.emulators.emulated import places
+from magpieshift.lab.fault_injection.network import ANY, CLIENTS, LOG, ROUTERS
 
 HEAD = "fleet-run"
 What = Literal[
-    "pause", "kill", "stop", "step", "rate",
-    "cut", "lose", "delay", "double", "reset", "silence", "throttle",
-    "drain", "die", "hang", "slow", "err", "purge", "late-list",
-]  # fmt: skip
+    "pause",
+    "kill",
+    "stop",
+    "step",
+    "rate",
+    "cut",
+    "lose",
+    "delay",
+    "double",
+    "reset",
+    "silence",
+    "throttle",
+    "drain",
+    "die",
+    "hang",
+    "slow",
+    "err",
+    "purge",
+    "late-list",
+]
 ON_ROUTERS = ("pause", "kill", "stop", "step", "rate")
 ON_LINKS = ("cut", "lose", "delay", "double", "reset", "silence", "throttle")
 AT_STORES = ("drain", "die", "hang", "slow", "err")  # purges and late lists are of no store
@@ -121,11 +137,16 @@
         | ({"source": f.source, "target": f.target} if f.what in ON_LINKS else {})
         | ({"who": f.who} if f.who else {})
         for f in run.faults
-    }  # fmt: skip
+    }
     data = {
-        "seconds": run.seconds, "seed": run.seed, "routers": run.routers, "rate": run.rate,
-        "alone": run.alone, "boxes": run.boxes, "hubs": run.hubs,
-    }  # fmt: skip
+        "seconds": run.seconds,
+        "seed": run.seed,
+        "routers": run.routers,
+        "rate": run.rate,
+        "alone": run.alone,
+        "boxes": run.boxes,
+        "hubs": run.hubs,
+    }
     return sexp.write(data | ({"faults": faults} if faults else {}), HEAD)
 
 
@@ -154,51 +175,73 @@
 
 KNOWN: dict[str, dict[str, Any]] = {
     "quiet": {"seconds": 10},
-    "paused": {"seconds": 25, "faults": {
-        "one": {"what": "pause", "who": "r1", "at-s": 2, "for-s": 5},
-        "two": {"what": "pause", "who": "r2", "at-s": 10, "for-s": 5},
-        "three": {"what": "pause", "who": "r3", "at-s": 10, "for-s": 5},
-    }},
-    "deaf-and-mute": {"seconds": 30, "faults": {
-        "deaf": {"what": "cut", "source": "routers", "target": "r1", "at-s": 2, "for-s": 12},
-        "mute": {"what": "cut", "source": "r2", "target": "routers", "at-s": 2, "for-s": 12},
-    }},
-    "lossy": {"seconds": 25, "faults": {
-        "all": {"what": "lose", "by": 0.3, "at-s": 1, "for-s": 20},
-        "one": {"what": "lose", "source": "r1", "by": 0.6, "at-s": 1, "for-s": 20},
-    }},
-    "killed": {"seconds": 30, "faults": {
-        f"k{i}": {"what": "kill", "who": f"r{i}", "at-s": 2, "for-s": 2} for i in range(1, 6)
-    }},
-    "stores": {"seconds": 25, "faults": {
-        "drained": {"what": "drain", "who": "box1", "at-s": 3, "for-s": 2},
-        "dead": {"what": "die", "who": "hub1", "at-s": 5, "for-s": 3},
-        "purged": {"what": "purge", "at-s": 6},
-        "late": {"what": "late-list", "at-s": 9, "for-s": 3},
-        "again": {"what": "purge", "at-s": 10},
-        "gone": {"what": "die", "who": "box2", "at-s": 10, "for-s": 3},
-    }},
-    "streams": {"seconds": 25, "faults": {
-        "reset": {"what": "reset", "source": "r1", "target": "box1", "at-s": 2, "for-s": 3},
-        "silent": {"what": "silence", "source": "r2", "target": "box2", "at-s": 3, "for-s": 5},
-        "one-way": {"what": "cut", "source": "hub1", "target": "r0", "at-s": 4, "for-s": 5},
-        "deaf": {"what": "cut", "source": "log", "target": "r3", "at-s": 4, "for-s": 8},
-        "drained": {"what": "drain", "who": "box1", "at-s": 6, "for-s": 2},
-        "thin": {"what": "throttle", "source": "*", "target": "origin", "by": 20, "at-s": 10, "for-s": 4},
-    }},
-    "overload": {"seconds": 40, "faults": {
-        "slow": {"what": "slow", "who": "origin", "by": 400, "at-s": 3, "for-s": 8},
-        "dead": {"what": "die", "who": "hub1", "at-s": 14, "for-s": 4},
-        "errs": {"what": "err", "who": "box1", "by": 0.5, "at-s": 21, "for-s": 6},
-        "paused": {"what": "pause", "who": "r1", "at-s": 24, "for-s": 5},
-        "killed": {"what": "kill", "who": "r2", "at-s": 29, "for-s": 2},
-        "too": {"what": "kill", "who": "r3", "at-s": 29, "for-s": 2},
-    }},
-    "clocks": {"seconds": 25, "faults": {
-        "back": {"what": "step", "who": "r1", "by": -30, "at-s": 2, "for-s": 8},
-        "ahead": {"what": "step", "who": "r2", "by": 30, "at-s": 3, "for-s": 8},
-        "fast": {"what": "rate", "who": "r3", "by": 1.01, "at-s": 1, "for-s": 20},
-        "slow": {"what": "rate", "who": "r0", "by": 0.99, "at-s": 1, "for-s": 20},
-    }},
-}  # fmt: skip
+    "paused": {
+        "seconds": 25,
+        "faults": {
+            "one": {"what": "pause", "who": "r1", "at-s": 2, "for-s": 5},
+            "two": {"what": "pause", "who": "r2", "at-s": 10, "for-s": 5},
+            "three": {"what": "pause", "who": "r3", "at-s": 10, "for-s": 5},
+        },
+    },
+    "deaf-and-mute": {
+        "seconds": 30,
+        "faults": {
+            "deaf": {"what": "cut", "source": "routers", "target": "r1", "at-s": 2, "for-s": 12},
+            "mute": {"what": "cut", "source": "r2", "target": "routers", "at-s": 2, "for-s": 12},
+        },
+    },
+    "lossy": {
+        "seconds": 25,
+        "faults": {
+            "all": {"what": "lose", "by": 0.3, "at-s": 1, "for-s": 20},
+            "one": {"what": "lose", "source": "r1", "by": 0.6, "at-s": 1, "for-s": 20},
+        },
+    },
+    "killed": {
+        "seconds": 30,
+        "faults": {f"k{i}": {"what": "kill", "who": f"r{i}", "at-s": 2, "for-s": 2} for i in range(1, 6)},
+    },
+    "stores": {
+        "seconds": 25,
+        "faults": {
+            "drained": {"what": "drain", "who": "box1", "at-s": 3, "for-s": 2},
+            "dead": {"what": "die", "who": "hub1", "at-s": 5, "for-s": 3},
+            "purged": {"what": "purge", "at-s": 6},
+            "late": {"what": "late-list", "at-s": 9, "for-s": 3},
+            "again": {"what": "purge", "at-s": 10},
+            "gone": {"what": "die", "who": "box2", "at-s": 10, "for-s": 3},
+        },
+    },
+    "streams": {
+        "seconds": 25,
+        "faults": {
+            "reset": {"what": "reset", "source": "r1", "target": "box1", "at-s": 2, "for-s": 3},
+            "silent": {"what": "silence", "source": "r2", "target": "box2", "at-s": 3, "for-s": 5},
+            "one-way": {"what": "cut", "source": "hub1", "target": "r0", "at-s": 4, "for-s": 5},
+            "deaf": {"what": "cut", "source": "log", "target": "r3", "at-s": 4, "for-s": 8},
+            "drained": {"what": "drain", "who": "box1", "at-s": 6, "for-s": 2},
+            "thin": {"what": "throttle", "source": "*", "target": "origin", "by": 20, "at-s": 10, "for-s": 4},
+        },
+    },
+    "overload": {
+        "seconds": 40,
+        "faults": {
+            "slow": {"what": "slow", "who": "origin", "by": 400, "at-s": 3, "for-s": 8},
+            "dead": {"what": "die", "who": "hub1", "at-s": 14, "for-s": 4},
+            "errs": {"what": "err", "who": "box1", "by": 0.5, "at-s": 21, "for-s": 6},
+            "paused": {"what": "pause", "who": "r1", "at-s": 24, "for-s": 5},
+            "killed": {"what": "kill", "who": "r2", "at-s": 29, "for-s": 2},
+            "too": {"what": "kill", "who": "r3", "at-s": 29, "for-s": 2},
+        },
+    },
+    "clocks": {
+        "seconds": 25,
+        "faults": {
+            "back": {"what": "step", "who": "r1", "by": -30, "at-s": 2, "for-s": 8},
+            "ahead": {"what": "step", "who": "r2", "by": 30, "at-s": 3, "for-s": 8},
+            "fast": {"what": "rate", "who": "r3", "by": 1.01, "at-s": 1, "for-s": 20},
+            "slow": {"what": "rate", "who": "r0", "by": 0.99, "at-s": 1, "for-s": 20},
+        },
+    },
+}
 """Runs that need no file."""
--- a/magpieshift/lab/proving/skewed.py
+++ b/magpieshift/lab/fault_injection/skewed.py
@@ -1,4 +1,5 @@
-"""A router whose clocks are not the machine's: ``python -m magpieshift.lab.proving.skewed FILE run ...``.
+"""A router whose clocks are not the machine's:
+``python -m magpieshift.lab.fault_injection.skewed FILE run ...``.
 
 The file holds two numbers that the proving ground changes while the process runs: by how much its wall clock
 is stepped, and how much faster than the machine's all its clocks go. Nothing of the system is changed.
@@ -14,7 +15,7 @@
 from pathlib import Path
 
 from magpieshift import clock
-from magpieshift.installation import runner
+from magpieshift.extensions import runner
 from magpieshift.log import setup
 
 FORM = struct.Struct("<qd")  # microseconds; rate, 1 is true
--- a/magpieshift/lab/proving/surroundings.py
+++ b/magpieshift/lab/fault_injection/surroundings.py
@@ -6,11 +6,11 @@
 import random
 from typing import Any
 
-from magpieshift.lab.proving.network import CLIENTS, LOG, Network
-from magpieshift.lab.proving.places import Place
-from magpieshift.lab.proving.relay import Relay
-from magpieshift.lab.standins import emulated, peers
-from magpieshift.lab.standins.emulator import Rules
+from magpieshift.lab.emulators import emulated, peers
+from magpieshift.lab.emulators.emulator import Rules
+from magpieshift.lab.fault_injection.network import CLIENTS, LOG, Network
+from magpieshift.lab.fault_injection.places import Place
+from magpieshift.lab.fault_injection.relay import Relay
 
 
 class Surroundings:
--- a/magpieshift/lab/proving/switch.py
+++ b/magpieshift/lab/fault_injection/switch.py
@@ -6,7 +6,7 @@
 import asyncio
 import random
 
-from magpieshift.lab.proving.network import Network
+from magpieshift.lab.fault_injection.network import Network
 
 
 class _Port(asyncio.DatagramProtocol):
--- a/magpieshift/lab/scale/calibration.py
+++ b/magpieshift/lab/scale/calibration.py
@@ -24,13 +24,13 @@
 from typing import Any
 
 from magpieshift.control import sexp
+from magpieshift.lab.emulators.peers import free_port
 from magpieshift.lab.scale.fleet import Fleet, Size
 from magpieshift.lab.scale.load import Rates, arrivals
 from magpieshift.lab.scale.player import Player
 from magpieshift.lab.scale.processes import ProcessEnded, cpu_seconds, resident_mb
 from magpieshift.lab.scale.tier import CONTROL, DirectTier
 from magpieshift.lab.scale.topology import Topology, generate
-from magpieshift.lab.standins.peers import free_port
 
 SIZES = (1, 4, 10)
 ALIKE = 0.2  # a larger difference must be explained
@@ -39,9 +39,11 @@
 REST_S = 1.0  # after the start, before the load
 END_S = 8.0
 MODULES = (
-    "magpieshift.cli.main", "structlog", "magpieshift.installation.runner",
-    "magpieshift.installation.following",
-)  # fmt: skip
+    "magpieshift.cli.main",
+    "structlog",
+    "magpieshift.extensions.runner",
+    "magpieshift.extensions.control_channel",
+)
 BARE = f"import {', '.join(MODULES)}; print(flush=True); input()"
 FIGURES = ("cpu_percent", "bytes_s", "mb")
 
@@ -111,7 +113,7 @@
                     stdin=asyncio.subprocess.DEVNULL,
                     stdout=asyncio.subprocess.DEVNULL,
                     stderr=asyncio.subprocess.DEVNULL,
-                )  # fmt: skip
+                )
             )
         async with asyncio.timeout(START_S):
             while not await self._all_follow():
@@ -238,6 +240,10 @@
             if name.endswith("_ratio") and ratio is not None and abs(ratio - 1) > ALIKE:
                 differ.append(f"{name} at {routers}: {ratio}")
     return {
-        "seconds": plan.seconds, "caches": plan.caches, "memory": "increment of resident memory a router",
-        "rows": rows, "costs": costs, "differ_by_over_a_fifth": differ,
-    }  # fmt: skip
+        "seconds": plan.seconds,
+        "caches": plan.caches,
+        "memory": "increment of resident memory a router",
+        "rows": rows,
+        "costs": costs,
+        "differ_by_over_a_fifth": differ,
+    }
--- a/magpieshift/lab/scale/changelog.py
+++ b/magpieshift/lab/scale/changelog.py
@@ -170,9 +170,11 @@
     def report(self) -> LogReport:
         written = [watch.bytes_written for watch in self.watches]
         return LogReport(
-            accepted=self.accepted, bytes_written=sum(written) + self._bytes_of_those_gone,
-            watches=len(written), most_bytes_a_watch=max(written, default=0),
-        )  # fmt: skip
+            accepted=self.accepted,
+            bytes_written=sum(written) + self._bytes_of_those_gone,
+            watches=len(written),
+            most_bytes_a_watch=max(written, default=0),
+        )
 
     def left(self, watch: Watch) -> None:
         self._bytes_of_those_gone += watch.bytes_written
--- a/magpieshift/lab/scale/hollow.py
+++ b/magpieshift/lab/scale/hollow.py
@@ -14,23 +14,26 @@
 
 from magpieshift.clock import LoopClock
 from magpieshift.config import Address, Document
+from magpieshift.config_transaction import Part, Prepared, Running, prepare
 from magpieshift.control.client import ControlClient
 from magpieshift.control.content import Overrides
 from magpieshift.control.schema import Loaded
 from magpieshift.control.version_history import Answer, Record, State, VersionHistory
 from magpieshift.control.version_manager import VersionManager, now_us
-from magpieshift.core.engine import Engine, Exchange
-from magpieshift.core.model import Member, Order, Result
-from magpieshift.core.numbers import aligned
-from magpieshift.feed.changes import ChangeLog, ChangeSource
-from magpieshift.feed.client import FeedClient
+from magpieshift.discovery.changes import ChangeLog, ChangeSource
+from magpieshift.discovery.client import ChangeLogClient
+from magpieshift.engine.engine import Engine, UpstreamExchange
+from magpieshift.engine.model import AttemptResult, ListedEndpoint, UpstreamRequest
+from magpieshift.engine.numbers import aligned
 from magpieshift.lifecycle import Lifecycle
-from magpieshift.transaction import Part, Prepared, Running, prepare
-from molecleat import interface as api
-from molecleat.control import Router
-from molecleat.heed import Act
-
-Purged = Callable[[Sequence[api.Purged]], None]
+from magpieshift.policy.actions import Action
+from magpieshift.policy.events import EndpointListKind, Event, PurgeReceived
+from magpieshift.policy.health_override import HealthOverride
+from magpieshift.policy.outcomes import Outcome
+from magpieshift.policy.router_policy import RouterPolicy
+from magpieshift.policy.settings import Settings
+
+Purged = Callable[[Sequence[PurgeReceived]], None]
 """Told the purges of objects that the module has taken in, in one call of it."""
 
 
@@ -65,21 +68,21 @@
 class _Unreached:
     """An order that was never carried anywhere."""
 
-    def give_up(self) -> bool:
+    def cancel(self) -> bool:
         return False
 
 
 class EmptyBack:
     """A back that carries nothing: orders fail to connect, probes answer well."""
 
-    def start(self, order: Order, done: Callable[[Result], None]) -> Exchange:
-        LoopClock().soon(lambda: done(Result(api.Outcome.CONNECT_FAILED)))
+    def start(self, order: UpstreamRequest, done: Callable[[AttemptResult], None]) -> UpstreamExchange:
+        LoopClock().soon(lambda: done(AttemptResult(Outcome.CONNECT_FAILED)))
         return _Unreached()
 
-    def probe(self, member: Member, done: Callable[[Result], None]) -> None:
-        LoopClock().soon(lambda: done(Result(api.Outcome.OK)))
+    def probe(self, member: ListedEndpoint, done: Callable[[AttemptResult], None]) -> None:
+        LoopClock().soon(lambda: done(AttemptResult(Outcome.OK)))
 
-    def close_idle(self, member: Member) -> None:
+    def close_idle(self, member: ListedEndpoint) -> None:
         """There is no connection."""
 
 
@@ -89,26 +92,26 @@
     def __init__(self, told: Purged, drop_every: int = 0) -> None:
         self._told, self._drop_every, self._seen = told, drop_every, 0
 
-    def handle(self, module: Router, now_us: int, events: Sequence[api.Event]) -> list[api.Action]:
+    def handle(self, module: RouterPolicy, now_us: int, events: Sequence[Event]) -> list[Action]:
         if self._drop_every:
             events = [event for event in events if not self._dropped(event)]
         actions = module.handle(now_us, events)
-        if purges := [event for event in events if isinstance(event, api.Purged) and event.key]:
+        if purges := [event for event in events if isinstance(event, PurgeReceived) and event.object_key]:
             self._told(purges)
         return actions
 
-    def _dropped(self, event: api.Event) -> bool:
+    def _dropped(self, event: Event) -> bool:
         """Whether the fault that is planted for tests swallows this event."""
-        if not isinstance(event, api.Purged):
+        if not isinstance(event, PurgeReceived):
             return False
         self._seen += 1
         return self._seen % self._drop_every == 0
 
-    def name(self, number: int, ident: str) -> None: ...
+    def register_name(self, number: int, ident: str) -> None: ...
 
-    def retuned(self, settings: api.Settings, fresh: Collection[int]) -> None: ...
+    def reconfigured(self, settings: Settings, fresh: Collection[int]) -> None: ...
 
-    def heeded(self, now_us: int, acts: Sequence[Act]) -> None: ...
+    def overrides_applied(self, now_us: int, acts: Sequence[HealthOverride]) -> None: ...
 
 
 class HollowRouter:
@@ -120,19 +123,19 @@
         self.engine = Engine(
             self.document.settings, seed, LoopClock(), EmptyBack(), names=self.document.names
         )
-        self.engine.tap = tap
+        self.engine.policy_observer = tap
         first = Record(0, loaded.digest, "start", State.IN_FORCE, now_us())
         self.manager = VersionManager(self, VersionHistory(first), loaded.data, overrides=overrides)
         self.lifecycle = Lifecycle(LoopClock().now_us)
         self.changes = ChangeLog(self.document.names, self)
-        self.change_log = FeedClient(self.document.changelog, self.changes, seed)
+        self.change_log = ChangeLogClient(self.document.changelog, self.changes, seed)
         self.change_source: ChangeSource = self.change_log  # a feed may put another in its place
         self._feed: Feed | None = None
         self._crashed = False
 
     # --- the listener of the change log
 
-    def list_changed(self, kind: api.ListKind, version: int, members: Sequence[Member]) -> None:
+    def list_changed(self, kind: EndpointListKind, version: int, members: Sequence[ListedEndpoint]) -> None:
         self.engine.list_changed(kind, version, members)
 
     def purged(self, key: str, group: int, made_us: int) -> None:
--- a/magpieshift/lab/scale/installation.py
+++ b/magpieshift/lab/scale/installation.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from magpieshift.control import sexp
-from magpieshift.lab.standins.emulated import settings
+from magpieshift.lab.emulators.emulated import settings
 
 ZONE, KIND = "shop", "box"  # of all caches; the settings are those of the emulated installation
 NOWHERE = 9  # port of loopback at which no cache listens: hollow routers never ask one
@@ -31,9 +31,15 @@
 def cache(place: int, phase: str = "SERVING", births: int = 0) -> dict[str, Any]:
     """A cache as the change log lists it; ``births`` counts the processes that its place has had before."""
     return {
-        "id": f"s-{place:05d}-{births}", "host_port": f"127.0.0.1:{NOWHERE}", "locality": ZONE,
-        "flavor": KIND, "cell": place + 1, "phase": phase, "size": 4, "up_since_ms": 0,
-    }  # fmt: skip
+        "id": f"s-{place:05d}-{births}",
+        "host_port": f"127.0.0.1:{NOWHERE}",
+        "locality": ZONE,
+        "flavor": KIND,
+        "cell": place + 1,
+        "phase": phase,
+        "size": 4,
+        "up_since_ms": 0,
+    }
 
 
 class CacheList:
--- a/magpieshift/lab/scale/messages.py
+++ b/magpieshift/lab/scale/messages.py
@@ -258,11 +258,35 @@
 
 
 Message = (
-    StartLog | StartControl | StartSource | StartRelay | StartNetwork | StartWorker | Ready | TellPurges
-    | TellListChange | GoAway | AskHead | Head | AskLog | LogReport | Publish | PublishedAt | AskFollowers
-    | Count | StartRouters | CrashRouters | Done | AskBehind | AskWorker | WorkerReport | PutFault
-    | HealFault | MadeBy | Failed
-)  # fmt: skip
+    StartLog
+    | StartControl
+    | StartSource
+    | StartRelay
+    | StartNetwork
+    | StartWorker
+    | Ready
+    | TellPurges
+    | TellListChange
+    | GoAway
+    | AskHead
+    | Head
+    | AskLog
+    | LogReport
+    | Publish
+    | PublishedAt
+    | AskFollowers
+    | Count
+    | StartRouters
+    | CrashRouters
+    | Done
+    | AskBehind
+    | AskWorker
+    | WorkerReport
+    | PutFault
+    | HealFault
+    | MadeBy
+    | Failed
+)
 _ANY: TypeAdapter[Message] = TypeAdapter(Annotated[Message, Field(discriminator="kind")])
 
 
--- a/magpieshift/lab/scale/network.py
+++ b/magpieshift/lab/scale/network.py
@@ -3,7 +3,7 @@
 
 from __future__ import annotations
 
-from magpieshift.lab.proving.network import Network
+from magpieshift.lab.fault_injection.network import Network
 from magpieshift.lab.scale import child
 from magpieshift.lab.scale.messages import Done, HealFault, Message, PutFault, Ready, StartNetwork
 from magpieshift.lab.scale.streams import Passage
--- a/magpieshift/lab/scale/processes.py
+++ b/magpieshift/lab/scale/processes.py
@@ -54,10 +54,18 @@
         path = cls.logs / f"{name.replace(' ', '-')}.log" if cls.logs is not None else Path(os.devnull)
         with path.open("ab") as log:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "magpieshift", "lab", "scale-process", role,
-                stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=log,
-                limit=LONGEST_LINE, start_new_session=True,
-            )  # fmt: skip
+                sys.executable,
+                "-m",
+                "magpieshift",
+                "lab",
+                "scale-process",
+                role,
+                stdin=asyncio.subprocess.PIPE,
+                stdout=asyncio.subprocess.PIPE,
+                stderr=log,
+                limit=LONGEST_LINE,
+                start_new_session=True,
+            )
         child = cls(name, process)
         try:
             child.ports = (await child.ask(first, Ready)).ports
--- a/magpieshift/lab/scale/relayed.py
+++ b/magpieshift/lab/scale/relayed.py
@@ -7,7 +7,7 @@
 from typing import cast
 
 from magpieshift.app import EdgeRouter
-from magpieshift.installation.relayed import Changes, Relayed
+from magpieshift.extensions.relay_subscription import Changes, RelaySubscription
 from magpieshift.lab.scale.hollow import HollowRouter
 from magpieshift.relay.selection import Relay
 
@@ -18,7 +18,9 @@
     def __init__(self, router: HollowRouter, relays: Sequence[Relay], region: str) -> None:
         """The fitting uses of its router only what a hollow one has."""
         self._router = router
-        self._relayed = Relayed(cast(EdgeRouter, router), router.manager, relays, region, router.name)
+        self._relayed = RelaySubscription(
+            cast(EdgeRouter, router), router.manager, relays, region, router.name
+        )
         self._client = cast(Changes, router.change_source).client
 
     @property
--- a/magpieshift/lab/scale/relays.py
+++ b/magpieshift/lab/scale/relays.py
@@ -94,9 +94,11 @@
 
     async def _start(self, machine: Machine) -> None:
         start = m.StartRelay(
-            name=machine.name, region=machine.region, port=machine.port,
+            name=machine.name,
+            region=machine.region,
+            port=machine.port,
             source_port=self._reach(machine.zone, SOURCE),
-        )  # fmt: skip
+        )
         machine.child = await Child.start(machine.name, "node", start)
 
     @property
@@ -120,11 +122,15 @@
     def placed(self, place: Place, path: str, reach: Reach, inside: bool) -> m.Place:
         assert self._log is not None
         relays = [
-            m.RelayPlace(name=machine.name, region=machine.region, port=(
-                machine.port if inside and machine.region == place.region else reach(path, machine.name)
-            ))
+            m.RelayPlace(
+                name=machine.name,
+                region=machine.region,
+                port=(
+                    machine.port if inside and machine.region == place.region else reach(path, machine.name)
+                ),
+            )
             for machine in self._machines.values()
-        ]  # fmt: skip
+        ]
         return m.Place(
             name=place.name, path=path, log_port=self._log.ports[LOG], region=place.region, relays=relays
         )
--- a/magpieshift/lab/scale/run.py
+++ b/magpieshift/lab/scale/run.py
@@ -102,9 +102,14 @@
         self._live_s = self._watched_s = 0.0  # router seconds, and seconds, of the load
         self._busiest_percent = 0.0  # of a core: the process of hollow routers that took most between looks
         self.result = Result(
-            routers=len(self.topology.places), scenario=plan.scenario.name, feed=plan.feed, seed=plan.seed,
-            seconds=plan.seconds, caches=plan.caches, workers=plan.processes,
-        )  # fmt: skip
+            routers=len(self.topology.places),
+            scenario=plan.scenario.name,
+            feed=plan.feed,
+            seed=plan.seed,
+            seconds=plan.seconds,
+            caches=plan.caches,
+            workers=plan.processes,
+        )
 
     async def play(self) -> Result:
         """Carry it out; nothing is left running."""
@@ -166,8 +171,10 @@
             self._busiest_percent = max(self._busiest_percent, 100 * busiest / (now - last))
             last, spent = now, spent_now
             await self.fleet.stream_bytes()
-            self._tell(f"{now - begin:.0f} of {self.plan.seconds:.0f} s, {self.fleet.purges} purges, "
-                       f"{len(self.fleet.live)} routers")  # fmt: skip
+            self._tell(
+                f"{now - begin:.0f} of {self.plan.seconds:.0f} s, {self.fleet.purges} purges, "
+                f"{len(self.fleet.live)} routers"
+            )
 
     async def _settle(self) -> None:
         """Wait until no live router lacks anything, as long as is granted."""
--- a/magpieshift/lab/scale/saved.py
+++ b/magpieshift/lab/scale/saved.py
@@ -21,8 +21,11 @@
     try:
         described = subprocess.run(
             ["git", "describe", "--always", "--dirty", "--abbrev=12"],
-            cwd=ROOT, capture_output=True, text=True, check=True,
-        )  # fmt: skip
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            check=True,
+        )
     except (OSError, subprocess.CalledProcessError):
         return ""
     return described.stdout.strip()
@@ -32,10 +35,14 @@
     """Write figures with the command line, commit, seed, date and machine; ``OSError`` if it cannot."""
     command = shlex.join(["magpieshift", *sys.argv[1:]])
     whole = {
-        "command": command, "commit": _commit(), "seed": seed,
+        "command": command,
+        "commit": _commit(),
+        "seed": seed,
         "date": datetime.datetime.now(datetime.UTC).isoformat(timespec="seconds"),
-        "python": platform.python_version(), "cores": _cores(), "figures": dict(figures),
-    }  # fmt: skip
+        "python": platform.python_version(),
+        "cores": _cores(),
+        "figures": dict(figures),
+    }
     Path(path).write_text(json.dumps(whole, indent=1) + "\n", encoding="utf-8")
 
 
--- a/magpieshift/lab/scale/scenario.py
+++ b/magpieshift/lab/scale/scenario.py
@@ -74,7 +74,8 @@
         Scenario("steady", "purges, versions and list changes at the target's rates"),
         Scenario("burst", "purges at ten times the mean for 5 s", burst_at=0.25),
         Scenario(
-            "restarts", "restarts at 420 a day, and a tenth of the routers at once",
+            "restarts",
+            "restarts at 420 a day, and a tenth of the routers at once",
             (Crash(Scope.TENTH, 0.3, back_after_s=0.5),),
         ),
         Scenario("rack-lost", "all routers of the fullest rack are gone", (Crash(Scope.RACK, 0.4),)),
@@ -82,8 +83,9 @@
         Scenario("region-cut", "a region is cut off for an hour, then all of it returns", (RegionAway(0.4),)),
         Scenario("slow-routers", "of ten routers one reads slowly or stands still", (Slow(0.1, 0.6),)),
         Scenario(
-            "control-lost", "one control machine is gone for 3 s, then two",
+            "control-lost",
+            "one control machine is gone for 3 s, then two",
             (ControlLost(0.2, 1), ControlLost(0.6, 2)),
         ),
     )
-}  # fmt: skip
+}
--- a/magpieshift/lab/scale/streams.py
+++ b/magpieshift/lab/scale/streams.py
@@ -6,7 +6,7 @@
 import asyncio
 import contextlib
 
-from magpieshift.lab.proving.network import Network
+from magpieshift.lab.fault_injection.network import Network
 
 CHUNK = 65_536
 CHUNKS_UNDER_WAY = 64  # of each direction; then the sender is held up
@@ -76,9 +76,12 @@
             writing.cancel()
 
     async def _write(
-        self, source: str, target: str, under_way: asyncio.Queue[tuple[float, bytes]],
+        self,
+        source: str,
+        target: str,
+        under_way: asyncio.Queue[tuple[float, bytes]],
         writer: asyncio.StreamWriter,
-    ) -> None:  # fmt: skip
+    ) -> None:
         loop = asyncio.get_running_loop()
         with contextlib.suppress(OSError):
             while True:
--- a/magpieshift/lab/scale/tally.py
+++ b/magpieshift/lab/scale/tally.py
@@ -10,9 +10,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-FORGOTTEN_S = (
-    12.0  # a purge so old matters no more: twice the settings' ``purges done-ms`` (molecleat.purges)
-)
+FORGOTTEN_S = 12.0  # a purge so old matters no more: twice the settings' ``purges done-ms``
 VOID = 0.0  # in place of a time: not applied by anybody
 
 
--- a/magpieshift/lab/scale/topology.py
+++ b/magpieshift/lab/scale/topology.py
@@ -191,8 +191,10 @@
     return TopologyForm(
         region_km={f"g{i}": (rand.uniform(0, WORLD_KM), rand.uniform(0, WORLD_KM)) for i in range(regions)},
         zones={f"z{i}": f"g{i % regions}" for i in range(zones)},
-        sites=placed, control="g0", loss_per_1000km=0.0005,
-    )  # fmt: skip
+        sites=placed,
+        control="g0",
+        loss_per_1000km=0.0005,
+    )
 
 
 def _shares(weights: Sequence[float], total: int) -> list[int]:
--- a/magpieshift/lab/scale/worker.py
+++ b/magpieshift/lab/scale/worker.py
@@ -31,8 +31,8 @@
 )
 from magpieshift.lab.scale.relayed import RelayFeed
 from magpieshift.lab.scale.tally import Applied, Shared, index_of
+from magpieshift.policy.events import PurgeReceived
 from magpieshift.relay.selection import Relay
-from molecleat import interface as api
 
 SWITCH_S = 0.0005  # as a router process has it: versions are read in a thread
 CONNECT_S = 60.0
@@ -80,8 +80,8 @@
         gc.freeze()  # as a router process does once it serves
 
     def _built(self, place: Place, applied: Applied) -> Live:
-        def purged(purges: Sequence[api.Purged]) -> None:
-            ages = {index_of(purge.key): purge.age_us / 1e6 for purge in purges}
+        def purged(purges: Sequence[PurgeReceived]) -> None:
+            ages = {index_of(purge.object_key): purge.age_us / 1e6 for purge in purges}
             applied.purges(ages, time.monotonic())
 
         overrides = At(place.name, changelog=(LOOPBACK, place.log_port))
@@ -119,14 +119,16 @@
             live.applied.mark_missing(missing)
         out_of_order = sum(live.applied.out_of_order for live in self._live.values())
         return WorkerReport(
-            live=len(self._live), purges=self.shared.purges, versions=self.shared.versions,
+            live=len(self._live),
+            purges=self.shared.purges,
+            versions=self.shared.versions,
             lost={name: count for name, count in lost.items() if count},
             out_of_order=out_of_order + self._out_of_order,
             late=[*self._late, *(each for live in self._live.values() for each in live.applied.late)],
             forgotten=sum(live.applied.forgotten for live in self._live.values()),
             missing=[index for index, lacking in enumerate(missing) if lacking],
             version_behind={name: live.applied.version for name, live in self._live.items()},
-        )  # fmt: skip
+        )
 
 
 def _feed(router: HollowRouter, place: Place) -> Feed:
--- a/magpieshift/lab/simulated/fanout_processes.py
+++ b/magpieshift/lab/simulated/fanout_processes.py
@@ -10,7 +10,6 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from magpieshift.relay.currency import SourceCurrency
 from magpieshift.relay.fanout import Fanout, Full, Superseded, Unfit, UnknownStream
 from magpieshift.relay.follower import Apply, EndStream, Follower, TakeConfiguration, TakeSnapshot
 from magpieshift.relay.limits import MOST_LOG_ENTRIES, lapse_us
@@ -26,6 +25,7 @@
     ToFollower,
 )
 from magpieshift.relay.snapshot import State
+from magpieshift.relay.staleness_bound import SourceStalenessBound
 
 Message = ToFollower | FromFollower
 
@@ -140,7 +140,7 @@
         self, name: str, boot: str, epoch: Epoch, now_us: int, most_entries: int = MOST_LOG_ENTRIES
     ) -> None:
         super().__init__(name, boot)
-        self.currency = SourceCurrency()
+        self.currency = SourceStalenessBound()
         self.log = SequencedLog(epoch, most=most_entries)
         self.fanout = Fanout(
             self.log,
--- a/magpieshift/lab/simulated/fleet.py
+++ b/magpieshift/lab/simulated/fleet.py
@@ -16,12 +16,11 @@
 
 from magpieshift.config import Document
 from magpieshift.control.schema import load_data
-from magpieshift.core.engine import Engine
-from magpieshift.core.model import Answer, Call, Member, Verdict, store_number
+from magpieshift.engine.engine import Engine
+from magpieshift.engine.model import ClientRequest, ListedEndpoint, Response, Verdict, endpoint_number
 from magpieshift.lab.simulated.stores import HERE, Account, Back, Figures, Link, Store, Stores
 from magpieshift.lab.simulated.time import RouterClock, Time
-from molecleat import interface as api
-from molecleat.interface import Phase
+from magpieshift.policy.events import Endpoint, EndpointListKind, EndpointState
 
 SECOND = 1_000_000
 NOTICED_US = 500_000  # by a front, that a router has died
@@ -122,8 +121,11 @@
         box_keeps = max(20, int(form.objects * 0.4 / form.boxes))
         misses = 0.55 * form.made_for  # about what boxes of this size lack
         parent = Figures(max(2, round(bears * misses * 0.02 / form.parents * 2)), least_us=20_000.0)
-        origin = Figures(max(3, round(bears * misses * 0.7 * 0.05 + form.writes * form.made_for * 0.05)),
-                         least_us=50_000.0, waiting=32)  # fmt: skip
+        origin = Figures(
+            max(3, round(bears * misses * 0.7 * 0.05 + form.writes * form.made_for * 0.05)),
+            least_us=50_000.0,
+            waiting=32,
+        )
         for zone in range(form.zones):
             self.stores.links[zone + 1] = Link(self.time, bears * misses * form.size_kb / form.zones)
             for number in range(form.boxes):
@@ -133,8 +135,10 @@
         self._add("origin", 2, 0, origin, 0)
 
     def _add(self, ident: str, kind: int, zone: int, figures: Figures, keeps: int) -> None:
-        entry = api.Entry(store_number(ident), zone, kind, len(self.stores.by_name), Phase.READY, 4.0, 0)
-        listed = Member(ident, ("127.0.0.1", 1), entry)
+        entry = Endpoint(
+            endpoint_number(ident), zone, kind, len(self.stores.by_name), EndpointState.READY, 4.0, 0
+        )
+        listed = ListedEndpoint(ident, ("127.0.0.1", 1), entry)
         figures = Figures(figures.slots, figures.us_per_kb, figures.least_us, figures.waiting, keeps)
         self.stores.by_name[ident] = Store(
             listed, figures, self.time, random.Random(f"{self.form.seed} {ident}"), self.account
@@ -144,20 +148,35 @@
         form = self.form
         here = form.routers // form.zones
         picture = {"aim-ms": 500, "aim-stretch": 1, "deadline-ms": 3000, "in-parts": True, "worth": 2}
-        basket = {"aim-ms": 700, "deadline-ms": 3000, "effect": "keyed", "dedup-ms": 5000, "write": True,
-                  "worth": 3}  # fmt: skip
+        basket = {
+            "aim-ms": 700,
+            "deadline-ms": 3000,
+            "effect": "keyed",
+            "dedup-ms": 5000,
+            "write": True,
+            "worth": 3,
+        }
         zones = {f"z{zone}": {"routers": here, "attached-to": "hub"} for zone in range(form.zones)}
         link = int(self.stores.links[1].kb_per_s)
         for zone in zones.values():
             zone["link-kb-per-s"] = link
-        return load_data({
-            "name": f"r{number}", "listen": "127.0.0.1:1", "change-log": "127.0.0.1:2",
-            "limits": {"memory-mb": 64, "sockets": 512},
-            "zone": f"z{number % form.zones}", "zones": {"hub": {"routers": 0}} | zones,
-            "routers": form.routers, "router-index": number, "client-kb-per-s": 10_000,
-            "kinds": list(KINDS), "parent-kind": KINDS[1], "origin-kind": KINDS[2],
-            "classes": {PICTURE: picture, BASKET: basket},
-        }).document  # fmt: skip
+        return load_data(
+            {
+                "name": f"r{number}",
+                "listen": "127.0.0.1:1",
+                "change-log": "127.0.0.1:2",
+                "limits": {"memory-mb": 64, "sockets": 512},
+                "zone": f"z{number % form.zones}",
+                "zones": {"hub": {"routers": 0}} | zones,
+                "routers": form.routers,
+                "router-index": number,
+                "client-kb-per-s": 10_000,
+                "kinds": list(KINDS),
+                "parent-kind": KINDS[1],
+                "origin-kind": KINDS[2],
+                "classes": {PICTURE: picture, BASKET: basket},
+            }
+        ).document
 
     def start(self, name: str) -> Router:
         """A process of this name, which knows nothing."""
@@ -169,7 +188,7 @@
         engine = Engine(settings, seed, clock, back, names=document.names)
         router = self.routers[name] = Router(name, settings.zone, clock, engine)
         members = [store.listed for store in self.stores.by_name.values()]
-        engine.list_changed(api.ListKind.CACHED, 1, members)
+        engine.list_changed(EndpointListKind.CACHED, 1, members)
         return router
 
     # --- what may happen
@@ -216,7 +235,7 @@
         self._idents += 1
         over, asked_us = [False], self.time.now_us
 
-        def reply(answer: Answer) -> None:
+        def reply(answer: Response) -> None:
             if over[0]:
                 self.seen.broken.append(f"two answers at {router.name}")
             over[0] = True
@@ -230,21 +249,33 @@
                 self._again(wish, 0, "")
 
         once = f"{self._idents:016x}" if wish.cls == BASKET else ""
-        call = Call(
-            f"{self._idents:016x}", router.engine.classes[wish.cls], wish.cls, wish.key, 0, 1,
-            self.form.size_kb, 3 * SECOND, wish.tries > 1, once, "", b"",
-        )  # fmt: skip
+        call = ClientRequest(
+            f"{self._idents:016x}",
+            router.engine.classes[wish.cls],
+            wish.cls,
+            wish.key,
+            0,
+            1,
+            self.form.size_kb,
+            3 * SECOND,
+            wish.tries > 1,
+            once,
+            "",
+            b"",
+        )
         if self.time.now_us < router.clock.asleep_until_us:  # it lies in the socket until then
             self.time.at(router.clock.asleep_until_us, lambda: self._submit(router, call, reply, over))
         else:
             self._submit(router, call, reply, over)
         self.time.after(3.2 * SECOND, given_up)
 
-    def _submit(self, router: Router, call: Call, reply: Callable[[Answer], None], over: list[bool]) -> None:
+    def _submit(
+        self, router: Router, call: ClientRequest, reply: Callable[[Response], None], over: list[bool]
+    ) -> None:
         if not router.clock.dead and not over[0]:
             router.engine.submit(call, lambda answer: None if over[0] else reply(answer))
 
-    def _answered(self, wish: Wish, router: Router, answer: Answer) -> None:
+    def _answered(self, wish: Wish, router: Router, answer: Response) -> None:
         if answer.verdict == Verdict.SERVED:
             account = self.seen.seconds[wish.second]
             if self.time.now_us <= wish.due_us:
--- a/magpieshift/lab/simulated/talk.py
+++ b/magpieshift/lab/simulated/gossip.py
@@ -8,8 +8,8 @@
 from magpieshift.lab.simulated.fleet import SECOND, Fleet, Router
 from magpieshift.overload.codec import Digest, decode, encode
 from magpieshift.overload.failure_reports import FailureReport
-from magpieshift.overload.talk import TURN_US, Talker
-from magpieshift.overload.trials import Seen
+from magpieshift.overload.gossip import TURN_US, Gossip
+from magpieshift.overload.probe_election import Seen
 
 NOTICED_US = 2_400_000  # by the others, that a router does not answer
 
@@ -21,7 +21,7 @@
     def __init__(self, fleet: Fleet, loss: float = 0.0, liars: int = 0) -> None:
         self._fleet, self.loss = fleet, loss
         self._rand = random.Random(f"talk {fleet.form.seed}")
-        self._talkers: dict[int, tuple[Router, Talker]] = {}  # by engine: a later start begins anew
+        self._talkers: dict[int, tuple[Router, Gossip]] = {}  # by engine: a later start begins anew
         self._liars = set(sorted(fleet.routers)[:liars])
         self._died: dict[str, int] = {}
         self.sent = self.bytes = 0
@@ -32,7 +32,7 @@
         fleet = self._fleet
         for name, router in fleet.routers.items():
             if id(router.engine) not in self._talkers:
-                talker = Talker(name, random.Random(self._rand.getrandbits(64)), fleet.time.now_us)
+                talker = Gossip(name, random.Random(self._rand.getrandbits(64)), fleet.time.now_us)
                 self._talkers[id(router.engine)] = (router, talker)
                 router.clock.after(self._rand.randrange(TURN_US), partial(self._turn, router, talker))
             if router.clock.dead:
@@ -45,15 +45,15 @@
         now = self._fleet.time.now_us
         return sorted(name for name in self._fleet.routers if now - self._died.get(name, now) < NOTICED_US)
 
-    def _turn(self, router: Router, talker: Talker) -> None:
+    def _turn(self, router: Router, talker: Gossip) -> None:
         now = self._fleet.time.now_us
         seen = {
-            m.ident: Seen(m.entry.store, (m.entry.kind, m.entry.zone), shunned, failed, good)
-            for m, shunned, failed, good in router.engine.store_health()
+            m.name: Seen(m.endpoint.number, (m.endpoint.kind, m.endpoint.zone), shunned, failed, good)
+            for m, shunned, failed, good in router.engine.endpoint_health()
         }
         here = self._here()
         turn = talker.turn(now, seen, here)
-        router.engine.heed(turn.acts)
+        router.engine.apply_overrides(turn.acts)
         sends = turn.sends
         if router.name in self._liars:
             reports = tuple(
--- a/magpieshift/lab/simulated/rollout.py
+++ b/magpieshift/lab/simulated/rollout.py
@@ -166,7 +166,9 @@
     bad = SCENARIOS[name].bad
     allowed = plan_of(routers).most_away
     return {
-        "scenario": name, "routers": routers, "runs": runs,
+        "scenario": name,
+        "routers": routers,
+        "runs": runs,
         "stopped_wrongly": sum(o.stopped for o in outs) if not bad else 0,
         "caught": sum(o.stopped for o in outs) if bad else 0,
         "held": sum(o.ended == "hold" for o in outs),
@@ -175,10 +177,11 @@
         "exposed_most": max(o.exposed_routers for o in outs),
         "exposed_requests": round(sum(o.exposed_requests for o in outs) / runs, 4),
         "exposed_requests_most": max(o.exposed_requests for o in outs),
-        "most_away": max(o.most_away for o in outs), "away_allowed": allowed,
+        "most_away": max(o.most_away for o in outs),
+        "away_allowed": allowed,
         "terms_at_once": sum(o.terms_at_once for o in outs),
         "seconds_median": sorted(o.seconds for o in outs)[runs // 2],
         "stages": {s: sum(o.stage == s for o in outs) for s in sorted({o.stage for o in outs})},
         "examples": sorted({o.why[:110] for o in outs})[:3],
         "real_s": round(time.perf_counter() - began, 1),
-    }  # fmt: skip
+    }
--- a/magpieshift/lab/simulated/rollout_fleet.py
+++ b/magpieshift/lab/simulated/rollout_fleet.py
@@ -47,15 +47,26 @@
         targets = tuple(order[: max(1, round(share * routers))])
         if not stages or len(targets) > len(stages[-1].targets):
             stages.append(Stage(name, targets, soak, 1_800.0))
-    return Plan("simulated", Side(NEW, "-"), Side(OLD, "-"), places, tuple(stages), Worse(),
-                max(2, routers // 50), 30.0, "back", "simulated")  # fmt: skip
+    return Plan(
+        "simulated",
+        Side(NEW, "-"),
+        Side(OLD, "-"),
+        places,
+        tuple(stages),
+        Worse(),
+        max(2, routers // 50),
+        30.0,
+        "back",
+        "simulated",
+    )
 
 
 class Fleet:
     """Modelled processes, and one or two coordinators at work on them."""
 
-    def __init__(self, scenario: Scenario, routers: int, seed: int, rate: float = 20.0,
-                 before: bool = False) -> None:  # fmt: skip
+    def __init__(
+        self, scenario: Scenario, routers: int, seed: int, rate: float = 20.0, before: bool = False
+    ) -> None:
         self.scenario, self.plan, self.rate = scenario, plan_of(routers), rate
         self.rand, self.draw = random.Random(seed), np.random.default_rng(seed)
         self.now_us = 0
@@ -171,8 +182,15 @@
             for cls, (a, s) in process.counts.items()
         }
         rss = process.rss + self.rand.uniform(-0.2, 0.2)
-        return Figures(process.label, process.incarnation, "serving", self.now_us - process.born_us, classes,
-                       int(process.cpu_us), int(rss * 1024))  # fmt: skip
+        return Figures(
+            process.label,
+            process.incarnation,
+            "serving",
+            self.now_us - process.born_us,
+            classes,
+            int(process.cpu_us),
+            int(rss * 1024),
+        )
 
     def replace(self, name: str, label: str, term: int) -> str:
         """A step's end: why it failed, or nothing; ``over`` where the term is."""
--- a/magpieshift/lab/simulated/rollout_scenarios.py
+++ b/magpieshift/lab/simulated/rollout_scenarios.py
@@ -35,8 +35,9 @@
     "same": Scenario(),
     "same-with-outage": Scenario(outages=3, kills=20.0, cuts=20.0, coordinator=True),
     "worse-class": Scenario(Version({"basket": 0.03}), bad=True),
-    "worse-with-outage": Scenario(Version({"basket": 0.03}), True, outages=3, kills=20.0, cuts=20.0,
-                                  coordinator=True),
+    "worse-with-outage": Scenario(
+        Version({"basket": 0.03}), True, outages=3, kills=20.0, cuts=20.0, coordinator=True
+    ),
     "worse-zone": Scenario(Version({"picture": 0.06}, only_zone="z0"), bad=True),
     "worse-later": Scenario(Version({"picture": 0.03}, after_s=60.0), bad=True),
     "leak": Scenario(Version(leak_mb_per_min=1.0), bad=True),
@@ -44,4 +45,4 @@
     "no-start": Scenario(Version(starts=False), bad=True),
     "mute": Scenario(Version(answers=False), bad=True),
     "late-crash": Scenario(Version(crash_s=40.0), bad=True),
-}  # fmt: skip
+}
--- a/magpieshift/lab/simulated/stores.py
+++ b/magpieshift/lab/simulated/stores.py
@@ -12,14 +12,15 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from magpieshift.core.model import Member, Order, Result
+from magpieshift.engine.model import AttemptResult, ListedEndpoint, UpstreamRequest
 from magpieshift.lab.simulated.time import Event, Time
-from molecleat.interface import Mode, Note, Outcome
+from magpieshift.policy.actions import CacheRequestFlag
+from magpieshift.policy.outcomes import CacheStatus, Outcome
 
 WAY_US = 500  # between a router and a store, one way
 HERE, GONE, SILENT = "here", "gone", "silent"
 
-Done = Callable[[Result], None]
+Done = Callable[[AttemptResult], None]
 
 
 @dataclass(frozen=True)
@@ -79,9 +80,13 @@
     """One store; ``listed`` is how routers know it."""
 
     def __init__(
-        self, listed: Member, figures: Figures, time: Time, rand: random.Random,
+        self,
+        listed: ListedEndpoint,
+        figures: Figures,
+        time: Time,
+        rand: random.Random,
         account: Callable[[], Account],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.listed, self.figures, self._time, self._random = listed, figures, time, rand
         self._account = account
         self.state = HERE
@@ -169,9 +174,9 @@
     def origin(self) -> Store:
         return self.by_name["origin"]
 
-    def ask(self, order: Order, done: Done) -> Work:
+    def ask(self, order: UpstreamRequest, done: Done) -> Work:
         """What a router asks of a store; ``done`` is called once unless it is given up."""
-        work, store = Work(), self.by_name[order.target.ident]
+        work, store = Work(), self.by_name[order.endpoint.name]
 
         def arrived() -> None:
             if not work.over:
@@ -181,7 +186,7 @@
         work.event = self._time.after(WAY_US, arrived)
         return work
 
-    def _answer(self, work: Work, done: Done, result: Result) -> None:
+    def _answer(self, work: Work, done: Done, result: AttemptResult) -> None:
         def told() -> None:
             if not work.over:
                 work.end()
@@ -194,61 +199,65 @@
         if store.failing:
             self._account().at_failed += 1
             if store.state == GONE:
-                say(Result(Outcome.CONNECT_FAILED))
+                say(AttemptResult(Outcome.CONNECT_FAILED))
             return True
         if store.errors and store._random.random() < store.errors:
             self._account().at_failed += 1
-            say(Result(Outcome.ERROR))
+            say(AttemptResult(Outcome.ERROR))
             return True
         if not store.room():
-            say(Result(Outcome.FULL, Note.NO_PLACE))
+            say(AttemptResult(Outcome.OVERLOADED, CacheStatus.NO_CAPACITY))
             return True
         return False
 
-    def _serve(self, store: Store, order: Order, work: Work, say: Done) -> None:
+    def _serve(self, store: Store, order: UpstreamRequest, work: Work, say: Done) -> None:
         if self._refused(store, say):
             return
-        call = order.call
+        call = order.request
         if store is self.origin:
             self._account().origin += 1
-        key, name = (call.key, call.part), call.class_name
+        key, name = (call.object_key, call.part), call.class_name
         if store is self.origin or store.has(key):
-            store.work(work, store.takes_us(name, call.size_kb), lambda: say(Result(Outcome.OK, Note.HIT)))
+            store.work(
+                work,
+                store.takes_us(name, call.size_kb),
+                lambda: say(AttemptResult(Outcome.OK, CacheStatus.HIT)),
+            )
         elif order.source is None:
-            say(Result(Outcome.MISS))
+            say(AttemptResult(Outcome.MISS))
         else:
-            held_only = bool(order.mode & Mode.SOURCE_HELD_ONLY)
+            held_only = bool(order.flags & CacheRequestFlag.SOURCE_CACHED_ONLY)
 
-            def came(result: Result) -> None:
+            def came(result: AttemptResult) -> None:
                 if result.outcome == Outcome.OK:
                     store.keep(key)
                 say(result)
 
-            self._fill(store, self.by_name[order.source.ident], order, work, held_only, came)
+            self._fill(store, self.by_name[order.source.name], order, work, held_only, came)
 
     def _fill(
-        self, store: Store, source: Store, order: Order, work: Work, held_only: bool, came: Done
+        self, store: Store, source: Store, order: UpstreamRequest, work: Work, held_only: bool, came: Done
     ) -> None:
         """A cache fills from a source, or a parent that lacks it from the origin."""
         self._account().fills += 1
         if source.failing:
             self._account().at_failed += 1
             if source.state == GONE:
-                came(Result(Outcome.ERROR, Note.SOURCE_LOST))
+                came(AttemptResult(Outcome.ERROR, CacheStatus.SOURCE_LOST))
             return
         if not source.room():
-            return came(Result(Outcome.FULL, Note.SOURCE_REFUSED))
-        call = order.call
-        key, name = (call.key, call.part), call.class_name
+            return came(AttemptResult(Outcome.OVERLOADED, CacheStatus.SOURCE_REJECTED))
+        call = order.request
+        key, name = (call.object_key, call.part), call.class_name
         takes = source.takes_us(name, call.size_kb)
-        from_afar = store.listed.entry.zone != source.listed.entry.zone
+        from_afar = store.listed.endpoint.zone != source.listed.endpoint.zone
 
         def over_the_link() -> None:
-            link = self.links.get(store.listed.entry.zone) if from_afar else None
+            link = self.links.get(store.listed.endpoint.zone) if from_afar else None
             if link is None:
-                came(Result(Outcome.OK, Note.FILLED))
+                came(AttemptResult(Outcome.OK, CacheStatus.FILLED))
             else:
-                link.carry(work, call.size_kb, lambda: came(Result(Outcome.OK, Note.FILLED)))
+                link.carry(work, call.size_kb, lambda: came(AttemptResult(Outcome.OK, CacheStatus.FILLED)))
 
         if source is self.origin:
             self._account().origin += 1
@@ -256,13 +265,17 @@
         elif source.has(key):
             source.work(work, takes, over_the_link)
         elif held_only:
-            came(Result(Outcome.MISS, Note.SOURCE_LACKS))
+            came(AttemptResult(Outcome.MISS, CacheStatus.SOURCE_MISS))
         else:
 
-            def fetched(result: Result) -> None:
+            def fetched(result: AttemptResult) -> None:
                 if result.outcome != Outcome.OK:
-                    note = Note.ORIGIN_FAILED if result.outcome == Outcome.ERROR else Note.SOURCE_REFUSED
-                    return came(Result(result.outcome, note))
+                    note = (
+                        CacheStatus.ORIGIN_FAILED
+                        if result.outcome == Outcome.ERROR
+                        else CacheStatus.SOURCE_REJECTED
+                    )
+                    return came(AttemptResult(result.outcome, note))
                 source.keep(key)
                 over_the_link()
 
@@ -275,17 +288,17 @@
     def __init__(self, stores: Stores, alive: Callable[[], bool]) -> None:
         self._stores, self._alive = stores, alive
 
-    def start(self, order: Order, done: Done) -> Exchange:
-        def told(result: Result) -> None:
+    def start(self, order: UpstreamRequest, done: Done) -> Exchange:
+        def told(result: AttemptResult) -> None:
             if self._alive():
                 done(result)
 
         return Exchange(self._stores.ask(order, told))
 
-    def probe(self, member: Member, done: Done) -> None:
-        done(Result(Outcome.CONNECT_FAILED))  # nobody probes here
+    def probe(self, member: ListedEndpoint, done: Done) -> None:
+        done(AttemptResult(Outcome.CONNECT_FAILED))  # nobody probes here
 
-    def close_idle(self, member: Member) -> None:
+    def close_idle(self, member: ListedEndpoint) -> None:
         pass
 
 
@@ -295,6 +308,6 @@
     def __init__(self, work: Work) -> None:
         self._work = work
 
-    def give_up(self) -> bool:
+    def cancel(self) -> bool:
         self._work.end()
         return True
--- a/magpieshift/lifecycle.py
+++ b/magpieshift/lifecycle.py
@@ -22,7 +22,7 @@
     ENDING = "ending"
 
 
-class NotNow(Exception):
+class InvalidStateError(Exception):
     """A call that does not fit the state; the text says why."""
 
 
@@ -84,23 +84,23 @@
     def word(self) -> str:
         return str(self.state.value)
 
-    # --- the operators' calls: what to say, or ``NotNow``
+    # --- the operators' calls: what to say, or ``InvalidStateError``
 
     def ping(self) -> str:
         if self.state in (State.STARTING, State.ENDING):
-            raise NotNow(self.word)
+            raise InvalidStateError(self.word)
         return self.word
 
     def lame_duck(self) -> str:
         if self.state == State.STARTING:
-            raise NotNow(self.word)
+            raise InvalidStateError(self.word)
         if self.state == State.SERVING:  # called again, its time does not begin anew
             self._go(State.LAME_DUCK)
         return self.word
 
     def rejoin(self) -> str:
         if self.state in (State.STARTING, State.ENDING):
-            raise NotNow(self.word)
+            raise InvalidStateError(self.word)
         if self.state == State.LAME_DUCK:
             self._go(State.SERVING)
         return self.word
--- a/magpieshift/members/admission.py
+++ b/magpieshift/membership/admission.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 
-from magpieshift.members.counters import Counters
-from magpieshift.members.messages import Address, Datagram
-from magpieshift.members.view import View
+from magpieshift.membership.counters import Counters
+from magpieshift.membership.member_table import MemberTable
+from magpieshift.membership.messages import Address, Datagram
 
 WINDOW = 64  # datagrams of a sender that may overtake each other
 RATE, BURST = 200.0, 400.0  # datagrams a second taken from one address: the sixteen that matter are far below
@@ -36,7 +36,7 @@
 class Admission:
     """One router's filter of what reaches its socket; what is dropped is counted by its reason."""
 
-    def __init__(self, fleet: str, view: View, counters: Counters) -> None:
+    def __init__(self, fleet: str, view: MemberTable, counters: Counters) -> None:
         self._fleet, self._view, self._counters = fleet, view, counters
         self._heard: dict[tuple[str, tuple[int, int]], _Serials] = {}  # by name and life
         self._budget: dict[Address, tuple[float, int]] = {}  # datagrams left, and when that was worked out
--- a/magpieshift/members/codec.py
+++ b/magpieshift/membership/codec.py
@@ -6,9 +6,9 @@
 
 from google.protobuf.message import DecodeError
 
-from magpieshift.members.messages import Ack, Ask, Body, Claim, Datagram, Kind, Note, Ping, Sync
-from magpieshift.members.view import MOST_TEXT, PARTS, Accusation, Member
-from magpieshift.members.wire import members_pb2 as wire
+from magpieshift.membership.member_table import MOST_TEXT, PARTS, Accusation, Member
+from magpieshift.membership.messages import Ack, Ask, Body, Claim, Datagram, Kind, Note, Ping, Sync
+from magpieshift.membership.wire import members_pb2 as wire
 
 MOST_BYTES = 1400  # what goes through whole on any way; what is larger is not read
 MOST_ROWS = 64  # records in one datagram: far more than a router writes
@@ -88,10 +88,19 @@
     if not 0 < row.port < 65536:
         raise Malformed(f"{what}: found port {row.port}, expected 1 to 65535")
     return Member(
-        _text(row.name, what), _text(row.host, what), row.port, row.incarnation, row.boot, row.beat, row.left,
-        _text(row.zone, what, False), _text(row.program, what, False), row.settings,
-        _text(row.state, what, False), row.load,
-    )  # fmt: skip
+        _text(row.name, what),
+        _text(row.host, what),
+        row.port,
+        row.incarnation,
+        row.boot,
+        row.beat,
+        row.left,
+        _text(row.zone, what, False),
+        _text(row.program, what, False),
+        row.settings,
+        _text(row.state, what, False),
+        row.load,
+    )
 
 
 def _read_body(raw: wire.Datagram) -> Body:
@@ -137,6 +146,11 @@
         for row in raw.accusations
     )
     return Datagram(
-        _text(raw.fleet, "fleet"), _read_member(raw.sender, "sender"), raw.serial, raw.view, _read_body(raw),
-        tuple(_read_member(row, "member") for row in raw.members), accusations,
-    )  # fmt: skip
+        _text(raw.fleet, "fleet"),
+        _read_member(raw.sender, "sender"),
+        raw.serial,
+        raw.view,
+        _read_body(raw),
+        tuple(_read_member(row, "member") for row in raw.members),
+        accusations,
+    )
--- a/magpieshift/members/dissemination.py
+++ b/magpieshift/membership/dissemination.py
@@ -4,10 +4,10 @@
 
 import math
 
-from magpieshift.members.counters import Counters
-from magpieshift.members.messages import Address, Body, Datagram, Send
-from magpieshift.members.rumours import Key, Rumours
-from magpieshift.members.view import Accusation, Change, Known, Member, Standing, View
+from magpieshift.membership.counters import Counters
+from magpieshift.membership.member_table import Accusation, Change, Known, Member, MemberTable, Standing
+from magpieshift.membership.messages import Address, Body, Datagram, Send
+from magpieshift.membership.update_queue import Key, UpdateQueue
 
 MOST_MEMBERS_SENT, MOST_ACCUSATIONS_SENT = 8, 12  # in one datagram, which stays under 1,400 bytes
 MOST_LOOKED_AT = 32  # rumours, for what goes along with one datagram
@@ -17,9 +17,9 @@
 class Dissemination:
     """The rumours of one router, and which of them go along with the next datagram."""
 
-    def __init__(self, view: View) -> None:
+    def __init__(self, view: MemberTable) -> None:
         self._view = view
-        self.rumours = Rumours()
+        self.rumours = UpdateQueue()
         view.listeners.append(self._changed)
 
     def _changed(self, change: Change) -> None:
@@ -67,7 +67,9 @@
 class Outbox:
     """Datagrams of one router, numbered, until they are sent."""
 
-    def __init__(self, fleet: str, view: View, dissemination: Dissemination, counters: Counters) -> None:
+    def __init__(
+        self, fleet: str, view: MemberTable, dissemination: Dissemination, counters: Counters
+    ) -> None:
         self._fleet, self._view, self._dissemination, self._counters = fleet, view, dissemination, counters
         self._unsent: list[Send] = []
         self._serial = 0
--- a/magpieshift/members/driver.py
+++ b/magpieshift/membership/driver.py
@@ -8,11 +8,11 @@
 
 from magpieshift import clock
 from magpieshift.log import fields
-from magpieshift.members.codec import Malformed, decode, encode
-from magpieshift.members.detector import TURN_US, Detector
-from magpieshift.members.messages import Address, Claim, Send
-from magpieshift.members.shares import Shares
-from magpieshift.members.view import Member
+from magpieshift.membership.codec import Malformed, decode, encode
+from magpieshift.membership.failure_detector import TURN_US, FailureDetector
+from magpieshift.membership.member_table import Member
+from magpieshift.membership.messages import Address, Claim, Send
+from magpieshift.membership.quota_lease import QuotaLeases
 
 log = logging.getLogger(__name__)
 
@@ -30,9 +30,13 @@
     that it did, and what ran out while the process stood still must not pass for what it was just given."""
 
     def __init__(
-        self, detector: Detector, shares: Shares, now_us: Callable[[], int] = steady_us,
-        after: Callable[[], None] = lambda: None, used: Callable[[], None] = lambda: None,
-    ) -> None:  # fmt: skip
+        self,
+        detector: FailureDetector,
+        shares: QuotaLeases,
+        now_us: Callable[[], int] = steady_us,
+        after: Callable[[], None] = lambda: None,
+        used: Callable[[], None] = lambda: None,
+    ) -> None:
         self.detector, self.shares, self.now_us = detector, shares, now_us
         self.after, self.used = after, used
         self._transport: asyncio.DatagramTransport | None = None
--- a/magpieshift/members/detector.py
+++ b/magpieshift/membership/failure_detector.py
@@ -13,20 +13,20 @@
 import random
 from collections.abc import Callable
 
-from magpieshift.members.admission import Admission
-from magpieshift.members.counters import Counters
-from magpieshift.members.dissemination import Dissemination, Outbox
-from magpieshift.members.judging import SUSPECT_US, WATCHED, Judge, Tuning
-from magpieshift.members.messages import Ack, Address, Ask, Body, Claim, Datagram, Note, Ping, Send, Sync
-from magpieshift.members.name_conflict import NameConflict
-from magpieshift.members.pings import PATIENCE_US, OpenPing, OpenPings
-from magpieshift.members.records import Records
-from magpieshift.members.strangers import MOST_STRANGERS, Strangers
-from magpieshift.members.synchronization import Synchronization
-from magpieshift.members.view import MOST_TEXT, Known, Member, Standing, View
-from magpieshift.members.watching import ROUND_TURNS, TURN_US, Watching
-
-__all__ = ("MOST_STRANGERS", "TURN_US", "Detector", "Tuning")
+from magpieshift.membership.admission import Admission
+from magpieshift.membership.counters import Counters
+from magpieshift.membership.dissemination import Dissemination, Outbox
+from magpieshift.membership.member_table import MOST_TEXT, Known, Member, MemberTable, Standing
+from magpieshift.membership.messages import Ack, Address, Ask, Body, Claim, Datagram, Note, Ping, Send, Sync
+from magpieshift.membership.name_conflict import NameConflict
+from magpieshift.membership.own_record import OwnRecord
+from magpieshift.membership.pings import PATIENCE_US, OpenPing, OpenPings
+from magpieshift.membership.probing import ROUND_TURNS, TURN_US, Probing
+from magpieshift.membership.suspicion import SUSPECT_US, WATCHED, SuspicionRules, Tuning
+from magpieshift.membership.synchronization import Synchronization
+from magpieshift.membership.unknown_peers import MOST_STRANGERS, UnknownPeers
+
+__all__ = ("MOST_STRANGERS", "TURN_US", "FailureDetector", "Tuning")
 
 SILENT_US = 2_400_000
 SLEPT_US = 1_000_000  # between two ticks: this process did not run, and cannot know who was silent
@@ -41,7 +41,7 @@
     """Who takes notes where no other part listens."""
 
 
-class Detector:
+class FailureDetector:
     """One router's part in the membership of a fleet."""
 
     def __init__(
@@ -53,7 +53,7 @@
         rand: random.Random,
         tuning: Tuning = Tuning(),  # noqa: B008, it is frozen
     ) -> None:
-        self.view = View(own, now_us)
+        self.view = MemberTable(own, now_us)
         self.seeds, self.tuning = seeds, tuning
         self.counters = Counters()
         self.quiet = False  # another process goes on under this name, as it should
@@ -66,12 +66,12 @@
         self._outbox = Outbox(fleet, self.view, self._dissemination, self.counters)
         self._admission = Admission(fleet, self.view, self.counters)
         self._pings = OpenPings(rand)
-        self._watching = Watching(self.view, self._outbox, self._pings, rand, tuning.watched)
-        self._judge = Judge(self.view, self._dissemination, tuning)
+        self._watching = Probing(self.view, self._outbox, self._pings, rand, tuning.watched)
+        self._judge = SuspicionRules(self.view, self._dissemination, tuning)
         self._synchronization = Synchronization(self.view, self._dissemination, self._outbox, rand)
         self._name_conflict = NameConflict(self.view, self._dissemination)
-        self._records = Records(self.view, self._dissemination, self._judge, self._name_conflict)
-        self._strangers = Strangers(self._outbox, self._pings)
+        self._records = OwnRecord(self.view, self._dissemination, self._judge, self._name_conflict)
+        self._strangers = UnknownPeers(self._outbox, self._pings)
         self._turn = 0
         self._last_tick_us = self._woke_us = self._heard_us = now_us
         self._late_us = 0  # how late ticks lately came: that much silence is this router's own
@@ -180,8 +180,10 @@
         self._now_us = now_us
         if not self.quiet:
             self.view.speak(left=True)
-            told = {k.member.name: k.member for k, _ in zip(
-                self.view.after(self.view.own.name), range(WATCHED), strict=False)}  # fmt: skip
+            told = {
+                k.member.name: k.member
+                for k, _ in zip(self.view.after(self.view.own.name), range(WATCHED), strict=False)
+            }
             for member in (told | {m.name: m for m in self._watching.some(2 * WATCHED)}).values():
                 self._outbox.send_to(member, None)
         return self.flush()
@@ -232,9 +234,11 @@
             self._name_conflict.heard_of(sender)
             return False
         known = self.view.known.get(sender.name)
-        same = known is not None and known.member.life == sender.life and (
-            (known.member.host, known.member.port) == (sender.host, sender.port)
-        )  # fmt: skip
+        same = (
+            known is not None
+            and known.member.life == sender.life
+            and ((known.member.host, known.member.port) == (sender.host, sender.port))
+        )
         if same:
             self._records.learn(self._now_us, sender, "heard")
             return self.view.known[sender.name].here
@@ -298,9 +302,17 @@
         """A member for people: its standing, why, and since when."""
         m = known.member
         return {
-            "name": m.name, "standing": known.standing.value, "address": f"{m.host}:{m.port}",
-            "incarnation": m.incarnation, "beat": m.beat, "zone": m.zone, "program": m.program,
-            "settings": m.settings, "state": m.state, "load": m.load,
-            "for_s": round((self._now_us - known.since_us) / 1e6, 1), "why": known.why,
+            "name": m.name,
+            "standing": known.standing.value,
+            "address": f"{m.host}:{m.port}",
+            "incarnation": m.incarnation,
+            "beat": m.beat,
+            "zone": m.zone,
+            "program": m.program,
+            "settings": m.settings,
+            "state": m.state,
+            "load": m.load,
+            "for_s": round((self._now_us - known.since_us) / 1e6, 1),
+            "why": known.why,
             "accusers": sorted(known.accusers),
-        }  # fmt: skip
+        }
--- a/magpieshift/members/view.py
+++ b/magpieshift/membership/member_table.py
@@ -114,7 +114,7 @@
     return spot(f"{member.name} {member.incarnation} {member.boot}")
 
 
-class View:
+class MemberTable:
     """All members known to one router, itself included."""
 
     def __init__(self, own: Member, now_us: int) -> None:
@@ -186,9 +186,9 @@
             self._go(known, Standing.LEFT, now_us, why)
         elif risen:
             gap, known.heard_us = now_us - known.heard_us, now_us
-            known.accusers = {} if new_life else {
-                who: beat for who, beat in known.accusers.items() if beat >= member.beat
-            }  # fmt: skip
+            known.accusers = (
+                {} if new_life else {who: beat for who, beat in known.accusers.items() if beat >= member.beat}
+            )
             if known.standing == Standing.GONE and self._held_back(known, gap, now_us):
                 return moved
             if known.standing != Standing.SUSPECTED or not known.accusers:
--- a/magpieshift/members/messages.py
+++ b/magpieshift/membership/messages.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from magpieshift.members.view import Accusation, Member
+from magpieshift.membership.member_table import Accusation, Member
 
 Address = tuple[str, int]
 
--- a/magpieshift/members/name_conflict.py
+++ b/magpieshift/membership/name_conflict.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from magpieshift.members.dissemination import Dissemination
-from magpieshift.members.view import Member, View
+from magpieshift.membership.dissemination import Dissemination
+from magpieshift.membership.member_table import Member, MemberTable
 
 MOST_TRIES = 4  # pings without an answer, after which the other process counts as dead
 
@@ -11,7 +11,7 @@
 class NameConflict:
     """What one router knows of another process that has its name."""
 
-    def __init__(self, view: View, dissemination: Dissemination) -> None:
+    def __init__(self, view: MemberTable, dissemination: Dissemination) -> None:
         self._view, self._dissemination = view, dissemination
         self._rival: Member | None = None  # the one that is being tried
         self._tries = 0
--- a/magpieshift/members/records.py
+++ b/magpieshift/membership/own_record.py
@@ -2,18 +2,22 @@
 
 from __future__ import annotations
 
-from magpieshift.members.dissemination import Dissemination
-from magpieshift.members.judging import Judge
-from magpieshift.members.messages import Datagram
-from magpieshift.members.name_conflict import NameConflict
-from magpieshift.members.view import Member, View
+from magpieshift.membership.dissemination import Dissemination
+from magpieshift.membership.member_table import Member, MemberTable
+from magpieshift.membership.messages import Datagram
+from magpieshift.membership.name_conflict import NameConflict
+from magpieshift.membership.suspicion import SuspicionRules
 
 
-class Records:
+class OwnRecord:
     """What one router takes over from others into its view."""
 
     def __init__(
-        self, view: View, dissemination: Dissemination, judge: Judge, name_conflict: NameConflict
+        self,
+        view: MemberTable,
+        dissemination: Dissemination,
+        judge: SuspicionRules,
+        name_conflict: NameConflict,
     ) -> None:
         self._view, self._dissemination, self._judge = view, dissemination, judge
         self._name_conflict = name_conflict
--- a/magpieshift/members/pings.py
+++ b/magpieshift/membership/pings.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from magpieshift.members.messages import Address
-from magpieshift.members.view import Member
+from magpieshift.membership.member_table import Member
+from magpieshift.membership.messages import Address
 
 MOST_OPEN = 1024  # pings without an answer
 PATIENCE_US = 2_000_000  # for the answer to a ping; later ones still bring a beat
--- a/magpieshift/members/watching.py
+++ b/magpieshift/membership/probing.py
@@ -4,21 +4,21 @@
 
 import random
 
-from magpieshift.members.dissemination import Outbox
-from magpieshift.members.messages import Ask, Ping
-from magpieshift.members.pings import OpenPing, OpenPings
-from magpieshift.members.view import Member, Standing, View
+from magpieshift.membership.dissemination import Outbox
+from magpieshift.membership.member_table import Member, MemberTable, Standing
+from magpieshift.membership.messages import Ask, Ping
+from magpieshift.membership.pings import OpenPing, OpenPings
 
 TURN_US = 100_000  # between two ticks
 ROUND_TURNS = 8  # a round is 0.8 s: who is watched is pinged once in it, and again if need be
 AGAIN_TURNS = 2
 
 
-class Watching:
+class Probing:
     """The members that one router watches: the next on the ring after it."""
 
     def __init__(
-        self, view: View, outbox: Outbox, pings: OpenPings, rand: random.Random, watched: int
+        self, view: MemberTable, outbox: Outbox, pings: OpenPings, rand: random.Random, watched: int
     ) -> None:
         """``watched``: how many at least."""
         self._view, self._outbox, self._pings, self._random = view, outbox, pings, rand
--- a/magpieshift/members/shares.py
+++ b/magpieshift/membership/quota_lease.py
@@ -25,8 +25,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from magpieshift.members.messages import Address, Claim, Kind
-from magpieshift.members.view import Member, Standing, View
+from magpieshift.membership.member_table import Member, MemberTable, Standing
+from magpieshift.membership.messages import Address, Claim, Kind
 
 ALL = "all"  # the scope of what all routers divide; a zone's is its name behind ZONE
 ZONE = "zone "
@@ -47,13 +47,18 @@
     offered: dict[str, float] | None = None  # until its holder says that it uses no more than this
 
 
-class Shares:
+class QuotaLeases:
     """One router's share: as a member of the council, as allocator, and as holder."""
 
     def __init__(
-        self, own: Member, council: tuple[str, ...], slots: Mapping[str, int], alone: float, now_us: int,
+        self,
+        own: Member,
+        council: tuple[str, ...],
+        slots: Mapping[str, int],
+        alone: float,
+        now_us: int,
         rand: random.Random,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.own, self.council, self.slots, self.alone = own, council, dict(slots), alone
         self._random = rand
         self._seen = dict.fromkeys(slots, (0, now_us))  # the most members there were, and when
@@ -92,7 +97,7 @@
 
     # --- time
 
-    def tick(self, now_us: int, view: View) -> Outgoing:
+    def tick(self, now_us: int, view: MemberTable) -> Outgoing:
         """To be called now and then; the claims to be sent."""
         if view.number != self._view_at:
             self._view_at = view.number
@@ -116,12 +121,12 @@
             out += self._to(allocator, now_us, view, Claim(0, Kind.WANT, self._note(now_us)))
         return out
 
-    def _there(self, view: View, scope: str) -> int:
+    def _there(self, view: MemberTable, scope: str) -> int:
         if scope == ALL:
             return view.count
         return sum(1 for _, name in view.ring if ZONE + view.known[name].member.zone == scope)
 
-    def _allocator(self, view: View) -> Member | None:
+    def _allocator(self, view: MemberTable) -> Member | None:
         """Whom this router takes for the allocator: the first of the council that is there."""
         for name in sorted(self.council):
             known = view.known.get(name)
@@ -135,14 +140,14 @@
         self._asked[number] = now_us
         return number
 
-    def _to(self, member: Member, now_us: int, view: View, claim: Claim) -> Outgoing:
+    def _to(self, member: Member, now_us: int, view: MemberTable, claim: Claim) -> Outgoing:
         if member.name == self.own.name:  # what it says to itself needs no way
             return self.receive(now_us, claim, self.own, (member.host, member.port), view)
         return [((member.host, member.port), claim)]
 
     # --- the council
 
-    def _canvass(self, now_us: int, view: View) -> Outgoing:
+    def _canvass(self, now_us: int, view: MemberTable) -> Outgoing:
         if not self._term:
             self._term = self._random.getrandbits(62) | 1
         number, out = self._note(now_us), Outgoing()
@@ -164,7 +169,7 @@
 
     # --- what comes in
 
-    def receive(self, now_us: int, claim: Claim, sender: Member, to: Address, view: View) -> Outgoing:
+    def receive(self, now_us: int, claim: Claim, sender: Member, to: Address, view: MemberTable) -> Outgoing:
         """Take in a claim of a member; the claims to be sent."""
         who = sender.name, sender.boot
         match claim.kind:
@@ -192,7 +197,7 @@
                     lease.parts, lease.offered = lease.offered, None
         return []
 
-    def _answer(self, sender: Member, to: Address, now_us: int, view: View, claim: Claim) -> Outgoing:
+    def _answer(self, sender: Member, to: Address, now_us: int, view: MemberTable, claim: Claim) -> Outgoing:
         if sender.name == self.own.name:
             return self.receive(now_us, claim, self.own, to, view)
         return [(to, claim)]
@@ -211,10 +216,10 @@
 
     # --- the allocator
 
-    def _grant(self, now_us: int, claim: Claim, who: Who, zone: str, view: View) -> Claim | None:
+    def _grant(self, now_us: int, claim: Claim, who: Who, zone: str, view: MemberTable) -> Claim | None:
         old_ones_gone = self._elected_us is not None and (
             now_us - self._elected_us > self._longest(self._longest())
-        )  # fmt: skip
+        )
         if not (self._authority(now_us) and old_ones_gone):
             return None
         before = self._ledger.get(who)
--- a/magpieshift/members/judging.py
+++ b/magpieshift/membership/suspicion.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from magpieshift.members.dissemination import Dissemination
-from magpieshift.members.view import Accusation, Standing, View
+from magpieshift.membership.dissemination import Dissemination
+from magpieshift.membership.member_table import Accusation, MemberTable, Standing
 
 WATCHED = 6
 ACCUSERS = 3
@@ -22,11 +22,11 @@
     health: bool = True  # who hears nobody or slept holds still; without, it judges all the same
 
 
-class Judge:
+class SuspicionRules:
     """One router's judgement of the others. A member is suspected where enough different ones accuse it, and
     gone once that has lasted ``SUSPECT_US``; no verdict is passed on."""
 
-    def __init__(self, view: View, dissemination: Dissemination, tuning: Tuning) -> None:
+    def __init__(self, view: MemberTable, dissemination: Dissemination, tuning: Tuning) -> None:
         self._view, self._dissemination, self._tuning = view, dissemination, tuning
 
     @property
--- a/magpieshift/members/synchronization.py
+++ b/magpieshift/membership/synchronization.py
@@ -4,9 +4,9 @@
 
 import random
 
-from magpieshift.members.dissemination import Dissemination, Outbox
-from magpieshift.members.messages import Sync
-from magpieshift.members.view import PARTS, Accusation, Member, Standing, View, spot
+from magpieshift.membership.dissemination import Dissemination, Outbox
+from magpieshift.membership.member_table import PARTS, Accusation, Member, MemberTable, Standing, spot
+from magpieshift.membership.messages import Sync
 
 SYNC_US = 500_000  # between two that go to the same member
 MOST_SYNCED = 12  # members in one answer to a differing view
@@ -17,7 +17,9 @@
 class Synchronization:
     """One router's comparisons of its view with those of others."""
 
-    def __init__(self, view: View, dissemination: Dissemination, outbox: Outbox, rand: random.Random) -> None:
+    def __init__(
+        self, view: MemberTable, dissemination: Dissemination, outbox: Outbox, rand: random.Random
+    ) -> None:
         self._view, self._rumours, self._outbox, self._random = view, dissemination.rumours, outbox, rand
         self._asked: dict[str, int] = {}  # by name, when
 
--- a/magpieshift/members/strangers.py
+++ b/magpieshift/membership/unknown_peers.py
@@ -3,15 +3,15 @@
 
 from __future__ import annotations
 
-from magpieshift.members.dissemination import Outbox
-from magpieshift.members.messages import Ack, Body, Ping
-from magpieshift.members.pings import OpenPing, OpenPings
-from magpieshift.members.view import Member
+from magpieshift.membership.dissemination import Outbox
+from magpieshift.membership.member_table import Member
+from magpieshift.membership.messages import Ack, Body, Ping
+from magpieshift.membership.pings import OpenPing, OpenPings
 
 MOST_STRANGERS = 64  # who said a name and has not yet answered at its address
 
 
-class Strangers:
+class UnknownPeers:
     """Those whom one router has asked, and who have not answered yet."""
 
     def __init__(self, outbox: Outbox, pings: OpenPings) -> None:
--- a/magpieshift/members/rumours.py
+++ b/magpieshift/membership/update_queue.py
@@ -4,7 +4,7 @@
 
 from itertools import islice
 
-from magpieshift.members.view import Accusation, Member
+from magpieshift.membership.member_table import Accusation, Member
 
 MOST_RUMOURS = 4096
 
@@ -12,7 +12,7 @@
 """``("m", name)`` of a member's record, ``("a", about, accuser)`` of an accusation."""
 
 
-class Rumours:
+class UpdateQueue:
     """News to be passed on so many times each: what has been passed on least goes first. Each step costs the
     same however much there is; with hundreds that join at once there are thousands."""
 
--- a/magpieshift/overload/failure_reports.py
+++ b/magpieshift/overload/failure_reports.py
@@ -70,9 +70,11 @@
             sighting = Sighting(report.failing, now_us - report.age_us)
             before = self._by_store.get(report.store, {}).get(report.witness)
             # by what it counts as new: the ways between two routers differ by less than a renewal
-            if before is None or sighting.seen_us >= before.seen_us + RENEW_US // 2 or (
-                before.failing != sighting.failing and sighting.seen_us > before.seen_us
-            ):  # fmt: skip
+            if (
+                before is None
+                or sighting.seen_us >= before.seen_us + RENEW_US // 2
+                or (before.failing != sighting.failing and sighting.seen_us > before.seen_us)
+            ):
                 new = self._keep(report.store, report.witness, sighting) or new
         return new
 
@@ -125,8 +127,9 @@
         """What to tell another: the youngest reports."""
         every = [
             FailureReport(store, who, sighting.failing, max(0, now_us - sighting.seen_us))
-            for store in self._by_store for who, sighting in self._fresh(store, now_us).items()
-        ]  # fmt: skip
+            for store in self._by_store
+            for who, sighting in self._fresh(store, now_us).items()
+        ]
         return tuple(
             sorted(every, key=lambda report: (report.age_us, report.store, report.witness))[:MOST_TOLD]
         )
--- a/magpieshift/overload/talk.py
+++ b/magpieshift/overload/gossip.py
@@ -14,8 +14,8 @@
 from magpieshift.overload.codec import Digest
 from magpieshift.overload.failure_reports import FailureReports
 from magpieshift.overload.offloading import FRESH_US, LOW, Neighbour, Offloading
-from magpieshift.overload.trials import Seen, Trials
-from molecleat.heed import Act
+from magpieshift.overload.probe_election import ProbeElection, Seen
+from magpieshift.policy.health_override import HealthOverride
 
 TURN_US = 200_000  # between two turns
 FANOUT, URGENT_TURNS = 4, 4  # others told of what is new in a turn, and for how many turns
@@ -27,18 +27,18 @@
 class Turn:
     """What came of a turn: what the module is to heed, and who is to be told what."""
 
-    acts: list[Act]
+    acts: list[HealthOverride]
     sends: list[tuple[str, Digest]]
     offloading_changed: bool = False
 
 
-class Talker:
+class Gossip:
     """One router's talk."""
 
     def __init__(self, own: str, rand: random.Random, now_us: int = 0) -> None:
         self.own, self._random = own, rand
         self.reports = FailureReports(own)
-        self.trials = Trials(own, rand)
+        self.trials = ProbeElection(own, rand)
         self.offloading = Offloading(now_us)
         self.sent = self.taken = self.flooded = 0
         self._urgent = self._turns = self._taken_now = 0
@@ -59,9 +59,14 @@
                 self._pressed_us = now_us
 
     def turn(
-        self, now_us: int, seen: Mapping[str, Seen], here: Sequence[str], mates: Collection[str] = (),
-        pressure: float = 0.0, rate: float = 0.0,
-    ) -> Turn:  # fmt: skip
+        self,
+        now_us: int,
+        seen: Mapping[str, Seen],
+        here: Sequence[str],
+        mates: Collection[str] = (),
+        pressure: float = 0.0,
+        rate: float = 0.0,
+    ) -> Turn:
         """To be called every ``TURN_US``: ``here`` are all who are there and not suspected, this router
         included,
         ``mates`` those of its own place."""
--- a/magpieshift/overload/trials.py
+++ b/magpieshift/overload/probe_election.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from magpieshift.overload.failure_reports import HOLDS_US, FailureReports
-from molecleat.heed import Act, Allow, Leave
+from magpieshift.policy.health_override import Eject, HealthOverride, Readmit
 
 TRIERS = 2  # of all routers that could, at a time
 TRY_US = 1_000_000  # a trier's pause after a failure, however long its own has grown
@@ -49,7 +49,7 @@
     return int.from_bytes(hashlib.blake2b(f"{store} {router}".encode(), digest_size=8).digest(), "big")
 
 
-class Trials:
+class ProbeElection:
     """One router's part in trying failing stores."""
 
     def __init__(self, own: str, rand: random.Random) -> None:
@@ -64,10 +64,10 @@
 
     def judge(
         self, now_us: int, reports: FailureReports, here: Collection[str], seen: Mapping[str, Seen]
-    ) -> list[Act]:
+    ) -> list[HealthOverride]:
         """What to do about each store that anybody has reported; ``here`` are the routers that are there and
         not suspected, this one included, ``seen`` the stores this router may ask."""
-        out: list[Act] = []
+        out: list[HealthOverride] = []
         room = self._room(seen)
         for store in sorted(reports.stores()):
             its = seen.get(store)
@@ -76,7 +76,7 @@
             said = reports.failing(store, now_us)
             if not said:
                 if store in self._left and reports.well(store, now_us):
-                    out.append(Allow(its.number, int(self._random.random() * RAMP_US), 0))
+                    out.append(Readmit(its.number, int(self._random.random() * RAMP_US), 0))
                 self._left.discard(store)
                 continue
             others = len(said - {self.own})
@@ -88,13 +88,13 @@
                 continue  # nobody else has seen it: its own pauses will do
             if self.among_first(store, here):
                 self.tries += 1
-                out.append(Allow(its.number, 0, TRY_US))
+                out.append(Readmit(its.number, 0, TRY_US))
                 self._left.discard(store)
             elif not by_report or room.get(its.group, 0) > 0:
                 room[its.group] = room.get(its.group, 0) - by_report
                 self.leaves += 1
                 self._left.add(store)
-                out.append(Leave(its.number, LEAVE_US))
+                out.append(Eject(its.number, LEAVE_US))
         self._left.intersection_update(seen)
         return out
 
--- a/molecleat/purges.py
+++ b/magpieshift/policy/invalidation.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from molecleat import interface as api
+from magpieshift.policy.events import RequestReceived
 
 Purges = dict[tuple[int, int], int]
 """When each was purged: objects under ``(1, key)``, groups under ``(0, group)``."""
@@ -33,10 +33,10 @@
     return max(LEAST_SIZE, 2 * len(purges))
 
 
-def oldest_copy(purges: Purges, request: api.Request, fresh_us: int, now_us: int, done_us: int) -> int:
+def oldest_copy(purges: Purges, request: RequestReceived, fresh_us: int, now_us: int, done_us: int) -> int:
     """The largest age of a copy that will do for the request: ``fresh_us`` (0 for no bound) unless the object
     or its group was purged lately; then at least 1."""
-    made_us = max(purges.get((1, request.key), -1), purges.get((0, request.group), -1))
+    made_us = max(purges.get((1, request.object_key), -1), purges.get((0, request.group), -1))
     if made_us < max(0, now_us - KEPT_TIMES * done_us):
         return fresh_us
     since_us = max(1, now_us - made_us - 1)
--- a/molecleat/retune.py
+++ b/magpieshift/policy/reconfigure.py
@@ -6,20 +6,20 @@
 
 from collections.abc import Set
 
-from molecleat.control import Router
-from molecleat.interface import Settings
+from magpieshift.policy.router_policy import RouterPolicy
+from magpieshift.policy.settings import Settings
 
 
-def retune(router: Router, settings: Settings, fresh: Set[int]) -> None:
+def reconfigure(router: RouterPolicy, settings: Settings, fresh: Set[int]) -> None:
     """Put ``settings`` in force. ``fresh`` are the class numbers of which nothing that was learned holds."""
-    start = Router(
+    start = RouterPolicy(
         settings, 0
     )  # what a module that starts now knows of its classes: nothing but their figures
     count = len(settings.classes)
-    for name in ("work_us", "fill_us"):
+    for name in ("service_times_us", "fill_times_us"):
         learned, new = getattr(router, name), getattr(start, name)
         learned[:] = [new[i] if i in fresh or i >= len(learned) else learned[i] for i in range(count)]
-    for store in router.stores.values() if fresh or count < len(router.cfg.classes) else ():
-        for key in [key for key in store.paces if key[0] in fresh or key[0] >= count]:
-            del store.paces[key]
-    router.cfg, router.us_per_kb = settings, start.us_per_kb
+    for store in router.endpoints.values() if fresh or count < len(router.settings.classes) else ():
+        for key in [key for key in store.answer_times if key[0] in fresh or key[0] >= count]:
+            del store.answer_times[key]
+    router.settings, router.us_per_kb = settings, start.us_per_kb
--- a/molecleat/drill.py
+++ b/magpieshift/policy/simulator.py
@@ -1,6 +1,6 @@
 """The adapter: plays the module on the simulator's wire, over standard input and output.
 
-It decides nothing: frames in, one ``Router`` an instance, frames out.
+It decides nothing: frames in, one ``RouterPolicy`` an instance, frames out.
 """
 
 from __future__ import annotations
@@ -10,21 +10,21 @@
 import traceback
 from typing import BinaryIO
 
-from molecleat import interface as api
-from molecleat import wire
-from molecleat.control import Router
+from magpieshift.policy import simulator_codec as wire
+from magpieshift.policy.events import Event
+from magpieshift.policy.router_policy import RouterPolicy
 
 
 class Host:
     """The instances of this process; they share nothing but the pipe."""
 
     def __init__(self) -> None:
-        self.routers: dict[int, Router] = {}
+        self.routers: dict[int, RouterPolicy] = {}
 
     def answer(self, frame: wire.Frame) -> bytes:
         """One reply for one batch; each instance's events stay in order."""
         reply = wire.Reply(frame.number)
-        pending: dict[int, list[api.Event]] = {}
+        pending: dict[int, list[Event]] = {}
         for who, event in frame.events():
             if isinstance(event, wire.Boot):
                 pending[who] = []
@@ -40,12 +40,12 @@
 
     def _boot(self, reply: wire.Reply, who: int, boot: wire.Boot) -> None:
         try:
-            self.routers[who] = Router(wire.parse_settings(boot.text), boot.seed)
+            self.routers[who] = RouterPolicy(wire.parse_settings(boot.text), boot.seed)
         except wire.SettingsError as err:
             self.routers.pop(who, None)
             reply.fault(who, str(err))
 
-    def _handle(self, reply: wire.Reply, who: int, now_us: int, events: list[api.Event]) -> None:
+    def _handle(self, reply: wire.Reply, who: int, now_us: int, events: list[Event]) -> None:
         router = self.routers.get(who)
         if router is None:
             return
@@ -83,7 +83,7 @@
             sys.stdout.buffer.write(host.answer(frame))
             sys.stdout.buffer.flush()
     except wire.WireError as err:
-        print(f"molecleat: {err}", file=sys.stderr)
+        print(f"magpieshift.policy: {err}", file=sys.stderr)
         return 1
     return 0
 
--- a/molecleat/wire.py
+++ b/magpieshift/policy/simulator_codec.py
@@ -6,15 +6,50 @@
 from collections.abc import Callable
 from typing import Any, TypeVar
 
-from molecleat import interface as api
+from magpieshift.policy.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpointList,
+    RejectRequest,
+    SendCacheRequest,
+    SendPeerMessage,
+    SendPlainRequest,
+    SetTimer,
+    StartHealthCheck,
+    SubscribeToEndpointList,
+    WriteLog,
+)
+from magpieshift.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    Endpoint,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    Event,
+    HealthCheckEnded,
+    PeerMessageReceived,
+    PurgeReceived,
+    RequestReceived,
+    ResponseStarted,
+    TimerFired,
+)
+from magpieshift.policy.outcomes import Outcome
+from magpieshift.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 EVENT_SIZE, ACTION_SIZE, ENTRY_SIZE = 48, 32, 24
 HEADER = struct.Struct("<II")
 BODY = struct.Struct("<IQ")
 T = TypeVar("T")
 ALL_PEERS = 0xFFFFFFFF
-EFFECTS = {"free": api.Effect.FREE, "guarded": api.Effect.KEYED, "single_shot": api.Effect.UNSAFE}
-SCOPES = {"all": api.Scope.ALL, "zone": api.Scope.ZONE, "cell": api.Scope.CELL}
+EFFECTS = {
+    "free": Idempotency.IDEMPOTENT,
+    "guarded": Idempotency.WITH_KEY,
+    "single_shot": Idempotency.NOT_IDEMPOTENT,
+}
+SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 
 
 class WireError(Exception):
@@ -40,7 +75,7 @@
     __slots__ = ()
 
 
-Decoded = api.Event | Boot | Stop
+Decoded = Event | Boot | Stop
 
 
 def store_in(raw: bytes, at: int) -> int:
@@ -90,37 +125,37 @@
     return Boot(struct.unpack_from("<Q", raw, 5)[0], frame.slice(raw, 13).decode("utf-8"))
 
 
-def _list(frame: Frame, raw: bytes) -> api.StoreList:
+def _list(frame: Frame, raw: bytes) -> EndpointListReceived:
     entries = frame.slice(raw, 14, ENTRY_SIZE)
-    return api.StoreList(
-        kind=api.ListKind(raw[5]),
+    return EndpointListReceived(
+        kind=EndpointListKind(raw[5]),
         version=struct.unpack_from("<Q", raw, 6)[0],
-        entries=tuple(_entry(entries, at) for at in range(0, len(entries), ENTRY_SIZE)),
+        endpoints=tuple(_entry(entries, at) for at in range(0, len(entries), ENTRY_SIZE)),
     )
 
 
-def _entry(raw: bytes, at: int) -> api.Entry:
+def _entry(raw: bytes, at: int) -> Endpoint:
     zone, kind, cell, phase, weight, up = struct.unpack_from("<HBHBfQ", raw, at + 6)
-    return api.Entry(store_in(raw, at), zone, kind, cell, api.Phase(phase), weight, up)
+    return Endpoint(store_in(raw, at), zone, kind, cell, EndpointState(phase), weight, up)
 
 
-def _request(frame: Frame, raw: bytes) -> api.Request:
+def _request(frame: Frame, raw: bytes) -> RequestReceived:
     ident, cls, tenant, key, left, size, group, part, marks = struct.unpack_from("<IBIQIfffH", raw, 5)
-    return api.Request(
+    return RequestReceived(
         ident, cls, tenant, key, left, size, int(group), int(part), bool(marks & 2), bool(marks & 4)
     )
 
 
-def _begun(frame: Frame, raw: bytes) -> api.Begun:
+def _begun(frame: Frame, raw: bytes) -> ResponseStarted:
     latency, leg = struct.unpack_from("<IH", raw, 15)
-    return api.Begun(struct.unpack_from("<I", raw, 5)[0], store_in(raw, 9), latency, leg)
+    return ResponseStarted(struct.unpack_from("<I", raw, 5)[0], store_in(raw, 9), latency, leg)
 
 
-def _ended(frame: Frame, raw: bytes) -> api.Ended:
+def _ended(frame: Frame, raw: bytes) -> AttemptEnded:
     ident, outcome, latency, waited, closed, note = struct.unpack_from("<IBIIBI", raw, 5)
-    return api.Ended(
+    return AttemptEnded(
         ident,
-        api.Outcome(outcome),
+        Outcome(outcome),
         latency,
         waited,
         bool(closed),
@@ -138,13 +173,13 @@
     return values
 
 
-def _probed(frame: Frame, raw: bytes) -> api.Probed:
+def _probed(frame: Frame, raw: bytes) -> HealthCheckEnded:
     latency = struct.unpack_from("<I", raw, 12)[0]
-    return api.Probed(store_in(raw, 5), api.Outcome(raw[11]), latency, _load(raw, 16))
+    return HealthCheckEnded(store_in(raw, 5), Outcome(raw[11]), latency, _load(raw, 16))
 
 
-def _message(frame: Frame, raw: bytes) -> api.Message:
-    return api.Message(struct.unpack_from("<H", raw, 5)[0], frame.slice(raw, 7))
+def _message(frame: Frame, raw: bytes) -> PeerMessageReceived:
+    return PeerMessageReceived(struct.unpack_from("<H", raw, 5)[0], frame.slice(raw, 7))
 
 
 DECODERS: dict[int, Callable[[Frame, bytes], Decoded]] = {
@@ -153,12 +188,12 @@
     2: _request,
     3: _begun,
     4: _ended,
-    5: lambda frame, raw: api.Hangup(struct.unpack_from("<I", raw, 5)[0]),
-    6: lambda frame, raw: api.Elapsed(struct.unpack_from("<Q", raw, 5)[0]),
+    5: lambda frame, raw: ClientDisconnected(struct.unpack_from("<I", raw, 5)[0]),
+    6: lambda frame, raw: TimerFired(struct.unpack_from("<Q", raw, 5)[0]),
     7: _probed,
     8: _message,
     9: lambda frame, raw: Stop(),
-    10: lambda frame, raw: api.Purged(*struct.unpack_from("<QHI", raw, 5)),
+    10: lambda frame, raw: PurgeReceived(*struct.unpack_from("<QHI", raw, 5)),
 }
 
 
@@ -178,7 +213,7 @@
     def fault(self, who: int, text: str) -> None:
         self._record(9, who, self.keep(text.encode()))
 
-    def add(self, who: int, action: api.Action) -> None:
+    def add(self, who: int, action: Action) -> None:
         code, encode = ENCODERS[type(action)]
         self._record(code, who, encode(self, action))
 
@@ -190,33 +225,33 @@
         return struct.pack("<III", self.number, len(body) + 4, len(self.records)) + body
 
 
-def _get(a: api.Get) -> bytes:
-    head = struct.pack("<I", a.id) + store_out(a.store) + struct.pack("<i", a.timeout_us)
-    return head + store_out(a.source) + struct.pack("<BIB", a.keep, a.age_us, a.mode)
+def _get(a: SendCacheRequest) -> bytes:
+    head = struct.pack("<I", a.request_id) + store_out(a.endpoint) + struct.pack("<i", a.timeout_us)
+    return head + store_out(a.source) + struct.pack("<BIB", a.retention_rank, a.max_age_us, a.flags)
 
 
-def _send(a: api.Send) -> bytes:
-    return struct.pack("<I", a.id) + store_out(a.store) + struct.pack("<i", a.timeout_us)
+def _send(a: SendPlainRequest) -> bytes:
+    return struct.pack("<I", a.request_id) + store_out(a.endpoint) + struct.pack("<i", a.timeout_us)
 
 
-def _tell(reply: Reply, a: api.Tell) -> bytes:
+def _tell(reply: Reply, a: SendPeerMessage) -> bytes:
     return struct.pack("<I", ALL_PEERS if a.peer is None else a.peer) + reply.keep(a.body)
 
 
 Encoder = Callable[[Reply, Any], bytes]
 ENCODERS: dict[type, tuple[int, Encoder]] = {
-    api.Send: (0, lambda r, a: _send(a)),
-    api.Refuse: (1, lambda r, a: struct.pack("<II", a.id, a.retry_after_us)),
-    api.Fail: (2, lambda r, a: struct.pack("<I", a.id)),
-    api.Cancel: (3, lambda r, a: struct.pack("<IH", a.id, a.attempt)),
-    api.SetTimer: (4, lambda r, a: struct.pack("<IQ", a.delay_us, a.token)),
-    api.Probe: (5, lambda r, a: store_out(a.store)),
-    api.Close: (6, lambda r, a: store_out(a.store)),
-    api.Tell: (7, _tell),
-    api.Log: (8, lambda r, a: r.keep(a.text.encode())),
-    api.Subscribe: (10, lambda r, a: bytes((a.on,))),
-    api.FetchList: (11, lambda r, a: b""),
-    api.Get: (12, lambda r, a: _get(a)),
+    SendPlainRequest: (0, lambda r, a: _send(a)),
+    RejectRequest: (1, lambda r, a: struct.pack("<II", a.id, a.retry_after_us)),
+    FailRequest: (2, lambda r, a: struct.pack("<I", a.id)),
+    CancelAttempt: (3, lambda r, a: struct.pack("<IH", a.id, a.attempt)),
+    SetTimer: (4, lambda r, a: struct.pack("<IQ", a.delay_us, a.token)),
+    StartHealthCheck: (5, lambda r, a: store_out(a.store)),
+    CloseIdleConnections: (6, lambda r, a: store_out(a.store)),
+    SendPeerMessage: (7, _tell),
+    WriteLog: (8, lambda r, a: r.keep(a.text.encode())),
+    SubscribeToEndpointList: (10, lambda r, a: bytes((a.on,))),
+    FetchEndpointList: (11, lambda r, a: b""),
+    SendCacheRequest: (12, lambda r, a: _get(a)),
 }
 
 
@@ -247,67 +282,67 @@
     return int(float(text))
 
 
-def parse_settings(text: str) -> api.Settings:
+def parse_settings(text: str) -> Settings:
     """The settings of a boot event; unknown keys are skipped."""
     pairs = _Pairs(text)
     read, many = pairs.read, pairs.many
-    return api.Settings(
+    return Settings(
         classes=tuple(_class(pairs, i) for i in range(read("Classes.count", int))),
         zone=read("Locality", int),
-        routers=read("Balancers", int),
-        self_index=read("SelfIndex", int),
+        router_count=read("Balancers", int),
+        router_index=read("SelfIndex", int),
         zone_hub=many("Specifics.AttachedTo", int),
-        zone_routers=many("Specifics.ZoneBalancers", int),
+        zone_router_counts=many("Specifics.ZoneBalancers", int),
         zone_link_kb_per_s=many("Specifics.LinkInKbPerS", float),
         parent_kind=read("Specifics.ShieldKind", int),
         origin_kind=read("Specifics.MasterKind", int),
         tick_us=read("QuantumUs", _whole),
-        flow_kb_per_s=read("Specifics.ClientKbPerS", float),
+        client_kb_per_s=read("Specifics.ClientKbPerS", float),
         weights_are_sizes=read("Weights", str) in ("nominal", "rough"),
         answer_slack_us=read("Contract.AnswerSlackUs", _whole),
         drain_grace_us=read("Contract.DrainGraceUs", _whole),
-        cold_from=read("Contract.ColdFrom", float),
-        cold_us=read("Contract.ColdUs", _whole),
-        fall_multiple=read("Contract.FallMultiple", float),
-        fall_us=read("Contract.FallUs", _whole),
-        parent_cold_from=read("Specifics.UpperColdFrom", float),
-        parent_cold_us=read("Specifics.ParentRampUs", _whole),
-        parent_fall_multiple=read("Specifics.ParentBreaksAt", float),
+        slow_start_fraction=read("Contract.ColdFrom", float),
+        slow_start_us=read("Contract.ColdUs", _whole),
+        overload_multiple=read("Contract.FallMultiple", float),
+        overload_window_us=read("Contract.FallUs", _whole),
+        parent_slow_start_fraction=read("Specifics.UpperColdFrom", float),
+        parent_slow_start_us=read("Specifics.ParentRampUs", _whole),
+        parent_overload_multiple=read("Specifics.ParentBreaksAt", float),
         purge_grace_us=read("Specifics.PurgeSlackUs", _whole),
-        purge_done_us=read("Specifics.PurgeTakesUs", _whole),
+        purge_propagation_us=read("Specifics.PurgeTakesUs", _whole),
         connect_timeout_us=read("Caps.ConnectTimeoutUs", _whole),
         max_attempts=read("Caps.MaxAttempts", int),
         max_retry_after_us=read("Caps.MaxRetryAfterUs", _whole),
-        may_cancel=read("Caps.Cancelling", _flag),
-        may_probe=read("Caps.Probes", _flag),
-        may_message=read("Caps.PeerMessages", _flag),
-        may_pass_by=read("Specifics.MayPassBy", _flag),
-        second_copies=read("Caps.SecondCopies", _flag),
-        joins_fills=read("Specifics.SharesFills", _flag),
+        can_cancel_attempts=read("Caps.Cancelling", _flag),
+        can_check_health=read("Caps.Probes", _flag),
+        can_message_peers=read("Caps.PeerMessages", _flag),
+        may_bypass_caches=read("Specifics.MayPassBy", _flag),
+        hedged_requests=read("Caps.SecondCopies", _flag),
+        coalesces_fills=read("Specifics.SharesFills", _flag),
         siblings=read("Specifics.Siblings", str) != "silent",
-        notes=read("Specifics.Says", str) == "all",
+        reports_cache_status=read("Specifics.Says", str) == "all",
         must_subscribe=read("Discovery", str) == "on_request",
-        report_columns=many("LoadInfo.Columns", str),
+        load_report_columns=many("LoadInfo.Columns", str),
     )
 
 
-def _class(pairs: _Pairs, i: int) -> api.RequestClass:
+def _class(pairs: _Pairs, i: int) -> RequestClass:
     read, many = pairs.read, pairs.many
     at = f"Classes.{i}."
     stretch = at + "AimStretch" in pairs.values
-    return api.RequestClass(
-        effect=read(at + "Effect", EFFECTS.__getitem__),
-        scope=read(at + "Group", SCOPES.__getitem__),
-        dedup_us=read(at + "DedupWindowUs", _whole),
-        aim_us=read(at + "AimUs", _whole),
-        aim_stretch=read(at + "AimStretch", float) if stretch else 0.0,
+    return RequestClass(
+        idempotency=read(at + "Effect", EFFECTS.__getitem__),
+        deduplication_scope=read(at + "Group", SCOPES.__getitem__),
+        deduplication_us=read(at + "DedupWindowUs", _whole),
+        latency_objective_us=read(at + "AimUs", _whole),
+        latency_objective_stretch=read(at + "AimStretch", float) if stretch else 0.0,
         deadline_us=read(at + "GiveUpUs", _whole),
-        worth=read(at + "Worth", float),
-        late_worth=read(at + "LateWorth", float),
-        stream=read(at + "Stream", _flag),
-        write=many("Specifics.ClassWrite", _flag)[i],
+        priority_weight=read(at + "Worth", float),
+        late_priority_weight=read(at + "LateWorth", float),
+        is_stream=read(at + "Stream", _flag),
+        is_write=many("Specifics.ClassWrite", _flag)[i],
         in_parts=many("Specifics.InPieces", _flag)[i],
-        fresh_us=many("Specifics.MaxAgeUs", _whole)[i],
-        grace_us=many("Specifics.GraceForUs", _whole)[i],
-        stale_worth=many("Specifics.StaleEarns", float)[i],
+        max_age_us=many("Specifics.MaxAgeUs", _whole)[i],
+        stale_grace_us=many("Specifics.GraceForUs", _whole)[i],
+        stale_priority_weight=many("Specifics.StaleEarns", float)[i],
     )
--- a/magpieshift/claim.py
+++ b/magpieshift/process_lock.py
@@ -23,7 +23,7 @@
 FLOCK = struct.Struct("hhqqi4x")  # Linux's struct flock: type, whence, start, length, process
 
 
-class Claim:
+class ProcessLock:
     """Owner of the file and of this process's locks on it."""
 
     def __init__(self, listen: Address, folder: str | None = None) -> None:
--- a/magpieshift/relay/client.py
+++ b/magpieshift/relay/client.py
@@ -170,10 +170,16 @@
     def _tell_lost(self, relay: Relay, why: str) -> None:
         tell = log.debug if self._told_lost else log.warning
         follower = self._follower
-        tell("relay lost", extra=fields(
-            relay=relay.name, address=relay.address, reason=why[:200], applied=follower.applied,
-            next=self._selection.current.name,
-        ))  # fmt: skip
+        tell(
+            "relay lost",
+            extra=fields(
+                relay=relay.name,
+                address=relay.address,
+                reason=why[:200],
+                applied=follower.applied,
+                next=self._selection.current.name,
+            ),
+        )
         self._told_lost = True  # once, until one is found: all may be away for long
 
     async def _follow(self, relay: Relay) -> str:
@@ -253,9 +259,12 @@
             case TakeSnapshot(snapshot):
                 self._receiver.take_snapshot(snapshot)
                 follower.applied_up_to(snapshot.epoch, snapshot.applied)
-                log.info("snapshot taken", extra=fields(
-                    epoch=snapshot.epoch.term, applied=snapshot.applied, purges=len(snapshot.purges)
-                ))  # fmt: skip
+                log.info(
+                    "snapshot taken",
+                    extra=fields(
+                        epoch=snapshot.epoch.term, applied=snapshot.applied, purges=len(snapshot.purges)
+                    ),
+                )
             case TakeConfiguration(configuration):
                 self._receiver.take_configuration(configuration)
             case EndStream(reason, detail):
--- a/magpieshift/relay/codec.py
+++ b/magpieshift/relay/codec.py
@@ -74,9 +74,12 @@
 def encode_proof(proof: Proof) -> bytes:
     """What is appended to the bytes of a batch to give it this proof."""
     said = wire.Proof(
-        probe=proof.probe, age_us=proof.age_us, head=proof.head, done=proof.done,
+        probe=proof.probe,
+        age_us=proof.age_us,
+        head=proof.head,
+        done=proof.done,
         source_age_us=proof.source_age_us,
-    )  # fmt: skip
+    )
     return bytes(wire.FromControl(batch=wire.Batch(proof=said)).SerializeToString())
 
 
@@ -84,9 +87,12 @@
     base_ms = _base_ms(snapshot.purges)
     purges = [_purges(list(run), base_ms) for _, run in groupby(snapshot.purges, _kind)]
     message = wire.Snapshot(
-        epoch=_epoch(snapshot.epoch), applied=snapshot.applied, stores=snapshot.stores, base_ms=base_ms,
+        epoch=_epoch(snapshot.epoch),
+        applied=snapshot.applied,
+        stores=snapshot.stores,
+        base_ms=base_ms,
         purges=purges,
-    )  # fmt: skip
+    )
     if snapshot.configuration is not None:
         message.configuration.CopyFrom(_configuration(snapshot.configuration))
     return bytes(wire.FromControl(snapshot=message).SerializeToString())
@@ -288,16 +294,28 @@
     """The bytes of a message from a follower."""
     if isinstance(message, Join):
         join = wire.Join(
-            name=message.name, boot=message.boot, epoch=_epoch(message.epoch), applied=message.applied,
-            configuration=message.configuration, heard=_epoch(message.heard),
-        )  # fmt: skip
+            name=message.name,
+            boot=message.boot,
+            epoch=_epoch(message.epoch),
+            applied=message.applied,
+            configuration=message.configuration,
+            heard=_epoch(message.heard),
+        )
         return bytes(wire.FromRouter(join=join).SerializeToString())
     progress = wire.Progress(
-        epoch=_epoch(message.epoch), applied=message.applied, probe=message.probe, done=message.done,
-        configuration=message.configuration, refused=message.refused, refusal=message.refusal,
-        want_whole=message.want_whole, behind=message.behind, behind_count=message.behind_count,
-        followers=message.followers, released=message.released,
-    )  # fmt: skip
+        epoch=_epoch(message.epoch),
+        applied=message.applied,
+        probe=message.probe,
+        done=message.done,
+        configuration=message.configuration,
+        refused=message.refused,
+        refusal=message.refusal,
+        want_whole=message.want_whole,
+        behind=message.behind,
+        behind_count=message.behind_count,
+        followers=message.followers,
+        released=message.released,
+    )
     return bytes(wire.FromRouter(progress=progress).SerializeToString())
 
 
@@ -315,8 +333,17 @@
     if said == "progress":
         told = message.progress
         return Progress(
-            _read_epoch(told.epoch), told.applied, told.probe, told.done,
-            told.configuration, told.refused, told.refusal, told.want_whole, tuple(told.behind),
-            told.behind_count, told.followers, told.released,
-        )  # fmt: skip
+            _read_epoch(told.epoch),
+            told.applied,
+            told.probe,
+            told.done,
+            told.configuration,
+            told.refused,
+            told.refusal,
+            told.want_whole,
+            tuple(told.behind),
+            told.behind_count,
+            told.followers,
+            told.released,
+        )
     raise Malformed("message", said or "nothing", "join or progress")
--- a/magpieshift/relay/follower.py
+++ b/magpieshift/relay/follower.py
@@ -9,7 +9,6 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from magpieshift.relay.currency import Currency
 from magpieshift.relay.limits import (
     ACKNOWLEDGE_US,
     MOST_BATCH_ENTRIES,
@@ -31,6 +30,7 @@
     ToFollower,
 )
 from magpieshift.relay.report import Report
+from magpieshift.relay.staleness_bound import StalenessBound
 
 
 class Reason(Enum):
@@ -88,7 +88,7 @@
     """One process's place in the log, its lease and what it owes to the relay it follows."""
 
     def __init__(self, name: str, boot: str) -> None:
-        self.currency = Currency()
+        self.currency = StalenessBound()
         self.epoch, self.applied = NO_EPOCH, 0  # up to where everything was applied
         self.heard = NO_EPOCH  # the highest epoch heard of
         self.done = 0  # what the source has called done, of the epoch taken last
@@ -166,9 +166,9 @@
         return self._progress(now_us, report)
 
     def release(self, now_us: int, report: Report | None = None) -> Progress:
-        """Give up the lease for good, as the process ends: the last message to send. No copy may be accepted
-        after it but with the bound of ``Currency.copy_age_limit``. A relay whose followers may hold leases
-        does not release."""
+        """Give up the lease for good, as the process ends: the last message to send. No copy may be
+        accepted after it but with the bound of ``StalenessBound.copy_age_limit``. A relay whose
+        followers may hold leases does not release."""
         self._released = True
         self.currency.release()
         return self._progress(now_us, report)
--- a/magpieshift/relay/node.py
+++ b/magpieshift/relay/node.py
@@ -88,9 +88,16 @@
         """How it stands, and how its followers do."""
         now_us = clock.source.steady_us()
         return status.report(
-            self.name, self.region, self.upstream, self.log, self.state, self.fanout, self.service.counters,
-            self.age_us(now_us), now_us,
-        )  # fmt: skip
+            self.name,
+            self.region,
+            self.upstream,
+            self.log,
+            self.state,
+            self.fanout,
+            self.service.counters,
+            self.age_us(now_us),
+            now_us,
+        )
 
     def stop(self) -> None:
         """Begin the end; ``run`` returns then."""
@@ -103,12 +110,18 @@
             now_us = clock.source.steady_us()
             followers = self.fanout.status(now_us)
             slowest = max(followers, key=lambda each: each.behind, default=None)
-            log.info("counters", extra=fields(
-                **asdict(self.service.counters), followers=len(followers), head=self.log.head,
-                done=self.fanout.done(now_us), age_us=self.age_us(now_us),
-                slowest=slowest.name if slowest is not None else "",
-                slowest_behind=slowest.behind if slowest is not None else 0,
-            ))  # fmt: skip
+            log.info(
+                "counters",
+                extra=fields(
+                    **asdict(self.service.counters),
+                    followers=len(followers),
+                    head=self.log.head,
+                    done=self.fanout.done(now_us),
+                    age_us=self.age_us(now_us),
+                    slowest=slowest.name if slowest is not None else "",
+                    slowest_behind=slowest.behind if slowest is not None else 0,
+                ),
+            )
 
     async def _serve(self, listen: str, ready: Callable[[int], None]) -> None:
         """Serve followers until the end."""
@@ -204,9 +217,12 @@
     def _make_fanout(self) -> Fanout:
         follower = self.follower
         return Fanout(
-            self.log, self.state, self.age_us, done_everywhere=lambda: follower.done,
+            self.log,
+            self.state,
+            self.age_us,
+            done_everywhere=lambda: follower.done,
             link_age=follower.currency.epoch_link_age_us,
-        )  # fmt: skip
+        )
 
     def age_us(self, now_us: int) -> int | None:
         """How current the process is; None where that is not known."""
--- a/magpieshift/relay/source.py
+++ b/magpieshift/relay/source.py
@@ -12,16 +12,16 @@
 from magpieshift import clock
 from magpieshift.config import NO_NAMES, Address
 from magpieshift.control.publisher import Published, read_folder
-from magpieshift.core.model import Member
-from magpieshift.feed.changes import ChangeLog
-from magpieshift.feed.client import QUIET_S, FeedClient
+from magpieshift.discovery.changes import ChangeLog
+from magpieshift.discovery.client import QUIET_S, ChangeLogClient
+from magpieshift.engine.model import ListedEndpoint
 from magpieshift.log import fields
+from magpieshift.policy.events import EndpointListKind
 from magpieshift.relay import configuration
 from magpieshift.relay.codec import MOST_GROUP, MOST_TIME_US
-from magpieshift.relay.currency import SourceCurrency
 from magpieshift.relay.encoder import fits
 from magpieshift.relay.messages import ConfigurationChange, Entry, Purge, StoreChange
-from molecleat import interface as api
+from magpieshift.relay.staleness_bound import SourceStalenessBound
 
 log = logging.getLogger(__name__)
 
@@ -81,8 +81,8 @@
     def __init__(self, address: Address, append: Append, seed: int = 0) -> None:
         self._append = append
         self.address = address
-        self._currency, self._delays = SourceCurrency(), Delays()
-        self._feed = FeedClient(address, RawChanges(self), seed)
+        self._currency, self._delays = SourceStalenessBound(), Delays()
+        self._feed = ChangeLogClient(address, RawChanges(self), seed)
         self._looking: asyncio.Task[None] | None = None
         self._all_read_us: int | None = None  # the last look that found all read
         self._chunks_then = 0
@@ -112,7 +112,7 @@
 
     # --- what the change log tells
 
-    def list_changed(self, kind: api.ListKind, version: int, members: Sequence[Member]) -> None:
+    def list_changed(self, kind: EndpointListKind, version: int, members: Sequence[ListedEndpoint]) -> None:
         """Not called: lists are handed on as they are."""
         raise NotImplementedError
 
@@ -205,13 +205,23 @@
     def _pass_on(self, version: Published, entry: ConfigurationChange) -> None:
         self._newest = version.number
         if not version.number or not fits(entry):
-            log.error("version not passed on", extra=fields(
-                version=version.number, reason="it has no number" if not version.number else "too large",
-            ))  # fmt: skip
+            log.error(
+                "version not passed on",
+                extra=fields(
+                    version=version.number,
+                    reason="it has no number" if not version.number else "too large",
+                ),
+            )
             return
         self._previous = version
         self._append(entry)
         kind = "delta" if entry.base_digest else "whole"
-        log.info("version passed on", extra=fields(
-            version=version.number, digest=version.digest, content=kind, bytes=len(entry.content),
-        ))  # fmt: skip
+        log.info(
+            "version passed on",
+            extra=fields(
+                version=version.number,
+                digest=version.digest,
+                content=kind,
+                bytes=len(entry.content),
+            ),
+        )
--- a/magpieshift/relay/currency.py
+++ b/magpieshift/relay/staleness_bound.py
@@ -26,7 +26,7 @@
     linked_to_us: int
 
 
-class Currency:
+class StalenessBound:
     """The currency of one process, over all streams of its life. What it was current to never goes back."""
 
     def __init__(self) -> None:
@@ -115,7 +115,7 @@
         self._pending = deque(waiting, maxlen=MOST_PROBES)
 
 
-class SourceCurrency:
+class SourceStalenessBound:
     """The currency of a source, by its reading of the change log.
 
     A source that was paused and wakes may answer probes before it reads what waits in its socket; and an
--- a/magpieshift/relay/status.py
+++ b/magpieshift/relay/status.py
@@ -39,23 +39,36 @@
     below = fanout.report(now_us)
     version = state.configuration
     return wire.StatusReport(
-        name=name, region=region, upstream=upstream,
+        name=name,
+        region=region,
+        upstream=upstream,
         epoch=wire.Epoch(term=log.epoch.term, instance=log.epoch.instance),
-        head=log.head, done=fanout.done(now_us), age_us=age_us,
+        head=log.head,
+        done=fanout.done(now_us),
+        age_us=age_us,
         version=version.number if version is not None else 0,
         digest=version.digest if version is not None else "",
         followers=[
             wire.FollowerStatus(
-                name=each.name, boot=each.boot, connected=each.connected, counts=each.counts,
-                applied=each.applied, behind=each.behind, heard_us=each.heard_us,
-                configuration=each.configuration, refused=each.refused, refusal=each.refusal,
+                name=each.name,
+                boot=each.boot,
+                connected=each.connected,
+                counts=each.counts,
+                applied=each.applied,
+                behind=each.behind,
+                heard_us=each.heard_us,
+                configuration=each.configuration,
+                refused=each.refused,
+                refusal=each.refusal,
                 disbelieved=each.disbelieved,
             )
             for each in fanout.status(now_us)
         ],
-        behind=below.behind, behind_count=below.behind_count, followers_count=below.followers,
+        behind=below.behind,
+        behind_count=below.behind_count,
+        followers_count=below.followers,
         counters=asdict(counters),
-    )  # fmt: skip
+    )
 
 
 async def ask(address: str) -> wire.StatusReport:
--- a/magpieshift/rollout/coordinator.py
+++ b/magpieshift/rollout/coordinator.py
@@ -140,8 +140,18 @@
         if self.state.open is not None:
             # nobody knows how far it came: what runs there will be seen, and it is begun anew if need be
             step, router, label = self.state.open
-            out.append(Write({"what": "failed", "step": step, "router": router, "label": label,
-                              "why": "broken off", "term": self.term}))  # fmt: skip
+            out.append(
+                Write(
+                    {
+                        "what": "failed",
+                        "step": step,
+                        "router": router,
+                        "label": label,
+                        "why": "broken off",
+                        "term": self.term,
+                    }
+                )
+            )
             self.state.open = None
         if self.state.way == Way.HOLD:
             out += self._go(Way.FORWARD, "resumed")
@@ -171,9 +181,10 @@
     def away(self, now_us: int) -> list[str]:
         """Who has not answered for long, or never has since this coordinator began."""
         return sorted(
-            name for name, r in self.routers.items()
+            name
+            for name, r in self.routers.items()
             if now_us - (r.seen_us if r.seen_us is not None else self._began_us) >= AWAY_US
-        )  # fmt: skip
+        )
 
     # --- what comes
 
@@ -281,17 +292,23 @@
         self.state.step += 1
         self._step = Replace(self.state.step, ready[0], self.wanted(ready[0]))
         record = {
-            "what": "intent", "step": self._step.step, "router": self._step.router,
-            "label": self._step.label, "term": self.term,
-        }  # fmt: skip
+            "what": "intent",
+            "step": self._step.step,
+            "router": self._step.router,
+            "label": self._step.label,
+            "term": self.term,
+        }
         return [Write(record), self._step]
 
     def _whole(self, now_us: int, since_us: int, verdict: Verdict, why: str) -> list[Action]:
         """All are as they should be: how long for, and is it known that they do no worse?"""
         if self.state.way == Way.BACK:
             self.state.way = Way.ENDED
-            return [Write({"what": "way", "way": "ended", "why": f"put back: {self.state.why}",
-                           "term": self.term})]  # fmt: skip
+            return [
+                Write(
+                    {"what": "way", "way": "ended", "why": f"put back: {self.state.why}", "term": self.term}
+                )
+            ]
         if self._whole_us is None:
             self._whole_us, self._soaked_us = now_us, 0
             self._stage_us = now_us
@@ -310,8 +327,10 @@
             out: list[Action] = [Write(record)]
             if self.state.stage >= len(self.plan.stages):
                 self.state.way = Way.ENDED
-                return [*out, Write({"what": "way", "way": "ended", "why": "all stages passed",
-                                     "term": self.term})]  # fmt: skip
+                return [
+                    *out,
+                    Write({"what": "way", "way": "ended", "why": "all stages passed", "term": self.term}),
+                ]
             return [*out, Judged(self.stage.name)]
         if self._soaked_us >= stage.most_s * 1e6:
             # not shown to be worse, nor that it is not: that is for people to decide
--- a/magpieshift/rollout/executor.py
+++ b/magpieshift/rollout/executor.py
@@ -55,9 +55,12 @@
     ]
     try:
         process = await asyncio.create_subprocess_exec(
-            *words, stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.DEVNULL,
-            stderr=asyncio.subprocess.PIPE, start_new_session=True,
-        )  # fmt: skip
+            *words,
+            stdin=asyncio.subprocess.DEVNULL,
+            stdout=asyncio.subprocess.DEVNULL,
+            stderr=asyncio.subprocess.PIPE,
+            start_new_session=True,
+        )
     except OSError as err:
         raise StepFailed(f"{words[0]} cannot be started: {err.strerror or err}") from err
     _, told = await process.communicate()
--- a/magpieshift/rollout/figures.py
+++ b/magpieshift/rollout/figures.py
@@ -42,10 +42,17 @@
         }
         latency = {str(name): str(row.get("latency", "")) for name, row in raw["classes"].items()}
         return Figures(
-            str(raw["label"]), str(raw["incarnation"]), str(raw.get("state", "")), int(raw["up_us"]), classes,
-            int(raw.get("cpu_us", 0)), int(raw.get("rss_kb", 0)), int(raw.get("descriptors", 0)),
-            int(raw.get("settings", 0)), latency,
-        )  # fmt: skip
+            str(raw["label"]),
+            str(raw["incarnation"]),
+            str(raw.get("state", "")),
+            int(raw["up_us"]),
+            classes,
+            int(raw.get("cpu_us", 0)),
+            int(raw.get("rss_kb", 0)),
+            int(raw.get("descriptors", 0)),
+            int(raw.get("settings", 0)),
+            latency,
+        )
     except (ValueError, KeyError, TypeError, AttributeError) as err:
         raise Unreadable(f"found {text[:80]!r}: {type(err).__name__}") from None
 
--- a/magpieshift/rollout/judge.py
+++ b/magpieshift/rollout/judge.py
@@ -246,9 +246,11 @@
         for name, each in sorted(self.sums.items()):
             least, most = each.between(self._wrongly())
             if each.asked_new >= LEAST_ASKED and most < -self.worse.served:
-                return (f"{name}: served in time {each.served_new / each.asked_new:.4f} of {each.asked_new}, "
-                        f"the old side {each.served_old / each.asked_old:.4f}; "
-                        f"worse by {-most:.4f} to {-least:.4f}")  # fmt: skip
+                return (
+                    f"{name}: served in time {each.served_new / each.asked_new:.4f} of {each.asked_new}, "
+                    f"the old side {each.served_old / each.asked_old:.4f}; "
+                    f"worse by {-most:.4f} to {-least:.4f}"
+                )
         return ""
 
     def _unknown(self, next_share: float) -> str:
@@ -309,8 +311,11 @@
             return ""
         old = sorted(slope for slope, _ in slopes[self.old])
         usual = old[len(old) // 2] if old else 0.0
-        sure = [s for s, error in slopes[self.new]
-                if s - SLOPE_SIGMAS * error > usual + self.worse.memory_mb_per_min]  # fmt: skip
+        sure = [
+            s
+            for s, error in slopes[self.new]
+            if s - SLOPE_SIGMAS * error > usual + self.worse.memory_mb_per_min
+        ]
         if 2 * len(sure) > len(slopes[self.new]):
             return f"memory of new processes grows by {max(sure):.2f} MB a minute, of old ones by {usual:.2f}"
         return ""
@@ -319,13 +324,16 @@
         """Figures side by side, for people and the journal."""
         classes = {
             name: {
-                "new": [each.served_new, each.asked_new], "old": [each.served_old, each.asked_old],
+                "new": [each.served_new, each.asked_new],
+                "old": [each.served_old, each.asked_old],
                 "between": [round(edge, 4) for edge in each.between(self._wrongly())],
             }
             for name, each in sorted(self.sums.items())
-        }  # fmt: skip
+        }
         blocks = self._blocks
         return {
-            "classes": classes, "lost": [self.lost[self.new], self.lost[self.old]],
-            "processor": round(sum(blocks) / len(blocks), 3) if blocks else None, "why": self.why,
-        }  # fmt: skip
+            "classes": classes,
+            "lost": [self.lost[self.new], self.lost[self.old]],
+            "processor": round(sum(blocks) / len(blocks), 3) if blocks else None,
+            "why": self.why,
+        }
--- a/magpieshift/rollout/plan.py
+++ b/magpieshift/rollout/plan.py
@@ -187,10 +187,17 @@
         raise Unusable(problems)
     w = form.worse_by
     return Plan(
-        form.name, Side(form.new.label, form.new.start), Side(form.old.label, form.old.start), routers,
-        tuple(stages), Worse(w.served, w.processor, w.memory_mb_per_min, w.wrongly), form.most_away,
-        form.step_s, form.on_stop, sexp.digest(data),
-    )  # fmt: skip
+        form.name,
+        Side(form.new.label, form.new.start),
+        Side(form.old.label, form.old.start),
+        routers,
+        tuple(stages),
+        Worse(w.served, w.processor, w.memory_mb_per_min, w.wrongly),
+        form.most_away,
+        form.step_s,
+        form.on_stop,
+        sexp.digest(data),
+    )
 
 
 def load_file(path: str | Path) -> Plan:
--- a/magpieshift/rollout/runner.py
+++ b/magpieshift/rollout/runner.py
@@ -35,9 +35,13 @@
     """Owner of one run of a rollout: of its journal and of the step that is under way."""
 
     def __init__(
-        self, plan: Plan, folder: Path, start: Start = by_command,
-        told: Callable[[Mapping[str, Any]], None] = lambda status: None, back: bool = False,
-    ) -> None:  # fmt: skip
+        self,
+        plan: Plan,
+        folder: Path,
+        start: Start = by_command,
+        told: Callable[[Mapping[str, Any]], None] = lambda status: None,
+        back: bool = False,
+    ) -> None:
         """``back``: whatever was under way, put all back."""
         self.plan, self.folder, self._start, self._told = plan, folder, start, told
         self._back = back
@@ -60,8 +64,12 @@
     async def _run(self, journal: Journal) -> Mapping[str, Any]:
         (self.folder / ASKED).unlink(missing_ok=True)
         names = list(self.plan.routers)
-        term = 1 + max([await Executor(self.plan, 0).latest_term(names),
-                        *(int(r.get("term", 0)) for r in journal.records)])  # fmt: skip
+        term = 1 + max(
+            [
+                await Executor(self.plan, 0).latest_term(names),
+                *(int(r.get("term", 0)) for r in journal.records),
+            ]
+        )
         self._executor = Executor(self.plan, term, self._start)
         coordinator = Coordinator(self.plan, term, _now_us(), journal.records)
         self._judge = self._fresh()
@@ -162,13 +170,20 @@
         state = coordinator.state
         sides = {name: its.label for name, its in coordinator.routers.items()}
         self.status = {
-            "name": self.plan.name, "term": coordinator.term, "way": state.way.value,
-            "fenced": coordinator.fenced, "paused": state.paused, "why": state.why or coordinator.waits,
-            "stage": coordinator.stage.name, "stages": [stage.name for stage in self.plan.stages],
+            "name": self.plan.name,
+            "term": coordinator.term,
+            "way": state.way.value,
+            "fenced": coordinator.fenced,
+            "paused": state.paused,
+            "why": state.why or coordinator.waits,
+            "stage": coordinator.stage.name,
+            "stages": [stage.name for stage in self.plan.stages],
             "new": sorted(n for n, label in sides.items() if label == self.plan.new.label),
             "old": sorted(n for n, label in sides.items() if label == self.plan.old.label),
-            "away": coordinator.away(_now_us()), "verdict": verdict.value, "figures": self._judge.row(),
-        }  # fmt: skip
+            "away": coordinator.away(_now_us()),
+            "verdict": verdict.value,
+            "figures": self._judge.row(),
+        }
         path = self.folder / f"{STATUS}.{os.getpid()}"
         path.write_text(json.dumps(self.status, indent=1))
         path.replace(self.folder / STATUS)  # whole or not at all, for who reads it
@@ -183,10 +198,15 @@
             for name, row in status["figures"]["classes"].items()
         }
         row = {
-            "at": round(time.time(), 1), "way": status["way"], "stage": status["stage"],
-            "new": len(status["new"]), "old": len(status["old"]), "away": len(status["away"]),
-            "verdict": status["verdict"], "classes": classes,
-        }  # fmt: skip
+            "at": round(time.time(), 1),
+            "way": status["way"],
+            "stage": status["stage"],
+            "new": len(status["new"]),
+            "old": len(status["old"]),
+            "away": len(status["away"]),
+            "verdict": status["verdict"],
+            "classes": classes,
+        }
         try:
             with path.open("a", encoding="utf-8") as file:
                 if file.tell() < MOST_HISTORY:
--- a/magpieshift/back/lines.py
+++ b/magpieshift/upstream/lines.py
@@ -5,7 +5,8 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
 
-from molecleat.interface import Mode, Outcome
+from magpieshift.policy.actions import CacheRequestFlag
+from magpieshift.policy.outcomes import Outcome
 
 END = b"\r\n"
 MOST_LINE = 4096
@@ -15,9 +16,9 @@
     "data": Outcome.OK,
     "unchanged": Outcome.OK,
     "absent": Outcome.MISS,
-    "full": Outcome.FULL,
+    "full": Outcome.OVERLOADED,
     "failed": Outcome.ERROR,
-    "moot": Outcome.MOOT,
+    "moot": Outcome.SUPERSEDED,
 }
 NOTES = ("warm", "fill", "deep_fill", "piggy", "aged", "bounced", "dropped", "lacking", "jammed", "backfire")
 REPORT_WORDS = {  # other names under which a load report may carry the settings' fields
@@ -29,10 +30,10 @@
     "err_ps": "eps",
 }
 OPTIONS = (
-    (Mode.JOIN, "share"),
-    (Mode.SOURCE_HELD_ONLY, "peek"),
-    (Mode.PARENT_KEEPS_NONE, "pass"),
-    (Mode.RENEW, "swr"),
+    (CacheRequestFlag.COALESCE_FILL, "share"),
+    (CacheRequestFlag.SOURCE_CACHED_ONLY, "peek"),
+    (CacheRequestFlag.PARENT_DOES_NOT_STORE, "pass"),
+    (CacheRequestFlag.REVALIDATE, "swr"),
 )
 
 
--- a/magpieshift/back/link.py
+++ b/magpieshift/upstream/link.py
@@ -9,34 +9,34 @@
 from collections.abc import Callable, Iterator, Mapping, Sequence
 from typing import NamedTuple
 
-from magpieshift.back import lines
-from magpieshift.core.model import Order, Result
+from magpieshift.engine.model import AttemptResult, UpstreamRequest
 from magpieshift.log import fields
-from molecleat.interface import Outcome
+from magpieshift.policy.outcomes import Outcome
+from magpieshift.upstream import lines
 
 log = logging.getLogger(__name__)
 
-Done = Callable[[Result], None]
+Done = Callable[[AttemptResult], None]
 # A client that holds no copy cannot be told that it is current: it would be served nothing at all.
 NOTHING_KNOWN = {word: outcome for word, outcome in lines.WORDS.items() if word != "unchanged"}
 MOST_QUIT = 1024  # ids given up, each remembered: an answer may come late, and twice; then it takes no more
 MOST_ANSWERED = 64  # ids answered last: a second answer may come some milliseconds late
 
 
-def order_fields(order: Order, now_us: int) -> dict[str, str]:
+def order_fields(order: UpstreamRequest, now_us: int) -> dict[str, str]:
     """An order in the words of the protocol; what is absent or zero is left out."""
-    call, age_us = order.call, order.copy_age_us()
+    call, age_us = order.request, order.max_age_now_us()
     values: dict[str, str | int] = {
         "class": call.class_name,
-        "key": call.key,
+        "key": call.object_key,
         "part": call.part,
         "wait": max(1, (order.deadline_us - now_us) // 1000),
-        "once": call.once,
-        "via": order.source.ident if order.source is not None else "",
-        "tier": order.keep,
+        "once": call.idempotency_key,
+        "via": order.source.name if order.source is not None else "",
+        "tier": order.retention_rank,
         "fresh": -(-age_us // 1000) if age_us < 1000 else age_us // 1000,
-        "opts": lines.options(order.mode),
-        "known": call.known,
+        "opts": lines.options(order.flags),
+        "known": call.known_version,
     }
     kept = ("class", "key", "part", "wait")
     return {name: str(value) for name, value in values.items() if value or name in kept}
@@ -74,12 +74,12 @@
         """Whether an answer under this id has begun and not ended: all others wait behind it."""
         return self._parser.within == ident
 
-    def ask(self, order: Order, now_us: int, done: Done) -> tuple[bytes, ...]:
+    def ask(self, order: UpstreamRequest, now_us: int, done: Done) -> tuple[bytes, ...]:
         """What to write for an order."""
-        call = order.call
-        words = lines.WORDS if call.known else NOTHING_KNOWN
-        self._open[call.ident] = _Asked(done, words)
-        head = lines.ask(call.ident, order_fields(order, now_us), len(call.body))
+        call = order.request
+        words = lines.WORDS if call.known_version else NOTHING_KNOWN
+        self._open[call.request_id] = _Asked(done, words)
+        head = lines.ask(call.request_id, order_fields(order, now_us), len(call.body))
         return (head, call.body, lines.END) if call.body else (head + lines.END,)
 
     def probe(self, with_report: bool, done: Done) -> tuple[str, bytes]:
@@ -100,7 +100,7 @@
     def _release(self, ident: str) -> _Asked:
         return self._open.pop(ident)
 
-    def feed(self, data: bytes) -> Iterator[tuple[Done, Result]]:
+    def feed(self, data: bytes) -> Iterator[tuple[Done, AttemptResult]]:
         """The orders that these bytes end; ``LineError`` where the connection cannot go on."""
         for reply in self._parser.feed(data):
             if reply.ident in self._open:
@@ -117,14 +117,14 @@
         """The connection is gone: all that was open on it."""
         return [self._release(ident).done for ident in list(self._open)]
 
-    def _result(self, reply: lines.Reply, outcome: Outcome) -> Result:
-        return Result(
+    def _result(self, reply: lines.Reply, outcome: Outcome) -> AttemptResult:
+        return AttemptResult(
             outcome=outcome,
-            note=lines.note_number(reply.fields.get("how", "")),
+            cache_status=lines.note_number(reply.fields.get("how", "")),
             fill_wait_us=int(_number(reply.fields.get("lag", "")) * 1000),
             load=self._load(reply.fields.get("stats", "")),
             body=reply.body,
-            current=reply.word == "unchanged",
+            not_modified=reply.word == "unchanged",
         )
 
     def _load(self, text: str) -> tuple[float, ...]:
--- a/magpieshift/back/pool.py
+++ b/magpieshift/upstream/pool.py
@@ -10,14 +10,15 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from magpieshift.back.lines import LineError
-from magpieshift.back.link import Done, Link
 from magpieshift.clock import LoopClock
 from magpieshift.config import Document
-from magpieshift.core.model import Member, Order, Result
+from magpieshift.engine.model import AttemptResult, ListedEndpoint, UpstreamRequest
 from magpieshift.log import fields
-from magpieshift.streams import unread
-from molecleat.interface import Outcome, Phase
+from magpieshift.policy.events import EndpointState
+from magpieshift.policy.outcomes import Outcome
+from magpieshift.sockets import unread
+from magpieshift.upstream.lines import LineError
+from magpieshift.upstream.link import Done, Link
 
 log = logging.getLogger(__name__)
 
@@ -25,14 +26,14 @@
 SILENT_US = 600_000  # orders open and nothing heard for so long: the machine may be gone
 PROBE_TIMEOUT_US = 250_000
 IDLE_SHARE = 0.8  # of the idle time: a store that closes first could reset an order just written
-LOST = Result(Outcome.RESET)
-NEVER_UP = Result(Outcome.CONNECT_FAILED)
+LOST = AttemptResult(Outcome.RESET)
+NEVER_UP = AttemptResult(Outcome.CONNECT_FAILED)
 
 
 class Connection:
     """One connection to a store: owner of its socket, and of the orders that wait for it to come up."""
 
-    def __init__(self, pool: StorePool) -> None:
+    def __init__(self, pool: EndpointPool) -> None:
         self._pool, self._clock = pool, pool.back.clock
         self.link = Link(pool.back.report)
         self._waiting: dict[Ticket, None] = {}
@@ -57,7 +58,7 @@
             return False
         if self._up and self.load == 0 and unread(self._stream.socket) == b"":
             return False
-        return self.link.takes(ticket.ident, ticket.order is not None and ticket.order.once)
+        return self.link.takes(ticket.ident, ticket.order is not None and ticket.order.must_not_repeat)
 
     def silent(self, now_us: int) -> bool:
         """Whether it owes answers and has said nothing for long. A machine that vanishes says nothing at
@@ -93,7 +94,7 @@
         finally:
             self._end(outcome)
 
-    def _end(self, outcome: Result) -> None:
+    def _end(self, outcome: AttemptResult) -> None:
         """The one place where a connection is given back; what was written on it may have run, what was not
         never did."""
         self._stream.close()
@@ -113,8 +114,10 @@
             self._waiting[ticket] = None
 
     def _write(self, ticket: Ticket) -> None:
-        if ticket.order is not None and (barred := ticket.order.barred()) is not None:
-            self._clock.soon(lambda: ticket.done(Result(barred)))  # never from within the caller's own call
+        if ticket.order is not None and (barred := ticket.order.check_blocked()) is not None:
+            self._clock.soon(
+                lambda: ticket.done(AttemptResult(barred))
+            )  # never from within the caller's own call
             return self.rest()
         if len(self.link) == 0:
             self._heard_us = self._clock.now_us()
@@ -161,23 +164,23 @@
 class Ticket:
     """An order, or a probe, on its way; the core's handle on it."""
 
-    def __init__(self, order: Order | None, ident: str, done: Done) -> None:
+    def __init__(self, order: UpstreamRequest | None, ident: str, done: Done) -> None:
         self.order, self.ident, self.done = order, ident, done
         self.connection: Connection | None = None
         self.written = False
 
-    def give_up(self) -> bool:
+    def cancel(self) -> bool:
         if self.connection is not None:
             self.connection.drop(self)
         return self.written
 
 
-class StorePool:
+class EndpointPool:
     """The connections to one store."""
 
-    def __init__(self, back: Pool, member: Member) -> None:
-        self.back, self.ident, self.address = back, member.ident, member.address
-        self._up_since_us = member.entry.up_since_us
+    def __init__(self, back: ConnectionPool, member: ListedEndpoint) -> None:
+        self.back, self.ident, self.address = back, member.name, member.address
+        self._up_since_us = member.endpoint.started_us
         self.connections: list[Connection] = []
 
     def carry(self, ticket: Ticket) -> bool:
@@ -200,9 +203,9 @@
         best.carry(ticket)
         return True
 
-    def leads_to(self, member: Member) -> bool:
+    def leads_to(self, member: ListedEndpoint) -> bool:
         """Whether these connections are to the process that is listed."""
-        return (self.address, self._up_since_us) == (member.address, member.entry.up_since_us)
+        return (self.address, self._up_since_us) == (member.address, member.endpoint.started_us)
 
     def retire(self, process_is_gone: bool) -> None:
         """Take nothing new on these connections, and let what is open end; unless the process that they lead
@@ -225,7 +228,7 @@
             self.connections.remove(connection)
 
 
-class Pool:
+class ConnectionPool:
     """The connections to all stores; the back that the core is given."""
 
     part = "back"
@@ -244,8 +247,8 @@
         self.streams, self.streams_wanted = streams, min(streams, streams_wanted)
         self._most_wanted = streams_wanted
         self.idle_us, self.most_connections = idle_us, most_connections
-        self._stores: dict[int, StorePool] = {}
-        self._leaving: list[StorePool] = []  # gone, or replaced by a new process or address
+        self._stores: dict[int, EndpointPool] = {}
+        self._leaving: list[EndpointPool] = []  # gone, or replaced by a new process or address
 
     def prepare(self, old: Document, new: Document) -> Callable[[], None]:
         """Make ready for a new document. Connections that are up stay; what is open on them is not
@@ -253,7 +256,7 @@
 
         def commit() -> None:
             self.report, self.connect_timeout_us = (
-                new.settings.report_columns,
+                new.settings.load_report_columns,
                 new.settings.connect_timeout_us,
             )
             self.streams = new.streams_per_connection
@@ -273,23 +276,23 @@
             "idle_us": self.idle_us,
         }
 
-    def start(self, order: Order, done: Done) -> Ticket:
-        ticket = Ticket(order, order.call.ident, done)
-        if not self._store(order.target).carry(ticket):
-            log.warning("no connection to be had", extra=fields(store=order.target.ident))
+    def start(self, order: UpstreamRequest, done: Done) -> Ticket:
+        ticket = Ticket(order, order.request.request_id, done)
+        if not self._store(order.endpoint).carry(ticket):
+            log.warning("no connection to be had", extra=fields(store=order.endpoint.name))
             self.clock.soon(lambda: done(NEVER_UP))
         return ticket
 
-    def probe(self, member: Member, done: Done) -> None:
+    def probe(self, member: ListedEndpoint, done: Done) -> None:
         ticket = Ticket(None, "", done)
 
         def late() -> None:
-            ticket.give_up()
-            done(Result(Outcome.TIMEOUT if ticket.written else Outcome.CONNECT_FAILED))
+            ticket.cancel()
+            done(AttemptResult(Outcome.TIMEOUT if ticket.written else Outcome.CONNECT_FAILED))
 
         timer = self.clock.after(PROBE_TIMEOUT_US, late)
 
-        def over(result: Result) -> None:
+        def over(result: AttemptResult) -> None:
             timer.cancel()
             done(result)
 
@@ -297,19 +300,19 @@
         if not self._store(member).carry(ticket):
             self.clock.soon(lambda: over(NEVER_UP))
 
-    def close_idle(self, member: Member) -> None:
+    def close_idle(self, member: ListedEndpoint) -> None:
         self._store(member).close_idle(0)
 
-    def _store(self, member: Member) -> StorePool:
+    def _store(self, member: ListedEndpoint) -> EndpointPool:
         """Connections belong to the process that was listed: one that restarts, or moves, gets new ones, for
         the old may be silent for ever."""
-        number = member.entry.store
+        number = member.endpoint.number
         pool = self._stores.get(number)
         if pool is not None and not pool.leads_to(member):
             self._leave(number, process_is_gone=True)
             pool = None
         if pool is None:
-            pool = self._stores[number] = StorePool(self, member)
+            pool = self._stores[number] = EndpointPool(self, member)
         return pool
 
     def _leave(self, number: int, process_is_gone: bool = False) -> None:
@@ -318,17 +321,19 @@
         if pool.connections:
             self._leaving.append(pool)
 
-    def list_changed(self, members: Iterable[Member], whole: bool) -> None:
+    def list_changed(self, members: Iterable[ListedEndpoint], whole: bool) -> None:
         """Stores that are gone, or that start anew, keep no connections."""
-        listed = {m.entry.store: m for m in members}
+        listed = {m.endpoint.number: m for m in members}
         for number in list(self._stores):
             member = listed.get(number)
-            if (member is None and whole) or (member is not None and member.entry.phase == Phase.GONE):
+            if (member is None and whole) or (
+                member is not None and member.endpoint.state == EndpointState.REMOVED
+            ):
                 self._leave(number)
             elif member is not None:
                 self._store(member)
 
-    def may_open(self, store: StorePool) -> bool:
+    def may_open(self, store: EndpointPool) -> bool:
         """Whether the descriptors allow one more, shared evenly between the stores."""
         opened = sum(len(pool.connections) for pool in [*self._stores.values(), *self._leaving])
         fair = max(2, self.most_connections // max(1, len(self._stores)))
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -20,7 +20,8 @@
 from magpieshift.capture.replay import Player, Replay, Result
 from magpieshift.capture.segments import CaptureError, Missing
 from magpieshift.capture.wire import capture_pb2 as wire
-from molecleat import interface as api
+from magpieshift.policy.actions import Action
+from magpieshift.policy.events import PurgeReceived, RequestReceived
 from tests import test_properties as random_runs
 from tests.helpers import settings as make_settings
 from tests.real.exchange import PATIENCE_S, ROOT
@@ -36,8 +37,8 @@
     def __init__(self, router: Any, recorder: Any) -> None:
         self._router, self._recorder = router, recorder
 
-    def handle(self, now_us: int, events: Any) -> list[api.Action]:
-        found: list[api.Action] = self._recorder.handle(self._router, now_us, list(events))
+    def handle(self, now_us: int, events: Any) -> list[Action]:
+        found: list[Action] = self._recorder.handle(self._router, now_us, list(events))
         return found
 
     def __getattr__(self, name: str) -> Any:
@@ -48,11 +49,11 @@
     """Keeps what passes, and the state before each batch."""
 
     def __init__(self) -> None:
-        self.batches: list[tuple[bytes, int, Any, list[api.Action]]] = []
+        self.batches: list[tuple[bytes, int, Any, list[Action]]] = []
 
-    def handle(self, router: Any, now_us: int, events: Any) -> list[api.Action]:
+    def handle(self, router: Any, now_us: int, events: Any) -> list[Action]:
         before = state.encode(state.snapshot(router))
-        actions: list[api.Action] = router.handle(now_us, events)
+        actions: list[Action] = router.handle(now_us, events)
         self.batches.append((before, now_us, events, list(actions)))
         return actions
 
@@ -89,10 +90,13 @@
         again = state.restore(state.encode(state.snapshot(router)), OWN)
         self.assertTrue(again.attempts)
         for attempt in again.attempts.values():
-            self.assertIs(attempt.store, again.stores.get(attempt.store.entry.store, attempt.store))
-            self.assertIn(attempt.pace, [p for p in attempt.store.paces.values() if p is attempt.pace])
+            endpoint = attempt.endpoint
+            self.assertIs(endpoint, again.endpoints.get(endpoint.endpoint.number, endpoint))
+            self.assertIn(
+                attempt.answer_times, [t for t in endpoint.answer_times.values() if t is attempt.answer_times]
+            )
         for cache in again.caches.values():
-            self.assertIs(cache, again.stores[cache.entry.store])
+            self.assertIs(cache, again.endpoints[cache.endpoint.number])
 
     @given(st.binary(max_size=80), st.integers(0, 5000))
     @settings(max_examples=80, deadline=None)
@@ -119,7 +123,7 @@
                 self.assertEqual(reader.recorded(codec.write_action(action)), reader.plain(action))
 
     def test_an_object_of_number_zero_has_more_than_64_bits(self) -> None:
-        event = api.Purged(1 << 64, 0, 5)
+        event = PurgeReceived(1 << 64, 0, 5)
         self.assertEqual(codec.Codec(OWN).event(codec.write_event(event)), event)
 
 
@@ -190,8 +194,8 @@
         router = referee.router
         referee.router = Taped(router, recorder)  # type: ignore[assignment]
         referee.ask(1)
-        odd = api.Request(99, 77, 0, 5, 10**6, 0.0, 1, 0, False, False)  # there is no class 77
-        good = api.Request(98, 0, 0, 5, 10**6, 0.0, 1, 0, False, False)
+        odd = RequestReceived(99, 77, 0, 5, 10**6, 0.0, 1, 0, False, False)  # there is no class 77
+        good = RequestReceived(98, 0, 0, 5, 10**6, 0.0, 1, 0, False, False)
         with self.assertRaises(IndexError):
             referee.router.handle(referee.now, [good, odd])
         referee.end(0)
@@ -207,12 +211,12 @@
             referee.ask(i)  # in one microsecond
         referee.now -= 10_000
         referee.deadline = dict.fromkeys(referee.deadline, referee.now + 10**9)
-        referee.router.handle(referee.now, [api.Purged(3, 1, 5)])
+        referee.router.handle(referee.now, [PurgeReceived(3, 1, 5)])
         recorder.stop()
         self.assertEqual(self.replayed().differences, 0)
 
     def test_a_configuration_that_changes_in_the_middle(self) -> None:
-        from molecleat.retune import retune
+        from magpieshift.policy.reconfigure import reconfigure
 
         recorder = self.recorder()
         referee = random_runs.Referee()
@@ -220,9 +224,9 @@
         referee.router = Taped(router, recorder)  # type: ignore[assignment]
         for i in range(10):
             referee.ask(i)
-        new = make_settings(*random_runs.CLASSES, joins_fills=True, drain_grace_us=0, max_attempts=2)
-        retune(router, new, frozenset({1}))
-        recorder.retuned(new, [1])
+        new = make_settings(*random_runs.CLASSES, coalesces_fills=True, drain_grace_us=0, max_attempts=2)
+        reconfigure(router, new, frozenset({1}))
+        recorder.reconfigured(new, [1])
         for i in range(20):
             referee.ask(i)
             referee.end(3 * i)
@@ -338,10 +342,12 @@
 
 
 class Comparing(FolderCase):
-    def altered(self, old: str, new: str, file: str = "control.py") -> policy.Policy:
+    def altered(self, old: str, new: str, file: str = "router_policy.py") -> policy.Policy:
         """The module with one line changed, in a folder of its own."""
-        home = self.folder / "altered" / "molecleat"
-        shutil.copytree(ROOT / "molecleat", home, ignore=shutil.ignore_patterns("__pycache__"))
+        home = self.folder / "altered" / "magpieshift" / "policy"
+        home.parent.mkdir(parents=True)
+        shutil.copy(ROOT / "magpieshift" / "__init__.py", home.parent)
+        shutil.copytree(ROOT / "magpieshift" / "policy", home, ignore=shutil.ignore_patterns("__pycache__"))
         text = (home / file).read_text()
         self.assertEqual(text.count(old), 1)
         (home / file).write_text(text.replace(old, new))
@@ -378,7 +384,7 @@
         recorder = self.recorder()
         referee = random_runs.Referee()
         referee.router = Taped(referee.router, recorder)  # type: ignore[assignment]
-        recorder.name(1, "00aa11bb22cc33dd")
+        recorder.register_name(1, "00aa11bb22cc33dd")
         referee.ask(4)
         referee.end(8)
         referee.end(0)
@@ -424,7 +430,7 @@
         player = Player(OWN)
         player.keyframe(tape.batches[0][0])
         router = player.router
-        router.fill_us[0] += 1.0
+        router.fill_times_us[0] += 1.0
         odd = wire.Record(keyframe=wire.Keyframe(state=player.state()))
         result = Replay().run([frame, odd])
         self.assertEqual(dict(result.kinds), {"other state at a keyframe": 1})
--- a/tests/capture/test_process.py
+++ b/tests/capture/test_process.py
@@ -15,10 +15,10 @@
 from magpieshift.capture.replay import Replay
 from magpieshift.control import sexp
 from magpieshift.control.sexp import Unusable
+from magpieshift.lab.emulators import peers
+from magpieshift.lab.emulators.emulator import Rules
+from magpieshift.lab.emulators.world import World
 from magpieshift.lab.experiments import episode, episode_report, scenario
-from magpieshift.lab.standins import peers
-from magpieshift.lab.standins.emulator import Rules
-from magpieshift.lab.standins.world import World
 from tests.control.test_program import program
 from tests.real.exchange import PATIENCE_S, ROOT
 
@@ -73,8 +73,10 @@
             min(keys), 1 << 32, "ids of objects, which count from 1 here, are not in the capture"
         )
         altered = self.folder / "altered"
-        shutil.copytree(ROOT / "molecleat", altered / "molecleat")
-        control = altered / "molecleat" / "control.py"
+        (altered / "magpieshift").mkdir(parents=True)
+        shutil.copy(ROOT / "magpieshift" / "__init__.py", altered / "magpieshift")
+        shutil.copytree(ROOT / "magpieshift" / "policy", altered / "magpieshift" / "policy")
+        control = altered / "magpieshift" / "policy" / "router_policy.py"
         text = control.read_text()
         control.write_text(
             text.replace("return 1 + peak", "return 2 + 2 * peak").replace("LEAST_CAP = 4", "LEAST_CAP = 1")
--- a/tests/control/test_channel.py
+++ b/tests/control/test_channel.py
@@ -15,6 +15,7 @@
 from hypothesis import strategies as st
 
 from magpieshift.config import Document
+from magpieshift.config_transaction import Prepared, Running, prepare
 from magpieshift.control import sexp, store
 from magpieshift.control.backoff import FIRST_S, MOST_S, STEADY_S, Backoff
 from magpieshift.control.client import ControlClient
@@ -25,7 +26,6 @@
 from magpieshift.control.version_history import Answer, Offer, Reason, Record, State
 from magpieshift.control.version_manager import VersionManager, first_version
 from magpieshift.control.wire import control_pb2 as wire
-from magpieshift.transaction import Prepared, Running, prepare
 from tests.real.exchange import PATIENCE_S, ROOT
 
 TEXT = (ROOT / "deploy" / "magpieshift.sexp").read_text()
--- a/tests/control/test_documents.py
+++ b/tests/control/test_documents.py
@@ -50,10 +50,12 @@
     def test_all_errors_are_told_at_once_each_with_its_line(self) -> None:
         text = EXAMPLE.read_text()
         for old, new in (
-            ("(sockets 512)", "(sockets many)"), ("(aim-ms 500)", "(aim-ms -5)"),
+            ("(sockets 512)", "(sockets many)"),
+            ("(aim-ms 500)", "(aim-ms -5)"),
             ("(notes true)", "(notse true)"),
-            ("(name shop-1)", ""), ("(most 8)", "(most 8 9)"),
-        ):  # fmt: skip
+            ("(name shop-1)", ""),
+            ("(most 8)", "(most 8 9)"),
+        ):
             self.assertIn(old, text)
             text = text.replace(old, new, 1)
         found = problems(text)
@@ -82,14 +84,21 @@
 
     def test_texts_that_are_no_document(self) -> None:
         for text, said in (
-            ("", "0 forms"), ("(magpieshift", "closed"), ("(magpieshift))", "too many"), ("7", "1 forms"),
-            ('(magpieshift (name "x', "closed"), ("(other (name x))", "found 'other'"),
-            ("(" * 5000, "deep nesting"), ("(magpieshift " + "(a " * 400 + ")" * 401, "deep nesting"),
+            ("", "0 forms"),
+            ("(magpieshift", "closed"),
+            ("(magpieshift))", "too many"),
+            ("7", "1 forms"),
+            ('(magpieshift (name "x', "closed"),
+            ("(other (name x))", "found 'other'"),
+            ("(" * 5000, "deep nesting"),
+            ("(magpieshift " + "(a " * 400 + ")" * 401, "deep nesting"),
             ("(magpieshift (a 1) (a 2))", "second entry"),
-            ("(magpieshift (a 1 (b 2)))", "words beside brackets"), ("(magpieshift (a 'b))", "a word"),
-            ("(magpieshift (7 8))", "a name as the first word"), ("(magpieshift x)", "entries"),
+            ("(magpieshift (a 1 (b 2)))", "words beside brackets"),
+            ("(magpieshift (a 'b))", "a word"),
+            ("(magpieshift (7 8))", "a name as the first word"),
+            ("(magpieshift x)", "entries"),
             ("(magpieshift " + "x" * sexp.MOST_TEXT + ")", "at most"),
-        ):  # fmt: skip
+        ):
             with self.subTest(text[:30]):
                 self.assertIn(said, "\n".join(problems(text)))
 
