--- a/tests/members/test_trials.py
+++ b/tests/membership/test_trials.py
@@ -7,8 +7,9 @@
 import unittest
 from pathlib import Path
 
-from magpieshift.lab.proving import scenario, trials
-from magpieshift.lab.proving.scenario import AT_STORES, ON_ROUTERS, Run
+from magpieshift.lab.fault_injection import random_runs as trials
+from magpieshift.lab.fault_injection import scenario
+from magpieshift.lab.fault_injection.scenario import AT_STORES, ON_ROUTERS, Run
 
 
 class Drawn(unittest.TestCase):
--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -8,8 +8,8 @@
 import unittest
 from pathlib import Path
 
-from magpieshift.lab.proving.cluster import Cluster
-from magpieshift.lab.proving.network import ROUTERS as ALL
+from magpieshift.lab.fault_injection.cluster import Cluster
+from magpieshift.lab.fault_injection.network import ROUTERS as ALL
 
 ROUTERS = 6
 TRIERS = 2
--- a/tests/real/exchange.py
+++ b/tests/real/exchange.py
@@ -54,9 +54,9 @@
 PATIENT = """
 import sys
 from magpieshift import app
-from magpieshift.back import pool
-from magpieshift.feed import client
-from magpieshift.front import server
+from magpieshift.upstream import pool
+from magpieshift.discovery import client
+from magpieshift.downstream import server
 pool.SILENT_US, client.SILENCE_S, server.WHOLE_S, app.LONGEST_WAIT_S = 60_000_000, 60.0, 60.0, 60.0
 sys.exit(app.main())
 """
--- a/tests/relay/rig.py
+++ b/tests/relay/rig.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Sequence
 
 from magpieshift import clock
-from magpieshift.lab.standins import peers
+from magpieshift.lab.emulators import peers
 from magpieshift.relay.client import RelayClient
 from magpieshift.relay.follower import Apply, Follower
 from magpieshift.relay.limits import MOST_LOG_ENTRIES
--- a/tests/rollout/test_processes.py
+++ b/tests/rollout/test_processes.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 
 from magpieshift.lab.experiments import rollout_report
-from magpieshift.lab.proving import rollouts
-from magpieshift.lab.proving.cluster import Cluster
-from magpieshift.lab.proving.rollouts import NEW, OLD, begin, plan_for, starter
+from magpieshift.lab.fault_injection import rollouts
+from magpieshift.lab.fault_injection.cluster import Cluster
+from magpieshift.lab.fault_injection.rollouts import NEW, OLD, begin, plan_for, starter
 from magpieshift.rollout.executor import Executor, Overtaken, ask
 from magpieshift.rollout.journal import read
 from magpieshift.rollout.runner import Runner
@@ -126,7 +126,7 @@
 
 class Scenarios(unittest.TestCase):
     def test_every_defect_can_be_put_in(self) -> None:
-        from magpieshift.lab.proving.faulty import DEFECTS
+        from magpieshift.lab.fault_injection.faulty import DEFECTS
 
         self.assertEqual({defect for defect, _, _ in rollouts.SCENARIOS.values()}, set(DEFECTS))
 
--- a/tests/test_overload_processes.py
+++ b/tests/test_overload_processes.py
@@ -7,7 +7,7 @@
 import unittest
 from pathlib import Path
 
-from magpieshift.lab.proving.cluster import Cluster
+from magpieshift.lab.fault_injection.cluster import Cluster
 
 ROUTERS = 6
 BACK = 0.95
