--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -2,10 +2,21 @@
 
 import itertools
 
-from molecleat import interface as api
-from molecleat.control import Router
-from molecleat.interface import Outcome, Phase
-from molecleat.records import FILL
+from magpieshift.policy.actions import CacheRequestFlag, RejectRequest, SendCacheRequest, SendPlainRequest
+from magpieshift.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    Endpoint,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    PurgeReceived,
+    RequestReceived,
+)
+from magpieshift.policy.outcomes import CacheStatus, Outcome
+from magpieshift.policy.router_policy import RouterPolicy
+from magpieshift.policy.settings import Idempotency, Settings
+from magpieshift.policy.state import FILL
 from tests.helpers import (
     CACHE,
     CACHES,
@@ -23,26 +34,26 @@
 )
 
 
-def delta(*entries: api.Entry) -> api.StoreList:
-    return api.StoreList(api.ListKind.DELTA, 2, entries)
+def delta(*entries: Endpoint) -> EndpointListReceived:
+    return EndpointListReceived(EndpointListKind.DELTA, 2, entries)
 
 
 def test_caches_of_other_zones_are_not_even_known() -> None:
     """A request can then never touch them, however many are listed."""
-    world = World(settings(zone_routers=(0, 2, 2)))
+    world = World(settings(zone_router_counts=(0, 2, 2)))
     world.tell(delta(*(entry(1000 + i, CACHE, zone=2) for i in range(500))))
-    assert len(world.router.stores) == len(CACHES + PARENTS) + 1
+    assert len(world.router.endpoints) == len(CACHES + PARENTS) + 1
 
 
 def test_a_departed_store_is_forgotten_and_its_slot_comes_back() -> None:
     world = World()
     fill = world.fill()
-    assert isinstance(fill, api.Get)
-    store = world.router.stores[fill.source]
-    world.tell(delta(entry(fill.source, PARENT, phase=Phase.GONE)))
-    assert fill.source not in world.router.stores
+    assert isinstance(fill, SendCacheRequest)
+    store = world.router.endpoints[fill.source]
+    world.tell(delta(entry(fill.source, PARENT, state=EndpointState.REMOVED)))
+    assert fill.source not in world.router.endpoints
     world.end(fill, Outcome.RESET, 1)
-    assert store.busy[FILL] == store.flying == 0
+    assert store.in_flight_by_kind[FILL] == store.in_flight == 0
 
 
 def test_a_store_that_changes_its_role_does_not_raise() -> None:
@@ -54,24 +65,24 @@
     world.ask()
 
 
-def sends_to_cold(routers: int, config: api.Settings, kind: int, store: int) -> list[int]:
+def sends_to_cold(routers: int, config: Settings, kind: int, store: int) -> list[int]:
     """When ``routers`` side by side, each kept busy, send to one store they all hear of at once."""
     now, ident, sent = 100 * SECOND, 0, []
-    fleet = [Router(config, seed) for seed in range(routers)]
-    new = entry(store, kind, up_since_us=now)
+    fleet = [RouterPolicy(config, seed) for seed in range(routers)]
+    new = entry(store, kind, started_us=now)
     only = [entry(s, CACHE) for s in CACHES[:1]] + [entry(31, ORIGIN)]
     for router in fleet:
-        router.handle(now, [api.StoreList(api.ListKind.CACHED, 1, tuple(only)), delta(new)])
+        router.handle(now, [EndpointListReceived(EndpointListKind.CACHED, 1, tuple(only)), delta(new)])
     for _ in range(300):
         now += 20_000
         for router in fleet:
             ident += 1
             for action in router.handle(
-                now, [api.Request(ident, 0, 0, ident, 4 * SECOND, 0.0, 3, 0, False, False)]
+                now, [RequestReceived(ident, 0, 0, ident, 4 * SECOND, 0.0, 3, 0, False, False)]
             ):
-                if isinstance(action, api.Send | api.Get):
-                    sent += [now] if store in (action.store, getattr(action, "source", 0)) else []
-                    ended = api.Ended(ident, Outcome.OK, 150_000, 0, True, 1, action.store, 0, ())
+                if isinstance(action, SendPlainRequest | SendCacheRequest):
+                    sent += [now] if store in (action.endpoint, getattr(action, "source", 0)) else []
+                    ended = AttemptEnded(ident, Outcome.OK, 150_000, 0, True, 1, action.endpoint, 0, ())
                     router.handle(now, [ended])
     return sent
 
@@ -79,39 +90,44 @@
 def test_many_routers_together_keep_a_new_stores_budget() -> None:
     """All are told of it at once and none sees the others: the sum in any window stays under the rule."""
     for routers in (2, 20, 120):
-        config = settings(routers=routers, zone_routers=(0, routers))
+        config = settings(router_count=routers, zone_router_counts=(0, routers))
         sent = sends_to_cold(routers, config, CACHE, 99)
-        work = max(Router(config, 0).work_us)
-        budget = config.fall_multiple * config.cold_from * 10.0 * config.fall_us
+        work = max(RouterPolicy(config, 0).service_times_us)
+        budget = config.overload_multiple * config.slow_start_fraction * 10.0 * config.overload_window_us
         for start in sent:
-            window = sum(start <= at < start + config.fall_us for at in sent)
-            grown = 1 + (start + config.fall_us - 100 * SECOND) / config.cold_us / config.cold_from
+            window = sum(start <= at < start + config.overload_window_us for at in sent)
+            grown = (
+                1
+                + (start + config.overload_window_us - 100 * SECOND)
+                / config.slow_start_us
+                / config.slow_start_fraction
+            )
             assert window * work <= budget * grown
     assert sent, "a cold store must still get something"
 
 
-def burst(count: int, config: api.Settings, kind: int, weight: float, seed: int) -> list[int]:
+def burst(count: int, config: Settings, kind: int, weight: float, seed: int) -> list[int]:
     """When routers, of which some start anew meanwhile, send to a cold store that lay idle for 8 s and is
     then wanted by all at once, over and over."""
     start, sent, ident = 100 * SECOND, list[int](), 0
-    new = entry(99, kind, up_since_us=start, weight=weight)
+    new = entry(99, kind, started_us=start, weight=weight)
     listed = (entry(CACHES[0], CACHE), entry(31, ORIGIN), new)
-    fleet = [Router(config, seed * 1000 + i) for i in range(count)]
+    fleet = [RouterPolicy(config, seed * 1000 + i) for i in range(count)]
     for router in fleet:
-        router.handle(start, [api.StoreList(api.ListKind.CACHED, 1, listed)])
+        router.handle(start, [EndpointListReceived(EndpointListKind.CACHED, 1, listed)])
     for now in range(start + 8 * SECOND, start + 11 * SECOND, 50_000):
         if (now - start) // 50_000 % 20 == 7:  # three times a tenth of them
             for i in range(0, count, 10):
-                fleet[i] = Router(config, seed * 1000 + now // 50_000 + i)
-                fleet[i].handle(now, [api.StoreList(api.ListKind.CACHED, 1, listed)])
+                fleet[i] = RouterPolicy(config, seed * 1000 + now // 50_000 + i)
+                fleet[i].handle(now, [EndpointListReceived(EndpointListKind.CACHED, 1, listed)])
         for router in fleet:
             for _ in range(4):
                 ident += 1
-                request = api.Request(ident, 0, 0, ident * 7919, 4 * SECOND, 0.0, 3, 0, False, False)
+                request = RequestReceived(ident, 0, 0, ident * 7919, 4 * SECOND, 0.0, 3, 0, False, False)
                 for act in router.handle(now, [request]):
-                    if isinstance(act, api.Send | api.Get):
-                        sent += [now] if 99 in (act.store, getattr(act, "source", 0)) else []
-                        ended = api.Ended(ident, Outcome.OK, 150_000, 0, True, 1, act.store, 0, ())
+                    if isinstance(act, SendPlainRequest | SendCacheRequest):
+                        sent += [now] if 99 in (act.endpoint, getattr(act, "source", 0)) else []
+                        ended = AttemptEnded(ident, Outcome.OK, 150_000, 0, True, 1, act.endpoint, 0, ())
                         router.handle(now, [ended])
     return sent
 
@@ -123,21 +139,27 @@
         (4, 20, 30), (CACHE, PARENT), (1.0, 4.0, 10.0), (200_000, SECOND), range(2)
     ):
         config = settings(
-            routers=routers, zone_routers=(0, routers), cold_from=0.2, cold_us=20 * SECOND, fall_multiple=2.5,
-            fall_us=fall_us, parent_cold_from=0.2, parent_fall_multiple=2.5,
-        )  # fmt: skip
+            router_count=routers,
+            zone_router_counts=(0, routers),
+            slow_start_fraction=0.2,
+            slow_start_us=20 * SECOND,
+            overload_multiple=2.5,
+            overload_window_us=fall_us,
+            parent_slow_start_fraction=0.2,
+            parent_overload_multiple=2.5,
+        )
         times = burst(routers, config, kind, weight, seed)
         sent += len(times)
         for begun in times:
             calls = sum(begun <= at < begun + fall_us for at in times)
             bears = weight * 2.5 * (0.2 + 0.8 * (begun - 100 * SECOND) / (20 * SECOND))
-            budget = bears * fall_us / max(Router(config, 0).work_us)
+            budget = bears * fall_us / max(RouterPolicy(config, 0).service_times_us)
             assert calls <= budget + 2 * budget**0.5 + 2, (routers, kind, weight, fall_us, seed)
     assert sent > 1000, "a cold store must still get something"
 
 
 def test_a_cold_parent_is_shared_by_all_routers() -> None:
-    config = settings(routers=120, zone_routers=(0, 4))
+    config = settings(router_count=120, zone_router_counts=(0, 4))
     assert len(sends_to_cold(4, config, PARENT, 99)) <= 4
 
 
@@ -147,88 +169,96 @@
         for key in range(200 if world is busy else 0):
             for sent in world.ask(key):
                 world.end(sent, Outcome.OK, 0)
-        world.tell(delta(entry(99, CACHE, up_since_us=world.now)))
-    rates = [w.router._cold_rate(w.router.stores[99]) for w in (busy, idle)]
+        world.tell(delta(entry(99, CACHE, started_us=world.now)))
+    rates = [w.router._cold_rate(w.router.endpoints[99]) for w in (busy, idle)]
     assert rates[0] > 2 * rates[1] > 0
 
 
 def test_an_old_purge_told_first_does_not_raise_and_hides_no_later_one() -> None:
     world = World()
-    world.tell(api.Purged(0, 3, 60 * SECOND), api.Purged(0, 4, SECOND), api.Purged(0, 3, 2 * SECOND))
+    world.tell(PurgeReceived(0, 3, 60 * SECOND), PurgeReceived(0, 4, SECOND), PurgeReceived(0, 3, 2 * SECOND))
     (sent,) = world.ask(group=3)
-    assert isinstance(sent, api.Get) and 0 < sent.age_us < 2 * SECOND
+    assert isinstance(sent, SendCacheRequest) and 0 < sent.max_age_us < 2 * SECOND
 
 
 def test_the_whole_list_drops_what_it_leaves_out_and_a_failed_call_nothing() -> None:
     world = World()
-    world.tell(api.StoreList(api.ListKind.FAILED, 0, ()))
-    assert len(world.router.stores) == 7
-    world.tell(api.StoreList(api.ListKind.FULL, 3, whole_list().entries[1:]))
-    assert len(world.router.stores) == 6
+    world.tell(EndpointListReceived(EndpointListKind.FAILED, 0, ()))
+    assert len(world.router.endpoints) == 7
+    world.tell(EndpointListReceived(EndpointListKind.COMPLETE, 3, whole_list().endpoints[1:]))
+    assert len(world.router.endpoints) == 6
 
 
 def test_the_floor_of_the_cap_is_shared_and_the_free_pass_stays() -> None:
     """One fill each is what many routers keep; four each would be hundreds at one parent."""
     for routers, each in ((2, 4), (8, 2), (120, 1)):
-        world = World(settings(routers=routers, zone_routers=(0, routers)))
+        world = World(settings(router_count=routers, zone_router_counts=(0, routers)))
         fills = [world.fill(part=part) for part in range(each + 1)]
-        assert sum(isinstance(fill, api.Get) for fill in fills) == each
+        assert sum(isinstance(fill, SendCacheRequest) for fill in fills) == each
 
 
 def test_a_fill_that_worked_raises_the_cap_by_one() -> None:
-    world = World(settings(routers=120, zone_routers=(0, 2)))
+    world = World(settings(router_count=120, zone_router_counts=(0, 2)))
     fill = world.fill(part=0)
-    assert isinstance(fill, api.Get)
+    assert isinstance(fill, SendCacheRequest)
     world.end(fill, Outcome.OK, 1)
     fills = [world.fill(part=part) for part in range(1, 4)]
-    assert sum(isinstance(fill, api.Get) for fill in fills) == 2
+    assert sum(isinstance(fill, SendCacheRequest) for fill in fills) == 2
 
 
 def slow_hits(world: World, times: int) -> None:
     """Hits of 100 KB, a tenth of a second by themselves, that take eight times as long."""
     for key in range(times):
-        for sent in (a for a in world.ask(key, size_kb=100.0) if isinstance(a, api.Get)):
-            world.end(sent, Outcome.OK, 0, after=800_000, note=api.Note.HIT)
+        for sent in (a for a in world.ask(key, size_kb=100.0) if isinstance(a, SendCacheRequest)):
+            world.end(sent, Outcome.OK, 0, after=800_000, note=CacheStatus.HIT)
 
 
 def test_what_a_slow_cache_cannot_send_in_time_is_refused_at_once() -> None:
     """The aim is 0.3 s and once the sending time; at eight times slower 100 KB would take 0.8 s."""
-    world = World(listed=api.StoreList(api.ListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN))))
+    world = World(
+        listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
+    )
     slow_hits(world, 10)
     assert refused(world.ask(5, size_kb=100.0), world.next_id - 1)
     (small,) = world.ask(5, size_kb=10.0)
-    assert isinstance(small, api.Get)
+    assert isinstance(small, SendCacheRequest)
 
 
 def test_it_lets_go_as_small_answers_come_back_in_their_time() -> None:
-    world = World(listed=api.StoreList(api.ListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN))))
+    world = World(
+        listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
+    )
     slow_hits(world, 10)
     for key in range(60):
         for sent in world.ask(key, size_kb=20.0):
-            world.end(sent, Outcome.OK, 0, after=20_000, note=api.Note.HIT)
+            world.end(sent, Outcome.OK, 0, after=20_000, note=CacheStatus.HIT)
     (sent,) = world.ask(5, size_kb=100.0)
-    assert isinstance(sent, api.Get)
+    assert isinstance(sent, SendCacheRequest)
 
 
 def test_slow_fills_say_nothing_of_the_cache() -> None:
-    world = World(listed=api.StoreList(api.ListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN))))
+    world = World(
+        listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
+    )
     for key in range(10):
         fill = world.fill(key, size_kb=100.0)
-        assert isinstance(fill, api.Get)
-        world.end(fill, Outcome.OK, 1, after=800_000, note=api.Note.FILLED)
-    assert isinstance(world.ask(5, size_kb=100.0)[0], api.Get)
+        assert isinstance(fill, SendCacheRequest)
+        world.end(fill, Outcome.OK, 1, after=800_000, note=CacheStatus.FILLED)
+    assert isinstance(world.ask(5, size_kb=100.0)[0], SendCacheRequest)
 
 
 def test_sizes_untold_the_sending_time_is_the_least_lately_seen() -> None:
     """Or a cache that is slow for long would come to be held for a quick one."""
-    config = settings(a_class(aim_us=300_000, aim_stretch=2.0))
-    world = World(config, api.StoreList(api.ListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN))))
+    config = settings(a_class(latency_objective_us=300_000, latency_objective_stretch=2.0))
+    world = World(
+        config, EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
+    )
     refused = 0
     for key in range(300):
         actions = world.ask(key)
-        refused += isinstance(actions[0], api.Refuse)
-        if isinstance(actions[0], api.Get):
-            world.end(actions[0], Outcome.OK, 0, after=100_000 if key < 40 else 900_000, note=api.Note.HIT)
+        refused += isinstance(actions[0], RejectRequest)
+        if isinstance(actions[0], SendCacheRequest):
+            world.end(actions[0], Outcome.OK, 0, after=100_000 if key < 40 else 900_000, note=CacheStatus.HIT)
         if key < 40:
             assert refused == 0
     assert 50 < refused < 290
@@ -236,28 +266,30 @@
 
 def test_a_slow_cache_without_hits_does_not_stay_shut() -> None:
     """One that restarted empty has misses alone to show (incident i872645)."""
-    world = World(listed=api.StoreList(api.ListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN))))
+    world = World(
+        listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
+    )
     slow_hits(world, 10)
-    assert isinstance(world.ask(5, size_kb=100.0)[0], api.Refuse)
+    assert isinstance(world.ask(5, size_kb=100.0)[0], RejectRequest)
     world.now += 30 * SECOND
-    assert isinstance(world.ask(5, size_kb=100.0)[-1], api.Get)
+    assert isinstance(world.ask(5, size_kb=100.0)[-1], SendCacheRequest)
 
 
 def test_lost_answers_count_against_a_store_and_are_forgiven() -> None:
     """Probes would be answered; the outcomes alone tell, and let go once answers come."""
     world = World()
     (first,) = world.ask(5)
-    assert isinstance(first, api.Get)
-    store = world.router.stores[first.store]
+    assert isinstance(first, SendCacheRequest)
+    store = world.router.endpoints[first.endpoint]
     world.end(first, Outcome.TIMEOUT, 0, after=SECOND)
     assert not world.router._usable(store)
     (other,) = world.ask(5)
-    assert isinstance(other, api.Get) and other.store != first.store
+    assert isinstance(other, SendCacheRequest) and other.endpoint != first.endpoint
     world.now += 2 * SECOND
     (back,) = world.ask(5)
-    assert isinstance(back, api.Get) and back.store == first.store
-    world.end(back, Outcome.OK, 0, note=api.Note.HIT)
-    assert world.router._usable(store) and store.bad < 0.41
+    assert isinstance(back, SendCacheRequest) and back.endpoint == first.endpoint
+    world.end(back, Outcome.OK, 0, note=CacheStatus.HIT)
+    assert world.router._usable(store) and store.failure_rate < 0.41
 
 
 def test_a_request_that_two_stores_cannot_use_speaks_against_neither() -> None:
@@ -266,102 +298,118 @@
     for key in range(20):
         (first,) = world.ask(key)
         (second,) = world.end(first, Outcome.ERROR, 0)
-        assert isinstance(second, api.Get) and isinstance(first, api.Get) and second.store != first.store
-        assert isinstance(world.end(second, Outcome.ERROR, 1)[0], api.Refuse)
-    assert all(store.bad == 0 for store in world.router.stores.values())
+        assert (
+            isinstance(second, SendCacheRequest)
+            and isinstance(first, SendCacheRequest)
+            and second.endpoint != first.endpoint
+        )
+        assert isinstance(world.end(second, Outcome.ERROR, 1)[0], RejectRequest)
+    assert all(store.failure_rate == 0 for store in world.router.endpoints.values())
 
 
 def test_a_request_that_the_next_store_serves_speaks_against_the_first() -> None:
     world = World()
     (first,) = world.ask()
     (second,) = world.end(first, Outcome.ERROR, 0)
-    assert isinstance(second, api.Get) and isinstance(first, api.Get)
+    assert isinstance(second, SendCacheRequest) and isinstance(first, SendCacheRequest)
     world.end(second, Outcome.OK, 1)
-    bad = {number for number, store in world.router.stores.items() if store.bad > 0}
-    assert bad == {first.store}
+    bad = {number for number, store in world.router.endpoints.items() if store.failure_rate > 0}
+    assert bad == {first.endpoint}
 
 
 def test_a_connection_that_breaks_is_one_failure_and_its_requests_ask_the_store_again() -> None:
     """One unreadable answer took four requests along, and a healthy cache was shut for it (garbled day)."""
     world = World()
-    asked = [a for _ in range(4) for a in world.ask(5) if isinstance(a, api.Get)]
-    (store,) = {a.store for a in asked}
-    ends = [api.Ended(a.id, Outcome.RESET, 1000, 0, False, 0, store, 0, ()) for a in asked]
+    asked = [a for _ in range(4) for a in world.ask(5) if isinstance(a, SendCacheRequest)]
+    (store,) = {a.endpoint for a in asked}
+    ends = [AttemptEnded(a.request_id, Outcome.RESET, 1000, 0, False, 0, store, 0, ()) for a in asked]
     again = world.tell(*ends, after=1000)
-    assert [a.store for a in again if isinstance(a, api.Get)] == [store] * 4
-    assert world.router._usable(world.router.stores[store])
+    assert [a.endpoint for a in again if isinstance(a, SendCacheRequest)] == [store] * 4
+    assert world.router._usable(world.router.endpoints[store])
 
 
 def test_a_write_that_broke_off_goes_out_once_more() -> None:
-    world = World(settings(a_class(effect=api.Effect.KEYED, write=True)))
+    world = World(settings(a_class(idempotency=Idempotency.WITH_KEY, is_write=True)))
     (first,) = world.ask()
     (again,) = world.end(first, Outcome.RESET, 0)
-    assert isinstance(again, api.Send) and again.store == THE_ORIGIN
-    assert isinstance(world.end(again, Outcome.RESET, 1)[0], api.Refuse)
+    assert isinstance(again, SendPlainRequest) and again.endpoint == THE_ORIGIN
+    assert isinstance(world.end(again, Outcome.RESET, 1)[0], RejectRequest)
 
 
 def test_a_size_that_a_client_claims_is_not_learnt_from() -> None:
     world = World()
     for _ in range(20):
         world.ask(5, size_kb=1e9)
-    assert isinstance(world.ask(6)[0], api.Get)
+    assert isinstance(world.ask(6)[0], SendCacheRequest)
 
 
 def test_what_was_slow_in_a_crowd_is_not_refused_when_the_crowd_has_gone() -> None:
     """A cache was taken for as slow as under its last load, ten seconds after it had nothing left to do."""
-    world = World(listed=api.StoreList(api.ListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN))))
-    crowd = [a for key in range(20) for a in world.ask(key, size_kb=100.0) if isinstance(a, api.Get)]
-    ends = [api.Ended(a.id, Outcome.OK, 800_000, 0, True, api.Note.HIT, a.store, 0, ()) for a in crowd]
+    world = World(
+        listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
+    )
+    crowd = [a for key in range(20) for a in world.ask(key, size_kb=100.0) if isinstance(a, SendCacheRequest)]
+    ends = [
+        AttemptEnded(a.request_id, Outcome.OK, 800_000, 0, True, CacheStatus.HIT, a.endpoint, 0, ())
+        for a in crowd
+    ]
     world.tell(*ends, after=800_000)
-    assert len(ends) == 20 and world.router.stores[11].slower > 6
-    assert isinstance(world.ask(5, size_kb=100.0)[0], api.Get)
+    assert len(ends) == 20 and world.router.endpoints[11].slowdown > 6
+    assert isinstance(world.ask(5, size_kb=100.0)[0], SendCacheRequest)
 
 
 def test_a_cache_much_slower_than_its_neighbours_gets_one_request_at_a_time() -> None:
     """Its part was refused for as long as it was slow, while the others had room (reload day)."""
     world = World()
-    slow = world.router.stores[CACHES[0]]
-    slow.took_us, slow.ought_us, slow.crowd, slow.hit_us = 500_000.0, 100_000.0, 100_000.0, world.now
+    slow = world.router.endpoints[CACHES[0]]
+    slow.hit_time_sum_us, slow.expected_time_sum_us, slow.weighted_in_flight_sum_us, slow.last_hit_us = (
+        500_000.0,
+        100_000.0,
+        100_000.0,
+        world.now,
+    )
     sent = [a for key in range(60) for a in world.ask(key, size_kb=10.0)]
-    assert all(isinstance(a, api.Get) for a in sent)
-    assert sum(isinstance(a, api.Get) and a.store == CACHES[0] for a in sent) == 1
+    assert all(isinstance(a, SendCacheRequest) for a in sent)
+    assert sum(isinstance(a, SendCacheRequest) and a.endpoint == CACHES[0] for a in sent) == 1
     big = [a for key in range(60) for a in world.ask(key, size_kb=200.0)]
-    assert all(isinstance(a, api.Get) and a.store != CACHES[0] for a in big)
+    assert all(isinstance(a, SendCacheRequest) and a.endpoint != CACHES[0] for a in big)
 
 
 def test_waves_of_drains_leave_nothing_behind() -> None:
     world = World()
     for wave in range(20):
-        world.tell(delta(entry(100 + wave, CACHE, up_since_us=world.now)), after=SECOND)
-        world.tell(delta(entry(100 + wave, CACHE, phase=Phase.DRAINING)), after=SECOND)
-        assert all(a.store != 100 + wave for a in world.ask(wave) if isinstance(a, api.Get))
-        world.tell(delta(entry(100 + wave, CACHE, phase=Phase.GONE)), after=SECOND)
-    assert len(world.router.stores) == 7
+        world.tell(delta(entry(100 + wave, CACHE, started_us=world.now)), after=SECOND)
+        world.tell(delta(entry(100 + wave, CACHE, state=EndpointState.DRAINING)), after=SECOND)
+        assert all(a.endpoint != 100 + wave for a in world.ask(wave) if isinstance(a, SendCacheRequest))
+        world.tell(delta(entry(100 + wave, CACHE, state=EndpointState.REMOVED)), after=SECOND)
+    assert len(world.router.endpoints) == 7
 
 
 def test_settings_of_zero_do_not_raise() -> None:
     """A cold share of nothing, or a class with no time at all, once divided by zero."""
-    config = settings(a_class(aim_us=0), cold_from=0.0, parent_cold_from=0.0)
+    config = settings(
+        a_class(latency_objective_us=0), slow_start_fraction=0.0, parent_slow_start_fraction=0.0
+    )
     world = World(config)
-    world.tell(delta(entry(99, CACHE, up_since_us=world.now), entry(98, PARENT, up_since_us=world.now)))
+    world.tell(delta(entry(99, CACHE, started_us=world.now), entry(98, PARENT, started_us=world.now)))
     world.ask(5)
 
 
 def test_many_routers_land_one_fill_each_at_most_on_a_parent_that_answers_none() -> None:
     """Ten misses of one object at each of 120 routers: first parent, second, origin get a free pass each, and
     the parents one look each at what they hold."""
-    config, now = settings(routers=120, zone_routers=(0, 120)), 100 * SECOND
+    config, now = settings(router_count=120, zone_router_counts=(0, 120)), 100 * SECOND
     landed: dict[tuple[int, bool], int] = {}
     for seed in range(120):
-        router = Router(config, seed)
+        router = RouterPolicy(config, seed)
         router.handle(now, [whole_list()])
         for ident in range(1, 11):
-            request = api.Request(ident, 0, 0, 5, 4 * SECOND, 0.0, 3, ident, False, False)
-            sent = next(a for a in router.handle(now, [request]) if isinstance(a, api.Get))
-            miss = api.Ended(ident, Outcome.MISS, 1000, 0, False, 0, sent.store, 0, ())
+            request = RequestReceived(ident, 0, 0, 5, 4 * SECOND, 0.0, 3, ident, False, False)
+            sent = next(a for a in router.handle(now, [request]) if isinstance(a, SendCacheRequest))
+            miss = AttemptEnded(ident, Outcome.MISS, 1000, 0, False, 0, sent.endpoint, 0, ())
             for action in router.handle(now, [miss]):
-                if isinstance(action, api.Get):
-                    at = action.source, bool(action.mode & api.Mode.SOURCE_HELD_ONLY)
+                if isinstance(action, SendCacheRequest):
+                    at = action.source, bool(action.flags & CacheRequestFlag.SOURCE_CACHED_ONLY)
                     landed[at] = landed.get(at, 0) + 1
     assert sorted(look for _, look in landed) == [False] * 3 + [True] * 2
     assert set(landed.values()) == {120}
@@ -379,28 +427,30 @@
     """Each request passed on is a miss elsewhere: at one deviation, too many were (quiet day)."""
     world = World()
     for other in CACHES[1:]:
-        world.router.stores[other].flying = 30
-    world.router.stores[CACHES[0]].flying = 42
+        world.router.endpoints[other].in_flight = 30
+    world.router.endpoints[CACHES[0]].in_flight = 42
     stores = set()
     for key in range(60):
         (sent,) = world.ask(key)
-        assert isinstance(sent, api.Get)
-        stores.add(sent.store)
+        assert isinstance(sent, SendCacheRequest)
+        stores.add(sent.endpoint)
         world.end(sent, Outcome.OK, 0)
     assert stores == set(CACHES)
 
 
 def test_once_answers_get_lost_a_late_one_is_asked_for_again_in_time_and_only_so_many() -> None:
     """They never came, from stores that answered all others, and their clients waited in vain (re32f6e)."""
-    world = World(listed=api.StoreList(api.ListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN))))
+    world = World(
+        listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
+    )
 
-    def ask(key: int) -> api.Get:
+    def ask(key: int) -> SendCacheRequest:
         (sent,) = world.ask(key, size_kb=100.0)
-        assert isinstance(sent, api.Get)
+        assert isinstance(sent, SendCacheRequest)
         return sent
 
-    def hit(sent: api.Get) -> None:
-        world.end(sent, Outcome.OK, 0, after=100_000, note=api.Note.HIT)
+    def hit(sent: SendCacheRequest) -> None:
+        world.end(sent, Outcome.OK, 0, after=100_000, note=CacheStatus.HIT)
 
     for key in range(20):
         hit(ask(key))
@@ -408,20 +458,24 @@
     assert first.timeout_us > 3 * SECOND  # nothing was ever lost: a slow answer is waited for
     hit(ask(2))
     world.end(first, Outcome.TIMEOUT, 0, after=first.timeout_us)
-    world.tell(api.Hangup(first.id))
+    world.tell(ClientDisconnected(first.request_id))
     second = ask(3)
     assert second.timeout_us < 400_000  # of an aim of 0.4 s
     hit(ask(4))
     (again,) = world.end(second, Outcome.TIMEOUT, 0, after=second.timeout_us)
-    assert isinstance(again, api.Get) and again.store == 11 and again.timeout_us > 3 * SECOND
-    assert world.router.stores[11].bad == 0
-    world.router.again = 0.5  # what may be taken for lost is used up
+    assert isinstance(again, SendCacheRequest) and again.endpoint == 11 and again.timeout_us > 3 * SECOND
+    assert world.router.endpoints[11].failure_rate == 0
+    world.router.retry_budget = 0.5  # what may be taken for lost is used up
     assert ask(5).timeout_us > 3 * SECOND
 
 
 def test_more_in_flight_than_was_measured_does_not_make_a_cache_slower_than_it_was() -> None:
     """With little in flight a slight slowness grew tenfold in a burst, and calm days lost a hundredth."""
     world = World()
-    cache = world.router.stores[CACHES[0]]
-    cache.took_us, cache.ought_us, cache.crowd = 110_000.0, 100_000.0, 100_000.0
-    assert cache.slower_beside(20) == cache.slower
+    cache = world.router.endpoints[CACHES[0]]
+    cache.hit_time_sum_us, cache.expected_time_sum_us, cache.weighted_in_flight_sum_us = (
+        110_000.0,
+        100_000.0,
+        100_000.0,
+    )
+    assert cache.slowdown_at(20) == cache.slowdown
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -6,14 +6,14 @@
 import unittest
 from unittest import mock
 
-from magpieshift.core.engine import Engine
-from magpieshift.core.model import Call, Member, Order, Result
+from magpieshift.engine.engine import Engine
+from magpieshift.engine.model import AttemptResult, ClientRequest, ListedEndpoint, UpstreamRequest
 from magpieshift.lab.experiments import overload
 from magpieshift.lab.simulated.fleet import SECOND, Fleet, Form
 from magpieshift.lab.simulated.stores import GONE, Account, Figures, Link, Store, Stores
 from magpieshift.lab.simulated.time import RouterClock, Time
-from molecleat import interface as api
-from molecleat.interface import Outcome, Phase
+from magpieshift.policy.events import Endpoint, EndpointState
+from magpieshift.policy.outcomes import Outcome
 
 FORM = Form(routers=10, zones=2, seed=3)
 
@@ -39,18 +39,20 @@
         self.stores = Stores(self.time, lambda: self.account)
         self.stores.links[1] = Link(self.time, 1000.0)
         for ident, kind, zone in (("box", 0, 1), ("hub", 1, 0), ("origin", 2, 0)):
-            listed = Member(ident, ("", 1), api.Entry(kind + 1, zone, kind, 1, Phase.READY, 4.0, 0))
+            listed = ListedEndpoint(
+                ident, ("", 1), Endpoint(kind + 1, zone, kind, 1, EndpointState.READY, 4.0, 0)
+            )
             figures = Figures(1, least_us=10_000.0, waiting=1)
             self.stores.by_name[ident] = Store(
                 listed, figures, self.time, random.Random(1), lambda: self.account
             )
-        self.results: list[tuple[float, Result]] = []
+        self.results: list[tuple[float, AttemptResult]] = []
 
     def ask(self, key: str, source: str = "") -> object:
-        call = Call(key, 0, "picture", key, 0, 1, 100.0, SECOND, False, "", "", b"")
+        call = ClientRequest(key, 0, "picture", key, 0, 1, 100.0, SECOND, False, "", "", b"")
         target = self.stores.by_name["box"].listed
         by = self.stores.by_name[source].listed if source else None
-        order = Order(call, target, by, 1, 0, 0, 0, False, lambda: None)
+        order = UpstreamRequest(call, target, by, 1, 0, 0, 0, False, lambda: None)
         began = self.time.now_us
         return self.stores.ask(order, lambda r: self.results.append(((self.time.now_us - began) / 1e6, r)))
 
@@ -76,7 +78,7 @@
     def test_what_is_more_than_slots_and_queue_is_turned_away_and_work_given_up_is_no_load(self) -> None:
         self.stores.by_name["box"].keep(("k", 0))
         works = [self.ask("k") for _ in range(3)]
-        self.assertEqual(sorted(self.run_on()), [Outcome.OK, Outcome.OK, Outcome.FULL])
+        self.assertEqual(sorted(self.run_on()), [Outcome.OK, Outcome.OK, Outcome.OVERLOADED])
         works = [self.ask("k"), self.ask("k")]
         self.time.run(self.time.now_us + 5_000)
         works[0].end()  # type: ignore[attr-defined]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,8 +8,11 @@
 
 import pytest
 
-from molecleat import drill, wire
-from molecleat import interface as api
+from magpieshift.policy import simulator as drill
+from magpieshift.policy import simulator_codec as wire
+from magpieshift.policy.events import AttemptEnded
+from magpieshift.policy.outcomes import Outcome
+from magpieshift.policy.settings import DeduplicationScope, Idempotency
 
 SETTINGS = """Balancers=2
 Caps.Cancelling=true
@@ -76,14 +79,20 @@
 
 
 def run(data: bytes) -> subprocess.CompletedProcess[bytes]:
-    return subprocess.run([sys.executable, "-m", "molecleat.drill"], input=data, capture_output=True)
+    return subprocess.run(
+        [sys.executable, "-m", "magpieshift.policy.simulator"], input=data, capture_output=True
+    )
 
 
 def test_settings_are_read_and_unknown_keys_skipped() -> None:
     read = wire.parse_settings(SETTINGS)
     (cls,) = read.classes
-    assert (cls.effect, cls.scope, cls.fresh_us) == (api.Effect.KEYED, api.Scope.CELL, 20_000_000)
-    assert read.zone_routers == (0, 2) and read.siblings and read.weights_are_sizes
+    assert (cls.idempotency, cls.deduplication_scope, cls.max_age_us) == (
+        Idempotency.WITH_KEY,
+        DeduplicationScope.CELL,
+        20_000_000,
+    )
+    assert read.zone_router_counts == (0, 2) and read.siblings and read.weights_are_sizes
 
 
 @pytest.mark.parametrize("key", ["Locality", "Classes.0.Effect", "Specifics.MaxAgeUs"])
@@ -100,7 +109,7 @@
     def fail(self: object, now_us: int, events: object) -> None:
         raise IndexError("no such store")
 
-    monkeypatch.setattr(drill.Router, "handle", fail)
+    monkeypatch.setattr(drill.RouterPolicy, "handle", fail)
     record, tail = boot(SETTINGS)
     reply = drill.Host().answer(wire.Frame(9, frame([record], tail)[8:]))
     assert reply[12:17] == b"\x09\x04\0\0\0" and reply.endswith(b"IndexError: no such store")
@@ -130,8 +139,8 @@
     )
     body = struct.pack("<IQ", 1, 5) + raw.ljust(48, b"\0")
     ((who, event),) = wire.Frame(1, body).events()
-    assert who == 3 and isinstance(event, api.Ended)
-    assert (event.outcome, event.closed, event.note) == (api.Outcome.OK, True, 2)
+    assert who == 3 and isinstance(event, AttemptEnded)
+    assert (event.outcome, event.request_closed, event.cache_status) == (Outcome.OK, True, 2)
     assert (event.latency_us, event.fill_wait_us, len(event.load)) == (18500, 9400, 3)
 
 
