--- a/magpieshift/admin/command.py
+++ b/magpieshift/admin/command.py
@@ -25,7 +25,8 @@
     """One connection's call. What comes behind its first line is not read."""
 
     def __init__(self, calls: Commands, worded: CommandsWithArgument | None = None) -> None:
-        self._calls, self._worded = calls, worded or {}
+        self._calls = calls
+        self._worded = worded or {}
         self._got = bytearray()
 
     def feed(self, data: bytes) -> bytes | None:
--- a/magpieshift/app.py
+++ b/magpieshift/app.py
@@ -42,7 +42,8 @@
 CLOSE_S = 0.1  # in which all connections are closed then, without destroying what was written on them
 CATCH_UP_S = 1.5  # for the change log, where another process serves as long as it takes
 LONGEST_WAIT_S = 3.0  # however long clients wait
-TIDY_S, EMPTYING_TIDY_S = 0.5, 0.1
+TIDY_S = 0.5
+EMPTYING_TIDY_S = 0.1
 MEMORY_PARTS = 4  # a quarter each for what is held for clients, for writes, for answers, and for the program
 
 
@@ -101,8 +102,11 @@
     part = "limits"
 
     def __init__(self, limits: Limits, engine: Engine, front: DownstreamServer, pool: ConnectionPool) -> None:
-        self._limits, self._sharing = limits, False
-        self._engine, self._front, self._pool = engine, front, pool
+        self._limits = limits
+        self._sharing = False
+        self._engine = engine
+        self._front = front
+        self._pool = pool
 
     def prepare(self, old: Document, new: Document) -> Callable[[], None]:
         def commit() -> None:
@@ -136,7 +140,9 @@
 
 def expected(document: Document) -> dict[str, dict[str, object]]:
     """What the parts of a router that runs on this document say of themselves (``EdgeRouter.running``)."""
-    bounds, settings, names = Bounds.of(document.limits), document.settings, document.names
+    bounds = Bounds.of(document.limits)
+    settings = document.settings
+    names = document.names
     classes = dict(zip(names.classes, settings.classes, strict=True))
     return {
         "start": _AtStart(document).running(),
@@ -161,8 +167,10 @@
     """Owner of all the parts of one router."""
 
     def __init__(self, config: Config) -> None:
-        self._known, document = config.known, config.document
-        self.document, self.version = document, config.version
+        self._known = config.known
+        document = config.document
+        self.document = document
+        self.version = config.version
         clock = LoopClock()
         bounds = Bounds.of(document.limits)
         self._pool = ConnectionPool(
@@ -264,7 +272,8 @@
     @property
     def pressed(self) -> float:
         """How much of what may be held for clients and of their connections is in use: the larger part."""
-        front, engine = self._front, self.engine
+        front = self._front
+        engine = self.engine
         held = max(front.held, engine.held_body_bytes) / max(1, engine.max_body_bytes)
         return max(held, front.connected / max(1, front.most_connections))
 
@@ -279,7 +288,8 @@
 
     def commit(self, prepared: Prepared, version: int) -> None:
         """Put a document in force, in one turn of the event loop, letting go of nothing that is open."""
-        self.document, self.version = prepared.document, version
+        self.document = prepared.document
+        self.version = version
         prepared.commit()
         for told in self.committed:
             told(self.document, version)
--- a/magpieshift/capture/explanation.py
+++ b/magpieshift/capture/explanation.py
@@ -56,7 +56,8 @@
 
 def stores(player: Player, names: Names) -> list[str]:
     """The stores as the module sees them, the busiest first."""
-    router, now = player.router, player.router.now_us
+    router = player.router
+    now = player.router.now_us
     rows = []
     busy = sorted(router.endpoints.values(), key=lambda s: (-s.in_flight, -s.failure_rate, s.endpoint.number))
     for store in busy[:MOST_SHOWN]:
--- a/magpieshift/capture/recorder.py
+++ b/magpieshift/capture/recorder.py
@@ -94,7 +94,9 @@
     """Owner of a capture's files and of the thread that writes them."""
 
     def __init__(self, folder: str | Path, header: wire.Header, limits: Limits | None = None) -> None:
-        self._folder, self._header, self._limits = Path(folder), header, limits or Limits()
+        self._folder = Path(folder)
+        self._header = header
+        self._limits = limits or Limits()
         self._pending: deque[tuple[int, _Item]] = deque()
         self._weight = 0  # of what is pending, counted up by the loop and down by the writer
         self._taken = 0
@@ -104,7 +106,9 @@
         self._names: list[tuple[int, str]] = []
         self._ending = threading.Event()
         self._failed = ""  # why the writer cannot write; it tries again
-        self.batches = self.dropped = self.gaps = 0
+        self.batches = 0
+        self.dropped = 0
+        self.gaps = 0
         self.version: Callable[[], int] = lambda: 0  # of the configuration in force
         self.stores: Callable[[], Iterable[tuple[int, str]]] = lambda: ()  # all that are listed
         self._segment: segments.Segment | None = None
@@ -132,7 +136,8 @@
 
     def handle(self, module: Module, now_us: int, events: Sequence[Event]) -> list[Action]:
         """Let the module decide, and note what it was told and said."""
-        names, self._names = self._names, []
+        names = self._names
+        self._names = []
         drop = self._full(now_us)
         if self._keyframe_wanted and not drop:
             self._keyframe_wanted = False
@@ -140,11 +145,13 @@
             if self._over is not None:  # behind the keyframe, in the segment that it begins
                 self._put(1, self._over)
                 self._over = None
-        raised, actions = "", list[Action]()
+        raised = ""
+        actions = list[Action]()
         try:
             actions = module.handle(now_us, events)
         except Exception as err:
-            raised, actions = type(err).__name__, list(module.actions)
+            raised = type(err).__name__
+            actions = list(module.actions)
             raise
         finally:
             if not drop:
@@ -180,11 +187,13 @@
             log.warning("capture interrupted", extra=fields(reason=reason))
             return True
         if self._weight == self._taken and not self._failed:
-            self._dropping, self._over = None, gap
+            self._dropping = None
+            self._over = gap
             self._keyframe_wanted = True
             log.warning("capture goes on", extra=fields(dropped=gap.batches))
             return False
-        gap.batches, gap.to_us = gap.batches + 1, now_us
+        gap.batches = gap.batches + 1
+        gap.to_us = now_us
         self.dropped += 1
         return True
 
@@ -235,7 +244,8 @@
         if self._failed and self._segment is None:
             self._open()  # so that a disk that is still full shows before anything is taken up again
         records: list[wire.Record] = []
-        weight, begins = 0, False
+        weight = 0
+        begins = False
         while self._pending and weight < MOST_BLOCK:
             size, item = self._pending.popleft()
             self._taken += size
@@ -243,7 +253,8 @@
                 if records and self._segment is not None:  # a segment begins with its keyframe
                     self._put_block(self._segment, records)
                 self._open()
-                records, begins = [wire.Record(header=self._header)], True
+                records = [wire.Record(header=self._header)]
+                begins = True
             if self._segment is not None:  # else there is nothing to replay it from
                 weight += size
                 records.append(_record(item))
--- a/magpieshift/capture/replay.py
+++ b/magpieshift/capture/replay.py
@@ -81,7 +81,8 @@
     """One module being fed a capture."""
 
     def __init__(self, policy: Policy) -> None:
-        self.policy, self.codec = policy, Codec(policy)
+        self.policy = policy
+        self.codec = Codec(policy)
         self.router: Any = None
 
     def keyframe(self, data: bytes) -> None:
@@ -101,13 +102,15 @@
 
     def batch(self, record: wire.Batch) -> tuple[list[RecordedAction], str]:
         """What the module does, and what it raised."""
-        event, plain = self.codec.event, self.codec.plain
+        event = self.codec.event
+        plain = self.codec.plain
         events = [event(message) for message in record.events]
         raised = ""
         try:
             actions = self.router.handle(record.now_us, events)
         except Exception as err:  # the recorded one may have raised as well
-            raised, actions = type(err).__name__, self.router.actions
+            raised = type(err).__name__
+            actions = self.router.actions
         return [plain(action) for action in actions], raised
 
     def state(self) -> bytes:
@@ -123,7 +126,8 @@
     """What sort of difference it is, in words for people."""
     if sorted(recorded, key=repr) == sorted(replayed, key=repr):
         return "other order"
-    old, new = (recorded[-1] if recorded else ("nothing",)), (replayed[-1] if replayed else ("nothing",))
+    old = recorded[-1] if recorded else ("nothing",)
+    new = replayed[-1] if replayed else ("nothing",)
     if old[0] in ATTEMPTS and new[0] in ATTEMPTS:
         if old[2] != new[2]:
             return "other store"
@@ -141,7 +145,8 @@
         "Cancel": "cancelled",
         "SetTimer": "timer",
     }
-    a, b = words.get(old[0], old[0].lower()), words.get(new[0], new[0].lower())
+    a = words.get(old[0], old[0].lower())
+    b = words.get(new[0], new[0].lower())
     return f"other {a}" if a == b else f"{b} instead of {a}"
 
 
@@ -178,8 +183,10 @@
         self.result = Result()
         self._own = Player(policy or own())
         self._other = Player(against) if against is not None else None
-        self._before, self._after = before, after
-        self._usable = self._strayed = False
+        self._before = before
+        self._after = after
+        self._usable = False
+        self._strayed = False
         self._number = -1
         self.names: dict[int, str] = {}  # of stores and requests; ``most_names`` of them
 
@@ -241,7 +248,8 @@
         if anew:
             for player in self._players():
                 player.keyframe(data)
-        self._usable, self._strayed = True, False
+        self._usable = True
+        self._strayed = False
 
     def _batch(self, record: wire.Batch) -> None:
         result = self.result
--- a/magpieshift/capture/segments.py
+++ b/magpieshift/capture/segments.py
@@ -58,7 +58,8 @@
     """A file being written; ``close`` gives it back."""
 
     def __init__(self, path: Path) -> None:
-        self.path, self.size = path, 0
+        self.path = path
+        self.size = 0
         self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
         try:
             self._put(HEADER % FORMAT)
--- a/magpieshift/capture/state.py
+++ b/magpieshift/capture/state.py
@@ -118,7 +118,9 @@
 
 class _Build:
     def __init__(self, policy: Policy, rows: list[Any], fields: dict[str, list[str]]) -> None:
-        self._policy, self._rows, self._fields = policy, rows, fields
+        self._policy = policy
+        self._rows = rows
+        self._fields = fields
         self._made: list[Any] = [None] * len(rows)
 
     def value(self, raw: Any) -> Any:
--- a/magpieshift/cli/captures.py
+++ b/magpieshift/cli/captures.py
@@ -36,7 +36,9 @@
 
     count: dict[str, int] = {}
     missing: list[str] = []
-    first = last = batches = 0
+    first = 0
+    last = 0
+    batches = 0
     header: Any = None
     for record in _records(file):
         if isinstance(record, segments.Missing):
@@ -49,7 +51,9 @@
         elif what == "gap":
             missing.append(f"{record.gap.batches} batches dropped: {record.gap.reason}")
         elif what == "batch":
-            first, last, batches = first or record.batch.now_us, record.batch.now_us, batches + 1
+            first = first or record.batch.now_us
+            last = record.batch.now_us
+            batches = batches + 1
     paths = segments.files(file)
     size = sum(path.stat().st_size for path in paths)
     found = {
@@ -145,7 +149,9 @@
 
     own = policy.own()
     other = policy.load(against) if against else None
-    differences, result, names = 0, Result(), explanation.Names({})
+    differences = 0
+    result = Result()
+    names = explanation.Names({})
     began = time.process_time()
     for _ in range(times):
         run = Replay(own, other)
--- a/magpieshift/cli/errors.py
+++ b/magpieshift/cli/errors.py
@@ -15,7 +15,10 @@
 from magpieshift.config import ConfigError
 
 PROGRAM = "magpieshift"
-DONE, FAILED, UNUSABLE, INTERRUPTED = 0, 1, 2, 130
+DONE = 0
+FAILED = 1
+UNUSABLE = 2
+INTERRUPTED = 130
 # errors of optional parts, which are known only where their libraries are there
 OPTIONAL = (
     ("magpieshift.control.sexp", "Unusable"),
--- a/magpieshift/cli/rollouts.py
+++ b/magpieshift/cli/rollouts.py
@@ -16,7 +16,9 @@
 from magpieshift.config import ConfigError
 
 STATE = click.option("--state", required=True, help="Folder of the rollout's journal.")
-LEAST_REAL, MOST_REAL = 2, 16  # router processes on one machine
+# router processes on one machine
+LEAST_REAL = 2
+MOST_REAL = 16
 STATUS_KEYS = (
     "name",
     "term",
@@ -78,7 +80,8 @@
     from magpieshift.rollout.journal import JournalError, read
     from magpieshift.rollout.runner import Runner
 
-    folder, found = Path(state), _plan(plan)
+    folder = Path(state)
+    found = _plan(plan)
     last = ""
 
     def told(status: Any) -> None:
--- a/magpieshift/cli/scale.py
+++ b/magpieshift/cli/scale.py
@@ -20,8 +20,10 @@
     from magpieshift.lab.scale.calibration import Calibration
     from magpieshift.lab.scale.run import Plan
 
-CALIBRATE, TOPOLOGY = "calibrate", "topology"
-LEAST_SECONDS, DAY_S = 2.0, 86_400.0
+CALIBRATE = "calibrate"
+TOPOLOGY = "topology"
+LEAST_SECONDS = 2.0
+DAY_S = 86_400.0
 ROLES = ("log", "control", "node", "network", "worker")
 
 
--- a/magpieshift/control/backoff.py
+++ b/magpieshift/control/backoff.py
@@ -4,7 +4,9 @@
 
 import random
 
-FIRST_S, MOST_S, STEADY_S = 0.1, 10.0, 5.0
+FIRST_S = 0.1
+MOST_S = 10.0
+STEADY_S = 5.0
 
 
 class Backoff:
@@ -12,7 +14,9 @@
     made: one that always breaks off at once must not be tried without end."""
 
     def __init__(self, rand: random.Random, first_s: float = FIRST_S, most_s: float = MOST_S) -> None:
-        self._random, self._first_s, self._most_s = rand, first_s, most_s
+        self._random = rand
+        self._first_s = first_s
+        self._most_s = most_s
         self._failures = 0
 
     def after(self, lasted_s: float) -> float:
--- a/magpieshift/control/client.py
+++ b/magpieshift/control/client.py
@@ -52,7 +52,10 @@
     def __init__(
         self, address: str, manager: VersionManager, name: str, boot: str, rand: random.Random | None = None
     ) -> None:
-        self._address, self._manager, self._name, self._boot = address, manager, name, boot
+        self._address = address
+        self._manager = manager
+        self._name = name
+        self._boot = boot
         self._backoff = Backoff(rand or random.Random())
         self._task: asyncio.Task[None] | None = None
         self._trouble = ""
@@ -79,7 +82,8 @@
     async def _run(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            began, lasted = loop.time(), 0.0
+            began = loop.time()
+            lasted = 0.0
             try:
                 await self._follow()
                 self._trouble = "the service ended the stream"
@@ -118,7 +122,8 @@
                 await call.write(hello)
                 if self._told_lost:
                     log.info("control service found", extra=fields(address=self._address))
-                self._told_lost, self._session = False, session
+                self._told_lost = False
+                self._session = session
                 writing = asyncio.ensure_future(self._write(call.write))
                 writing.add_done_callback(lambda _: self._changed.set())
                 while (data := await call.read()) is not grpc.aio.EOF:
--- a/magpieshift/control/content.py
+++ b/magpieshift/control/content.py
@@ -67,10 +67,12 @@
             if content.base_digest != digest:
                 detail = f"builds on {content.base_digest[:12]}, and {digest[:12]} is in force"
                 raise Refused(Reason.WRONG_BASE, detail)
-            found, lines = sexp.apply(data, content.changes), None
+            found = sexp.apply(data, content.changes)
+            lines = None
         elif isinstance(content, Full):
             tree = sexp.read(content.text)
-            found, lines = tree.data, tree.lines
+            found = tree.data
+            lines = tree.lines
         else:
             raise Refused(Reason.MALFORMED, "neither a document nor a delta")
     except Unusable as err:
--- a/magpieshift/control/document_reading.py
+++ b/magpieshift/control/document_reading.py
@@ -21,7 +21,9 @@
 
 def document_of(form: DocumentForm) -> Document:
     zones = {name: zone if isinstance(zone, ZoneForm) else ZoneForm() for name, zone in form.zones.items()}
-    order, stores, tries = list(zones), form.stores, form.attempts
+    order = list(zones)
+    stores = form.stores
+    tries = form.attempts
     settings = Settings(
         classes=tuple(_class(cls) for cls in form.classes.values()),
         zone=order.index(form.zone),
--- a/magpieshift/control/document_writing.py
+++ b/magpieshift/control/document_writing.py
@@ -16,7 +16,8 @@
 
 def to_data(document: Document) -> dict[str, Any]:
     """The data of a document, whichever reader it came through; read again it gives an equal document."""
-    s, names = document.settings, document.names
+    s = document.settings
+    names = document.names
     return {
         "name": document.name,
         "listen": _host_port(document.listen),
--- a/magpieshift/control/publisher.py
+++ b/magpieshift/control/publisher.py
@@ -96,8 +96,12 @@
         match message.WhichOneof("said"):
             case "hello":
                 hello = message.hello
-                to.router, to.boot, to.trouble = hello.router, hello.boot, hello.trouble
-                to.in_force, to.digest, to.running = hello.in_force, hello.digest, dict(hello.running)
+                to.router = hello.router
+                to.boot = hello.boot
+                to.trouble = hello.trouble
+                to.in_force = hello.in_force
+                to.digest = hello.digest
+                to.running = dict(hello.running)
                 return self.next_for(to)
             case "answer":
                 return self._answer(to, message.answer)
@@ -105,11 +109,14 @@
 
     def _answer(self, to: Subscriber, answer: wire.Answer) -> bytes | None:
         to.answers += 1
-        to.in_force, to.digest, to.running = answer.in_force, answer.in_force_digest, dict(answer.running)
+        to.in_force = answer.in_force
+        to.digest = answer.in_force_digest
+        to.running = dict(answer.running)
         if answer.nonce != to.nonce:
             to.stale += 1
             return None
-        sent, to.nonce = to.sent, ""
+        sent = to.sent
+        to.nonce = ""
         if answer.accepted:
             return self.next_for(to)
         to.refused = (answer.number, Reason(answer.reason), answer.detail)
@@ -128,13 +135,15 @@
     def send(self, to: Subscriber, version: Published, whole: bool = False) -> bytes:
         """A message with this version, under a nonce of its own."""
         self._nonces += 1
-        to.nonce, to.sent = f"{version.number}-{self._nonces}", version.number
+        to.nonce = f"{version.number}-{self._nonces}"
+        to.sent = version.number
         message = wire.Version(number=version.number, digest=version.digest, nonce=to.nonce)
         base = self._by_digest.get(to.digest)
         if whole or base is None or base.data is None or version.data is None:
             message.full = version.text
         else:
-            message.delta.base, message.delta.base_digest = base.number, base.digest
+            message.delta.base = base.number
+            message.delta.base_digest = base.digest
             message.delta.changes.extend(write_changes(sexp.differences(base.data, version.data)))
         return bytes(wire.FromControl(version=message).SerializeToString())
 
--- a/magpieshift/control/schema.py
+++ b/magpieshift/control/schema.py
@@ -66,7 +66,8 @@
 def _problem(error: Any, data: Any, lines: Mapping[Path, int]) -> Problem:
     """One of pydantic's errors, in our words."""
     path = tuple(str(part) for part in error["loc"] if part not in ("[key]", "ZoneForm", "list[any]"))
-    where, line = " ".join(path) or "document", _line(path, lines)
+    where = " ".join(path) or "document"
+    line = _line(path, lines)
     if error["type"] == "missing":
         return Problem(where, line, "nothing", "a value: it must be given")
     if error["type"] == "extra_forbidden":
--- a/magpieshift/control/session.py
+++ b/magpieshift/control/session.py
@@ -33,7 +33,8 @@
     """One stream. It says hello first, and answers every message exactly once."""
 
     def __init__(self) -> None:
-        self.received = self.answered = 0
+        self.received = 0
+        self.answered = 0
 
     def hello(
         self, router: str, boot: str, in_force: Record, running: Mapping[str, Running], trouble: str = ""
--- a/magpieshift/control/sexp.py
+++ b/magpieshift/control/sexp.py
@@ -101,14 +101,19 @@
         line = text.count("\n", 0, err.args[0]) + 1
         raise Unusable([Problem(source, line, "deep nesting", f"at most {MOST_DEPTH} levels")]) from None
     except Exception as err:  # also where a text or an escape breaks off, for which sexpdata has no error
-        line, what, wanted = text.count("\n") + 1, "the end of the text", "every bracket and quote closed"
+        line = text.count("\n") + 1
+        what = "the end of the text"
+        wanted = "every bracket and quote closed"
         if isinstance(err, sexpdata.ExpectNothing):
-            line, what, wanted = 0, "a closing bracket too many", "as many as were opened"
+            line = 0
+            what = "a closing bracket too many"
+            wanted = "as many as were opened"
         raise Unusable([Problem(source, line, what, wanted)]) from None
     if len(forms) != 1 or not isinstance(forms[0], list) or not forms[0]:
         raise Unusable([Problem(source, 1, f"{len(forms)} forms", "one form (magpieshift ...)")])
     reader = _Meaning(text, parser.starts, source)
-    head, data = reader.name(forms[0], ()), reader.value(forms[0], ())
+    head = reader.name(forms[0], ())
+    data = reader.value(forms[0], ())
     if head and head != wanted_head:
         reader.wrong(forms[0], (), shown(head), f"({wanted_head} ...)")
     if not isinstance(data, dict):
@@ -122,8 +127,10 @@
     """Lists to data, collecting all that is wrong on the way."""
 
     def __init__(self, text: str, starts: Mapping[int, int], source: str) -> None:
-        self._starts, self._source = starts, source
-        self.problems, self.lines = list[Problem](), dict[Path, int]()
+        self._starts = starts
+        self._source = source
+        self.problems = list[Problem]()
+        self.lines = dict[Path, int]()
         self._ends = [match.start() for match in re.finditer("\n", text)]
 
     def line(self, form: list[Any]) -> int:
@@ -229,7 +236,8 @@
     """The changes that make ``new`` of ``old``, each as deep in the tree as it goes."""
     found = [Change((*above, name), None) for name in old if name not in new]
     for name, value in new.items():
-        path, before = (*above, name), old.get(name)
+        path = (*above, name)
+        before = old.get(name)
         if isinstance(value, Mapping) and isinstance(before, Mapping) and value and before:
             found += differences(before, value, path)
         elif name not in old or not same(before, value):
--- a/magpieshift/control/store.py
+++ b/magpieshift/control/store.py
@@ -28,7 +28,9 @@
 
 log = logging.getLogger(__name__)
 
-FILE, TEMPORARY, LOCK = "versions.log", "versions.new", "lock"
+FILE = "versions.log"
+TEMPORARY = "versions.new"
+LOCK = "lock"
 HEADER = b"magpieshift versions 1\n"
 MARK = b"\xabMV\x01"
 HEAD = struct.Struct("<4sII")
@@ -105,7 +107,11 @@
     if data[: len(HEADER)] != HEADER and len(data) >= len(HEADER):
         raise StoreError(f"{FILE} is of the form {data[: len(HEADER)]!r}, expected {HEADER!r}")
     kept: list[Kept] = []
-    at, end, damaged, lone, last = len(HEADER), min(len(HEADER), len(data)), 0, 0, b""
+    at = len(HEADER)
+    end = min(len(HEADER), len(data))
+    damaged = 0
+    lone = 0
+    last = b""
     while (start := data.find(MARK, at)) >= 0:
         payload = whole(data, start)
         if payload is None:
@@ -115,14 +121,16 @@
             damaged += 1
         at = end = start + HEAD.size + len(payload)
         if payload == last:  # the second copy
-            last, lone = b"", lone - 1
+            last = b""
+            lone = lone - 1
             continue
         try:
             kept.append(_decode(payload))
         except (ValueError, KeyError, TypeError):
             damaged += 1  # sums that fit over what is no record: another program wrote it
             continue
-        last, lone = payload, lone + 1
+        last = payload
+        lone = lone + 1
     return Contents(tuple(kept), damaged, len(data) - end, lone)
 
 
@@ -231,7 +239,8 @@
     def _write(file: int, data: bytes, at: int) -> None:
         while data:
             written = os.pwrite(file, data, at)
-            data, at = data[written:], at + written
+            data = data[written:]
+            at = at + written
 
     def _rewrite(self) -> None:
         """Write what stays to a new file and put that in the old one's place, in one step."""
@@ -248,7 +257,9 @@
             (self._folder / TEMPORARY).unlink(missing_ok=True)
             raise
         os.close(self._file)
-        self._file, self._size, self.kept = new, len(data), keep
+        self._file = new
+        self._size = len(data)
+        self.kept = keep
 
     def close(self) -> None:
         for number in (self._file, self._lock):
--- a/magpieshift/control/version_history.py
+++ b/magpieshift/control/version_history.py
@@ -204,7 +204,8 @@
         """The version to prepare next, if none is being prepared."""
         if self.preparing is not None or self.waiting is None:
             return None
-        self.preparing, self.waiting = self.waiting, None
+        self.preparing = self.waiting
+        self.waiting = None
         return self.preparing
 
     def accept(self, now_us: int) -> tuple[Record, Answer]:
@@ -238,7 +239,8 @@
     def _prepared(self) -> Offer:
         if self.preparing is None:
             raise RuntimeError("no version is being prepared")
-        offer, self.preparing = self.preparing, None
+        offer = self.preparing
+        self.preparing = None
         return offer
 
     def _note(self, answer: Answer, now_us: int) -> None:
--- a/magpieshift/control/version_manager.py
+++ b/magpieshift/control/version_manager.py
@@ -64,11 +64,15 @@
         overrides: Overrides | None = None,
         clock: Clock = now_us,
     ) -> None:
-        self._host, self.versions, self._data, self._store = host, versions, data, store
+        self._host = host
+        self.versions = versions
+        self._data = data
+        self._store = store
         self._store_trouble = (
             store_trouble  # a store was wanted and is not to be had: nothing can be promised
         )
-        self._overrides, self._clock = overrides or Overrides(), clock
+        self._overrides = overrides or Overrides()
+        self._clock = clock
         self._wanted = asyncio.Event()
         self._worker: asyncio.Task[None] | None = None
         self._arrived: dict[tuple[int, str], int] = {}  # of what waits or is prepared: when it came
@@ -81,7 +85,8 @@
     async def stop(self) -> None:
         """Take up nothing more. A version not yet on its way to the disk is turned down; one that is comes to
         its end first."""
-        worker, self._worker = self._worker, None
+        worker = self._worker
+        self._worker = None
         if worker is not None:
             self._wanted.set()
             await worker
--- a/magpieshift/discovery/changes.py
+++ b/magpieshift/discovery/changes.py
@@ -61,10 +61,12 @@
     """Follows the log: each event once, none skipped while it can still be had."""
 
     def __init__(self, names: Names, listener: Listener) -> None:
-        self.names, self._listener = names, listener
+        self.names = names
+        self._listener = listener
         self.last = 0
         self._asked_again_for = 0
-        self._unlogged, self._log_at_once = 0, False
+        self._unlogged = 0
+        self._log_at_once = False
         self._next_line_s = 0.0
 
     def known(self, known: Mapping[str, Any]) -> None:
@@ -106,7 +108,9 @@
 
     def log_all(self) -> bool:
         """Log what was applied since the last line, in one line; whether there was anything."""
-        count, self._unlogged, self._log_at_once = self._unlogged, 0, False
+        count = self._unlogged
+        self._unlogged = 0
+        self._log_at_once = False
         if count:
             log.info("change applied", extra=fields(seq=self.last, count=count))
         return count > 0
@@ -137,7 +141,9 @@
         self._listener.list_changed(kind, int(fleet.get("revision", 0)), members)
 
     def _member(self, raw: Mapping[str, Any]) -> ListedEndpoint:
-        ident, names, phase = str(raw["id"]), self.names, PHASES[raw["phase"]]
+        ident = str(raw["id"])
+        names = self.names
+        phase = PHASES[raw["phase"]]
         if not ident or any(mark in ident for mark in " ,=\r\n"):
             raise ValueError(f"id {ident!r}")
         weight = float(raw.get("size", 1.0))
--- a/magpieshift/discovery/client.py
+++ b/magpieshift/discovery/client.py
@@ -22,14 +22,18 @@
 SILENCE_S = 2.5  # a comment comes every second; with two missing, what we know may be growing old
 CONNECT_S = 1.0
 QUIET_S = 0.15  # after the log's last word: what it had to tell has been told
-PAUSE_S, MOST_PAUSE_S = 0.05, 0.8  # well under the 7 s after which all counts as told
+# well under the 7 s after which all counts as told
+PAUSE_S = 0.05
+MOST_PAUSE_S = 0.8
 
 
 class _Reader(HTTPMessageDelegate):
     """The body of one response, fed to the parser as it comes."""
 
     def __init__(self, feed: ChangeLogClient, stream: IOStream) -> None:
-        self._feed, self._stream, self._parser = feed, stream, SseParser()
+        self._feed = feed
+        self._stream = stream
+        self._parser = SseParser()
         self.good = False
         self._begun: float | None = None  # since when an event is not whole
 
@@ -66,7 +70,8 @@
     part = "feed"
 
     def __init__(self, address: tuple[str, int], changes: ChangeLog, seed: int = 0) -> None:
-        self._address, self.changes = address, changes
+        self._address = address
+        self.changes = changes
         self.pause_s = PAUSE_S  # before it is asked again
         self._draw = random.Random(seed)  # or all routers would come back at once
         self._task: asyncio.Task[None] | None = None
@@ -139,7 +144,8 @@
 
     async def _run(self) -> None:
         while True:
-            begun, last = asyncio.get_running_loop().time(), self.changes.last
+            begun = asyncio.get_running_loop().time()
+            last = self.changes.last
             try:
                 await self._read()
             except (OSError, StreamClosedError, TimeoutError) as err:
--- a/magpieshift/discovery/event_stream.py
+++ b/magpieshift/discovery/event_stream.py
@@ -50,7 +50,8 @@
     def _line(self, line: str) -> ServerEvent | None:
         if not line:
             event = ServerEvent(self._ident, "\n".join(self._data)) if self._data else None
-            self._data, self._ident = [], ""
+            self._data = []
+            self._ident = ""
             return event
         name, _, value = line.partition(":")
         value = value.removeprefix(" ")
--- a/magpieshift/downstream/frames.py
+++ b/magpieshift/downstream/frames.py
@@ -7,7 +7,9 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-LEAST, MOST = 5, 262_144  # what a frame's length may be
+# what a frame's length may be
+LEAST = 5
+MOST = 262_144
 HEAD = struct.Struct("<IBI")
 SIZE = struct.Struct("<I")
 VALUE = struct.Struct("<H")
@@ -99,7 +101,8 @@
 def write_fields(fields: Mapping[str, str]) -> bytes:
     parts = [bytes((len(fields),))]
     for name, value in fields.items():
-        raw, text = name.encode(), value.encode()
+        raw = name.encode()
+        text = value.encode()
         parts += (bytes((len(raw),)), raw, VALUE.pack(len(text)), text)
     return b"".join(parts)
 
--- a/magpieshift/downstream/server.py
+++ b/magpieshift/downstream/server.py
@@ -35,13 +35,16 @@
     """One client: owner of its socket, of its session and of the bytes held for it."""
 
     def __init__(self, server: DownstreamServer, stream: LingeringStream) -> None:
-        self._server, self._stream = server, stream
+        self._server = server
+        self._stream = stream
         self._session = Session(server.classes)
         self._ops: dict[int, int] = {}  # open stream: the engine's number
         self._held: dict[int, None] = {}  # of those, the ones that wait for it to take its answers
         self._unsent = 0
         self._read: asyncio.Future[bytes] | None = None
-        self._ended = self._leaving = self._told_unusable = False
+        self._ended = False
+        self._leaving = False
+        self._told_unusable = False
         self.held = 0
         self._owes_since_us: int | None = server.clock.now_us()  # since when a whole frame is to come
         self.heard_us = self._moved_us = server.clock.now_us()
@@ -131,7 +134,8 @@
             self._settle()
 
     def _on(self, event: Asked | Unusable | Abandoned | ReadyAsked) -> None:
-        engine, stream = self._server.engine, event.stream
+        engine = self._server.engine
+        stream = event.stream
         match event:
             case Asked() if self._server.turning_away:  # told, and asking on: answered at once
                 self._write(self._session.answer(stream, engine.draining_response()))
@@ -186,7 +190,8 @@
         whether we are ready may go on asking."""
         if self.busy or not self._session.told_no_more:
             return False
-        turning_away, cutting = self._server.lifecycle.turning_away, self._server.lifecycle.cutting
+        turning_away = self._server.lifecycle.turning_away
+        cutting = self._server.lifecycle.cutting
         asks_only = self._session.requests == 0
         quiet = self.heard_us < quiet_since_us
         if self._session.pending:
@@ -229,7 +234,8 @@
     def _account(self) -> None:
         """Tell the server how much is held for this client: what it has not taken, and a frame in part."""
         held = 0 if self._ended else self._unsent + self._session.pending
-        change, self.held = held - self.held, held
+        change = held - self.held
+        self.held = held
         self._server.account(change)
 
     def _end(self) -> None:
@@ -261,13 +267,16 @@
         most_held: int,
         lifecycle: Lifecycle,
     ) -> None:
-        self.engine, self.clock, self.classes = engine, clock, classes
+        self.engine = engine
+        self.clock = clock
+        self.classes = classes
         self.lifecycle = lifecycle
         self.held = 0  # bytes held for all clients
         self.relieved: Callable[[ClientRequest], bool] | None = (
             None  # whether a request is a neighbour's to take
         )
-        self.most_held, self.most_connections = most_held, most_connections
+        self.most_held = most_held
+        self.most_connections = most_connections
         self._connections: set[Connection] = set()
         self._listener: Listener | None = None
         self._closing = LingeringClose()
@@ -339,7 +348,8 @@
 
     def stop_listening(self) -> None:
         """Listen no more; what waits in the listener's queue is taken first."""
-        listener, self._listener = self._listener, None
+        listener = self._listener
+        self._listener = None
         if listener is not None:
             listener.close()
 
--- a/magpieshift/engine/engine.py
+++ b/magpieshift/engine/engine.py
@@ -137,11 +137,15 @@
         patience_us: int,
         look: Callable[[], None],
     ) -> None:
-        self.op, self.call, self.taken_us, self.deadline_us = op, call, taken_us, taken_us + patience_us
+        self.op = op
+        self.call = call
+        self.taken_us = taken_us
+        self.deadline_us = taken_us + patience_us
         self.cls = cls  # the figures it was taken under, whatever comes into force while it is open
         self.reply: Reply | None = reply  # None once the final answer is given, or nobody waits for it
         self.out: list[_Attempt] = []  # two at most, and that only where a copy is allowed
-        self.legs, self.look = 0, look
+        self.legs = 0
+        self.look = look
         self.owns_ident = False
         self.ran: tuple[int, ListedEndpoint] | None = (
             None  # when the first that may have run began, and where
@@ -162,8 +166,13 @@
         sent_us: int,
         member: ListedEndpoint | None,
     ) -> None:
-        self.request, self.number, self.store, self.sent_us = request, number, store, sent_us
-        self.source, self.member = source, member  # as listed when it began
+        self.request = request
+        self.number = number
+        self.store = store
+        self.sent_us = sent_us
+        # as listed when it began
+        self.source = source
+        self.member = member
         self.exchange: UpstreamExchange | None = None
         self.timer: Handle | None = None
 
@@ -182,11 +191,13 @@
         most_held: int = 32 << 20,
         names: Names = NO_NAMES,
     ) -> None:
-        self._settings, self._clock, self._back, self.max_body_bytes = settings, clock, back, most_held
-        self._told, self.sibling_processes = (
-            settings,
-            0,
-        )  # as the document says; other processes of this router
+        self._settings = settings
+        self._clock = clock
+        self._back = back
+        self.max_body_bytes = most_held
+        # as the document says; other processes of this router
+        self._told = settings
+        self.sibling_processes = 0
         self._divisors: tuple[int, int] | None = None  # in place of the document's routers: all, own zone
         self.refresh_quota: Callable[[], None] | None = (
             None  # asked before each batch: a share may have run out
@@ -203,7 +214,8 @@
         self._idents: set[str] = set()  # of open requests
         self._events: list[Event] = []
         self._flush_due = False
-        self._last_op = self._module_us = 0
+        self._last_op = 0
+        self._module_us = 0
         self.policy_observer: PolicyObserver | None = None
         self.request_observer: RequestObserver | None = None
         self.copy_age_limit: Callable[[], int] | None = None
@@ -253,7 +265,8 @@
         request = self._requests.get(op)
         if request is None or request.reply is None:
             return
-        call, left_us = request.call, request.deadline_us - self._clock.now_us()
+        call = request.call
+        left_us = request.deadline_us - self._clock.now_us()
         self._post(
             RequestReceived(
                 op,
@@ -311,7 +324,8 @@
 
         def commit() -> None:
             self.flush()  # what has happened until now happened under the old settings
-            self._plan, self._names = classes, new.names
+            self._plan = classes
+            self._names = new.names
             self._run_on(settings, classes.fresh)
             self.classes.clear()
             self.classes.update(classes.numbers)
@@ -435,7 +449,8 @@
         """Hand the module what has happened, and do what it says."""
         self._flush_due = False
         # what is taken back before the module heard of it needs no decision; some do it by the hundreds
-        events, self._events = [e for e in self._events if not self._taken_back(e)], []
+        events = [e for e in self._events if not self._taken_back(e)]
+        self._events = []
         if not events:
             return
         if self.refresh_quota is not None:
@@ -533,7 +548,8 @@
     def _attempt(
         self, op: int, store: int, timeout_us: int, source: int, keep: int, age_us: int, mode: int
     ) -> None:
-        request, now = self._requests.get(op), self._clock.now_us()
+        request = self._requests.get(op)
+        now = self._clock.now_us()
         if request is None:
             log.error("attempt for an unknown request", extra=fields(op=op))
             return
@@ -552,13 +568,16 @@
                 "unlawful attempt", extra=fields(id=request.call.request_id, outcome=unsent.name.lower())
             )
             return self._settle(attempt, AttemptResult(unsent))
-        target, supplier = self._members[store], self._members[source]
+        target = self._members[store]
+        supplier = self._members[source]
         if target.endpoint.kind == self._settings.parent_kind:
             keep = 0  # parents know no ranks
-        by, deadline = (supplier if source != store else None), now + timeout_us
+        by = supplier if source != store else None
+        deadline = now + timeout_us
         attempt.timer = self._clock.after(timeout_us, lambda: self._give_up(attempt, Outcome.TIMEOUT))
         once = request.cls.idempotency != Idempotency.IDEMPOTENT
-        barred, oldest = partial(self._barred_by_now, attempt), None
+        barred = partial(self._barred_by_now, attempt)
+        oldest = None
         if self.copy_age_limit is not None and not request.cls.is_write:
             age_us = self._oldest_copy(request.cls, age_us)
             oldest = partial(self._oldest_copy, request.cls, age_us)
@@ -609,7 +628,8 @@
         late = self._clock.now_us() + self._settings.tick_us >= begun_us + cls.deduplication_us
         if cls.idempotency != Idempotency.WITH_KEY or late:
             return False
-        entry, again = first.endpoint, self._members[store].endpoint
+        entry = first.endpoint
+        again = self._members[store].endpoint
         alike = {
             DeduplicationScope.ZONE: entry.zone == again.zone,
             DeduplicationScope.CELL: entry.cell == again.cell,
@@ -633,7 +653,8 @@
         request.out.remove(attempt)
         if attempt.timer is not None:
             attempt.timer.cancel()
-        attempt.exchange = attempt.timer = None
+        attempt.exchange = None
+        attempt.timer = None
         if self.request_observer is not None:
             ends = (self._members.get(attempt.store), self._members.get(attempt.source))
             origin = any(m is not None and m.endpoint.kind == self._settings.origin_kind for m in ends)
@@ -697,7 +718,8 @@
 
     def _close(self, request: _Open, answer: Response | None) -> None:
         """The one place where a request ends, with its final answer or because nobody waits for one."""
-        reply, request.reply = request.reply, None
+        reply = request.reply
+        request.reply = None
         self.open_requests -= 1
         if request.owns_ident:
             self._idents.discard(request.call.request_id)
--- a/magpieshift/engine/numbers.py
+++ b/magpieshift/engine/numbers.py
@@ -36,10 +36,12 @@
 
 def aligned(old: Document, new: Document) -> Document:
     """``new`` with its zones and kinds numbered as the running ``old`` has them."""
-    zones, kinds = keep(old.names.zones, new.names.zones), keep(old.names.kinds, new.names.kinds)
+    zones = keep(old.names.zones, new.names.zones)
+    kinds = keep(old.names.kinds, new.names.kinds)
     if (zones, kinds) == (new.names.zones, new.names.kinds):
         return new
-    s, names = new.settings, new.names
+    s = new.settings
+    names = new.names
     at = [names.zones.index(name) if name else -1 for name in zones]  # by kept number, that in the document
 
     def number(zone: int) -> int:
--- a/magpieshift/extensions/counters.py
+++ b/magpieshift/extensions/counters.py
@@ -33,7 +33,12 @@
     __slots__ = ("asked", "failed", "late", "latency", "left", "refused", "served")
 
     def __init__(self) -> None:
-        self.asked = self.served = self.late = self.refused = self.failed = self.left = 0
+        self.asked = 0
+        self.served = 0
+        self.late = 0
+        self.refused = 0
+        self.failed = 0
+        self.left = 0
         self.latency = HdrHistogram(1, MOST_US, 2)  # microseconds of answers served; mergeable
 
     def plain(self) -> dict[str, object]:
@@ -47,9 +52,13 @@
     name = "figures"
 
     def __init__(self, router: EdgeRouter, label: str) -> None:
-        self._router, self._label = router, label
+        self._router = router
+        self._label = label
         self._classes: dict[str, ClassCounters] = {}
-        self._attempts = self._fills = self._origin = self._errors = 0
+        self._attempts = 0
+        self._fills = 0
+        self._origin = 0
+        self._errors = 0
         self._incarnation = f"{time.time_ns() // 1_000_000}.{os.getpid()}"
         self._began_us = clock.source.steady_us()
         router.engine.request_observer = self
@@ -99,7 +108,9 @@
             pages = int(Path("/proc/self/statm").read_text().split()[1])
             descriptors = len(os.listdir("/proc/self/fd"))
         except (OSError, IndexError, ValueError):
-            pages = descriptors = 0  # not this system's way of telling: such figures are not compared
+            # not this system's way of telling: such figures are not compared
+            pages = 0
+            descriptors = 0
         return json.dumps(
             {
                 "name": self._router.document.name,
--- a/magpieshift/extensions/fencing.py
+++ b/magpieshift/extensions/fencing.py
@@ -50,7 +50,8 @@
 
     def __init__(self, router: EdgeRouter, term: int) -> None:
         """``ConfigError`` where the term that starts this process is over."""
-        self._router, self._fence = router, FencingTermFile(router.document.listen)
+        self._router = router
+        self._fence = FencingTermFile(router.document.listen)
         try:
             latest = self._fence.pass_on(max(term, 0))
         except OSError as err:
--- a/magpieshift/extensions/membership.py
+++ b/magpieshift/extensions/membership.py
@@ -37,8 +37,10 @@
     name = "members"
 
     def __init__(self, router: EdgeRouter, settings: MembershipSettings, seed: int) -> None:
-        self._router, self._settings = router, settings
-        document, rand = router.document, random.Random(seed ^ clock.source.unix_us())
+        self._router = router
+        self._settings = settings
+        document = router.document
+        rand = random.Random(seed ^ clock.source.unix_us())
         own = Member(
             document.name,
             *settings.advertise,
@@ -78,7 +80,8 @@
 
     async def _open(self) -> None:
         """Bind and join. While this process replaces another, that one still has the address."""
-        where, told = "{}:{}".format(*self._settings.listen), False
+        where = "{}:{}".format(*self._settings.listen)
+        told = False
         while True:
             try:
                 bound = await self._driver.open(self._settings.listen)
@@ -179,7 +182,8 @@
 
     def _members(self) -> str:
         """The view as one line of JSON."""
-        view, now = self._detector.view, steady_us()
+        view = self._detector.view
+        now = steady_us()
         rows = sorted(view.known.values(), key=lambda known: (not known.here, known.member.name))
         return json.dumps(
             {
--- a/magpieshift/extensions/overload_gossip.py
+++ b/magpieshift/extensions/overload_gossip.py
@@ -26,7 +26,8 @@
 
 TOPIC = "overload"
 LATE_US = 100_000  # turns that come so late on the mean are all that a processor can bear
-LATE_SMOOTH, RATE_SMOOTH = 0.2, 0.2
+LATE_SMOOTH = 0.2
+RATE_SMOOTH = 0.2
 
 
 class OverloadGossip(BaseExtension):
@@ -36,12 +37,14 @@
     name = "talk"
 
     def __init__(self, router: EdgeRouter, membership: Membership, seed: int, hand_over: bool) -> None:
-        self._router, self._membership = router, membership
+        self._router = router
+        self._membership = membership
         rand = random.Random(seed ^ clock.source.unix_us() ^ 1)
         self._talker = Gossip(router.document.name, rand, steady_us())
         self._hand_over = hand_over
         self._called_us = self._turned_us = steady_us()
-        self._late_us = self._rate = 0.0
+        self._late_us = 0.0
+        self._rate = 0.0
         self._taken = 0
         self._left: set[int] = set()
         self.malformed = 0
@@ -75,7 +78,8 @@
     def _turn(self) -> None:
         """Called at the end of each of membership's turns."""
         now = steady_us()
-        late, self._called_us = max(0, now - self._called_us - MEMBERS_TURN_US), now
+        late = max(0, now - self._called_us - MEMBERS_TURN_US)
+        self._called_us = now
         self._late_us += LATE_SMOOTH * (late - self._late_us)
         since = now - self._turned_us
         if since < TURN_US:
@@ -131,7 +135,8 @@
 
     def _line(self) -> str:
         """What is said and done, as one line of JSON."""
-        now, talker = steady_us(), self._talker
+        now = steady_us()
+        talker = self._talker
         return json.dumps(
             {
                 "pressure": round(self._pressure(), 3),
--- a/magpieshift/extensions/relay_subscription.py
+++ b/magpieshift/extensions/relay_subscription.py
@@ -39,7 +39,8 @@
         selection: Selection,
         offer: Callable[[ConfigurationChange], None],
     ) -> None:
-        self._router, self._offer = router, offer
+        self._router = router
+        self._offer = offer
         self.client = RelayClient(follower, selection, self)
 
     # --- as the router's source of changes
@@ -109,7 +110,8 @@
     def __init__(
         self, router: EdgeRouter, manager: VersionManager, relays: Sequence[Relay], region: str, name: str
     ) -> None:
-        self._manager, self._lifecycle = manager, router.lifecycle
+        self._manager = manager
+        self._lifecycle = router.lifecycle
         self._follower = Follower(name, secrets.token_hex(4))
         self._follower.configuration = manager.in_force.digest
         selection = Selection(rank(name, region, relays), random.Random())
@@ -132,7 +134,8 @@
 
     def _line(self) -> str:
         """Where the router stands, for operators."""
-        follower, now_us = self._follower, clock.source.steady_us()
+        follower = self._follower
+        now_us = clock.source.steady_us()
         return json.dumps(
             {
                 "relay": self._changes.client.relay.address,
@@ -149,7 +152,8 @@
     def _went(self, state: State) -> None:
         """Versions come into force once the router serves."""
         if state == State.SERVING and self._early is not None:
-            early, self._early = self._early, None
+            early = self._early
+            self._early = None
             for change in early:
                 self._offer(change)
 
@@ -172,12 +176,14 @@
             return
         if answer.accepted:
             if answer.offer.number >= follower.refused:
-                follower.refused, follower.refusal = 0, ""
+                follower.refused = 0
+                follower.refusal = ""
         elif answer.reason is not Reason.SUPERSEDED:
             why = f"{answer.reason.name.lower()}: {answer.detail}"
             self._refuse(answer.offer.number, why, answer.want_full)
 
     def _refuse(self, number: int, why: str, want_whole: bool) -> None:
         follower = self._follower
-        follower.refused, follower.refusal = number, why[:MOST_REFUSAL]
+        follower.refused = number
+        follower.refusal = why[:MOST_REFUSAL]
         follower.want_whole = follower.want_whole or want_whole
--- a/magpieshift/lab/capacity/arithmetic.py
+++ b/magpieshift/lab/capacity/arithmetic.py
@@ -41,10 +41,8 @@
 
 def _carried(name: str, result: Result) -> str:
     """What one process carries by one result; empty where that did not measure it."""
-    requests, answers = (
-        find(result, "router: requests", "processor"),
-        find(result, "router: bytes of an answer", "processor"),
-    )
+    requests = find(result, "router: requests", "processor")
+    answers = find(result, "router: bytes of an answer", "processor")
     if requests is None or answers is None or not requests.at_target or answers.slope is None:
         return ""
     request_us = 1e4 * requests.at_target / requests.target
@@ -108,7 +106,8 @@
 
 def _of_routers(results: Results) -> list[Failure]:
     requests = _newest(results, "router: requests", "processor")
-    site, zone = ROUTERS_PER_SITE, fleet.ROUTERS_PER_ZONE
+    site = ROUTERS_PER_SITE
+    zone = fleet.ROUTERS_PER_ZONE
     return [
         Failure(
             "a router's machine (7 a day)",
@@ -169,7 +168,8 @@
     read = _newest(results, "fan-out: snapshot", "read")
     if relay is None or whole is None or read is None:
         return []
-    lease_s, silence_s = LEASE_US / 1e6, SILENCE_US / 1e6
+    lease_s = LEASE_US / 1e6
+    silence_s = SILENCE_US / 1e6
     region = fleet.ROUTERS // fleet.REGIONS
     others = fleet.CONTROL_MACHINES - 2
     bounded = f"without a lease of {lease_s:g} s a router takes only copies younger than that"
--- a/magpieshift/lab/capacity/fit.py
+++ b/magpieshift/lab/capacity/fit.py
@@ -89,12 +89,15 @@
     """Weighted least squares with both parameters at least zero."""
     weights = 1.0 / np.maximum(np.abs(costs), 1e-3 * np.abs(costs).max())
     target = costs * weights
-    constant, growth = weights, sizes**exponent * weights
+    constant = weights
+    growth = sizes**exponent * weights
     (intercept, slope), *_ = np.linalg.lstsq(np.column_stack([constant, growth]), target, rcond=None)
     if intercept < 0:
-        intercept, slope = 0.0, max(0.0, float(growth @ target) / float(growth @ growth))
+        intercept = 0.0
+        slope = max(0.0, float(growth @ target) / float(growth @ growth))
     elif slope < 0:
-        intercept, slope = max(0.0, float(constant @ target) / float(constant @ constant)), 0.0
+        intercept = max(0.0, float(constant @ target) / float(constant @ constant))
+        slope = 0.0
     left = target - intercept * constant - slope * growth
     return _Law(float(intercept), float(slope), float(left @ left))
 
--- a/magpieshift/lab/capacity/log_process.py
+++ b/magpieshift/lab/capacity/log_process.py
@@ -19,7 +19,8 @@
 async def tell_purges(log: peers.Log, rate: float) -> None:
     """Tell purges of objects drawn from all ids at an even rate, for ever."""
     draw = random.Random(SEED)
-    begun, told = time.monotonic(), 0
+    begun = time.monotonic()
+    told = 0
     while True:
         told += 1
         await asyncio.sleep(max(0.0, begun + told / rate - time.monotonic()))
--- a/magpieshift/lab/capacity/measure.py
+++ b/magpieshift/lab/capacity/measure.py
@@ -18,10 +18,14 @@
 """Nothing is extrapolated to more than this many times the largest size measured: the prediction that a fit
 has to pass reaches over a factor of two, and an error of a quarter in it is one of four times over six such
 steps."""
-MEASURED, FITTED, SIMULATED = "measured", "fitted", "simulated"
+MEASURED = "measured"
+FITTED = "fitted"
+SIMULATED = "simulated"
 UNMEASURED = "unmeasured at target"
 
-FULL_S, QUICK_S = 1.5, 0.4  # for which a started process is watched
+# for which a started process is watched
+FULL_S = 1.5
+QUICK_S = 0.4
 AT_ONCE = 3  # measurements of a trial
 
 Progress = Callable[[str], None]
--- a/magpieshift/lab/capacity/roles/changelog.py
+++ b/magpieshift/lab/capacity/roles/changelog.py
@@ -88,16 +88,20 @@
     async def _measure(self, watches: int, for_s: float) -> Sample:
         loop = asyncio.get_running_loop()
         async with log_process(fleet.PURGES_PER_S) as log:
-            watchers, transports = [], []
+            watchers = []
+            transports = []
             for _ in range(watches):
                 transport, watcher = await loop.create_connection(Watcher, "127.0.0.1", log.port)
                 watchers.append(watcher)
                 transports.append(transport)
             await asyncio.sleep(SETTLE_S)
-            spent, received, begun = processor_s(log.pid), _received(watchers), time.monotonic()
+            spent = processor_s(log.pid)
+            received = _received(watchers)
+            begun = time.monotonic()
             await asyncio.sleep(for_s)
             took_s = time.monotonic() - begun
-            spent, received = processor_s(log.pid) - spent, _received(watchers) - received
+            spent = processor_s(log.pid) - spent
+            received = _received(watchers) - received
             memory = resident_mb(log.pid)
             for transport in transports:
                 transport.close()
--- a/magpieshift/lab/capacity/roles/control.py
+++ b/magpieshift/lab/capacity/roles/control.py
@@ -137,7 +137,8 @@
                 try:
                     await self._all_have(followers, 1)
                     idle_s = await self._idle(pid, for_s)
-                    spent, received = processor_s(pid), sum(f.received for f in followers)
+                    spent = processor_s(pid)
+                    received = sum(f.received for f in followers)
                     for number in range(2, 2 + VERSIONS):
                         write_version(folder, number)
                         await self._all_have(followers, number)
--- a/magpieshift/lab/capacity/roles/digests.py
+++ b/magpieshift/lab/capacity/roles/digests.py
@@ -40,14 +40,16 @@
         talkers = {
             name: Gossip(name, random.Random(draw.getrandbits(64))) for name in draw.sample(here, TALKERS)
         }
-        sent = sent_bytes = 0
+        sent = 0
+        sent_bytes = 0
         with spending() as spent:
             for turn in range(1, TURNS + 1):
                 for talker in talkers.values():
                     seen = self._seen(draw)
                     for name, digest in talker.turn(turn * TURN_US, seen, here).sends:
                         data = encode(digest)
-                        sent, sent_bytes = sent + 1, sent_bytes + len(data)
+                        sent = sent + 1
+                        sent_bytes = sent_bytes + len(data)
                         hears = talkers.get(name) or draw.choice(list(talkers.values()))
                         hears.receive(turn * TURN_US, talker.own, decode(data), mate=True)
         return Sample(
--- a/magpieshift/lab/capacity/roles/membership.py
+++ b/magpieshift/lab/capacity/roles/membership.py
@@ -40,7 +40,8 @@
         members = int(size)
         network = grown(Form(members), seed)
         network.size = carried
-        network.sent = network.bytes = 0
+        network.sent = 0
+        network.bytes = 0
         with spending() as spent:
             network.run(network.now_us + FOR_S * SECOND)
         member_seconds = members * FOR_S
--- a/magpieshift/lab/capacity/roles/purges.py
+++ b/magpieshift/lab/capacity/roles/purges.py
@@ -29,7 +29,8 @@
 
 async def tell(world: CountedWorld, rate: float, draw: random.Random, for_s: float) -> None:
     """Tell purges at this rate, each by itself, for about so long: a whole number of them."""
-    begun, count = time.monotonic(), max(1, round(rate * for_s))
+    begun = time.monotonic()
+    count = max(1, round(rate * for_s))
     for number in range(1, count + 1):
         await asyncio.sleep(max(0.0, begun + number / rate - time.monotonic()))
         world.purge(draw, time.time())
--- a/magpieshift/lab/capacity/roles/relays.py
+++ b/magpieshift/lab/capacity/roles/relays.py
@@ -38,7 +38,8 @@
 
     def __init__(self, name: str) -> None:
         self._machine = Follower(name, "lab")
-        self.received = self.sent = 0
+        self.received = 0
+        self.sent = 0
         self.current = asyncio.Event()
 
     async def follow(self, port: int) -> None:
@@ -157,7 +158,8 @@
 async def cost_of_followers(measured: Node, count: int, for_s: float) -> Sample:
     """What a node spends on followers, at the rate at which its log tells."""
     async with following(measured.port, count) as followers:
-        spent, begun = processor_s(measured.pid), time.monotonic()
+        spent = processor_s(measured.pid)
+        begun = time.monotonic()
         received = sum(follower.received for follower in followers)
         sent = sum(follower.sent for follower in followers)
         await asyncio.sleep(for_s)
--- a/magpieshift/lab/capacity/roles/requests.py
+++ b/magpieshift/lab/capacity/roles/requests.py
@@ -21,9 +21,11 @@
     clients = [peers.Client(router.world.port, random.Random(seed + n), lambda: True) for n in range(CLIENTS)]
     loads = [asyncio.ensure_future(client.run(rate / CLIENTS, lambda: ["picture"])) for client in clients]
     await asyncio.sleep(SETTLE_S)
-    begun, sent = router.read(), sum(client.sent for client in clients)
+    begun = router.read()
+    sent = sum(client.sent for client in clients)
     await asyncio.sleep(for_s)
-    ended, sent = router.read(), sum(client.sent for client in clients) - sent
+    ended = router.read()
+    sent = sum(client.sent for client in clients) - sent
     for client in clients:
         client.settle()
     await asyncio.gather(*loads)
--- a/magpieshift/lab/capacity/routers.py
+++ b/magpieshift/lab/capacity/routers.py
@@ -42,7 +42,8 @@
     """A stream writer that adds what is written to a log's count."""
 
     def __init__(self, writer: asyncio.StreamWriter, log: CountingLog) -> None:
-        self._writer, self._log = writer, log
+        self._writer = writer
+        self._log = log
 
     def write(self, data: bytes) -> None:
         self._log.written += len(data)
@@ -83,7 +84,9 @@
     """A router that serves, and its world."""
 
     def __init__(self, world: CountedWorld, pid: int, log: Path) -> None:
-        self.world, self.pid, self._log = world, pid, log
+        self.world = world
+        self.pid = pid
+        self._log = log
 
     def read(self) -> Reading:
         """The counts now."""
--- a/magpieshift/lab/emulators/emulated.py
+++ b/magpieshift/lab/emulators/emulated.py
@@ -74,13 +74,16 @@
     """Owner of the stores of one installation. ``tell`` is given each event of the change log, in order."""
 
     def __init__(self, boxes: int, hubs: int, rules: Rules, rand: random.Random, tell: Tell) -> None:
-        self.rules, self._random, self._tell = rules, rand, tell
+        self.rules = rules
+        self._random = rand
+        self._tell = tell
         self.places: dict[str, Store] = {}
         self._wanted = places(boxes, hubs)
         self._told: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
         self._telling: asyncio.Task[None] | None = None
         self._late_until = 0.0
-        self._revision = self._births = 0
+        self._revision = 0
+        self._births = 0
 
     # --- beginning and end
 
--- a/magpieshift/lab/emulators/emulator.py
+++ b/magpieshift/lab/emulators/emulator.py
@@ -20,7 +20,8 @@
 
 Part = tuple[str, str]
 SLACK_S = 0.05  # the protocol page's allowance on sockets
-DRAIN_S, PURGE_S = 0.25, 0.5
+DRAIN_S = 0.25
+PURGE_S = 0.5
 
 
 @dataclass(frozen=True)
@@ -54,7 +55,9 @@
         knew: Callable[[str, float], float] = lambda ident, told: told,
         copies: Collection[str] = (),
     ) -> None:
-        self.slack_s, self.knew, self.copies = slack_s, knew, copies
+        self.slack_s = slack_s
+        self.knew = knew
+        self.copies = copies
         self._out: dict[str, list[str]] = {}  # where each request has an attempt out
         self.attempts = 0
         self.broken: dict[str, int] = {}
@@ -117,8 +120,13 @@
     def __init__(
         self, ident: str, zone: str, kind: str, cell: int, figures: Figures, rules: Rules, rand: random.Random
     ) -> None:
-        self.ident, self.zone, self.kind, self.cell = ident, zone, kind, cell
-        self.figures, self._rules, self._random = figures, rules, rand
+        self.ident = ident
+        self.zone = zone
+        self.kind = kind
+        self.cell = cell
+        self.figures = figures
+        self._rules = rules
+        self._random = rand
         self.sources: Mapping[str, Store] = {}  # by id, those that a fill may name
         self.port = 0
         self.up_since_ms = 0
@@ -127,7 +135,9 @@
         self.errs = 0.0  # a failure: this share is answered with an error
         self.paused = asyncio.Event()
         self.paused.set()
-        self.hits = self.fills = self.asked = 0
+        self.hits = 0
+        self.fills = 0
+        self.asked = 0
         self._held: OrderedDict[Part, int] = OrderedDict()  # when minted, in Unix ms
         self._slots = asyncio.Semaphore(figures.slots)
         self._link_free = 0.0
@@ -182,7 +192,8 @@
             while line := await reader.readline():
                 words = line.decode().split()
                 if words[0] == "ASK":
-                    fields, size = lines.read_fields(words[2]), int(words[3])
+                    fields = lines.read_fields(words[2])
+                    size = int(words[3])
                     await (reader.readexactly(size + 2) if size else reader.readline())
                     task = asyncio.ensure_future(self._answer(words[1], fields, writer))
                     open_[words[1]] = task
@@ -204,7 +215,8 @@
         if age >= self.figures.cold_s:
             self._lately.clear()
             return
-        now, figures = time.monotonic(), self.figures
+        now = time.monotonic()
+        figures = self.figures
         self._lately.append(now)
         while self._lately[0] < now - 1.0:
             self._lately.popleft()
--- a/magpieshift/lab/emulators/load.py
+++ b/magpieshift/lab/emulators/load.py
@@ -140,7 +140,8 @@
     ``crossed_s``: how long before its connection's end a request was written at most to be sent again."""
 
     def __init__(self, port: int, crossed_s: float = CROSSED_S) -> None:
-        self._port, self._crossed_s = port, crossed_s
+        self._port = port
+        self._crossed_s = crossed_s
         self._link: _Link | None = None
         self._links: list[_Link] = []  # all that are not over
         self._connecting = asyncio.Lock()
@@ -197,9 +198,14 @@
         crossed_s: float = CROSSED_S,
         elsewhere: Sequence[int] = (),
     ) -> None:
-        self._rate, self._objects, self._served = rate, objects, served
-        self._mark, self._excused, self._settled = mark, excused, False
-        self._draw, self._random = np.random.default_rng(seed), random.Random(seed)
+        self._rate = rate
+        self._objects = objects
+        self._served = served
+        self._mark = mark
+        self._excused = excused
+        self._settled = False
+        self._draw = np.random.default_rng(seed)
+        self._random = random.Random(seed)
         self._connections = [Connection(port, crossed_s) for _ in range(8)]
         self._elsewhere = [Connection(other, crossed_s) for other in elsewhere]
         self._sessions: set[asyncio.Task[None]] = set()
@@ -268,7 +274,8 @@
                 self.retries += 1
                 if self._elsewhere:  # as a front does
                     connection = self._random.choice(self._elsewhere)
-            began, sent = time.monotonic(), time.time()
+            began = time.monotonic()
+            sent = time.time()
             for counts in self._slice():
                 counts.sent += 1
             body = b"" if name == "picture" else b"eggs"
--- a/magpieshift/lab/emulators/peers.py
+++ b/magpieshift/lab/emulators/peers.py
@@ -48,7 +48,10 @@
     """A cache or an origin: it answers what it holds, and keeps what it was asked to fill."""
 
     def __init__(self, ident: str, watch: Watch, delay_s: float = 0.004, holds_all: bool = False) -> None:
-        self.ident, self._watch, self.delay_s, self._holds_all = ident, watch, delay_s, holds_all
+        self.ident = ident
+        self._watch = watch
+        self.delay_s = delay_s
+        self._holds_all = holds_all
         self._held: set[tuple[str, str]] = set()
         self.body = BODY  # of every answer
         self._server: asyncio.Server | None = None
@@ -69,7 +72,8 @@
             while line := await reader.readline():
                 words = line.decode().split()
                 if words[0] == "ASK":
-                    fields, size = lines.read_fields(words[2]), int(words[3])
+                    fields = lines.read_fields(words[2])
+                    size = int(words[3])
                     if size:
                         await reader.readexactly(size + len(lines.END))
                     else:
@@ -167,11 +171,18 @@
     ``cut``."""
 
     def __init__(self, port: int, rand: random.Random, alive: Callable[[], bool]) -> None:
-        self._port, self._random, self._alive = port, rand, alive
+        self._port = port
+        self._random = rand
+        self._alive = alive
         self._open: dict[int, float] = {}  # stream: when its time is over
         self._writer: asyncio.StreamWriter | None = None
-        self.sent = self.served = self.refused = self.failed = 0
-        self.lost = self.cut = self.doubles = 0
+        self.sent = 0
+        self.served = 0
+        self.refused = 0
+        self.failed = 0
+        self.lost = 0
+        self.cut = 0
+        self.doubles = 0
         self._settled = asyncio.Event()
 
     async def run(self, rate: float, classes: Callable[[], list[str]]) -> None:
--- a/magpieshift/lab/experiments/admin_client.py
+++ b/magpieshift/lab/experiments/admin_client.py
@@ -35,7 +35,8 @@
 
 async def measure(calls: int, rate: float) -> dict[str, Any]:
     """One router under load; a row."""
-    world, port = World(), peers.free_port()
+    world = World()
+    port = peers.free_port()
     await world.start()
     here = os.path.dirname(os.path.dirname(os.path.dirname(__file__)))
     variant = Variant("this", here, environment={"EDGE_CONSOLE": f"127.0.0.1:{port}"})
--- a/magpieshift/lab/experiments/apply.py
+++ b/magpieshift/lab/experiments/apply.py
@@ -77,12 +77,14 @@
 
 async def measure(members: int, rounds: int) -> Figures:
     """Apply ``rounds`` versions of each kind beside a list of ``members`` stores."""
-    figures, world = Figures(), World()
+    figures = Figures()
+    world = World()
     await world.start(members)
     with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as folder:
         start = world.write_settings(Path(folder))
         installation = Installation(Options(str(start), os.path.join(folder, "state")))
-        router, manager = installation.router, installation.manager
+        router = installation.router
+        manager = installation.manager
         router.start()
         manager.start()
         engine = router.engine
@@ -100,7 +102,8 @@
                 figures.late_us[kind].record_value(max(1, int(1e6 * (time.perf_counter() - due))))
 
         sys.setswitchinterval(SWITCH_S)
-        data, offers = world.settings(), list[tuple[str, Offer]]()
+        data = world.settings()
+        offers = list[tuple[str, Offer]]()
         for number in range(
             1, rounds * len(KINDS) + 1
         ):  # all made before: only the router's work is measured
--- a/magpieshift/lab/experiments/cost.py
+++ b/magpieshift/lab/experiments/cost.py
@@ -183,7 +183,8 @@
 async def started(variant: Variant, world: World) -> AsyncIterator[tuple[asyncio.subprocess.Process, Path]]:
     """A router's process that serves, and its log; ``RuntimeError`` where it does not come up."""
     with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as folder:
-        config, log = Path(folder) / "config.json", Path(folder) / "log"
+        config = Path(folder) / "config.json"
+        log = Path(folder) / "log"
         config.write_text(json.dumps(platform_json(world)))
         environment = os.environ | {"EDGE_CONFIG": str(config)} | dict(variant.environment or {})
         with log.open("wb") as file:
@@ -218,10 +219,12 @@
             clients = [peers.Client(world.port, random.Random(seed + i), lambda: True) for i in range(4)]
             loads = [asyncio.ensure_future(c.run(rate / len(clients), lambda: ["picture"])) for c in clients]
             await asyncio.sleep(0.5)
-            before, sent = _spent(process.pid), sum(c.sent for c in clients)
+            before = _spent(process.pid)
+            sent = sum(c.sent for c in clients)
             while sum(c.sent for c in clients) - sent < requests:
                 await asyncio.sleep(0.02)
-            spent, done = _spent(process.pid) - before, sum(c.sent for c in clients) - sent
+            spent = _spent(process.pid) - before
+            done = sum(c.sent for c in clients) - sent
             for client in clients:
                 client.settle()
             await asyncio.gather(*loads)
@@ -263,7 +266,8 @@
             ("peak MB", [c.peak_mb for c in costs]),
         ):
             row[label] = round(statistics.median(values), 2)
-            row[f"{label} from"], row[f"{label} to"] = round(min(values), 2), round(max(values), 2)
+            row[f"{label} from"] = round(min(values), 2)
+            row[f"{label} to"] = round(max(values), 2)
         late = [c.late_ms for c in costs if c.late_ms is not None]
         row["loop late p99.9 ms"] = round(statistics.median(late), 2) if late else None
         row["lost"] = sum(c.lost for c in costs)
--- a/magpieshift/lab/experiments/decisions.py
+++ b/magpieshift/lab/experiments/decisions.py
@@ -91,8 +91,10 @@
     """A module with so many caches, and requests that come and end."""
 
     def __init__(self, caches: int, seed: int) -> None:
-        self.router, self._random = RouterPolicy(settings(), seed), random.Random(seed)
-        self.now, self._ids = 1_764_576_000 * SECOND, 0
+        self.router = RouterPolicy(settings(), seed)
+        self._random = random.Random(seed)
+        self.now = 1_764_576_000 * SECOND
+        self._ids = 0
         self._out: list[SendPlainRequest | SendCacheRequest] = []
         self._legs: dict[int, int] = {}
         entries = [self._entry(100 + i, 1, 0) for i in range(caches)]
--- a/magpieshift/lab/experiments/episode.py
+++ b/magpieshift/lab/experiments/episode.py
@@ -55,7 +55,9 @@
     def __init__(
         self, scenario: Scenario, words: Sequence[str] = (), program: Sequence[str] = ROUTER
     ) -> None:
-        self._scenario, self._words, self._program = scenario, words, program
+        self._scenario = scenario
+        self._words = words
+        self._program = program
         self._random = random.Random(scenario.seed)
         self._rules, self._log = Rules(), peers.Log()
         self._stores = Emulated(
@@ -73,7 +75,8 @@
         await self._stores.start()
         await self._log.start()
         self._stores.tell_on()
-        start, log = folder / "start.sexp", folder / "router.log"
+        start = folder / "start.sexp"
+        log = folder / "router.log"
         start.write_text(sexp.write(settings("lab", self._port, self._log.port)))
         load = Load(self._port, scenario.rate, scenario.objects, scenario.seed, self._rules.served)
         outcome = Outcome(scenario)
@@ -139,12 +142,14 @@
             progress(time.monotonic() - began)
 
     def _sum_up(self, outcome: Outcome, load: Load, spent: float) -> None:
-        total, rules = load.total, self._rules
+        total = load.total
+        rules = self._rules
         if load.doubles:
             rules.broke("one final answer", f"{load.doubles} second answers")
         if total.lost:
             rules.broke("one final answer", f"{total.lost} requests without an answer")
-        outcome.broken, outcome.examples = dict(rules.broken), rules.examples
+        outcome.broken = dict(rules.broken)
+        outcome.examples = rules.examples
         for number, slice_ in enumerate(load.slices):
             histogram = slice_.latency_us
             outcome.slices.append(
--- a/magpieshift/lab/experiments/fleet.py
+++ b/magpieshift/lab/experiments/fleet.py
@@ -100,13 +100,18 @@
 
 def count(lines: Iterable[Line]) -> Counts:
     """Count over all routers; lines come in the order of their times."""
-    counts, requests, start = Counts(), dict[tuple[str, str], _Request](), -1.0
-    routers, heard = set[str](), dict[str, float]()
+    counts = Counts()
+    requests = dict[tuple[str, str], _Request]()
+    start = -1.0
+    routers = set[str]()
+    heard = dict[str, float]()
     for line in lines:
         start = line.at_s if start < 0 else start
         routers.add(line.router)
-        at, pairs = int(line.at_s - start), line.pairs
-        second, key = counts.seconds[at], (line.router, pairs.get("op", ""))
+        at = int(line.at_s - start)
+        pairs = line.pairs
+        second = counts.seconds[at]
+        key = (line.router, pairs.get("op", ""))
         if line.event == "connecting":
             second["connections"] += 1
         elif line.event == "asked":
@@ -115,7 +120,8 @@
         elif key not in requests:
             continue
         elif line.event == "sent":
-            store, source = pairs["store"], pairs["source"]
+            store = pairs["store"]
+            source = pairs["source"]
             filled = source not in ("-", store)
             requests[key].out = store, source if filled else "-"
             second["fills" if filled else "asks"] += 1
@@ -123,7 +129,8 @@
             if filled:
                 counts.stores[source][at]["fills"] += 1
         elif line.event == "ended":
-            request, ok = requests[key], pairs["outcome"] == "ok"
+            request = requests[key]
+            ok = pairs["outcome"] == "ok"
             request.last = f"{pairs['outcome']}/{pairs['note']}"
             second[request.last] += 1
             for store in request.out:
--- a/magpieshift/lab/experiments/handover.py
+++ b/magpieshift/lab/experiments/handover.py
@@ -63,7 +63,8 @@
     first = listen_socket("127.0.0.1", 0, shared=True)
     host, port = first.getsockname()
     old = Listener(first, empties=way in ("emptied", "steered"))
-    counts, ends = [Counter[str]() for _ in range(clients)], time.monotonic() + 3 * BESIDE_S
+    counts = [Counter[str]() for _ in range(clients)]
+    ends = time.monotonic() + 3 * BESIDE_S
     threads = [threading.Thread(target=old.run)]
     threads += [threading.Thread(target=_call, args=((host, port), ends, each)) for each in counts]
     for thread in threads:
--- a/magpieshift/lab/experiments/members.py
+++ b/magpieshift/lab/experiments/members.py
@@ -68,7 +68,8 @@
         self.loss_at: dict[str, float] = {}  # of all datagrams to and from a member
         self.cut: Callable[[str, str], bool] = lambda a, b: False
         self.delay_us = (300, 3_000)
-        self.sent = self.bytes = 0
+        self.sent = 0
+        self.bytes = 0
         self.changes: list[tuple[int, str, Change]] = []  # time, at whom
         self.over_whole = 0  # instants at which shares summed to more than the whole
         self.most_share = 0.0
@@ -85,7 +86,8 @@
 
     def start(self, name: str) -> Process:
         """A process of this name; a second start comes from nothing, under its old address."""
-        form, rand = self.form, random.Random(self.rand.getrandbits(64))
+        form = self.form
+        rand = random.Random(self.rand.getrandbits(64))
         host, port = self.address_of(name)
         own = Member(name, host, port, 1 + self.now_us // 1000, rand.getrandbits(32), zone="z")
         seeds = tuple(self.address_of(f"r{i}") for i in range(form.seeds))
@@ -153,7 +155,8 @@
         now = process.clock(self.now_us)
         self._carry(process, process.detector.tick(now))
         self._claims(process, process.shares.tick(now, process.detector.view))
-        waiting, process.waiting = process.waiting, []
+        waiting = process.waiting
+        process.waiting = []
         for source, datagram in waiting:
             self._carry(process, process.detector.receive(now, source, datagram))
         # its own clock says when the next is due
@@ -263,13 +266,17 @@
         network.size = size
     out = Outcome(routers, seed)
     names = sorted(network.processes)
-    start, network.sent, network.bytes = network.now_us, 0, 0
+    start = network.now_us
+    network.sent = 0
+    network.bytes = 0
     network.run(start + 10 * SECOND)
     out.messages_per_member_s = round(network.sent / 10 / routers, 1)
     out.bytes_per_member_s = round(network.bytes / 10 / routers)
     # loss and pauses
     network.size = lambda datagram: 0
-    network.loss, mark, start = loss, len(network.changes), network.now_us
+    network.loss = loss
+    mark = len(network.changes)
+    start = network.now_us
     end = start + int(minutes * 60 * SECOND)
     if pauses:
         for name in names:
@@ -291,7 +298,8 @@
     gone: list[float] = []
     for name in network.rand.sample(names, min(deaths, routers // 3)):
         network.kill(name)
-        died, mark = network.now_us, len(network.changes)
+        died = network.now_us
+        mark = len(network.changes)
         network.run(died + 20 * SECOND)
         firsts: dict[tuple[str, Standing], int] = {}
         for at, who, change in network.changes[mark:]:
@@ -307,7 +315,8 @@
             gone.append((firsts.get((other.name, Standing.GONE), died + 20 * SECOND) - died) / 1e6)
         network.start(name)
         network.run(network.now_us + 10 * SECOND)
-    out.detect_p50_s, out.detect_p99_s = _percentile(noticed, 0.5), _percentile(noticed, 0.99)
+    out.detect_p50_s = _percentile(noticed, 0.5)
+    out.detect_p99_s = _percentile(noticed, 0.99)
     out.gone_p99_s = _percentile(gone, 0.99)
     # two halves, and their healing
     half = set(names[: routers // 2])
@@ -318,6 +327,7 @@
     network.run(healed + 60 * SECOND, network.agreed)
     out.agree_after_heal_s = (network.now_us - healed) / 1e6
     network.run(network.now_us + 10 * SECOND)
-    out.share_over_whole, out.most_share = network.over_whole, round(network.most_share, 4)
+    out.share_over_whole = network.over_whole
+    out.most_share = round(network.most_share, 4)
     out.real_s = round(time.perf_counter() - began, 1)
     return out
--- a/magpieshift/lab/experiments/membership_exploration.py
+++ b/magpieshift/lab/experiments/membership_exploration.py
@@ -59,7 +59,8 @@
         self, asleep: str = "", lost: Callable[[str, str], bool] = lambda a, b: False, late: str = ""
     ) -> None:
         """Two seconds, in which one may sleep, ways may be cut, and what goes to one may come a step late."""
-        under_way, self.late = self.late, []
+        under_way = self.late
+        self.late = []
         end = self.now_us + STEP_US
         while self.now_us < end:
             self.now_us += TICK_US
--- a/magpieshift/lab/experiments/overload.py
+++ b/magpieshift/lab/experiments/overload.py
@@ -14,7 +14,9 @@
 from magpieshift.lab.simulated.fleet import SECOND, Fleet, Form
 from magpieshift.lab.simulated.stores import GONE, HERE, Account
 
-WARM_S, CALM_S, MOST_AFTER_S = 15, 10, 60
+WARM_S = 15
+CALM_S = 10
+MOST_AFTER_S = 60
 WINDOW_S = 3
 
 Trouble = Callable[[Fleet], None]
@@ -144,7 +146,8 @@
 
 def play(name: str, form: Form, talking: Talking | None = None) -> Outcome:
     """One run: calm, trouble, and what follows; without ``talking`` each router goes by itself."""
-    began, scenario = time.perf_counter(), SCENARIOS[name]
+    began = time.perf_counter()
+    scenario = SCENARIOS[name]
     form = replace(form, **scenario.changes)  # type: ignore[arg-type]
     fleet = Fleet(form)
     talk = None
@@ -154,7 +157,8 @@
         talk = Talk(fleet, max(talking.loss, scenario.digests_lost), talking.liars)
     fleet.run(WARM_S + CALM_S)
     calm = fleet.seen.seconds[WARM_S : WARM_S + CALM_S]
-    usual_work, usual_good = _work(calm), _good(calm)
+    usual_work = _work(calm)
+    usual_good = _good(calm)
     start = fleet.time.second
     scenario.trouble(fleet)
     fleet.run(scenario.seconds)
@@ -216,7 +220,9 @@
     return Point(load, trigger, tries, found.back_to_95_s, found.goodput, found.amplification, bad)
 
 
-LOADS, TRIGGERS, TRIES = (0.5, 0.7, 0.85, 1.0, 1.2), ("burst", "origin-half", "routers-killed"), (1, 4, 8)
+LOADS = (0.5, 0.7, 0.85, 1.0, 1.2)
+TRIGGERS = ("burst", "origin-half", "routers-killed")
+TRIES = (1, 4, 8)
 
 
 def map_of(form: Form, workers: int) -> list[Point]:
--- a/magpieshift/lab/experiments/rollout_report.py
+++ b/magpieshift/lab/experiments/rollout_report.py
@@ -73,7 +73,8 @@
 def write(folder: Path) -> Path:
     """Make the report of the rollout in this folder; its path. ``ValueError`` where none was carried out
     there."""
-    records, rows = read(folder), _rows(folder)
+    records = read(folder)
+    rows = _rows(folder)
     if not records:
         raise ValueError(f"{folder} holds no rollout")
     try:
@@ -91,7 +92,8 @@
         for record in records
     )
     path = folder / "report.html"
-    name, way = html.escape(status["name"]), html.escape(status["way"])
+    name = html.escape(status["name"])
+    way = html.escape(status["way"])
     path.write_text(
         f"""<!doctype html><meta charset="utf-8"><title>Rollout {name}</title>
 <style>body {{ font-family: sans-serif; max-width: 60em; margin: 2em auto }} td {{ padding: 0 .6em }}</style>
--- a/magpieshift/lab/experiments/scenario.py
+++ b/magpieshift/lab/experiments/scenario.py
@@ -103,11 +103,13 @@
     """Boxes die, a hub dies, the list runs late and the origin slows, all at once and again and again."""
     rand = np.random.default_rng(seed)
     failures: dict[str, Any] = {}
-    at, number = min(3.0, seconds / 6), 0
+    at = min(3.0, seconds / 6)
+    number = 0
     while at < seconds * 0.85:
         length = float(rand.uniform(3.0, 6.0))
         number += 1
-        box, hub = f"box{rand.integers(1, 5)}", f"hub{rand.integers(1, 3)}"
+        box = f"box{rand.integers(1, 5)}"
+        hub = f"hub{rand.integers(1, 3)}"
         group: list[dict[str, Any]] = [
             {"what": "late-list", "for-s": float(rand.uniform(1.0, 3.0))},
             {"what": "die", "who": box, "for-s": length},
--- a/magpieshift/lab/experiments/version_maker.py
+++ b/magpieshift/lab/experiments/version_maker.py
@@ -15,13 +15,16 @@
     """Makes versions, usable and not, from a seed."""
 
     def __init__(self, data: dict[str, Any], rand: random.Random) -> None:
-        self.data, self._random = data, rand
+        self.data = data
+        self._random = rand
         self.number = 0
 
     def usable(self) -> Published:
         """The next version: some figures differ; classes, zones and load reports come and go."""
-        rand, data = self._random, copy.deepcopy(self.data)
-        classes, zones = data["classes"], data["zones"]
+        rand = self._random
+        data = copy.deepcopy(self.data)
+        classes = data["classes"]
+        zones = data["zones"]
         what = rand.randrange(6)
         name = f"extra{rand.randrange(5)}"
         if what == 0:
--- a/magpieshift/lab/experiments/versions.py
+++ b/magpieshift/lab/experiments/versions.py
@@ -67,7 +67,8 @@
     """Owner of the stand-ins, the router's process, and what is known of its versions."""
 
     def __init__(self, plan: Plan) -> None:
-        self._plan, self._random = plan, random.Random(plan.seed)
+        self._plan = plan
+        self._random = random.Random(plan.seed)
         self.report = Report()
         self._service = ControlService()
         self._service.heard = self._heard
@@ -116,7 +117,8 @@
     async def _break(self) -> None:
         assert self._stream is not None
         self._hello.clear()
-        stream, self._stream = self._stream, None
+        stream = self._stream
+        self._stream = None
         stream.end()
         self.report.breaks += 1
         await self._wait(self._hello, "the router's return")
@@ -139,7 +141,8 @@
     def _send_unusable(self, versions: VersionMaker) -> str:
         """Send one that must be turned down; in what way."""
         assert self._stream is not None
-        publisher, newest = self._service.publisher, self._service.publisher.newest
+        publisher = self._service.publisher
+        newest = self._service.publisher.newest
         way = self._random.choices(list(UNUSABLE), list(UNUSABLE.values()))[0]
         if newest is None:
             way = "version"
@@ -168,7 +171,8 @@
     def _send_malformed(self, way: str, version: Published) -> None:
         """Bytes that are no message, or a part of one."""
         assert self._stream is not None
-        stream, rand = self._stream, self._random
+        stream = self._stream
+        rand = self._random
         whole = self._service.publisher.send(replace(stream.subscriber), version, whole=True)
         cut = whole[: rand.randrange(1, len(whole) - 1)]
         stream.send({"noise": b"\xff" + rand.randbytes(40), "truncated": cut, "empty": b"\x12\x00"}[way])
@@ -177,7 +181,8 @@
     def _send_unknown_base(self, version: Published) -> None:
         """A delta against what the router never had: turned down, and then sent whole."""
         assert self._stream is not None
-        who, publisher = self._stream.subscriber, self._service.publisher
+        who = self._stream.subscriber
+        publisher = self._service.publisher
         self._know(version)
         publisher.publish(version)
         message = wire.FromControl.FromString(publisher.send(who, version))
@@ -199,7 +204,9 @@
             self.report.findings.append(f"a message of 64 MB: {found.subscriber.trouble!r}")
 
     async def run(self, folder: Path, progress: bool) -> Report:
-        plan, rand, began = self._plan, self._random, time.monotonic()
+        plan = self._plan
+        rand = self._random
+        began = time.monotonic()
         world = World()
         await world.start(plan.members)
         versions = VersionMaker(world.settings(), rand)
@@ -246,8 +253,11 @@
             report.findings.append(
                 "the router's log has a traceback: " + written[written.index("Traceback") :][:800]
             )
-        report.requests, report.lost_requests, report.cut_requests = client.sent, client.lost, client.cut
-        report.double_answers, report.second_attempts = client.doubles, len(world.watch.twice)
+        report.requests = client.sent
+        report.lost_requests = client.lost
+        report.cut_requests = client.cut
+        report.double_answers = client.doubles
+        report.second_attempts = len(world.watch.twice)
         report.seconds = round(time.monotonic() - began, 1)
         return report
 
--- a/magpieshift/lab/fault_injection/checks.py
+++ b/magpieshift/lab/fault_injection/checks.py
@@ -13,7 +13,9 @@
 from typing import Any, Protocol
 
 WHOLE = 1.0 + 1e-4  # shares are logged to six places
-MEMORY_MB, SOCKETS = 64, 512  # as the cluster's settings say
+# as the cluster's settings say
+MEMORY_MB = 64
+SOCKETS = 512
 
 
 class Seen(Protocol):
@@ -145,11 +147,13 @@
                     nexts = [share for at, share in changes if at >= until]
                     steps.append((until, min([held[-1], *nexts[:1]]), log.name))
         now: dict[str, float] = {}
-        most, when = 0.0, 0.0
+        most = 0.0
+        when = 0.0
         for at, share, which_log in sorted(steps, key=lambda step: (step[0], step[1])):
             now[which_log] = share
             if (total := sum(now.values())) > most + 1e-9:
-                most, when = total, at
+                most = total
+                when = at
         return most, when
 
     @staticmethod
--- a/magpieshift/lab/fault_injection/cluster.py
+++ b/magpieshift/lab/fault_injection/cluster.py
@@ -59,7 +59,9 @@
         hand_over: bool = False,
     ) -> None:
         super().__init__(folder, program, clocks)
-        self.count, self.seed, self.alone = routers, seed, alone
+        self.count = routers
+        self.seed = seed
+        self.alone = alone
         self.network = Network()
         self.switch = Switch(seed, self.network)
         self.rules = Rules(slack_s, self._knew)
@@ -68,7 +70,9 @@
         self.broken: list[str] = []
         self._surroundings = Surroundings(self.network, self.rules, boxes, hubs, random.Random(seed))
         self._rate = rate
-        self._seeds, self._digests, self._hand_over = seeds, digests, hand_over
+        self._seeds = seeds
+        self._digests = digests
+        self._hand_over = hand_over
         self._clients: list[asyncio.Task[None]] = []
         self._watching: asyncio.Task[None] | None = None
 
@@ -183,7 +187,8 @@
         """Clients at each router, until ``settle``; where they ``roam``, who is refused comes back at another
         router."""
         for number, place in enumerate(self.places.values()):
-            name, mark = place.name, f"{number:02x}"
+            name = place.name
+            mark = f"{number:02x}"
             load = Load(
                 place.clients,
                 self._rate,
@@ -201,10 +206,12 @@
     def service(self, seconds: int = 3) -> float:
         """The share of what clients asked for that was served, over the last whole seconds whose answers are
         due; 1 where nothing was asked."""
-        sent = served = 0
+        sent = 0
+        served = 0
         for load in self.loads.values():
             for second in load.slices[-seconds - 3 : -3]:
-                sent, served = sent + second.sent, served + second.served
+                sent = sent + second.sent
+                served = served + second.served
         return served / sent if sent else 1.0
 
     async def settle(self) -> dict[str, int]:
--- a/magpieshift/lab/fault_injection/faulty.py
+++ b/magpieshift/lab/fault_injection/faulty.py
@@ -30,7 +30,8 @@
     """Round the one place where requests are taken. ``by``: the share of one class that fails; times the
     processor time of a request."""
     submit: Callable[..., int] = engine.submit
-    draw, dummies = random.Random(1), count(1 << 40)
+    draw = random.Random(1)
+    dummies = count(1 << 40)
 
     def worse(call: ClientRequest, *more: Any) -> int:
         if call.class_name == WORSE_CLASS and draw.random() < by:
--- a/magpieshift/lab/fault_injection/network.py
+++ b/magpieshift/lab/fault_injection/network.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, fields
 from typing import Any
 
-ANY, ROUTERS = "*", "routers"
-LOG, CLIENTS = (
-    "log",
-    "clients",
-)  # ends besides the routers (r0, r1, ...) and the stores by place (box1, hub1, origin)
+ANY = "*"
+ROUTERS = "routers"
+# ends besides the routers (r0, r1, ...) and the stores by place (box1, hub1, origin)
+LOG = "log"
+CLIENTS = "clients"
 
 
 def _names(end: str) -> tuple[str, ...]:
--- a/magpieshift/lab/fault_injection/processes.py
+++ b/magpieshift/lab/fault_injection/processes.py
@@ -26,7 +26,8 @@
         self.folder = folder
         self.outages = Outages()
         self.ended_wrong: list[str] = []
-        self._program, self._clocks = tuple(program), frozenset(clocks)
+        self._program = tuple(program)
+        self._clocks = frozenset(clocks)
         self._started: list[asyncio.subprocess.Process] = []  # all of them: a place may have had several
         self._tasks_of_ends: list[asyncio.Task[None]] = []
 
@@ -52,7 +53,8 @@
         for name in names:
             place = self.places[name]
             place.starts += 1
-            place.paused = place.killed = False
+            place.paused = False
+            place.killed = False
             with (self.folder / f"{name}.{place.starts}.log").open("wb") as log:
                 begins = tuple(program) or self._program
                 if name in self._clocks:
@@ -75,7 +77,8 @@
     async def beside(self, name: str, door: int, words: Sequence[str], program: Sequence[str] = ()) -> None:
         """Start a further process of a place, with a door of its own; whoever asked for it ends the other."""
         place = self.places[name]
-        old, number = place.process, place.starts
+        old = place.process
+        number = place.starts
         place.console = door
         await self.start(name, words=words, program=program)
         if old is not None:
@@ -145,7 +148,8 @@
         planned once the new one is ready; for a while there are two, each with a door of its own."""
         place = self.places[name]
         place.console = free_ports(1)[0]
-        old, number = place.process, place.starts
+        old = place.process
+        number = place.starts
         assert old is not None
         await self.start(name)
         log = self.folder / f"{name}.{place.starts}.log"
--- a/magpieshift/lab/fault_injection/random_runs.py
+++ b/magpieshift/lab/fault_injection/random_runs.py
@@ -38,7 +38,9 @@
     "purge": (3, 0.0, 0.0),
     "late-list": (1, 2.0, 6.0),
 }
-SOON, SOON_S = 0.6, 3.0  # share of faults that begin within so long of another's end
+# share of faults that begin within so long of another's end
+SOON = 0.6
+SOON_S = 3.0
 QUIET = 0.75  # of the time, after which nothing new is wrong
 TRIES = 40
 
@@ -62,7 +64,8 @@
 def draw(seed: int, routers: int = 6, seconds: float = 40.0, faults: int = 8) -> Run:
     """A history by its seed: the same seed gives the same one."""
     rand = random.Random(f"history {seed}")
-    boxes, hubs = rand.randint(2, 4), rand.randint(1, 2)
+    boxes = rand.randint(2, 4)
+    hubs = rand.randint(1, 2)
     names = [f"r{number}" for number in range(routers)]
     stores = [*(f"box{i + 1}" for i in range(boxes)), *(f"hub{i + 1}" for i in range(hubs))]
     out: list[Fault] = []
@@ -94,7 +97,9 @@
     if before and rand.random() < SOON:  # into the recovery of another
         other = rand.choice(before)
         at_s = min(other.at_s + other.for_s + rand.uniform(0.0, SOON_S), last)
-    who = source = target = ""
+    who = ""
+    source = ""
+    target = ""
     if what in ON_ROUTERS:
         who = rand.choice(names)
     elif what in AT_STORES:
@@ -111,7 +116,8 @@
                 ]
             )
             if what == "cut" and source == target:
-                source, target = router, "routers"
+                source = router
+                target = "routers"
         else:
             end = rand.choice([*stores, LOG]) if what == "cut" else rand.choice(stores)
             source, target = (router, end) if rand.random() < 0.5 else (end, router)
@@ -143,7 +149,8 @@
 async def shrink(run: Run, fails: Callable[[Run], Awaitable[bool]], most: int = 60) -> Run:
     """Fewer faults that still fail, by leaving out halves, then quarters, and so on down to single ones; each
     candidate is played once, ``most`` of them in all."""
-    played, parts = 0, 2
+    played = 0
+    parts = 2
     while len(run.faults) > 1 and played < most:
         size = max(1, len(run.faults) // parts)
         smaller = None
@@ -156,7 +163,8 @@
                 smaller = replace(run, faults=left)
                 break
         if smaller is not None:
-            run, parts = smaller, max(2, parts - 1)
+            run = smaller
+            parts = max(2, parts - 1)
         elif size == 1:
             break
         else:
--- a/magpieshift/lab/fault_injection/relay.py
+++ b/magpieshift/lab/fault_injection/relay.py
@@ -20,7 +20,10 @@
     """Owner of one listener and of all connections through it."""
 
     def __init__(self, network: Network, source: str, target: str, port: int) -> None:
-        self._network, self._source, self._target, self._to = network, source, target, port
+        self._network = network
+        self._source = source
+        self._target = target
+        self._to = port
         self._server: asyncio.Server | None = None
         self._through: set[asyncio.Task[None]] = set()
         self.port = 0
--- a/magpieshift/lab/fault_injection/rollouts.py
+++ b/magpieshift/lab/fault_injection/rollouts.py
@@ -16,7 +16,8 @@
 from magpieshift.rollout.plan import Plan, Router, Side
 from magpieshift.rollout.runner import Runner
 
-OLD, NEW = "old", "new"
+OLD = "old"
+NEW = "new"
 SCENARIOS: dict[str, tuple[str, float, bool]] = {  # the new version's defect, by how much, whether it is bad
     "same": ("none", 0.0, False),
     "same-with-outage": ("none", 0.0, False),
--- a/magpieshift/lab/fault_injection/skewed.py
+++ b/magpieshift/lab/fault_injection/skewed.py
@@ -44,7 +44,9 @@
         true = time.monotonic_ns()
         bent = self._bent_ns + int((true - self._true_ns) * self._rate)
         if rate != self._rate:
-            self._true_ns, self._bent_ns, self._rate = true, bent, rate
+            self._true_ns = true
+            self._bent_ns = bent
+            self._rate = rate
         return bent, step_us
 
     def unix_us(self) -> int:
--- a/magpieshift/lab/fault_injection/switch.py
+++ b/magpieshift/lab/fault_injection/switch.py
@@ -11,7 +11,8 @@
 
 class _Port(asyncio.DatagramProtocol):
     def __init__(self, switch: Switch, name: str) -> None:
-        self._switch, self._name = switch, name
+        self._switch = switch
+        self._name = name
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -33,7 +34,8 @@
         self._ports: dict[str, _Port] = {}
         self._private: dict[str, int] = {}
         self._names: dict[int, str] = {}
-        self.carried = self.dropped = 0
+        self.carried = 0
+        self.dropped = 0
 
     async def add(self, name: str, private: int, public: int) -> None:
         """A public port for the process that binds ``private``."""
@@ -41,7 +43,9 @@
         _, port = await loop.create_datagram_endpoint(
             lambda: _Port(self, name), local_addr=("127.0.0.1", public)
         )
-        self._ports[name], self._private[name], self._names[private] = port, private, name
+        self._ports[name] = port
+        self._private[name] = private
+        self._names[private] = name
 
     def close(self) -> None:
         for port in self._ports.values():
@@ -53,7 +57,9 @@
         if source is None:
             return
         faults = self.network.on(source, target)
-        kept, delay_ms, copies = 1.0, 0.0, 1
+        kept = 1.0
+        delay_ms = 0.0
+        copies = 1
         for fault in faults:
             kept *= 0.0 if fault.cut else 1.0 - fault.lose
             delay_ms += fault.delay_ms + fault.jitter_ms * self._random.random()
--- a/magpieshift/lab/scale/calibration.py
+++ b/magpieshift/lab/scale/calibration.py
@@ -84,7 +84,10 @@
     """Owner of router processes that follow a fleet's change log and control service."""
 
     def __init__(self, fleet: Fleet, tier: DirectTier, count: int, folder: Path) -> None:
-        self._fleet, self._tier, self._count, self._folder = fleet, tier, count, folder
+        self._fleet = fleet
+        self._tier = tier
+        self._count = count
+        self._folder = folder
         self._processes: list[asyncio.subprocess.Process] = []
 
     async def start(self) -> None:
@@ -226,7 +229,9 @@
 
 async def calibrate(plan: Calibration, tell: Callable[[str], None] = lambda line: None) -> dict[str, Any]:
     """All sizes, the kinds by turns: one row a size, every single cost, and what differs by over a fifth."""
-    rows, costs, differ = [], [], []
+    rows = []
+    costs = []
+    differ = []
     for routers in plan.sizes:
         found: dict[Kind, list[Cost]] = {kind: [] for kind in Kind}
         for run in range(plan.runs):
--- a/magpieshift/lab/scale/changelog.py
+++ b/magpieshift/lab/scale/changelog.py
@@ -153,7 +153,8 @@
 
     def purge(self, count: int, made_over_s: float) -> None:
         """Accept purges of new objects, made evenly over the time up to now."""
-        now_s, now_ms = time.monotonic(), time.time() * 1000
+        now_s = time.monotonic()
+        now_ms = time.time() * 1000
         for number in range(count):
             index = len(self.accepted)
             made_ms = int(now_ms - 1000 * made_over_s * (count - 1 - number) / max(1, count - 1))
--- a/magpieshift/lab/scale/faults.py
+++ b/magpieshift/lab/scale/faults.py
@@ -22,7 +22,8 @@
 from magpieshift.lab.scale.topology import Cut
 
 SLOW_PATH, STILL_PATH = OWN_PATHS = "slow-readers", "standing-still"
-DELAY, AWAY = "distance", "region away"
+DELAY = "distance"
+AWAY = "region away"
 LOOK_S = 0.1
 RESTART_S = 0.5  # a router's restart
 ONE_OF = 10
@@ -34,7 +35,9 @@
     """The events of one scenario, on one fleet. Times are seconds of the load."""
 
     def __init__(self, fleet: Fleet, scenario: Scenario, seconds: float) -> None:
-        self._fleet, self._scenario, self._seconds = fleet, scenario, seconds
+        self._fleet = fleet
+        self._scenario = scenario
+        self._seconds = seconds
         self.first_purge = 0  # the first of the load
         self.return_s: float | None = None
         self.return_bytes_per_router: float | None = None
@@ -119,7 +122,8 @@
 
     def _away_region(self) -> list[str]:
         """The routers of the last region by name that control does not stand in."""
-        places, control = self._fleet.places.values(), self._fleet.topology.form.control
+        places = self._fleet.places.values()
+        control = self._fleet.topology.form.control
         regions = sorted({place.region for place in places} - {control}) or [control]
         return [place.name for place in places if place.region == regions[-1]]
 
@@ -151,7 +155,8 @@
         await self._wait(event.at)
         names = self._taken(event.scope)
         if event.back_after_s is None:
-            fleet, whole = self._fleet, event.scope is Scope.ZONE
+            fleet = self._fleet
+            whole = event.scope is Scope.ZONE
             zones = {fleet.places[name].zone for name in names} if whole else set[str]()
             await asyncio.gather(fleet.crash_routers(names), *map(fleet.tier.lose_zone, zones))
         else:
@@ -174,7 +179,8 @@
     async def _come_back(self, event: RegionAway) -> None:
         """The region's cut ends; wait until all in it have everything."""
         await self._wait(event.until)
-        fleet, names = self._fleet, self._away_region()
+        fleet = self._fleet
+        names = self._away_region()
         counter = fleet.counter_of({fleet.paths[name] for name in names})
         first = await counter.look() if counter is not None else 0
         await self._heal(AWAY)
--- a/magpieshift/lab/scale/fleet.py
+++ b/magpieshift/lab/scale/fleet.py
@@ -18,7 +18,8 @@
 from magpieshift.lab.scale.tier import LOG, Tier
 from magpieshift.lab.scale.topology import Place, Topology
 
-MOST_NETWORKS, ROUTERS_A_NETWORK = 3, 60
+MOST_NETWORKS = 3
+ROUTERS_A_NETWORK = 60
 EVENTS_OF_A_CACHE = 3  # of the list: it drains, goes, and serves again
 
 
@@ -35,7 +36,9 @@
     """Owner of all processes of a run."""
 
     def __init__(self, topology: Topology, size: Size, tier: Tier) -> None:
-        self.topology, self._size, self.tier = topology, size, tier
+        self.topology = topology
+        self._size = size
+        self.tier = tier
         self.places: Mapping[str, Place] = {place.name: place for place in topology.places}
         self.paths: dict[str, str] = {place.name: place.zone for place in topology.places}
         self.inside: set[str] = set()  # paths whose cuts leave what is in the same region
--- a/magpieshift/lab/scale/hollow.py
+++ b/magpieshift/lab/scale/hollow.py
@@ -90,7 +90,9 @@
     """Stands between engine and module, and tells of purges once the module has taken them in."""
 
     def __init__(self, told: Purged, drop_every: int = 0) -> None:
-        self._told, self._drop_every, self._seen = told, drop_every, 0
+        self._told = told
+        self._drop_every = drop_every
+        self._seen = 0
 
     def handle(self, module: RouterPolicy, now_us: int, events: Sequence[Event]) -> list[Action]:
         if self._drop_every:
@@ -118,7 +120,8 @@
     """Owner of one router's control side."""
 
     def __init__(self, name: str, loaded: Loaded, overrides: Overrides, seed: int, tap: PurgeWatch) -> None:
-        self.name, self.seed = name, seed
+        self.name = name
+        self.seed = seed
         self.document = overrides.on(loaded.document)
         self.engine = Engine(
             self.document.settings, seed, LoopClock(), EmptyBack(), names=self.document.names
--- a/magpieshift/lab/scale/installation.py
+++ b/magpieshift/lab/scale/installation.py
@@ -9,7 +9,9 @@
 from magpieshift.control import sexp
 from magpieshift.lab.emulators.emulated import settings
 
-ZONE, KIND = "shop", "box"  # of all caches; the settings are those of the emulated installation
+# of all caches; the settings are those of the emulated installation
+ZONE = "shop"
+KIND = "box"
 NOWHERE = 9  # port of loopback at which no cache listens: hollow routers never ask one
 NEXT_PHASE = {"SERVING": "DRAINING", "DRAINING": "DELETED", "DELETED": "SERVING"}
 
--- a/magpieshift/lab/scale/load.py
+++ b/magpieshift/lab/scale/load.py
@@ -13,7 +13,9 @@
 
 DAY_S = 86_400.0
 TARGET_ROUTERS = 4_800
-BURST_TIMES, BURST_S = 10.0, 5.0  # a burst: so many times the mean, for so long
+# a burst: so many times the mean, for so long
+BURST_TIMES = 10.0
+BURST_S = 5.0
 MACHINE_EVENTS_PER_DAY = 7 + 420  # of routers and caches: failures, and restarts or replacements
 EVENTS_A_RESTART = 3  # of the list of caches: draining, gone, serving again
 
@@ -81,9 +83,11 @@
 
 def _rate_steps(rate: float, seconds: float, bursts: Sequence[Burst]) -> list[tuple[float, float, float]]:
     """The rate as steps: begin, end, rate."""
-    steps, at = [], 0.0
+    steps = []
+    at = 0.0
     for burst in sorted(bursts, key=lambda burst: burst.begin_s):
-        begin, end = min(burst.begin_s, seconds), min(burst.begin_s + burst.seconds, seconds)
+        begin = min(burst.begin_s, seconds)
+        end = min(burst.begin_s + burst.seconds, seconds)
         steps += [(at, begin, rate), (begin, end, rate * burst.times)]
         at = end
     return [*steps, (at, seconds, rate)]
--- a/magpieshift/lab/scale/network.py
+++ b/magpieshift/lab/scale/network.py
@@ -29,7 +29,8 @@
 
 async def run() -> None:
     """The process: passages with the faults that it is told."""
-    links, passages = Network(), list[Passage]()
+    links = Network()
+    passages = list[Passage]()
 
     async def handle(message: Message) -> Message | None:
         match message:
--- a/magpieshift/lab/scale/node.py
+++ b/magpieshift/lab/scale/node.py
@@ -29,7 +29,8 @@
     running: list[tuple[SourceNode | RelayNode, asyncio.Task[None]]] = []
 
     async def handle(message: Message) -> Message | None:
-        node, ready = _made(message), asyncio.Event()
+        node = _made(message)
+        ready = asyncio.Event()
         task = asyncio.ensure_future(node.run(lambda port: ready.set()))
         task.add_done_callback(lambda _: ready.set())
         running.append((node, task))
--- a/magpieshift/lab/scale/player.py
+++ b/magpieshift/lab/scale/player.py
@@ -16,7 +16,9 @@
     def __init__(
         self, fleet: Fleet, reachable: Callable[[], frozenset[str] | None], restart: Callable[[], None]
     ) -> None:
-        self._fleet, self._reachable, self._restart = fleet, reachable, restart
+        self._fleet = fleet
+        self._reachable = reachable
+        self._restart = restart
         self._publishing: list[asyncio.Task[None]] = []
 
     async def play(self, due: Sequence[Arrival], seconds: float) -> None:
--- a/magpieshift/lab/scale/processes.py
+++ b/magpieshift/lab/scale/processes.py
@@ -43,7 +43,8 @@
     logs: Path | None = None
 
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
-        self.name, self._process = name, process
+        self.name = name
+        self._process = process
         self._turn = asyncio.Lock()
         self._cpu_s = 0.0
         self.ports: dict[str, int] = {}
--- a/magpieshift/lab/scale/relays.py
+++ b/magpieshift/lab/scale/relays.py
@@ -172,7 +172,8 @@
         await asyncio.gather(*map(self._kill, lost))
 
     async def _kill(self, machine: Machine) -> None:
-        child, machine.child = machine.child, None
+        child = machine.child
+        machine.child = None
         if child is not None:
             await child.kill()
             machine.gone_s += child.cpu_s()
--- a/magpieshift/lab/scale/result.py
+++ b/magpieshift/lab/scale/result.py
@@ -125,7 +125,8 @@
     result: Result, published: Sequence[Published], in_force: Sequence[Mapping[str, Mapping[int, float]]]
 ) -> None:
     """Fill in the longest time in which a version was in force on every path where it could be heard of."""
-    worst, late = None, []
+    worst = None
+    late = []
     for version in published:
         times = [
             numbers[version.number] - version.at_s
--- a/magpieshift/lab/scale/run.py
+++ b/magpieshift/lab/scale/run.py
@@ -93,13 +93,16 @@
 
     def __init__(self, plan: Plan, tell: Tell = lambda line: None) -> None:
         plan.check()
-        self.plan, self._tell = plan, tell
+        self.plan = plan
+        self._tell = tell
         self.topology = plan.topology or Topology(generate(plan.routers, plan.seed))
         Child.logs = Path(plan.logs) if plan.logs else None
         size = Size(plan.processes, plan.caches, plan.drop_every)
         self.fleet = Fleet(self.topology, size, TIERS[plan.feed](self.topology))
         self.faults = Faults(self.fleet, plan.scenario, plan.seconds)
-        self._live_s = self._watched_s = 0.0  # router seconds, and seconds, of the load
+        # router seconds, and seconds, of the load
+        self._live_s = 0.0
+        self._watched_s = 0.0
         self._busiest_percent = 0.0  # of a core: the process of hollow routers that took most between looks
         self.result = Result(
             routers=len(self.topology.places),
@@ -131,7 +134,8 @@
 
     def _note_load(self) -> None:
         """Note what else the machine does: waiting for a core is in all times."""
-        load, cores = os.getloadavg()[0], os.cpu_count() or 1
+        load = os.getloadavg()[0]
+        cores = os.cpu_count() or 1
         self.result.load_average = round(load, 2)
         if load > cores:
             self.result.notes.append(
@@ -143,7 +147,8 @@
 
     async def _load(self) -> None:
         """Play arrivals and events to the end of the load."""
-        plan, scenario = self.plan, self.plan.scenario
+        plan = self.plan
+        scenario = self.plan.scenario
         bursts = [] if scenario.burst_at is None else [Burst(scenario.burst_at * plan.seconds)]
         due = arrivals(plan.rates, plan.seconds, plan.seed, bursts)
         player = Player(self.fleet, self.faults.reachable_paths, self.faults.restart_one)
@@ -164,12 +169,14 @@
         spent = self._workers_cpu_s()
         while True:
             await asyncio.sleep(SAMPLE_S)
-            now, spent_now = loop.time(), self._workers_cpu_s()
+            now = loop.time()
+            spent_now = self._workers_cpu_s()
             self._live_s += (now - last) * len(self.fleet.live)
             self._watched_s += now - last
             busiest = max(after - before for after, before in zip(spent_now, spent, strict=True))
             self._busiest_percent = max(self._busiest_percent, 100 * busiest / (now - last))
-            last, spent = now, spent_now
+            last = now
+            spent = spent_now
             await self.fleet.stream_bytes()
             self._tell(
                 f"{now - begin:.0f} of {self.plan.seconds:.0f} s, {self.fleet.purges} purges, "
@@ -201,19 +208,23 @@
         )
 
     async def _gather(self, before: Sample, after: Sample) -> None:
-        result, fleet = self.result, self.fleet
+        result = self.result
+        fleet = self.fleet
         result.mb_per_router = fleet.mb_per_router  # before reports are put together there
         log = await fleet.log_report()
         reports = await fleet.worker_reports()
-        result.hollow, result.processes = sum(r.live for r in reports), fleet.processes
-        result.purges, result.versions = len(log.accepted), len(fleet.published)
+        result.hollow = sum(r.live for r in reports)
+        result.processes = fleet.processes
+        result.purges = len(log.accepted)
+        result.versions = len(fleet.published)
         self._costs(before, after)
         self._judge(log, reports)
         result.return_s = self.faults.return_s
         result.return_bytes_per_router = self.faults.return_bytes_per_router
 
     def _costs(self, before: Sample, after: Sample) -> None:
-        result, took_s = self.result, after.at_s - before.at_s
+        result = self.result
+        took_s = after.at_s - before.at_s
         per_second = (after.purges - before.purges) / took_s
         result.purges_per_s = round(per_second, 1)
         result.versions_per_day = round((after.versions - before.versions) / took_s * DAY_S)
@@ -231,7 +242,8 @@
             name: round(100 * (cpu_s - before.control_cpu_s.get(name, 0.0)) / took_s, 2)
             for name, cpu_s in after.control_cpu_s.items()
         }
-        result.control_cpu_percent, result.control_cpu_percent_by = round(sum(by.values()), 2), by
+        result.control_cpu_percent = round(sum(by.values()), 2)
+        result.control_cpu_percent_by = by
         if self.fleet.networks:
             result.network_cpu_percent = round(100 * (after.network_cpu_s - before.network_cpu_s) / took_s, 2)
         if before.stream_bytes is None or after.stream_bytes is None:
@@ -240,7 +252,8 @@
             result.bytes_per_router_s = round((after.stream_bytes - before.stream_bytes) / took_s / live)
 
     def _judge(self, log: LogReport, reports: list[WorkerReport]) -> None:
-        result, first = self.result, self.faults.first_purge
+        result = self.result
+        first = self.faults.first_purge
         lost = {name: count for report in reports for name, count in report.lost.items()}
         result.out_of_order = sum(report.out_of_order for report in reports)
         missing = {index for report in reports for index in report.missing}
--- a/magpieshift/lab/scale/sockets.py
+++ b/magpieshift/lab/scale/sockets.py
@@ -8,7 +8,8 @@
 import shutil
 
 LINE = re.compile(r"^(?:[A-Z]\S*\s+)?\d+\s+\d+\s+(\S+:\d+)\s+(\S+:\d+)")
-SENT, RECEIVED = re.compile(r"\bbytes_acked:(\d+)"), re.compile(r"\bbytes_received:(\d+)")
+SENT = re.compile(r"\bbytes_acked:(\d+)")
+RECEIVED = re.compile(r"\bbytes_received:(\d+)")
 Streams = dict[tuple[str, str], int]  # bytes by both ends
 
 
--- a/magpieshift/lab/scale/streams.py
+++ b/magpieshift/lab/scale/streams.py
@@ -19,7 +19,10 @@
     names of the ends in ``links``."""
 
     def __init__(self, links: Network, source: str, target: str, to_port: int) -> None:
-        self._links, self._source, self._target, self._to_port = links, source, target, to_port
+        self._links = links
+        self._source = source
+        self._target = target
+        self._to_port = to_port
         self._server: asyncio.Server | None = None
         self._through: set[asyncio.Task[None]] = set()
 
--- a/magpieshift/lab/scale/tally.py
+++ b/magpieshift/lab/scale/tally.py
@@ -48,7 +48,8 @@
 
     def __init__(self, shared: Shared, path: str, first_purge: int, version: int) -> None:
         """It owes purges from ``first_purge`` on, and has all versions up to ``version``."""
-        self._shared, self.path = shared, path
+        self._shared = shared
+        self.path = path
         self.next_purge = first_purge  # all below are applied
         self._beyond: set[int] = set()  # applied, with some below missing
         self._highest = first_purge - 1
--- a/magpieshift/lab/scale/tier.py
+++ b/magpieshift/lab/scale/tier.py
@@ -10,7 +10,8 @@
 from magpieshift.lab.scale.processes import Child
 from magpieshift.lab.scale.topology import Place
 
-LOG, CONTROL = "log", "control"
+LOG = "log"
+CONTROL = "control"
 
 Reach = Callable[[str, str], int]
 """The port at which those on a path reach a target by its name, through a network or straight."""
--- a/magpieshift/lab/scale/topology.py
+++ b/magpieshift/lab/scale/topology.py
@@ -30,7 +30,10 @@
 from magpieshift.control.validation import Form, Seconds, checked
 
 HEAD = "topology"
-TARGET_SITES, TARGET_ZONES, TARGET_REGIONS, TARGET_ROUTERS = 370, 24, 10, 4_800
+TARGET_SITES = 370
+TARGET_ZONES = 24
+TARGET_REGIONS = 10
+TARGET_ROUTERS = 4_800
 WORLD_KM = 12_000.0  # generated regions stand in a square of this side
 RETRANSMIT_MS = 200.0  # a lost segment of a stream comes so much later (the least timeout of Linux)
 
@@ -199,7 +202,8 @@
 
 def _shares(weights: Sequence[float], total: int) -> list[int]:
     """Whole numbers of at least 1 in proportion to weights, with this sum."""
-    spare, whole = total - len(weights), sum(weights)
+    spare = total - len(weights)
+    whole = sum(weights)
     edges = [0]
     running = 0.0
     for weight in weights:
--- a/magpieshift/lab/simulated/fanout.py
+++ b/magpieshift/lab/simulated/fanout.py
@@ -59,7 +59,9 @@
     rule."""
 
     def __init__(self, form: Form) -> None:
-        self.form, self.time, self.judge = form, Time(), Judge()
+        self.form = form
+        self.time = Time()
+        self.judge = Judge()
         self.rand = random.Random(f"fan-out {form.seed}")
         self.log = ChangeLog(self.time)
         self.network = Network(self.time, self.rand, self._deliver)
@@ -133,14 +135,16 @@
         if host.process is not None:
             return
         self._lives += 1
-        boot, first_stream = f"{name}/{self._lives}", self._lives * STREAMS_OF_A_LIFE
+        boot = f"{name}/{self._lives}"
+        first_stream = self._lives * STREAMS_OF_A_LIFE
         if name.startswith("S"):
             self._start_source(host, boot)
             return
         self._tried.pop(name, None)
         rand = random.Random(f"{self.form.seed} {boot}")
         self._selections[name] = selection.Selection(self.ranked[name], rand)
-        self._retry_us[name], self._connected_us[name] = host.now_us(), None
+        self._retry_us[name] = host.now_us()
+        self._connected_us[name] = None
         if name.startswith("R"):
             host.process = Relay(name, boot, first_stream, self.form.log_entries)
         else:
@@ -226,7 +230,8 @@
         self._look(host)
 
     def _follow(self, host: Host, process: Following) -> None:
-        choice, now = self._selections[host.name], host.now_us()
+        choice = self._selections[host.name]
+        now = host.now_us()
         self._handle(host, process.check(now))
         if process.stream is None:
             if now >= self._retry_us[host.name]:
@@ -277,7 +282,8 @@
         for output in outputs:
             match output:
                 case Connect(ident, to, join):
-                    self._connected_us[host.name], self._tried[host.name] = None, ident
+                    self._connected_us[host.name] = None
+                    self._tried[host.name] = ident
                     self.network.open(ident, host, self.network.hosts[to]).send(host, join)
                 case Send(ident, message):
                     self._send(host, ident, message)
@@ -311,14 +317,16 @@
         if self._tried.get(host.name) != ident:
             return
         del self._tried[host.name]
-        now, connected_us = host.now_us(), self._connected_us[host.name]
+        now = host.now_us()
+        connected_us = self._connected_us[host.name]
         lasted_s = 0.0 if connected_us is None else (now - connected_us) / SECOND
         self._retry_us[host.name] = now + int(self._selections[host.name].failed(lasted_s) * SECOND)
         self._connected_us[host.name] = None
 
     def _deliver(self, host: Host, stream: Stream, message: Message | EndMark) -> None:
         """A process reads a message, or the end of a stream."""
-        process, now = host.process, host.now_us()
+        process = host.process
+        now = host.now_us()
         if isinstance(message, EndMark):
             self._lost(host, stream)
         elif isinstance(message, FromFollower) and isinstance(process, Server):
--- a/magpieshift/lab/simulated/fanout_changes.py
+++ b/magpieshift/lab/simulated/fanout_changes.py
@@ -61,7 +61,10 @@
 
     def __init__(self, time: Time, rand: random.Random, log: ChangeLog, host: Host) -> None:
         self.cut = False
-        self._time, self._rand, self._log, self._host = time, rand, log, host
+        self._time = time
+        self._rand = rand
+        self._log = log
+        self._host = host
         self._told = 0  # of the log, so far
         self._begun = False
         self._socket: list[Entry] = []
@@ -90,8 +93,10 @@
         """Let the source read all there is. What is read arrived after the socket was last seen empty, so the
         source is current to then; an empty socket by itself proves nothing."""
         now_us = self._host.now_us()
-        entries, self._socket = self._socket, []
+        entries = self._socket
+        self._socket = []
         if self._waiting:
             source.read(entries, self._empty_us, now_us)
-        self._waiting, self._empty_us = False, now_us
+        self._waiting = False
+        self._empty_us = now_us
         return entries
--- a/magpieshift/lab/simulated/fanout_explored.py
+++ b/magpieshift/lab/simulated/fanout_explored.py
@@ -158,7 +158,9 @@
         """Everything that may come of a state in so many steps. ``RuleBroken``, with the way there in its
         notes."""
         came_by: dict[Tier, tuple[Tier, str] | None] = {start: None}
-        frontier, transitions, reached = [start], 0, 0
+        frontier = [start]
+        transitions = 0
+        reached = 0
         for reached in range(1, depth + 1):  # noqa: B007
             found: list[Tier] = []
             for tier in frontier:
--- a/magpieshift/lab/simulated/fanout_histories.py
+++ b/magpieshift/lab/simulated/fanout_histories.py
@@ -15,7 +15,8 @@
 LASTS_S = 45  # how long faults go on
 QUIET_S = 45  # by then all has come back after the last fault, where one source lives
 TWO_SOURCES_QUIET_S = 140  # where there are several, of which the relays that return end all but one
-BURST_TIMES, BURST_S = 10, 5
+BURST_TIMES = 10
+BURST_S = 5
 PURGES_PER_S = 2.0
 PAUSE_S = 5.0
 SHARE_RESTARTED = 0.1  # of the routers, in a burst
@@ -106,7 +107,8 @@
     def _load(self) -> None:
         if self._over:
             return
-        world, rand = self.world, self.rand
+        world = self.world
+        rand = self.rand
         what = rand.random()
         if what < 0.03:
             world.log.change_stores()
@@ -147,13 +149,15 @@
         return self.rand.choice(living) if living else "R0.1"
 
     def _kill(self) -> str:
-        name, silently = self._any("RRE"), self.rand.random() < 0.5
+        name = self._any("RRE")
+        silently = self.rand.random() < 0.5
         self.world.kill(name, silently)
         self._later(15.0, lambda: self.world.start(name))
         return f"kill {name} {silently=}"
 
     def _kill_source(self) -> str:
-        name, silently = self._any("S"), self.rand.random() < 0.5
+        name = self._any("S")
+        silently = self.rand.random() < 0.5
         self.world.kill(name, silently)
         return f"kill {name} {silently=}"
 
@@ -163,7 +167,8 @@
         return "start S1 and S2"
 
     def _pause(self) -> str:
-        name, for_s = self._any(), self.rand.choice((0.5, PAUSE_S, 9.0, 12.0))
+        name = self._any()
+        for_s = self.rand.choice((0.5, PAUSE_S, 9.0, 12.0))
         self.world.pause(name, int(for_s * SECOND))
         return f"pause {name} {for_s} s"
 
@@ -187,7 +192,8 @@
         return f"break streams of {name}"
 
     def _slow_reader(self) -> str:
-        name, every_s = self._any("RE"), self.rand.choice((0.3, 1.5))
+        name = self._any("RE")
+        every_s = self.rand.choice((0.3, 1.5))
         self.world.read_slowly(name, int(every_s * SECOND))
         self._later(20.0, lambda: self.world.read_slowly(name, 0))
         return f"{name} reads each {every_s} s"
--- a/magpieshift/lab/simulated/fanout_judge.py
+++ b/magpieshift/lab/simulated/fanout_judge.py
@@ -49,11 +49,14 @@
         self.claims: dict[Epoch, int] = {}  # up to where each source has called everything done
         self.done_at: dict[Epoch, list[int]] = {}  # when each entry was first called done
         self.overlap_until_us = 0  # several sources may have leases out until then
-        self.attempts = self.unbounded_attempts = 0
+        self.attempts = 0
+        self.unbounded_attempts = 0
 
     def source_began(self, epoch: Epoch) -> None:
         """A source began an epoch."""
-        self.logs[epoch], self.claims[epoch], self.done_at[epoch] = [], 0, []
+        self.logs[epoch] = []
+        self.claims[epoch] = 0
+        self.done_at[epoch] = []
 
     def several_sources(self, now_us: int) -> None:
         """More than one source is alive now."""
@@ -93,7 +96,8 @@
                 if not told.has(entry):
                     raise RuleBroken(f"skipped: purge {entry.key} is not in the snapshot that {name} took")
         self._same_lists(name, snapshot, true)
-        router.epoch, router.sequence = snapshot.epoch, snapshot.applied
+        router.epoch = snapshot.epoch
+        router.sequence = snapshot.applied
         self._note(router, snapshot.purges)
 
     def _same_lists(self, name: str, snapshot: Snapshot, true: list[Entry]) -> None:
--- a/magpieshift/lab/simulated/fanout_measures.py
+++ b/magpieshift/lab/simulated/fanout_measures.py
@@ -14,7 +14,9 @@
 if TYPE_CHECKING:
     from magpieshift.lab.simulated.fanout import World
 
-PURGE_BYTES, MESSAGE_BYTES = 28, 40  # estimates of what a purge and a message cost on the wire
+# estimates of what a purge and a message cost on the wire
+PURGE_BYTES = 28
+MESSAGE_BYTES = 40
 MOST_UNREAD = 3 * limits.WINDOW_BATCHES  # messages on their way to a follower: its window, and heartbeats
 
 
@@ -26,7 +28,8 @@
 
 
 def _settled_at(world: World, host: Host, source: Source) -> str:
-    head, epoch = source.log.head, source.log.epoch
+    head = source.log.head
+    epoch = source.log.epoch
     for other in world.network.hosts.values():
         if isinstance(other.process, Following):
             follower = other.process.follower
--- a/magpieshift/lab/simulated/fanout_network.py
+++ b/magpieshift/lab/simulated/fanout_network.py
@@ -14,7 +14,9 @@
 from magpieshift.lab.simulated.fanout_processes import Message, Relay, Router, Source
 from magpieshift.lab.simulated.time import Time
 
-NEAR_US, FAR_US = (1_000, 30_000), (20_000, 150_000)  # delays within a region and between two
+# delays within a region and between two
+NEAR_US = (1_000, 30_000)
+FAR_US = (20_000, 150_000)
 EVERYONE = "*"  # in a cut
 
 
@@ -31,11 +33,14 @@
 
     def __init__(self, name: str, region: str, time: Time, rate: float, offset_us: int) -> None:
         """``rate`` is by how much its clock runs faster than the true one."""
-        self.name, self.region = name, region
+        self.name = name
+        self.region = region
         self.process: Source | Relay | Router | None = None
         self.asleep_until_us = 0  # true time
         self.read_every_us = 0  # 0: reads at once
-        self._time, self._rate, self._offset_us = time, rate, offset_us
+        self._time = time
+        self._rate = rate
+        self._offset_us = offset_us
         self._inbox: deque[tuple[Stream, Callable[[], None]]] = deque()
         self._reading = False  # the next of what waits is due to be read
 
@@ -84,7 +89,8 @@
 
     def killed(self) -> None:
         """Its process is gone, with all that waited for it."""
-        self.process, self.asleep_until_us = None, 0
+        self.process = None
+        self.asleep_until_us = 0
         self._inbox.clear()
 
 
@@ -94,7 +100,8 @@
     def __init__(self, network: Network, ident: int, client: Host, server: Host) -> None:
         self.ident = ident
         self._network = network
-        self.client, self.server = client, server
+        self.client = client
+        self.server = server
         self._hosts = client, server
         self._processes = client.process, server.process
         self._open = [True, True]
@@ -153,7 +160,8 @@
     def heal(self) -> None:
         """What was held up by a cut goes on."""
         for reader in (0, 1):
-            held, self._held[reader] = self._held[reader], 0
+            held = self._held[reader]
+            self._held[reader] = 0
             for _ in range(held):
                 self._schedule(reader)
 
@@ -168,7 +176,8 @@
         time.at(self._arrives_us[reader], partial(self._arrive, reader))
 
     def _arrive(self, reader: int) -> None:
-        receiver, sender = self._hosts[reader], self._hosts[1 - reader]
+        receiver = self._hosts[reader]
+        sender = self._hosts[1 - reader]
         if self._network.is_cut(sender, receiver):
             self._held[reader] += 1
         else:
@@ -179,7 +188,8 @@
         if not self._pipes[reader] or not self._open[reader]:
             self._pipes[reader].clear()
             return
-        message, host = self._pipes[reader].popleft(), self._hosts[reader]
+        message = self._pipes[reader].popleft()
+        host = self._hosts[reader]
         if host.process is None or self._processes[reader] is not host.process:
             self._open[reader] = False
             if host.process is not None:  # its machine is there and knows no such stream
@@ -197,7 +207,8 @@
     def __init__(
         self, time: Time, rand: random.Random, deliver: Callable[[Host, Stream, Message | EndMark], None]
     ) -> None:
-        self.time, self.deliver = time, deliver
+        self.time = time
+        self.deliver = deliver
         self.hosts: dict[str, Host] = {}
         self.streams: dict[int, Stream] = {}
         self._rand = rand
--- a/magpieshift/lab/simulated/fanout_processes.py
+++ b/magpieshift/lab/simulated/fanout_processes.py
@@ -89,7 +89,8 @@
     """The serving side of a source or relay."""
 
     def __init__(self, name: str, boot: str) -> None:
-        self.name, self.boot = name, boot
+        self.name = name
+        self.boot = boot
         self.state = State(whole_configuration)
         self._streams: set[int] = set()  # of followers
         self.fanout: Fanout
@@ -209,7 +210,8 @@
         self.follower.want_whole = False
 
     def _end_earlier(self) -> list[Output]:
-        ended, self._earlier = self._earlier, None
+        ended = self._earlier
+        self._earlier = None
         return [] if ended is None else [End(ended)]
 
     def relay_lost(self, stream: int) -> None:
@@ -232,7 +234,8 @@
         """End a stream that has been silent for too long."""
         if self.stream is None or self.follower.check(now_us) is None:
             return []
-        ended, self.stream = self.stream, None
+        ended = self.stream
+        self.stream = None
         return [End(ended)]
 
 
--- a/magpieshift/lab/simulated/fanout_tier.py
+++ b/magpieshift/lab/simulated/fanout_tier.py
@@ -27,7 +27,9 @@
 from magpieshift.relay.limits import CLOCK_DRIFT, PURGE_BOUND_US
 from magpieshift.relay.messages import Entry, Epoch, FromFollower, Purge
 
-SOURCE, RELAYS, ROUTERS = "S", ("R1", "R2"), ("E1", "E2")
+SOURCE = "S"
+RELAYS = ("R1", "R2")
+ROUTERS = ("E1", "E2")
 FOLLOWERS = (*RELAYS, *ROUTERS)
 NAMES = (SOURCE, *FOLLOWERS)
 RATES = {
@@ -108,12 +110,16 @@
 
     def __init__(self, memory: Memory, tier: Tier) -> None:
         self._memory = memory
-        self.now_us, self.read, self.lives, self.budget = tier.now_us, tier.read, tier.lives, tier.budget
+        self.now_us = tier.now_us
+        self.read = tier.read
+        self.lives = tier.lives
+        self.budget = tier.budget
         self.processes = dict(zip(NAMES, tier.processes, strict=True))
         self.ways = dict(zip(FOLLOWERS, tier.ways, strict=True))
         self.left = dict(zip(FOLLOWERS, tier.left, strict=True))
         self.known = dict(zip(ROUTERS, tier.known, strict=True))
-        self.made_us, self.logs = tier.made_us, tier.logs
+        self.made_us = tier.made_us
+        self.logs = tier.logs
 
     def tier(self) -> Tier:
         """The state that it is in now."""
@@ -231,7 +237,8 @@
         """A process dies, and a new life begins at once; a source's begins a new epoch."""
         self.spend(**{"sources" if name == SOURCE else "crashes": 1})
         for follower in FOLLOWERS:
-            way, left = self.ways[follower], self.left[follower]
+            way = self.ways[follower]
+            left = self.left[follower]
             if way is not None and way.server == name:
                 self.ways[follower] = way._replace(server=NOWHERE, up=(), down=(*way.down, END))
             if left is not None and left.server == name:
@@ -246,7 +253,8 @@
         process = self._memory.new_process(name, self.lives, clock(name, self.now_us))
         self.processes[name] = self._memory.frozen.freeze(process)
         if name == SOURCE:
-            self.logs, self.read = (*self.logs, Log(self.lives)), 0
+            self.logs = (*self.logs, Log(self.lives))
+            self.read = 0
         elif name in ROUTERS:
             self.known[name] = Known()
 
@@ -344,14 +352,16 @@
         known = self.known[name]
         logs = {log.term: log.entries for log in self.logs}
         if isinstance(effect, Apply):
-            term, last = effect.epoch.term, effect.last
+            term = effect.epoch.term
+            last = effect.last
             if (term, effect.first) != (known.term, known.sequence + 1):
                 raise RuleBroken(f"order: {name} at {known} applied {effect.first} to {last} of {term}")
             told = positions(effect.entries)
             if told != list(logs[term][effect.first - 1 : last]):
                 raise RuleBroken(f"content: {name} applied {told}")
             return Known(term, last, known.purges | frozenset(told))
-        term, last = effect.snapshot.epoch.term, effect.snapshot.applied
+        term = effect.snapshot.epoch.term
+        last = effect.snapshot.applied
         told = positions(effect.snapshot.purges)
         if (term, last) < known[:2]:
             raise RuleBroken(f"order: {name} at {known} took a snapshot of {last} of {term}")
@@ -410,7 +420,8 @@
 
     def new_process(self, name: str, life: int, now_us: int) -> Process:
         """A process in a new life."""
-        boot, first_stream = f"{name}/{life}", life * STREAMS_OF_A_LIFE
+        boot = f"{name}/{life}"
+        first_stream = life * STREAMS_OF_A_LIFE
         if name == SOURCE:
             return Source(name, boot, Epoch(life, life), now_us, LOG_ENTRIES)
         if name in RELAYS:
--- a/magpieshift/lab/simulated/fleet.py
+++ b/magpieshift/lab/simulated/fleet.py
@@ -25,7 +25,8 @@
 SECOND = 1_000_000
 NOTICED_US = 500_000  # by a front, that a router has died
 KINDS = ("box", "upper", "source")
-PICTURE, BASKET = "picture", "basket"
+PICTURE = "picture"
+BASKET = "basket"
 
 
 @dataclass(frozen=True)
@@ -115,7 +116,8 @@
     # --- the installation
 
     def _build_stores(self) -> None:
-        form, bears = self.form, self.form.room
+        form = self.form
+        bears = self.form.room
         kb_per_s = form.made_for * form.size_kb
         box = Figures(max(2, round(bears * kb_per_s / 10_000 / (form.zones * form.boxes) * 4)), 100.0)
         box_keeps = max(20, int(form.objects * 0.4 / form.boxes))
@@ -182,7 +184,8 @@
         """A process of this name, which knows nothing."""
         number = int(name[1:])
         document = self._document(number)
-        settings, clock = document.settings, RouterClock(self.time)
+        settings = document.settings
+        clock = RouterClock(self.time)
         seed = self.form.seed * 1000 + number
         back = Back(self.stores, lambda: not clock.dead)
         engine = Engine(settings, seed, clock, back, names=document.names)
@@ -233,7 +236,8 @@
             self.time.after(100_000, lambda: self._again(wish, 0, ""))
             return
         self._idents += 1
-        over, asked_us = [False], self.time.now_us
+        over = [False]
+        asked_us = self.time.now_us
 
         def reply(answer: Response) -> None:
             if over[0]:
--- a/magpieshift/lab/simulated/gossip.py
+++ b/magpieshift/lab/simulated/gossip.py
@@ -19,12 +19,14 @@
     of themselves that they have all the room there is, and of each store that it fails."""
 
     def __init__(self, fleet: Fleet, loss: float = 0.0, liars: int = 0) -> None:
-        self._fleet, self.loss = fleet, loss
+        self._fleet = fleet
+        self.loss = loss
         self._rand = random.Random(f"talk {fleet.form.seed}")
         self._talkers: dict[int, tuple[Router, Gossip]] = {}  # by engine: a later start begins anew
         self._liars = set(sorted(fleet.routers)[:liars])
         self._died: dict[str, int] = {}
-        self.sent = self.bytes = 0
+        self.sent = 0
+        self.bytes = 0
         fleet.time.after(0, self._look)
 
     def _look(self) -> None:
@@ -71,7 +73,8 @@
 
     def _arrive(self, name: str, sender: str, data: bytes) -> None:
         router = self._fleet.routers[name]
-        clock, now = router.clock, self._fleet.time.now_us
+        clock = router.clock
+        now = self._fleet.time.now_us
         if clock.dead or now < clock.asleep_until_us or id(router.engine) not in self._talkers:
             return
         self._talkers[id(router.engine)][1].receive(now, sender, decode(data), mate=False)
--- a/magpieshift/lab/simulated/rollout.py
+++ b/magpieshift/lab/simulated/rollout.py
@@ -74,7 +74,8 @@
                     self.step = self.fleet.now_us + int(takes * SECOND), action
 
     def look(self) -> Verdict:
-        fleet, coordinator = self.fleet, self.coordinator
+        fleet = self.fleet
+        coordinator = self.coordinator
         now = fleet.now_us
         if now < self.paused_until:
             return coordinator.verdict
@@ -105,7 +106,8 @@
 
     def _before(self, verdict: Verdict) -> Verdict:
         """The ablation: the new side now against the old one in the calm before, by the same bounds."""
-        worst, enough = 0.0, True
+        worst = 0.0
+        enough = True
         for each in self.judge.sums.values():
             enough = enough and each.asked_new >= 200
             if each.asked_new >= 200:
@@ -125,7 +127,8 @@
     run = Run(fleet)
     older: list[Run] = []
     rand = random.Random(f"coordinator {seed}")
-    trouble_s, troubles = rand.uniform(5, 200) if scenario.coordinator else float("inf"), 0
+    trouble_s = rand.uniform(5, 200) if scenario.coordinator else float("inf")
+    troubles = 0
     while not run.coordinator.over and fleet.now_us < MOST_S * SECOND:
         fleet.go(LOOK_S)
         if fleet.now_us >= trouble_s * SECOND:
@@ -153,14 +156,16 @@
         if run.step is not None:
             out.most_away = max(out.most_away, 1 + len(run.coordinator.away(fleet.now_us)))
     out.seconds = fleet.now_us / SECOND
-    out.ended, out.why = run.coordinator.state.way.value, run.coordinator.state.why or run.coordinator.waits
+    out.ended = run.coordinator.state.way.value
+    out.why = run.coordinator.state.why or run.coordinator.waits
     out.exposed_requests = round(fleet.asked[NEW] / max(1, sum(fleet.asked.values())), 4)
     return out
 
 
 def many(name: str, routers: int, runs: int, seed: int, workers: int, before: bool = False) -> dict[str, Any]:
     """So many rollouts of one scenario, by several processes; the last line's figures."""
-    began, one = time.perf_counter(), partial(play, name, routers, before=before)
+    began = time.perf_counter()
+    one = partial(play, name, routers, before=before)
     with ProcessPoolExecutor(workers) as pool:
         outs = list(pool.map(one, range(seed, seed + runs), chunksize=1))
     bad = SCENARIOS[name].bad
--- a/magpieshift/lab/simulated/rollout_fleet.py
+++ b/magpieshift/lab/simulated/rollout_fleet.py
@@ -20,7 +20,8 @@
 from magpieshift.rollout.plan import Plan, Router, Side, Stage, Worse
 
 SECOND = 1_000_000
-OLD, NEW = "old", "new"
+OLD = "old"
+NEW = "new"
 CLASSES = {"picture": 0.9, "basket": 0.06, "order": 0.04}
 SERVED = 0.97
 
@@ -67,8 +68,11 @@
     def __init__(
         self, scenario: Scenario, routers: int, seed: int, rate: float = 20.0, before: bool = False
     ) -> None:
-        self.scenario, self.plan, self.rate = scenario, plan_of(routers), rate
-        self.rand, self.draw = random.Random(seed), np.random.default_rng(seed)
+        self.scenario = scenario
+        self.plan = plan_of(routers)
+        self.rate = rate
+        self.rand = random.Random(seed)
+        self.draw = np.random.default_rng(seed)
         self.now_us = 0
         self.before = before  # an ablation: the new side is compared with what the old did before the stage
         self.processes: dict[str, list[Process]] = {}
@@ -86,7 +90,8 @@
         self._troubles()
 
     def _troubles(self) -> None:
-        rand, s = self.rand, self.scenario
+        rand = self.rand
+        s = self.scenario
         for _ in range(s.outages):
             since = rand.randrange(600 * SECOND)
             for_us = rand.randrange(5 * SECOND, 60 * SECOND)
--- a/magpieshift/lab/simulated/stores.py
+++ b/magpieshift/lab/simulated/stores.py
@@ -18,7 +18,9 @@
 from magpieshift.policy.outcomes import CacheStatus, Outcome
 
 WAY_US = 500  # between a router and a store, one way
-HERE, GONE, SILENT = "here", "gone", "silent"
+HERE = "here"
+GONE = "gone"
+SILENT = "silent"
 
 Done = Callable[[AttemptResult], None]
 
@@ -71,7 +73,8 @@
         self.let_go()
 
     def let_go(self) -> None:
-        free, self.free = self.free, None
+        free = self.free
+        self.free = None
         if free is not None:
             free()
 
@@ -87,7 +90,10 @@
         rand: random.Random,
         account: Callable[[], Account],
     ) -> None:
-        self.listed, self.figures, self._time, self._random = listed, figures, time, rand
+        self.listed = listed
+        self.figures = figures
+        self._time = time
+        self._random = rand
         self._account = account
         self.state = HERE
         self.errors = 0.0  # share answered with an error
@@ -154,7 +160,8 @@
     """A zone's link in: bytes one after the other, so what comes last waits for all."""
 
     def __init__(self, time: Time, kb_per_s: float) -> None:
-        self._time, self.kb_per_s = time, kb_per_s
+        self._time = time
+        self.kb_per_s = kb_per_s
         self._free_us = 0
 
     def carry(self, work: Work, kb: float, then: Callable[[], None]) -> None:
@@ -166,7 +173,8 @@
     """All stores of an installation, and the back that routers reach them by."""
 
     def __init__(self, time: Time, account: Callable[[], Account]) -> None:
-        self._time, self._account = time, account
+        self._time = time
+        self._account = account
         self.by_name: dict[str, Store] = {}
         self.links: dict[int, Link] = {}  # by zone
 
@@ -176,7 +184,8 @@
 
     def ask(self, order: UpstreamRequest, done: Done) -> Work:
         """What a router asks of a store; ``done`` is called once unless it is given up."""
-        work, store = Work(), self.by_name[order.endpoint.name]
+        work = Work()
+        store = self.by_name[order.endpoint.name]
 
         def arrived() -> None:
             if not work.over:
@@ -216,7 +225,8 @@
         call = order.request
         if store is self.origin:
             self._account().origin += 1
-        key, name = (call.object_key, call.part), call.class_name
+        key = (call.object_key, call.part)
+        name = call.class_name
         if store is self.origin or store.has(key):
             store.work(
                 work,
@@ -248,7 +258,8 @@
         if not source.room():
             return came(AttemptResult(Outcome.OVERLOADED, CacheStatus.SOURCE_REJECTED))
         call = order.request
-        key, name = (call.object_key, call.part), call.class_name
+        key = (call.object_key, call.part)
+        name = call.class_name
         takes = source.takes_us(name, call.size_kb)
         from_afar = store.listed.endpoint.zone != source.listed.endpoint.zone
 
@@ -286,7 +297,8 @@
     """One router's way to the stores, as its engine sees it."""
 
     def __init__(self, stores: Stores, alive: Callable[[], bool]) -> None:
-        self._stores, self._alive = stores, alive
+        self._stores = stores
+        self._alive = alive
 
     def start(self, order: UpstreamRequest, done: Done) -> Exchange:
         def told(result: AttemptResult) -> None:
--- a/magpieshift/membership/admission.py
+++ b/magpieshift/membership/admission.py
@@ -9,7 +9,9 @@
 from magpieshift.membership.messages import Address, Datagram
 
 WINDOW = 64  # datagrams of a sender that may overtake each other
-RATE, BURST = 200.0, 400.0  # datagrams a second taken from one address: the sixteen that matter are far below
+# datagrams a second taken from one address: the sixteen that matter are far below
+RATE = 200.0
+BURST = 400.0
 MOST_SPARE = 1024  # entries kept beyond those of members
 
 
@@ -37,7 +39,9 @@
     """One router's filter of what reaches its socket; what is dropped is counted by its reason."""
 
     def __init__(self, fleet: str, view: MemberTable, counters: Counters) -> None:
-        self._fleet, self._view, self._counters = fleet, view, counters
+        self._fleet = fleet
+        self._view = view
+        self._counters = counters
         self._heard: dict[tuple[str, tuple[int, int]], _Serials] = {}  # by name and life
         self._budget: dict[Address, tuple[float, int]] = {}  # datagrams left, and when that was worked out
 
@@ -46,7 +50,8 @@
         if datagram.fleet != self._fleet:
             self._counters.other_fleet += 1
             return False
-        sender, own = datagram.sender, self._view.own
+        sender = datagram.sender
+        own = self._view.own
         if not self._within_rate(now_us, source):
             self._counters.flooded += 1
             return False
--- a/magpieshift/membership/codec.py
+++ b/magpieshift/membership/codec.py
@@ -30,9 +30,17 @@
 
 
 def _member(member: Member, row: wire.Member) -> None:
-    row.name, row.host, row.port, row.incarnation = member.name, member.host, member.port, member.incarnation
-    row.boot, row.beat, row.left, row.zone = member.boot, member.beat, member.left, member.zone
-    row.program, row.settings, row.state = member.program, member.settings, member.state
+    row.name = member.name
+    row.host = member.host
+    row.port = member.port
+    row.incarnation = member.incarnation
+    row.boot = member.boot
+    row.beat = member.beat
+    row.left = member.left
+    row.zone = member.zone
+    row.program = member.program
+    row.settings = member.settings
+    row.state = member.state
     row.load = member.load
 
 
@@ -46,7 +54,8 @@
 
 def encode(datagram: Datagram) -> bytes:
     """A datagram as bytes, of ``MOST_BYTES`` at most: what is only passed on gives way."""
-    rows, said = list(datagram.members), list(datagram.accusations)
+    rows = list(datagram.members)
+    said = list(datagram.accusations)
     while True:
         out = wire.Datagram(fleet=datagram.fleet, serial=datagram.serial, view=datagram.view)
         out.sender.CopyFrom(_row(datagram.sender))
@@ -54,9 +63,11 @@
             case Ping(number=number):
                 out.ping.number = number
             case Ack(number=number, about=about):
-                out.ack.number, out.ack.about = number, about
+                out.ack.number = number
+                out.ack.about = about
             case Ask(number=number, about=about):
-                out.ask.number, out.ask.about = number, about
+                out.ask.number = number
+                out.ask.about = about
             case Sync(parts=parts, answer=answer):
                 out.sync.parts.extend(parts)
                 out.sync.answer = answer
@@ -65,7 +76,8 @@
                 for scope, share in shares:
                     out.claim.parts.add(scope=scope, share=share)
             case Note(topic=topic, data=data):
-                out.note.topic, out.note.data = topic, data
+                out.note.topic = topic
+                out.note.data = data
         for member in rows:
             out.members.append(_row(member))
         for each in said:
@@ -75,7 +87,8 @@
         whole = seal(out.SerializeToString())
         if len(whole) <= MOST_BYTES or not (rows or said):
             return whole
-        rows, said = rows[: len(rows) // 2], said[: len(said) // 2]
+        rows = rows[: len(rows) // 2]
+        said = said[: len(said) // 2]
 
 
 def _text(value: str, what: str, needed: bool = True) -> str:
--- a/magpieshift/membership/dissemination.py
+++ b/magpieshift/membership/dissemination.py
@@ -9,7 +9,9 @@
 from magpieshift.membership.messages import Address, Body, Datagram, Send
 from magpieshift.membership.update_queue import Key, UpdateQueue
 
-MOST_MEMBERS_SENT, MOST_ACCUSATIONS_SENT = 8, 12  # in one datagram, which stays under 1,400 bytes
+# in one datagram, which stays under 1,400 bytes
+MOST_MEMBERS_SENT = 8
+MOST_ACCUSATIONS_SENT = 12
 MOST_LOOKED_AT = 32  # rumours, for what goes along with one datagram
 SPREAD = 3  # times the logarithm of the members: how often one rumour is passed on
 
@@ -70,7 +72,10 @@
     def __init__(
         self, fleet: str, view: MemberTable, dissemination: Dissemination, counters: Counters
     ) -> None:
-        self._fleet, self._view, self._dissemination, self._counters = fleet, view, dissemination, counters
+        self._fleet = fleet
+        self._view = view
+        self._dissemination = dissemination
+        self._counters = counters
         self._unsent: list[Send] = []
         self._serial = 0
 
@@ -93,5 +98,6 @@
 
     def flush(self) -> list[Send]:
         """What has come to be sent, which is taken out."""
-        unsent, self._unsent = self._unsent, []
+        unsent = self._unsent
+        self._unsent = []
         return unsent
--- a/magpieshift/membership/driver.py
+++ b/magpieshift/membership/driver.py
@@ -37,8 +37,11 @@
         after: Callable[[], None] = lambda: None,
         used: Callable[[], None] = lambda: None,
     ) -> None:
-        self.detector, self.shares, self.now_us = detector, shares, now_us
-        self.after, self.used = after, used
+        self.detector = detector
+        self.shares = shares
+        self.now_us = now_us
+        self.after = after
+        self.used = used
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._read = 0
--- a/magpieshift/membership/failure_detector.py
+++ b/magpieshift/membership/failure_detector.py
@@ -30,7 +30,9 @@
 
 SILENT_US = 2_400_000
 SLEPT_US = 1_000_000  # between two ticks: this process did not run, and cannot know who was silent
-SEEDS_US, GONE_US = 3_000_000, 1_000_000  # how often they are tried
+# how often they are tried
+SEEDS_US = 3_000_000
+GONE_US = 1_000_000
 
 
 def _nobody(claim: Claim, sender: Member, to: Address) -> None:
@@ -54,14 +56,16 @@
         tuning: Tuning = Tuning(),  # noqa: B008, it is frozen
     ) -> None:
         self.view = MemberTable(own, now_us)
-        self.seeds, self.tuning = seeds, tuning
+        self.seeds = seeds
+        self.tuning = tuning
         self.counters = Counters()
         self.quiet = False  # another process goes on under this name, as it should
         self.expects_rival = False  # a replacement is under way: it is no conflict
         self.other: Callable[[Claim, Member, Address], None] = _nobody
         self.noted: Callable[[Note, Member], None] = _deaf
         self.changes = 0  # of what this router says of itself, for its listeners
-        self._now_us, self._random = now_us, rand
+        self._now_us = now_us
+        self._random = rand
         self._dissemination = Dissemination(self.view)
         self._outbox = Outbox(fleet, self.view, self._dissemination, self.counters)
         self._admission = Admission(fleet, self.view, self.counters)
@@ -75,7 +79,8 @@
         self._turn = 0
         self._last_tick_us = self._woke_us = self._heard_us = now_us
         self._late_us = 0  # how late ticks lately came: that much silence is this router's own
-        self._seeds_us = self._gone_us = 0
+        self._seeds_us = 0
+        self._gone_us = 0
         self._accused_us = -SUSPECT_US
 
     # --- what can be asked
@@ -100,7 +105,8 @@
     def tick(self, now_us: int) -> list[Send]:
         """To be called every ``TURN_US``; what is to be sent."""
         late = now_us - self._last_tick_us - TURN_US
-        self._now_us, self._last_tick_us = now_us, now_us
+        self._now_us = now_us
+        self._last_tick_us = now_us
         if late >= SLEPT_US:
             self._woke()
         self._late_us = max(late, int(self._late_us * 0.98), 0)
--- a/magpieshift/membership/member_table.py
+++ b/magpieshift/membership/member_table.py
@@ -22,7 +22,9 @@
 MOST_TEXT = 64  # characters of a name, zone, version or state
 FORGET_US = 600_000_000  # who has been gone so long is forgotten, and is new if it comes
 FREE_RETURNS = 2  # within FORGET_US, from being gone: who comes and goes more often is taken back later
-STEADY_US, MOST_STEADY_US = 5_000_000, 60_000_000  # heard for so long without a gap, twice as long each time
+# heard for so long without a gap, twice as long each time
+STEADY_US = 5_000_000
+MOST_STEADY_US = 60_000_000
 GAP_US = 3_000_000
 
 
@@ -146,7 +148,8 @@
 
     def after(self, name: str) -> Iterable[Known]:
         """Who is here, once round the ring from the one behind this name; itself not."""
-        start, size = bisect_left(self.ring, (spot(name), name)), len(self.ring)
+        start = bisect_left(self.ring, (spot(name), name))
+        size = len(self.ring)
         for step in range(size):
             other = self.ring[(start + step) % size][1]
             if other != name:
@@ -185,7 +188,8 @@
         if member.left:
             self._go(known, Standing.LEFT, now_us, why)
         elif risen:
-            gap, known.heard_us = now_us - known.heard_us, now_us
+            gap = now_us - known.heard_us
+            known.heard_us = now_us
             known.accusers = (
                 {} if new_life else {who: beat for who, beat in known.accusers.items() if beat >= member.beat}
             )
@@ -205,7 +209,8 @@
             known.steady_us = now_us
         if often >= 0 and now_us - known.steady_us < min(MOST_STEADY_US, STEADY_US << min(often, 8)):
             return True
-        known.returns, known.steady_us = (*lately, now_us)[-16:], -1
+        known.returns = (*lately, now_us)[-16:]
+        known.steady_us = -1
         return False
 
     def accuse(self, said: Accusation) -> bool:
@@ -286,10 +291,13 @@
 
     def _go(self, known: Known, standing: Standing, now_us: int, why: str) -> None:
         """The one place where a standing changes."""
-        before, here = known.standing, known.here
+        before = known.standing
+        here = known.here
         if before == standing:
             return
-        known.standing, known.since_us, known.why = standing, now_us, why
+        known.standing = standing
+        known.since_us = now_us
+        known.why = why
         if known.here and not here:
             self._come(known.member)
         elif here and not known.here:
--- a/magpieshift/membership/name_conflict.py
+++ b/magpieshift/membership/name_conflict.py
@@ -12,7 +12,8 @@
     """What one router knows of another process that has its name."""
 
     def __init__(self, view: MemberTable, dissemination: Dissemination) -> None:
-        self._view, self._dissemination = view, dissemination
+        self._view = view
+        self._dissemination = dissemination
         self._rival: Member | None = None  # the one that is being tried
         self._tries = 0
 
@@ -24,7 +25,8 @@
         elif (other.host, other.port) == (own.host, own.port):  # an earlier start, whose clock was ahead
             self._outlive(other)
         elif self._rival is None or self._rival.life < other.life:
-            self._rival, self._tries = other, 0
+            self._rival = other
+            self._tries = 0
 
     def _outlive(self, other: Member) -> None:
         self._rival = None
--- a/magpieshift/membership/own_record.py
+++ b/magpieshift/membership/own_record.py
@@ -19,7 +19,9 @@
         judge: SuspicionRules,
         name_conflict: NameConflict,
     ) -> None:
-        self._view, self._dissemination, self._judge = view, dissemination, judge
+        self._view = view
+        self._dissemination = dissemination
+        self._judge = judge
         self._name_conflict = name_conflict
 
     def learn(self, now_us: int, member: Member, why: str) -> None:
@@ -36,7 +38,8 @@
 
     def take(self, now_us: int, datagram: Datagram) -> bool:
         """Take in all that a datagram passes on; whether this router itself is accused in it."""
-        own, accused = self._view.own, False
+        own = self._view.own
+        accused = False
         for member in datagram.members:
             if member.name == own.name:
                 if member.life != own.life:
--- a/magpieshift/membership/probing.py
+++ b/magpieshift/membership/probing.py
@@ -21,7 +21,10 @@
         self, view: MemberTable, outbox: Outbox, pings: OpenPings, rand: random.Random, watched: int
     ) -> None:
         """``watched``: how many at least."""
-        self._view, self._outbox, self._pings, self._random = view, outbox, pings, rand
+        self._view = view
+        self._outbox = outbox
+        self._pings = pings
+        self._random = rand
         self._least = watched
         self._ring_at = (-1, -1)
         self.since: dict[str, int] = {}  # by name of whom it watches, since when
@@ -42,7 +45,9 @@
         if at == self._ring_at:
             return
         self._ring_at = at
-        own, found, well = self._view.own.name, dict[str, int](), 0
+        own = self._view.own.name
+        found = dict[str, int]()
+        well = 0
         for known in self._view.after(own):
             found[known.member.name] = self.since.get(known.member.name, now_us)
             well += own not in known.accusers and known.standing == Standing.ALIVE
@@ -69,7 +74,9 @@
 
     def some(self, count: int, but: str = "") -> list[Member]:
         """So many others at random, who are here and not suspected as far as that can be had."""
-        ring, own, found = self._view.ring, self._view.own.name, dict[str, Member]()
+        ring = self._view.ring
+        own = self._view.own.name
+        found = dict[str, Member]()
         for _ in range(4 * count if len(ring) > 1 else 0):
             name = ring[int(self._random.random() * len(ring))][1]
             if name not in (own, but) and name not in self._view.accused:
--- a/magpieshift/membership/quota_lease.py
+++ b/magpieshift/membership/quota_lease.py
@@ -59,13 +59,17 @@
         now_us: int,
         rand: random.Random,
     ) -> None:
-        self.own, self.council, self.slots, self.alone = own, council, dict(slots), alone
+        self.own = own
+        self.council = council
+        self.slots = dict(slots)
+        self.alone = alone
         self._random = rand
         self._seen = dict.fromkeys(slots, (0, now_us))  # the most members there were, and when
         self._view_at = -1
         self.silent_until_us = now_us + self._longest()  # as a voter
         self._promised: tuple[Who, int] | None = None
-        self._term = self._number = 0
+        self._term = 0
+        self._number = 0
         self._asked: dict[int, int] = {}  # canvasses and wants without an answer: when they were sent
         self._votes: dict[str, int] = {}  # until when each is good
         self._elected_us: int | None = None
@@ -150,7 +154,8 @@
     def _canvass(self, now_us: int, view: MemberTable) -> Outgoing:
         if not self._term:
             self._term = self._random.getrandbits(62) | 1
-        number, out = self._note(now_us), Outgoing()
+        number = self._note(now_us)
+        out = Outgoing()
         for name in self.council:
             if known := view.known.get(name):
                 out += self._to(known.member, now_us, view, Claim(self._term, Kind.CANVASS, number))
@@ -159,7 +164,8 @@
     def _step_down(self) -> None:
         """Another is before it; what it granted runs out by itself, and a new term begins with an empty
         ledger only after that."""
-        self._term, self._elected_us = 0, None
+        self._term = 0
+        self._elected_us = None
         self._votes.clear()
 
     def _authority(self, now_us: int) -> bool:
@@ -194,7 +200,8 @@
             case Kind.RETURN:
                 lease = self._ledger.get(who)
                 if lease is not None and lease.offered is not None and lease.number == claim.number:
-                    lease.parts, lease.offered = lease.offered, None
+                    lease.parts = lease.offered
+                    lease.offered = None
         return []
 
     def _answer(self, sender: Member, to: Address, now_us: int, view: MemberTable, claim: Claim) -> Outgoing:
--- a/magpieshift/membership/suspicion.py
+++ b/magpieshift/membership/suspicion.py
@@ -27,7 +27,9 @@
     gone once that has lasted ``SUSPECT_US``; no verdict is passed on."""
 
     def __init__(self, view: MemberTable, dissemination: Dissemination, tuning: Tuning) -> None:
-        self._view, self._dissemination, self._tuning = view, dissemination, tuning
+        self._view = view
+        self._dissemination = dissemination
+        self._tuning = tuning
 
     @property
     def healthy(self) -> int:
--- a/magpieshift/membership/synchronization.py
+++ b/magpieshift/membership/synchronization.py
@@ -20,7 +20,10 @@
     def __init__(
         self, view: MemberTable, dissemination: Dissemination, outbox: Outbox, rand: random.Random
     ) -> None:
-        self._view, self._rumours, self._outbox, self._random = view, dissemination.rumours, outbox, rand
+        self._view = view
+        self._rumours = dissemination.rumours
+        self._outbox = outbox
+        self._random = rand
         self._asked: dict[str, int] = {}  # by name, when
 
     def question(self) -> Sync:
--- a/magpieshift/membership/unknown_peers.py
+++ b/magpieshift/membership/unknown_peers.py
@@ -15,7 +15,8 @@
     """Those whom one router has asked, and who have not answered yet."""
 
     def __init__(self, outbox: Outbox, pings: OpenPings) -> None:
-        self._outbox, self._pings = outbox, pings
+        self._outbox = outbox
+        self._pings = pings
         self._numbers: dict[str, int] = {}  # by name, of the ping that greets it
 
     def greet(self, now_us: int, sender: Member) -> None:
--- a/magpieshift/membership/update_queue.py
+++ b/magpieshift/membership/update_queue.py
@@ -45,7 +45,8 @@
 
     def told(self, key: Key) -> None:
         """Once more; the last time it is dropped."""
-        left, item = self._left[key] - 1, self._levels[self._left[key]].pop(key)
+        left = self._left[key] - 1
+        item = self._levels[self._left[key]].pop(key)
         if left <= 0:
             del self._left[key]
         else:
--- a/magpieshift/overload/failure_reports.py
+++ b/magpieshift/overload/failure_reports.py
@@ -51,7 +51,8 @@
         told_of = any(each.failing and now_us - each.seen_us < HOLDS_US for each in held.values())
         if ago_us is None or ago_us >= HOLDS_US or not (failing or told_of):
             return False  # that it is well is told while some say otherwise, or it would be told for ever
-        before, seen_us = held.get(self.own), now_us - ago_us
+        before = held.get(self.own)
+        seen_us = now_us - ago_us
         if before is not None and before.failing == failing and seen_us - before.seen_us < RENEW_US:
             return False
         return self._keep(store, self.own, Sighting(failing, seen_us))
--- a/magpieshift/overload/gossip.py
+++ b/magpieshift/overload/gossip.py
@@ -18,8 +18,12 @@
 from magpieshift.policy.health_override import HealthOverride
 
 TURN_US = 200_000  # between two turns
-FANOUT, URGENT_TURNS = 4, 4  # others told of what is new in a turn, and for how many turns
-MATES, MATES_TURNS = 8, 2  # neighbours told by a pressed router, and every how many turns
+# others told of what is new in a turn, and for how many turns
+FANOUT = 4
+URGENT_TURNS = 4
+# neighbours told by a pressed router, and every how many turns
+MATES = 8
+MATES_TURNS = 2
 MOST_A_TURN = 64  # digests taken between two turns, over all senders; more are dropped
 
 
@@ -36,12 +40,17 @@
     """One router's talk."""
 
     def __init__(self, own: str, rand: random.Random, now_us: int = 0) -> None:
-        self.own, self._random = own, rand
+        self.own = own
+        self._random = rand
         self.reports = FailureReports(own)
         self.trials = ProbeElection(own, rand)
         self.offloading = Offloading(now_us)
-        self.sent = self.taken = self.flooded = 0
-        self._urgent = self._turns = self._taken_now = 0
+        self.sent = 0
+        self.taken = 0
+        self.flooded = 0
+        self._urgent = 0
+        self._turns = 0
+        self._taken_now = 0
         self._verdicts: dict[str, tuple[bool, bool]] = {}
         self._pressed_us: int | None = None  # when a neighbour last said that it is
 
@@ -80,7 +89,8 @@
             for store in self.reports.stores()
         }
         if verdicts != self._verdicts:
-            self._verdicts, self._urgent = verdicts, URGENT_TURNS
+            self._verdicts = verdicts
+            self._urgent = URGENT_TURNS
         acts = self.trials.judge(now_us, self.reports, here, seen)
         changed = self.offloading.turn(now_us, pressure, rate, dict.fromkeys(mates))
         sends: list[tuple[str, Digest]] = []
--- a/magpieshift/overload/offloading.py
+++ b/magpieshift/overload/offloading.py
@@ -11,7 +11,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-HIGH, LOW = 0.9, 0.6  # pressure at which it begins, and under which it ends
+# pressure at which it begins, and under which it ends
+HIGH = 0.9
+LOW = 0.6
 SURE_US = 500_000  # over HIGH for so long before it begins
 DWELL_US = 30_000_000  # between two beginnings: under a steady load two changes a minute at most
 FRESH_US = 2_000_000  # a neighbour's word of itself counts for so long
@@ -64,10 +66,12 @@
         if not self.over:
             sure = self._since_us is not None and now_us - self._since_us >= SURE_US
             if sure and now_us - self._began_us >= DWELL_US:
-                self.over, self._began_us = True, now_us
+                self.over = True
+                self._began_us = now_us
                 self.why = f"pressure {pressure:.2f} for {(now_us - (self._since_us or 0)) / 1e6:.1f} s"
         elif pressure < LOW and self.share < STEP:
-            self.over, self.why = False, f"pressure {pressure:.2f}"
+            self.over = False
+            self.why = f"pressure {pressure:.2f}"
         wanted = 0.0
         if self.over:
             # as much more or less as brings it between the two marks, and no more than there is room for
--- a/magpieshift/overload/probe_election.py
+++ b/magpieshift/overload/probe_election.py
@@ -40,7 +40,8 @@
     @property
     def failing(self) -> bool:
         """Whether it fails by what was seen here lately, and nothing good came since."""
-        failed, good = self.failed_us, self.good_us
+        failed = self.failed_us
+        good = self.good_us
         return self.shunned and failed is not None and failed < HOLDS_US and (good is None or good > failed)
 
 
@@ -53,9 +54,12 @@
     """One router's part in trying failing stores."""
 
     def __init__(self, own: str, rand: random.Random) -> None:
-        self.own, self._random = own, rand
+        self.own = own
+        self._random = rand
         self._left: set[str] = set()  # stores left alone by report
-        self.tries = self.leaves = 0  # how often each was judged, for people
+        # how often each was judged, for people
+        self.tries = 0
+        self.leaves = 0
 
     def among_first(self, store: str, here: Collection[str]) -> bool:
         """Whether this router is one of the store's triers, of those who are there."""
--- a/magpieshift/policy/reconfigure.py
+++ b/magpieshift/policy/reconfigure.py
@@ -17,9 +17,11 @@
     )  # what a module that starts now knows of its classes: nothing but their figures
     count = len(settings.classes)
     for name in ("service_times_us", "fill_times_us"):
-        learned, new = getattr(router, name), getattr(start, name)
+        learned = getattr(router, name)
+        new = getattr(start, name)
         learned[:] = [new[i] if i in fresh or i >= len(learned) else learned[i] for i in range(count)]
     for store in router.endpoints.values() if fresh or count < len(router.settings.classes) else ():
         for key in [key for key in store.answer_times if key[0] in fresh or key[0] >= count]:
             del store.answer_times[key]
-    router.settings, router.us_per_kb = settings, start.us_per_kb
+    router.settings = settings
+    router.us_per_kb = start.us_per_kb
--- a/magpieshift/policy/router_policy.py
+++ b/magpieshift/policy/router_policy.py
@@ -58,10 +58,17 @@
 ASK_AGAIN = 2  # times, half a fill apart, that a part already being filled is asked for before filling it too
 CAUTION = 2  # the slowing seen counts double: what is sent now meets that of what is already on its way
 SHUN_AT = 0.4  # share of recent failures above which a store is passed over
-SHUN_US, MOST_SHUN = 1_000_000, 4  # a failing store's pause, longer while what is then tried fails
+# a failing store's pause, longer while what is then tried fails
+SHUN_US = 1_000_000
+MOST_SHUN = 4
 SLUGGISH = 2.0  # by so many sending times slower than a median neighbour, a cache is left aside
-AGAIN, MOST_AGAIN = 0.1, 10.0  # answers taken for lost, for each good one, and saved up at most
-LOSSY, LOSS_SMOOTH, WELL = 0.005, 0.01, 0.2  # share lost from which late ones are, unless so much slower
+# answers taken for lost, for each good one, and saved up at most
+AGAIN = 0.1
+MOST_AGAIN = 10.0
+# share lost from which late ones are, unless so much slower
+LOSSY = 0.005
+LOSS_SMOOTH = 0.01
+WELL = 0.2
 RATE_US = 8_000_000  # memory of a slowness that no hit confirms
 
 
@@ -71,7 +78,9 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
-        self.now_us = self.next_timer_us = self.fills_in_flight = 0
+        self.now_us = 0
+        self.next_timer_us = 0
+        self.fills_in_flight = 0
         self.actions: list[Action] = []
         self.endpoints: dict[int, EndpointRecord] = {}
         self.caches: dict[
@@ -104,7 +113,8 @@
 
     def handle(self, now_us: int, events: Iterable[Event]) -> list[Action]:
         """Take in what happened at ``now_us``; return what to do, in order."""
-        self.now_us, self.actions = now_us, [] if self.subscribed else [SubscribeToEndpointList(True)]
+        self.now_us = now_us
+        self.actions = [] if self.subscribed else [SubscribeToEndpointList(True)]
         self.subscribed = True
         for event in events:
             if (react := self.handlers.get(type(event))) is not None:
@@ -169,20 +179,24 @@
 
     def _cold_rate(self, store: EndpointRecord) -> float:
         """Work a microsecond this router may send a store that started lately; infinite once warm."""
-        cfg, entry = self.settings, store.endpoint
-        span, start, fall = cfg.slow_start_us, cfg.slow_start_fraction, cfg.overload_multiple
-        sharers, alike = cfg.zone_router_counts[entry.zone], self.caches
+        cfg = self.settings
+        entry = store.endpoint
+        span = cfg.slow_start_us
+        start = cfg.slow_start_fraction
+        fall = cfg.overload_multiple
+        sharers = cfg.zone_router_counts[entry.zone]
+        alike = self.caches
         if entry.kind == cfg.parent_kind:
-            span, start, fall = (
-                cfg.parent_slow_start_us,
-                cfg.parent_slow_start_fraction,
-                cfg.parent_overload_multiple,
-            )
-            sharers, alike = cfg.router_count, self.parents
+            span = cfg.parent_slow_start_us
+            start = cfg.parent_slow_start_fraction
+            fall = cfg.parent_overload_multiple
+            sharers = cfg.router_count
+            alike = self.parents
         age = max(self.now_us - entry.started_us, 0)
         if entry.kind == cfg.origin_kind or not entry.started_us or age >= span:
             return math.inf
-        sharers, size = max(1, sharers), max(entry.weight, 0.1)
+        sharers = max(1, sharers)
+        size = max(entry.weight, 0.1)
         if not cfg.weights_are_sizes:  # it bears what others of its kind carry for all routers, on average
             size = max(1.0, sharers * sum(s.in_flight for s in alike.values()) / max(1, len(alike)))
         whole = size * fall * max(start + (1 - start) * age / span, 0.001)
@@ -293,7 +307,8 @@
             or job.request_class.deduplication_scope == DeduplicationScope.ALL
         ):
             return True
-        first, again = job.first_execution[0].endpoint, store.endpoint
+        first = job.first_execution[0].endpoint
+        again = store.endpoint
         return (
             again.zone == first.zone
             if job.request_class.deduplication_scope == DeduplicationScope.ZONE
@@ -312,7 +327,8 @@
         )
         salt = mix(job.request.object_key) + job.request.part
         for store in (s for s in ready if s.endpoint.number not in job.failed_endpoints):
-            weight, unit = max(store.endpoint.weight, 1e-6), (mix(salt ^ store.hash_salt) + 1) / (MASK + 2)
+            weight = max(store.endpoint.weight, 1e-6)
+            unit = (mix(salt ^ store.hash_salt) + 1) / (MASK + 2)
             part = per_weight * weight
             if store in quick:
                 calm = int(store.in_flight < max(LEAST_CAP, part + SPREAD * math.sqrt(part)))
@@ -325,7 +341,8 @@
 
     def _sources(self, job: PendingRequest) -> list[EndpointRecord]:
         """First and second parent in a hash order over all listed ones, then the origin."""
-        salt, above = mix(job.request.object_key), [] if job.request_class.is_write else self.parents.values()
+        salt = mix(job.request.object_key)
+        above = [] if job.request_class.is_write else self.parents.values()
         return heapq.nlargest(2, above, key=lambda s: mix(salt ^ s.hash_salt)) + list(self.origins.values())
 
     def _lane(self, job: PendingRequest, source: EndpointRecord) -> int:
@@ -360,14 +377,16 @@
             now = self._turn(source) and self.now_us + takes <= job.answer_by_us
             if not (fit and now and (last or self._usable(source))):
                 continue
-            cap, busy = self._cap(source, lane), source.in_flight_by_kind[lane]
+            cap = self._cap(source, lane)
+            busy = source.in_flight_by_kind[lane]
             ahead = [j for j in source.queue.values() if j.work_kind == lane]
             if busy == 0 or (busy < cap and not ahead):
                 return self._send(job, cache or source, source)
             until = int(min(job.objective_at_us, job.answer_by_us) - takes)  # then a fill is in its aim
             turn = self.now_us + takes * (len(ahead) + 1) / cap
             if turn <= until and len(ahead) < cap and self._cold_rate(source) == math.inf:
-                job.queued_at, job.queued_until_us = source, until
+                job.queued_at = source
+                job.queued_until_us = until
                 source.queue[job.request.request_id] = job
                 heapq.heappush(self.timers, (job.queued_until_us, job.request.request_id))
                 return
@@ -380,7 +399,8 @@
         return 1 + peak if when and self.now_us <= when + PEAK_US else least
 
     def _send(self, job: PendingRequest, store: EndpointRecord, source: EndpointRecord | None) -> None:
-        timeout, req = job.answer_by_us - self.settings.tick_us - self.now_us, job.request
+        timeout = job.answer_by_us - self.settings.tick_us - self.now_us
+        req = job.request
         pace = store.answer_times.setdefault((req.class_index, source is not None), AnswerTimes())
         aim = job.request_class.latency_objective_us + job.request_class.latency_objective_stretch * (
             job.service_time_us if req.size_kb else self.service_times_us[req.class_index]
@@ -397,17 +417,16 @@
         if store.endpoint.kind == self.settings.origin_kind:
             self.actions.append(SendPlainRequest(req.request_id, store.endpoint.number, timeout))
         else:
-            by, keep = source or store, 0 if job.request_class.is_write else 1
+            by = source or store
+            keep = 0 if job.request_class.is_write else 1
             if (
                 source is store and job.work_kind != LOOKUP
             ):  # passing the caches by, a parent needs the origin named
                 by = next(
                     (s for s in self.origins.values() if s.endpoint.state == EndpointState.READY), store
                 )
-            age, mode = (
-                self._age(job),
-                CacheRequestFlag.COALESCE_FILL if self.settings.coalesces_fills and keep else 0,
-            )
+            age = self._age(job)
+            mode = CacheRequestFlag.COALESCE_FILL if self.settings.coalesces_fills and keep else 0
             mode |= (
                 CacheRequestFlag.SOURCE_CACHED_ONLY if source is not None and job.work_kind == LOOKUP else 0
             )
@@ -423,10 +442,8 @@
                 self.service_times_us[req.class_index] / self._cold_rate(s)
             )
         sent = Attempt(job, store, source, both, self.now_us, pace, aim, store.in_flight, job.work_kind)
-        self.attempts[req.request_id, job.attempts_started], job.attempt_in_flight = (
-            sent,
-            job.attempts_started,
-        )
+        self.attempts[req.request_id, job.attempts_started] = sent
+        job.attempt_in_flight = job.attempts_started
         job.attempts_started += 1
         if source is not None:
             source.in_flight_by_kind[job.work_kind] += 1
@@ -440,7 +457,9 @@
                 source, job.work_kind
             ) or not self._turn(source)
             if (down or not full) and source.queue.pop(job.request.request_id, None) is not None:
-                job.queued_at, waiting, source.queue = None, source.queue, {}
+                job.queued_at = None
+                waiting = source.queue
+                source.queue = {}
                 self._advance(job)
                 source.queue = waiting | source.queue
 
@@ -466,7 +485,9 @@
 
     def _settle(self, attempt: Attempt, event: AttemptEnded) -> None:
         """Give the slots back, once, and learn: a source is worked as hard as it answers in time."""
-        source, cls, ok = attempt.source, attempt.pending.request.class_index, event.outcome == Outcome.OK
+        source = attempt.source
+        cls = attempt.pending.request.class_index
+        ok = event.outcome == Outcome.OK
         share = event.latency_us / max(1.0, attempt.latency_objective_us)
         if ok or event.outcome == Outcome.TIMEOUT:
             self.retry_budget = min(MOST_AGAIN, self.retry_budget + AGAIN) if ok else self.retry_budget - 1
@@ -476,10 +497,8 @@
             if ok or lost:
                 self.loss_rate += LOSS_SMOOTH * (lost - self.loss_rate)
         if source is not None and (ok or event.outcome == Outcome.TIMEOUT):
-            busy, (peak, when) = (
-                source.in_flight_by_kind[attempt.work_kind],
-                source.concurrency_peaks[attempt.work_kind],
-            )
+            busy = source.in_flight_by_kind[attempt.work_kind]
+            (peak, when) = source.concurrency_peaks[attempt.work_kind]
             if not ok or (share > 1 and attempt.pending.request.size_kb):  # not just big
                 source.concurrency_peaks[attempt.work_kind] = (peak // 2 if ok else 0, self.now_us)
             elif share < 0.7 and (busy >= peak or self.now_us > when + PEAK_US):
@@ -490,10 +509,8 @@
             CacheStatus.NONE,
             CacheStatus.HIT,
         ):  # a hit is as slow as its cache, whatever fills do
-            at, ought = (
-                attempt.endpoint,
-                attempt.pending.request.size_kb * self.us_per_kb or self.service_times_us[cls],
-            )
+            at = attempt.endpoint
+            ought = attempt.pending.request.size_kb * self.us_per_kb or self.service_times_us[cls]
             if (
                 not attempt.pending.request.size_kb
             ):  # untold: about the least that hits take; slow ones hardly count
@@ -529,7 +546,9 @@
 
     def _next(self, job: PendingRequest, attempt: Attempt, event: AttemptEnded) -> None:
         """The attempt failed and the request goes on: put the blame somewhere and step on."""
-        store, source, outcome = attempt.endpoint, attempt.source, event.outcome
+        store = attempt.endpoint
+        source = attempt.source
+        outcome = event.outcome
         if outcome in (Outcome.SUPERSEDED, Outcome.CANCELLED):
             return self._end(job)
         missed = outcome == Outcome.MISS and source is None
--- a/magpieshift/policy/simulator_codec.py
+++ b/magpieshift/policy/simulator_codec.py
@@ -39,7 +39,9 @@
 from magpieshift.policy.outcomes import Outcome
 from magpieshift.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-EVENT_SIZE, ACTION_SIZE, ENTRY_SIZE = 48, 32, 24
+EVENT_SIZE = 48
+ACTION_SIZE = 32
+ENTRY_SIZE = 24
 HEADER = struct.Struct("<II")
 BODY = struct.Struct("<IQ")
 T = TypeVar("T")
@@ -66,7 +68,8 @@
     __slots__ = ("seed", "text")
 
     def __init__(self, seed: int, text: str) -> None:
-        self.seed, self.text = seed, text
+        self.seed = seed
+        self.text = text
 
 
 class Stop:
@@ -93,7 +96,8 @@
     def __init__(self, number: int, body: bytes) -> None:
         if len(body) < BODY.size:
             raise WireError(f"batch {number}: offset 8: header cut short at {len(body)} bytes")
-        self.number, self.body = number, body
+        self.number = number
+        self.body = body
         self.count, self.now_us = BODY.unpack_from(body)
         self.tail = BODY.size + self.count * EVENT_SIZE
         if self.tail > len(body):
@@ -115,7 +119,8 @@
     def slice(self, raw: bytes, at: int, unit: int = 1) -> bytes:
         """What a record keeps in the tail."""
         start, length = struct.unpack_from("<II", raw, at)
-        begin, end = self.tail + start, self.tail + start + length * unit
+        begin = self.tail + start
+        end = self.tail + start + length * unit
         if end > len(self.body):
             raise ValueError(f"tail reference {start}+{length} lies outside the frame")
         return self.body[begin:end]
@@ -285,7 +290,8 @@
 def parse_settings(text: str) -> Settings:
     """The settings of a boot event; unknown keys are skipped."""
     pairs = _Pairs(text)
-    read, many = pairs.read, pairs.many
+    read = pairs.read
+    many = pairs.many
     return Settings(
         classes=tuple(_class(pairs, i) for i in range(read("Classes.count", int))),
         zone=read("Locality", int),
@@ -327,7 +333,8 @@
 
 
 def _class(pairs: _Pairs, i: int) -> RequestClass:
-    read, many = pairs.read, pairs.many
+    read = pairs.read
+    many = pairs.many
     at = f"Classes.{i}."
     stretch = at + "AimStretch" in pairs.values
     return RequestClass(
--- a/magpieshift/policy/state.py
+++ b/magpieshift/policy/state.py
@@ -12,7 +12,10 @@
 WRITE, LOOKUP, FILL = range(3)  # what an attempt takes of its source: each is counted and capped by itself
 FEW = 10  # samples that a mean needs before anything rests on it
 FULL_AT = 0.8  # so much slower than its sending, a link is full, and more in flight takes longer still
-LOST_AT, LOST_LEAST, LOST_STEADY = 4, 0.6, 0.1  # mean deviations; least of the aim; largest deviation
+# mean deviations; least of the aim; largest deviation
+LOST_AT = 4
+LOST_LEAST = 0.6
+LOST_STEADY = 0.1
 
 
 @dataclass(slots=True)
@@ -26,7 +29,8 @@
     def record(self, share: float) -> None:
         weight = max(SAMPLE_WEIGHT, 1 / (self.samples + 1))
         self.deviation += weight * (abs(share - self.mean) - self.deviation) if self.samples else 0.0
-        self.mean, self.samples = self.mean + weight * (share - self.mean), self.samples + 1
+        self.mean = self.mean + weight * (share - self.mean)
+        self.samples = self.samples + 1
 
     def lost_after(self) -> float:
         steady = self.samples >= FEW and self.deviation <= LOST_STEADY
--- a/magpieshift/process_lock.py
+++ b/magpieshift/process_lock.py
@@ -18,7 +18,9 @@
 
 log = logging.getLogger(__name__)
 
-LIVES, SERVES = 0, 1 << 32  # where in the file each process has its byte, at its process id
+# where in the file each process has its byte, at its process id
+LIVES = 0
+SERVES = 1 << 32
 SPAN = 1 << 31
 FLOCK = struct.Struct("hhqqi4x")  # Linux's struct flock: type, whence, start, length, process
 
--- a/magpieshift/relay/client.py
+++ b/magpieshift/relay/client.py
@@ -114,12 +114,15 @@
         report: Callable[[int], Report] | None = None,
     ) -> None:
         """``report``, of a relay, tells of its own followers."""
-        self._follower, self._selection, self._receiver = follower, selection, receiver
+        self._follower = follower
+        self._selection = selection
+        self._receiver = receiver
         self._report = report
         self._task: asyncio.Task[None] | None = None
         self._connection: Connection | None = None
         self._former: Connection | None = None  # that before a planned move, until it is told farewell
-        self._told_lost, self._receiving = False, True
+        self._told_lost = False
+        self._receiving = True
         self.caught_up = asyncio.Event()  # set once the process has been current
 
     @property
@@ -147,14 +150,16 @@
         await self._close_former()
 
     async def _close_former(self) -> None:
-        former, self._former = self._former, None
+        former = self._former
+        self._former = None
         if former is not None:
             await former.close()
 
     async def _run(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            relay, began = self._selection.current, loop.time()
+            relay = self._selection.current
+            began = loop.time()
             try:
                 why = await self._follow(relay)
             except Moved as err:
@@ -184,7 +189,8 @@
 
     async def _follow(self, relay: Relay) -> str:
         """One stream, from join to its end; why it ended."""
-        connection, kept = Connection(relay.address), False
+        connection = Connection(relay.address)
+        kept = False
         ticking: asyncio.Task[None] | None = None
         try:
             await connection.open()
@@ -203,7 +209,8 @@
         except Moved:
             if self._report is None:  # a relay's followers may hold leases by what it learned there
                 await self._close_former()
-                self._former, kept = connection, True
+                self._former = connection
+                kept = True
             raise
         except Malformed as err:
             log.warning("malformed message", extra=fields(relay=relay.name, reason=err))
@@ -285,7 +292,8 @@
                     trial = asyncio.ensure_future(_is_current(better))
                 elif better is not None and trial is not None and trial.done():
                     self._judge(better, trial.result(), now_us)
-                    better = trial = None
+                    better = None
+                    trial = None
                 await asyncio.sleep(TICK_S)
         finally:
             if trial is not None:
--- a/magpieshift/relay/codec.py
+++ b/magpieshift/relay/codec.py
@@ -45,7 +45,9 @@
 
     def __init__(self, place: str, found: str, expected: str) -> None:
         super().__init__(f"{place}: found {found}, expected {expected}")
-        self.place, self.found, self.expected = place, found, expected
+        self.place = place
+        self.found = found
+        self.expected = expected
 
 
 # --- to followers
@@ -231,7 +233,8 @@
 
 
 def _read_times(purges: wire.Purges, base_ms: int, place: str) -> list[int]:
-    unit_us, base_us = 1 if purges.micro else MS_US, base_ms * MS_US
+    unit_us = 1 if purges.micro else MS_US
+    base_us = base_ms * MS_US
     times = [base_us - before * unit_us for before in purges.before]
     if times and not 0 <= min(times) <= max(times) <= MOST_TIME_US:
         raise Malformed(place, f"a time of {min(times)} us", f"0 to {MOST_TIME_US}")
@@ -328,7 +331,8 @@
         for what, text, least in (("name", join.name, 1), ("boot", join.boot, 0)):
             if not least <= len(text) <= MOST_NAME:
                 raise Malformed(f"join {what}", f"{len(text)} characters", f"{least} to {MOST_NAME}")
-        epoch, heard = _read_epoch(join.epoch), _read_epoch(join.heard)
+        epoch = _read_epoch(join.epoch)
+        heard = _read_epoch(join.heard)
         return Join(join.name, join.boot, epoch, join.applied, join.configuration, heard)
     if said == "progress":
         told = message.progress
--- a/magpieshift/relay/fanout.py
+++ b/magpieshift/relay/fanout.py
@@ -54,8 +54,10 @@
         source (``Follower.done``), and ``link_age`` when it heard of it (``Currency.epoch_link_age_us``); a
         source leaves them out. ``counts_from_us``: until then nothing is called done; a source gives
         ``now_us + lapse_us()`` at its start, since followers of the one before it hold leases."""
-        self._log, self._state = log, state
-        self._own_age, self._link_age = own_age, link_age or (lambda now_us: 0)
+        self._log = log
+        self._state = state
+        self._own_age = own_age
+        self._link_age = link_age or (lambda now_us: 0)
         self._done_everywhere = done_everywhere
         self._counts_from_us = counts_from_us
         self._epoch = log.epoch
@@ -99,7 +101,8 @@
         to.heard_us = to.place.heard_us = now_us
         to.place.last = progress
         if progress.probe > to.probe:
-            to.probe, to.probe_us = progress.probe, now_us
+            to.probe = progress.probe
+            to.probe_us = now_us
         under_way = to.whole_us is not None and now_us - to.whole_us < WHOLE_AGAIN_US
         to.want_whole = to.want_whole or (progress.want_whole and not under_way)
         if progress.epoch == self._epoch == to.epoch:
@@ -147,7 +150,8 @@
                 messages.append(self._send_snapshot(to, now_us))
         if not self._needs_snapshot(to):
             if self._can_send_whole(to) and self._state.configuration is not None:
-                to.want_whole, to.whole_us = False, now_us
+                to.want_whole = False
+                to.whole_us = now_us
                 messages.append(self._state.configuration)
             messages += self._batches(to, cut, now_us)
         if not messages and self.due_us(stream) <= now_us:
@@ -199,7 +203,8 @@
 
     def _heed(self, now_us: int) -> Cut:
         """Take note of what has happened to the log: a new epoch, or entries that are to become visible."""
-        log, cut = self._log, self._cut
+        log = self._log
+        cut = self._cut
         if log.epoch != self._epoch:
             self._restart()
             cut = None
@@ -211,7 +216,8 @@
 
     def _ages(self, now_us: int) -> tuple[int | None, int]:
         """This process's own age, and the part of it that is the source's."""
-        age_us, link_age_us = self._own_age(now_us), self._link_age(now_us)
+        age_us = self._own_age(now_us)
+        link_age_us = self._link_age(now_us)
         if link_age_us is None:
             return None, 0
         age_us = UNKNOWN_AGE_US if age_us is None else age_us
@@ -221,7 +227,9 @@
         self._epoch = self._log.epoch
         self._watermark.restart()
         for to in self._streams.values():
-            to.cursor = to.known = to.acknowledged = 0
+            to.cursor = 0
+            to.known = 0
+            to.acknowledged = 0
             to.unacknowledged.clear()
 
     def _acknowledged(self, to: Stream, progress: Progress) -> None:
@@ -248,12 +256,14 @@
 
     def _send_snapshot(self, to: Stream, now_us: int) -> Snapshot:
         """A snapshot and the entries after it; one serves all who need one at about the same time."""
-        log, made = self._log, self._snapshot
+        log = self._log
+        made = self._snapshot
         usable = made is not None and made.epoch == log.epoch and made.applied + 1 >= log.first
         if made is None or not usable or now_us - self._snapshot_us >= SNAPSHOT_REUSED_US:
             made = self._snapshot = self._state.snapshot(log.epoch, log.head, now_us)
             self._snapshot_us = now_us
-        to.epoch, to.cursor = made.epoch, made.applied
+        to.epoch = made.epoch
+        to.cursor = made.applied
         to.needed = made.applied
         to.unacknowledged.append((made.applied, now_us))
         # where this process does not know the newest version whole, it is sent once it does
@@ -270,7 +280,8 @@
 
     def _batch(self, to: Stream, last: int, cut: Cut, now_us: int) -> Batch:
         """The entries after the cursor up to ``last``, and a proof where nothing visible is left."""
-        first, epoch = to.cursor + 1, self._log.epoch
+        first = to.cursor + 1
+        epoch = self._log.epoch
         to.answered = to.probe
         if self._needs_snapshot(to):
             return Batch(epoch, first, (), None, waiting=True)
