--- a/magpieshift/relay/follower.py
+++ b/magpieshift/relay/follower.py
@@ -89,17 +89,22 @@
 
     def __init__(self, name: str, boot: str) -> None:
         self.currency = StalenessBound()
-        self.epoch, self.applied = NO_EPOCH, 0  # up to where everything was applied
+        # up to where everything was applied
+        self.epoch = NO_EPOCH
+        self.applied = 0
         self.heard = NO_EPOCH  # the highest epoch heard of
         self.done = 0  # what the source has called done, of the epoch taken last
         self.configuration = ""  # digest of the version in force; the driver sets these four
-        self.refused, self.refusal = 0, ""
+        self.refused = 0
+        self.refusal = ""
         self.want_whole = False  # until a whole configuration is received
-        self._name, self._boot = name, boot
+        self._name = name
+        self._boot = boot
         self._taken = (NO_EPOCH, 0)  # up to where effects were handed out
         self._probe = 0
         self._sent_us: int | None = None  # the last progress on this stream
-        self._heard_us = self._checked_us = 0
+        self._heard_us = 0
+        self._checked_us = 0
         self._linked_to_us: int | None = None  # when it was checked last
         self._helped_us = 0  # when the relay last told newer things of the source, or was busy to
         self._unacknowledged = 0  # batches handed out since then
@@ -109,8 +114,10 @@
     def connect(self, now_us: int) -> Join:
         """A new stream begins: its first message. A progress is due at once."""
         self.currency.new_stream()
-        self._probe, self._sent_us = 0, None
-        self._unacknowledged, self._proven = 0, False
+        self._probe = 0
+        self._sent_us = None
+        self._unacknowledged = 0
+        self._proven = False
         self._heard_us = self._checked_us = self._helped_us = now_us
         return Join(self._name, self._boot, self.epoch, self.applied, self.configuration, self.heard)
 
@@ -132,7 +139,8 @@
         if (epoch, sequence) > self._taken:
             raise ValueError(f"entry {sequence} was not handed out")
         if (epoch, sequence) > (self.epoch, self.applied):
-            self.epoch, self.applied = epoch, sequence
+            self.epoch = epoch
+            self.applied = sequence
             self.currency.applied(epoch, sequence)
 
     @property
@@ -179,9 +187,11 @@
         if now_us - self._checked_us >= PAUSE_US:
             self._heard_us = self._helped_us = now_us
         if self.currency.linked_to_us != self._linked_to_us:
-            self._linked_to_us, self._helped_us = self.currency.linked_to_us, now_us
+            self._linked_to_us = self.currency.linked_to_us
+            self._helped_us = now_us
         self._checked_us = now_us
-        silent_us, stale_us = now_us - self._heard_us, now_us - self._helped_us
+        silent_us = now_us - self._heard_us
+        stale_us = now_us - self._helped_us
         if silent_us >= SILENCE_US:
             return EndStream(Reason.SILENCE, f"for {silent_us} us")
         if stale_us >= STALE_US:
@@ -190,7 +200,8 @@
 
     def _progress(self, now_us: int, report: Report | None) -> Progress:
         self._probe += 1
-        self._sent_us, self._unacknowledged = now_us, 0
+        self._sent_us = now_us
+        self._unacknowledged = 0
         self.currency.probe_sent(self._probe, now_us)
         done = self.applied
         if report is not None:
--- a/magpieshift/relay/limits.py
+++ b/magpieshift/relay/limits.py
@@ -34,8 +34,12 @@
 PURGES_KEPT_US = 30_000_000  # in snapshots: above twice the longest time in which caches drop purged copies
 MOST_PURGES = 33_000  # in snapshots: ``PURGES_KEPT_US`` at ten times 110 a second
 
-RETURN_LEAST_S, RETURN_MOST_S = 30.0, 90.0  # until a follower goes back to a better relay, drawn anew
-FAILOVER_FIRST_S, FAILOVER_MOST_S = 0.2, 5.0  # jittered pauses before the next relay
+# until a follower goes back to a better relay, drawn anew
+RETURN_LEAST_S = 30.0
+RETURN_MOST_S = 90.0
+# jittered pauses before the next relay
+FAILOVER_FIRST_S = 0.2
+FAILOVER_MOST_S = 5.0
 RELAY_FAILOVER_MOST_S = 2.5  # the same of a relay, before the next source: its followers wait for it
 
 
--- a/magpieshift/relay/node.py
+++ b/magpieshift/relay/node.py
@@ -62,7 +62,8 @@
     """What source and relay have in common: a log, its state, followers, and the lines about them."""
 
     def __init__(self, options: SourceOptions | RelayOptions, epoch: Epoch) -> None:
-        self.name, self.region = options.name, options.region
+        self.name = options.name
+        self.region = options.region
         self.log = SequencedLog(epoch, most=options.log_entries)
         self.state = State(configuration.make_whole)
         self.fanout = self._make_fanout()
--- a/magpieshift/relay/report.py
+++ b/magpieshift/relay/report.py
@@ -42,7 +42,8 @@
     """The report over the followers that are connected, and over what these report of their own. Nobody is
     behind where there is no newest version."""
     behind: list[str] = []
-    behind_count = followers = 0
+    behind_count = 0
+    followers = 0
     for place in places:
         if place.stream is None:
             continue
--- a/magpieshift/relay/selection.py
+++ b/magpieshift/relay/selection.py
@@ -40,7 +40,8 @@
         relay that looks for a source gives ``RELAY_FAILOVER_MOST_S``."""
         if not ranked:
             raise ValueError("no relay to follow")
-        self._ranked, self._random = tuple(ranked), rand
+        self._ranked = tuple(ranked)
+        self._random = rand
         self._at = 0
         self._backoff = Backoff(rand, FAILOVER_FIRST_S, most_s)
         self._return_us: int | None = None
@@ -60,7 +61,8 @@
         """The current relay failed, after a stream that lasted so long (0 where none began). Moves on to the
         next, or after a stream that held to the best of the others; returns the seconds to wait before trying
         it."""
-        failed, self._return_us = self._at, None
+        failed = self._at
+        self._return_us = None
         self._at = (failed + 1) % len(self._ranked)
         if lasted_s >= STEADY_S and failed > 0:
             self._at = 0
--- a/magpieshift/relay/service.py
+++ b/magpieshift/relay/service.py
@@ -54,7 +54,8 @@
     """One follower's stream."""
 
     def __init__(self, number: int, task: asyncio.Task[None]) -> None:
-        self.number, self._task = number, task
+        self.number = number
+        self._task = task
         self.name = ""  # once it has joined
         self.began_us = clock.source.steady_us()
         self.woken = asyncio.Event()
@@ -80,7 +81,9 @@
         report: Callable[[], wire.StatusReport],
     ) -> None:
         """``superseded`` is told where a follower knows of a higher epoch; ``report`` answers operators."""
-        self._fanout, self._superseded, self._report = fanout, superseded, report
+        self._fanout = fanout
+        self._superseded = superseded
+        self._report = report
         self._streams: dict[int, Stream] = {}
         self._numbers = itertools.count(1)
         self._encoder = Encoder()
@@ -211,7 +214,8 @@
 
     async def _read(self, stream: Stream, requests: AsyncIterator[bytes]) -> None:
         """Take in what a follower says, until it ends the stream or says what cannot be."""
-        code, why = Code.OK, ""
+        code = Code.OK
+        why = ""
         try:
             async for data in requests:
                 self._heard(stream, data)
@@ -219,24 +223,31 @@
             why = "its stream broke off"
         except Malformed as err:
             log.warning("malformed message", extra=fields(name=stream.name, reason=err))
-            code, why = Code.INVALID_ARGUMENT, str(err)
+            code = Code.INVALID_ARGUMENT
+            why = str(err)
         except Superseded as err:
-            code, why = Code.FAILED_PRECONDITION, str(err)
+            code = Code.FAILED_PRECONDITION
+            why = str(err)
             self._superseded(err.epoch)
         except Full:
-            code, why = Code.RESOURCE_EXHAUSTED, "there are too many followers"
+            code = Code.RESOURCE_EXHAUSTED
+            why = "there are too many followers"
         except Unfit as err:
-            code, why = Code.UNAVAILABLE, str(err)
+            code = Code.UNAVAILABLE
+            why = str(err)
         except UnknownStream:
-            code, why = Code.ABORTED, "replaced by a later stream"
+            code = Code.ABORTED
+            why = "replaced by a later stream"
         except Exception as err:
             log.exception("follower's stream failed", extra=fields(name=stream.name))
-            code, why = Code.INTERNAL, f"{type(err).__name__}: {err}"[:200]
+            code = Code.INTERNAL
+            why = f"{type(err).__name__}: {err}"[:200]
         self.counters.refused += code is not Code.OK
         stream.end(code, why)
 
     def _heard(self, stream: Stream, data: bytes) -> None:
-        message, now_us = decode_from(data), clock.source.steady_us()
+        message = decode_from(data)
+        now_us = clock.source.steady_us()
         if not isinstance(message, Join):
             if not stream.name:
                 raise Malformed("first message", "progress", "join")
--- a/magpieshift/relay/snapshot.py
+++ b/magpieshift/relay/snapshot.py
@@ -35,12 +35,15 @@
         try:
             value = json.loads(fleet)
             members = {str(member["id"]): dict(member) for member in value["members"]}
-            revision, complete = int(value.get("revision", 0)), bool(value.get("complete"))
+            revision = int(value.get("revision", 0))
+            complete = bool(value.get("complete"))
         except (ValueError, TypeError, KeyError, AttributeError) as err:
             raise ValueError(f"no list of stores: {type(err).__name__}: {err}"[:200]) from err
-        self._text, self._revision = "", revision
+        self._text = ""
+        self._revision = revision
         if complete:
-            self._stores, self._complete = {}, True
+            self._stores = {}
+            self._complete = True
         for ident, member in members.items():
             # who has no complete list yet may know a store from elsewhere, and must hear that it is gone
             if member.get("phase") == "DELETED" and self._complete:
@@ -65,7 +68,8 @@
     again moves to the end, so the oldest come first."""
 
     def __init__(self, kept_us: int, most: int) -> None:
-        self._kept_us, self._most = kept_us, most
+        self._kept_us = kept_us
+        self._most = most
         # ordered, as a plain dict looks through all gaps before its first entry each time
         self._purges: OrderedDict[tuple[str, int], tuple[int, Purge]] = OrderedDict()  # when it was heard
 
@@ -129,7 +133,8 @@
             return
         self.configuration = whole
         if whole.number >= self._newest_number:  # else the log has told a newer one already
-            self._newest_number, self.newest_digest = whole.number, whole.digest
+            self._newest_number = whole.number
+            self.newest_digest = whole.digest
 
     def snapshot(self, epoch: Epoch, applied: int, now_us: int) -> Snapshot:
         """The state as it is, which is that after entry ``applied`` of the epoch."""
@@ -153,7 +158,8 @@
             self.unreadable += 1
 
     def _configure(self, change: ConfigurationChange) -> None:
-        self._newest_number, self.newest_digest = change.number, change.digest
+        self._newest_number = change.number
+        self.newest_digest = change.digest
         whole = change if not change.base_digest else self._make_whole(self.configuration, change)
         if whole is not None:
             self.configuration = whole
--- a/magpieshift/relay/source.py
+++ b/magpieshift/relay/source.py
@@ -39,7 +39,8 @@
 
     def __init__(self) -> None:
         self._stretch = 0
-        self._largest_us = self._before_us = 0
+        self._largest_us = 0
+        self._before_us = 0
 
     def note(self, delay_us: int, now_us: int) -> None:
         """A delay was seen; one below zero tells of clocks, and counts as none."""
@@ -55,7 +56,8 @@
         stretch = now_us // DELAY_KEPT_US
         if stretch != self._stretch:
             self._before_us = self._largest_us if stretch == self._stretch + 1 else 0
-            self._stretch, self._largest_us = stretch, 0
+            self._stretch = stretch
+            self._largest_us = 0
 
 
 class RawChanges(ChangeLog):
@@ -81,7 +83,8 @@
     def __init__(self, address: Address, append: Append, seed: int = 0) -> None:
         self._append = append
         self.address = address
-        self._currency, self._delays = SourceStalenessBound(), Delays()
+        self._currency = SourceStalenessBound()
+        self._delays = Delays()
         self._feed = ChangeLogClient(address, RawChanges(self), seed)
         self._looking: asyncio.Task[None] | None = None
         self._all_read_us: int | None = None  # the last look that found all read
@@ -149,13 +152,15 @@
     def look(self, now_us: int) -> None:
         """Look whether all that has arrived is read."""
         if self._feed.answered and self._answered_us is None:
-            self._answered_us, self._quiet_since_us = clock.source.unix_us(), now_us
+            self._answered_us = clock.source.unix_us()
+            self._quiet_since_us = now_us
         if not self._feed.all_read():
             return
         if self._feed.chunks != self._chunks_then:
             if self._all_read_us is not None:
                 self._currency.read_all(self._all_read_us)
-            self._chunks_then, self._quiet_since_us = self._feed.chunks, now_us
+            self._chunks_then = self._feed.chunks
+            self._quiet_since_us = now_us
         elif self._feed.answered and not self.told and now_us - self._quiet_since_us >= QUIET_S * 1e6:
             self._history_told()
         self._all_read_us = now_us
@@ -169,7 +174,8 @@
     """Reads a folder of versions: the newest of them at first, then each that comes."""
 
     def __init__(self, folder: str, append: Append) -> None:
-        self._folder, self._append = folder, append
+        self._folder = folder
+        self._append = append
         self._newest = -1  # number of the last that was read
         self._previous: Published | None = None  # the last that was passed on
         self._task: asyncio.Task[None] | None = None
--- a/magpieshift/relay/staleness_bound.py
+++ b/magpieshift/relay/staleness_bound.py
@@ -67,7 +67,8 @@
     def applied(self, epoch: Epoch, sequence: int) -> None:
         """Everything up to ``sequence`` of the epoch has been applied. A position never goes back."""
         if epoch > self._position[0]:
-            self._epoch_current_to_us = self._epoch_linked_to_us = None
+            self._epoch_current_to_us = None
+            self._epoch_linked_to_us = None
         self._position = max(self._position, (epoch, sequence))
         self._settle()
 
@@ -106,7 +107,8 @@
         for pending in self._pending:
             if pending.epoch == epoch and pending.head <= sequence:
                 if self.current_to_us is None or pending.current_to_us > self.current_to_us:
-                    self.current_to_us, self.rests_on_stream = pending.current_to_us, True
+                    self.current_to_us = pending.current_to_us
+                    self.rests_on_stream = True
                 self._epoch_current_to_us = _later(self._epoch_current_to_us, pending.current_to_us)
                 self.linked_to_us = _later(self.linked_to_us, pending.linked_to_us)
                 self._epoch_linked_to_us = _later(self._epoch_linked_to_us, pending.linked_to_us)
--- a/magpieshift/relay/watermark.py
+++ b/magpieshift/relay/watermark.py
@@ -52,7 +52,8 @@
         """A new epoch begins: nobody has anything of it, and who holds a lease goes on counting."""
         self._done = 0
         for place in self.places.values():
-            place.applied = place.done = 0
+            place.applied = 0
+            place.done = 0
 
     def acknowledged(self, place: Place, applied: int, done: int) -> None:
         """A process acknowledged so much of this epoch, for itself and for all that follow it."""
--- a/magpieshift/rollout/coordinator.py
+++ b/magpieshift/rollout/coordinator.py
@@ -96,7 +96,9 @@
             case "passed":
                 state.stage += 1
             case "way":
-                state.way, state.why, state.failed = Way(record["way"]), str(record["why"]), {}
+                state.way = Way(record["way"])
+                state.why = str(record["why"])
+                state.failed = {}
             case "pause":
                 state.paused = bool(record["paused"])
     return state
@@ -116,7 +118,8 @@
 
     def __init__(self, plan: Plan, term: int, now_us: int, records: Iterable[Record] = ()) -> None:
         """``ValueError`` where the records are of another plan, or of a term as late as this one."""
-        self.plan, self.term = plan, term
+        self.plan = plan
+        self.term = term
         self.state = fold(records)
         if self.state.plan and self.state.plan != plan.digest:
             raise ValueError(f"the journal is of plan {self.state.plan}, this is {plan.digest}")
@@ -193,14 +196,16 @@
         if not labels:
             return
         its = self.routers[router]
-        its.seen_us, its.both = now_us, len(labels) > 1
+        its.seen_us = now_us
+        its.both = len(labels) > 1
         its.label = next(iter(labels)) if len(labels) == 1 else its.label
 
     def stepped(self, now_us: int, step: int, why: str = "") -> list[Action]:
         """What came of a step; ``why`` where it failed."""
         if self._step is None or self._step.step != step:
             return []
-        its, self._step = self._step, None
+        its = self._step
+        self._step = None
         record = {"step": step, "router": its.router, "label": its.label, "term": self.term}
         if not why:
             self.state.failed.pop(its.router, None)
@@ -215,7 +220,8 @@
 
     def overtaken(self, why: str) -> None:
         """A router knows a later term: another coordinator goes on, and this one does nothing any more."""
-        self.fenced, self.waits = True, why
+        self.fenced = True
+        self.waits = why
 
     def pause(self, paused: bool) -> list[Action]:
         self.state.paused = paused
@@ -232,7 +238,9 @@
         return self._go(Way.BACK if self.plan.on_stop == "back" else Way.HOLD, why)
 
     def _go(self, way: Way, why: str) -> list[Action]:
-        self.state.way, self.state.why, self.state.failed = way, why, {}
+        self.state.way = way
+        self.state.why = why
+        self.state.failed = {}
         self._not_before.clear()
         self._whole_us = None
         return [Write({"what": "way", "way": way.value, "why": why, "term": self.term})]
@@ -241,7 +249,8 @@
 
     def tick(self, now_us: int, verdict: Verdict, why: str) -> list[Action]:
         """To be called now and then, after ``seen`` of all; with what the judge knows by now."""
-        since, self._ticked_us = now_us - self._ticked_us, now_us
+        since = now_us - self._ticked_us
+        self._ticked_us = now_us
         if self.over or self._step is not None:
             return []
         self.verdict = verdict
@@ -310,7 +319,8 @@
                 )
             ]
         if self._whole_us is None:
-            self._whole_us, self._soaked_us = now_us, 0
+            self._whole_us = now_us
+            self._soaked_us = 0
             self._stage_us = now_us
         elif verdict != Verdict.TROUBLE:  # time in which something strikes all tells nothing
             self._soaked_us += since_us
--- a/magpieshift/rollout/executor.py
+++ b/magpieshift/rollout/executor.py
@@ -73,7 +73,9 @@
     """Acts at routers in one term's name."""
 
     def __init__(self, plan: Plan, term: int, start: Start = by_command) -> None:
-        self._plan, self._term, self._start = plan, term, start
+        self._plan = plan
+        self._term = term
+        self._start = start
 
     async def look(self, router: str) -> dict[Address, Figures]:
         """The processes of a router that answer, by their doors."""
--- a/magpieshift/rollout/journal.py
+++ b/magpieshift/rollout/journal.py
@@ -17,7 +17,8 @@
 
 from magpieshift.control.store import HEAD, sync_folder, whole
 
-FILE, LOCK = "rollout.log", "rollout.lock"
+FILE = "rollout.log"
+LOCK = "rollout.lock"
 HEADER = b"magpieshift rollout 1\n"
 MARK = b"\xabMR\x01"
 
--- a/magpieshift/rollout/judge.py
+++ b/magpieshift/rollout/judge.py
@@ -28,12 +28,18 @@
 FADE = 0.8  # what lately was, from one look to the next
 LEAST_VARIANCE = 0.01  # of one request: that none has failed yet does not say that none will
 MIX = 20_000.0  # weight about which the interval is narrowest
-BLOCK_US, LEAST_BLOCKS = 5_000_000, 8  # of processor time
+# of processor time
+BLOCK_US = 5_000_000
+LEAST_BLOCKS = 8
 CPU_SIGMAS = 4.5  # looked at over and over: far beyond a single look's bound
-SETTLE_US, LEAST_SLOPE_US = 30_000_000, 60_000_000  # of memory: what a start takes, and the shortest line
+# of memory: what a start takes, and the shortest line
+SETTLE_US = 30_000_000
+LEAST_SLOPE_US = 60_000_000
 SLOPE_SIGMAS = 4.0
 MOST_SAMPLES = 600  # of memory, of one process
-IDLE_US, IDLE_SHARE = 10_000_000, 0.1  # a side that takes so little of the other's requests a router
+# a side that takes so little of the other's requests a router
+IDLE_US = 10_000_000
+IDLE_SHARE = 0.1
 AWAY_US = 10_000_000  # without an answer at the door: it has gone
 GONE_CARE = 0.1  # of what may be stopped wrongly: it is looked at again with each process that goes
 LONG_US = 60_000_000  # so long without any process of the new side: it does not come back
@@ -76,8 +82,10 @@
         variance = max(share * (1 - share), LEAST_VARIANCE)
         self.lately_asked = FADE * self.lately_asked + asked_new + asked_old
         self.lately_served = FADE * self.lately_served + served_new + served_old
-        self.asked_new, self.asked_old = self.asked_new + asked_new, self.asked_old + asked_old
-        self.served_new, self.served_old = self.served_new + served_new, self.served_old + served_old
+        self.asked_new = self.asked_new + asked_new
+        self.asked_old = self.asked_old + asked_old
+        self.served_new = self.served_new + served_new
+        self.served_old = self.served_old + served_old
         if not (asked_new and asked_old):
             return
         weight = asked_new * asked_old / (asked_new + asked_old) / variance
@@ -122,7 +130,8 @@
         rows = [self.samples[i * size : (i + 1) * size] for i in range(8)]
         xs = [sum(x for x, _ in row) / len(row) for row in rows]
         ys = [sum(y for _, y in row) / len(row) for row in rows]
-        mx, my = sum(xs) / 8, sum(ys) / 8
+        mx = sum(xs) / 8
+        my = sum(ys) / 8
         across = sum((x - mx) ** 2 for x in xs)
         slope = sum((x - mx) * (y - my) for x, y in zip(xs, ys, strict=True)) / across
         left = sum((y - my - slope * (x - mx)) ** 2 for x, y in zip(xs, ys, strict=True))
@@ -143,7 +152,10 @@
     """Compares two sides, by label, through one stage."""
 
     def __init__(self, worse: Worse, new: str, old: str, zones: Mapping[str, str], now_us: int) -> None:
-        self.worse, self.new, self.old, self.zones = worse, new, old, zones
+        self.worse = worse
+        self.new = new
+        self.old = old
+        self.zones = zones
         self.sums: dict[str, Sum] = {}
         self.usual = 0.0  # share the old side serves, smoothed
         self.lately = 0.0
@@ -175,7 +187,8 @@
                 continue
             if figures.label not in (self.new, self.old):
                 continue
-            before, side = seen.figures, figures.label
+            before = seen.figures
+            side = figures.label
             same = before is not None and before.label == side
             if same and before is not None and before.incarnation != figures.incarnation and not seen.gone:
                 self.lost[side] += 1
@@ -184,21 +197,26 @@
                 if gained.whole:
                     gains.setdefault((self.zones.get(router, "-"), side), []).append(gained)
                     self.time_us[side] += gained.for_us
-            seen.figures, seen.side, seen.heard_us, seen.gone = figures, side, now_us, False
+            seen.figures = figures
+            seen.side = side
+            seen.heard_us = now_us
+            seen.gone = False
             line = self._lines.setdefault((side, figures.incarnation), _Line())
             line.add(figures.up_us, figures.rss_kb)
         self._sum(gains)
         self._processor(now_us, gains)
 
     def _sum(self, gains: Mapping[tuple[str, str], list[Gain]]) -> None:
-        asked_old = served_old = 0
+        asked_old = 0
+        served_old = 0
         for zone in sorted({zone for zone, _ in gains}):  # sums of floats depend on the order
             sides = [gains.get((zone, side), []) for side in (self.new, self.old)]
             for name in sorted({c for each in sides for g in each for c in g.classes}):
                 rows = [[g.classes[name] for g in each if name in g.classes] for each in sides]
                 new, old = ((sum(r["asked"] for r in row), sum(r["served"] for r in row)) for row in rows)
                 self.sums.setdefault(name, Sum()).add(*new, *old)
-                asked_old, served_old = asked_old + old[0], served_old + old[1]
+                asked_old = asked_old + old[0]
+                served_old = served_old + old[1]
         for (_, side), each in gains.items():
             tally = self._asked_each[side]
             tally[0] += sum(g.asked for g in each)
@@ -214,7 +232,8 @@
             self._block[side][1] += sum(g.asked for g in each)
         if now_us - self._block_us < BLOCK_US:
             return
-        new, old = self._block[self.new], self._block[self.old]
+        new = self._block[self.new]
+        old = self._block[self.old]
         if min(new[1], old[1]) >= 20 and old[0] > 0:
             self._blocks.append((new[0] / new[1]) / (old[0] / old[1]))
             del self._blocks[:-MOST_SAMPLES]
@@ -270,7 +289,8 @@
 
     def _lost(self, now_us: int) -> str:
         """Processes that went away: by how long each side ran, would chance lay so many on the new one?"""
-        new, old = self.lost[self.new], self.lost[self.old]
+        new = self.lost[self.new]
+        old = self.lost[self.old]
         if not new:
             return ""
         here = [seen for seen in self._routers.values() if seen.side == self.new]
@@ -284,10 +304,12 @@
         return ""
 
     def _idle(self, now_us: int) -> str:
-        (asked_new, new_s), (asked_old, old_s) = self._asked_each[self.new], self._asked_each[self.old]
+        (asked_new, new_s) = self._asked_each[self.new]
+        (asked_old, old_s) = self._asked_each[self.old]
         if new_s < IDLE_US / 1e6 or old_s < IDLE_US / 1e6 or asked_old < LEAST_ASKED:
             return ""
-        rate_new, rate_old = asked_new / new_s, asked_old / old_s
+        rate_new = asked_new / new_s
+        rate_old = asked_old / old_s
         if rate_new < IDLE_SHARE * rate_old and rate_old * new_s >= 50:
             return f"new processes end {rate_new:.1f} requests a second each, old ones {rate_old:.1f}"
         return ""
--- a/magpieshift/rollout/plan.py
+++ b/magpieshift/rollout/plan.py
@@ -19,7 +19,8 @@
 HEAD = "rollout"
 Word = Annotated[str, Field(pattern=r"^[!-~]{1,64}$")]
 Share = Annotated[float, Field(gt=0, le=1)]
-MOST_ROUTERS, MOST_STAGES = 2000, 32
+MOST_ROUTERS = 2000
+MOST_STAGES = 32
 PLACES = ("name", "label", "term", "console")  # what a start command may name in braces
 
 
--- a/magpieshift/rollout/runner.py
+++ b/magpieshift/rollout/runner.py
@@ -22,8 +22,12 @@
 log = logging.getLogger(__name__)
 
 LOOK_S = 1.0
-STATUS, ASKED = "status.json", "asked"  # in the state's folder: what goes on, and what people ask of it
-HISTORY, MOST_HISTORY = "history.jsonl", 64 << 20  # bytes: some days of looks
+# in the state's folder: what goes on, and what people ask of it
+STATUS = "status.json"
+ASKED = "asked"
+# bytes: some days of looks
+HISTORY = "history.jsonl"
+MOST_HISTORY = 64 << 20
 WORDS = ("pause", "go-on", "stop", "back")
 
 
@@ -43,7 +47,10 @@
         back: bool = False,
     ) -> None:
         """``back``: whatever was under way, put all back."""
-        self.plan, self.folder, self._start, self._told = plan, folder, start, told
+        self.plan = plan
+        self.folder = folder
+        self._start = start
+        self._told = told
         self._back = back
         self._journal: Journal | None = None
         self._stepping: asyncio.Task[None] | None = None
@@ -192,7 +199,8 @@
 
     def _note(self) -> None:
         """A line for the report; it is no loss that matters where that cannot be written."""
-        status, path = self.status, self.folder / HISTORY
+        status = self.status
+        path = self.folder / HISTORY
         classes = {
             name: [*row["new"], *row["old"], *row["between"]]
             for name, row in status["figures"]["classes"].items()
--- a/magpieshift/sockets.py
+++ b/magpieshift/sockets.py
@@ -135,7 +135,8 @@
         return not self.closed() and unread(self.socket) is not None
 
     def close_fd(self) -> None:
-        sock, self.socket = self.socket, None  # type: ignore[assignment]
+        sock = self.socket
+        self.socket = None  # type: ignore[assignment]  # Tornado's own close_fd does the same
         self._closing.take(sock)
 
 
@@ -146,7 +147,9 @@
         self, sock: socket.socket, taken: Callable[[socket.socket], None], short: Callable[[], None]
     ) -> None:
         """``taken`` is handed each connection; ``short`` is called where descriptors or memory run out."""
-        self._sock, self._taken, self._short = sock, taken, short
+        self._sock = sock
+        self._taken = taken
+        self._short = short
         self._pause: asyncio.TimerHandle | None = None
         self._starved = False
         self._resume()
--- a/magpieshift/upstream/lines.py
+++ b/magpieshift/upstream/lines.py
@@ -100,7 +100,8 @@
         return self._head.ident if self._head is not None else ""
 
     def feed(self, data: bytes) -> Iterator[Reply]:
-        view, at = memoryview(data), 0
+        view = memoryview(data)
+        at = 0
         while at < len(data):
             if self._head is None:
                 stop = data.find(b"\n", at)
@@ -120,7 +121,8 @@
                     yield self._take_body()
 
     def _take_line(self) -> Reply | None:
-        raw, self._line = bytes(self._line), bytearray()
+        raw = bytes(self._line)
+        self._line = bytearray()
         if not raw.endswith(END):
             raise LineError("line does not end in CR LF")
         try:
@@ -136,13 +138,17 @@
             return head
         if not words[3].isdecimal() or int(words[3]) > MOST_BODY:
             raise LineError(f"length {words[3][:20]!r}")
-        self._head, self._body, self._have = head, bytearray(int(words[3]) + len(END)), 0
+        self._head = head
+        self._body = bytearray(int(words[3]) + len(END))
+        self._have = 0
         return None
 
     def _take_body(self) -> Reply:
-        head, body = self._head, self._body
+        head = self._head
+        body = self._body
         assert head is not None
-        self._head, self._body = None, bytearray()
+        self._head = None
+        self._body = bytearray()
         if not body.endswith(END):
             raise LineError("body does not end in CR LF")
         del body[-len(END) :]
--- a/magpieshift/upstream/link.py
+++ b/magpieshift/upstream/link.py
@@ -25,7 +25,8 @@
 
 def order_fields(order: UpstreamRequest, now_us: int) -> dict[str, str]:
     """An order in the words of the protocol; what is absent or zero is left out."""
-    call, age_us = order.request, order.max_age_now_us()
+    call = order.request
+    age_us = order.max_age_now_us()
     values: dict[str, str | int] = {
         "class": call.class_name,
         "key": call.object_key,
--- a/magpieshift/upstream/pool.py
+++ b/magpieshift/upstream/pool.py
@@ -34,7 +34,8 @@
     """One connection to a store: owner of its socket, and of the orders that wait for it to come up."""
 
     def __init__(self, pool: EndpointPool) -> None:
-        self._pool, self._clock = pool, pool.back.clock
+        self._pool = pool
+        self._clock = pool.back.clock
         self.link = Link(pool.back.report)
         self._waiting: dict[Ticket, None] = {}
         self._up = False
@@ -73,9 +74,11 @@
                 return
             async with asyncio.timeout(self._pool.back.connect_timeout_us / 1e6):
                 await self._stream.connect(self._pool.address)
-            outcome, self._up = LOST, True
+            outcome = LOST
+            self._up = True
             self._heard_us = self._clock.now_us()
-            waiting, self._waiting = list(self._waiting), {}
+            waiting = list(self._waiting)
+            self._waiting = {}
             for ticket in waiting:
                 self._write(ticket)
             self.rest()
@@ -99,7 +102,8 @@
         never did."""
         self._stream.close()
         self._pool.forget(self)
-        waiting, self._waiting = list(self._waiting), {}
+        waiting = list(self._waiting)
+        self._waiting = {}
         for done in self.link.lost():
             done(outcome)
         for ticket in waiting:
@@ -165,7 +169,9 @@
     """An order, or a probe, on its way; the core's handle on it."""
 
     def __init__(self, order: UpstreamRequest | None, ident: str, done: Done) -> None:
-        self.order, self.ident, self.done = order, ident, done
+        self.order = order
+        self.ident = ident
+        self.done = done
         self.connection: Connection | None = None
         self.written = False
 
@@ -179,17 +185,22 @@
     """The connections to one store."""
 
     def __init__(self, back: ConnectionPool, member: ListedEndpoint) -> None:
-        self.back, self.ident, self.address = back, member.name, member.address
+        self.back = back
+        self.ident = member.name
+        self.address = member.address
         self._up_since_us = member.endpoint.started_us
         self.connections: list[Connection] = []
 
     def carry(self, ticket: Ticket) -> bool:
         """Put it on the least loaded connection that is fit for it, or on a new one."""
-        now, best, least = self.back.clock.now_us(), None, self.back.streams
+        now = self.back.clock.now_us()
+        best = None
+        least = self.back.streams
         for connection in self.connections:
             load = connection.load
             if load < least and connection.fit(ticket, now):
-                best, least = connection, load
+                best = connection
+                least = load
                 if load == 0:
                     break
         if (best is None or least >= self.back.streams_wanted) and self.back.may_open(self):
@@ -243,10 +254,14 @@
         most_connections: int,
         streams_wanted: int = 4,
     ) -> None:
-        self.clock, self.report, self.connect_timeout_us = clock, report, connect_timeout_us
-        self.streams, self.streams_wanted = streams, min(streams, streams_wanted)
+        self.clock = clock
+        self.report = report
+        self.connect_timeout_us = connect_timeout_us
+        self.streams = streams
+        self.streams_wanted = min(streams, streams_wanted)
         self._most_wanted = streams_wanted
-        self.idle_us, self.most_connections = idle_us, most_connections
+        self.idle_us = idle_us
+        self.most_connections = most_connections
         self._stores: dict[int, EndpointPool] = {}
         self._leaving: list[EndpointPool] = []  # gone, or replaced by a new process or address
 
@@ -255,12 +270,11 @@
         touched."""
 
         def commit() -> None:
-            self.report, self.connect_timeout_us = (
-                new.settings.load_report_columns,
-                new.settings.connect_timeout_us,
-            )
+            self.report = new.settings.load_report_columns
+            self.connect_timeout_us = new.settings.connect_timeout_us
             self.streams = new.streams_per_connection
-            self.streams_wanted, self.idle_us = min(self.streams, self._most_wanted), new.idle_us
+            self.streams_wanted = min(self.streams, self._most_wanted)
+            self.idle_us = new.idle_us
             for pool in [*self._stores.values(), *self._leaving]:
                 for connection in pool.connections:
                     connection.link.report = self.report
