--- a/magpieshift/policy/router_policy.py
+++ b/magpieshift/policy/router_policy.py
@@ -10,6 +10,7 @@
 from typing import Any
 
 from magpieshift.policy import invalidation as purges
+from magpieshift.policy import rejection, retry
 from magpieshift.policy.actions import (
     Action,
     CacheRequestFlag,
@@ -36,7 +37,7 @@
 )
 from magpieshift.policy.hashing import MASK, mix
 from magpieshift.policy.outcomes import NEVER_RAN, CacheStatus, Outcome
-from magpieshift.policy.settings import DeduplicationScope, Idempotency, Settings
+from magpieshift.policy.settings import Idempotency, Settings
 from magpieshift.policy.state import (
     FILL,
     LOOKUP,
@@ -291,29 +292,19 @@
             if job.request_class.is_write
             else self.service_times_us[job.request.class_index]
         )
-        if job.attempts_started >= self.settings.max_attempts or self.now_us + need >= job.answer_by_us:
-            return False
-        if job.first_execution is None or job.request_class.idempotency != Idempotency.WITH_KEY:
-            return job.first_execution is None or job.request_class.idempotency == Idempotency.IDEMPOTENT
-        return (
-            self.now_us + self.settings.tick_us < job.first_execution[1] + job.request_class.deduplication_us
+        first = job.first_execution
+        exhausted = retry.is_exhausted(
+            job.attempts_started, self.settings.max_attempts, self.now_us, need, job.answer_by_us
+        )
+        return not exhausted and retry.is_repeat_permitted(
+            job.request_class, first[1] if first else None, self.now_us, self.settings.tick_us
         )
 
     def _in_group(self, job: PendingRequest, store: EndpointRecord) -> bool:
         """Whether the store would discard a repeat of what may already have run."""
-        if (
-            job.first_execution is None
-            or job.request_class.idempotency == Idempotency.IDEMPOTENT
-            or job.request_class.deduplication_scope == DeduplicationScope.ALL
-        ):
+        if job.first_execution is None:
             return True
-        first = job.first_execution[0].endpoint
-        again = store.endpoint
-        return (
-            again.zone == first.zone
-            if job.request_class.deduplication_scope == DeduplicationScope.ZONE
-            else again.cell == first.cell
-        )
+        return retry.is_within_scope(job.request_class, job.first_execution[0].endpoint, store.endpoint)
 
     def _edge(self, job: PendingRequest) -> EndpointRecord | None:
         """The object's cache: weighted rendezvous over ready ones that are well and not over their part."""
@@ -608,26 +599,14 @@
 
     def _end(self, job: PendingRequest) -> None:
         """The final answer: a refusal where it is lawful, else a failure."""
-        by_all = (
-            job.request_class.idempotency == Idempotency.WITH_KEY
-            and job.request_class.deduplication_scope == DeduplicationScope.ALL
-        )
-        harmless = (
-            by_all
-            or job.request_class.idempotency == Idempotency.IDEMPOTENT
-            or (job.first_execution is None and job.attempt_in_flight < 0)
-        )
-        spare = (
-            job.objective_at_us - self.fill_times_us[job.request.class_index] - self.now_us
-        )  # in which coming back is still of use:
-        after = (
-            spare * self.random.random() / 2 if spare > 0 else self.settings.max_retry_after_us
-        )  # and again
-        self.actions.append(
-            RejectRequest(job.request.request_id, int(after))
-            if harmless
-            else FailRequest(job.request.request_id)
-        )
+        spare_us = job.objective_at_us - self.fill_times_us[job.request.class_index] - self.now_us
+        # drawn for a failure as well: all instances of a version draw in the same order
+        after_us = rejection.retry_after_us(spare_us, self.settings.max_retry_after_us, self.random)
+        may_have_run = job.first_execution is not None or job.attempt_in_flight >= 0
+        if rejection.may_reject(job.request_class, may_have_run):
+            self.actions.append(RejectRequest(job.request.request_id, after_us))
+        else:
+            self.actions.append(FailRequest(job.request.request_id))
         if job.attempt_in_flight >= 0 and self.settings.can_cancel_attempts:
             self.actions.append(CancelAttempt(job.request.request_id, job.attempt_in_flight))
         self._forget(job)
