--- a/magpieshift/capture/explanation.py
+++ b/magpieshift/capture/explanation.py
@@ -10,6 +10,8 @@
 from magpieshift.capture.replay import Difference, Player, Replay, Result
 from magpieshift.capture.segments import Missing
 from magpieshift.capture.wire import capture_pb2 as wire
+from magpieshift.policy.admission import concurrency_limit
+from magpieshift.policy.latency import slowdown
 from magpieshift.policy.state import FILL, LOOKUP, WRITE
 
 Records = Callable[[], Iterable[wire.Record | Missing]]
@@ -59,9 +61,9 @@
     router = player.router
     now = player.router.now_us
     rows = []
-    busy = sorted(router.endpoints.values(), key=lambda s: (-s.in_flight, -s.failure_rate, s.endpoint.number))
+    busy = sorted(router.endpoints.values(), key=lambda s: (-s.in_flight, -s.failure_rate, s.entry.number))
     for store in busy[:MOST_SHOWN]:
-        entry = store.endpoint
+        entry = store.entry
         role = "cache"
         if entry.number in router.parents:
             role = "parent"
@@ -73,15 +75,16 @@
         ]
         if any(store.in_flight_by_kind) or role != "cache":
             lanes = (
-                f"{what} {store.in_flight_by_kind[at]} of {router._cap(store, at)}" for what, at in LANES
+                f"{what} {store.in_flight_by_kind[at]} of {concurrency_limit(router, store, at)}"
+                for what, at in LANES
             )
             words.append(f"{', '.join(lanes)}, waiting {len(store.queue)}")
         if store.failure_rate > 0.005:
             words.append(f"failures {store.failure_rate:.2f}")
         if store.ejected_until_us > now:
             words.append(f"passed over for {(store.ejected_until_us - now) / 1000:.0f} ms more")
-        if store.slowdown > 0.05:
-            words.append(f"slower by {store.slowdown:.2f}")
+        if slowdown(store) > 0.05:
+            words.append(f"slower by {slowdown(store):.2f}")
         if store.next_warming_us > now:
             words.append(f"cold, next in {(store.next_warming_us - now) / 1000:.0f} ms")
         rows.append(", ".join(words))
@@ -101,12 +104,12 @@
     ]
     if found.attempt_in_flight >= 0:
         words.append(f"attempt {found.attempt_in_flight} is out")
-    if found.missed_at is not None:
-        words.append(f"missed at {names(found.missed_at.endpoint.number)}")
+    if found.missed_cache is not None:
+        words.append(f"missed at {names(found.missed_cache.entry.number)}")
     if found.failed_endpoints:
         words.append("failed at " + " ".join(map(names, sorted(found.failed_endpoints))))
-    if found.queued_at is not None:
-        words.append(f"waits for {names(found.queued_at.endpoint.number)}")
+    if found.queued_source is not None:
+        words.append(f"waits for {names(found.queued_source.entry.number)}")
     return ", ".join(words)
 
 
--- a/magpieshift/capture/recorder.py
+++ b/magpieshift/capture/recorder.py
@@ -314,8 +314,8 @@
 
 def _act(act: HealthOverride) -> wire.Act:
     if isinstance(act, Eject):
-        return wire.Act(store=act.number, leave=True, us=act.for_us)
-    return wire.Act(store=act.number, us=act.in_us, pause_us=act.pause_us)
+        return wire.Act(store=act.endpoint, leave=True, us=act.duration_us)
+    return wire.Act(store=act.endpoint, us=act.delay_us, pause_us=act.min_pause_us)
 
 
 def _names(names: Iterable[tuple[int, str]]) -> list[wire.Name]:
--- a/magpieshift/engine/trace.py
+++ b/magpieshift/engine/trace.py
@@ -54,7 +54,7 @@
 
     def overrides_applied(self, now_us: int, acts: Sequence[HealthOverride]) -> None:
         for act in acts:
-            log.debug("heeded", extra=fields(store=self._store(act.number), act=type(act).__name__.lower()))
+            log.debug("heeded", extra=fields(store=self._store(act.endpoint), act=type(act).__name__.lower()))
 
     def handle(self, module: RouterPolicy, now_us: int, events: Sequence[Event]) -> list[Action]:
         for event in events:
--- a/magpieshift/extensions/overload_gossip.py
+++ b/magpieshift/extensions/overload_gossip.py
@@ -98,8 +98,8 @@
         turn = self._talker.turn(now, seen, names, mates, self._pressure(), self._rate)
         self._router.engine.apply_overrides(turn.acts)
         self._log_acts(
-            [act.number for act in turn.acts if isinstance(act, Eject)],
-            {act.number for act in turn.acts if isinstance(act, Readmit)},
+            [act.endpoint for act in turn.acts if isinstance(act, Eject)],
+            {act.endpoint for act in turn.acts if isinstance(act, Readmit)},
             seen,
         )
         if turn.offloading_changed:
--- a/magpieshift/policy/hashing.py
+++ b/magpieshift/policy/hashing.py
@@ -1,12 +1,14 @@
-"""The hash by which all routers give an object the same home."""
+"""The hash by which all routers place an object alike."""
 
 from __future__ import annotations
 
 MASK = (1 << 64) - 1
+"""The largest 64-bit number."""
 
 
 def mix(value: int) -> int:
-    """A fixed 64-bit scramble, the same in every process."""
+    """A 64-bit hash of a number, the same in every process (the step and finalizer of SplitMix64, Steele et
+    al. 2014)."""
     value = (value + 0x9E3779B97F4A7C15) & MASK
     value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & MASK
     value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) & MASK
--- a/magpieshift/policy/reconfigure.py
+++ b/magpieshift/policy/reconfigure.py
@@ -1,27 +1,34 @@
-"""A running decision module goes over to other settings. What it has learned stays; open requests keep the
-figures they were taken under, which each carries with it (``records.Job.cls``). No I/O, and it cannot fail:
-all is checked before (``Engine.prepare``)."""
+"""Other settings for a running policy.
+
+What it has learned stays, and pending requests keep the class they came under
+(``PendingRequest.request_class``). No I/O, and it cannot fail: the settings were checked before
+(``magpieshift.config_transaction``).
+"""
 
 from __future__ import annotations
 
 from collections.abc import Set
 
-from magpieshift.policy.router_policy import RouterPolicy
 from magpieshift.policy.settings import Settings
+from magpieshift.policy.state import RouterState, initial_service_times_us, us_per_kb
 
 
-def reconfigure(router: RouterPolicy, settings: Settings, fresh: Set[int]) -> None:
-    """Put ``settings`` in force. ``fresh`` are the class numbers of which nothing that was learned holds."""
-    start = RouterPolicy(
-        settings, 0
-    )  # what a module that starts now knows of its classes: nothing but their figures
+def reconfigure(router: RouterState, settings: Settings, fresh: Set[int]) -> None:
+    """Put ``settings`` in force; ``fresh`` are the numbers of classes of which nothing learned holds."""
     count = len(settings.classes)
-    for name in ("service_times_us", "fill_times_us"):
-        learned = getattr(router, name)
-        new = getattr(start, name)
-        learned[:] = [new[i] if i in fresh or i >= len(learned) else learned[i] for i in range(count)]
-    for store in router.endpoints.values() if fresh or count < len(router.settings.classes) else ():
-        for key in [key for key in store.answer_times if key[0] in fresh or key[0] >= count]:
-            del store.answer_times[key]
+    _replace_fresh(router.service_times_us, initial_service_times_us(settings), fresh)
+    _replace_fresh(router.fill_times_us, [0.0] * count, fresh)
+    if fresh or count < len(router.settings.classes):
+        for endpoint in router.endpoints.values():
+            for key in [key for key in endpoint.answer_times if key[0] in fresh or key[0] >= count]:
+                del endpoint.answer_times[key]
     router.settings = settings
-    router.us_per_kb = start.us_per_kb
+    router.us_per_kb = us_per_kb(settings)
+
+
+def _replace_fresh(learned: list[float], initial: list[float], fresh: Set[int]) -> None:
+    """Put the initial figure in place of fresh and new classes', and drop those of classes that are gone."""
+    learned[:] = [
+        figure if index in fresh or index >= len(learned) else learned[index]
+        for index, figure in enumerate(initial)
+    ]
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -91,12 +91,12 @@
         self.assertTrue(again.attempts)
         for attempt in again.attempts.values():
             endpoint = attempt.endpoint
-            self.assertIs(endpoint, again.endpoints.get(endpoint.endpoint.number, endpoint))
+            self.assertIs(endpoint, again.endpoints.get(endpoint.entry.number, endpoint))
             self.assertIn(
                 attempt.answer_times, [t for t in endpoint.answer_times.values() if t is attempt.answer_times]
             )
         for cache in again.caches.values():
-            self.assertIs(cache, again.endpoints[cache.endpoint.number])
+            self.assertIs(cache, again.endpoints[cache.entry.number])
 
     @given(st.binary(max_size=80), st.integers(0, 5000))
     @settings(max_examples=80, deadline=None)
@@ -359,7 +359,7 @@
         self.assertEqual((result.differences, result.kinds), (0, {}))
 
     def test_the_second_parent_never_used(self) -> None:
-        other = self.altered("heapq.nlargest(2, above", "heapq.nlargest(1, above")
+        other = self.altered("PARENTS_TRIED = 2", "PARENTS_TRIED = 1", "placement.py")
         self.assertNotEqual(other.digest, OWN.digest)
         self.record([("ask", i) for i in range(0, 300, 3)] + [("end", i) for i in range(200)])
         result = self.replayed(against=other)
@@ -374,7 +374,7 @@
     def test_an_altered_checkout_strays_and_is_called_back_by_a_keyframe(self) -> None:
         self.record()
         self.record()
-        other = self.altered("LEAST_CAP = 4", "LEAST_CAP = 2")
+        other = self.altered("INITIAL_LIMIT = 4", "INITIAL_LIMIT = 2", "admission.py")
         player = Replay(other)
         result = player.run(self.read())
         self.assertNotEqual(result.policies, {other.digest})
--- a/tests/capture/test_process.py
+++ b/tests/capture/test_process.py
@@ -76,10 +76,12 @@
         (altered / "magpieshift").mkdir(parents=True)
         shutil.copy(ROOT / "magpieshift" / "__init__.py", altered / "magpieshift")
         shutil.copytree(ROOT / "magpieshift" / "policy", altered / "magpieshift" / "policy")
-        control = altered / "magpieshift" / "policy" / "router_policy.py"
+        control = altered / "magpieshift" / "policy" / "admission.py"
         text = control.read_text()
         control.write_text(
-            text.replace("return 1 + peak", "return 2 + 2 * peak").replace("LEAST_CAP = 4", "LEAST_CAP = 1")
+            text.replace("return 1 + peak", "return 2 + 2 * peak").replace(
+                "INITIAL_LIMIT = 4", "INITIAL_LIMIT = 1"
+            )
         )
         done = program("replay", self.capture, "--against", str(altered))
         self.assertEqual(done.returncode, 1, done.stderr)
--- a/tests/overload/test_talk.py
+++ b/tests/overload/test_talk.py
@@ -33,6 +33,7 @@
     endpoint_health,
 )
 from magpieshift.policy.outcomes import Outcome
+from magpieshift.policy.outlier_detection import is_available
 from magpieshift.policy.router_policy import RouterPolicy
 from tests.helpers import PARENTS, SECOND, World
 
@@ -129,7 +130,7 @@
         words = [fails(f"p{i}", who) for i in lied for who in ("liar", "other")]
         for own in NAMES:
             acts = self.judge(own, words, stores, NAMES)
-            left = {act.number for act in acts if isinstance(act, Eject)} - bad
+            left = {act.endpoint for act in acts if isinstance(act, Eject)} - bad
             self.assertLessEqual(len(left), max(0, count // 2))
 
     def test_all_come_back_at_moments_of_their_own(self) -> None:
@@ -141,7 +142,7 @@
             judge.judge(0, reports, NAMES, stores)
             reports.take([FailureReport("p", "a", False, 0)], 500_000)
             acts = judge.judge(500_000, reports, NAMES, stores)
-            back |= {act.in_us for act in acts if isinstance(act, Readmit)}
+            back |= {act.delay_us for act in acts if isinstance(act, Readmit)}
             self.assertEqual(judge.judge(700_000, reports, NAMES, stores), [])  # told once
         self.assertGreaterEqual(len(back), len(NAMES) - trials.TRIERS)
         self.assertLessEqual(max(back), trials.RAMP_US)
@@ -174,7 +175,7 @@
         self.assertEqual(store.ejected_until_us, world.now + SECOND)
         world.now += SECOND
         store.in_flight = 1
-        self.assertFalse(world.router._usable(store))
+        self.assertFalse(is_available(world.router, store))
 
     def test_what_is_told_of_a_store(self) -> None:
         world = World()
--- a/tests/real/test_operation.py
+++ b/tests/real/test_operation.py
@@ -22,6 +22,7 @@
 from magpieshift.engine.model import Response, Verdict
 from magpieshift.lifecycle import CUT_US, LAST_CALL_US, SERVE_ON_US, InvalidStateError, Lifecycle, State
 from magpieshift.policy.events import EndpointListKind
+from magpieshift.policy.slow_start import permitted_rate
 from magpieshift.process_lock import ProcessLock
 from magpieshift.sockets import listen_socket, steer_to_second
 from tests.real import test_front
@@ -274,15 +275,15 @@
         self.engine.list_changed(EndpointListKind.DELTA, 2, [replace(self.members[0], endpoint=cold)])
         self.clock.run()
         (cache,) = router.caches.values()
-        alone = router._cold_rate(cache)
+        alone = permitted_rate(router, cache)
         self.engine.set_sibling_processes(1)
-        self.assertLess(2 * router._cold_rate(cache), 1.001 * alone)
+        self.assertLess(2 * permitted_rate(router, cache), 1.001 * alone)
         self.assertEqual((router.settings.router_count, router.settings.zone_router_counts), (4, (0, 4)))
         self.assertEqual(self.engine.running(), told)  # the document in force is the same
         self.engine.prepare(document, document)()
         self.assertEqual(router.settings.router_count, 4)  # a reload does not forget the other process
         self.engine.set_sibling_processes(0)
-        self.assertEqual((router.settings.router_count, router._cold_rate(cache)), (2, alone))
+        self.assertEqual((router.settings.router_count, permitted_rate(router, cache)), (2, alone))
 
 
 class Ended(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -17,6 +17,7 @@
     SendPlainRequest,
     WriteLog,
 )
+from magpieshift.policy.admission import concurrency_limit
 from magpieshift.policy.events import (
     Endpoint,
     EndpointListKind,
@@ -158,7 +159,7 @@
                 (asked,) = world.ask(5, size_kb=10.0)
                 (fill,) = map(self.sent, world.end(asked, Outcome.MISS, 0))
                 world.end(fill, Outcome.OK, 1, after=2 * SECOND, note=CacheStatus.FILLED)
-                caps.append(world.router._cap(source, FILL))
+                caps.append(concurrency_limit(world.router, source, FILL))
             self.assertEqual(caps, [5, 3, 2, 1])
 
     def test_a_hot_part_is_passed_on(self) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,6 +5,7 @@
 from dataclasses import replace
 
 from magpieshift.policy.actions import FailRequest, RejectRequest, SendCacheRequest, SendPlainRequest
+from magpieshift.policy.admission import concurrency_limit
 from magpieshift.policy.events import (
     AttemptEnded,
     EndpointListKind,
@@ -13,6 +14,8 @@
     TimerFired,
 )
 from magpieshift.policy.outcomes import CacheStatus, Outcome
+from magpieshift.policy.outlier_detection import SILENCE_WEIGHT, record_failure
+from magpieshift.policy.placement import fill_sources
 from magpieshift.policy.settings import RequestClass
 from magpieshift.policy.state import FILL, PendingRequest
 from tests.helpers import PARENTS, SECOND, World, a_class, entry, settings
@@ -100,11 +103,11 @@
             together = 0
             for world in fleet(size, a_class(latency_objective_us=SECOND, latency_objective_stretch=0.0)):
                 for _ in range(6):
-                    room = world.router._cap(world.router.parents[PARENTS[0]], FILL)
+                    room = concurrency_limit(world.router, world.router.parents[PARENTS[0]], FILL)
                     keys = [
                         key
                         for key in range(5, 200)
-                        if world.router._sources(_job(world, key))[0].hash_salt
+                        if fill_sources(world.router, _job(world, key))[0].hash_salt
                         == world.router.parents[PARENTS[0]].hash_salt
                     ][:room]
                     sent = [world.fill(key, size_kb=10.0) for key in keys]
@@ -116,7 +119,7 @@
                             fill.request_id, Outcome.OK, took, 0, True, CacheStatus.FILLED, cache, 1, ()
                         )
                         world.tell(ended)
-                together += world.router._cap(world.router.parents[PARENTS[0]], FILL)
+                together += concurrency_limit(world.router, world.router.parents[PARENTS[0]], FILL)
             floor = size * max(1, min(4, 16 // size))
             assert (together > floor) == grows
 
@@ -174,5 +177,5 @@
     store = world.router.parents[PARENTS[0]]
     for _ in range(100):
         world.now = world.router.now_us = max(world.now, store.ejected_until_us)
-        world.router._blame(store, 0.5)
+        record_failure(world.router, store, SILENCE_WEIGHT)
     assert store.failure_rate == 1.0 and store.ejected_until_us - world.now <= 8 * SECOND
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,9 +11,7 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 POLICY = ROOT / "magpieshift" / "policy"
-MOST_LINES = 250
-NOT_YET_SPLIT = {"router_policy.py": 619}
-"""Modules still to be split, with the lines they may have until then; an entry only ever shrinks."""
+MAX_LINES = 250
 PLUMBING = {
     "__init__.py",
     "simulator.py",
@@ -63,7 +61,7 @@
 def test_each_can_be_read_in_one_go() -> None:
     for path in deciding():
         lines = path.read_text().splitlines()
-        assert len(lines) <= NOT_YET_SPLIT.get(path.name, MOST_LINES), f"{path.name}: {len(lines)} lines"
+        assert len(lines) <= MAX_LINES, f"{path.name}: {len(lines)} lines"
         assert max(len(line) for line in lines) <= 110, path.name
 
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,5 +1,8 @@
 """The ordinary path: ask, fill under the cap, hold, spill, refuse."""
 
+import pytest
+
+from magpieshift.policy import admission
 from magpieshift.policy.actions import (
     Action,
     CacheRequestFlag,
@@ -127,12 +130,12 @@
     assert all(world.router.endpoints[s].failure_rate == 0 for s in CACHES)
 
 
-def test_the_newest_waiting_fill_goes_first() -> None:
+def test_the_newest_waiting_fill_goes_first(monkeypatch: pytest.MonkeyPatch) -> None:
     """The oldest has the least of its aim left; woken first, all came late (overload days)."""
     world = World()
     fills = [world.fill() for _ in range(7)]
     assert [isinstance(f, SendCacheRequest) for f in fills] == [True] * 4 + [False] * 3
-    world.router._cap = lambda source, lane: 4  # type: ignore[method-assign]
+    monkeypatch.setattr(admission, "concurrency_limit", lambda state, source, work_kind: 4)
     (woken,) = world.end(fills[0], Outcome.OK, 1)
     assert isinstance(woken, SendCacheRequest) and woken.request_id == 7
 
@@ -196,7 +199,7 @@
         (asked,) = world.ask()
         (look,) = looks(world.end(asked, Outcome.MISS, 0))
         assert world.end(look, Outcome.MISS, 1) == []  # it lacks it: now it waits for a slot of fills
-        assert world.router.requests[look.request_id].queued_at is world.router.endpoints[home.source]
+        assert world.router.requests[look.request_id].queued_source is world.router.endpoints[home.source]
         assert world.router.endpoints[home.source].failure_rate == 0  # and that speaks against nobody
         (woken,) = world.end(home, Outcome.OK, 1, after=300_000, note=CacheStatus.FILLED)
         assert (
@@ -241,5 +244,5 @@
         (asked,) = world.ask(5, size_kb=10.0)
         (fill,) = world.end(asked, Outcome.MISS, 0)
         world.end(fill, Outcome.OK, 1, after=int(share * SECOND), note=CacheStatus.FILLED)
-        caps.append(world.router._cap(source, FILL))
+        caps.append(admission.concurrency_limit(world.router, source, FILL))
     assert caps == [5, 3, 2, 1, 2]
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -11,6 +11,7 @@
     SendPlainRequest,
     SetTimer,
 )
+from magpieshift.policy.admission import INITIAL_LIMIT
 from magpieshift.policy.events import (
     AttemptEnded,
     ClientDisconnected,
@@ -23,7 +24,7 @@
     TimerFired,
 )
 from magpieshift.policy.outcomes import NEVER_RAN, Outcome
-from magpieshift.policy.router_policy import LEAST_CAP, RouterPolicy
+from magpieshift.policy.router_policy import RouterPolicy
 from magpieshift.policy.settings import DeduplicationScope, Idempotency
 from tests.helpers import CACHE, CACHES, PARENT, PARENTS, SECOND, a_class, entry, whole_list
 from tests.helpers import settings as make_settings
@@ -72,7 +73,7 @@
             for lane, (peak, _) in enumerate(
                 store.concurrency_peaks
             ):  # each waits apart, within a bound of its own
-                bound = max(LEAST_CAP, 1 + peak)
+                bound = max(INITIAL_LIMIT, 1 + peak)
                 waiting, at = sum(j.work_kind == lane for j in store.queue.values()), (store.hash_salt, lane)
                 assert waiting <= max(bound, self.bounds.get(at, 0))
                 self.bounds[at] = max(bound, waiting)
--- a/tests/test_purges.py
+++ b/tests/test_purges.py
@@ -41,8 +41,8 @@
         for told in history:
             now_us += told.gap_us
             made_us = now_us - told.age_us
-            purges.add(table, told.key, told.group, made_us)
-            purges.expire(table, 1, now_us, DONE_US)
+            purges.record_purge(table, told.key, told.group, made_us)
+            purges.sweep(table, 1, now_us, DONE_US)
             everything.append((told.key, told.group, made_us))
             for key in range(1, 4):
                 for group in range(3):
@@ -53,7 +53,7 @@
                     ]
                     bounds = [max(1, now_us - max(made) - 1)] if made else []
                     bounds += [fresh_us] if fresh_us else []
-                    found = purges.oldest_copy(table, request(key, group), fresh_us, now_us, DONE_US)
+                    found = purges.max_copy_age_us(table, request(key, group), fresh_us, now_us, DONE_US)
                     self.assertEqual(found, min(bounds, default=0))
 
     def test_the_module_goes_through_it_only_when_it_has_doubled(self) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -13,9 +13,12 @@
     PurgeReceived,
     RequestReceived,
 )
+from magpieshift.policy.latency import slowdown, slowdown_at
 from magpieshift.policy.outcomes import CacheStatus, Outcome
+from magpieshift.policy.outlier_detection import is_available
 from magpieshift.policy.router_policy import RouterPolicy
 from magpieshift.policy.settings import Idempotency, Settings
+from magpieshift.policy.slow_start import permitted_rate
 from magpieshift.policy.state import FILL
 from tests.helpers import (
     CACHE,
@@ -170,7 +173,7 @@
             for sent in world.ask(key):
                 world.end(sent, Outcome.OK, 0)
         world.tell(delta(entry(99, CACHE, started_us=world.now)))
-    rates = [w.router._cold_rate(w.router.endpoints[99]) for w in (busy, idle)]
+    rates = [permitted_rate(w.router, w.router.endpoints[99]) for w in (busy, idle)]
     assert rates[0] > 2 * rates[1] > 0
 
 
@@ -282,14 +285,14 @@
     assert isinstance(first, SendCacheRequest)
     store = world.router.endpoints[first.endpoint]
     world.end(first, Outcome.TIMEOUT, 0, after=SECOND)
-    assert not world.router._usable(store)
+    assert not is_available(world.router, store)
     (other,) = world.ask(5)
     assert isinstance(other, SendCacheRequest) and other.endpoint != first.endpoint
     world.now += 2 * SECOND
     (back,) = world.ask(5)
     assert isinstance(back, SendCacheRequest) and back.endpoint == first.endpoint
     world.end(back, Outcome.OK, 0, note=CacheStatus.HIT)
-    assert world.router._usable(store) and store.failure_rate < 0.41
+    assert is_available(world.router, store) and store.failure_rate < 0.41
 
 
 def test_a_request_that_two_stores_cannot_use_speaks_against_neither() -> None:
@@ -325,7 +328,7 @@
     ends = [AttemptEnded(a.request_id, Outcome.RESET, 1000, 0, False, 0, store, 0, ()) for a in asked]
     again = world.tell(*ends, after=1000)
     assert [a.endpoint for a in again if isinstance(a, SendCacheRequest)] == [store] * 4
-    assert world.router._usable(world.router.endpoints[store])
+    assert is_available(world.router, world.router.endpoints[store])
 
 
 def test_a_write_that_broke_off_goes_out_once_more() -> None:
@@ -354,7 +357,7 @@
         for a in crowd
     ]
     world.tell(*ends, after=800_000)
-    assert len(ends) == 20 and world.router.endpoints[11].slowdown > 6
+    assert len(ends) == 20 and slowdown(world.router.endpoints[11]) > 6
     assert isinstance(world.ask(5, size_kb=100.0)[0], SendCacheRequest)
 
 
@@ -478,4 +481,4 @@
         100_000.0,
         100_000.0,
     )
-    assert cache.slowdown_at(20) == cache.slowdown
+    assert slowdown_at(cache, 20) == slowdown(cache)
