--- a/magpieshift/capture/codec.py
+++ b/magpieshift/capture/codec.py
@@ -3,15 +3,31 @@
 from __future__ import annotations
 
 import dataclasses
+from collections.abc import Mapping
+from dataclasses import dataclass
+from dataclasses import field as dataclass_field
 from typing import Any
 
 from magpieshift.capture.policy import Policy
 from magpieshift.capture.recorded_names import CURRENT
 from magpieshift.capture.wire import capture_pb2 as wire
 
-LOW = (1 << 64) - 1  # the part of an object's number that one protobuf field holds
-RecordedAction = tuple[Any, ...]
-"""The class's recorded name, then its fields: equal for equal actions of any version."""
+LOW_BITS = (1 << 64) - 1
+"""The part of an object's number that one protobuf field holds; the field ``key_high`` has the rest."""
+
+
+@dataclass(frozen=True, slots=True)
+class RecordedAction:
+    """An action by its recorded names, so that equal actions of any two versions are equal."""
+
+    name: str
+    """Of its class, or of an error that the policy raised."""
+    fields: Mapping[str, Any] = dataclass_field(default_factory=dict)
+
+    @property
+    def request_id(self) -> int:
+        """The request that it is about; 0 for none."""
+        return int(self.fields.get("id", 0))
 
 
 class Codec:
@@ -19,83 +35,86 @@
 
     def __init__(self, policy: Policy) -> None:
         self._policy = policy
-        self._classes: dict[str, Any] = {}  # by recorded name
-        self._own_fields: dict[str, list[str]] = {}
-        self._recorded_fields: dict[str, list[str]] = {}
+        self._classes: dict[str, Any] = {}
+        """The policy's classes, by recorded name."""
+        self._fields: dict[str, list[tuple[str, str]]] = {}
+        """By recorded name of a class, its fields: the recorded name and the policy's own."""
         self._recorded_names: dict[type, str] = {}
-        for name in [field.name for m in (wire.Event, wire.Action) for field in m.DESCRIPTOR.fields]:
-            cls = policy.named(name)
+        for name in sorted(_RECORDED):
+            cls = policy.class_named(name)
             if cls is not None:
-                own_fields = [field.name for field in dataclasses.fields(cls)]
+                own_names = [each.name for each in dataclasses.fields(cls)]
+                recorded = policy.names.recorded_fields(cls.__name__, own_names)
                 self._classes[name] = cls
-                self._own_fields[name] = own_fields
-                self._recorded_fields[name] = list(policy.names.recorded_fields(cls.__name__, own_fields))
+                self._fields[name] = list(zip(recorded, own_names, strict=True))
                 self._recorded_names[cls] = name
 
     def event(self, message: wire.Event) -> Any:
         """An event of this policy."""
-        name = message.WhichOneof("what")
+        name = str(message.WhichOneof("what"))
         found = getattr(message, name)
-        named = self._policy.named
-        cls = self._classes[name]
         if name == "StoreList":
-            state = named("Phase")
-            endpoints = tuple(
-                named("Entry")(e.store, e.zone, e.kind, e.cell, state(e.phase), e.weight, e.up_since_us)
-                for e in found.entries
-            )
-            return cls(named("ListKind")(found.kind), found.version, endpoints)
-        return cls(*(self._value(found, field) for field in self._recorded_fields[name]))
-
-    def _value(self, found: Any, field: str) -> Any:
+            return self._endpoint_list(found)
+        return self._classes[name](*(self._value(found, recorded) for recorded, _ in self._fields[name]))
+
+    def _endpoint_list(self, found: wire.StoreList) -> Any:
+        class_named = self._policy.class_named
+        endpoint = class_named("Entry")
+        endpoint_state = class_named("Phase")
+        endpoints = tuple(
+            endpoint(e.store, e.zone, e.kind, e.cell, endpoint_state(e.phase), e.weight, e.up_since_us)
+            for e in found.entries
+        )
+        return self._classes["StoreList"](class_named("ListKind")(found.kind), found.version, endpoints)
+
+    def _value(self, found: Any, recorded_field: str) -> Any:
         """One field of a recorded event, in the policy's type."""
-        value = getattr(found, field)
-        if field == "key":
+        value = getattr(found, recorded_field)
+        if recorded_field == "key":
             return value | found.key_high << 64
-        if field == "outcome":
-            return self._policy.named("Outcome")(value)
-        return tuple(value) if field == "load" else value
+        if recorded_field == "outcome":
+            return self._policy.class_named("Outcome")(value)
+        return tuple(value) if recorded_field == "load" else value
 
-    def plain(self, action: Any) -> RecordedAction:
-        """An action of this policy for comparison."""
+    def decided(self, action: Any) -> RecordedAction:
+        """An action of this policy, for comparison."""
         name = self._recorded_names.get(type(action))
-        if name is None:
-            return (type(action).__name__,)
-        return (name, *(getattr(action, field) for field in self._own_fields[name]))
+        if name is None:  # captures have no form for it
+            return RecordedAction(type(action).__name__)
+        return RecordedAction(name, {recorded: getattr(action, own) for recorded, own in self._fields[name]})
 
     def recorded(self, message: wire.Action) -> RecordedAction:
-        """A recorded action for comparison."""
-        name = message.WhichOneof("what")
+        """A recorded action, for comparison."""
+        name = str(message.WhichOneof("what"))
         found = getattr(message, name)
-        return (name, *(getattr(found, field) for field in self._recorded_fields[name]))
+        return RecordedAction(
+            name, {recorded: getattr(found, recorded) for recorded, _ in self._fields[name]}
+        )
 
 
-def _fields_of(item: Any) -> dict[str, Any]:
-    """The fields of an event, an action or an endpoint, by their recorded names."""
-    kind = type(item).__name__
-    values: dict[str, Any] = {}
-    for name in item.__slots__:
-        recorded = CURRENT.recorded_field(kind, name)
-        values[recorded] = getattr(item, name)
+def _recorded_fields(item: Any) -> dict[str, Any]:
+    """The fields of an event, an action or an endpoint of this checkout's policy, by their recorded names."""
+    class_name = type(item).__name__
+    values = {CURRENT.recorded_field(class_name, name): getattr(item, name) for name in item.__slots__}
     if "key" in values:
         object_key = values["key"]
-        values["key"] = object_key & LOW
+        values["key"] = object_key & LOW_BITS
         values["key_high"] = object_key >> 64
     if "entries" in values:
-        values["entries"] = [wire.Entry(**_fields_of(entry)) for entry in values["entries"]]
+        values["entries"] = [wire.Entry(**_recorded_fields(endpoint)) for endpoint in values["entries"]]
     return values
 
 
 def write_event(event: Any) -> wire.Event:
     """An event of this checkout's policy as a record."""
     name = CURRENT.recorded_class(type(event).__name__)
-    return wire.Event(**{name: getattr(wire, name)(**_fields_of(event))})
+    return wire.Event(**{name: getattr(wire, name)(**_recorded_fields(event))})
 
 
 def write_action(action: Any) -> wire.Action:
     """An action of this checkout's policy as a record."""
     name = CURRENT.recorded_class(type(action).__name__)
-    return wire.Action(**{name: getattr(wire, name)(**_fields_of(action))})
+    return wire.Action(**{name: getattr(wire, name)(**_recorded_fields(action))})
 
 
 def is_recorded(item: Any) -> bool:
@@ -103,4 +122,7 @@
     return CURRENT.recorded_class(type(item).__name__) in _RECORDED
 
 
-_RECORDED = frozenset(field.name for m in (wire.Event, wire.Action) for field in m.DESCRIPTOR.fields)
+_RECORDED = frozenset(
+    field.name for message in (wire.Event, wire.Action) for field in message.DESCRIPTOR.fields
+)
+"""The recorded names of the classes that captures have a form for."""
--- /dev/null
+++ b/magpieshift/capture/difference.py
@@ -0,0 +1,92 @@
+"""What a replay decides otherwise than was recorded, request by request."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+from magpieshift.capture.codec import RecordedAction
+
+ATTEMPTS = ("Send", "Get")
+"""Recorded names of the actions that start an attempt."""
+REQUESTLESS = ("SetTimer", "Log", "Subscribe", "FetchList")
+"""Recorded names of the actions that are about no single request."""
+NOTHING = RecordedAction("nothing")
+VERBS = {
+    "Send": "sent",
+    "Get": "sent",
+    "Refuse": "refused",
+    "Fail": "failed",
+    "nothing": "kept waiting",
+    "Cancel": "cancelled",
+    "SetTimer": "timer",
+}
+"""By an action's recorded name, its verb in the kind of a difference."""
+
+
+@dataclass(frozen=True)
+class Difference:
+    """One decision that came out otherwise."""
+
+    batch: int
+    """Number of the batch, from 0, over all the capture."""
+    now_us: int
+    request_id: int
+    """0 where it is about none."""
+    kind: str
+    """What sort of difference it is; reports count them by it."""
+    recorded: tuple[RecordedAction, ...]
+    replayed: tuple[RecordedAction, ...]
+
+
+def kind_of(recorded: Sequence[RecordedAction], replayed: Sequence[RecordedAction]) -> str:
+    """What sort of difference it is, for people; reports and their JSON count by these words."""
+    if sorted(recorded, key=repr) == sorted(replayed, key=repr):
+        return "other order"
+    old = recorded[-1] if recorded else NOTHING
+    new = replayed[-1] if replayed else NOTHING
+    if old.name in ATTEMPTS and new.name in ATTEMPTS:
+        return _kind_of_attempt(old, new)
+    old_verb = VERBS.get(old.name, old.name.lower())
+    new_verb = VERBS.get(new.name, new.name.lower())
+    return f"other {old_verb}" if old_verb == new_verb else f"{new_verb} instead of {old_verb}"
+
+
+def _kind_of_attempt(old: RecordedAction, new: RecordedAction) -> str:
+    if old.fields["store"] != new.fields["store"]:
+        return "other store"
+    if old.name != new.name or old.fields.get("source") != new.fields.get("source"):
+        return "other source"
+    if old.fields["timeout_us"] != new.fields["timeout_us"]:
+        return "other time-out"
+    return "other age, rank or mode"
+
+
+def compare(
+    batch: int, now_us: int, recorded: Sequence[RecordedAction], replayed: Sequence[RecordedAction]
+) -> list[Difference]:
+    """The differences of one batch, one a request."""
+    if recorded == replayed:
+        return []
+    found = []
+    for request_id in dict.fromkeys(_request_of(action) for action in [*recorded, *replayed]):
+        old = tuple(action for action in recorded if _request_of(action) == request_id)
+        new = tuple(action for action in replayed if _request_of(action) == request_id)
+        if old != new:
+            found.append(Difference(batch, now_us, request_id, kind_of(old, new), old, new))
+    if not found:
+        found.append(Difference(batch, now_us, 0, "other order", tuple(recorded), tuple(replayed)))
+    return found
+
+
+def compare_errors(batch: int, now_us: int, recorded: str, replayed: str) -> list[Difference]:
+    """The difference, if it is one, between the errors that the policy raised; "" for none."""
+    if recorded == replayed:
+        return []
+    old = (RecordedAction(recorded),)
+    new = (RecordedAction(replayed),)
+    return [Difference(batch, now_us, 0, "raised otherwise", old, new)]
+
+
+def _request_of(action: RecordedAction) -> int:
+    return 0 if action.name in REQUESTLESS else action.request_id
--- a/magpieshift/capture/explanation.py
+++ b/magpieshift/capture/explanation.py
@@ -1,180 +1,208 @@
-"""What a capture tells people: what the module knew at a moment, and what happened to one request."""
+"""A capture as text for people: what the policy knew at a moment, and what happened to one request."""
 
 from __future__ import annotations
 
 import datetime
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
 from magpieshift.capture.codec import RecordedAction
-from magpieshift.capture.replay import Difference, Player, Replay, Result
+from magpieshift.capture.difference import Difference
+from magpieshift.capture.replay import Player, Replay, ReplayResult
 from magpieshift.capture.segments import Missing
 from magpieshift.capture.wire import capture_pb2 as wire
 from magpieshift.policy.admission import concurrency_limit
 from magpieshift.policy.latency import slowdown
-from magpieshift.policy.state import FILL, LOOKUP, WRITE
+from magpieshift.policy.outcomes import CacheStatus, Outcome
+from magpieshift.policy.state import FILL, LOOKUP, WRITE, EndpointRecord, PendingRequest
 
 Records = Callable[[], Iterable[wire.Record | Missing]]
-LANES = (("fills", FILL), ("looks", LOOKUP), ("writes", WRITE))
-MOST_SHOWN = 12  # stores, or examples of a kind of difference
+"""Goes through a capture once more from its beginning."""
+WORK_KIND_NAMES = {FILL: "fills", LOOKUP: "lookups", WRITE: "writes"}
+MAX_SHOWN = 12
+"""Endpoints, or examples of kinds of difference, that fit on a screen."""
+MIN_FAILURE_RATE = 0.005
+MIN_SLOWDOWN = 0.05
+"""Smaller figures are not shown."""
+MIN_ENDPOINT_NUMBER = 1 << 32
+"""Numbers above are of endpoints, and shown in hexadecimal."""
+FINAL_OR_ATTEMPT = ("Send", "Get", "Refuse", "Fail")
+"""Recorded names of the actions that settle a step of a request."""
 
 
-def clock(us: int) -> str:
+def time_of_day(us: int) -> str:
+    """A Unix time in microseconds as a time of day in UTC."""
     return datetime.datetime.fromtimestamp(us / 1e6, datetime.UTC).strftime("%H:%M:%S.%f")
 
 
 class Names:
-    """Ids for people in place of the module's numbers."""
+    """Ids as in the log, in place of the policy's numbers."""
 
     def __init__(self, names: dict[int, str]) -> None:
         self._names = names
 
     def __call__(self, number: int) -> str:
-        return self._names.get(number, f"#{number:x}" if number > 1 << 32 else f"#{number}")
-
-    def action(self, action: RecordedAction) -> str:
-        name, *rest = action
-        match name:
-            case "Send":
-                return f"ask {self(rest[1])} for what it holds, {rest[2] / 1000:.1f} ms"
-            case "Get":
-                source = self(rest[3])
-                return (
-                    f"get from {self(rest[1])} filled by {source}, {rest[2] / 1000:.1f} ms, age {rest[5]} us"
-                )
+        """The id of a request or an endpoint, or its number where the capture has no id."""
+        shown = f"#{number:x}" if number > MIN_ENDPOINT_NUMBER else f"#{number}"
+        return self._names.get(number, shown)
+
+    def action_text(self, action: RecordedAction) -> str:
+        """One action in words."""
+        fields = action.fields
+        match action.name:
+            case "Send" | "Get":
+                return self._attempt_text(fields)
             case "Refuse":
-                return f"refuse, come back after {rest[1] / 1000:.0f} ms"
+                return f"reject, retry after {fields['retry_after_us'] / 1000:.0f} ms"
             case "Fail":
                 return "fail"
             case "Cancel":
-                return f"cancel attempt {rest[1]}"
+                return f"cancel attempt {fields['attempt']}"
             case "SetTimer":
-                return f"timer in {rest[0] / 1000:.1f} ms"
-        return " ".join([name, *map(str, rest)])
-
-    def actions(self, actions: Iterable[RecordedAction]) -> str:
-        return "; ".join(map(self.action, actions)) or "nothing"
-
-
-def stores(player: Player, names: Names) -> list[str]:
-    """The stores as the module sees them, the busiest first."""
-    router = player.router
-    now = player.router.now_us
-    rows = []
-    busy = sorted(router.endpoints.values(), key=lambda s: (-s.in_flight, -s.failure_rate, s.entry.number))
-    for store in busy[:MOST_SHOWN]:
-        entry = store.entry
-        role = "cache"
-        if entry.number in router.parents:
-            role = "parent"
-        elif entry.number in router.origins:
-            role = "origin"
-        words = [
-            f"{names(entry.number)} ({role}, {entry.state.name.lower()})",
-            f"in flight {store.in_flight}",
-        ]
-        if any(store.in_flight_by_kind) or role != "cache":
-            lanes = (
-                f"{what} {store.in_flight_by_kind[at]} of {concurrency_limit(router, store, at)}"
-                for what, at in LANES
-            )
-            words.append(f"{', '.join(lanes)}, waiting {len(store.queue)}")
-        if store.failure_rate > 0.005:
-            words.append(f"failures {store.failure_rate:.2f}")
-        if store.ejected_until_us > now:
-            words.append(f"passed over for {(store.ejected_until_us - now) / 1000:.0f} ms more")
-        if slowdown(store) > 0.05:
-            words.append(f"slower by {slowdown(store):.2f}")
-        if store.next_warming_us > now:
-            words.append(f"cold, next in {(store.next_warming_us - now) / 1000:.0f} ms")
-        rows.append(", ".join(words))
-    if len(busy) > MOST_SHOWN:
-        rows.append(f"and {len(busy) - MOST_SHOWN} more")
-    return rows
-
-
-def job(player: Player, request: int, names: Names) -> str:
-    """What the module keeps of a request."""
-    found = player.router.requests.get(request)
-    if found is None:
-        return "not open"
-    words = [
-        f"attempts {found.attempts_started}",
-        f"{(found.answer_by_us - player.router.now_us) / 1000:.1f} ms left",
+                return f"timer in {fields['delay_us'] / 1000:.1f} ms"
+        return " ".join([action.name, *map(str, fields.values())])
+
+    def _attempt_text(self, fields: Mapping[str, Any]) -> str:
+        endpoint = self(fields["store"])
+        timeout = f"{fields['timeout_us'] / 1000:.1f} ms"
+        if "source" not in fields:
+            return f"ask {endpoint} for what it holds, {timeout}"
+        source = self(fields["source"])
+        return f"get from {endpoint} filled by {source}, {timeout}, age {fields['age_us']} us"
+
+    def actions_text(self, actions: Iterable[RecordedAction]) -> str:
+        """Several actions in words."""
+        return "; ".join(map(self.action_text, actions)) or "nothing"
+
+
+def endpoint_lines(player: Player, names: Names) -> list[str]:
+    """The endpoints as the policy sees them, the busiest first."""
+    endpoints = sorted(
+        player.router.endpoints.values(),
+        key=lambda each: (-each.in_flight, -each.failure_rate, each.entry.number),
+    )
+    lines = [_endpoint_line(player.router, each, names) for each in endpoints[:MAX_SHOWN]]
+    if len(endpoints) > MAX_SHOWN:
+        lines.append(f"and {len(endpoints) - MAX_SHOWN} more")
+    return lines
+
+
+def _endpoint_line(router: Any, endpoint: EndpointRecord, names: Names) -> str:
+    entry = endpoint.entry
+    role = "cache"
+    if entry.number in router.parents:
+        role = "parent"
+    elif entry.number in router.origins:
+        role = "origin"
+    parts = [
+        f"{names(entry.number)} ({role}, {entry.state.name.lower()})",
+        f"in flight {endpoint.in_flight}",
     ]
-    if found.attempt_in_flight >= 0:
-        words.append(f"attempt {found.attempt_in_flight} is out")
-    if found.missed_cache is not None:
-        words.append(f"missed at {names(found.missed_cache.entry.number)}")
-    if found.failed_endpoints:
-        words.append("failed at " + " ".join(map(names, sorted(found.failed_endpoints))))
-    if found.queued_source is not None:
-        words.append(f"waits for {names(found.queued_source.entry.number)}")
-    return ", ".join(words)
+    if any(endpoint.in_flight_by_kind) or role != "cache":
+        kinds = ", ".join(
+            f"{name} {endpoint.in_flight_by_kind[kind]} of {concurrency_limit(router, endpoint, kind)}"
+            for kind, name in WORK_KIND_NAMES.items()
+        )
+        parts.append(f"{kinds}, waiting {len(endpoint.queue)}")
+    if endpoint.failure_rate > MIN_FAILURE_RATE:
+        parts.append(f"failures {endpoint.failure_rate:.2f}")
+    if endpoint.ejected_until_us > router.now_us:
+        parts.append(f"ejected for {(endpoint.ejected_until_us - router.now_us) / 1000:.0f} ms more")
+    if slowdown(endpoint) > MIN_SLOWDOWN:
+        parts.append(f"slower by {slowdown(endpoint):.2f}")
+    if endpoint.next_warming_us > router.now_us:
+        wait_ms = (endpoint.next_warming_us - router.now_us) / 1000
+        parts.append(f"warming up, next in {wait_ms:.0f} ms")
+    return ", ".join(parts)
+
+
+def request_line(player: Player, request_id: int, names: Names) -> str:
+    """What the policy remembers of a request; "" where that is not pending."""
+    pending: PendingRequest | None = player.router.requests.get(request_id)
+    if pending is None:
+        return ""
+    left_ms = (pending.answer_by_us - player.router.now_us) / 1000
+    parts = [f"attempts {pending.attempts_started}", f"{left_ms:.1f} ms left"]
+    if pending.attempt_in_flight >= 0:
+        parts.append(f"attempt {pending.attempt_in_flight} in flight")
+    if pending.missed_cache is not None:
+        parts.append(f"missed at {names(pending.missed_cache.entry.number)}")
+    if pending.failed_endpoints:
+        parts.append("failed at " + " ".join(map(names, sorted(pending.failed_endpoints))))
+    if pending.queued_source is not None:
+        parts.append(f"waits for {names(pending.queued_source.entry.number)}")
+    return ", ".join(parts)
 
 
-def state_at(records: Records, difference: Difference) -> list[str]:
-    """What the module of this checkout knew right before a difference."""
-    told: list[str] = []
+def lines_before(records: Records, difference: Difference) -> list[str]:
+    """What the policy of this checkout knew right before a difference: the capture is gone through once
+    more, up to there."""
+    lines: list[str] = []
 
     def before(number: int, record: wire.Batch, player: Player) -> None:
         if number == difference.batch and player.router is not None:
             names = Names(replay.names)
-            told.extend(stores(player, names))
-            if difference.request:
-                told.append(f"request {difference.request}: {job(player, difference.request, names)}")
+            lines.extend(endpoint_lines(player, names))
+            if difference.request_id:
+                known = request_line(player, difference.request_id, names) or "not pending"
+                lines.append(f"request {difference.request_id}: {known}")
 
     replay = Replay(before=before)
     for record in records():
-        replay.take(record)
-        if told:
+        replay.feed(record)
+        if lines:
             break
-    return told
+    return lines
 
 
-def report(result: Result, names: Names, records: Records | None = None) -> list[str]:
-    """The differences of a replay for a person to read."""
+def difference_report(result: ReplayResult, names: Names, records: Records | None = None) -> list[str]:
+    """The differences of a replay: their kinds, the first in full, and one of each other kind."""
     if not result.differences:
         return ["no differences"]
     lines = [f"{result.differences} differences in {result.batches} batches, by kind:"]
-    for kind, count in result.kinds.most_common():
-        lines.append(f"  {count:6}  {kind}")
-    if result.followed:
-        lines.append(f"  and {result.followed} more that followed, until the next keyframe")
-    first = result.kept[0]
-    lines.append(
-        f"the first, at {clock(first.now_us)}, batch {first.batch}, request {first.request}: {first.kind}"
-    )
-    lines.append(f"  recorded: {names.actions(first.recorded)}")
-    lines.append(f"  replayed: {names.actions(first.replayed)}")
-    if records is not None and (told := state_at(records, first)):
-        lines.append("what the module knew right before:")
-        lines += [f"  {line}" for line in told]
-    seen = {first.kind}
-    for difference in result.kept[1:]:  # one of each other kind
-        if difference.kind not in seen and len(seen) < MOST_SHOWN:
-            seen.add(difference.kind)
-            lines.append(f"{difference.kind}, at {clock(difference.now_us)}, request {difference.request}:")
-            lines.append(f"  recorded: {names.actions(difference.recorded)}")
-            lines.append(f"  replayed: {names.actions(difference.replayed)}")
+    lines += [f"  {count:6}  {kind}" for kind, count in result.kinds.most_common()]
+    if result.subsequent:
+        lines.append(f"  and {result.subsequent} more that followed, until the next keyframe")
+    first = result.examples[0]
+    when = time_of_day(first.now_us)
+    lines.append(f"the first, at {when}, batch {first.batch}, request {first.request_id}: {first.kind}")
+    lines += _actions_lines(first, names)
+    if records is not None and (known := lines_before(records, first)):
+        lines.append("what the policy knew right before:")
+        lines += [f"  {line}" for line in known]
+    shown = {first.kind}
+    for difference in result.examples[1:]:
+        if difference.kind not in shown and len(shown) < MAX_SHOWN:
+            shown.add(difference.kind)
+            when = time_of_day(difference.now_us)
+            lines.append(f"{difference.kind}, at {when}, request {difference.request_id}:")
+            lines += _actions_lines(difference, names)
     return lines
 
 
-def find_request(records: Records, word: str) -> int:
-    """The module's number of a request, given that or the id in the log; ``LookupError`` where it is none."""
+def _actions_lines(difference: Difference, names: Names) -> list[str]:
+    return [
+        f"  recorded: {names.actions_text(difference.recorded)}",
+        f"  replayed: {names.actions_text(difference.replayed)}",
+    ]
+
+
+def find_request(records: Records, request: str) -> int:
+    """The policy's number of a request, given that or the id in the log; ``LookupError`` where it is none."""
     for record in records():
         if isinstance(record, wire.Record) and record.HasField("batch"):
             for name in record.batch.names:
-                if name.ident == word:
+                if name.ident == request:
                     return int(name.id)
             for event in record.batch.events:
-                if event.HasField("Request") and str(event.Request.id) == word:
+                if event.HasField("Request") and str(event.Request.id) == request:
                     return int(event.Request.id)
-    raise LookupError(f"no request {word} in this capture")
+    raise LookupError(f"no request {request} in this capture")
 
 
-def _told(message: wire.Event, names: Names) -> str:
-    name = message.WhichOneof("what")
+def _event_text(message: wire.Event, names: Names) -> str:
+    """One event of a request in words."""
+    name = str(message.WhichOneof("what"))
     found = getattr(message, name)
     match name:
         case "Request":
@@ -183,55 +211,56 @@
                 f"{found.patience_us / 1000:.0f} ms to live" + (", a repeat" if found.repeat else "")
             )
         case "Ended":
-            from magpieshift.policy.outcomes import CacheStatus, Outcome
-
-            note = f", {CacheStatus(found.note).name.lower()}" if found.note else ""
+            status = f", {CacheStatus(found.note).name.lower()}" if found.note else ""
             return (
                 f"attempt {found.attempt} at {names(found.store)} ended: "
-                f"{Outcome(found.outcome).name.lower()}{note} after {found.latency_us / 1000:.1f} ms"
+                f"{Outcome(found.outcome).name.lower()}{status} after {found.latency_us / 1000:.1f} ms"
             )
         case "Hangup":
-            return "the client left, or was answered without the module"
-    return str(name)
+            return "the client disconnected, or was answered without the policy"
+    return name
 
 
-def why(records: Records, request: int) -> list[str]:
-    """One request explained: what the module was told of it, what it knew then, and what it said."""
+def _request_of(message: wire.Event) -> int:
+    """The request that an event is about; 0 for none."""
+    return int(getattr(getattr(message, str(message.WhichOneof("what"))), "id", 0))
+
+
+def explain_request(records: Records, request_id: int) -> list[str]:
+    """One request's story: what the policy was told of it, what it knew then, and what it decided.
+
+    ``LookupError`` where the request is not in the capture, or in a part that cannot be replayed.
+    """
     lines: list[str] = []
-    events: list[Any] = []
-    open_ = [False]
 
     def before(number: int, record: wire.Batch, player: Player) -> None:
-        events[:] = [
-            e for e in record.events if getattr(getattr(e, str(e.WhichOneof("what"))), "id", 0) == request
+        events = [event for event in record.events if _request_of(event) == request_id]
+        decided = [
+            action
+            for action in map(player.codec.recorded, record.actions)
+            if action.name != "SetTimer" and action.request_id == request_id
         ]
-        names = Names(replay.names)
-        said = [
-            a
-            for a in map(player.codec.recorded, record.actions)
-            if a[0] != "SetTimer" and a[1:2] == (request,)
-        ]
-        if not events and not said:
+        if not events and not decided:
             return
-        open_[0] = True
-        lines.append(f"{clock(record.now_us)}  batch {number}, {len(record.events)} events")
-        lines.extend(f"  told: {_told(event, names)}" for event in events)
-        known = job(player, request, names)
-        if known != "not open":
+        names = Names(replay.names)
+        lines.append(f"{time_of_day(record.now_us)}  batch {number}, {len(record.events)} events")
+        lines.extend(f"  event: {_event_text(event, names)}" for event in events)
+        known = request_line(player, request_id, names)
+        if known:
             lines.append(f"  knew: {known}")
-        if said and said[0][0] in ("Send", "Get", "Refuse", "Fail"):
-            lines.extend(f"    {line}" for line in stores(player, names))
-        lines.append(f"  said: {names.actions(said)}")
+        if decided and decided[0].name in FINAL_OR_ATTEMPT:
+            lines.extend(f"    {line}" for line in endpoint_lines(player, names))
+        lines.append(f"  decided: {names.actions_text(decided)}")
 
     replay = Replay(before=before)
     for record in records():
-        replay.take(record)
-        if replay.result.missing and not lines:
-            lines = []
+        replay.feed(record)
     if not lines:
-        raise LookupError(f"request {request} is not in this capture, or in a part that cannot be replayed")
+        raise LookupError(
+            f"request {request_id} is not in this capture, or in a part that cannot be replayed"
+        )
     if replay.result.differences:
         lines.append(
-            "(this checkout's module decides otherwise in places: what it knew may differ from then)"
+            "(this checkout's policy decides otherwise in places: what it knew may differ from then)"
         )
     return lines
--- a/magpieshift/capture/policy.py
+++ b/magpieshift/capture/policy.py
@@ -1,21 +1,22 @@
-"""The decision policy of this checkout, or of another folder, side by side in one process."""
+"""The policy of this checkout, or of another folder, side by side in one process."""
 
 from __future__ import annotations
 
 import hashlib
 import importlib
 import sys
-from collections.abc import Callable, Iterable, Sequence
+from collections.abc import Callable, Iterable, Iterator, Sequence
+from contextlib import contextmanager
 from dataclasses import dataclass
 from pathlib import Path
 from types import ModuleType
 from typing import Any
 
+from magpieshift.capture.errors import PolicyError
 from magpieshift.capture.recorded_names import AS_RECORDED, CURRENT, RecordedNames
 
-
-class PolicyError(Exception):
-    """A folder has no decision policy that can be loaded; the text says why."""
+DIGEST_BYTES = 16
+"""128 bits, so that no two versions ever share a digest by chance."""
 
 
 @dataclass(frozen=True)
@@ -23,22 +24,44 @@
     """Where a version keeps its policy, and under which names."""
 
     package: str
-    types: tuple[str, ...]  # modules of the classes that captures hold
-    policy: tuple[str, str]  # module and class that decide
-    reconfigure: tuple[str, str]  # module and function
-    override: tuple[str, str, str, str]  # module, function, and its classes to eject and to readmit
-    digested: tuple[str, ...]  # files whose text makes the digest
+    type_modules: tuple[str, ...]
+    """Modules of the classes that captures hold."""
+    policy_module: str
+    policy_class: str
+    reconfigure_module: str
+    reconfigure: str
+    """The function that puts settings in force."""
+    override_module: str
+    apply_overrides: str
+    """The function that applies health overrides."""
+    eject: str
+    readmit: str
+    """The classes of the two overrides."""
+    digested_files: tuple[str, ...]
+    """Those whose text makes the digest: every module that decides."""
     names: RecordedNames
 
+    def folder(self, checkout: Path) -> Path:
+        """The package's folder in a checkout."""
+        return checkout.joinpath(*self.package.split("."))
+
+    def entry_file(self, checkout: Path) -> Path:
+        """The file of the policy's entry, by which the layout is known."""
+        return self.folder(checkout) / f"{self.policy_module}.py"
+
 
 LAYOUT = Layout(
     package="magpieshift.policy",
-    types=("settings", "events", "actions", "outcomes", "state"),
-    policy=("router_policy", "RouterPolicy"),
-    reconfigure=("reconfigure", "reconfigure"),
-    override=("health_override", "apply_overrides", "Eject", "Readmit"),
-    digested=(
-        "router_policy.py",
+    type_modules=("settings", "events", "actions", "outcomes", "state"),
+    policy_module="router_policy",
+    policy_class="RouterPolicy",
+    reconfigure_module="reconfigure",
+    reconfigure="reconfigure",
+    override_module="health_override",
+    apply_overrides="apply_overrides",
+    eject="Eject",
+    readmit="Readmit",
+    digested_files=(
         "adaptive_timeout.py",
         "admission.py",
         "attempt_results.py",
@@ -53,41 +76,51 @@
         "reconfigure.py",
         "rejection.py",
         "retry.py",
+        "router_policy.py",
         "slow_start.py",
         "state.py",
     ),
     names=CURRENT,
 )
-FORMER_LAYOUT = Layout(  # of versions up to 723f792
+"""Of this version."""
+
+FORMER_LAYOUT = Layout(
     package="molecleat",
-    types=("interface", "records"),
-    policy=("control", "Router"),
-    reconfigure=("retune", "retune"),
-    override=("heed", "heed", "Leave", "Allow"),
-    digested=("control.py", "records.py"),
+    type_modules=("interface", "records"),
+    policy_module="control",
+    policy_class="Router",
+    reconfigure_module="retune",
+    reconfigure="retune",
+    override_module="heed",
+    apply_overrides="heed",
+    eject="Leave",
+    readmit="Allow",
+    digested_files=("control.py", "records.py"),
     names=AS_RECORDED,
 )
+"""Of versions up to 723f792."""
 
 
 @dataclass(frozen=True)
 class Policy:
     """One version of the policy: its classes by their recorded names, and a digest of its text."""
 
-    types: Sequence[ModuleType]
+    type_modules: Sequence[ModuleType]
     new_router: Callable[[Any, int], Any]
     """A policy instance, of settings and a seed."""
     reconfigure: Callable[[Any, Any, frozenset[int]], None]
     """Puts settings in force in an instance; see ``magpieshift.policy.reconfigure``."""
     apply_overrides: Callable[[Any, int, Iterable[Any]], None]
+    """Applies overrides to an instance; see ``magpieshift.policy.health_override``."""
     eject: Callable[[int, int], Any]
     readmit: Callable[[int, int, int], Any]
     names: RecordedNames
     digest: str
 
-    def named(self, recorded: str) -> Any:
+    def class_named(self, recorded: str) -> Any:
         """A class by its recorded name; None where this version has none."""
         own_name = self.names.own_class(recorded)
-        for module in self.types:
+        for module in self.type_modules:
             found = getattr(module, own_name, None)
             if found is not None:
                 return found
@@ -95,73 +128,81 @@
 
 
 def text_digest(folder: Path, layout: Layout = LAYOUT) -> str:
-    """A digest of the policy files in a package's folder."""
-    found = hashlib.blake2b(digest_size=16)
-    for name in layout.digested:
-        found.update((folder / name).read_bytes() + b"\0")
-    return found.hexdigest()
+    """A digest of the text of the modules that decide, in a package's folder."""
+    digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
+    for name in layout.digested_files:
+        digest.update((folder / name).read_bytes() + b"\0")
+    return digest.hexdigest()
 
 
 def own() -> Policy:
-    """This checkout's."""
-    return _policy(LAYOUT)
+    """This checkout's policy."""
+    return _import_policy(LAYOUT)
 
 
 def load(folder: str) -> Policy:
-    """Another folder's, which holds a package ``magpieshift.policy`` or, up to 723f792, ``molecleat``. Its
-    code runs: load only what you trust."""
-    home = Path(folder).resolve()
-    layout = _layout_of(home)
+    """Another checkout's policy: a package ``magpieshift.policy`` or, up to 723f792, ``molecleat``.
+
+    Its code runs: load only what you trust. ``PolicyError`` where there is none, or it cannot be imported.
+    """
+    checkout = Path(folder).resolve()
+    layout = _layout_of(checkout)
     if layout is None:
-        first, former = (_folder_of(home, each) / each.digested[0] for each in (LAYOUT, FORMER_LAYOUT))
-        wanted = f"{first.relative_to(home)} or {former.relative_to(home)}"
-        raise PolicyError(f"{folder} has no {wanted}")
-    top = layout.package.split(".")[0]
-    aside = {name: module for name, module in sys.modules.items() if name.split(".")[0] == top}
-    for name in aside:
-        del sys.modules[name]
-    sys.path.insert(0, str(home))
-    importlib.invalidate_caches()
+        expected = (each.entry_file(checkout).relative_to(checkout) for each in (LAYOUT, FORMER_LAYOUT))
+        raise PolicyError(f"{folder} has no {' or '.join(map(str, expected))}")
     try:
-        found = _policy(layout)
+        with _importing_from(checkout, layout.package.split(".")[0]):
+            found = _import_policy(layout)
     except Exception as err:  # whatever a foreign module raises when it is imported
         raise PolicyError(f"{folder}: {type(err).__name__}: {err}") from err
-    finally:
-        sys.path.remove(str(home))
-        for name in [name for name in sys.modules if name.split(".")[0] == top]:
-            del sys.modules[name]
-        sys.modules.update(aside)
-    at = Path(str(found.types[0].__file__)).resolve().parent
-    if at != _folder_of(home, layout):
-        raise PolicyError(f"{folder}: loaded {at} instead")
+    loaded_folder = Path(str(found.type_modules[0].__file__)).resolve().parent
+    if loaded_folder != layout.folder(checkout):
+        raise PolicyError(f"{folder}: loaded {loaded_folder} instead")
     return found
 
 
-def _folder_of(home: Path, layout: Layout) -> Path:
-    return home.joinpath(*layout.package.split("."))
-
-
-def _layout_of(home: Path) -> Layout | None:
+def _layout_of(checkout: Path) -> Layout | None:
     for layout in (LAYOUT, FORMER_LAYOUT):
-        if (_folder_of(home, layout) / layout.digested[0]).is_file():
+        if layout.entry_file(checkout).is_file():
             return layout
     return None
 
 
-def _policy(layout: Layout) -> Policy:
+@contextmanager
+def _importing_from(checkout: Path, top: str) -> Iterator[None]:
+    """Import the package ``top`` from a checkout, and put back afterwards what was imported under its
+    name."""
+
+    def loaded() -> dict[str, ModuleType]:
+        return {name: module for name, module in sys.modules.items() if name.split(".")[0] == top}
+
+    aside = loaded()
+    for name in aside:
+        del sys.modules[name]
+    sys.path.insert(0, str(checkout))
+    importlib.invalidate_caches()
+    try:
+        yield
+    finally:
+        sys.path.remove(str(checkout))
+        for name in loaded():
+            del sys.modules[name]
+        sys.modules.update(aside)
+
+
+def _import_policy(layout: Layout) -> Policy:
     def module(name: str) -> ModuleType:
         return importlib.import_module(f"{layout.package}.{name}")
 
-    types = [module(name) for name in layout.types]
-    override = module(layout.override[0])
-    _, apply_overrides, eject, readmit = layout.override
+    type_modules = [module(name) for name in layout.type_modules]
+    override = module(layout.override_module)
     return Policy(
-        types=types,
-        new_router=getattr(module(layout.policy[0]), layout.policy[1]),
-        reconfigure=getattr(module(layout.reconfigure[0]), layout.reconfigure[1]),
-        apply_overrides=getattr(override, apply_overrides),
-        eject=getattr(override, eject),
-        readmit=getattr(override, readmit),
+        type_modules=type_modules,
+        new_router=getattr(module(layout.policy_module), layout.policy_class),
+        reconfigure=getattr(module(layout.reconfigure_module), layout.reconfigure),
+        apply_overrides=getattr(override, layout.apply_overrides),
+        eject=getattr(override, layout.eject),
+        readmit=getattr(override, layout.readmit),
         names=layout.names,
-        digest=text_digest(Path(str(types[0].__file__)).parent, layout),
+        digest=text_digest(Path(str(type_modules[0].__file__)).parent, layout),
     )
--- a/magpieshift/capture/recorded_names.py
+++ b/magpieshift/capture/recorded_names.py
@@ -166,7 +166,6 @@
         "retry_budget": "again",
         "service_times_us": "work_us",
         "fill_times_us": "fill_us",
-        "handlers": "reactions",
     },
     "SendCacheRequest": {
         "request_id": "id",
--- a/magpieshift/capture/replay.py
+++ b/magpieshift/capture/replay.py
@@ -1,9 +1,9 @@
-"""A capture fed to a module as fast as it goes, and what that decides otherwise.
+"""A capture fed to the policy as fast as it goes, and what that decides otherwise.
 
-The module of this checkout must do exactly what was recorded. Another one (``against``) runs beside it: as
-long as they agree each keeps its own state, and where they differ the difference is noted and the other takes
-over the state of the first. So every difference is what the other would have done in the place of the first,
-and none is a mere consequence of one before.
+The policy of this checkout must do exactly what was recorded. Another one (``against``) runs beside it: as
+long as they agree each keeps its own state, and where they differ the difference is noted and the other
+takes over the state of the first. So every difference is what the other would have done in the place of the
+first, and none is a mere consequence of one before.
 """
 
 from __future__ import annotations
@@ -15,30 +15,21 @@
 
 from magpieshift.capture import state
 from magpieshift.capture.codec import Codec, RecordedAction
+from magpieshift.capture.difference import Difference, compare, compare_errors
 from magpieshift.capture.policy import Policy, own
 from magpieshift.capture.segments import Missing
 from magpieshift.capture.wire import capture_pb2 as wire
 
-MOST_DIFFERENCES = 1000  # kept in full; all are counted
-MOST_NAMES = 100_000
-ATTEMPTS = ("Send", "Get")
-MUTE = ("SetTimer", "Log", "Subscribe", "FetchList")  # not about one request
-
-
-@dataclass(frozen=True)
-class Difference:
-    """One decision that came out otherwise."""
-
-    batch: int  # from 0, over all the capture
-    now_us: int
-    request: int  # 0 where it is about none
-    kind: str
-    recorded: tuple[RecordedAction, ...]
-    replayed: tuple[RecordedAction, ...]
+MAX_EXAMPLES = 1000
+"""Differences that are held in full; all are counted. A bound on memory."""
+MAX_NAMES = 100_000
+"""Ids of requests and endpoints that are held, the newest; a bound on memory."""
+MAX_IDLE_US = 5_000_000
+"""A longer time between two batches is a gap, and does not count as time replayed."""
 
 
 @dataclass
-class Result:
+class ReplayResult:
     """What a replay found."""
 
     batches: int = 0
@@ -46,53 +37,86 @@
     decisions: int = 0
     requests: int = 0
     keyframes: int = 0
-    retunes: int = 0
+    reconfigurations: int = 0
     raised: int = 0
+    """Batches in which the policy raised an error."""
     first_us: int = 0
+    """Time of the first batch replayed."""
     last_us: int = 0
-    span_us: int = 0  # of what could be replayed, gaps left out
+    span_us: int = 0
+    """Time that the batches replayed cover, gaps left out."""
     differences: int = 0
-    followed: int = 0  # more, after the module of this checkout had left the recorded way
+    subsequent: int = 0
+    """More differences, after the policy of this checkout had left the recorded way."""
     kinds: Counter[str] = field(default_factory=Counter)
-    kept: list[Difference] = field(default_factory=list)
+    """Differences by kind."""
+    examples: list[Difference] = field(default_factory=list)
     missing: list[str] = field(default_factory=list)
-    skipped: int = 0  # batches after something was missing, until the next keyframe
-    policies: set[str] = field(default_factory=set)  # digests of those that recorded
+    """What the capture lacks, for people."""
+    skipped: int = 0
+    """Batches after something was missing, until the next keyframe."""
+    policies: set[str] = field(default_factory=set)
+    """Digests of the policies that recorded."""
 
     def figures(self) -> dict[str, Any]:
+        """The figures by their names in reports."""
         return {
             "batches": self.batches,
             "events": self.events,
             "decisions": self.decisions,
             "requests": self.requests,
             "differences": self.differences,
-            "followed": self.followed,
+            "followed": self.subsequent,
             "kinds": dict(self.kinds),
             "keyframes": self.keyframes,
-            "retunes": self.retunes,
+            "retunes": self.reconfigurations,
             "raised": self.raised,
             "missing": len(self.missing),
             "skipped": self.skipped,
             "seconds": round(self.span_us / 1e6, 3),
         }
 
+    def count_batch(self, record: wire.Batch) -> None:
+        """Count what was recorded in a batch that is replayed."""
+        self.batches += 1
+        self.events += len(record.events)
+        self.requests += sum(1 for event in record.events if event.HasField("Request"))
+        self.decisions += len(record.actions)
+        if not self.first_us:
+            self.first_us = record.now_us
+        if self.last_us:
+            self.span_us += max(0, min(record.now_us - self.last_us, MAX_IDLE_US))
+        self.last_us = record.now_us
+
+    def add(self, differences: list[Difference]) -> None:
+        """Count differences, and hold those that there is room for."""
+        self.differences += len(differences)
+        self.kinds.update(difference.kind for difference in differences)
+        self.examples += differences[: MAX_EXAMPLES - len(self.examples)]
+
 
 class Player:
-    """One module being fed a capture."""
+    """One policy being fed a capture."""
 
-    def __init__(self, policy: Policy) -> None:
+    def __init__(self, policy: Policy, is_strict: bool = False) -> None:
+        """``is_strict``: a keyframe that holds what this policy does not know is an error."""
         self.policy = policy
         self.codec = Codec(policy)
         self.router: Any = None
+        """The policy's instance; None before the first keyframe."""
+        self._is_strict = is_strict
 
-    def keyframe(self, data: bytes) -> None:
-        self.router = state.restore(data, self.policy)
+    def take_over(self, data: bytes) -> None:
+        """Go on from a keyframe's state; ``StateError`` where that cannot be."""
+        self.router = state.restore(data, self.policy, self._is_strict)
 
     def reconfigure(self, record: wire.Retune) -> None:
-        settings = state.restore_record(record.settings, self.policy)
+        """Put recorded settings in force."""
+        settings = state.restore_record(record.settings, self.policy, self._is_strict)
         self.policy.reconfigure(self.router, settings, frozenset(record.fresh))
 
     def apply_overrides(self, record: wire.Heed) -> None:
+        """Apply recorded health overrides."""
         policy = self.policy
         overrides = [
             policy.eject(act.store, act.us) if act.leave else policy.readmit(act.store, act.us, act.pause_us)
@@ -100,135 +124,89 @@
         ]
         policy.apply_overrides(self.router, record.now_us, overrides)
 
-    def batch(self, record: wire.Batch) -> tuple[list[RecordedAction], str]:
-        """What the module does, and what it raised."""
-        event = self.codec.event
-        plain = self.codec.plain
-        events = [event(message) for message in record.events]
-        raised = ""
+    def handle(self, record: wire.Batch) -> tuple[list[RecordedAction], str]:
+        """What the policy does, and the name of the error that it raised, or ""."""
+        events = [self.codec.event(message) for message in record.events]
+        error = ""
         try:
             actions = self.router.handle(record.now_us, events)
-        except Exception as err:  # the recorded one may have raised as well
-            raised = type(err).__name__
+        except Exception as err:  # the recorded one may have raised as well: the names are compared
+            error = type(err).__name__
             actions = self.router.actions
-        return [plain(action) for action in actions], raised
+        return [self.codec.decided(action) for action in actions], error
 
     def state(self) -> bytes:
+        """The policy's state, as a keyframe would hold it."""
         return state.encode(state.snapshot(self.router))
 
 
-def subject(action: RecordedAction) -> int:
-    """The request that an action is about; 0 for none."""
-    return 0 if action[0] in MUTE or len(action) < 2 or not isinstance(action[1], int) else action[1]
-
-
-def kind_of(recorded: tuple[RecordedAction, ...], replayed: tuple[RecordedAction, ...]) -> str:
-    """What sort of difference it is, in words for people."""
-    if sorted(recorded, key=repr) == sorted(replayed, key=repr):
-        return "other order"
-    old = recorded[-1] if recorded else ("nothing",)
-    new = replayed[-1] if replayed else ("nothing",)
-    if old[0] in ATTEMPTS and new[0] in ATTEMPTS:
-        if old[2] != new[2]:
-            return "other store"
-        if old[0] != new[0] or (old[0] == "Get" and old[4] != new[4]):
-            return "other source"
-        if old[3] != new[3]:
-            return "other time-out"
-        return "other age, rank or mode"
-    words = {
-        "Send": "sent",
-        "Get": "sent",
-        "Refuse": "refused",
-        "Fail": "failed",
-        "nothing": "kept waiting",
-        "Cancel": "cancelled",
-        "SetTimer": "timer",
-    }
-    a = words.get(old[0], old[0].lower())
-    b = words.get(new[0], new[0].lower())
-    return f"other {a}" if a == b else f"{b} instead of {a}"
-
-
-def compare(
-    number: int, now_us: int, old: list[RecordedAction], new: list[RecordedAction]
-) -> list[Difference]:
-    """The differences of one batch, one a request."""
-    if old == new:
-        return []
-    found = []
-    for request in dict.fromkeys([subject(action) for action in [*old, *new]]):
-        was = tuple(action for action in old if subject(action) == request)
-        now = tuple(action for action in new if subject(action) == request)
-        if was != now:
-            found.append(Difference(number, now_us, request, kind_of(was, now), was, now))
-    if not found:
-        found.append(Difference(number, now_us, 0, "other order", tuple(old), tuple(new)))
-    return found
-
-
-Watcher = Callable[[int, wire.Batch, Player], None]
+Observer = Callable[[int, wire.Batch, Player], None]
+"""Called with a batch's number, its record, and the player of this checkout's policy."""
 
 
 class Replay:
-    """Feeds records to a module and compares; ``against`` is another version of it."""
+    """Feeds records to a policy and compares; ``against`` is another version of it."""
 
     def __init__(
         self,
         policy: Policy | None = None,
         against: Policy | None = None,
-        before: Watcher | None = None,
-        after: Watcher | None = None,
+        before: Observer | None = None,
+        after: Observer | None = None,
     ) -> None:
-        self.result = Result()
-        self._own = Player(policy or own())
+        """``before`` and ``after`` are called round each batch that is replayed."""
+        self.result = ReplayResult()
+        self.names: dict[int, str] = {}
+        """Ids in the log of requests and endpoints, by number; the newest ``MAX_NAMES``."""
+        self._own = Player(policy or own(), is_strict=True)
         self._other = Player(against) if against is not None else None
         self._before = before
         self._after = after
-        self._usable = False
-        self._strayed = False
-        self._number = -1
-        self.names: dict[int, str] = {}  # of stores and requests; ``most_names`` of them
+        self._has_state = False
+        """Whether nothing is missing since the last keyframe."""
+        self._has_diverged = False
+        """Whether the policy of this checkout has left the recorded way since then."""
+        self._batch_number = -1
 
-    def run(self, records: Iterable[wire.Record | Missing]) -> Result:
+    def run(self, records: Iterable[wire.Record | Missing]) -> ReplayResult:
         """Go through a capture once."""
         for record in records:
-            self.take(record)
+            self.feed(record)
         return self.result
 
-    def take(self, record: wire.Record | Missing) -> None:
-        result = self.result
+    def feed(self, record: wire.Record | Missing) -> None:
+        """Take in the next record, or what is missing in its place."""
         if isinstance(record, Missing):
-            result.missing.append(str(record))
-            self._usable = False
+            self.result.missing.append(str(record))
+            self._has_state = False
             return
         match record.WhichOneof("what"):
             case "header":
-                result.policies.add(record.header.policy_digest)
+                self.result.policies.add(record.header.policy_digest)
             case "keyframe":
-                self._name(record.keyframe.stores)
+                self._register_names(record.keyframe.stores)
                 self._keyframe(record.keyframe.state)
-            case "retune" if self._usable:
-                result.retunes += 1
+            case "retune" if self._has_state:
+                self.result.reconfigurations += 1
                 for player in self._players():
                     player.reconfigure(record.retune)
-            case "heed" if self._usable:
+            case "heed" if self._has_state:
                 for player in self._players():
                     player.apply_overrides(record.heed)
             case "gap":
                 gap = record.gap
-                result.missing.append(f"{gap.batches} batches dropped when recording: {gap.reason}")
+                self.result.missing.append(f"{gap.batches} batches dropped when recording: {gap.reason}")
             case "batch":
-                self._number += 1
-                self._name(record.batch.names)
-                if self._usable:
+                self._batch_number += 1
+                self._register_names(record.batch.names)
+                if self._has_state:
                     self._batch(record.batch)
                 else:
-                    result.skipped += 1
+                    self.result.skipped += 1
 
-    def _name(self, names: Iterable[wire.Name]) -> None:
+    def _register_names(self, names: Iterable[wire.Name]) -> None:
         self.names.update((name.id, name.ident) for name in names)
-        while len(self.names) > MOST_NAMES:
+        while len(self.names) > MAX_NAMES:
             del self.names[next(iter(self.names))]
 
     def _players(self) -> Iterator[Player]:
@@ -237,87 +215,49 @@
             yield self._other
 
     def _keyframe(self, data: bytes) -> None:
+        """Compare states, and take the recorded one over where they differ or nothing was replayed."""
         self.result.keyframes += 1
-        anew = self._strayed or not self._usable
-        if not anew and self._own.state() != data:
-            # decided alike until here, and would not for ever: something the decisions have yet to rest on
-            self._note(
-                [Difference(self._number, self.result.last_us, 0, "other state at a keyframe", (), ())]
-            )
-            anew = True
-        if anew:
+        must_take_over = self._has_diverged or not self._has_state
+        if not must_take_over and self._own.state() != data:
+            # decided alike up to here, and would not for ever: no decision has rested on the difference yet
+            kind = "other state at a keyframe"
+            self.result.add([Difference(self._batch_number, self.result.last_us, 0, kind, (), ())])
+            must_take_over = True
+        if must_take_over:
             for player in self._players():
-                player.keyframe(data)
-        self._usable = True
-        self._strayed = False
+                player.take_over(data)
+        self._has_state = True
+        self._has_diverged = False
 
     def _batch(self, record: wire.Batch) -> None:
-        result = self.result
-        result.batches += 1
-        result.events += len(record.events)
-        result.requests += sum(1 for event in record.events if event.HasField("Request"))
-        if not result.first_us:
-            result.first_us = record.now_us
-        result.span_us += max(0, min(record.now_us - result.last_us, 5_000_000)) if result.last_us else 0
-        result.last_us = record.now_us
+        self.result.count_batch(record)
         if self._before is not None:
-            self._before(self._number, record, self._own)
+            self._before(self._batch_number, record, self._own)
         recorded = [self._own.codec.recorded(action) for action in record.actions]
-        result.decisions += len(recorded)
-        done, raised = self._own.batch(record)
-        result.raised += bool(raised)
-        found = compare(self._number, record.now_us, recorded, done)
-        if raised != record.raised:
-            found.append(
-                Difference(
-                    self._number, record.now_us, 0, "raised otherwise", ((record.raised,),), ((raised,),)
-                )
-            )
-        if found:
-            if self._strayed:
-                result.followed += len(found)
-                return
-            self._strayed = True
+        decided, error = self._own.handle(record)
+        self.result.raised += bool(error)
+        differences = self._compare(record, recorded, record.raised, decided, error)
+        if differences and self._has_diverged:
+            self.result.subsequent += len(differences)
+            return
+        if differences:
+            self._has_diverged = True
         elif self._other is not None:
-            theirs, error = self._other.batch(record)
-            found = compare(self._number, record.now_us, done, theirs)
-            if error != raised:
-                found.append(
-                    Difference(self._number, record.now_us, 0, "raised otherwise", ((raised,),), ((error,),))
-                )
-            if found:
-                self._other.keyframe(self._own.state())
-        if self._strayed and self._other is not None:  # it was not asked: there is nothing to compare with
-            self._other.keyframe(self._own.state())
+            differences = self._compare(record, decided, error, *self._other.handle(record))
+        if self._other is not None and (differences or self._has_diverged):
+            self._other.take_over(self._own.state())
         if self._after is not None:
-            self._after(self._number, record, self._own)
-        self._note(found)
-
-    def _note(self, found: list[Difference]) -> None:
-        result = self.result
-        result.differences += len(found)
-        for difference in found:
-            result.kinds[difference.kind] += 1
-        result.kept += found[: MOST_DIFFERENCES - len(result.kept)]
+            self._after(self._batch_number, record, self._own)
+        self.result.add(differences)
 
-
-def find_state(
-    records: Iterable[wire.Record | Missing],
-    difference: Difference,
-    describe: Callable[[Player, Difference], str],
-) -> str:
-    """What the module of this checkout knew right before a difference: the capture is gone through once more,
-    up to there."""
-    told = ""
-
-    def before(number: int, record: wire.Batch, player: Player) -> None:
-        nonlocal told
-        if number == difference.batch:
-            told = describe(player, difference)
-
-    replay = Replay(before=before)
-    for record in records:
-        replay.take(record)
-        if told:
-            break
-    return told
+    def _compare(
+        self,
+        record: wire.Batch,
+        old: list[RecordedAction],
+        old_error: str,
+        new: list[RecordedAction],
+        new_error: str,
+    ) -> list[Difference]:
+        return compare(self._batch_number, record.now_us, old, new) + compare_errors(
+            self._batch_number, record.now_us, old_error, new_error
+        )
--- a/magpieshift/cli/captures.py
+++ b/magpieshift/cli/captures.py
@@ -32,7 +32,7 @@
 def info(file: str, as_json: bool) -> None:
     """What a capture holds, and what it lacks."""
     from magpieshift.capture import segments
-    from magpieshift.capture.explanation import clock
+    from magpieshift.capture.explanation import time_of_day
 
     count: dict[str, int] = {}
     missing: list[str] = []
@@ -74,7 +74,7 @@
     if as_json:
         return show.as_json(found)
     rows = [(name, value) for name, value in found.items() if name not in ("missing", "from_us", "to_us")]
-    rows[2:2] = [("from (UTC)", clock(first)), ("to (UTC)", clock(last))] if batches else []
+    rows[2:2] = [("from (UTC)", time_of_day(first)), ("to (UTC)", time_of_day(last))] if batches else []
     show.table(("what", "value"), rows)
     for text in missing:
         click.echo(f"missing: {text}")
@@ -89,7 +89,7 @@
     from magpieshift.capture import explanation
 
     try:
-        for line in explanation.why(
+        for line in explanation.explain_request(
             lambda: _records(file), explanation.find_request(lambda: _records(file), request)
         ):
             click.echo(line)
@@ -145,12 +145,12 @@
 def replay(file: str, times: int, against: str, as_json: bool) -> None:
     """Feed a capture to the deciding module and compare; exit code 1 on any difference."""
     from magpieshift.capture import explanation, policy
-    from magpieshift.capture.replay import Replay, Result
+    from magpieshift.capture.replay import Replay, ReplayResult
 
     own = policy.own()
     other = policy.load(against) if against else None
     differences = 0
-    result = Result()
+    result = ReplayResult()
     names = explanation.Names({})
     began = time.process_time()
     for _ in range(times):
@@ -179,7 +179,7 @@
             )
         for text in result.missing:
             click.echo(f"missing: {text}")
-        for line in explanation.report(result, names, lambda: _records(file)):
+        for line in explanation.difference_report(result, names, lambda: _records(file)):
             click.echo(line)
     raise SystemExit(1 if differences or not result.batches else 0)
 
--- a/magpieshift/cli/errors.py
+++ b/magpieshift/cli/errors.py
@@ -23,8 +23,7 @@
 OPTIONAL = (
     ("magpieshift.control.sexp", "Unusable"),
     ("magpieshift.control.store", "StoreError"),
-    ("magpieshift.capture.segments", "CaptureError"),
-    ("magpieshift.capture.policy", "PolicyError"),
+    ("magpieshift.capture.errors", "CaptureError"),
 )
 
 
--- a/magpieshift/extensions/capture_recording.py
+++ b/magpieshift/extensions/capture_recording.py
@@ -9,9 +9,10 @@
 
 from magpieshift.app import EdgeRouter
 from magpieshift.capture.policy import own
-from magpieshift.capture.recorder import Limits, Recorder
+from magpieshift.capture.recorder import Recorder
 from magpieshift.capture.segments import FORMAT
 from magpieshift.capture.wire import capture_pb2 as wire
+from magpieshift.capture.writer import Limits
 from magpieshift.config import ConfigError
 from magpieshift.extensions.extension import BaseExtension
 
@@ -45,8 +46,8 @@
         hashed=hashed,
     )
     recorder = Recorder(folder, header, limits)
-    recorder.version = lambda: router.version
-    recorder.stores = router.engine.endpoint_names
+    recorder.config_version = lambda: router.version
+    recorder.listed_endpoints = router.engine.endpoint_names
     router.engine.policy_observer = recorder
     return recorder
 
--- a/magpieshift/extensions/runner.py
+++ b/magpieshift/extensions/runner.py
@@ -89,13 +89,13 @@
         self._name = document.name
         self.fittings: list[Extension] = []
         if options.capture or options.hash_key:  # the libraries of each fitting, only where it is used
-            from magpieshift.capture.recorder import Limits
+            from magpieshift.capture.writer import Limits
             from magpieshift.extensions.capture_recording import CaptureRecording, keyed_hash
 
             if options.hash_key:
                 self.router.engine.object_number = keyed_hash(options.hash_key)
             if options.capture:
-                limits = Limits(budget=options.capture_mb << 20)
+                limits = Limits(budget_bytes=options.capture_mb << 20)
                 self.fittings.append(
                     CaptureRecording(self.router, options.capture, limits, bool(options.hash_key))
                 )
--- a/magpieshift/policy/invalidation.py
+++ b/magpieshift/policy/invalidation.py
@@ -21,6 +21,7 @@
 """Times the propagation time that a purge is kept, which covers fills that were under way when it was
 made."""
 NEVER_US = -1
+"""Before any time at which a purge is made."""
 
 
 def record_purge(purges: Purges, object_key: int, group: int, made_us: int) -> None:
--- a/magpieshift/policy/latency.py
+++ b/magpieshift/policy/latency.py
@@ -67,8 +67,8 @@
     if not endpoint.weighted_in_flight_sum_us:
         return 0.0
     found = slowdown(endpoint)
-    share = in_flight * endpoint.expected_time_sum_us / endpoint.weighted_in_flight_sum_us
-    return found * (share if found > FULL_LINK_SLOWDOWN else min(1.0, share))
+    load = in_flight * endpoint.expected_time_sum_us / endpoint.weighted_in_flight_sum_us
+    return found * (load if found > FULL_LINK_SLOWDOWN else min(1.0, load))
 
 
 def can_meet_objective(state: RouterState, pending: PendingRequest, cache: EndpointRecord) -> bool:
@@ -93,10 +93,10 @@
         excess_us = event.latency_us - mean_us
         weight = SAMPLE_WEIGHT if excess_us < 0 else SAMPLE_WEIGHT / RISE_DIVISOR
         state.service_times_us[request.class_index] += weight * excess_us
-    kept = 1 - SAMPLE_WEIGHT
+    decay = 1 - SAMPLE_WEIGHT
     endpoint.last_hit_us = state.now_us
-    endpoint.hit_time_sum_us = kept * endpoint.hit_time_sum_us + event.latency_us
-    endpoint.expected_time_sum_us = kept * endpoint.expected_time_sum_us + expected_us
+    endpoint.hit_time_sum_us = decay * endpoint.hit_time_sum_us + event.latency_us
+    endpoint.expected_time_sum_us = decay * endpoint.expected_time_sum_us + expected_us
     endpoint.weighted_in_flight_sum_us = (
-        kept * endpoint.weighted_in_flight_sum_us + expected_us * attempt.in_flight_at_start
+        decay * endpoint.weighted_in_flight_sum_us + expected_us * attempt.in_flight_at_start
     )
--- a/magpieshift/policy/placement.py
+++ b/magpieshift/policy/placement.py
@@ -27,12 +27,14 @@
 MIN_WEIGHT = 1e-6
 """Listed weight; an endpoint listed with none is chosen last, and divides nothing by 0."""
 
-IDLE_OR_WITHIN_LOAD = 1
-OVER_LOAD = 0
+WITHIN_LOAD = 1
+"""Fitness of a cache with no more in flight than its part, or of a slow one that is idle."""
+OVERLOADED = 0
+"""Fitness of a cache with more in flight than its part."""
 UNFIT = -1
-"""A slow cache that is busy, or could not meet the objective."""
+"""Fitness of a slow cache that is busy, or could not meet the objective."""
 MISSED_BONUS = 2
-"""The cache that missed comes first, for its fill."""
+"""Added to the fitness of the cache that missed, so that it comes first, for its fill."""
 
 
 def is_repeat_permitted_at(pending: PendingRequest, endpoint: EndpointRecord) -> bool:
@@ -76,16 +78,18 @@
     return best
 
 
-def _load_fitness(cache: EndpointRecord, share: float) -> int:
-    """Whether the cache has no more in flight than its share allows for, chance included."""
-    is_within = cache.in_flight < max(MIN_SPILL_IN_FLIGHT, share + MAX_LOAD_DEVIATIONS * math.sqrt(share))
-    return IDLE_OR_WITHIN_LOAD if is_within else OVER_LOAD
+def _load_fitness(cache: EndpointRecord, expected: float) -> int:
+    """Whether the cache has no more in flight than expected of its weight, chance included."""
+    is_within = cache.in_flight < max(
+        MIN_SPILL_IN_FLIGHT, expected + MAX_LOAD_DEVIATIONS * math.sqrt(expected)
+    )
+    return WITHIN_LOAD if is_within else OVERLOADED
 
 
 def _slow_cache_fitness(state: RouterState, pending: PendingRequest, cache: EndpointRecord) -> int:
     """A slow cache gets one attempt at a time, to learn when it is well again."""
     if cache.in_flight == 0 and can_meet_objective(state, pending, cache):
-        return IDLE_OR_WITHIN_LOAD
+        return WITHIN_LOAD
     return UNFIT
 
 
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -16,10 +16,12 @@
 from hypothesis import strategies as st
 
 from magpieshift.capture import codec, cut, explanation, policy, segments, state
-from magpieshift.capture.recorder import MOST_PENDING, Limits, Recorder
-from magpieshift.capture.replay import Player, Replay, Result
-from magpieshift.capture.segments import CaptureError, Missing
+from magpieshift.capture.errors import CaptureError, StateError
+from magpieshift.capture.recorder import MAX_BACKLOG, Recorder
+from magpieshift.capture.replay import Player, Replay, ReplayResult
+from magpieshift.capture.segments import Missing
 from magpieshift.capture.wire import capture_pb2 as wire
+from magpieshift.capture.writer import Limits
 from magpieshift.policy.actions import Action
 from magpieshift.policy.events import PurgeReceived, RequestReceived
 from tests import test_properties as random_runs
@@ -109,7 +111,7 @@
         ):
             try:
                 state.restore(data, OWN)
-            except state.StateError:
+            except StateError:
                 continue
 
     @given(random_runs.steps)
@@ -120,7 +122,7 @@
         for _, _, events, actions in tape.batches:
             self.assertEqual([reader.event(codec.write_event(event)) for event in events], events)
             for action in actions:
-                self.assertEqual(reader.recorded(codec.write_action(action)), reader.plain(action))
+                self.assertEqual(reader.recorded(codec.write_action(action)), reader.decided(action))
 
     def test_an_object_of_number_zero_has_more_than_64_bits(self) -> None:
         event = PurgeReceived(1 << 64, 0, 5)
@@ -149,7 +151,7 @@
     def read(self) -> Iterator[wire.Record | Missing]:
         return segments.read(self.folder / "capture")
 
-    def replayed(self, **more: Any) -> Result:
+    def replayed(self, **more: Any) -> ReplayResult:
         return Replay(**more).run(self.read())
 
     @staticmethod
@@ -170,14 +172,14 @@
         self.assertEqual(result.policies, {OWN.digest})
 
     def test_segments_rotate_within_the_budget_and_each_replays_by_itself(self) -> None:
-        recorder = self.recorder(segment=10_000, segment_s=60.0, budget=40_000)
-        with mock.patch("magpieshift.capture.recorder.WAIT_S", 0.001):
+        recorder = self.recorder(segment_bytes=10_000, segment_s=60.0, budget_bytes=40_000)
+        with mock.patch("magpieshift.capture.writer.POLL_S", 0.001):
             referee = random_runs.Referee()
             referee.router = Taped(referee.router, recorder)  # type: ignore[assignment]
             for i in range(400):
                 referee.ask(i)
                 referee.end(i)
-                self.until(lambda: recorder._weight == recorder._taken)
+                self.until(lambda: recorder.backlog == 0)
         recorder.stop()
         paths = segments.files(self.folder / "capture")
         self.assertGreater(int(paths[0].stem[-8:]), 1, "the oldest are gone")
@@ -232,7 +234,7 @@
             referee.end(3 * i)
         recorder.stop()
         result = self.replayed()
-        self.assertEqual((result.differences, result.retunes), (0, 1))
+        self.assertEqual((result.differences, result.reconfigurations), (0, 1))
 
     def test_a_stuck_disk_costs_whole_batches_and_is_told(self) -> None:
         """The loop goes on at once; memory is bounded; what follows begins with a keyframe."""
@@ -249,16 +251,16 @@
         referee.router = Taped(referee.router, recorder)  # type: ignore[assignment]
         with (
             mock.patch("os.write", write),
-            self.assertLogs("magpieshift.capture.recorder", "WARNING") as logs,
+            self.assertLogs("magpieshift.capture", "WARNING") as logs,
         ):
             referee.ask(0)
             self.until(stuck.is_set)
-            for i in range(MOST_PENDING):
+            for i in range(MAX_BACKLOG):
                 referee.purge(i)
-                self.assertLess(recorder._weight - recorder._taken, MOST_PENDING + 10)
+                self.assertLess(recorder.backlog, MAX_BACKLOG + 10)
             self.assertGreater(recorder.dropped, 0)
             release.set()
-            self.until(lambda: recorder._weight == recorder._taken)
+            self.until(lambda: recorder.backlog == 0)
             for i in range(30):
                 referee.ask(i)
             recorder.stop()
@@ -274,25 +276,25 @@
         referee = random_runs.Referee()
         referee.router = Taped(referee.router, recorder)  # type: ignore[assignment]
         with (
-            self.assertLogs("magpieshift.capture.recorder", "WARNING") as logs,
-            mock.patch("magpieshift.capture.recorder.RETRY_S", 0.01),
+            self.assertLogs("magpieshift.capture", "WARNING") as logs,
+            mock.patch("magpieshift.capture.writer.RETRY_S", 0.01),
         ):
             with full:
                 referee.ask(0)
-                self.until(lambda: bool(recorder._failed))
+                self.until(lambda: bool(recorder.failure))
                 for i in range(50):
                     referee.ask(i)
-            self.until(lambda: not recorder._failed)
+            self.until(lambda: not recorder.failure)
             for i in range(20):
                 referee.end(i)
             recorder.stop()
-        self.assertEqual(len([r for r in logs.records if "cannot be written" in r.message]), 1)
+        self.assertEqual(len([r for r in logs.records if r.message == "capture write failed"]), 1)
         result = self.replayed()
         self.assertEqual((result.differences, result.batches), (0, 20))
 
 
 class Files(FolderCase):
-    def damaged(self, change: Callable[[bytes], bytes]) -> Result:
+    def damaged(self, change: Callable[[bytes], bytes]) -> ReplayResult:
         self.record(SCRIPT * 3, segment_s=0.0)
         (path, *_) = segments.files(self.folder / "capture")
         path.write_bytes(change(path.read_bytes()))
@@ -320,7 +322,7 @@
     @given(st.binary(max_size=60), st.integers(0, 10_000))
     @settings(max_examples=80, deadline=None)
     def test_bytes_of_any_kind(self, noise: bytes, at: int) -> None:
-        whole = segments.HEADER % 1 + segments.block([wire.Record(header=HEADER)] * 3)
+        whole = segments.FILE_HEADER % 1 + segments.block([wire.Record(header=HEADER)] * 3)
         at %= len(whole)
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "x"
@@ -333,7 +335,7 @@
                 self.assertTrue(all(isinstance(r, Missing) or r == wire.Record(header=HEADER) for r in found))
 
     def test_what_is_no_capture_or_of_another_format(self) -> None:
-        for name, text in (("a", b"GIF89a..."), ("b", segments.HEADER % 9)):
+        for name, text in (("a", b"GIF89a..."), ("b", segments.FILE_HEADER % 9)):
             (self.folder / name).write_bytes(text)
             with self.assertRaisesRegex(CaptureError, "expected"):
                 list(segments.read(self.folder / name))
@@ -365,10 +367,10 @@
         result = self.replayed(against=other)
         self.assertGreater(result.differences, 0)
         self.assertLess(result.differences, result.batches / 2)
-        lines = explanation.report(result, explanation.Names({21: "hub-a"}), self.read)
+        lines = explanation.difference_report(result, explanation.Names({21: "hub-a"}), self.read)
         self.assertLess(len(lines), 60)
         self.assertIn("by kind", lines[0])
-        self.assertTrue(any("what the module knew right before" in line for line in lines), lines)
+        self.assertTrue(any("what the policy knew right before" in line for line in lines), lines)
         self.assertTrue(any("parent, ready" in line and "fills" in line for line in lines), lines)
 
     def test_an_altered_checkout_strays_and_is_called_back_by_a_keyframe(self) -> None:
@@ -390,9 +392,9 @@
         referee.end(0)
         recorder.stop()
         number = explanation.find_request(self.read, "00aa11bb22cc33dd")
-        lines = explanation.why(self.read, number)
+        lines = explanation.explain_request(self.read, number)
         self.assertTrue(any("asked for object" in line for line in lines), lines)
-        self.assertTrue(any("said: ask" in line or "said: get" in line for line in lines), lines)
+        self.assertTrue(any("decided: ask" in line or "decided: get" in line for line in lines), lines)
         self.assertTrue(any("attempt 0 at" in line for line in lines), lines)
         with self.assertRaises(LookupError):
             explanation.find_request(self.read, "nobody")
@@ -428,7 +430,7 @@
         router = taped(SCRIPT, tape)
         frame = wire.Record(keyframe=wire.Keyframe(state=tape.batches[0][0]))
         player = Player(OWN)
-        player.keyframe(tape.batches[0][0])
+        player.take_over(tape.batches[0][0])
         router = player.router
         router.fill_times_us[0] += 1.0
         odd = wire.Record(keyframe=wire.Keyframe(state=player.state()))
--- a/tests/capture/test_process.py
+++ b/tests/capture/test_process.py
@@ -12,6 +12,7 @@
 from pathlib import Path
 
 from magpieshift.capture import segments
+from magpieshift.capture.errors import CaptureError
 from magpieshift.capture.replay import Replay
 from magpieshift.control import sexp
 from magpieshift.control.sexp import Unusable
@@ -136,7 +137,7 @@
                 await process.wait()
             world.stop()
         result = Replay().run(segments.read(self.capture))
-        self.assertEqual((result.retunes, result.differences, result.missing), (1, 0, []))
+        self.assertEqual((result.reconfigurations, result.differences, result.missing), (1, 0, []))
         self.assertGreaterEqual(result.requests, 60)
 
     @staticmethod
@@ -154,7 +155,7 @@
     def missing(self) -> list[segments.Missing]:
         try:
             return [record for record in segments.read(self.capture) if isinstance(record, segments.Missing)]
-        except segments.CaptureError:
+        except CaptureError:
             return []
 
 
--- a/tests/membership/test_joined.py
+++ b/tests/membership/test_joined.py
@@ -12,9 +12,10 @@
 from typing import Any
 
 from magpieshift.capture import policy, segments
-from magpieshift.capture.recorder import Limits, Recorder
+from magpieshift.capture.recorder import Recorder
 from magpieshift.capture.replay import Replay
 from magpieshift.capture.wire import capture_pb2 as wire
+from magpieshift.capture.writer import Limits
 from magpieshift.control.schema import load_data, to_data
 from magpieshift.control.sexp import Unusable
 from magpieshift.lab.emulators.world import World
@@ -100,7 +101,7 @@
                 self.engine.set_router_counts(routers, routers)
             recorder.stop()
             result = Replay().run(segments.read(Path(folder) / "capture"))
-            self.assertEqual((result.differences, result.retunes), (0, 4))
+            self.assertEqual((result.differences, result.reconfigurations), (0, 4))
             self.assertGreater(result.decisions, 40)
 
 
--- a/tests/policy/differential/test_former_decisions.py
+++ b/tests/policy/differential/test_former_decisions.py
@@ -44,8 +44,8 @@
 def endpoint(recorded: list[Any]) -> Any:
     """One entry of a recorded endpoint list."""
     _, number, zone, kind, cell, state_number, weight, started_us = recorded
-    phase = POLICY.named("Phase")(state_number)
-    return POLICY.named("Entry")(number, zone, kind, cell, phase, weight, started_us)
+    phase = POLICY.class_named("Phase")(state_number)
+    return POLICY.class_named("Entry")(number, zone, kind, cell, phase, weight, started_us)
 
 
 def event(recorded: list[Any]) -> Any:
@@ -53,14 +53,14 @@
     name, *values = recorded
     match name:
         case "StoreList":
-            values[0] = POLICY.named("ListKind")(values[0])
+            values[0] = POLICY.class_named("ListKind")(values[0])
             values[2] = tuple(endpoint(entry) for entry in values[2])
         case "Ended" | "Probed":
             values[1] = Outcome(values[1])
             values[-1] = tuple(values[-1])
         case "Message":
             values[1] = bytes.fromhex(values[1])
-    return POLICY.named(name)(*values)
+    return POLICY.class_named(name)(*values)
 
 
 def plain(action: Any) -> list[Any]:
