--- a/magpieshift/config.py
+++ b/magpieshift/config.py
@@ -16,8 +16,9 @@
 from pathlib import Path
 from typing import Any
 
+from magpieshift.policy.errors import SettingsError
 from magpieshift.policy.settings import RequestClass, Settings
-from magpieshift.policy.simulator_codec import SettingsError, parse_settings
+from magpieshift.policy.simulator_settings import parse_settings
 
 Address = tuple[str, int]
 CLASS_NAME = re.compile(r"[!-+\--~]{1,64}")  # it goes into a list on a store's line
--- a/magpieshift/policy/simulator.py
+++ b/magpieshift/policy/simulator.py
@@ -1,4 +1,4 @@
-"""The adapter: plays the module on the simulator's wire, over standard input and output.
+"""The simulator's adapter: plays the policy on its wire, over standard input and output.
 
 It decides nothing: frames in, one ``RouterPolicy`` an instance, frames out.
 """
@@ -10,79 +10,81 @@
 import traceback
 from typing import BinaryIO
 
-from magpieshift.policy import simulator_codec as wire
+from magpieshift.policy.errors import SettingsError, WireError
 from magpieshift.policy.events import Event
 from magpieshift.policy.router_policy import RouterPolicy
+from magpieshift.policy.simulator_codec import FRAME_HEADER, Boot, EventFrame, ReplyFrame, Stop
+from magpieshift.policy.simulator_settings import parse_settings
 
 
-class Host:
-    """The instances of this process; they share nothing but the pipe."""
+class Simulator:
+    """The instances of this process, by number; they share nothing but the pipe."""
 
     def __init__(self) -> None:
         self.routers: dict[int, RouterPolicy] = {}
 
-    def answer(self, frame: wire.Frame) -> bytes:
+    def answer(self, frame: EventFrame) -> bytes:
         """One reply for one batch; each instance's events stay in order."""
-        reply = wire.Reply(frame.number)
+        reply = ReplyFrame(frame.number)
         pending: dict[int, list[Event]] = {}
-        for who, event in frame.events():
-            if isinstance(event, wire.Boot):
-                pending[who] = []
-                self._boot(reply, who, event)
-            elif isinstance(event, wire.Stop):
-                pending.pop(who, None)
-                self.routers.pop(who, None)
+        for instance, event in frame.events():
+            if isinstance(event, Boot):
+                pending[instance] = []
+                self._boot(reply, instance, event)
+            elif isinstance(event, Stop):
+                pending.pop(instance, None)
+                self.routers.pop(instance, None)
             else:
-                pending.setdefault(who, []).append(event)
-        for who, events in pending.items():
-            self._handle(reply, who, frame.now_us, events)
-        return reply.frame()
+                pending.setdefault(instance, []).append(event)
+        for instance, events in pending.items():
+            self._handle(reply, instance, frame.now_us, events)
+        return reply.encode()
 
-    def _boot(self, reply: wire.Reply, who: int, boot: wire.Boot) -> None:
+    def _boot(self, reply: ReplyFrame, instance: int, boot: Boot) -> None:
         try:
-            self.routers[who] = RouterPolicy(wire.parse_settings(boot.text), boot.seed)
-        except wire.SettingsError as err:
-            self.routers.pop(who, None)
-            reply.fault(who, str(err))
+            self.routers[instance] = RouterPolicy(parse_settings(boot.text), boot.seed)
+        except SettingsError as err:
+            self.routers.pop(instance, None)
+            reply.add_error(instance, str(err))
 
-    def _handle(self, reply: wire.Reply, who: int, now_us: int, events: list[Event]) -> None:
-        router = self.routers.get(who)
+    def _handle(self, reply: ReplyFrame, instance: int, now_us: int, events: list[Event]) -> None:
+        router = self.routers.get(instance)
         if router is None:
             return
         try:
             actions = router.handle(now_us, events)
-        except Exception as err:
+        except Exception as err:  # a fault of the policy: it is reported, and the other instances go on
             traceback.print_exc(file=sys.stderr)
-            reply.fault(who, f"{type(err).__name__}: {err}")
+            reply.add_error(instance, f"{type(err).__name__}: {err}")
             return
         for action in actions:
-            reply.add(who, action)
+            reply.add(instance, action)
 
 
-def read_frame(stream: BinaryIO) -> wire.Frame | None:
-    """The next batch, or None at a clean end of input."""
-    head = stream.read(wire.HEADER.size)
-    if not head:
+def read_frame(stream: BinaryIO) -> EventFrame | None:
+    """The next batch, or None at a clean end of input; ``WireError`` at any other."""
+    header = stream.read(FRAME_HEADER.size)
+    if not header:
         return None
-    if len(head) < wire.HEADER.size:
-        raise wire.WireError(f"offset {len(head)}: input ends inside a batch header")
-    number, length = wire.HEADER.unpack(head)
+    if len(header) < FRAME_HEADER.size:
+        raise WireError(f"offset {len(header)}: input ends inside a batch header")
+    number, length = FRAME_HEADER.unpack(header)
     body = stream.read(length)
     if len(body) < length:
-        at = wire.HEADER.size + len(body)
-        raise wire.WireError(f"batch {number}: offset {at}: input ends inside the frame")
-    return wire.Frame(number, body)
+        offset = FRAME_HEADER.size + len(body)
+        raise WireError(f"batch {number}: offset {offset}: input ends inside the frame")
+    return EventFrame(number, body)
 
 
 def main() -> int:
-    """Answer batches until the input ends."""
-    gc.freeze()
-    host = Host()
+    """Answer batches until the input ends; returns the exit code."""
+    gc.freeze()  # what was imported lives as long as the process: not to be searched again and again
+    simulator = Simulator()
     try:
         while (frame := read_frame(sys.stdin.buffer)) is not None:
-            sys.stdout.buffer.write(host.answer(frame))
+            sys.stdout.buffer.write(simulator.answer(frame))
             sys.stdout.buffer.flush()
-    except wire.WireError as err:
+    except WireError as err:
         print(f"magpieshift.policy: {err}", file=sys.stderr)
         return 1
     return 0
--- a/tests/policy/differential/record.py
+++ b/tests/policy/differential/record.py
@@ -227,7 +227,7 @@
         """Play so many batches, with all that happens beside them."""
         self.list_all(self.interface.ListKind.CACHED)
         self.arrive()
-        self.disturb()
+        self.later(SECOND_US / 20, lambda: self.disturb())
         while self.batches < batches and self.due:
             tick_us = self.due[0][0] // 2000 * 2000 + 2000
             self.now_us = max(self.now_us + 1, tick_us - self.random.randrange(3))
@@ -376,7 +376,8 @@
             cls = min(draw.randrange(2 * len(self.classes)), len(self.classes) - 1)
             cls = draw.randrange(len(self.classes)) if cls == len(self.classes) - 1 else cls
             key = min(draw.getrandbits(6), draw.getrandbits(6)) * 0x9E3779B97F4A7C15 % (1 << 64)
-            size = round(draw.expovariate(1 / 40) + 1, 1) if self.sized else 0.0
+            # in eighths, which the wire's four bytes hold exactly
+            size = round(8 * draw.expovariate(1 / 40) + 8) / 8 if self.sized else 0.0
             patience = draw.choice([40_000, 300_000, 1_000_000, int(str(self.classes[cls]["GiveUpUs"]))])
             write = self.classes[cls]["ClassWrite"] == "true"
             part = draw.randrange(3) if self.classes[cls]["InPieces"] == "true" else 0
--- a/tests/policy/differential/test_former_decisions.py
+++ b/tests/policy/differential/test_former_decisions.py
@@ -15,6 +15,7 @@
 import hashlib
 import json
 import lzma
+import struct
 import zlib
 from collections.abc import Iterator
 from pathlib import Path
@@ -26,7 +27,9 @@
 from magpieshift.policy.outcomes import Outcome
 from magpieshift.policy.reconfigure import reconfigure
 from magpieshift.policy.router_policy import RouterPolicy
-from magpieshift.policy.simulator_codec import Reply, parse_settings
+from magpieshift.policy.simulator import Simulator
+from magpieshift.policy.simulator_codec import EVENT_BYTES, EventFrame, ReplyFrame
+from magpieshift.policy.simulator_settings import parse_settings
 
 FIXTURE = Path(__file__).with_name("decisions.jsonl.xz")
 POLICY = own()
@@ -92,10 +95,10 @@
             now_us, events, actions, checksum = step
             found = router.handle(now_us, [event(each) for each in events])
             assert [plain(action) for action in found] == actions, f"batch {batch}"
-            reply = Reply(batch)
+            reply = ReplyFrame(batch)
             for action in found:
                 reply.add(INSTANCE, action)
-            assert zlib.crc32(reply.frame()) == checksum, f"batch {batch}"
+            assert zlib.crc32(reply.encode()) == checksum, f"batch {batch}"
         elif kind == "reconfigure":
             text, fresh = step
             reconfigure(router, parse_settings(text), frozenset(fresh))
@@ -111,6 +114,82 @@
     assert states > 100
 
 
+def wire_record(recorded: list[Any], tail: bytearray) -> bytes:
+    """A recorded event as the simulator sends it; what has no fixed length goes to the tail."""
+    name, *values = recorded
+    match name:
+        case "StoreList":
+            kind, version, entries = values
+            start = len(tail)
+            for _, number, zone, entry_kind, cell, state_number, weight, started_us in entries:
+                tail += number.to_bytes(6, "big")
+                tail += struct.pack("<HBHBfQ", zone, entry_kind, cell, state_number, weight, started_us)
+            return struct.pack("<BIBQII", 1, INSTANCE, kind, version, start, len(entries))
+        case "Request":
+            request_id, class_index, tenant, key, left_us, size_kb, group, part, is_repeat, is_write = values
+            marks = 2 * is_repeat + 4 * is_write
+            fields = (request_id, class_index, tenant, key, left_us, size_kb, group, part, marks)
+            return struct.pack("<BIIBIQIfffH", 2, INSTANCE, *fields)
+        case "Begun":
+            request_id, number, latency_us, attempt = values
+            head = struct.pack("<BII", 3, INSTANCE, request_id)
+            return head + number.to_bytes(6, "big") + struct.pack("<IH", latency_us, attempt)
+        case "Ended":
+            request_id, outcome, latency_us, wait_us, is_closed, status, number, attempt, load = values
+            fields = (request_id, outcome, latency_us, wait_us, is_closed, status)
+            head = struct.pack("<BIIBIIBI", 4, INSTANCE, *fields) + number.to_bytes(6, "big")
+            return head + struct.pack(f"<HB{len(load)}f", attempt, len(load), *load)
+        case "Hangup":
+            return struct.pack("<BII", 5, INSTANCE, *values)
+        case "Elapsed":
+            return struct.pack("<BIQ", 6, INSTANCE, *values)
+        case "Probed":
+            number, outcome, latency_us, load = values
+            head = struct.pack("<BI", 7, INSTANCE) + number.to_bytes(6, "big")
+            return head + struct.pack(f"<BIB{len(load)}f", outcome, latency_us, len(load), *load)
+        case "Message":
+            body = bytes.fromhex(values[1])
+            tail += body
+            return struct.pack("<BIHII", 8, INSTANCE, values[0], len(tail) - len(body), len(body))
+        case "Purged":
+            return struct.pack("<BIQHI", 10, INSTANCE, *values)
+    raise AssertionError(f"found event {name!r}, expected one that the simulator sends")
+
+
+def wire_frame(number: int, now_us: int, records: list[bytes], tail: bytes) -> EventFrame:
+    """A batch as the simulator sends it, without the frame's header."""
+    packed = b"".join(record.ljust(EVENT_BYTES, b"\0") for record in records)
+    return EventFrame(number, struct.pack("<IQ", len(records), now_us) + packed + tail)
+
+
+def test_the_simulator_is_answered_with_the_same_bytes() -> None:
+    """The same events by way of the wire: the adapter reads them, and its replies are those of 723f792."""
+    simulator = Simulator()
+    batch = 0
+    tail = bytearray()
+    records: list[bytes] = []
+    for kind, *step in steps():
+        if kind == "boot":
+            text, seed = step
+            tail += text.encode()
+            records.append(struct.pack("<BIQII", 0, INSTANCE, seed, 0, len(tail)))
+            batch = 0
+        elif kind == "batch":
+            batch += 1
+            now_us, events, _, checksum = step
+            records += [wire_record(each, tail) for each in events]
+            reply = simulator.answer(wire_frame(batch, now_us, records, bytes(tail)))
+            assert zlib.crc32(reply) == checksum, f"batch {batch}"
+            records.clear()
+            tail.clear()
+        elif kind == "reconfigure":
+            text, fresh = step
+            reconfigure(simulator.routers[INSTANCE], parse_settings(text), frozenset(fresh))
+        elif kind == "override":
+            now_us, overrides = step
+            apply_overrides(simulator.routers[INSTANCE], now_us, [override(each) for each in overrides])
+
+
 def test_the_recording_holds_every_kind_of_event_and_of_outcome() -> None:
     """A guard of the guard: what never occurs in it is not compared."""
     events: set[str] = set()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -16,6 +16,8 @@
     "__init__.py",
     "simulator.py",
     "simulator_codec.py",
+    "simulator_settings.py",
+    "errors.py",
     "settings.py",
     "events.py",
     "actions.py",
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,11 +8,13 @@
 
 import pytest
 
-from magpieshift.policy import simulator as drill
-from magpieshift.policy import simulator_codec as wire
+from magpieshift.policy import simulator
+from magpieshift.policy.errors import SettingsError
 from magpieshift.policy.events import AttemptEnded
 from magpieshift.policy.outcomes import Outcome
 from magpieshift.policy.settings import DeduplicationScope, Idempotency
+from magpieshift.policy.simulator_codec import EventFrame
+from magpieshift.policy.simulator_settings import parse_settings
 
 SETTINGS = """Balancers=2
 Caps.Cancelling=true
@@ -85,7 +87,7 @@
 
 
 def test_settings_are_read_and_unknown_keys_skipped() -> None:
-    read = wire.parse_settings(SETTINGS)
+    read = parse_settings(SETTINGS)
     (cls,) = read.classes
     assert (cls.idempotency, cls.deduplication_scope, cls.max_age_us) == (
         Idempotency.WITH_KEY,
@@ -109,16 +111,16 @@
     def fail(self: object, now_us: int, events: object) -> None:
         raise IndexError("no such store")
 
-    monkeypatch.setattr(drill.RouterPolicy, "handle", fail)
+    monkeypatch.setattr(simulator.RouterPolicy, "handle", fail)
     record, tail = boot(SETTINGS)
-    reply = drill.Host().answer(wire.Frame(9, frame([record], tail)[8:]))
+    reply = simulator.Simulator().answer(EventFrame(9, frame([record], tail)[8:]))
     assert reply[12:17] == b"\x09\x04\0\0\0" and reply.endswith(b"IndexError: no such store")
     assert "Traceback" in capsys.readouterr().err
 
 
 def test_an_unreadable_setting_is_named() -> None:
-    with pytest.raises(wire.SettingsError, match="Contract.ColdUs"):
-        wire.parse_settings(SETTINGS.replace("ColdUs=14000000", "ColdUs=soon"))
+    with pytest.raises(SettingsError, match="Contract.ColdUs"):
+        parse_settings(SETTINGS.replace("ColdUs=14000000", "ColdUs=soon"))
 
 
 def test_a_request_is_answered_with_an_attempt_at_its_cache() -> None:
@@ -138,7 +140,7 @@
         "0403000000c4913a5d0144480000b824000001020000000a124a07931f00000352b81e3fcdcccc3e0000a03f00000000"
     )
     body = struct.pack("<IQ", 1, 5) + raw.ljust(48, b"\0")
-    ((who, event),) = wire.Frame(1, body).events()
+    ((who, event),) = EventFrame(1, body).events()
     assert who == 3 and isinstance(event, AttemptEnded)
     assert (event.outcome, event.request_closed, event.cache_status) == (Outcome.OK, True, 2)
     assert (event.latency_us, event.fill_wait_us, len(event.load)) == (18500, 9400, 3)
