--- /dev/null
+++ b/tests/test_public_names.py
@@ -0,0 +1,165 @@
+"""What operators type, store and parse keeps its names: commands, options, settings, keys of answers.
+
+Their scripts, settings files and dashboards were written against the version whose names are listed in
+``public_names.json`` (723f792). A rename inside the code must never reach them, so the same list is made of this version and
+compared. ``python -m tests.test_public_names`` prints it.
+"""
+
+from __future__ import annotations
+
+import copy
+import json
+import subprocess
+import sys
+import tomllib
+from collections.abc import Iterator
+from pathlib import Path
+from typing import Any
+
+import click
+
+import magpieshift
+from magpieshift.app import expected
+from magpieshift.cli.main import cli
+from magpieshift.control.document_form import DocumentForm
+from magpieshift.control.document_writing import to_data
+
+ROOT = Path(__file__).resolve().parents[1]
+LISTED = Path(__file__).with_name("public_names.json")
+CAPTURE = "tests/capture/captures/hub-and-box-die-with-a-late-list.seg"
+SETTINGS = "deploy/magpieshift.sexp"
+JSON_COMMANDS = (
+    ("replay", CAPTURE, "--json"),
+    ("capture", "info", CAPTURE, "--json"),
+    ("config", "check", SETTINGS, "--json"),
+    ("config", "show", SETTINGS, "--json"),
+    ("lab", "decisions", "--help"),
+)
+
+
+def option(parameter: click.Parameter) -> str:
+    """One parameter of a command, with what a caller must know of it."""
+    if not isinstance(parameter, click.Option):
+        return f"<{parameter.name}>"
+    names = "/".join(sorted([*parameter.opts, *parameter.secondary_opts]))
+    return names + (" flag" if parameter.is_flag else "") + (" required" if parameter.required else "")
+
+
+def commands(command: click.Command, path: tuple[str, ...] = ()) -> Iterator[tuple[str, list[str]]]:
+    """Every command of the tree with its options."""
+    if isinstance(command, click.Group):
+        for name, inner in command.commands.items():
+            yield from commands(inner, (*path, name))
+    else:
+        yield " ".join(path), sorted(map(option, command.params))
+
+
+def leaves(value: Any, path: tuple[str, ...] = ()) -> Iterator[tuple[str, ...]]:
+    """The paths of all values in nested settings."""
+    if isinstance(value, dict):
+        for key, inner in value.items():
+            yield from leaves(inner, (*path, key))
+    elif isinstance(value, list) and value and isinstance(value[0], dict):
+        yield from leaves(value[0], (*path, "0"))
+    else:
+        yield path
+
+
+def without(data: dict[str, Any], path: tuple[str, ...]) -> str:
+    """What the program says of a configuration that lacks one value."""
+    changed = copy.deepcopy(data)
+    place: Any = changed
+    for key in path[:-1]:
+        place = place[int(key) if isinstance(place, list) else key]
+    del place[path[-1]]
+    try:
+        magpieshift.parse(changed)
+    except magpieshift.ConfigError as err:
+        return str(err)
+    return "may be left out"
+
+
+def platform_settings() -> dict[str, Any]:
+    """A complete configuration in the platform's form."""
+    data: dict[str, Any] = json.loads((ROOT / "tests/real/config.json").read_text())
+    return data | {"changelog": "127.0.0.1:9"}
+
+
+def keys(value: Any) -> Any:
+    """The keys of an answer, without its values."""
+    if isinstance(value, dict):
+        return {key: keys(inner) for key, inner in value.items()}
+    if isinstance(value, list):
+        return [keys(value[0])] if value else []
+    return type(value).__name__
+
+
+def answer(*words: str) -> Any:
+    """What a command prints: its keys, or the lines of its help."""
+    command = [sys.executable, "-m", "magpieshift", *words]
+    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
+    found = keys(json.loads(done.stdout)) if done.stdout.startswith(("{", "[")) else done.stdout
+    return {"exit code": done.returncode, "output": found}
+
+
+def schema(value: Any) -> Any:
+    """A schema without its prose, and without the names that the code gives its parts."""
+    if isinstance(value, dict):
+        return {key: schema(inner) for key, inner in value.items() if key not in ("description", "title")}
+    return [schema(inner) for inner in value] if isinstance(value, list) else value
+
+
+def public_names() -> dict[str, Any]:
+    """The list of this version."""
+    data = platform_settings()
+    document = magpieshift.parse(data).document
+    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    return {
+        "commands": dict(commands(cli)),
+        "answers": {" ".join(words): answer(*words) for words in JSON_COMMANDS},
+        "settings file": schema(DocumentForm.model_json_schema()),
+        "settings file of the platform's settings": to_data(document),
+        "platform settings": {
+            ".".join(path): without(data, path) for path in leaves(data) if path[0] not in ("known", "listen")
+        },
+        "shown as running": expected(document),
+        "deploy keys": sorted(deploy),
+    }
+
+
+def plain(found: dict[str, Any]) -> dict[str, Any]:
+    """As JSON reads it back."""
+    read: dict[str, Any] = json.loads(json.dumps(found))
+    return read
+
+
+def test_operators_find_every_name_as_it_was() -> None:
+    listed = json.loads(LISTED.read_text())
+    found = plain(public_names())
+    assert sorted(found) == sorted(listed)
+    for part in listed:
+        assert found[part] == listed[part], part
+
+
+def test_the_environment_keeps_its_names() -> None:
+    data = platform_settings()
+    variables = {"EDGE_LISTEN": "127.0.0.1:2", "EDGE_NAME": "other", "EDGE_CONSOLE": "127.0.0.1:3"}
+    path = ROOT / "tests/real/config.json"
+    try:
+        magpieshift.load({})
+    except magpieshift.ConfigError as err:
+        assert str(err) == "EDGE_CONFIG is not set"
+    else:
+        raise AssertionError("a router starts without a configuration")
+    document = magpieshift.parse(data, *variables.values()).document
+    assert (document.listen, document.name, document.console) == (("127.0.0.1", 2), "other", ("127.0.0.1", 3))
+    try:
+        magpieshift.load({"EDGE_CONFIG": str(path)} | variables)
+    except magpieshift.ConfigError as err:  # its addresses stand for what a test puts there
+        assert "changelog" in str(err)
+    else:
+        raise AssertionError("a change log without an address is taken")
+
+
+if __name__ == "__main__":
+    print(json.dumps(public_names(), indent=1, sort_keys=True))
