--- a/magpieshift/lab/capacity/arithmetic.py
+++ b/magpieshift/lab/capacity/arithmetic.py
@@ -149,7 +149,7 @@
             f"{fleet.ROUTERS:,} watches",
             f"purges wait; all watches come back within {MOST_PAUSE_S:g} s of its return",
             f"after {SILENCE_S:g} s of silence each router asks again; copies are not bounded meanwhile",
-            "assumed, from the constants in feed/client",
+            "assumed, from the constants in discovery/client",
         ),
         Failure(
             "a control service's machine",
--- a/tests/test_public_names.py
+++ b/tests/test_public_names.py
@@ -1,8 +1,8 @@
 """What operators type, store and parse keeps its names: commands, options, settings, keys of answers.
 
 Their scripts, settings files and dashboards were written against 723f792, whose names are listed in
-``public_names.json``. A rename inside the code must never reach them, so the same list is made of this version
-and compared. ``python -m tests.test_public_names`` prints it.
+``public_names.json``. A rename inside the code must never reach them, so the same list is made of this
+version and compared. ``python -m tests.test_public_names`` prints it.
 """
 
 from __future__ import annotations
