--- a/magpieshift/extensions/membership.py
+++ b/magpieshift/extensions/membership.py
@@ -20,7 +20,7 @@
 from magpieshift.log import fields
 from magpieshift.membership.driver import MembershipDriver, steady_us
 from magpieshift.membership.failure_detector import FailureDetector
-from magpieshift.membership.member_table import MembershipChange, Member, MemberState
+from magpieshift.membership.member_table import Member, MembershipChange, MemberState
 from magpieshift.membership.messages import ExtensionMessage
 from magpieshift.membership.quota_lease import FLEET_SCOPE, ZONE_SCOPE_PREFIX, QuotaLease
 
@@ -54,9 +54,7 @@
         now = steady_us()
         self._detector = FailureDetector(own, settings.fleet, settings.seeds, now, rand)
         self._scope = ZONE_SCOPE_PREFIX + own.zone
-        self._shares = QuotaLease(
-            own, settings.voters, self._slots(document), settings.solo_quota, now, rand
-        )
+        self._shares = QuotaLease(own, settings.voters, self._slots(document), settings.solo_quota, now, rand)
         self._driver = MembershipDriver(self._detector, self._shares, after=self._turned, used=self._check)
         self._history: deque[MembershipChange] = deque(maxlen=MOST_HISTORY)
         self._detector.view.listeners.append(self._changed)
@@ -97,7 +95,7 @@
 
     def configuration_changed(self, document: Document, version: int) -> None:
         self._shares.router_counts = self._slots(document)
-        self._detector.update_own_record(settings=version)
+        self._detector.update_own_record(settings_version=version)
         self._check()
 
     def commands(self) -> Mapping[str, Callable[[], str]]:
@@ -118,7 +116,11 @@
 
     def there(self) -> list[Member]:
         """Who is there and not suspected, this router included."""
-        return [known.member for known in self._detector.view.present_members() if known.state == MemberState.ALIVE]
+        return [
+            known.member
+            for known in self._detector.view.present_members()
+            if known.state == MemberState.ALIVE
+        ]
 
     def note(self, member: Member, topic: str, data: bytes) -> None:
         """Send another part's words to a member, with this turn's datagrams."""
@@ -131,13 +133,13 @@
     # --- what goes on
 
     def _went(self, state: State) -> None:
-        self._detector.update_own_record(state=state.value)
+        self._detector.update_own_record(lifecycle_state=state.value)
 
     def _turned(self) -> None:
         """After each turn of the driver."""
         lifecycle = self._router.lifecycle
         self._detector.expects_successor = lifecycle.replaced or lifecycle.state == State.ENDING
-        self._detector.update_own_record(load=self._router.engine.open_requests)
+        self._detector.update_own_record(open_requests=self._router.engine.open_requests)
         if self._detector.counters.conflicts != self._conflicts:
             self._conflicts = self._detector.counters.conflicts
             log.error(
@@ -159,14 +161,18 @@
         used = shares[0] / (1 + self._router.engine.sibling_processes)
         if used != self._share:
             self._share = used
-            log.info("share", extra=fields(at_us=now, share=f"{used:.6f}", here=self._detector.view.present_count))
+            log.info(
+                "share", extra=fields(at_us=now, share=f"{used:.6f}", here=self._detector.view.present_count)
+            )
         divisors = [math.ceil(1 / share - 1e-9) if share > 0 else 1 << 20 for share in shares]
         self._router.engine.set_router_counts(divisors[0], divisors[1])
 
     def _changed(self, change: MembershipChange) -> None:
         self._history.append(change)
         before = change.old_state.value if change.old_state else "unknown"
-        level = logging.WARNING if change.new_state in (MemberState.SUSPECT, MemberState.DEAD) else logging.INFO
+        level = (
+            logging.WARNING if change.new_state in (MemberState.SUSPECT, MemberState.DEAD) else logging.INFO
+        )
         log.log(
             level,
             "member",
--- a/magpieshift/lab/experiments/members.py
+++ b/magpieshift/lab/experiments/members.py
@@ -16,8 +16,8 @@
 from itertools import count
 from typing import Any
 
-from magpieshift.membership.failure_detector import TICK_INTERVAL_US, FailureDetector, DetectorTuning
-from magpieshift.membership.member_table import MembershipChange, Member, MemberState
+from magpieshift.membership.failure_detector import TICK_INTERVAL_US, DetectorTuning, FailureDetector
+from magpieshift.membership.member_table import Member, MembershipChange, MemberState
 from magpieshift.membership.messages import Address, Datagram, SendDatagram
 from magpieshift.membership.quota_lease import FLEET_SCOPE, QuotaLease
 
@@ -196,7 +196,9 @@
         if self.now_us - self._checked_us < 5_000:
             return
         self._checked_us = self.now_us
-        total = sum(p.shares.quota(FLEET_SCOPE, p.clock(self.now_us)) for p in self.processes.values() if p.alive)
+        total = sum(
+            p.shares.quota(FLEET_SCOPE, p.clock(self.now_us)) for p in self.processes.values() if p.alive
+        )
         self.most_share = max(self.most_share, total)
         self.over_whole += total > 1.0 + 1e-9
 
--- a/magpieshift/lab/experiments/membership_exploration.py
+++ b/magpieshift/lab/experiments/membership_exploration.py
@@ -89,7 +89,9 @@
     def agreed(self) -> bool:
         """Whether all hold exactly those who live, each at its present start."""
         views = [detector.view for detector in self.members.values()]
-        return len({view.digest for view in views}) == 1 and all(view.present_count == len(NAMES) for view in views)
+        return len({view.digest for view in views}) == 1 and all(
+            view.present_count == len(NAMES) for view in views
+        )
 
     def look(self) -> tuple[object, ...]:
         """Equal for states that are taken to go on alike: times in steps, no serial numbers."""
--- a/magpieshift/membership/admission.py
+++ b/magpieshift/membership/admission.py
@@ -43,7 +43,9 @@
         self._view = view
         self._counters = counters
         self._replay_windows: dict[tuple[str, tuple[int, int]], _Serials] = {}  # by name and life
-        self._rate_budgets: dict[Address, tuple[float, int]] = {}  # datagrams left, and when that was worked out
+        self._rate_budgets: dict[
+            Address, tuple[float, int]
+        ] = {}  # datagrams left, and when that was worked out
 
     def admits(self, now_us: int, source: Address, datagram: Datagram) -> bool:
         """Whether to take in a datagram; each that is taken is remembered."""
@@ -80,7 +82,9 @@
         """Forget addresses that were silent since then, and processes that are no members, where there are
         many."""
         if len(self._rate_budgets) > 2 * MAX_EXTRA_ENTRIES:
-            self._rate_budgets = {at: spent for at, spent in self._rate_budgets.items() if spent[1] >= past_us}
+            self._rate_budgets = {
+                at: spent for at, spent in self._rate_budgets.items() if spent[1] >= past_us
+            }
         if len(self._replay_windows) > 2 * self._view.present_count + MAX_EXTRA_ENTRIES:
             here = {(name, known.member.generation) for name, known in self._view.members.items()}
             self._replay_windows = {key: heard for key, heard in self._replay_windows.items() if key in here}
--- a/magpieshift/membership/codec.py
+++ b/magpieshift/membership/codec.py
@@ -1,4 +1,7 @@
-"""Datagrams as bytes and back, by protobuf. What cannot be used is ``MalformedDatagramError``, never half taken."""
+"""Datagrams to protobuf bytes and back, and the one place of the protobuf's names.
+
+A datagram that cannot be used raises ``MalformedDatagramError`` and is never half taken.
+"""
 
 from __future__ import annotations
 
@@ -6,8 +9,18 @@
 
 from google.protobuf.message import DecodeError
 
-from magpieshift.membership.member_table import MAX_TEXT_CHARACTERS, DIGEST_BUCKETS, SuspicionReport, Member
-from magpieshift.membership.messages import Ack, PingRequest, Body, LeaseMessage, Datagram, LeaseMessageKind, ExtensionMessage, Ping, Sync
+from magpieshift.membership.member_table import DIGEST_BUCKETS, MAX_TEXT_CHARACTERS, Member, SuspicionReport
+from magpieshift.membership.messages import (
+    Ack,
+    Body,
+    Datagram,
+    ExtensionMessage,
+    LeaseMessage,
+    LeaseMessageKind,
+    Ping,
+    PingRequest,
+    Sync,
+)
 from magpieshift.membership.wire import members_pb2 as wire
 
 MAX_DATAGRAM_BYTES = 1400  # what goes through whole on any way; what is larger is not read
@@ -19,6 +32,16 @@
     """No datagram of ours; the text says what was found and what expected."""
 
 
+_WIRE_KINDS = {
+    LeaseMessageKind.NONE: wire.Claim.NONE,
+    LeaseMessageKind.VOTE_REQUEST: wire.Claim.CANVASS,
+    LeaseMessageKind.VOTE: wire.Claim.VOTE,
+    LeaseMessageKind.QUOTA_REQUEST: wire.Claim.WANT,
+    LeaseMessageKind.GRANT: wire.Claim.GRANT,
+    LeaseMessageKind.GRANT_ACCEPTED: wire.Claim.RETURN,
+}
+
+
 def seal(data: bytes) -> bytes:
     """The seam for a message authentication code: here it would be added."""
     return data
@@ -72,7 +95,7 @@
                 out.sync.parts.extend(parts)
                 out.sync.answer = answer
             case LeaseMessage(term=term, kind=kind, request_id=number, quotas=shares):
-                out.claim.MergeFrom(wire.Claim(term=term, kind=kind.name, number=number))
+                out.claim.MergeFrom(wire.Claim(term=term, kind=_WIRE_KINDS[kind], number=number))
                 for scope, share in shares:
                     out.claim.parts.add(scope=scope, share=share)
             case ExtensionMessage(topic=topic, data=data):
@@ -93,7 +116,9 @@
 
 def _text(value: str, what: str, needed: bool = True) -> str:
     if len(value) > MAX_TEXT_CHARACTERS or (needed and not value) or not (value.isprintable() or not value):
-        raise MalformedDatagramError(f"{what}: found {len(value)} characters, expected 1 to {MOST_TEXT} that can be shown")
+        raise MalformedDatagramError(
+            f"{what}: found {len(value)} characters, expected 1 to {MAX_TEXT_CHARACTERS} that can be shown"
+        )
     return value
 
 
@@ -126,11 +151,15 @@
             return PingRequest(raw.ask.number, _text(raw.ask.about, "ask"))
         case "sync":
             if len(raw.sync.parts) != DIGEST_BUCKETS:
-                raise MalformedDatagramError(f"sync: found {len(raw.sync.parts)} parts, expected {PARTS}")
+                raise MalformedDatagramError(
+                    f"sync: found {len(raw.sync.parts)} parts, expected {DIGEST_BUCKETS}"
+                )
             return Sync(tuple(raw.sync.parts), raw.sync.answer)
         case "claim":
             if len(raw.claim.parts) > MAX_QUOTA_PARTS:
-                raise MalformedDatagramError(f"claim: found {len(raw.claim.parts)} parts, expected at most {MOST_SHARES}")
+                raise MalformedDatagramError(
+                    f"claim: found {len(raw.claim.parts)} parts, expected at most {MAX_QUOTA_PARTS}"
+                )
             parts = tuple((_text(part.scope, "claim"), part.share) for part in raw.claim.parts)
             try:
                 kind = LeaseMessageKind(raw.claim.kind)
@@ -145,14 +174,16 @@
 def decode(data: bytes) -> Datagram:
     """Bytes from anybody as a datagram; ``MalformedDatagramError`` where they are none."""
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise MalformedDatagramError(f"datagram: found {len(data)} bytes, expected at most {MOST_BYTES}")
+        raise MalformedDatagramError(
+            f"datagram: found {len(data)} bytes, expected at most {MAX_DATAGRAM_BYTES}"
+        )
     raw = wire.Datagram()
     try:
         raw.ParseFromString(opened(data))
     except DecodeError as err:
         raise MalformedDatagramError(f"datagram: {err}") from err
     if len(raw.members) > MAX_RECORDS or len(raw.accusations) > MAX_RECORDS:
-        raise MalformedDatagramError(f"datagram: found more than {MOST_ROWS} rows")
+        raise MalformedDatagramError(f"datagram: found more than {MAX_RECORDS} rows")
     what = "accusation"
     accusations = tuple(
         SuspicionReport(_text(row.about, what), row.incarnation, row.beat, _text(row.accuser, what))
--- a/magpieshift/membership/dissemination.py
+++ b/magpieshift/membership/dissemination.py
@@ -5,7 +5,14 @@
 import math
 
 from magpieshift.membership.counters import MembershipCounters
-from magpieshift.membership.member_table import SuspicionReport, MembershipChange, KnownMember, Member, MemberTable, MemberState
+from magpieshift.membership.member_table import (
+    KnownMember,
+    Member,
+    MembershipChange,
+    MemberState,
+    MemberTable,
+    SuspicionReport,
+)
 from magpieshift.membership.messages import Address, Body, Datagram, SendDatagram
 from magpieshift.membership.update_queue import UpdateKey, UpdateQueue
 
@@ -35,7 +42,9 @@
         self._enqueue(("a", said.suspect, said.reporter), said)
 
     def _enqueue(self, key: UpdateKey, item: Member | SuspicionReport) -> None:
-        self.updates.put(key, item, RETRANSMIT_MULTIPLIER * math.ceil(math.log2(self._view.present_count + 2)))
+        self.updates.put(
+            key, item, RETRANSMIT_MULTIPLIER * math.ceil(math.log2(self._view.present_count + 2))
+        )
 
     def take_updates(self, counts: bool) -> tuple[tuple[Member, ...], tuple[SuspicionReport, ...]]:
         """What goes along with the next datagram: what has been passed on least. It counts as passed on only
@@ -49,7 +58,9 @@
                     continue
                 members.append(known.member)  # the latest of it
             else:
-                stale = known is None or not (item.reporter in known.reporters or self._declared_dead_by_own(known, item))
+                stale = known is None or not (
+                    item.reporter in known.reporters or self._declared_dead_by_own(known, item)
+                )
                 if stale:
                     self.updates.drop(key)
                     continue
@@ -91,7 +102,13 @@
         members, accusations = self._dissemination.take_updates(counts)
         self._sequence_number += 1
         datagram = Datagram(
-            self._fleet, self._view.own, self._sequence_number, self._view.digest, body, more + members, accusations
+            self._fleet,
+            self._view.own,
+            self._sequence_number,
+            self._view.digest,
+            body,
+            more + members,
+            accusations,
         )
         self._unsent.append(SendDatagram(to, datagram))
         self._counters.sent += 1
--- a/magpieshift/membership/failure_detector.py
+++ b/magpieshift/membership/failure_detector.py
@@ -1,11 +1,11 @@
-"""Who is there: watching, accusing, spreading. A state machine told datagrams and the time; no I/O.
+"""SWIM-like failure detection among routers. A state machine of datagrams and time; no I/O.
 
-Each member watches the next ``MONITORED_PEERS`` on a ring, pings each of them every round, tries again by another
-member's way, and accuses whom nobody has brought it a beat of for ``HEARTBEAT_TIMEOUT_US``. Accusations spread. A member
-is suspected where ``ACCUSERS`` different ones hold, and gone once that has lasted ``SUSPICION_TIMEOUT_US``; each router
-judges by itself, no verdict is passed on. Any later beat, by whatever way it comes, clears all.
+Each member monitors the next ``MONITORED_PEERS`` on a ring, pings each of them every round, and tries again
+through another member. It reports a member of which no heartbeat arrived for ``HEARTBEAT_TIMEOUT_US``, and
+reports spread. A member is suspect while ``SUSPICION_QUORUM`` different reporters hold, and dead once that
+has lasted ``SUSPICION_TIMEOUT_US``; each router decides by itself. Any later heartbeat clears all reports.
 
-Who hears nobody, or has just slept, accuses and judges nobody: it is not the others that are silent.
+A router that hears nobody, or was just paused, reports and declares nobody: the silence is its own.
 """
 
 from __future__ import annotations
@@ -16,17 +16,34 @@
 from magpieshift.membership.admission import DatagramAdmission
 from magpieshift.membership.counters import MembershipCounters
 from magpieshift.membership.dissemination import Dissemination, Outbox
-from magpieshift.membership.member_table import MAX_TEXT_CHARACTERS, KnownMember, Member, MemberTable, MemberState
-from magpieshift.membership.messages import Ack, Address, PingRequest, Body, LeaseMessage, Datagram, ExtensionMessage, Ping, SendDatagram, Sync
+from magpieshift.membership.member_table import (
+    MAX_TEXT_CHARACTERS,
+    KnownMember,
+    Member,
+    MemberState,
+    MemberTable,
+)
+from magpieshift.membership.messages import (
+    Ack,
+    Address,
+    Body,
+    Datagram,
+    ExtensionMessage,
+    LeaseMessage,
+    Ping,
+    PingRequest,
+    SendDatagram,
+    Sync,
+)
 from magpieshift.membership.name_conflict import NameConflict
 from magpieshift.membership.own_record import RecordMerger
 from magpieshift.membership.pings import PING_TIMEOUT_US, PendingPing, PendingPings
-from magpieshift.membership.probing import TICKS_PER_ROUND, TICK_INTERVAL_US, Probing
-from magpieshift.membership.suspicion import SUSPICION_TIMEOUT_US, MONITORED_PEERS, Suspicion, DetectorTuning
+from magpieshift.membership.probing import TICK_INTERVAL_US, TICKS_PER_ROUND, Probing
+from magpieshift.membership.suspicion import MONITORED_PEERS, SUSPICION_TIMEOUT_US, DetectorTuning, Suspicion
 from magpieshift.membership.synchronization import Synchronization
 from magpieshift.membership.unknown_peers import MAX_UNKNOWN_PEERS, UnknownPeers
 
-__all__ = ("MOST_STRANGERS", "TURN_US", "FailureDetector", "Tuning")
+__all__ = ("MAX_UNKNOWN_PEERS", "TICK_INTERVAL_US", "DetectorTuning", "FailureDetector")
 
 HEARTBEAT_TIMEOUT_US = 2_400_000
 MIN_PAUSE_US = 1_000_000  # between two ticks: this process did not run, and cannot know who was silent
@@ -141,7 +158,9 @@
         """Once a round: someone at random, now and then a seed, and one that is gone."""
         for member in self._watching.random_members(1):
             self._watching.ping(self._now_us, member)
-        if self.seeds and (self.view.present_count == 1 or self._now_us - self._seeds_us >= SEED_RETRY_INTERVAL_US):
+        if self.seeds and (
+            self.view.present_count == 1 or self._now_us - self._seeds_us >= SEED_RETRY_INTERVAL_US
+        ):
             self._seeds_us = self._now_us
             here = {(k.member.host, k.member.port) for k in self.view.members.values() if k.is_present}
             missing = [seed for seed in self.seeds if seed not in here]
@@ -185,12 +204,16 @@
         """It goes on purpose: the others are told at once, a few times over."""
         self._now_us = now_us
         if not self.superseded:
-            self.view.update_own(left=True)
+            self.view.update_own(has_left=True)
             told = {
                 k.member.name: k.member
-                for k, _ in zip(self.view.ring_successors(self.view.own.name), range(MONITORED_PEERS), strict=False)
+                for k, _ in zip(
+                    self.view.ring_successors(self.view.own.name), range(MONITORED_PEERS), strict=False
+                )
             }
-            for member in (told | {m.name: m for m in self._watching.random_members(2 * MONITORED_PEERS)}).values():
+            for member in (
+                told | {m.name: m for m in self._watching.random_members(2 * MONITORED_PEERS)}
+            ).values():
                 self._outbox.send_to(member, None)
         return self.flush()
 
@@ -200,7 +223,7 @@
         told = {name: value for name, value in changes.items() if getattr(own, name) != value}
         if told:
             self.view.update_own(**told)
-            if set(told) - {"load"}:
+            if set(told) - {"open_requests"}:
                 self._dissemination.spread_member(self.view.own)
 
     def send(self, to: Address, body: Body) -> None:
@@ -300,7 +323,7 @@
             return
         self.counters.conflicts += 1
         own = self.view.own
-        self.view.rename_own(f"{own.name[: MOST_TEXT - 9]}~{own.boot_id:08x}", self._now_us)
+        self.view.rename_own(f"{own.name[: MAX_TEXT_CHARACTERS - 9]}~{own.boot_id:08x}", self._now_us)
         self.view.merge(rival, self._now_us, "holds the name this router was given")
         self.changes += 1
 
--- a/magpieshift/membership/member_table.py
+++ b/magpieshift/membership/member_table.py
@@ -191,7 +191,9 @@
             gap = now_us - known.last_heartbeat_us
             known.last_heartbeat_us = now_us
             known.reporters = (
-                {} if new_life else {who: beat for who, beat in known.reporters.items() if beat >= member.heartbeat}
+                {}
+                if new_life
+                else {who: beat for who, beat in known.reporters.items() if beat >= member.heartbeat}
             )
             if known.state == MemberState.DEAD and self._is_held_back(known, gap, now_us):
                 return moved
@@ -315,7 +317,9 @@
         else:
             self.under_suspicion.discard(known.member.name)
 
-    def _notify(self, name: str, before: MemberState | None, after: MemberState, now_us: int, why: str) -> None:
+    def _notify(
+        self, name: str, before: MemberState | None, after: MemberState, now_us: int, why: str
+    ) -> None:
         self.version += 1
         change = MembershipChange(self.version, now_us, name, before, after, why)
         for listener in self.listeners:
--- a/magpieshift/membership/messages.py
+++ b/magpieshift/membership/messages.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from magpieshift.membership.member_table import SuspicionReport, Member
+from magpieshift.membership.member_table import Member, SuspicionReport
 
 Address = tuple[str, int]
 
--- a/magpieshift/membership/own_record.py
+++ b/magpieshift/membership/own_record.py
@@ -32,7 +32,10 @@
         after = self._view.members.get(member.name)
         if before is None or after is None or after.member is before:
             return
-        said = [(m.generation, m.host, m.port, m.program_version, m.settings_version, m.lifecycle_state) for m in (before, after.member)]
+        said = [
+            (m.generation, m.host, m.port, m.program_version, m.settings_version, m.lifecycle_state)
+            for m in (before, after.member)
+        ]
         if said[0] != said[1]:
             self._dissemination.spread_member(after.member)
 
--- a/magpieshift/membership/probing.py
+++ b/magpieshift/membership/probing.py
@@ -5,8 +5,8 @@
 import random
 
 from magpieshift.membership.dissemination import Outbox
-from magpieshift.membership.member_table import Member, MemberTable, MemberState
-from magpieshift.membership.messages import PingRequest, Ping
+from magpieshift.membership.member_table import Member, MemberState, MemberTable
+from magpieshift.membership.messages import Ping, PingRequest
 from magpieshift.membership.pings import PendingPing, PendingPings
 
 TICK_INTERVAL_US = 100_000  # between two ticks
--- a/magpieshift/membership/quota_lease.py
+++ b/magpieshift/membership/quota_lease.py
@@ -5,8 +5,8 @@
 router that hears nobody falls back to what the settings give it, and what others may use beyond theirs has
 been granted to no one else.
 
-Why the parts in use never add up to more than the whole (all clocks run within ``MAX_CLOCK_DRIFT`` of each other, and
-no more processes live than there are slots or, where more are seen, members seen):
+Why the parts in use never add up to more than the whole (all clocks run within ``MAX_CLOCK_DRIFT`` of each
+other, and no more processes live than there are slots or, where more are seen, members seen):
 
 - The parts of their own add up to ``alone`` at most.
 - At most one allocator grants: it needs the votes of more than half of the council, each good for a lease
@@ -25,7 +25,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from magpieshift.membership.member_table import Member, MemberTable, MemberState
+from magpieshift.membership.member_table import Member, MemberState, MemberTable
 from magpieshift.membership.messages import Address, LeaseMessage, LeaseMessageKind
 
 FLEET_SCOPE = "all"  # the scope of what all routers divide; a zone's is its name behind ZONE
@@ -70,7 +70,9 @@
         self._vote_promise: tuple[HolderId, int] | None = None
         self._term = 0
         self._request_count = 0
-        self._requested_at_us: dict[int, int] = {}  # canvasses and wants without an answer: when they were sent
+        self._requested_at_us: dict[
+            int, int
+        ] = {}  # canvasses and wants without an answer: when they were sent
         self._votes: dict[str, int] = {}  # until when each is good
         self._elected_us: int | None = None
         self._grants: dict[HolderId, _Grant] = {}
@@ -122,7 +124,12 @@
         else:
             self._step_down()
         if allocator is not None:
-            out += self._send_to(allocator, now_us, view, LeaseMessage(0, LeaseMessageKind.QUOTA_REQUEST, self._new_request(now_us)))
+            out += self._send_to(
+                allocator,
+                now_us,
+                view,
+                LeaseMessage(0, LeaseMessageKind.QUOTA_REQUEST, self._new_request(now_us)),
+            )
         return out
 
     def _present_count(self, view: MemberTable, scope: str) -> int:
@@ -144,7 +151,9 @@
         self._requested_at_us[number] = now_us
         return number
 
-    def _send_to(self, member: Member, now_us: int, view: MemberTable, claim: LeaseMessage) -> OutgoingMessages:
+    def _send_to(
+        self, member: Member, now_us: int, view: MemberTable, claim: LeaseMessage
+    ) -> OutgoingMessages:
         if member.name == self.own.name:  # what it says to itself needs no way
             return self.receive(now_us, claim, self.own, (member.host, member.port), view)
         return [((member.host, member.port), claim)]
@@ -158,7 +167,12 @@
         out = OutgoingMessages()
         for name in self.voters:
             if known := view.members.get(name):
-                out += self._send_to(known.member, now_us, view, LeaseMessage(self._term, LeaseMessageKind.VOTE_REQUEST, number))
+                out += self._send_to(
+                    known.member,
+                    now_us,
+                    view,
+                    LeaseMessage(self._term, LeaseMessageKind.VOTE_REQUEST, number),
+                )
         return out
 
     def _step_down(self) -> None:
@@ -175,7 +189,9 @@
 
     # --- what comes in
 
-    def receive(self, now_us: int, claim: LeaseMessage, sender: Member, to: Address, view: MemberTable) -> OutgoingMessages:
+    def receive(
+        self, now_us: int, claim: LeaseMessage, sender: Member, to: Address, view: MemberTable
+    ) -> OutgoingMessages:
         """Take in a claim of a member; the claims to be sent."""
         who = sender.name, sender.boot_id
         match claim.kind:
@@ -184,13 +200,21 @@
                 if now_us < self.no_vote_until_us or (held is not None and held[0] != who):
                     return []
                 self._vote_promise = who, now_us + self._longest()
-                return self._reply(sender, to, now_us, view, LeaseMessage(claim.term, LeaseMessageKind.VOTE, claim.request_id))
+                return self._reply(
+                    sender,
+                    to,
+                    now_us,
+                    view,
+                    LeaseMessage(claim.term, LeaseMessageKind.VOTE, claim.request_id),
+                )
             case LeaseMessageKind.VOTE if claim.term == self._term and sender.name in self.voters:
                 self._record_vote(now_us, claim, sender)
             case LeaseMessageKind.QUOTA_REQUEST:
                 if (grant := self._grant(now_us, claim, who, sender.zone, view)) is not None:
                     return self._reply(sender, to, now_us, view, grant)
-            case LeaseMessageKind.GRANT if self._requested_at_us.get(claim.request_id, -1) >= self._lease_requested_us:
+            case LeaseMessageKind.GRANT if (
+                self._requested_at_us.get(claim.request_id, -1) >= self._lease_requested_us
+            ):
                 # not one that was overtaken on its way: the ledger has been told of the later one
                 asked = self._lease_requested_us = self._requested_at_us.pop(claim.request_id)
                 parts = {scope: part for scope, part in claim.quotas if 0.0 <= part <= 1.0}
@@ -199,12 +223,18 @@
                 return self._reply(sender, to, now_us, view, returned)
             case LeaseMessageKind.GRANT_ACCEPTED:
                 lease = self._grants.get(who)
-                if lease is not None and lease.offered_quotas is not None and lease.request_id == claim.request_id:
+                if (
+                    lease is not None
+                    and lease.offered_quotas is not None
+                    and lease.request_id == claim.request_id
+                ):
                     lease.quotas = lease.offered_quotas
                     lease.offered_quotas = None
         return []
 
-    def _reply(self, sender: Member, to: Address, now_us: int, view: MemberTable, claim: LeaseMessage) -> OutgoingMessages:
+    def _reply(
+        self, sender: Member, to: Address, now_us: int, view: MemberTable, claim: LeaseMessage
+    ) -> OutgoingMessages:
         if sender.name == self.own.name:
             return self.receive(now_us, claim, self.own, to, view)
         return [(to, claim)]
@@ -223,7 +253,9 @@
 
     # --- the allocator
 
-    def _grant(self, now_us: int, claim: LeaseMessage, who: HolderId, zone: str, view: MemberTable) -> LeaseMessage | None:
+    def _grant(
+        self, now_us: int, claim: LeaseMessage, who: HolderId, zone: str, view: MemberTable
+    ) -> LeaseMessage | None:
         old_ones_gone = self._elected_us is not None and (
             now_us - self._elected_us > self._longest(self._longest())
         )
@@ -241,4 +273,6 @@
             offer[scope] = max(0.0, min(1.0 / max(1, self._present_count(view, scope)), 1.0 - taken))
         reserved = {scope: max(kept.get(scope, 0.0), part) for scope, part in offer.items()}
         self._grants[who] = _Grant(reserved, now_us + self._longest(), claim.request_id, offer)
-        return LeaseMessage(self._term, LeaseMessageKind.GRANT, claim.request_id, tuple(sorted(offer.items())))
+        return LeaseMessage(
+            self._term, LeaseMessageKind.GRANT, claim.request_id, tuple(sorted(offer.items()))
+        )
--- a/magpieshift/membership/suspicion.py
+++ b/magpieshift/membership/suspicion.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from magpieshift.membership.dissemination import Dissemination
-from magpieshift.membership.member_table import SuspicionReport, MemberTable, MemberState
+from magpieshift.membership.member_table import MemberState, MemberTable, SuspicionReport
 
 MONITORED_PEERS = 6
 SUSPICION_QUORUM = 3
@@ -69,7 +69,11 @@
                 self._view.set_state(name, MemberState.SUSPECT, now_us, why)
             elif known.state == MemberState.SUSPECT and len(held) < enough:
                 self._view.set_state(name, MemberState.ALIVE, now_us, "too few accuse it any more")
-            elif known.state == MemberState.SUSPECT and settled and now_us - known.state_since_us >= SUSPICION_TIMEOUT_US:
+            elif (
+                known.state == MemberState.SUSPECT
+                and settled
+                and now_us - known.state_since_us >= SUSPICION_TIMEOUT_US
+            ):
                 self._view.set_state(name, MemberState.DEAD, now_us, known.reason)
 
     def _is_present(self, accuser: str) -> bool:
--- a/magpieshift/membership/synchronization.py
+++ b/magpieshift/membership/synchronization.py
@@ -5,7 +5,14 @@
 import random
 
 from magpieshift.membership.dissemination import Dissemination, Outbox
-from magpieshift.membership.member_table import DIGEST_BUCKETS, SuspicionReport, Member, MemberTable, MemberState, ring_position
+from magpieshift.membership.member_table import (
+    DIGEST_BUCKETS,
+    Member,
+    MemberState,
+    MemberTable,
+    SuspicionReport,
+    ring_position,
+)
 from magpieshift.membership.messages import Sync
 
 SYNC_INTERVAL_US = 500_000  # between two that go to the same member
--- a/magpieshift/membership/unknown_peers.py
+++ b/magpieshift/membership/unknown_peers.py
@@ -31,7 +31,11 @@
         if not isinstance(body, Ack):
             return False
         opened = self._pings.get(body.ping_id)
-        if opened is None or opened.unknown_peer is None or opened.unknown_peer.generation != sender.generation:
+        if (
+            opened is None
+            or opened.unknown_peer is None
+            or opened.unknown_peer.generation != sender.generation
+        ):
             return False
         self._ping_ids.pop(sender.name, None)
         return True
--- a/magpieshift/membership/update_queue.py
+++ b/magpieshift/membership/update_queue.py
@@ -4,7 +4,7 @@
 
 from itertools import islice
 
-from magpieshift.membership.member_table import SuspicionReport, Member
+from magpieshift.membership.member_table import Member, SuspicionReport
 
 MAX_QUEUED_UPDATES = 4096
 
@@ -18,7 +18,9 @@
 
     def __init__(self, most: int = MAX_QUEUED_UPDATES) -> None:
         self._max_size = most
-        self._levels: list[dict[UpdateKey, Member | SuspicionReport]] = []  # by how often each is still to be told
+        self._levels: list[
+            dict[UpdateKey, Member | SuspicionReport]
+        ] = []  # by how often each is still to be told
         self._remaining: dict[UpdateKey, int] = {}
 
     def __len__(self) -> int:
--- a/tests/membership/test_explored.py
+++ b/tests/membership/test_explored.py
@@ -18,7 +18,7 @@
 from magpieshift.membership import quota_lease as machine
 from magpieshift.membership.driver import MembershipDriver
 from magpieshift.membership.failure_detector import FailureDetector
-from magpieshift.membership.member_table import Member, MemberTable, MemberState
+from magpieshift.membership.member_table import Member, MemberState, MemberTable
 from magpieshift.membership.messages import Address, LeaseMessage, LeaseMessageKind
 from magpieshift.membership.quota_lease import FLEET_SCOPE, LEASE_US, QuotaLease
 
@@ -45,7 +45,9 @@
 
     def start(self, name: str) -> None:
         own = Member(name, *at(name), 1, self.boots[name])
-        self.shares[name] = QuotaLease(own, NAMES, {FLEET_SCOPE: 3}, 0.4, self.now, random.Random(self.boots[name]))
+        self.shares[name] = QuotaLease(
+            own, NAMES, {FLEET_SCOPE: 3}, 0.4, self.now, random.Random(self.boots[name])
+        )
         view = MemberTable(own, self.now)
         for other in NAMES:
             if other != name:
@@ -158,8 +160,10 @@
 
 
 def unread(self: QuotaLease, scope: str, now_us: int) -> float:
-    """``QuotaLease.share`` without the time."""
-    return self.solo_quota / self.router_counts[scope] + (1.0 - self.solo_quota) * self._lease.quotas.get(scope, 0.0)
+    """``QuotaLease.quota`` without the time."""
+    return self.solo_quota / self.router_counts[scope] + (1.0 - self.solo_quota) * self._lease.quotas.get(
+        scope, 0.0
+    )
 
 
 class Views(unittest.TestCase):
@@ -232,9 +236,11 @@
         holder = QuotaLease(own, ("b",), {FLEET_SCOPE: 3}, 0.4, 0, random.Random(1))
         want = holder.tick(2_000_000, detector.view)[0][1]
         driver = MembershipDriver(detector, holder, lambda: 2_100_000)
-        driver.refresh_quota = lambda: done.append(f"uses {holder.quota(ALL, 2_100_000):.3f}")
+        driver.refresh_quota = lambda: done.append(f"uses {holder.quota(FLEET_SCOPE, 2_100_000):.3f}")
         detector.send = lambda to, body: done.append(repr(body))  # type: ignore[method-assign]
-        detector.on_lease_message(LeaseMessage(1, LeaseMessageKind.GRANT, want.request_id, ((FLEET_SCOPE, 0.25),)), other, at("b"))
+        detector.on_lease_message(
+            LeaseMessage(1, LeaseMessageKind.GRANT, want.request_id, ((FLEET_SCOPE, 0.25),)), other, at("b")
+        )
         said = repr(LeaseMessage(0, LeaseMessageKind.GRANT_ACCEPTED, want.request_id, ((FLEET_SCOPE, 0.25),)))
         self.assertEqual(done, ["uses 0.133", "uses 0.283", said])
 
@@ -242,7 +248,7 @@
         """The check can fail: each of these was left out once on purpose."""
         for what, broken in (
             ("a new allocator grants at once", {"_longest": staticmethod(lambda us=LEASE_US: 0)}),
-            ("a holder reads no clock", {"share": unread}),
+            ("a holder reads no clock", {"quota": unread}),
         ):
             with self.subTest(what):
                 kept = {name: machine.QuotaLease.__dict__[name] for name in broken}
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -13,9 +13,17 @@
 from magpieshift.lab.experiments import members as lab
 from magpieshift.lab.experiments.members import SECOND, Form, Network, grown
 from magpieshift.membership import codec
-from magpieshift.membership.failure_detector import MAX_UNKNOWN_PEERS, FailureDetector, DetectorTuning
-from magpieshift.membership.member_table import MAX_MEMBERS, SuspicionReport, Member, MemberTable, MemberState
-from magpieshift.membership.messages import Ack, PingRequest, LeaseMessage, Datagram, LeaseMessageKind, Ping, Sync
+from magpieshift.membership.failure_detector import MAX_UNKNOWN_PEERS, DetectorTuning, FailureDetector
+from magpieshift.membership.member_table import MAX_MEMBERS, Member, MemberState, MemberTable, SuspicionReport
+from magpieshift.membership.messages import (
+    Ack,
+    Datagram,
+    LeaseMessage,
+    LeaseMessageKind,
+    Ping,
+    PingRequest,
+    Sync,
+)
 from magpieshift.membership.quota_lease import FLEET_SCOPE
 
 
@@ -51,12 +59,16 @@
             view.merge(member("b"), 0, "")
             for record in random.Random(seed).sample(records, len(records)):
                 view.merge(record, 1, "")
-            ends.add((view.digest, view.members["a"].member, view.members["b"].member, view.members["a"].state))
+            ends.add(
+                (view.digest, view.members["a"].member, view.members["b"].member, view.members["a"].state)
+            )
         self.assertEqual(len(ends), 1)
 
     def test_an_accusation_holds_until_a_later_beat_is_known(self) -> None:
         self.view.merge(member("a", heartbeat=4), 0, "")
-        self.assertFalse(self.view.add_suspicion(SuspicionReport("a", 5, 3, "b")), "a later beat is known already")
+        self.assertFalse(
+            self.view.add_suspicion(SuspicionReport("a", 5, 3, "b")), "a later beat is known already"
+        )
         self.assertFalse(self.view.add_suspicion(SuspicionReport("a", 4, 9, "b")), "of an earlier start")
         self.assertTrue(self.view.add_suspicion(SuspicionReport("a", 5, 4, "b")))
         self.assertEqual(self.view.under_suspicion, {"a"})
@@ -298,7 +310,9 @@
         network.run(network.now_us + 10 * SECOND)
         self.assertTrue(first.detector.superseded)
         self.assertEqual(first.detector.counters.conflicts, 0)
-        self.assertFalse(any(c.new_state in (MemberState.SUSPECT, MemberState.DEAD) for _, _, c in network.changes))
+        self.assertFalse(
+            any(c.new_state in (MemberState.SUSPECT, MemberState.DEAD) for _, _, c in network.changes)
+        )
 
     def test_a_successor_whose_clock_is_behind_takes_its_name_back(self) -> None:
         network = grown(Form(4), 1)
@@ -309,14 +323,18 @@
         network.now_us = held
         self.quiet(network)
         self.assertEqual(
-            network.processes["r0"].detector.view.members["r2"].member.boot_id, process.detector.view.own.boot_id
+            network.processes["r0"].detector.view.members["r2"].member.boot_id,
+            process.detector.view.own.boot_id,
         )
 
     def test_without_health_one_that_sleeps_removes_others(self) -> None:
         """The check can fail: the ablation shows it does."""
         found = 0
         for seed in range(4):
-            network = grown(Form(8, tuning=DetectorTuning(suspicion_quorum=1, monitored_peers=7, local_health=False)), seed)
+            network = grown(
+                Form(8, tuning=DetectorTuning(suspicion_quorum=1, monitored_peers=7, local_health=False)),
+                seed,
+            )
             network.pause("r1", 12 * SECOND)
             network.run(network.now_us + 14 * SECOND)
             network.pause("r1", 12 * SECOND)
@@ -348,7 +366,10 @@
         network.start("r5")
         network.run(network.now_us + 40 * SECOND)
         self.assertTrue(
-            all(abs(p.shares.quota(FLEET_SCOPE, p.clock(network.now_us)) - 1 / 6) < 1e-6 for p in network.living())
+            all(
+                abs(p.shares.quota(FLEET_SCOPE, p.clock(network.now_us)) - 1 / 6) < 1e-6
+                for p in network.living()
+            )
         )
         self.assertEqual(network.over_whole, 0)
 
@@ -395,7 +416,9 @@
             network.start(f"r{number}")
         network.run(network.now_us + 10 * SECOND)
         for process in network.living():
-            self.assertLessEqual(process.shares.quota(FLEET_SCOPE, process.clock(network.now_us)), 1 / 6 + 1e-9)
+            self.assertLessEqual(
+                process.shares.quota(FLEET_SCOPE, process.clock(network.now_us)), 1 / 6 + 1e-9
+            )
 
     def test_random_histories_never_share_more_than_the_whole(self) -> None:
         for seed in range(5):
@@ -527,7 +550,7 @@
         self.say(member("a"))
         self.say(member("a"), 3, Ack(next(iter(self.detector._pings))))
         said = tuple(SuspicionReport("a", 5, 99, f"liar{i}") for i in range(9))
-        self.say(member("a"), 4, None, accusations=said)
+        self.say(member("a"), 4, None, suspicions=said)
         for turn in range(200):
             self.now += 100_000
             self.say(member("a", heartbeat=turn), 10 + turn)
