--- a/magpieshift/app.py
+++ b/magpieshift/app.py
@@ -21,7 +21,7 @@
 from magpieshift.downstream.server import DownstreamServer
 from magpieshift.engine.engine import Engine
 from magpieshift.engine.model import ClientRequest, ListedEndpoint
-from magpieshift.engine.numbers import aligned
+from magpieshift.engine.name_numbers import align_numbers
 from magpieshift.lifecycle import LAST_CALL_US, Lifecycle, State
 from magpieshift.log import fields, setup
 from magpieshift.policy.events import EndpointListKind
@@ -284,7 +284,7 @@
     async def prepare(self, document: Document) -> Prepared:
         """Let all parts make ready for a document; ``PreparationFailed`` where one rejects it. What comes
         back is for ``commit``, before any other document is prepared."""
-        return await prepare(self.parts, self.document, aligned(self.document, document))
+        return await prepare(self.parts, self.document, align_numbers(self.document, document))
 
     def commit(self, prepared: Prepared, version: int) -> None:
         """Put a document in force, in one turn of the event loop, letting go of nothing that is open."""
--- a/magpieshift/engine/__init__.py
+++ b/magpieshift/engine/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions at work: request table, attempts, timers. Knows no socket and no protocol."""
+"""The request engine: requests, attempts and timers around the policy. Knows no socket and no protocol."""
--- /dev/null
+++ b/magpieshift/engine/attempts.py
@@ -0,0 +1,180 @@
+"""Attempts in flight: started, timed, cancelled and settled."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from functools import partial
+
+from magpieshift.clock import Clock
+from magpieshift.engine.endpoint_table import EndpointTable
+from magpieshift.engine.guards import AttemptGuard
+from magpieshift.engine.interfaces import EngineHooks, Upstream
+from magpieshift.engine.model import AttemptResult, Response, UpstreamRequest, Verdict
+from magpieshift.engine.open_request import Attempt, FirstExecution, OpenRequest
+from magpieshift.engine.request_table import RequestTable
+from magpieshift.engine.settings_in_force import SettingsInForce
+from magpieshift.log import fields
+from magpieshift.policy.actions import SendCacheRequest
+from magpieshift.policy.events import AttemptEnded, Event
+from magpieshift.policy.outcomes import NEVER_RAN, Outcome
+from magpieshift.policy.settings import Idempotency, RequestClass
+
+log = logging.getLogger(__name__)
+
+
+def bounded_age_us(limit_us: int, decided_us: int, request_class: RequestClass) -> int:
+    """The oldest copy that will do, in microseconds; 0 for the class's own bound.
+
+    ``limit_us`` is the limit that holds for all reads now (0: none), ``decided_us`` the policy's (0: the
+    class's ``max_age_us``, if it has one). The smallest holds.
+    """
+    if not limit_us:
+        return decided_us
+    return min(limit_us, decided_us or request_class.max_age_us or limit_us)
+
+
+class Attempts:
+    """Owner of all attempts; no request has two in flight, unless it may be hedged."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        upstream: Upstream,
+        requests: RequestTable,
+        endpoints: EndpointTable,
+        in_force: SettingsInForce,
+        hooks: EngineHooks,
+        post_event: Callable[[Event], None],
+    ) -> None:
+        self._clock = clock
+        self._upstream = upstream
+        self._requests = requests
+        self._endpoints = endpoints
+        self._in_force = in_force
+        self._hooks = hooks
+        self._post_event = post_event
+        self._guard = AttemptGuard(clock, in_force, endpoints)
+
+    def start(self, send: SendCacheRequest) -> None:
+        """Start an attempt, or settle it at once where it may not be sent."""
+        request = self._requests.by_number.get(send.request_id)
+        now_us = self._clock.now_us()
+        if request is None:
+            log.error("attempt blocked", extra=fields(number=send.request_id, reason="unknown request"))
+            return
+        request_id = request.request.request_id
+        if request.in_flight and not self._guard.may_hedge(request, send.endpoint):
+            log.error("attempt cancelled", extra=fields(request_id=request_id, reason="another was started"))
+            self.cancel_all(request)
+        attempt = Attempt(
+            request,
+            request.attempts_started,
+            send.endpoint,
+            send.source,
+            now_us,
+            self._endpoints.get(send.endpoint),
+        )
+        request.attempts_started += 1
+        request.in_flight.append(attempt)
+        time_left_us = request.deadline_us - now_us
+        timeout_us = min(send.timeout_us or time_left_us, time_left_us)
+        max_attempts = self._in_force.settings.max_attempts
+        if request.is_closed or timeout_us <= 0 or attempt.number >= max_attempts:
+            return self._settle(attempt, AttemptResult(Outcome.SUPERSEDED))
+        if (outcome := self._guard.check(attempt)) is not None:
+            log.error("attempt blocked", extra=fields(request_id=request_id, reason=outcome.name.lower()))
+            return self._settle(attempt, AttemptResult(outcome))
+        attempt.timer = self._clock.after(timeout_us, lambda: self._cancel(attempt, Outcome.TIMEOUT))
+        order = self._upstream_request(attempt, send, now_us + timeout_us)
+        attempt.exchange = self._upstream.start(order, lambda result: self._settle(attempt, result))
+        return None
+
+    def cancel(self, request_number: int, attempt_number: int) -> None:
+        """Cancel one attempt of a request, if it is in flight."""
+        request = self._requests.by_number.get(request_number)
+        for attempt in list(request.in_flight) if request is not None else ():
+            if attempt.number == attempt_number:
+                self._cancel(attempt, Outcome.CANCELLED)
+
+    def cancel_all(self, request: OpenRequest) -> None:
+        """Cancel all attempts of a request."""
+        for attempt in list(request.in_flight):
+            self._cancel(attempt, Outcome.CANCELLED)
+
+    def _upstream_request(
+        self, attempt: Attempt, send: SendCacheRequest, deadline_us: int
+    ) -> UpstreamRequest:
+        request_class = attempt.request.request_class
+        endpoint = self._endpoints.by_number[send.endpoint]
+        source = self._endpoints.by_number[send.source] if send.source != send.endpoint else None
+        is_parent = endpoint.endpoint.kind == self._in_force.settings.parent_kind
+        max_age_us = send.max_age_us
+        current_max_age = None
+        if self._hooks.copy_age_limit is not None and not request_class.is_write:
+            max_age_us = self._max_age_us(request_class, max_age_us)
+            current_max_age = partial(self._max_age_us, request_class, max_age_us)
+        return UpstreamRequest(
+            request=attempt.request.request,
+            endpoint=endpoint,
+            source=source,
+            retention_rank=0 if is_parent else send.retention_rank,  # parents know no ranks
+            max_age_us=max_age_us,
+            flags=send.flags,
+            deadline_us=deadline_us,
+            must_not_repeat=request_class.idempotency != Idempotency.IDEMPOTENT,
+            check_blocked=partial(self._guard.check_before_write, attempt),
+            current_max_age=current_max_age,
+        )
+
+    def _max_age_us(self, request_class: RequestClass, decided_us: int) -> int:
+        limit = self._hooks.copy_age_limit
+        return bounded_age_us(limit() if limit is not None else 0, decided_us, request_class)
+
+    def _cancel(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Cancel an attempt, if it is in flight, with ``CANCELLED`` or ``TIMEOUT`` as its outcome."""
+        if attempt not in attempt.request.in_flight:
+            return
+        reached = attempt.exchange.cancel() if attempt.exchange is not None else False
+        if outcome == Outcome.TIMEOUT and not reached:
+            outcome = Outcome.CONNECT_FAILED  # its connection never came up, so it never ran
+        self._settle(attempt, AttemptResult(outcome))
+
+    def _settle(self, attempt: Attempt, result: AttemptResult) -> None:
+        """End an attempt. The one place: its slot, its timer and its exchange are released here."""
+        request = attempt.request
+        if attempt not in request.in_flight:
+            return  # a late answer
+        request.in_flight.remove(attempt)
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        attempt.exchange = None
+        attempt.timer = None
+        self._count(attempt, result.outcome)
+        may_have_run = result.outcome not in NEVER_RAN
+        if may_have_run and request.first_execution is None and attempt.endpoint is not None:
+            request.first_execution = FirstExecution(attempt.started_us, attempt.endpoint)
+        if result.outcome == Outcome.OK and not request.is_closed:
+            self._requests.close(request, Response(Verdict.SERVED, result.body, result.not_modified))
+        self._post_event(
+            AttemptEnded(
+                request.number,
+                result.outcome,
+                self._clock.now_us() - attempt.started_us,
+                result.fill_wait_us,
+                request.is_closed,
+                result.cache_status,
+                attempt.endpoint_number,
+                attempt.number,
+                result.load,
+            )
+        )
+
+    def _count(self, attempt: Attempt, outcome: Outcome) -> None:
+        if self._hooks.request_observer is None:
+            return
+        involved = (self._endpoints.get(attempt.endpoint_number), self._endpoints.get(attempt.source_number))
+        origin_kind = self._in_force.settings.origin_kind
+        origin = any(listed is not None and listed.endpoint.kind == origin_kind for listed in involved)
+        filled = attempt.source_number != attempt.endpoint_number
+        self._hooks.request_observer.attempt_ended(outcome, filled, origin)
--- a/magpieshift/extensions/overload_gossip.py
+++ b/magpieshift/extensions/overload_gossip.py
@@ -131,7 +131,9 @@
     def _hands_over(self, call: ClientRequest) -> bool:
         engine = self._router.engine
         number = engine.object_number(call.object_key)
-        return self._talker.offloading.hands_over(number, call.is_repeat, engine.writes(call.class_index))
+        return self._talker.offloading.hands_over(
+            number, call.is_repeat, engine.is_write_class(call.class_index)
+        )
 
     def _line(self) -> str:
         """What is said and done, as one line of JSON."""
--- a/magpieshift/lab/scale/hollow.py
+++ b/magpieshift/lab/scale/hollow.py
@@ -22,9 +22,10 @@
 from magpieshift.control.version_manager import VersionManager, now_us
 from magpieshift.discovery.changes import ChangeLog, ChangeSource
 from magpieshift.discovery.client import ChangeLogClient
-from magpieshift.engine.engine import Engine, UpstreamExchange
+from magpieshift.engine.engine import Engine
+from magpieshift.engine.interfaces import UpstreamExchange
 from magpieshift.engine.model import AttemptResult, ListedEndpoint, UpstreamRequest
-from magpieshift.engine.numbers import aligned
+from magpieshift.engine.name_numbers import align_numbers
 from magpieshift.lifecycle import Lifecycle
 from magpieshift.policy.actions import Action
 from magpieshift.policy.events import EndpointListKind, Event, PurgeReceived
@@ -156,7 +157,7 @@
         return {part.part: dict(part.running()) for part in self.parts}
 
     async def prepare(self, document: Document) -> Prepared:
-        return await prepare(self.parts, self.document, aligned(self.document, document))
+        return await prepare(self.parts, self.document, align_numbers(self.document, document))
 
     def commit(self, prepared: Prepared, version: int) -> None:
         self.document = prepared.document
--- a/tests/control/test_transaction.py
+++ b/tests/control/test_transaction.py
@@ -14,9 +14,9 @@
 from magpieshift import Document, parse
 from magpieshift.app import expected
 from magpieshift.config_transaction import Commit, PreparationFailed, SettingsRejected, prepare
-from magpieshift.engine import classes
+from magpieshift.engine.class_numbers import initial_class_numbers, renumber_classes
 from magpieshift.engine.model import AttemptResult, Verdict
-from magpieshift.engine.numbers import aligned, keep
+from magpieshift.engine.name_numbers import align_numbers, renumber
 from magpieshift.policy.events import EndpointListKind, EndpointState
 from magpieshift.policy.outcomes import Outcome
 from magpieshift.policy.settings import Idempotency
@@ -95,19 +95,19 @@
                 strict=True,
             )
         )
-        now = classes.first(["a"], [figures["a"]])
+        now = initial_class_numbers(["a"], [figures["a"]])
         open_: dict[int, str] = {0: "a"}
         for names, ends in steps:
             open_ = {number: name for number, name in open_.items() if not ends >> number & 1}
             order = sorted(names)
-            now = classes.plan(now, order, [figures[name] for name in order], open_.keys())
+            now = renumber_classes(now, order, [figures[name] for name in order], open_.keys())
             for number, name in open_.items():
-                self.assertEqual(now.figures[number], figures[name])
-            self.assertEqual(set(now.numbers), names)
-            self.assertEqual(len(set(now.numbers.values())), len(names))
-            self.assertLessEqual(len(now.figures), 6 + len(open_))
-            for name, number in now.numbers.items():
-                self.assertEqual(now.figures[number], figures[name])
+                self.assertEqual(now.classes[number], figures[name])
+            self.assertEqual(set(now.by_name), names)
+            self.assertEqual(len(set(now.by_name.values())), len(names))
+            self.assertLessEqual(len(now.classes), 6 + len(open_))
+            for name, number in now.by_name.items():
+                self.assertEqual(now.classes[number], figures[name])
                 self.assertIn(open_.get(number, name), (name,))
                 open_[number] = name
 
@@ -120,7 +120,7 @@
     ) -> None:
         old = tuple(steps[0])
         for names in steps[1:]:
-            new = keep(old, names)
+            new = renumber(old, names)
             self.assertEqual({name for name in new if name}, set(names))
             self.assertEqual(len([name for name in new if name]), len(names))
             for number, name in enumerate(old):
@@ -136,9 +136,10 @@
     def setUp(self) -> None:
         super().setUp()
         self.document = DOCUMENT
-        self.engine._names = DOCUMENT.names
-        plan = classes.first(DOCUMENT.names.classes, DOCUMENT.settings.classes)
-        self.engine._plan, self.engine.classes = plan, dict(plan.numbers)
+        self.engine.in_force.names = DOCUMENT.names
+        numbering = initial_class_numbers(DOCUMENT.names.classes, DOCUMENT.settings.classes)
+        self.engine.in_force.numbering = numbering
+        self.engine.in_force.class_numbers = dict(numbering.by_name)
 
     def to(self, **changes: Any) -> Document:
         """A document with other classes (by name), or other settings."""
@@ -150,7 +151,7 @@
         return replace(self.document, names=names, settings=replace(self.document.settings, **changes))
 
     def apply(self, new: Document) -> None:
-        new = aligned(self.document, new)
+        new = align_numbers(self.document, new)
         self.engine.prepare(self.document, new)()
         self.document = new
         self.clock.run()
@@ -188,7 +189,7 @@
         self.clock.run(60 * SECOND)  # the basket's request has left the table
         self.apply(self.to(classes={"picture": picture, "film": picture, "song": picture}))
         self.assertEqual(self.engine.classes["song"], 1)
-        self.assertEqual(len(self.engine._router.service_times_us), 3)
+        self.assertEqual(len(self.engine.policy_calls.policy.service_times_us), 3)
 
     def test_zones_and_kinds_may_change_their_order(self) -> None:
         """Stores are listed by these numbers: the cache must still be the cache."""
@@ -211,9 +212,10 @@
         self.end(AttemptResult(Outcome.MISS))
         order = self.back.orders[-1][0]
         self.assertEqual(order.endpoint.name, "s-cache")
-        self.assertEqual(order.source, self.engine._members[self.members[1].endpoint.number])
+        self.assertEqual(order.source, self.engine.endpoints.by_number[self.members[1].endpoint.number])
         self.assertEqual(
-            {m.name: m.endpoint.zone for m in self.engine._members.values()}, {"s-cache": 1, "s-origin": 0}
+            {m.name: m.endpoint.zone for m in self.engine.endpoints.by_number.values()},
+            {"s-cache": 1, "s-origin": 0},
         )
 
     def test_a_zone_with_stores_cannot_go(self) -> None:
--- a/tests/membership/test_joined.py
+++ b/tests/membership/test_joined.py
@@ -59,27 +59,27 @@
 
 class Divisors(EngineCase):
     def test_the_module_divides_by_them_from_the_next_batch_on(self) -> None:
-        told = self.engine._told
+        told = self.engine.in_force.document_settings
         self.engine.set_router_counts(7, 3)
-        used = self.engine._router.settings
+        used = self.engine.policy_calls.policy.settings
         self.assertEqual((used.router_count, used.zone_router_counts[used.zone]), (7, 3))
         self.engine.set_sibling_processes(1)  # beside another process of this router each has half of that
-        used = self.engine._router.settings
+        used = self.engine.policy_calls.policy.settings
         self.assertEqual((used.router_count, used.zone_router_counts[used.zone]), (14, 6))
-        self.assertIs(self.engine._told, told, "the document's figures stay its own")
+        self.assertIs(self.engine.in_force.document_settings, told, "the document's figures stay its own")
 
     def test_the_lease_is_asked_before_the_module_hears_anything(self) -> None:
         """A process that has just woken must act on nothing that ran out while it slept."""
         seen: list[int] = []
         self.engine.set_router_counts(2, 2)
         self.engine.refresh_quota = lambda: self.engine.set_router_counts(9, 9)
-        handle = self.engine._router.handle
+        handle = self.engine.policy_calls.policy.handle
 
         def watched(now_us: int, events: Any) -> Any:
-            seen.append(self.engine._router.settings.router_count)
+            seen.append(self.engine.policy_calls.policy.settings.router_count)
             return handle(now_us, events)
 
-        self.engine._router.handle = watched  # type: ignore[method-assign]
+        self.engine.policy_calls.policy.handle = watched  # type: ignore[method-assign]
         self.engine.submit(replace(CALL, request_id="00000000000000aa"), lambda answer: None)
         self.engine.flush()
         self.assertEqual(seen, [9])
@@ -92,7 +92,7 @@
             header = wire.Header(format=segments.FORMAT, policy_digest=policy.own().digest)
             recorder = Recorder(str(Path(folder) / "capture"), header, Limits())
             recorder.start()
-            del self.engine._router.handle  # the spy, which is no state
+            del self.engine.policy_calls.policy.handle  # the spy, which is no state
             self.engine.policy_observer = recorder
             for routers in (2, 9, 1, 40):
                 for _ in range(30):
--- a/tests/real/test_change_source.py
+++ b/tests/real/test_change_source.py
@@ -41,7 +41,7 @@
 
 def drain(router: EdgeRouter, ident: str) -> None:
     """Tell the router that a store drains."""
-    member = router.engine._members[endpoint_number(ident)]
+    member = router.engine.endpoints.by_number[endpoint_number(ident)]
     draining = replace(member, endpoint=replace(member.endpoint, state=EndpointState.DRAINING))
     router.list_changed(EndpointListKind.DELTA, 2, [draining])
 
--- a/tests/real/test_endings.py
+++ b/tests/real/test_endings.py
@@ -163,7 +163,7 @@
     async def test_nothing_is_written_for_who_goes_in_the_instant_before(self) -> None:
         """Read by a busy loop only behind the write, it was sent on all the same."""
         async with Within() as router:
-            module = router.router.engine._router
+            module = router.router.engine.policy_calls.policy
             decide = module.handle
             for ending in ("~", "^", "-", f"> {head(Type.ABANDON, 1).hex()}"):
                 await router.play(f"client+\nclient> {READY_ASKED}\nclient< {READY}")
@@ -212,7 +212,7 @@
         async with Within(**{"Classes.1.Effect": '"single_shot"'}) as router:
             await router.play(f"client+\nclient> {WRITE[1]}\norigin+\norigin< {ORIGIN_ASKED[1]}")
             await router.play(f"origin> {ORIGIN_DATA[1]}\nclient< {SERVED}")
-            module = router.router.engine._router
+            module = router.router.engine.policy_calls.policy
             decide = module.handle
 
             def close_first(now_us: int, events: Any) -> Any:
@@ -259,7 +259,7 @@
         event = r'''"id: %d\ndata: {\"seq\":%d,\"invalidate\":{\"bucket\":17,\"time\":1764576000480}}\n\n"'''
         chunk = " ".join(event % (seq, seq) for seq in purges)
         async with Within() as router:
-            module = router.router.engine._router
+            module = router.router.engine.policy_calls.policy
             decide = module.handle
 
             def count(now_us: int, events: Any) -> Any:
--- a/tests/real/test_engine.py
+++ b/tests/real/test_engine.py
@@ -89,13 +89,15 @@
     def setUp(self) -> None:
         ports = {"cache": "127.0.0.1:1", "origin": "127.0.0.1:2", "log": "127.0.0.1:3"}
         self.clock, self.back, self.answers = FakeClock(), FakeBack(), list[Response]()
-        self.engine = Engine(parse(config(ports)).document.settings, 7, self.clock, self.back, most_held=100)
+        self.engine = Engine(
+            parse(config(ports)).document.settings, 7, self.clock, self.back, max_body_bytes=100
+        )
         self.members = [self.member("s-cache", 0, 1, 1), self.member("s-origin", 2, 0, 2)]
         self.engine.list_changed(EndpointListKind.CACHED, 1, self.members)
         self.clock.run()
         self.events: list[Event] = []
-        self.module = self.engine._router.handle
-        self.engine._router.handle = self.spy  # type: ignore[method-assign, assignment]
+        self.module = self.engine.policy_calls.policy.handle
+        self.engine.policy_calls.policy.handle = self.spy  # type: ignore[method-assign, assignment]
         self.force: list[Action] | Exception | None = None
 
     def member(
@@ -116,7 +118,7 @@
 
     def ask(self, call: ClientRequest = CALL) -> int:
         """A request lands, under an id of its own."""
-        call = replace(call, request_id=f"{self.engine._last_op + 1:016x}")
+        call = replace(call, request_id=f"{self.engine.requests_taken + 1:016x}")
         op = self.engine.submit(call, self.answers.append)
         self.clock.run()
         return op
@@ -139,7 +141,7 @@
         self.assertEqual(self.ended(), [(0, Outcome.OK, True)])
 
     def test_what_comes_in_together_goes_to_the_module_as_one_batch(self) -> None:
-        with mock.patch.object(self.engine._router, "handle", side_effect=self.spy) as handle:
+        with mock.patch.object(self.engine.policy_calls.policy, "handle", side_effect=self.spy) as handle:
             for number in range(3):
                 self.engine.submit(replace(CALL, request_id=f"{number:016x}"), self.answers.append)
             self.clock.run()
@@ -177,7 +179,9 @@
         ):
             with self.subTest(allowed=allowed, cls=call.class_name, to=to):
                 self.setUp()
-                self.engine._run_on(replace(self.engine._settings, hedged_requests=allowed), frozenset())
+                self.engine.in_force.apply(
+                    replace(self.engine.in_force.settings, hedged_requests=allowed), frozenset()
+                )
                 op = self.ask(call)
                 self.force = [SendPlainRequest(op, to, SECOND)]
                 self.engine.purged("", 1, self.clock.now)
@@ -190,16 +194,18 @@
                 self.assertEqual([a.body for a in self.answers], [b"copy"])
                 self.assertEqual(self.back.quit, [first[0]])
                 self.assertEqual({end[:2] for end in self.ended()}, {(0, Outcome.CANCELLED), (1, Outcome.OK)})
-                self.assertEqual(self.engine._requests[op].out, [])
+                self.assertEqual(self.engine.requests.by_number[op].in_flight, [])
 
     def test_with_a_copy_out_the_deadline_ends_both(self) -> None:
-        self.engine._run_on(replace(self.engine._settings, hedged_requests=True), frozenset())
+        self.engine.in_force.apply(replace(self.engine.in_force.settings, hedged_requests=True), frozenset())
         op = self.ask()
         self.force = [SendPlainRequest(op, self.members[1].endpoint.number, 0)]
         self.engine.purged("", 1, self.clock.now)
         self.engine.flush()
         self.clock.run(4 * SECOND)
-        self.assertEqual(([a.verdict for a in self.answers], self.engine._requests), ([Verdict.REJECTED], {}))
+        self.assertEqual(
+            ([a.verdict for a in self.answers], self.engine.requests.by_number), ([Verdict.REJECTED], {})
+        )
         self.assertEqual(len(self.back.quit), 2)
 
     def test_the_client_leaves(self) -> None:
@@ -220,12 +226,12 @@
                 self.assertEqual([a.verdict for a in self.answers], [Verdict.REJECTED])
                 self.assertEqual(self.ended()[0][1], outcome)
                 self.clock.run(1)
-                self.assertEqual((self.engine._requests, self.engine.open_requests), ({}, 0))
+                self.assertEqual((self.engine.requests.by_number, self.engine.open_requests), ({}, 0))
 
     def test_the_id_of_an_open_request_is_not_taken_twice(self) -> None:
         """To the stores it was a second attempt of the open request (rude day, rule on second copies)."""
         self.ask()
-        with self.assertLogs("magpieshift.engine.engine", "WARNING"):
+        with self.assertLogs("magpieshift.engine.request_table", "WARNING"):
             self.engine.submit(self.back.orders[0][0].request, self.answers.append)
             self.clock.run()
         self.assertEqual((self.answers, len(self.back.orders)), ([Response(Verdict.FAILED)], 1))
@@ -244,7 +250,7 @@
         """A client that claims to wait for an hour had its entry and timer kept for as long."""
         self.ask(replace(CALL, time_left_us=3600 * SECOND))
         self.clock.run(60 * SECOND)
-        self.assertEqual((len(self.answers), self.engine._requests), (1, {}))
+        self.assertEqual((len(self.answers), self.engine.requests.by_number), (1, {}))
 
     def test_at_the_very_end_all_that_is_open_is_answered(self) -> None:
         self.ask()
@@ -255,7 +261,7 @@
     def test_a_module_that_raises_still_owes_nothing(self) -> None:
         """An error in the decisions once answered nobody until the deadline."""
         self.force = IndexError("no such store")
-        with self.assertLogs("magpieshift.engine.engine", "ERROR"):
+        with self.assertLogs("magpieshift.engine.policy_calls", "ERROR"):
             self.ask()
         self.assertEqual([a.verdict for a in self.answers], [Verdict.REJECTED])
         self.ask()
@@ -264,17 +270,17 @@
     def test_a_module_that_says_nothing_is_answered_for_at_the_deadline(self) -> None:
         self.force = []
         self.ask()
-        with self.assertLogs("magpieshift.engine.engine", "WARNING"):
+        with self.assertLogs("magpieshift.engine.request_table", "WARNING"):
             self.clock.run(4 * SECOND)
         self.assertEqual([a.verdict for a in self.answers], [Verdict.REJECTED])
 
     def test_a_refusal_that_could_repeat_an_effect_becomes_a_failure(self) -> None:
-        unsafe = replace(self.engine._settings.classes[1], idempotency=Idempotency.NOT_IDEMPOTENT)
-        classes = (self.engine._settings.classes[0], unsafe)
-        self.engine._settings = replace(self.engine._settings, classes=classes)
+        unsafe = replace(self.engine.in_force.settings.classes[1], idempotency=Idempotency.NOT_IDEMPOTENT)
+        classes = (self.engine.in_force.settings.classes[0], unsafe)
+        self.engine.in_force.settings = replace(self.engine.in_force.settings, classes=classes)
         op = self.ask(WRITE)
         self.force = [RejectRequest(op, 0)]
-        with self.assertLogs("magpieshift.engine.engine", "ERROR"):
+        with self.assertLogs("magpieshift.engine.actions", "ERROR"):
             self.end(AttemptResult(Outcome.ERROR))
         self.assertEqual(self.answers, [Response(Verdict.FAILED)])
 
@@ -313,8 +319,8 @@
             self.assertEqual(self.written(), wanted)
 
     def test_a_limit_does_not_take_the_place_of_a_smaller_bound_that_the_class_has(self) -> None:
-        fresh = replace(self.engine._settings.classes[0], max_age_us=3 * SECOND)
-        self.engine._settings = replace(self.engine._settings, classes=(fresh, fresh))
+        fresh = replace(self.engine.in_force.settings.classes[0], max_age_us=3 * SECOND)
+        self.engine.in_force.settings = replace(self.engine.in_force.settings, classes=(fresh, fresh))
         self.engine.copy_age_limit = mock.Mock(return_value=5 * SECOND)
         op = self.ask()
         self.force = [
@@ -364,11 +370,11 @@
         self.engine.list_changed(EndpointListKind.DELTA, 2, [drains])
         self.engine.purged("", 17, self.clock.now - SECOND)
         self.force = IndexError("no such store")
-        with self.assertLogs("magpieshift.engine.engine", "ERROR"):
+        with self.assertLogs("magpieshift.engine.policy_calls", "ERROR"):
             self.clock.run()
         self.ask()
         self.assertEqual([o.endpoint.name for o, _ in self.back.orders], ["s-origin"])
-        self.assertIn((0, 17), self.engine._router.purges)
+        self.assertIn((0, 17), self.engine.policy_calls.policy.purges)
 
     def test_nothing_is_sent_to_a_store_that_drains_even_if_the_module_says_so(self) -> None:
         op = self.ask()
@@ -377,7 +383,7 @@
         )
         self.clock.run()
         self.force = [SendPlainRequest(op, self.members[0].endpoint.number, SECOND)]
-        with self.assertLogs("magpieshift.engine.engine", "ERROR"):
+        with self.assertLogs("magpieshift.engine.attempts", "ERROR"):
             self.end(AttemptResult(Outcome.MISS))
         self.assertEqual(self.ended()[1], (1, Outcome.CONNECT_FAILED, False))
 
@@ -392,7 +398,7 @@
     def test_a_front_that_raises_does_not_hurt_the_back(self) -> None:
         self.engine.submit(CALL, mock.Mock(side_effect=OSError))
         self.clock.run()
-        with self.assertLogs("magpieshift.engine.engine", "ERROR"):
+        with self.assertLogs("magpieshift.engine.request_table", "ERROR"):
             self.end(AttemptResult(Outcome.OK))
         self.assertEqual((self.engine.open_requests, self.ended()), (0, [(0, Outcome.OK, True)]))
 
--- a/tests/real/test_operation.py
+++ b/tests/real/test_operation.py
@@ -269,7 +269,7 @@
         """A cold store would have been sent twice this router's part of what it bears."""
         document = parse(config(PORTS)).document
         self.engine.prepare(document, document)()
-        router, told = self.engine._router, self.engine.running()
+        router, told = self.engine.policy_calls.policy, self.engine.running()
         cold = replace(self.members[0].endpoint, started_us=self.clock.now - SECOND)
         self.engine.list_changed(EndpointListKind.DELTA, 2, [replace(self.members[0], endpoint=cold)])
         self.clock.run()
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -6,8 +6,9 @@
 import unittest
 from unittest import mock
 
-from magpieshift.engine.engine import Engine
+from magpieshift.engine.actions import PolicyActions
 from magpieshift.engine.model import AttemptResult, ClientRequest, ListedEndpoint, UpstreamRequest
+from magpieshift.engine.request_table import RequestTable
 from magpieshift.lab.experiments import overload
 from magpieshift.lab.simulated.fleet import SECOND, Fleet, Form
 from magpieshift.lab.simulated.stores import GONE, Account, Figures, Link, Store, Stores
@@ -114,7 +115,7 @@
         """The check can fail: a router that refuses without saying so."""
         fleet = Fleet(FORM)
         fleet.run(1)
-        with mock.patch.object(Engine, "_refuse"), mock.patch.object(Engine, "_overdue"):
+        with mock.patch.object(PolicyActions, "_reject"), mock.patch.object(RequestTable, "_expire"):
             fleet.fail("origin", GONE)
             fleet.run(6)
         self.assertTrue(fleet.seen.broken)
