--- a/magpieshift/engine/actions.py
+++ b/magpieshift/engine/actions.py
@@ -8,7 +8,7 @@
 from magpieshift.clock import Clock
 from magpieshift.engine.attempts import Attempts
 from magpieshift.engine.endpoint_table import EndpointTable
-from magpieshift.engine.guards import may_reject
+from magpieshift.engine.guards import is_rejection_permitted
 from magpieshift.engine.interfaces import Upstream
 from magpieshift.engine.model import AttemptResult, Response, Verdict
 from magpieshift.engine.request_table import RequestTable
@@ -96,7 +96,7 @@
         request = self._requests.open_request(action.request_id)
         if request is None:
             return
-        if may_reject(request):
+        if is_rejection_permitted(request):
             response = Response(Verdict.REJECTED, retry_after_us=action.retry_after_us)
         else:
             log.error(
--- a/magpieshift/engine/engine.py
+++ b/magpieshift/engine/engine.py
@@ -30,11 +30,11 @@
 DEFAULT_MAX_BODY_BYTES = 32 << 20
 """For embedders that state no limit of their own (the simulator, the laboratory). Chosen by trial: a smaller
 one rejects writes earlier, a larger one lets them use more memory."""
-MIN_DRAINING_RETRY_SHARE = 0.05
-MAX_DRAINING_RETRY_SHARE = 0.3
-"""Bounds of the Retry-After of a draining router, as shares of the settings' largest. Other routers can take
-the request, so it is short; it is drawn between them, or all rejected clients would be back at once. Chosen
-by trial: smaller shares bring clients back to a router that still drains, larger ones only add waiting."""
+MIN_DRAINING_RETRY_FRACTION = 0.05
+MAX_DRAINING_RETRY_FRACTION = 0.3
+"""Bounds of the Retry-After of a draining router, as fractions of the settings' largest. Other routers can
+take the request, so it is short; it is drawn between them, or all rejected clients would be back at once.
+Chosen by trial: smaller fractions bring clients back to a router that still drains, larger ones only add waiting."""
 
 
 class EndpointHealth(NamedTuple):
@@ -119,8 +119,8 @@
 
     def draining_response(self) -> Response:
         """The answer to a request that is not taken because the router drains."""
-        share = self._random.uniform(MIN_DRAINING_RETRY_SHARE, MAX_DRAINING_RETRY_SHARE)
-        retry_after_us = int(share * self.in_force.settings.max_retry_after_us)
+        fraction = self._random.uniform(MIN_DRAINING_RETRY_FRACTION, MAX_DRAINING_RETRY_FRACTION)
+        retry_after_us = int(fraction * self.in_force.settings.max_retry_after_us)
         return Response(Verdict.REJECTED, retry_after_us=retry_after_us)
 
     def answer_all(self) -> None:
@@ -208,12 +208,12 @@
         """The health of each endpoint that the policy may choose."""
         now_us = self.policy_calls.time_us()
 
-        def elapsed_us(since_us: int) -> int | None:
-            return None if since_us < 0 else max(0, now_us - since_us)
+        def since_us(event_us: int) -> int | None:
+            return None if event_us < 0 else max(0, now_us - event_us)
 
         for number, is_ejected, failed_us, good_us in endpoint_health(self.policy_calls.policy):
             if (listed := self.endpoints.get(number)) is not None:
-                yield EndpointHealth(listed, is_ejected, elapsed_us(failed_us), elapsed_us(good_us))
+                yield EndpointHealth(listed, is_ejected, since_us(failed_us), since_us(good_us))
 
     def apply_overrides(self, overrides: Sequence[HealthOverride]) -> None:
         """Have the policy eject or readmit endpoints by what other routers have seen."""
--- a/magpieshift/engine/guards.py
+++ b/magpieshift/engine/guards.py
@@ -12,18 +12,15 @@
 from magpieshift.engine.settings_in_force import SettingsInForce
 from magpieshift.policy.events import EndpointState
 from magpieshift.policy.outcomes import Outcome
-from magpieshift.policy.settings import DeduplicationScope, Idempotency
+from magpieshift.policy.rejection import may_reject
+from magpieshift.policy.retry import is_repeat_permitted, is_within_scope
+from magpieshift.policy.settings import Idempotency
 
 
-def may_reject(request: OpenRequest) -> bool:
+def is_rejection_permitted(request: OpenRequest) -> bool:
     """Whether a rejection is true, which promises that trying again does no harm."""
-    request_class = request.request_class
-    dropped_by_all = (
-        request_class.idempotency == Idempotency.WITH_KEY
-        and request_class.deduplication_scope == DeduplicationScope.ALL
-    )
-    never_ran = request.first_execution is None and not request.in_flight
-    return request_class.idempotency == Idempotency.IDEMPOTENT or dropped_by_all or never_ran
+    may_have_run = request.first_execution is not None or bool(request.in_flight)
+    return may_reject(request.request_class, may_have_run)
 
 
 class AttemptGuard:
@@ -66,22 +63,16 @@
                 return Outcome.CONNECT_FAILED
         if request.is_closed or self._clock.now_us() >= request.deadline_us:
             return Outcome.SUPERSEDED
-        return None if self._may_run_at(request, attempt.endpoint_number) else Outcome.SUPERSEDED
+        return None if self._is_repeat_permitted(request, attempt.endpoint_number) else Outcome.SUPERSEDED
 
-    def _may_run_at(self, request: OpenRequest, endpoint_number: int) -> bool:
+    def _is_repeat_permitted(self, request: OpenRequest, endpoint_number: int) -> bool:
         """Whether the endpoint may get a request now that may have run already."""
-        request_class = request.request_class
-        if request.first_execution is None or request_class.idempotency == Idempotency.IDEMPOTENT:
+        if request.first_execution is None:
             return True
-        if request_class.idempotency != Idempotency.WITH_KEY:
-            return False
-        window_end_us = request.first_execution.started_us + request_class.deduplication_us
-        if self._clock.now_us() + self._in_force.settings.tick_us >= window_end_us:
-            return False
-        first = request.first_execution.endpoint.endpoint
-        again = self._endpoints.by_number[endpoint_number].endpoint
-        if request_class.deduplication_scope == DeduplicationScope.ZONE:
-            return first.zone == again.zone
-        if request_class.deduplication_scope == DeduplicationScope.CELL:
-            return first.cell == again.cell
-        return True
+        first_sent_us, first = request.first_execution
+        candidate = self._endpoints.by_number[endpoint_number]
+        tick_us = self._in_force.settings.tick_us
+        request_class = request.request_class
+        return is_repeat_permitted(
+            request_class, first_sent_us, self._clock.now_us(), tick_us
+        ) and is_within_scope(request_class, first.endpoint, candidate.endpoint)
--- a/magpieshift/engine/reconfiguration.py
+++ b/magpieshift/engine/reconfiguration.py
@@ -62,11 +62,13 @@
 
     def _check_names_in_use(self, old: Document, new: Document) -> None:
         listed = [entry.endpoint for entry in self._endpoints.by_number.values()]
-        self._check_kept("zone", {e.zone for e in listed}, old.names.zones, new.names.zones)
-        self._check_kept("kind", {e.kind for e in listed}, old.names.kinds, new.names.kinds)
+        self._check_still_named("zone", {e.zone for e in listed}, old.names.zones, new.names.zones)
+        self._check_still_named("kind", {e.kind for e in listed}, old.names.kinds, new.names.kinds)
 
     @staticmethod
-    def _check_kept(what: str, in_use: set[int], before: tuple[str, ...], after: tuple[str, ...]) -> None:
+    def _check_still_named(
+        what: str, in_use: set[int], before: tuple[str, ...], after: tuple[str, ...]
+    ) -> None:
         for number in sorted(in_use):
             if before[number] not in after:
                 raise SettingsRejected(f"{what} {before[number]} is left out, and stores are listed in it")
--- a/magpieshift/engine/request_table.py
+++ b/magpieshift/engine/request_table.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 from magpieshift.clock import Clock
-from magpieshift.engine.guards import may_reject
+from magpieshift.engine.guards import is_rejection_permitted
 from magpieshift.engine.interfaces import EngineHooks, Reply
 from magpieshift.engine.model import ClientRequest, Response, Verdict
 from magpieshift.engine.open_request import OpenRequest
@@ -20,7 +20,7 @@
 
 def fallback_response(request: OpenRequest) -> Response:
     """The final answer where the policy gives none: a rejection, or a failure where it may have run."""
-    return Response(Verdict.REJECTED if may_reject(request) else Verdict.FAILED, retry_after_us=0)
+    return Response(Verdict.REJECTED if is_rejection_permitted(request) else Verdict.FAILED, retry_after_us=0)
 
 
 class RequestTable:
