--- a/magpieshift/app.py
+++ b/magpieshift/app.py
@@ -26,7 +26,7 @@
 from magpieshift.log import fields, setup
 from magpieshift.policy.events import EndpointListKind
 from magpieshift.sockets import LINGER_S, listen_socket, steer_to_second
-from magpieshift.upstream.lines import MOST_BODY
+from magpieshift.upstream.codec import MAX_BODY_BYTES
 from magpieshift.upstream.pool import ConnectionPool
 
 if TYPE_CHECKING:
@@ -63,7 +63,7 @@
         # clients come to both from the same third; the rest is for stores, if there is memory for answers
         clients = limits.sockets // 3 + SLACK
         stores = (limits.sockets - clients - RESERVED) // processes
-        return cls(clients, min(stores, max(16, part // MOST_BODY)), part)
+        return cls(clients, min(stores, max(16, part // MAX_BODY_BYTES)), part)
 
 
 class _AtStart:
@@ -124,7 +124,7 @@
 
     def _apply(self) -> dict[str, int]:
         bounds = Bounds.of(self._limits, self._sharing)
-        self._pool.most_connections = bounds.stores
+        self._pool.max_connections = bounds.stores
         self._front.most_connections = bounds.clients
         self._engine.max_body_bytes = self._front.most_held = bounds.bytes_each
         return bounds._asdict()
@@ -133,7 +133,7 @@
         held = self._engine.max_body_bytes if self._engine.max_body_bytes == self._front.most_held else -1
         return {
             "clients": self._front.most_connections,
-            "stores": self._pool.most_connections,
+            "stores": self._pool.max_connections,
             "bytes_each": held,
         }
 
@@ -179,7 +179,7 @@
             document.settings.connect_timeout_us,
             document.idle_us,
             document.streams_per_connection,
-            most_connections=bounds.stores,
+            max_connections=bounds.stores,
         )
         self.engine = Engine(
             document.settings, config.seed, clock, self._pool, bounds.bytes_each, document.names
@@ -212,7 +212,7 @@
     def list_changed(self, kind: EndpointListKind, version: int, members: Sequence[ListedEndpoint]) -> None:
         """Stores have come, changed or gone; all but a ``DELTA`` is the whole list."""
         self.engine.list_changed(kind, version, members)
-        self._pool.list_changed(members, whole=kind != EndpointListKind.DELTA)
+        self._pool.list_changed(members, is_complete=kind != EndpointListKind.DELTA)
 
     def purged(self, key: str, group: int, made_us: int) -> None:
         """An object (16 hex digits), or with no key a group, was purged at this Unix microsecond."""
@@ -355,7 +355,7 @@
     async def _tidy(self) -> None:
         while True:
             await asyncio.sleep(EMPTYING_TIDY_S if self.lifecycle.emptying else TIDY_S)
-            self._pool.tidy()
+            self._pool.close_expired()
             self._front.tidy()
             self.look_round()
 
--- a/magpieshift/lab/emulators/emulator.py
+++ b/magpieshift/lab/emulators/emulator.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Collection, Mapping
 from dataclasses import dataclass
 
-from magpieshift.upstream import lines
+from magpieshift.upstream import codec
 
 Part = tuple[str, str]
 SLACK_S = 0.05  # the protocol page's allowance on sockets
@@ -192,7 +192,7 @@
             while line := await reader.readline():
                 words = line.decode().split()
                 if words[0] == "ASK":
-                    fields = lines.read_fields(words[2])
+                    fields = codec.read_fields(words[2])
                     size = int(words[3])
                     await (reader.readexactly(size + 2) if size else reader.readline())
                     task = asyncio.ensure_future(self._answer(words[1], fields, writer))
@@ -261,7 +261,7 @@
             else:
                 body = f"{fields['key']} {fields['part']} {minted} ".encode().ljust(900, b".")
                 head = f"{ident} data tag=t{minted % 1000},minted={minted},how={how} {len(body)}\r\n"
-                writer.write(head.encode() + body + lines.END)
+                writer.write(head.encode() + body + codec.LINE_END)
         finally:
             if out:
                 self._rules.ended(ident, self.ident)
--- a/magpieshift/lab/emulators/peers.py
+++ b/magpieshift/lab/emulators/peers.py
@@ -13,7 +13,7 @@
 
 from magpieshift.downstream import frames
 from magpieshift.downstream.frames import Code, Type
-from magpieshift.upstream import lines
+from magpieshift.upstream import codec
 
 BODY = b"x" * 600
 
@@ -72,10 +72,10 @@
             while line := await reader.readline():
                 words = line.decode().split()
                 if words[0] == "ASK":
-                    fields = lines.read_fields(words[2])
+                    fields = codec.read_fields(words[2])
                     size = int(words[3])
                     if size:
-                        await reader.readexactly(size + len(lines.END))
+                        await reader.readexactly(size + len(codec.LINE_END))
                     else:
                         await reader.readline()
                     open_[words[1]] = asyncio.ensure_future(self._answer(words[1], fields, writer, open_))
@@ -106,7 +106,7 @@
             self._held.add(part)
             minted = int(time.time() * 1000)
             head = f"{ident} data tag=t1,minted={minted} {len(self.body)}\r\n"
-            writer.write(head.encode() + self.body + lines.END)
+            writer.write(head.encode() + self.body + codec.LINE_END)
         open_.pop(ident, None)
 
 
--- a/magpieshift/upstream/__init__.py
+++ b/magpieshift/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The back: caches, parents and the origin, asked in lines of words."""
+"""Connections to upstream endpoints: caches, parent caches and the origin."""
--- /dev/null
+++ b/magpieshift/upstream/codec.py
@@ -0,0 +1,277 @@
+"""Codec of the upstream wire: request lines out, response lines and bodies in. No I/O.
+
+The wire's own words stand in this module only, each mapped once to the name that the rest of the router uses.
+"""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Iterator, Mapping, Sequence
+from dataclasses import dataclass, field
+from enum import StrEnum
+
+from magpieshift.engine.model import AttemptResult, UpstreamRequest
+from magpieshift.errors import MagpieshiftError
+from magpieshift.log import fields as log_fields
+from magpieshift.policy.actions import CacheRequestFlag
+from magpieshift.policy.outcomes import CacheStatus, Outcome
+
+log = logging.getLogger(__name__)
+
+LINE_END = b"\r\n"
+MAX_LINE_BYTES = 4096
+"""Longest response line; the protocol's longest is a few hundred bytes. Larger only costs memory."""
+MAX_BODY_BYTES = 1 << 18
+"""Largest response body; the protocol allows objects of 240,000 bytes."""
+MAX_LOGGED_CHARACTERS = 40
+"""How much of an unreadable text goes into a log line, so that a peer cannot fill the log."""
+MAX_NUMBER = 1e12
+"""Numbers of a response from here on are taken for garbage: a load report of that size is impossible."""
+
+
+class ResponseStatus(StrEnum):
+    """The word with which an endpoint answers; the values are the wire's."""
+
+    DATA = "data"
+    NOT_MODIFIED = "unchanged"
+    MISS = "absent"
+    OVERLOADED = "full"
+    ERROR = "failed"
+    SUPERSEDED = "moot"
+    HEALTHY = "well"
+    UNHEALTHY = "ill"
+
+
+STATUSES: Mapping[str, ResponseStatus] = {status.value: status for status in ResponseStatus}
+"""The statuses by their words."""
+
+REQUEST_OUTCOMES: Mapping[ResponseStatus, Outcome] = {
+    ResponseStatus.DATA: Outcome.OK,
+    ResponseStatus.NOT_MODIFIED: Outcome.OK,
+    ResponseStatus.MISS: Outcome.MISS,
+    ResponseStatus.OVERLOADED: Outcome.OVERLOADED,
+    ResponseStatus.ERROR: Outcome.ERROR,
+    ResponseStatus.SUPERSEDED: Outcome.SUPERSEDED,
+}
+"""The answers to a request that names the version which the client holds, and the outcome of each."""
+UNCONDITIONAL_REQUEST_OUTCOMES: Mapping[ResponseStatus, Outcome] = {
+    status: outcome for status, outcome in REQUEST_OUTCOMES.items() if status != ResponseStatus.NOT_MODIFIED
+}
+"""The same where the client holds no copy: "not modified" would leave it with nothing at all."""
+PROBE_OUTCOMES: Mapping[ResponseStatus, Outcome] = {
+    ResponseStatus.HEALTHY: Outcome.OK,
+    ResponseStatus.UNHEALTHY: Outcome.ERROR,
+}
+"""The answers to a health check."""
+
+CACHE_STATUSES: Mapping[str, CacheStatus] = {
+    "warm": CacheStatus.HIT,
+    "fill": CacheStatus.FILLED,
+    "deep_fill": CacheStatus.FILLED_BY_ORIGIN,
+    "piggy": CacheStatus.COALESCED,
+    "aged": CacheStatus.STALE,
+    "bounced": CacheStatus.SOURCE_REJECTED,
+    "dropped": CacheStatus.SOURCE_LOST,
+    "lacking": CacheStatus.SOURCE_MISS,
+    "jammed": CacheStatus.NO_CAPACITY,
+    "backfire": CacheStatus.ORIGIN_FAILED,
+}
+
+LOAD_REPORT_ALIASES: Mapping[str, str] = {
+    "load_share": "util",
+    "concurrent": "inflight",
+    "depth": "queue",
+    "mean_ms": "latency_ms",
+    "tps": "qps",
+    "err_ps": "eps",
+}
+"""By the settings' name of a load figure: the other name under which an endpoint may report it."""
+
+REQUEST_FLAGS = (
+    (CacheRequestFlag.COALESCE_FILL, "share"),
+    (CacheRequestFlag.SOURCE_CACHED_ONLY, "peek"),
+    (CacheRequestFlag.PARENT_DOES_NOT_STORE, "pass"),
+    (CacheRequestFlag.REVALIDATE, "swr"),
+)
+
+ALWAYS_WRITTEN = frozenset({"class", "key", "part", "wait"})
+"""The request fields that are written also where they are empty or zero."""
+
+
+class UpstreamProtocolError(MagpieshiftError):
+    """An endpoint sent bytes that are no response; its connection cannot go on."""
+
+
+@dataclass(slots=True)
+class UpstreamResponse:
+    """One response."""
+
+    request_id: str
+    """The id of the request, or of the probe, that it answers."""
+    status: ResponseStatus
+    fields: Mapping[str, str] = field(default_factory=dict)
+    """What it tells beside the status, under the wire's names."""
+    body: bytes | bytearray = b""
+
+    def result(self, outcome: Outcome, load_report_columns: Sequence[str]) -> AttemptResult:
+        """The response in the engine's terms; the load report's figures in the order of the columns."""
+        return AttemptResult(
+            outcome=outcome,
+            cache_status=CACHE_STATUSES.get(self.fields.get("how", ""), CacheStatus.NONE),
+            fill_wait_us=int(_read_number(self.fields.get("lag", "")) * 1000),
+            load=_read_load_report(self.fields.get("stats", ""), load_report_columns),
+            body=self.body,
+            not_modified=self.status == ResponseStatus.NOT_MODIFIED,
+        )
+
+
+def encode_request(request: UpstreamRequest, now_us: int) -> tuple[bytes, ...]:
+    """The bytes of a request, in the pieces in which they are written: the body is not copied."""
+    client_request = request.request
+    body = client_request.body
+    text = write_fields(request_fields(request, now_us))
+    head = f"ASK {client_request.request_id} {text} {len(body)}\r\n".encode()
+    return (head, body, LINE_END) if body else (head + LINE_END,)
+
+
+def encode_cancel(request_id: str) -> bytes:
+    """The line that cancels a request."""
+    return f"QUIT {request_id}\r\n".encode()
+
+
+def encode_probe(probe_id: str, with_load_report: bool) -> bytes:
+    """The line of a health check."""
+    return f"{'INFO' if with_load_report else 'NOOP'} {probe_id}\r\n".encode()
+
+
+def request_fields(request: UpstreamRequest, now_us: int) -> dict[str, str]:
+    """A request under the wire's field names; what is absent or zero is left out."""
+    client_request = request.request
+    max_age_us = request.max_age_now_us()
+    max_age_ms = (
+        -(-max_age_us // 1000) if max_age_us < 1000 else max_age_us // 1000
+    )  # never down to "no bound"
+    values: dict[str, str | int] = {
+        "class": client_request.class_name,
+        "key": client_request.object_key,
+        "part": client_request.part,
+        "wait": max(1, (request.deadline_us - now_us) // 1000),
+        "once": client_request.idempotency_key,
+        "via": request.source.name if request.source is not None else "",
+        "tier": request.retention_rank,
+        "fresh": max_age_ms,
+        "opts": "+".join(word for flag, word in REQUEST_FLAGS if request.flags & flag),
+        "known": client_request.known_version,
+    }
+    return {name: str(value) for name, value in values.items() if value or name in ALWAYS_WRITTEN}
+
+
+def write_fields(fields: Mapping[str, str]) -> str:
+    """Fields as they stand in a line; ``-`` for none."""
+    return ",".join(f"{name}={value}" for name, value in fields.items()) or "-"
+
+
+def read_fields(text: str) -> dict[str, str]:
+    """The inverse of ``write_fields``; ``UpstreamProtocolError`` where the text is no list of fields."""
+    if text == "-":
+        return {}
+    pairs = [item.partition("=") for item in text.split(",")]
+    if any(not name or not equals for name, equals, _ in pairs):
+        raise UpstreamProtocolError(f"found fields {text!r}"[:200] + ", expected name=value pairs")
+    return {name: value for name, _, value in pairs}
+
+
+def _read_load_report(text: str, columns: Sequence[str]) -> tuple[float, ...]:
+    """A load report in the order of the columns; empty if a column is missing."""
+    values = dict(item.partition(":")[::2] for item in text.split(";") if ":" in item)
+    found = [values.get(name) or values.get(LOAD_REPORT_ALIASES.get(name, "")) for name in columns]
+    return () if None in found else tuple(_read_number(value or "") for value in found)
+
+
+def _read_number(text: str) -> float:
+    """A number that is not negative; 0 for an empty text and for one that is no such number."""
+    try:
+        value = float(text) if text else 0.0
+    except ValueError:
+        log.warning("unreadable number", extra=log_fields(text=text[:MAX_LOGGED_CHARACTERS]))
+        return 0.0
+    return value if 0 <= value < MAX_NUMBER else 0.0
+
+
+class ResponseParser:
+    """Bytes in, responses out, however the bytes are cut. A body is gathered in one buffer of its full
+    size."""
+
+    def __init__(self) -> None:
+        self._line = bytearray()
+        """The line that has begun and not ended."""
+        self._head: UpstreamResponse | None = None
+        """The response whose body is being read."""
+        self._body = bytearray()
+        """That body and its line end, at full size."""
+        self._body_size = 0
+        """How many bytes of it have arrived."""
+
+    @property
+    def partial_request_id(self) -> str:
+        """The id of the response whose body has begun and not ended; empty for none."""
+        return self._head.request_id if self._head is not None else ""
+
+    def feed(self, data: bytes) -> Iterator[UpstreamResponse]:
+        """The responses that these bytes complete; ``UpstreamProtocolError`` where they are none."""
+        view = memoryview(data)
+        position = 0
+        while position < len(data):
+            if self._head is None:
+                line_stop = data.find(b"\n", position)
+                line_stop = len(data) if line_stop < 0 else line_stop + 1
+                self._line += view[position:line_stop]
+                position = line_stop
+                if len(self._line) > MAX_LINE_BYTES:
+                    raise UpstreamProtocolError(f"found a line of more than {MAX_LINE_BYTES} bytes")
+                if self._line.endswith(b"\n") and (response := self._take_line()) is not None:
+                    yield response
+            else:
+                size = min(len(self._body) - self._body_size, len(data) - position)
+                self._body[self._body_size : self._body_size + size] = view[position : position + size]
+                self._body_size += size
+                position += size
+                if self._body_size == len(self._body):
+                    yield self._take_body()
+
+    def _take_line(self) -> UpstreamResponse | None:
+        """The response that the line at hand is; None where its body follows."""
+        raw = bytes(self._line)
+        self._line = bytearray()
+        if not raw.endswith(LINE_END):
+            raise UpstreamProtocolError("line does not end in CR LF")
+        try:
+            words = raw[: -len(LINE_END)].decode("ascii").split(" ")
+        except UnicodeDecodeError as err:
+            raise UpstreamProtocolError(f"line is not text: {err}") from err
+        if not 2 <= len(words) <= 4 or words[1] not in STATUSES:
+            raise UpstreamProtocolError(f"found line {raw[:80]!r}, expected an id, a status and fields")
+        fields = read_fields(words[2]) if len(words) > 2 else {}
+        response = UpstreamResponse(words[0], STATUSES[words[1]], fields)
+        if len(words) < 4:
+            if response.status == ResponseStatus.DATA:  # without its length it would be an empty copy
+                raise UpstreamProtocolError(f"found line {raw[:80]!r}, expected a length")
+            return response
+        if not words[3].isdecimal() or int(words[3]) > MAX_BODY_BYTES:
+            raise UpstreamProtocolError(f"found length {words[3][:20]!r}, expected 0 to {MAX_BODY_BYTES}")
+        self._head = response
+        self._body = bytearray(int(words[3]) + len(LINE_END))
+        self._body_size = 0
+        return None
+
+    def _take_body(self) -> UpstreamResponse:
+        """The response whose body is complete."""
+        head = self._head
+        body = self._body
+        assert head is not None
+        self._head = None
+        self._body = bytearray()
+        if not body.endswith(LINE_END):
+            raise UpstreamProtocolError("body does not end in CR LF")
+        del body[-len(LINE_END) :]
+        return UpstreamResponse(head.request_id, head.status, head.fields, body)
--- a/tests/real/test_endings.py
+++ b/tests/real/test_endings.py
@@ -235,8 +235,8 @@
         async with Within() as router:
             await router.play(f"client+\nclient> {ASK[1]}\ncache+\ncache< {CACHE_ASKED}")
             await router.play(f'cache> "0000000000000001 data {FIELDS} 9\\r\\nco"')
-            (pool,) = (p for p in router.router._pool._stores.values() if p.connections)
-            await router.until(lambda: pool.connections[0].link.stuck_with("0000000000000001"))
+            (pool,) = (p for p in router.router._pool._pools.values() if p.connections)
+            await router.until(lambda: pool.connections[0].exchanges.is_receiving("0000000000000001"))
             await router.play(f'client> {head(Type.ABANDON, 1).hex()}\ncache< "QUIT 0000000000000001\\r\\n"')
             await router.play(f"client> {ASK[2]}\ncache2+")
             await router.play('cache2< "ASK 0000000000000002 class=picture," /[^\\r]*\\r\\n\\r\\n/')
--- a/tests/real/test_engine.py
+++ b/tests/real/test_engine.py
@@ -30,7 +30,7 @@
 )
 from magpieshift.policy.outcomes import Outcome
 from magpieshift.policy.settings import Idempotency
-from magpieshift.upstream.link import order_fields
+from magpieshift.upstream.codec import request_fields
 from tests.real.exchange import config
 
 SECOND = 1_000_000
@@ -290,7 +290,7 @@
 
     def written(self) -> str:
         """The bound on the copy's age that the newest order would be written with now; empty for none."""
-        return order_fields(self.back.orders[-1][0], self.clock.now).get("fresh", "")
+        return request_fields(self.back.orders[-1][0], self.clock.now).get("fresh", "")
 
     def test_a_limit_on_the_age_of_copies_holds_at_the_decision_and_at_the_write(self) -> None:
         limit = mock.Mock(return_value=0)
@@ -326,16 +326,16 @@
     def test_a_client_has_its_own_copy_confirmed_by_a_bounded_one_only(self) -> None:
         self.engine.copy_age_limit = mock.Mock(return_value=5 * SECOND)
         self.ask(replace(CALL, known_version="4be0c1927d55a6f3"))
-        fields = order_fields(self.back.orders[0][0], self.clock.now)
+        fields = request_fields(self.back.orders[0][0], self.clock.now)
         self.assertEqual((fields["known"], fields["fresh"]), ("4be0c1927d55a6f3", "5000"))
 
     def test_writes_and_routers_without_a_limit_are_as_they_were(self) -> None:
         self.ask()
         self.assertIsNone(self.back.orders[0][0].current_max_age)
-        before = order_fields(self.back.orders[0][0], self.clock.now)
+        before = request_fields(self.back.orders[0][0], self.clock.now)
         self.engine.copy_age_limit = mock.Mock(return_value=0)
         self.ask()
-        self.assertEqual(order_fields(self.back.orders[1][0], self.clock.now), before)
+        self.assertEqual(request_fields(self.back.orders[1][0], self.clock.now), before)
         self.engine.copy_age_limit = mock.Mock(return_value=SECOND)
         self.ask(WRITE)
         self.assertEqual(self.back.orders[2][0].request.class_index, WRITE.class_index)
--- a/tests/real/test_operation.py
+++ b/tests/real/test_operation.py
@@ -27,7 +27,7 @@
 from tests.real import test_front
 from tests.real.exchange import ROOT, changed, config
 from tests.real.test_engine import SECOND, EngineCase
-from tests.real.test_parts import PORTS
+from tests.test_config import PORTS
 
 
 class Lifecycles(unittest.TestCase):
