--- a/magpieshift/app.py
+++ b/magpieshift/app.py
@@ -125,14 +125,16 @@
     def _apply(self) -> dict[str, int]:
         bounds = Bounds.of(self._limits, self._sharing)
         self._pool.max_connections = bounds.stores
-        self._front.most_connections = bounds.clients
-        self._engine.max_body_bytes = self._front.most_held = bounds.bytes_each
+        self._front.max_connections = bounds.clients
+        self._engine.max_body_bytes = self._front.max_held_bytes = bounds.bytes_each
         return bounds._asdict()
 
     def running(self) -> dict[str, object]:
-        held = self._engine.max_body_bytes if self._engine.max_body_bytes == self._front.most_held else -1
+        held = (
+            self._engine.max_body_bytes if self._engine.max_body_bytes == self._front.max_held_bytes else -1
+        )
         return {
-            "clients": self._front.most_connections,
+            "clients": self._front.max_connections,
             "stores": self._pool.max_connections,
             "bytes_each": held,
         }
@@ -261,21 +263,21 @@
             log.info("ready", extra=fields(name=self.document.name, seq=self.changes.last, **pairs))
         if self.lifecycle.emptying:
             log.info("emptying", extra=fields(state=state.value, open=self.engine.open_requests))
-            self._front.announce_end()
+            self._front.send_go_away()
         if state == State.ENDING:
             self._stopping.set()
 
     def relieve(self, handed_over: Callable[[ClientRequest], bool] | None) -> None:
         """Have clients whose requests are a neighbour's to take turned away at once, by what this says."""
-        self._front.relieved = handed_over
+        self._front.should_offload = handed_over
 
     @property
     def pressed(self) -> float:
         """How much of what may be held for clients and of their connections is in use: the larger part."""
         front = self._front
         engine = self.engine
-        held = max(front.held, engine.held_body_bytes) / max(1, engine.max_body_bytes)
-        return max(held, front.connected / max(1, front.most_connections))
+        held = max(front.held_bytes, engine.held_body_bytes) / max(1, engine.max_body_bytes)
+        return max(held, front.connection_count / max(1, front.max_connections))
 
     def running(self) -> dict[str, dict[str, object]]:
         """The figures that each part runs on, read from the part itself."""
@@ -323,7 +325,7 @@
         await self._stopping.wait()
         log.info("draining", extra=fields(open=self.engine.open_requests))
         await asyncio.sleep(LAST_CALL_US / 1e6)
-        self._front.announce_end()
+        self._front.send_go_away()
         if self.lifecycle.replaced:
             self._front.stop_listening()
         await asyncio.sleep(DRAIN_S - LAST_CALL_US / 1e6)
@@ -331,12 +333,12 @@
         end = asyncio.get_running_loop().time() + min(waits_s, LONGEST_WAIT_S) + LAST_S - DRAIN_S
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(end):
-                while self.engine.open_requests or self._front.owing:
+                while self.engine.open_requests or self._front.has_unsent:
                     await asyncio.sleep(0.01)
         self.engine.answer_all()
         # what comes from here on is answered at once, and all that rests is closed
         left_s = end - asyncio.get_running_loop().time()
-        await self._front.end(min(max(left_s, 0.0) + CLOSE_S, LINGER_S))
+        await self._front.shut_down(min(max(left_s, 0.0) + CLOSE_S, LINGER_S))
         tidying.cancel()
         self.close()
         log.info("ended")
@@ -356,7 +358,7 @@
         while True:
             await asyncio.sleep(EMPTYING_TIDY_S if self.lifecycle.emptying else TIDY_S)
             self._pool.close_expired()
-            self._front.tidy()
+            self._front.close_expired()
             self.look_round()
 
     def look_round(self) -> None:
--- a/magpieshift/downstream/__init__.py
+++ b/magpieshift/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""The front: clients speak binary frames to it."""
+"""Connections of clients, who send requests in binary frames."""
--- a/magpieshift/downstream/frames.py
+++ b/magpieshift/downstream/frames.py
@@ -1,4 +1,4 @@
-"""Client frames: the codec and an incremental parser. Every number is unsigned and little-endian."""
+"""Client frames: the codec and an incremental parser. Every number is unsigned and little-endian. No I/O."""
 
 from __future__ import annotations
 
@@ -7,110 +7,120 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-# what a frame's length may be
-LEAST = 5
-MOST = 262_144
-HEAD = struct.Struct("<IBI")
-SIZE = struct.Struct("<I")
-VALUE = struct.Struct("<H")
+from magpieshift.downstream.errors import FrameError
 
+MIN_LENGTH_BYTES = 5
+"""Smallest value of a frame's length: its type and its stream id."""
+MAX_LENGTH_BYTES = 262_144
+"""Largest value of a frame's length, from the protocol page."""
+HEADER = struct.Struct("<IBI")
+"""Length of what follows the length itself, type, stream id."""
+LENGTH = struct.Struct("<I")
+VALUE_LENGTH = struct.Struct("<H")
+"""Length of a field's value."""
 
-class Type(IntEnum):
-    """Frame types."""
+
+class FrameType(IntEnum):
+    """Frame types; the numbers are the wire's."""
 
     REQUEST = 1
-    ANSWER = 2
-    ABANDON = 3
-    READY_ASKED = 4
-    READY = 5
-    NO_MORE = 6
+    RESPONSE = 2
+    CANCEL = 3
+    """The client no longer waits for the response."""
+    READINESS_REQUEST = 4
+    READINESS = 5
+    GO_AWAY = 6
+    """The router asks for no new request on this connection."""
 
 
-class Code(IntEnum):
-    """Codes of answers."""
+class ResponseCode(IntEnum):
+    """First byte of a response; the numbers are the wire's."""
 
     OK = 79
-    REFUSED = 66
+    REJECTED = 66
     FAILED = 69
 
 
-class FrameError(Exception):
-    """Bytes that are no frame; the connection cannot go on."""
-
-
 @dataclass(slots=True)
 class Frame:
-    """One frame; the payload is still bytes."""
+    """One frame."""
 
     type: int
-    stream: int
+    """A ``FrameType``, or a number that is none."""
+    stream_id: int
     payload: bytes
+    """Not parsed yet."""
 
 
 class FrameParser:
-    """Bytes in, frames out, however they are cut."""
+    """Bytes in, frames out, however the bytes are cut."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
+        """The frame that has begun and not ended."""
 
     @property
-    def pending(self) -> int:
-        """Bytes of a frame that is not whole yet."""
+    def partial_bytes(self) -> int:
+        """Bytes of a frame that is not complete yet."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[Frame]:
+        """The frames that these bytes complete; ``FrameError`` where they are none."""
         self._buffer += data
-        at = 0
+        start = 0
         try:
-            while len(self._buffer) - at >= SIZE.size:
-                (length,) = SIZE.unpack_from(self._buffer, at)
-                if not LEAST <= length <= MOST:  # judged before anything is stored for it
+            while len(self._buffer) - start >= LENGTH.size:
+                (length,) = LENGTH.unpack_from(self._buffer, start)
+                if not MIN_LENGTH_BYTES <= length <= MAX_LENGTH_BYTES:  # before anything is stored for it
                     raise FrameError(f"frame length {length}")
-                end = at + SIZE.size + length
-                if len(self._buffer) < end:
+                stop = start + LENGTH.size + length
+                if len(self._buffer) < stop:
                     return
-                _, kind, stream = HEAD.unpack_from(self._buffer, at)
+                _, frame_type, stream_id = HEADER.unpack_from(self._buffer, start)
                 with memoryview(self._buffer) as view:
-                    payload = bytes(view[at + HEAD.size : end])
-                at = end
-                yield Frame(kind, stream, payload)
+                    payload = bytes(view[start + HEADER.size : stop])
+                start = stop
+                yield Frame(frame_type, stream_id, payload)
         finally:
-            del self._buffer[:at]
+            del self._buffer[:start]
 
 
 def read_fields(payload: bytes) -> tuple[dict[str, str], int]:
-    """The fields at the start of a payload, and where the body begins."""
+    """The fields at the start of a payload, and the position at which the body begins."""
     fields: dict[str, str] = {}
     if not payload:
         raise FrameError("payload lacks its fields")
-    at = 1
+    position = 1
     try:
         for _ in range(payload[0]):
-            end = at + 1 + payload[at]
-            name = payload[at + 1 : end].decode()
-            (size,) = VALUE.unpack_from(payload, end)
-            at = end + VALUE.size + size
-            if at > len(payload) or name in fields:
+            name_stop = position + 1 + payload[position]
+            name = payload[position + 1 : name_stop].decode()
+            (size,) = VALUE_LENGTH.unpack_from(payload, name_stop)
+            position = name_stop + VALUE_LENGTH.size + size
+            if position > len(payload) or name in fields:
                 raise FrameError(f"field {name!r} is cut short or comes twice")
-            fields[name] = payload[at - size : at].decode()
+            fields[name] = payload[position - size : position].decode()
     except (IndexError, struct.error, UnicodeDecodeError) as err:
         raise FrameError(f"fields cannot be read: {err}") from err
-    return fields, at
+    return fields, position
 
 
 def write_fields(fields: Mapping[str, str]) -> bytes:
+    """The inverse of ``read_fields``."""
     parts = [bytes((len(fields),))]
     for name, value in fields.items():
-        raw = name.encode()
-        text = value.encode()
-        parts += (bytes((len(raw),)), raw, VALUE.pack(len(text)), text)
+        raw_name = name.encode()
+        raw_value = value.encode()
+        parts += (bytes((len(raw_name),)), raw_name, VALUE_LENGTH.pack(len(raw_value)), raw_value)
     return b"".join(parts)
 
 
-def head(kind: Type, stream: int, payload: bytes = b"", body_size: int = 0) -> bytes:
+def frame_head(frame_type: FrameType, stream_id: int, payload: bytes = b"", body_size: int = 0) -> bytes:
     """A frame up to its body, which follows as it is."""
-    return HEAD.pack(HEAD.size - SIZE.size + len(payload) + body_size, kind, stream) + payload
+    length = HEADER.size - LENGTH.size + len(payload) + body_size
+    return HEADER.pack(length, frame_type, stream_id) + payload
 
 
-def answer_head(stream: int, code: Code, fields: Mapping[str, str], body_size: int = 0) -> bytes:
-    return head(Type.ANSWER, stream, bytes((code,)) + write_fields(fields), body_size)
+def response_head(stream_id: int, code: ResponseCode, fields: Mapping[str, str], body_size: int = 0) -> bytes:
+    """A response up to its body, which follows as it is."""
+    return frame_head(FrameType.RESPONSE, stream_id, bytes((code,)) + write_fields(fields), body_size)
--- a/magpieshift/lab/emulators/load.py
+++ b/magpieshift/lab/emulators/load.py
@@ -15,7 +15,7 @@
 from hdrh.histogram import HdrHistogram
 
 from magpieshift.downstream import frames
-from magpieshift.downstream.frames import Code, Type
+from magpieshift.downstream.frames import FrameType, ResponseCode
 
 PATIENCE_MS = {"picture": 1500, "basket": 2000, "order": 2000}
 
@@ -77,7 +77,9 @@
         stream = self._streams
         done: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         pending = self._open[stream] = _Pending(time.monotonic(), done)
-        self._writer.write(frames.head(Type.REQUEST, stream, frames.write_fields(fields), len(body)) + body)
+        self._writer.write(
+            frames.frame_head(FrameType.REQUEST, stream, frames.write_fields(fields), len(body)) + body
+        )
         try:
             async with asyncio.timeout(patience_s + 1.0):
                 return await done
@@ -96,17 +98,17 @@
         with contextlib.suppress(ConnectionError):
             while data := await reader.read(65536):
                 for frame in parser.feed(data):
-                    if frame.type == Type.NO_MORE:
+                    if frame.type == FrameType.GO_AWAY:
                         self.leaving = True
                         self._part()
-                    elif frame.type == Type.ANSWER:
+                    elif frame.type == FrameType.RESPONSE:
                         self._answered(frame)
         self.close()
 
     def _answered(self, frame: frames.Frame) -> None:
-        pending = self._open.pop(frame.stream, None)
-        if pending is None and frame.stream in self._given_up:
-            self._given_up.discard(frame.stream)
+        pending = self._open.pop(frame.stream_id, None)
+        if pending is None and frame.stream_id in self._given_up:
+            self._given_up.discard(frame.stream_id)
         elif pending is None:
             self.doubles += 1
         elif not pending.done.done():
@@ -290,17 +292,17 @@
                     counts.lost += not excused
                     counts.cut += excused
                 else:
-                    counts.served += answer[0] == Code.OK
-                    counts.refused += answer[0] == Code.REFUSED
-                    counts.failed += answer[0] == Code.FAILED
-                    if answer[0] == Code.OK:
+                    counts.served += answer[0] == ResponseCode.OK
+                    counts.refused += answer[0] == ResponseCode.REJECTED
+                    counts.failed += answer[0] == ResponseCode.FAILED
+                    if answer[0] == ResponseCode.OK:
                         counts.latency_us.record_value(min(took, 59_000_000))
             if isinstance(answer, Missed):
                 return False
-            if answer[0] != Code.REFUSED:
-                if answer[0] == Code.OK and name == "picture":
+            if answer[0] != ResponseCode.REJECTED:
+                if answer[0] == ResponseCode.OK and name == "picture":
                     words = answer[2].split(b" ", 3)
                     self._served(key, int(words[2]), sent, ident)
-                return answer[0] == Code.OK
+                return answer[0] == ResponseCode.OK
             await asyncio.sleep(int(answer[1].get("w", "100")) / 1000)
         return False
--- a/magpieshift/lab/emulators/peers.py
+++ b/magpieshift/lab/emulators/peers.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from magpieshift.downstream import frames
-from magpieshift.downstream.frames import Code, Type
+from magpieshift.downstream.frames import FrameType, ResponseCode
 from magpieshift.upstream import codec
 
 BODY = b"x" * 600
@@ -231,7 +231,7 @@
         }
         if name.startswith("basket"):
             fields["k"] = fields["i"]
-        self._writer.write(frames.head(Type.REQUEST, stream, frames.write_fields(fields)))
+        self._writer.write(frames.frame_head(FrameType.REQUEST, stream, frames.write_fields(fields)))
         self._open[stream] = time.monotonic() + 2.5
         self.sent += 1
 
@@ -240,7 +240,7 @@
         try:
             while data := await reader.read(65536):
                 for frame in parser.feed(data):
-                    if frame.type == Type.ANSWER:
+                    if frame.type == FrameType.RESPONSE:
                         self._answered(frame)
         except ConnectionError:
             pass
@@ -248,13 +248,13 @@
         self._ended()
 
     def _answered(self, frame: frames.Frame) -> None:
-        if self._open.pop(frame.stream, None) is None:
+        if self._open.pop(frame.stream_id, None) is None:
             self.doubles += 1
             return
         code = frame.payload[0]
-        self.served += code == Code.OK
-        self.refused += code == Code.REFUSED
-        self.failed += code == Code.FAILED
+        self.served += code == ResponseCode.OK
+        self.refused += code == ResponseCode.REJECTED
+        self.failed += code == ResponseCode.FAILED
 
     def _expire(self) -> None:
         now = time.monotonic()
--- /dev/null
+++ b/tests/downstream/server_case.py
@@ -0,0 +1,76 @@
+"""A server for clients whose connections are streams of the test's own, with an engine that is a mock."""
+
+import asyncio
+import unittest
+from typing import Any
+from unittest import mock
+
+from tornado.iostream import StreamClosedError
+
+from magpieshift.clock import LoopClock
+from magpieshift.downstream.connection import HIGH_WATER_BYTES
+from magpieshift.downstream.frames import FrameType, frame_head, write_fields
+from magpieshift.downstream.server import DownstreamServer
+from magpieshift.lifecycle import Lifecycle
+
+FIELDS = {"c": "picture", "i": "00000000000000a1", "d": "900", "o": "7f3a9c21e0b4d655", "m": "9.5"}
+
+
+def request(stream: int, **changes: str) -> bytes:
+    return frame_head(FrameType.REQUEST, stream, write_fields(FIELDS | changes))
+
+
+class FakeStream:
+    """Gives what it is fed, and takes nothing until it is told to."""
+
+    def __init__(self) -> None:
+        self.input: asyncio.Queue[bytes] = asyncio.Queue()
+        self.written: list[tuple[bytes, asyncio.Future[None]]] = []
+        self.set_nodelay, self.socket, self._closed = mock.Mock(), mock.Mock(), False
+
+    async def read_bytes(self, size: int, partial: bool) -> bytes:
+        if data := await self.input.get():
+            return data
+        raise StreamClosedError
+
+    def write(self, data: memoryview) -> "asyncio.Future[None]":
+        self.written.append((bytes(data), asyncio.get_running_loop().create_future()))
+        return self.written[-1][1]
+
+    def closed(self) -> bool:
+        return self._closed
+
+    @property
+    def unread(self) -> bool:
+        return not self.input.empty()
+
+    def close(self) -> None:
+        self._closed = True
+        self.input.put_nowait(b"")
+
+
+class ServerCase(unittest.IsolatedAsyncioTestCase):
+    """A server whose clients are streams of the test's own."""
+
+    async def asyncSetUp(self) -> None:
+        self.engine = mock.Mock(submit=mock.Mock(side_effect=range(1, 1000)))
+        self.lifecycle = Lifecycle(LoopClock().now_us)
+        self.server = DownstreamServer(
+            self.engine, LoopClock(), {"picture": 0}, 2, 3 * HIGH_WATER_BYTES, self.lifecycle
+        )
+
+    async def join(self) -> FakeStream:
+        stream: Any = FakeStream()
+        self.server.serve(stream)
+        await self.settle()
+        return stream  # type: ignore[no-any-return]
+
+    async def settle(self) -> None:
+        for _ in range(5):
+            await asyncio.sleep(0)
+
+    async def ask(self, client: FakeStream, stream: int) -> Any:
+        """A request lands; the call that answers it."""
+        client.input.put_nowait(request(stream))
+        await self.settle()
+        return self.engine.submit.call_args.args[1]
--- /dev/null
+++ b/tests/downstream/test_connection.py
@@ -0,0 +1,93 @@
+"""Clients that take nothing, send too much, or leave; on a stream of the test's own."""
+
+import asyncio
+import unittest
+from typing import Any
+from unittest import mock
+
+from tornado.iostream import StreamClosedError
+
+from magpieshift.downstream import server
+from magpieshift.downstream.connection import HIGH_WATER_BYTES
+from magpieshift.downstream.frames import FrameType, frame_head
+from magpieshift.engine.model import Response, Verdict
+from tests.downstream.server_case import ServerCase, request
+
+
+class Clients(ServerCase):
+    async def test_who_takes_nothing_has_its_requests_wait_and_goes_before_memory_does(self) -> None:
+        slow, other = await self.join(), await self.join()
+        for stream in (1, 2):
+            (await self.ask(slow, stream))(Response(Verdict.SERVED, bytes(HIGH_WATER_BYTES // 2)))
+        self.assertGreater(self.server.held_bytes, HIGH_WATER_BYTES)
+        reply = await self.ask(slow, 3)
+        await self.ask(slow, 4)
+        self.assertEqual([c.args[2] for c in self.engine.submit.call_args_list], [False, False, True, True])
+        with self.assertLogs(server.log, "WARNING"):
+            reply(Response(Verdict.SERVED, bytes(5 * HIGH_WATER_BYTES // 2)))
+        self.assertEqual((slow.closed(), other.closed(), self.server.held_bytes), (True, False, 0))
+        self.engine.resume.assert_not_called()
+
+    async def test_what_waits_goes_on_in_order_once_answers_are_taken_unless_cancelled(self) -> None:
+        slow = await self.join()
+        (await self.ask(slow, 1))(Response(Verdict.SERVED, bytes(HIGH_WATER_BYTES)))
+        for stream in (2, 3, 4):
+            await self.ask(slow, stream)
+        slow.input.put_nowait(frame_head(FrameType.CANCEL, 3))
+        await self.settle()
+        self.engine.cancel.assert_called_once_with(3)
+        slow.written[-1][1].set_result(None)
+        await self.settle()
+        self.assertEqual([c.args for c in self.engine.resume.call_args_list], [(2,), (4,)])
+
+    async def test_a_flood_of_one_client_leaves_the_others_their_turns(self) -> None:
+        """While its bytes were there at once, nobody else was read from."""
+        flood, other = await self.join(), await self.join()
+        turns, served = 0, asyncio.get_running_loop().create_future()
+
+        def at_once(size: int, partial: bool) -> "asyncio.Future[bytes]":
+            nonlocal turns
+            turns += 1
+            if turns > 10_000:
+                raise StreamClosedError
+            done: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
+            done.set_result(frame_head(FrameType.CANCEL, 1))
+            return done
+
+        def submit(*args: Any) -> int:
+            served.set_result(turns)
+            return 1
+
+        self.engine.submit.side_effect = submit
+        with mock.patch.object(flood, "read_bytes", at_once):
+            flood.input.put_nowait(frame_head(FrameType.CANCEL, 1))
+            other.input.put_nowait(request(1))
+            self.assertLess(await asyncio.wait_for(served, 20), 10_000)
+
+    async def test_what_is_taken_is_counted_off(self) -> None:
+        client = await self.join()
+        (await self.ask(client, 1))(Response(Verdict.SERVED, b"copy"))
+        self.assertTrue(self.server.has_unsent)
+        for _, done in client.written:
+            done.set_result(None)
+        await self.settle()
+        self.assertEqual((self.server.held_bytes, self.server.has_unsent), (0, False))
+
+    async def test_a_client_found_gone_by_the_first_chunk_does_not_raise(self) -> None:
+        """It would have closed the store's connection that brought the answer, with all that was on it."""
+        client = await self.join()
+        reply = await self.ask(client, 1)
+        with mock.patch.object(client, "write", side_effect=StreamClosedError):
+            reply(Response(Verdict.SERVED, b"copy"))
+        self.assertEqual(self.server.held_bytes, 0)
+
+    async def test_a_connection_that_ends_gives_up_what_is_open(self) -> None:
+        client = await self.join()
+        await self.ask(client, 1)
+        client.input.put_nowait(b"")
+        await self.settle()
+        self.engine.cancel.assert_called_once_with(1)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- /dev/null
+++ b/tests/downstream/test_server.py
@@ -0,0 +1,65 @@
+"""Limits on clients' connections, and the notice of the planned end; on streams of the test's own."""
+
+import unittest
+from unittest import mock
+
+from magpieshift.clock import LoopClock
+from magpieshift.downstream import server
+from magpieshift.downstream.frames import FrameType, frame_head
+from magpieshift.engine.model import Response, Verdict
+from tests.downstream.server_case import ServerCase, request
+
+
+class Limits(ServerCase):
+    async def test_who_has_taken_nothing_for_long_is_let_go(self) -> None:
+        client = await self.join()
+        (await self.ask(client, 1))(Response(Verdict.SERVED, b"copy"))
+        self.server.close_expired()
+        self.assertFalse(client.closed())
+        with mock.patch.object(self.server.clock, "now_us", return_value=LoopClock().now_us() + 11_000_000):
+            self.server.close_expired()
+        self.assertTrue(client.closed())
+
+    async def test_who_owes_a_whole_frame_for_long_is_let_go_and_who_holds_on_is_not(self) -> None:
+        """Some connect by the hundreds and say nothing, or send messages that never end (rude day)."""
+        mute, half = await self.join(), await self.join()
+        self.server.max_connections = 3
+        holding = await self.join()
+        await self.ask(holding, 1)
+        half.input.put_nowait(request(1)[:20])
+        await self.settle()
+        self.server.close_expired()
+        self.assertFalse(mute.closed() or half.closed())
+        with mock.patch.object(self.server.clock, "now_us", return_value=LoopClock().now_us() + 2_500_000):
+            self.server.close_expired()
+        self.assertEqual([c.closed() for c in (mute, half, holding)], [True, True, False])
+
+    async def test_at_the_limit_who_has_never_asked_goes_first(self) -> None:
+        asked, mute = await self.join(), await self.join()
+        (await self.ask(asked, 1))(Response(Verdict.REJECTED))
+        asked.written[-1][1].set_result(None)
+        await self.settle()
+        await self.join()
+        self.assertEqual((asked.closed(), mute.closed()), (False, True))
+
+    async def test_at_the_limit_an_idle_connection_makes_room_and_a_busy_one_does_not(self) -> None:
+        first, second = await self.join(), await self.join()
+        await self.ask(first, 1)
+        third = await self.join()
+        self.assertEqual([c.closed() for c in (first, second, third)], [False, True, False])
+        await self.ask(third, 1)
+        with self.assertLogs(server.log, "WARNING"):
+            fourth = await self.join()
+        self.assertEqual([c.closed() for c in (first, third, fourth)], [False, False, True])
+
+    async def test_the_end_is_announced_once_and_to_those_who_come_late(self) -> None:
+        first = await self.join()
+        self.server.send_go_away()
+        late = await self.join()
+        self.server.send_go_away()
+        announced = [frame_head(FrameType.GO_AWAY, 0)]
+        self.assertEqual([[data for data, _ in c.written] for c in (first, late)], [announced, announced])
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/membership/test_ground.py
+++ b/tests/membership/test_ground.py
@@ -16,7 +16,7 @@
 
 from magpieshift.control.schema import load_data
 from magpieshift.downstream import frames
-from magpieshift.downstream.frames import Code, Type
+from magpieshift.downstream.frames import FrameType, ResponseCode
 from magpieshift.lab.emulators import emulated
 from magpieshift.lab.emulators.emulator import Rules
 from magpieshift.lab.emulators.load import Connection, Missed
@@ -256,12 +256,12 @@
         parser, way = frames.FrameParser(), self.ways_out.pop(0) if self.ways_out else ""
         while data := await reader.read(1024):
             for frame in parser.feed(data):
-                streams.append(frame.stream)
+                streams.append(frame.stream_id)
                 if way == "drop":
                     writer.close()
                     return
-                told = frames.head(Type.NO_MORE, 0) if way == "tell" else b""
-                writer.write(told + frames.answer_head(frame.stream, Code.OK, {}, 0))
+                told = frames.frame_head(FrameType.GO_AWAY, 0) if way == "tell" else b""
+                writer.write(told + frames.response_head(frame.stream_id, ResponseCode.OK, {}, 0))
         writer.close()
 
     async def ask(self) -> object:
@@ -269,9 +269,11 @@
         return answer if isinstance(answer, Missed) else answer[0]
 
     async def test_who_is_told_to_send_no_more_goes_on_elsewhere_and_sends_again_what_crossed(self) -> None:
-        self.assertEqual(await self.ask(), Code.OK)  # and is told to send no more
-        self.assertEqual(await self.ask(), Code.OK)  # crosses the end of the second, and goes on a third
-        self.assertEqual(await self.ask(), Code.OK)
+        self.assertEqual(await self.ask(), ResponseCode.OK)  # and is told to send no more
+        self.assertEqual(
+            await self.ask(), ResponseCode.OK
+        )  # crosses the end of the second, and goes on a third
+        self.assertEqual(await self.ask(), ResponseCode.OK)
         self.assertEqual(self.asked, [[1], [1], [1, 2]])
 
     async def test_what_is_dropped_twice_or_long_after_it_was_sent_is_lost(self) -> None:
--- a/tests/real/test_endings.py
+++ b/tests/real/test_endings.py
@@ -14,13 +14,13 @@
 from unittest import mock
 
 from magpieshift.discovery import client
-from magpieshift.downstream import server
-from magpieshift.downstream.frames import Type, head
+from magpieshift.downstream import connection, server
+from magpieshift.downstream.frames import FrameType, frame_head
 from magpieshift.engine.engine import Engine
 from magpieshift.policy.events import PurgeReceived, RequestReceived
 from magpieshift.sockets import MOST_LINGERING
+from tests.downstream.server_case import request
 from tests.real.exchange import PATIENCE_S, ROOT, Program, Within, config, free_port
-from tests.real.test_front import request
 
 FIELDS = "tag=4b,minted=1764576000000,how=warm,stats=inflight:7;util:0.61;x1:0.2"
 ASK = {stream: request(stream, i=f"{stream:016x}", d="30000").hex() for stream in range(1, 40)}
@@ -65,9 +65,9 @@
     async def test_what_crosses_the_close_does_not_destroy_the_last_answer(self) -> None:
         async with Within() as router:
             await router.play(f"client+\nclient> {READY_ASKED}\nclient< {READY}")
-            (connection,) = router.router._front._connections
-            connection.no_more()
-            connection.close()
+            (client_connection,) = router.router._front._connections
+            client_connection.send_go_away()
+            client_connection.close()
             for stream in (1, 2):  # the first alone would be answered by a reset, and the second see it
                 router.act(f"client> {ASK[stream]}")
             await asyncio.sleep(0)
@@ -80,9 +80,9 @@
             for i in many:
                 router.act(f"client{i}+")
             front = router.router._front
-            await router.until(lambda: front.connected == len(many))
-            ending = asyncio.ensure_future(front.end(PATIENCE_S))
-            await router.until(lambda: not front.connected)
+            await router.until(lambda: front.connection_count == len(many))
+            ending = asyncio.ensure_future(front.shut_down(PATIENCE_S))
+            await router.until(lambda: not front.connection_count)
             for i in many:
                 for stream in (1, 2):
                     router.act(f"client{i}> {ASK[stream]}")
@@ -107,9 +107,9 @@
             front = router.router._front
             await router.play(f"client+\nclient> {READY_ASKED}\nclient< {READY}")
             router.act(f"client> {ASK[1]}")
-            with mock.patch.object(server, "IDLE_S", -1.0):
-                front.tidy()
-            front.most_connections = 1
+            with mock.patch.object(server, "MAX_IDLE_S", -1.0):
+                front.close_expired()
+            front.max_connections = 1
             router.act("client2+")
             await router.play(f"cache+\ncache< {CACHE_ASKED}\nclient2.")
             await router.play(f"cache> {CACHE_DATA}\nclient< {SERVED}")
@@ -118,9 +118,9 @@
         async with Within() as router:
             await router.play(f"client+\nclient> {ASK[1]}\ncache+\ncache< {CACHE_ASKED}")
             router.act(f"client> {ASK[2][:20]}")
-            await router.until(lambda: router.router._front.held > 0)
+            await router.until(lambda: router.router._front.held_bytes > 0)
             with mock.patch.object(server, "WHOLE_S", -1.0):
-                router.router._front.tidy()
+                router.router._front.close_expired()
             reason = '1e00000002000000004500 "frame not whole in time"'
             await router.play(f"client< {reason}\ncache> {CACHE_DATA}\nclient< {SERVED}\nclient.")
 
@@ -142,14 +142,16 @@
                     body = bytes(240_000) + b"\r\n"
                     cache.sendall(f"{stream:016x} data {FIELDS} 240000\r\n".encode() + body)
 
-            with mock.patch.object(server, "HIGH_WATER", 1 << 24):
+            with mock.patch.object(connection, "HIGH_WATER_BYTES", 1 << 24):
                 await asyncio.to_thread(answer)
-            with mock.patch.object(server, "HIGH_WATER", 1 << 16):
-                await router.until(lambda: engine.open_requests == 0 and router.router._front.held > 1 << 16)
+            with mock.patch.object(connection, "HIGH_WATER_BYTES", 1 << 16):
+                await router.until(
+                    lambda: engine.open_requests == 0 and router.router._front.held_bytes > 1 << 16
+                )
                 for stream in (31, 32):
                     router.act(f"client> {ASK[stream]}")
                 await router.until(lambda: engine.open_requests == 2)
-                router.act(f"client> {head(Type.ABANDON, 31).hex()}")
+                router.act(f"client> {frame_head(FrameType.CANCEL, 31).hex()}")
                 await router.until(lambda: engine.open_requests == 1)
                 router.act("client^")
                 await router.until(lambda: engine.open_requests == 0)
@@ -165,7 +167,7 @@
         async with Within() as router:
             module = router.router.engine._router
             decide = module.handle
-            for ending in ("~", "^", "-", f"> {head(Type.ABANDON, 1).hex()}"):
+            for ending in ("~", "^", "-", f"> {frame_head(FrameType.CANCEL, 1).hex()}"):
                 await router.play(f"client+\nclient> {READY_ASKED}\nclient< {READY}")
 
                 def go_first(now_us: int, events: Any, ending: str = ending) -> Any:
@@ -187,7 +189,7 @@
                 router.act("client+")
                 router.act(f"client> {ASK[1]}")
                 router.act(f"client{ending}")  # behind the request, before it was read
-                await router.until(lambda: not router.router._front.connected)
+                await router.until(lambda: not router.router._front.connection_count)
             await router.play(f"client2+\nclient2> {ASK[2]}\ncache+")
             await router.play('cache< "ASK 0000000000000002 class=picture," /[^\\r]*\\r\\n\\r\\n/')
 
@@ -237,7 +239,9 @@
             await router.play(f'cache> "0000000000000001 data {FIELDS} 9\\r\\nco"')
             (pool,) = (p for p in router.router._pool._pools.values() if p.connections)
             await router.until(lambda: pool.connections[0].exchanges.is_receiving("0000000000000001"))
-            await router.play(f'client> {head(Type.ABANDON, 1).hex()}\ncache< "QUIT 0000000000000001\\r\\n"')
+            await router.play(
+                f'client> {frame_head(FrameType.CANCEL, 1).hex()}\ncache< "QUIT 0000000000000001\\r\\n"'
+            )
             await router.play(f"client> {ASK[2]}\ncache2+")
             await router.play('cache2< "ASK 0000000000000002 class=picture," /[^\\r]*\\r\\n\\r\\n/')
 
--- a/tests/real/test_operation.py
+++ b/tests/real/test_operation.py
@@ -18,13 +18,13 @@
 from magpieshift.app import Bounds, EdgeRouter
 from magpieshift.config import Limits
 from magpieshift.discovery.client import ChangeLogClient
-from magpieshift.downstream.frames import Code, Type, answer_head, head
+from magpieshift.downstream.frames import FrameType, ResponseCode, frame_head, response_head
 from magpieshift.engine.model import Response, Verdict
 from magpieshift.lifecycle import CUT_US, LAST_CALL_US, SERVE_ON_US, InvalidStateError, Lifecycle, State
 from magpieshift.policy.events import EndpointListKind
 from magpieshift.process_lock import ProcessLock
 from magpieshift.sockets import listen_socket, steer_to_second
-from tests.real import test_front
+from tests.downstream import server_case
 from tests.real.exchange import ROOT, changed, config
 from tests.real.test_engine import SECOND, EngineCase
 from tests.test_config import PORTS
@@ -119,13 +119,13 @@
             each.close()
 
 
-class LameDuck(test_front.FrontCase):
+class LameDuck(server_case.ServerCase):
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         self.now = 0
         self.server.clock = mock.Mock(now_us=lambda: self.now)
         self.server.lifecycle = self.life = Lifecycle(lambda: self.now)
-        self.server.most_connections = 8
+        self.server.max_connections = 8
         self.life.served()
 
     async def test_who_is_told_and_has_nothing_open_is_let_go_and_who_asks_on_is_refused(self) -> None:
@@ -134,33 +134,33 @@
         self.engine.submit.call_args.args[1](self.refusal())
         idle.written[-1][1].set_result(None)
         reply = await self.ask(busy, 1)
-        half.input.put_nowait(test_front.request(1)[:20])
+        half.input.put_nowait(server_case.request(1)[:20])
         self.life.lame_duck()
-        self.server.announce_end()
+        self.server.send_go_away()
         for client in (idle, busy, asker, half):
             for _, done in client.written:
                 if not done.done():
                     done.set_result(None)
         await self.settle()
         self.now = SERVE_ON_US
-        asker.input.put_nowait(head(Type.READY_ASKED, 1, b"\0"))
+        asker.input.put_nowait(frame_head(FrameType.READINESS_REQUEST, 1, b"\0"))
         await self.settle()
         asker.written[-1][1].set_result(None)
         await self.settle()
-        self.server.tidy()
+        self.server.close_expired()
         self.assertEqual([c.closed() for c in (idle, busy, asker, half)], [True, False, False, False])
         self.engine.draining_response.return_value = self.refusal()
         before = self.engine.submit.call_count
-        busy.input.put_nowait(test_front.request(2))
+        busy.input.put_nowait(server_case.request(2))
         await self.settle()
         self.assertEqual(self.engine.submit.call_count, before)
-        self.assertEqual(busy.written[-1][0], answer_head(2, Code.REFUSED, {"w": "70"}))
+        self.assertEqual(busy.written[-1][0], response_head(2, ResponseCode.REJECTED, {"w": "70"}))
         busy.written[-1][1].set_result(None)
         reply(self.refusal())
         busy.written[-1][1].set_result(None)
         self.now = CUT_US
         await self.settle()
-        self.server.tidy()
+        self.server.close_expired()
         self.assertEqual([c.closed() for c in (busy, half)], [True, True])
 
     def refusal(self) -> Response:
@@ -230,7 +230,7 @@
             self.assertEqual(alone.bytes_each, int(memory * (1 << 20) / 4))
 
 
-class Successor(test_front.FrontCase):
+class Successor(server_case.ServerCase):
     async def test_what_waits_in_the_queue_is_taken_before_the_listener_closes(self) -> None:
         """It was reset: 338 of 33,422 connections over 40 handovers (``magpieshift lab handover``)."""
         listener = listen_socket("127.0.0.1", 0)
@@ -242,9 +242,9 @@
                 socket.create_connection(address)
             client.setblocking(False)
             loop = asyncio.get_running_loop()
-            await loop.sock_sendall(client, head(Type.READY_ASKED, 1, b"\0"))
+            await loop.sock_sendall(client, frame_head(FrameType.READINESS_REQUEST, 1, b"\0"))
             answer = await asyncio.wait_for(loop.sock_recv(client, 99), 20)
-            self.assertEqual(answer, head(Type.READY, 1, bytes((Code.REFUSED, 0))))
+            self.assertEqual(answer, frame_head(FrameType.READINESS, 1, bytes((ResponseCode.REJECTED, 0))))
             self.server.close_all()
 
     async def test_a_successor_waits_until_the_change_log_has_told_all(self) -> None:
--- a/tests/relay/test_processes.py
+++ b/tests/relay/test_processes.py
@@ -19,7 +19,7 @@
 from magpieshift.control import sexp
 from magpieshift.control.wire import control_pb2 as wire
 from magpieshift.downstream import frames
-from magpieshift.downstream.frames import Type
+from magpieshift.downstream.frames import FrameType
 from magpieshift.lab.emulators import peers
 from magpieshift.lab.emulators.world import World
 from magpieshift.relay import status
@@ -69,7 +69,7 @@
             "set": "1",
             "m": "1",
         }
-        self._writer.write(frames.head(Type.REQUEST, self._streams, frames.write_fields(fields)))
+        self._writer.write(frames.frame_head(FrameType.REQUEST, self._streams, frames.write_fields(fields)))
 
     @property
     def idle(self) -> bool:
@@ -80,7 +80,7 @@
         parser = frames.FrameParser()
         while data := await reader.read(65536):
             for frame in parser.feed(data):
-                if frame.type == Type.ANSWER:
+                if frame.type == FrameType.RESPONSE:
                     self.answers.append(frame.payload[0])
 
     def close(self) -> None:
