--- a/magpieshift/relay/client.py
+++ b/magpieshift/relay/client.py
@@ -66,6 +66,7 @@
     def __init__(self, address: str) -> None:
         self._channel = grpc.aio.insecure_channel(address, options=OPTIONS)
         self._call = self._channel.stream_stream(METHOD)()
+        self._write_lock = asyncio.Lock()  # gRPC takes one write at a time, and fails the call at a second
         self.reading: asyncio.Task[None] | None = None  # to cancel it in a read ends the stream
 
     async def open(self) -> None:
@@ -83,13 +84,14 @@
 
     async def write(self, data: bytes) -> None:
         """Send a message; ``TimeoutError`` where the relay does not take it."""
-        async with asyncio.timeout(WRITE_S):
+        async with asyncio.timeout(WRITE_S), self._write_lock:
             await self._call.write(data)
 
     async def say_goodbye(self, data: bytes) -> None:
-        """Send a last message, as far as the relay takes it soon, and close."""
-        with contextlib.suppress(grpc.aio.BaseError, asyncio.InvalidStateError, TimeoutError):
-            async with asyncio.timeout(GOODBYE_S):
+        """Send a last message, after the write in flight, as far as the relay takes both soon, and close."""
+        # a stream that fails meanwhile raises AioRpcError, which is an RpcError and no BaseError
+        with contextlib.suppress(grpc.RpcError, grpc.aio.BaseError, asyncio.InvalidStateError, TimeoutError):
+            async with asyncio.timeout(GOODBYE_S), self._write_lock:
                 await self._call.write(data)
                 await self._call.done_writing()
                 await self._call.code()  # the relay ends the stream once it has read all
--- a/tests/relay/test_drivers.py
+++ b/tests/relay/test_drivers.py
@@ -12,6 +12,7 @@
 from collections.abc import AsyncIterator
 from pathlib import Path
 from typing import Any
+from unittest import mock
 
 import grpc
 import grpc.aio
@@ -27,7 +28,7 @@
 from magpieshift.relay.node import RelayNode, RelayOptions, SourceNode, SourceSuperseded
 from magpieshift.relay.service import MOST_HEARD_BYTES, Stream
 from magpieshift.relay.source import Delays
-from tests.relay.rig import RelayCase, Router, at
+from tests.relay.rig import PATIENCE_S, RelayCase, Router, at
 
 
 class DyingRelay(RelayNode):
@@ -303,6 +304,69 @@
         return bool(self.heard) and self.heard[-1].released
 
 
+class SilentRelay(grpc.GenericRpcHandler):  # type: ignore[misc]  # the library is not typed
+    """A relay that reads a follower's messages only once it is allowed to."""
+
+    def __init__(self) -> None:
+        self.reads = asyncio.Event()
+        self.progress: list[Progress] = []
+        self.port = 0
+
+    async def start(self) -> None:
+        # without a larger window than HTTP/2's first, what is not read is soon not taken either
+        self.server = grpc.aio.server(
+            options=[("grpc.http2.bdp_probe", 0), ("grpc.max_receive_message_length", -1)]
+        )
+        self.server.add_generic_rpc_handlers((self,))
+        self.port = self.server.add_insecure_port("127.0.0.1:0")
+        await self.server.start()
+
+    def service(self, details: Any) -> Any:
+        return grpc.stream_stream_rpc_method_handler(self._follow)
+
+    async def _follow(self, requests: AsyncIterator[bytes], context: Any) -> None:
+        await self.reads.wait()
+        async for data in requests:
+            message = wire.FromRouter.FromString(data)
+            if message.HasField("progress"):
+                self.progress.append(
+                    Progress(NO_EPOCH, 0, message.progress.probe, 0, "", released=message.progress.released)
+                )
+
+
+class StopDuringWrite(RelayCase):
+    """A process ends while an acknowledgement of it is still being written, as its relay reads slowly. gRPC
+    takes one write at a time, so that the last message failed and the planned end ended with a traceback."""
+
+    async def stopping(self, relay: SilentRelay) -> Router:
+        """A follower whose first acknowledgement the relay does not take."""
+        await relay.start()
+        self.addAsyncCleanup(relay.server.stop, 0)
+        router = Router("r1", [at(relay.port)])
+        router.follower.refusal = "x" * (4 << 20)
+        router.client.start()
+        self.addAsyncCleanup(router.client.stop)
+        await self.until(lambda: router.follower.due_us() > clock.source.steady_us(), "an acknowledgement")
+        return router
+
+    async def test_a_relay_that_reads_nothing_is_given_up_soon_and_without_an_error(self) -> None:
+        router = await self.stopping(SilentRelay())
+        with self.assertNoLogs("magpieshift.relay", logging.WARNING):
+            async with asyncio.timeout(PATIENCE_S):
+                await router.client.stop()
+
+    async def test_the_last_message_follows_the_write_in_flight(self) -> None:
+        relay = SilentRelay()
+        router = await self.stopping(relay)
+        with mock.patch("magpieshift.relay.client.GOODBYE_S", PATIENCE_S):
+            stopping = asyncio.ensure_future(router.client.stop())
+            await asyncio.sleep(0)  # the last message is due, and waits
+            self.assertFalse(stopping.done())
+            relay.reads.set()
+            await stopping
+        self.assertEqual([(each.probe, each.released) for each in relay.progress], [(1, False), (2, True)])
+
+
 class Words(RelayCase):
     """What is said on streams that cannot be."""
 
