--- a/magpieshift/app.py
+++ b/magpieshift/app.py
@@ -21,12 +21,12 @@
 from magpieshift.downstream.server import DownstreamServer
 from magpieshift.engine.engine import Engine
 from magpieshift.engine.model import ClientRequest, ListedEndpoint
-from magpieshift.engine.numbers import aligned
+from magpieshift.engine.name_numbers import align_numbers
 from magpieshift.lifecycle import LAST_CALL_US, Lifecycle, State
 from magpieshift.log import fields, setup
 from magpieshift.policy.events import EndpointListKind
 from magpieshift.sockets import LINGER_S, listen_socket, steer_to_second
-from magpieshift.upstream.lines import MOST_BODY
+from magpieshift.upstream.codec import MAX_BODY_BYTES
 from magpieshift.upstream.pool import ConnectionPool
 
 if TYPE_CHECKING:
@@ -63,7 +63,7 @@
         # clients come to both from the same third; the rest is for stores, if there is memory for answers
         clients = limits.sockets // 3 + SLACK
         stores = (limits.sockets - clients - RESERVED) // processes
-        return cls(clients, min(stores, max(16, part // MOST_BODY)), part)
+        return cls(clients, min(stores, max(16, part // MAX_BODY_BYTES)), part)
 
 
 class _AtStart:
@@ -124,16 +124,18 @@
 
     def _apply(self) -> dict[str, int]:
         bounds = Bounds.of(self._limits, self._sharing)
-        self._pool.most_connections = bounds.stores
-        self._front.most_connections = bounds.clients
-        self._engine.max_body_bytes = self._front.most_held = bounds.bytes_each
+        self._pool.max_connections = bounds.stores
+        self._front.max_connections = bounds.clients
+        self._engine.max_body_bytes = self._front.max_held_bytes = bounds.bytes_each
         return bounds._asdict()
 
     def running(self) -> dict[str, object]:
-        held = self._engine.max_body_bytes if self._engine.max_body_bytes == self._front.most_held else -1
+        held = (
+            self._engine.max_body_bytes if self._engine.max_body_bytes == self._front.max_held_bytes else -1
+        )
         return {
-            "clients": self._front.most_connections,
-            "stores": self._pool.most_connections,
+            "clients": self._front.max_connections,
+            "stores": self._pool.max_connections,
             "bytes_each": held,
         }
 
@@ -179,7 +181,7 @@
             document.settings.connect_timeout_us,
             document.idle_us,
             document.streams_per_connection,
-            most_connections=bounds.stores,
+            max_connections=bounds.stores,
         )
         self.engine = Engine(
             document.settings, config.seed, clock, self._pool, bounds.bytes_each, document.names
@@ -212,7 +214,7 @@
     def list_changed(self, kind: EndpointListKind, version: int, members: Sequence[ListedEndpoint]) -> None:
         """Stores have come, changed or gone; all but a ``DELTA`` is the whole list."""
         self.engine.list_changed(kind, version, members)
-        self._pool.list_changed(members, whole=kind != EndpointListKind.DELTA)
+        self._pool.list_changed(members, is_complete=kind != EndpointListKind.DELTA)
 
     def purged(self, key: str, group: int, made_us: int) -> None:
         """An object (16 hex digits), or with no key a group, was purged at this Unix microsecond."""
@@ -261,21 +263,21 @@
             log.info("ready", extra=fields(name=self.document.name, seq=self.changes.last, **pairs))
         if self.lifecycle.emptying:
             log.info("emptying", extra=fields(state=state.value, open=self.engine.open_requests))
-            self._front.announce_end()
+            self._front.send_go_away()
         if state == State.ENDING:
             self._stopping.set()
 
     def relieve(self, handed_over: Callable[[ClientRequest], bool] | None) -> None:
         """Have clients whose requests are a neighbour's to take turned away at once, by what this says."""
-        self._front.relieved = handed_over
+        self._front.should_offload = handed_over
 
     @property
     def pressed(self) -> float:
         """How much of what may be held for clients and of their connections is in use: the larger part."""
         front = self._front
         engine = self.engine
-        held = max(front.held, engine.held_body_bytes) / max(1, engine.max_body_bytes)
-        return max(held, front.connected / max(1, front.most_connections))
+        held = max(front.held_bytes, engine.held_body_bytes) / max(1, engine.max_body_bytes)
+        return max(held, front.connection_count / max(1, front.max_connections))
 
     def running(self) -> dict[str, dict[str, object]]:
         """The figures that each part runs on, read from the part itself."""
@@ -284,7 +286,7 @@
     async def prepare(self, document: Document) -> Prepared:
         """Let all parts make ready for a document; ``PreparationFailed`` where one rejects it. What comes
         back is for ``commit``, before any other document is prepared."""
-        return await prepare(self.parts, self.document, aligned(self.document, document))
+        return await prepare(self.parts, self.document, align_numbers(self.document, document))
 
     def commit(self, prepared: Prepared, version: int) -> None:
         """Put a document in force, in one turn of the event loop, letting go of nothing that is open."""
@@ -323,7 +325,7 @@
         await self._stopping.wait()
         log.info("draining", extra=fields(open=self.engine.open_requests))
         await asyncio.sleep(LAST_CALL_US / 1e6)
-        self._front.announce_end()
+        self._front.send_go_away()
         if self.lifecycle.replaced:
             self._front.stop_listening()
         await asyncio.sleep(DRAIN_S - LAST_CALL_US / 1e6)
@@ -331,12 +333,12 @@
         end = asyncio.get_running_loop().time() + min(waits_s, LONGEST_WAIT_S) + LAST_S - DRAIN_S
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(end):
-                while self.engine.open_requests or self._front.owing:
+                while self.engine.open_requests or self._front.has_unsent:
                     await asyncio.sleep(0.01)
         self.engine.answer_all()
         # what comes from here on is answered at once, and all that rests is closed
         left_s = end - asyncio.get_running_loop().time()
-        await self._front.end(min(max(left_s, 0.0) + CLOSE_S, LINGER_S))
+        await self._front.shut_down(min(max(left_s, 0.0) + CLOSE_S, LINGER_S))
         tidying.cancel()
         self.close()
         log.info("ended")
@@ -355,8 +357,8 @@
     async def _tidy(self) -> None:
         while True:
             await asyncio.sleep(EMPTYING_TIDY_S if self.lifecycle.emptying else TIDY_S)
-            self._pool.tidy()
-            self._front.tidy()
+            self._pool.close_expired()
+            self._front.close_expired()
             self.look_round()
 
     def look_round(self) -> None:
