--- a/magpieshift/lab/simulated/fanout.py
+++ b/magpieshift/lab/simulated/fanout.py
@@ -13,7 +13,7 @@
 
 from magpieshift.lab.simulated.fanout_changes import ChangeLog, Reading
 from magpieshift.lab.simulated.fanout_judge import Judge
-from magpieshift.lab.simulated.fanout_measures import estimated_bytes
+from magpieshift.lab.simulated.fanout_message_sizes import estimated_bytes
 from magpieshift.lab.simulated.fanout_network import EndMark, Host, Network, Stream
 from magpieshift.lab.simulated.fanout_processes import (
     Connect,
--- a/magpieshift/lab/simulated/fanout_measures.py
+++ b/magpieshift/lab/simulated/fanout_measures.py
@@ -1,22 +1,14 @@
-"""What can be said of a simulated fan-out tier from outside: whether it is as it should be, whether it has
-grown beyond its bounds, and what its messages weigh."""
+"""Checks of a simulated fan-out tier from outside: whether it has settled, and whether it has grown beyond its
+bounds."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
+from magpieshift.lab.simulated.fanout import World
 from magpieshift.lab.simulated.fanout_judge import RuleBroken
 from magpieshift.lab.simulated.fanout_network import Host
-from magpieshift.lab.simulated.fanout_processes import Following, Message, Relay, Source
+from magpieshift.lab.simulated.fanout_processes import Following, Relay, Source
 from magpieshift.relay import limits
-from magpieshift.relay.messages import Batch, Purge, Snapshot
-
-if TYPE_CHECKING:
-    from magpieshift.lab.simulated.fanout import World
 
-# estimates of what a purge and a message cost on the wire
-PURGE_BYTES = 28
-MESSAGE_BYTES = 40
 MOST_UNREAD = 3 * limits.WINDOW_BATCHES  # messages on their way to a follower: its window, and heartbeats
 
 
@@ -58,19 +50,3 @@
         unread = stream.unread(stream.server)
         if unread > MOST_UNREAD:
             raise RuleBroken(f"bounds: {unread} messages to {stream.client.name}")
-
-
-def estimated_bytes(message: Message) -> int:
-    """About what a message takes on the wire."""
-    entries = message.entries if isinstance(message, Batch) else ()
-    if isinstance(message, Snapshot):
-        whole = message.configuration
-        entries = message.purges
-        return (
-            MESSAGE_BYTES
-            + len(message.stores)
-            + PURGE_BYTES * len(entries)
-            + (len(whole.content) if whole else 0)
-        )
-    rest = sum(PURGE_BYTES if isinstance(entry, Purge) else len(repr(entry)) for entry in entries)
-    return MESSAGE_BYTES + rest
--- /dev/null
+++ b/magpieshift/lab/simulated/fanout_message_sizes.py
@@ -0,0 +1,25 @@
+"""Estimated sizes of the fan-out tier's messages on the wire."""
+
+from __future__ import annotations
+
+from magpieshift.lab.simulated.fanout_processes import Message
+from magpieshift.relay.messages import Batch, Purge, Snapshot
+
+PURGE_BYTES = 28  # a key or group and a time, as protobuf fields
+MESSAGE_BYTES = 40  # framing, epoch and sequence numbers of any message
+
+
+def estimated_bytes(message: Message) -> int:
+    """About what a message takes on the wire."""
+    entries = message.entries if isinstance(message, Batch) else ()
+    if isinstance(message, Snapshot):
+        whole = message.configuration
+        entries = message.purges
+        return (
+            MESSAGE_BYTES
+            + len(message.stores)
+            + PURGE_BYTES * len(entries)
+            + (len(whole.content) if whole else 0)
+        )
+    rest = sum(PURGE_BYTES if isinstance(entry, Purge) else len(repr(entry)) for entry in entries)
+    return MESSAGE_BYTES + rest
