--- a/magpieshift/lab/simulated/fanout_measures.py
+++ b/magpieshift/lab/simulated/fanout_measures.py
@@ -1,5 +1,5 @@
-"""Checks of a simulated fan-out tier from outside: whether it has settled, and whether it has grown beyond its
-bounds."""
+"""Checks of a simulated fan-out tier from outside: whether it has settled, and whether it has grown beyond
+its bounds."""
 
 from __future__ import annotations
 
--- a/tests/relay/test_histories.py
+++ b/tests/relay/test_histories.py
@@ -7,7 +7,8 @@
 from magpieshift.lab.simulated.fanout import SECOND, Form, World
 from magpieshift.lab.simulated.fanout_histories import History
 from magpieshift.lab.simulated.fanout_judge import RuleBroken
-from magpieshift.lab.simulated.fanout_measures import MESSAGE_BYTES, PURGE_BYTES, check_bounds, settled
+from magpieshift.lab.simulated.fanout_measures import check_bounds, settled
+from magpieshift.lab.simulated.fanout_message_sizes import MESSAGE_BYTES, PURGE_BYTES
 from magpieshift.relay import limits
 
 SEEDS = range(1, 21)
