--- a/magpieshift/__main__.py
+++ b/magpieshift/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m magpieshift``: bare, one edge router told by its environment; with words, the command line."""
+"""``python -m magpieshift``: one edge router run by its environment, or with arguments the command line."""
 
 import os
 import signal
@@ -6,19 +6,19 @@
 
 
 def main() -> int:
-    """The program; its exit code. The command line's libraries are imported only where it is asked for."""
+    """Run the program; returns its exit code. The command line's libraries are imported only if used."""
     if len(sys.argv) > 1:
         from magpieshift.cli.main import run
 
         return run(sys.argv[1:])
-    # before the router has its own handlers it has taken nothing and owes nothing; a file that changes now
-    # may have been read already
-    hangups: list[int] = []
+    # Signals that come before the router handles them itself: it has taken nothing, so SIGTERM may end it at
+    # once; on SIGHUP it reloads later, as the file may have been read already.
+    early_reloads: list[int] = []
     signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
-    signal.signal(signal.SIGHUP, lambda number, _: hangups.append(number))
-    from magpieshift.app import main as bare
+    signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))
+    from magpieshift.app import main as run_router
 
-    return bare(hangups=hangups)
+    return run_router(early_reloads=early_reloads)
 
 
 if __name__ == "__main__":
--- a/magpieshift/admin/__init__.py
+++ b/magpieshift/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' door: one line in, one line out. Imported only where a ``console`` address is set."""
+"""The admin server: operators' commands on a socket of their own, one line each."""
--- a/magpieshift/admin/command.py
+++ b/magpieshift/admin/command.py
@@ -1,4 +1,7 @@
-"""One call at the door as a state machine: fed bytes, it gives the one answer, and knows no socket."""
+"""One admin command as a state machine: bytes in, one answer out. No I/O.
+
+A command is one line: ``WORD``, or ``WORD argument``. The answer is ``OK text`` or ``ERR reason``.
+"""
 
 from __future__ import annotations
 
@@ -6,55 +9,70 @@
 
 from magpieshift.lifecycle import InvalidStateError
 
-MOST_LINE = 256  # bytes; the longest call has eight
-END = b"\n"
+MAX_LINE_BYTES = 256
+"""Commands with their arguments are far shorter; what is longer is no command and would fill the memory."""
+MAX_SHOWN_CHARACTERS = 80
+"""Of an unknown command, in the answer to it."""
+LINE_END = b"\n"
 
 Commands = Mapping[str, Callable[[], str]]
-CommandsWithArgument = Mapping[str, Callable[[str], str]]  # calls that take the rest of the line
+"""Commands without an argument, by word; each returns the text of its answer."""
+CommandsWithArgument = Mapping[str, Callable[[str], str]]
+"""Commands that take the rest of the line, by word."""
 
 
-def ok(text: str) -> bytes:
+def ok_answer(text: str) -> bytes:
+    """The answer to a command that succeeded."""
     return f"OK {text}\n".encode()
 
 
-def err(reason: str) -> bytes:
+def error_answer(reason: str) -> bytes:
+    """The answer to a command that failed."""
     return f"ERR {reason}\n".encode()
 
 
 class AdminCommand:
-    """One connection's call. What comes behind its first line is not read."""
+    """The command on one connection. What comes behind its first line is not read."""
 
-    def __init__(self, calls: Commands, worded: CommandsWithArgument | None = None) -> None:
-        self._calls = calls
-        self._worded = worded or {}
-        self._got = bytearray()
+    def __init__(
+        self, commands: Commands, commands_with_argument: CommandsWithArgument | None = None
+    ) -> None:
+        self._commands = commands
+        self._commands_with_argument = commands_with_argument or {}
+        self._received = bytearray()
 
     def feed(self, data: bytes) -> bytes | None:
-        """The answer, once these bytes make the line whole or too long for one."""
-        self._got += data
-        line, end, _ = self._got.partition(END)
-        if len(line) > MOST_LINE:
-            return err(f"line: found more than {MOST_LINE} bytes, expected one of {self._known}")
-        return self._answer(bytes(line).removesuffix(b"\r")) if end else None
-
-    def late(self, after_s: float) -> bytes:
-        """The answer to a line that did not become whole."""
-        found = f"{len(self._got)} bytes" if self._got else "nothing"
-        return err(f"line: found {found} and no end after {after_s} s, expected one of {self._known}")
+        """Take these bytes; returns the answer once the line is complete or too long, None until then."""
+        self._received += data
+        line, end, _ = self._received.partition(LINE_END)
+        if len(line) > MAX_LINE_BYTES:
+            return error_answer(f"line: found more than {MAX_LINE_BYTES} bytes, {self._expected}")
+        return self._execute(bytes(line).removesuffix(b"\r")) if end else None
+
+    def timed_out(self, timeout_s: float) -> bytes:
+        """The answer to a line that was not completed in time."""
+        found = f"{len(self._received)} bytes" if self._received else "nothing"
+        return error_answer(f"line: found {found} and no end after {timeout_s} s, {self._expected}")
 
     @property
-    def _known(self) -> str:
-        return ", ".join([*self._calls, *self._worded])
-
-    def _answer(self, line: bytes) -> bytes:
-        word = line.decode("ascii", "backslashreplace").strip(" ")
-        first, _, rest = word.partition(" ")
-        call = self._calls.get(word)
-        if call is None and (worded := self._worded.get(first)) is not None:
-            call = lambda: worded(rest.strip(" "))  # noqa: E731
-        if call is None:  # shown so that it is one line again, whatever bytes came
-            return err(f"call: found {ascii(word)[:80]}, expected one of {self._known}")
+    def _expected(self) -> str:
+        return "expected one of " + ", ".join([*self._commands, *self._commands_with_argument])
+
+    def _execute(self, line: bytes) -> bytes:
+        text = line.decode("ascii", "backslashreplace").strip(" ")
         try:
-            return ok(call())
-        except InvalidStateError as why:
-            return err(f"{word} not now: {why}")
+            answer = self._run(text)
+        except InvalidStateError as err:
+            return error_answer(f"{text} not now: {err}")
+        if answer is None:  # shown so that it is one line again, whatever bytes came
+            return error_answer(f"call: found {ascii(text)[:MAX_SHOWN_CHARACTERS]}, {self._expected}")
+        return ok_answer(answer)
+
+    def _run(self, text: str) -> str | None:
+        """The text of the answer; None for an unknown command."""
+        if (command := self._commands.get(text)) is not None:
+            return command()
+        word, _, argument = text.partition(" ")
+        if (command_with_argument := self._commands_with_argument.get(word)) is not None:
+            return command_with_argument(argument.strip(" "))
+        return None
--- a/magpieshift/admin/server.py
+++ b/magpieshift/admin/server.py
@@ -1,15 +1,15 @@
-"""The thin driver of the door: its socket, and the callers' connections."""
+"""The admin server's I/O: its listening socket and the operators' connections."""
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import logging
 import socket
-from collections.abc import Callable, Mapping
 
 from tornado.iostream import StreamClosedError
 
-from magpieshift.admin.command import AdminCommand
+from magpieshift.admin.command import AdminCommand, Commands, CommandsWithArgument
 from magpieshift.config import Address
 from magpieshift.lifecycle import Lifecycle
 from magpieshift.log import fields
@@ -17,73 +17,81 @@
 
 log = logging.getLogger(__name__)
 
-MOST_CALLERS = 16  # within the descriptors that are kept aside
-MOST_CLOSING = 4
-WHOLE_S = 2.0  # for a caller to send a whole line
-READ_SIZE = 512
-MOST_LOGGED = 200  # bytes of an answer: some are figures for programs
+MAX_CONNECTIONS = 16
+"""At once; they come out of ``limits.RESERVED_DESCRIPTORS``."""
+MAX_LINGERING = 4
+"""Connections that are closing, out of the same."""
+LINE_TIMEOUT_S = 2.0
+"""For a client to send a complete line, and again to take the answer. Chosen by trial: longer lets silent
+clients hold connections, shorter fails slow ones."""
+READ_CHUNK_BYTES = 512
+"""A complete line and more, see ``command.MAX_LINE_BYTES``."""
+MAX_BUFFERED_BYTES = 1 << 16
+"""Of one connection; far above what a command needs."""
+MAX_LOGGED_BYTES = 200
+"""Of an answer: some are long figures for programs."""
 
 
 class AdminServer:
-    """Listens for operators; owner of its listener and of all callers' connections."""
+    """Owner of the listening socket and of all operators' connections."""
 
     def __init__(
         self,
         lifecycle: Lifecycle,
-        more: Mapping[str, Callable[[], str]] | None = None,
-        worded: Mapping[str, Callable[[str], str]] | None = None,
+        commands: Commands | None = None,
+        commands_with_argument: CommandsWithArgument | None = None,
     ) -> None:
-        self._calls: dict[str, Callable[[], str]] = {
+        self._commands: Commands = {
             "PING": lifecycle.ping,
             "LAMEDUCK": lifecycle.lame_duck,
             "REJOIN": lifecycle.rejoin,
-            **(more or {}),
+            **(commands or {}),
         }
-        self._worded = dict(worded or {})
-        self._callers: dict[LingeringStream, asyncio.Task[None]] = {}  # in the order in which they came
-        self._closing = LingeringClose(MOST_CLOSING)
+        self._commands_with_argument = dict(commands_with_argument or {})
+        self._connections: dict[LingeringStream, asyncio.Task[None]] = {}  # oldest first
+        self._closing = LingeringClose(MAX_LINGERING)
         self._listener: Listener | None = None
 
     def open(self, address: Address) -> None:
-        """Listen; ``OSError`` where that can't be."""
-        self._listener = Listener(listen_socket(*address), self._taken, self._closing.drop_oldest)
-        log.info("door open", extra=fields(console="{}:{}".format(*address)))
+        """Listen; ``OSError`` where that is not possible."""
+        self._listener = Listener(listen_socket(*address), self._accepted, self._closing.drop_oldest)
+        log.info("admin server started", extra=fields(console="{}:{}".format(*address)))
 
-    def _taken(self, sock: socket.socket) -> None:
-        if len(self._callers) >= MOST_CALLERS:  # some call to say nothing; they must not lock others out
-            self._release(next(iter(self._callers)))
-        stream = LingeringStream(sock, self._closing, 1 << 16)
-        self._callers[stream] = asyncio.ensure_future(self._serve(stream))
+    def close(self) -> None:
+        """Stop listening, and release every connection."""
+        if self._listener is not None:
+            self._listener.close()
+            self._listener = None
+        for stream in list(self._connections):
+            self._release(stream)
+        self._closing.close()
+
+    def _accepted(self, sock: socket.socket) -> None:
+        # Clients that connect and send nothing must not lock others out: the oldest connection goes.
+        if len(self._connections) >= MAX_CONNECTIONS:
+            self._release(next(iter(self._connections)))
+        stream = LingeringStream(sock, self._closing, MAX_BUFFERED_BYTES)
+        self._connections[stream] = asyncio.ensure_future(self._serve(stream))
 
     async def _serve(self, stream: LingeringStream) -> None:
-        call = AdminCommand(self._calls, self._worded)
+        command = AdminCommand(self._commands, self._commands_with_argument)
         answer: bytes | None = None
         try:
-            async with asyncio.timeout(WHOLE_S):
+            async with asyncio.timeout(LINE_TIMEOUT_S):
                 while answer is None:
-                    answer = call.feed(await stream.read_bytes(READ_SIZE, partial=True))
+                    answer = command.feed(await stream.read_bytes(READ_CHUNK_BYTES, partial=True))
         except TimeoutError:
-            answer = call.late(WHOLE_S)
-        except StreamClosedError:
-            return self._release(stream)  # gone half way
-        log.info("call", extra=fields(answer=answer[:MOST_LOGGED].decode("utf-8", "replace").rstrip()))
-        try:
-            async with asyncio.timeout(WHOLE_S):
+            answer = command.timed_out(LINE_TIMEOUT_S)
+        except StreamClosedError:  # the client disconnected before its line was complete
+            return self._release(stream)
+        shown = answer[:MAX_LOGGED_BYTES].decode("utf-8", "replace").rstrip()
+        log.info("admin command answered", extra=fields(answer=shown))
+        with contextlib.suppress(StreamClosedError, TimeoutError):
+            async with asyncio.timeout(LINE_TIMEOUT_S):
                 await stream.write(answer)
-        except (StreamClosedError, TimeoutError):
-            pass
-        self._release(stream)
+        return self._release(stream)
 
     def _release(self, stream: LingeringStream) -> None:
-        """The one place where a caller's connection is given back."""
-        self._callers.pop(stream, None)
+        """Close a connection: the one place where it is released."""
+        self._connections.pop(stream, None)
         stream.close()
-
-    def close(self) -> None:
-        """Listen no more, and give back every connection."""
-        if self._listener is not None:
-            self._listener.close()
-            self._listener = None
-        for stream in list(self._callers):
-            self._release(stream)
-        self._closing.close()
--- a/magpieshift/app.py
+++ b/magpieshift/app.py
@@ -1,32 +1,34 @@
-"""Wiring, readiness and shutdown: one edge router, to be embedded or run by ``python -m magpieshift``."""
+"""One edge router: the wiring, start and end of its parts; embedded, or run by ``python -m magpieshift``."""
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import gc
 import logging
 import os
-import signal
 import sys
 from collections.abc import Callable, Mapping, Sequence
 from functools import partial
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
+from magpieshift import shutdown
 from magpieshift.clock import LoopClock
-from magpieshift.config import Config, ConfigError, Document, Limits, load, settings_by_name, shown_membership
-from magpieshift.config_transaction import Part, PreparationFailed, Prepared, SettingsRejected, prepare
+from magpieshift.config import Config, ConfigError, Document, load
+from magpieshift.config_reload import FileReload
+from magpieshift.config_transaction import Part, Prepared, prepare
 from magpieshift.discovery.changes import ChangeLog, ChangeSource
 from magpieshift.discovery.client import ChangeLogClient
 from magpieshift.downstream.server import DownstreamServer
 from magpieshift.engine.engine import Engine
 from magpieshift.engine.model import ClientRequest, ListedEndpoint
 from magpieshift.engine.name_numbers import align_numbers
-from magpieshift.lifecycle import LAST_CALL_US, Lifecycle, State
+from magpieshift.lifecycle import Lifecycle, State
+from magpieshift.limits import ResourceLimits, ResourceShares
 from magpieshift.log import fields, setup
 from magpieshift.policy.events import EndpointListKind
-from magpieshift.sockets import LINGER_S, listen_socket, steer_to_second
-from magpieshift.upstream.lines import MOST_BODY
+from magpieshift.signals import signal_handlers
+from magpieshift.sockets import listen_socket, steer_to_second
+from magpieshift.start_settings import StartSettings
 from magpieshift.upstream.pool import ConnectionPool
 
 if TYPE_CHECKING:
@@ -35,182 +37,77 @@
 
 log = logging.getLogger(__name__)
 
-RESERVED = 48  # descriptors for the listener, the change log, the log, the event loop and what is closing
-SLACK = 24  # clients keep to a third, but we may see one come before we see another go
-DRAIN_S = 0.8  # new connections come for 0.4 s after SIGTERM, and requests on open ones for 0.2 s more
-LAST_S = 0.55  # what is open so long after the longest wait is answered as it is; SIGKILL comes 0.15 s later
-CLOSE_S = 0.1  # in which all connections are closed then, without destroying what was written on them
-CATCH_UP_S = 1.5  # for the change log, where another process serves as long as it takes
-LONGEST_WAIT_S = 3.0  # however long clients wait
-TIDY_S = 0.5
-EMPTYING_TIDY_S = 0.1
-MEMORY_PARTS = 4  # a quarter each for what is held for clients, for writes, for answers, and for the program
-
-
-class Bounds(NamedTuple):
-    """How the limits are shared out."""
-
-    clients: int  # connections
-    stores: int
-    bytes_each: int  # held for clients, of writes, of answers
-
-    @classmethod
-    def of(cls, limits: Limits, sharing: bool = False) -> Bounds:
-        """What one process may use; where two share the limits, what each of them may."""
-        processes = 2 if sharing else 1
-        quarter = limits.memory_mb * (1 << 20) / MEMORY_PARTS
-        part = int(quarter * (MEMORY_PARTS - processes) / (MEMORY_PARTS - 1) / processes)
-        # clients come to both from the same third; the rest is for stores, if there is memory for answers
-        clients = limits.sockets // 3 + SLACK
-        stores = (limits.sockets - clients - RESERVED) // processes
-        return cls(clients, min(stores, max(16, part // MOST_BODY)), part)
-
-
-class _AtStart:
-    """What cannot change while the router runs: a document that changes it is turned down."""
-
-    part = "start"
-
-    def __init__(self, document: Document) -> None:
-        self._fixed = self._of(document)
-
-    @staticmethod
-    def _of(document: Document) -> dict[str, object]:
-        door = document.console
-        return {
-            "name": document.name,
-            "listen": list(document.listen),
-            "console": list(door) if door else None,
-            "members": shown_membership(document.members) if document.members else None,
-        }
-
-    def prepare(self, old: Document, new: Document) -> Callable[[], None]:
-        for what, wanted in self._of(new).items():
-            if (now := self._fixed[what]) != wanted:
-                raise SettingsRejected(
-                    f"{what} is {now} and cannot become {wanted} without a restart", at_start=True
-                )
-        return lambda: None
-
-    def running(self) -> dict[str, object]:
-        return self._fixed
-
-
-class _Limits:
-    """The part that shares the machine's limits out among the others."""
-
-    part = "limits"
-
-    def __init__(self, limits: Limits, engine: Engine, front: DownstreamServer, pool: ConnectionPool) -> None:
-        self._limits = limits
-        self._sharing = False
-        self._engine = engine
-        self._front = front
-        self._pool = pool
-
-    def prepare(self, old: Document, new: Document) -> Callable[[], None]:
-        def commit() -> None:
-            self._limits = new.limits
-            self._apply()
-
-        return commit
-
-    def share(self, sharing: bool) -> None:
-        """Another process of this router has come, or gone."""
-        if sharing != self._sharing:
-            self._sharing = sharing
-            self._engine.set_sibling_processes(int(sharing))
-            log.info("limits shared" if sharing else "limits not shared", extra=fields(**self._apply()))
-
-    def _apply(self) -> dict[str, int]:
-        bounds = Bounds.of(self._limits, self._sharing)
-        self._pool.most_connections = bounds.stores
-        self._front.most_connections = bounds.clients
-        self._engine.max_body_bytes = self._front.most_held = bounds.bytes_each
-        return bounds._asdict()
-
-    def running(self) -> dict[str, object]:
-        held = self._engine.max_body_bytes if self._engine.max_body_bytes == self._front.most_held else -1
-        return {
-            "clients": self._front.most_connections,
-            "stores": self._pool.most_connections,
-            "bytes_each": held,
-        }
-
-
-def expected(document: Document) -> dict[str, dict[str, object]]:
-    """What the parts of a router that runs on this document say of themselves (``EdgeRouter.running``)."""
-    bounds = Bounds.of(document.limits)
-    settings = document.settings
-    names = document.names
-    classes = dict(zip(names.classes, settings.classes, strict=True))
-    return {
-        "start": _AtStart(document).running(),
-        "engine": settings_by_name(settings, names, classes),
-        "front": {"classes": sorted(names.classes)},
-        "back": {
-            "report": list(settings.load_report_columns),
-            "connect_timeout_us": settings.connect_timeout_us,
-            "streams": document.streams_per_connection,
-            "idle_us": document.idle_us,
-        },
-        "feed": {
-            "address": list(document.changelog),
-            "zones": sorted(names.zones),
-            "kinds": sorted(names.kinds),
-        },
-        "limits": {"clients": bounds.clients, "stores": bounds.stores, "bytes_each": bounds.bytes_each},
-    }
+CATCH_UP_TIMEOUT_S = 1.5
+"""For the change log before clients are taken, where another process serves meanwhile. Chosen by trial:
+longer delays a replacement whose change log does not answer, shorter starts it on an older endpoint list."""
+MAINTENANCE_INTERVAL_S = 0.5
+"""Between two rounds that close idle connections. Chosen by trial; more often costs processor time."""
+DRAINING_MAINTENANCE_INTERVAL_S = 0.1
+"""The same while draining, where connections that have become idle are to be closed soon."""
 
 
 class EdgeRouter:
     """Owner of all the parts of one router."""
 
     def __init__(self, config: Config) -> None:
-        self._known = config.known
         document = config.document
         self.document = document
+        """The settings in force."""
         self.version = config.version
+        """Version number of the settings in force; 0 where they have none."""
+        self._known = config.known  # the endpoint list and purges that the configuration brings
         clock = LoopClock()
-        bounds = Bounds.of(document.limits)
+        shares = ResourceShares.of(document.limits)
         self._pool = ConnectionPool(
             clock,
             document.names.report,
             document.settings.connect_timeout_us,
             document.idle_us,
             document.streams_per_connection,
-            most_connections=bounds.stores,
+            most_connections=shares.upstream_connections,
         )
         self.engine = Engine(
-            document.settings, config.seed, clock, self._pool, bounds.bytes_each, document.names
+            document.settings, config.seed, clock, self._pool, shares.bytes_per_purpose, document.names
         )
         self.lifecycle = Lifecycle(clock.now_us)
-        self.lifecycle.watchers.append(self._changed)
-        self._front = DownstreamServer(
-            self.engine, clock, self.engine.classes, bounds.clients, bounds.bytes_each, self.lifecycle
+        self.lifecycle.listeners.append(self._lifecycle_changed)
+        self._downstream = DownstreamServer(
+            self.engine,
+            clock,
+            self.engine.classes,
+            shares.client_connections,
+            shares.bytes_per_purpose,
+            self.lifecycle,
         )
-        self._door: AdminServer | None = None
         self.changes = ChangeLog(document.names, self)
-        self._feed = ChangeLogClient(document.changelog, self.changes, config.seed)
-        self.change_source: ChangeSource = self._feed  # another may take its place before the start
-        self._stopping = asyncio.Event()
-        self._limits = _Limits(document.limits, self.engine, self._front, self._pool)
-        self._claim: ProcessLock | None = None
-        self.committed: list[Callable[[Document, int], None]] = []  # told of each document put in force
-        self.calls: dict[str, Callable[[], str]] = {}  # what optional parts answer at the door
-        self.worded: dict[str, Callable[[str], str]] = {}  # the same, of calls with something behind the word
-        # the engine last but one: it enters the module, which may send at once
+        self._change_log_client = ChangeLogClient(document.changelog, self.changes, config.seed)
+        self.change_source: ChangeSource = self._change_log_client
+        """Where changes come from; another may take its place before the start."""
+        self.commit_listeners: list[Callable[[Document, int], None]] = []
+        """Called with each document put in force and its version."""
+        self.admin_commands: dict[str, Callable[[], str]] = {}
+        """Admin commands of optional parts; each returns its answer."""
+        self.admin_commands_with_argument: dict[str, Callable[[str], str]] = {}
+        """The same of commands that take the rest of the line."""
+        self._limits = ResourceLimits(document.limits, self.engine, self._downstream, self._pool)
+        self._admin_server: AdminServer | None = None
+        self._process_lock: ProcessLock | None = None
+        self._shutdown_begun = asyncio.Event()
+        # The engine comes last: its commit enters the policy, which may send at once.
         self.parts: list[Part] = [
-            _AtStart(document),
-            self._feed,
+            StartSettings(document),
+            self._change_log_client,
             self._pool,
             self._limits,
-            self._front,
+            self._downstream,
             self.engine,
         ]
+        """All that take a new document, in the order in which they do."""
+
+    # --- what the change log says
 
     def list_changed(self, kind: EndpointListKind, version: int, members: Sequence[ListedEndpoint]) -> None:
-        """Stores have come, changed or gone; all but a ``DELTA`` is the whole list."""
+        """Endpoints have come, changed or gone; all but a ``DELTA`` is the complete list."""
         self.engine.list_changed(kind, version, members)
         self._pool.list_changed(members, whole=kind != EndpointListKind.DELTA)
 
@@ -218,218 +115,203 @@
         """An object (16 hex digits), or with no key a group, was purged at this Unix microsecond."""
         self.engine.purged(key, group, made_us)
 
-    def start(self) -> None:
-        """Apply what is known, follow the change log, listen, and only then be ready."""
-        self._open()
-        self._listen()
-
-    def _open(self) -> None:
-        """All that comes before clients do."""
-        self.changes.known(self._known)
-        self._known = {}
-        self.engine.flush()
-        if self.document.console is not None:
-            from magpieshift.admin.server import AdminServer
-            from magpieshift.process_lock import ProcessLock  # only where they are used
-
-            self._claim = ProcessLock(self.document.listen)
-            self.look_round()
-            self._door = AdminServer(self.lifecycle, self.calls, self.worded)
-            self._door.open(self.document.console)
-        self.change_source.start()
-
-    def _listen(self) -> None:
-        """Take clients. Where operators can ask for us, we may replace another process, and be replaced: both
-        listen, and what comes new is the later one's."""
-        listener = listen_socket(*self.document.listen, shared=self._claim is not None)
-        if self._claim is not None and self._claim.another_lives:
-            steer_to_second(listener)
-        self._front.listen_on(listener)
-        self.lifecycle.served()
-
-    def stop(self) -> None:
-        """Begin a planned end; ``run`` returns when all that was taken is answered."""
-        self.lifecycle.end()
-
-    def _changed(self, state: State) -> None:
-        """The lifecycle went on."""
-        if self._claim is not None:
-            self._claim.serve(state == State.SERVING)
-        self.look_round()
-        if state == State.SERVING:
-            pairs = {"version": self.version} if self.version else {}
-            log.info("ready", extra=fields(name=self.document.name, seq=self.changes.last, **pairs))
-        if self.lifecycle.emptying:
-            log.info("emptying", extra=fields(state=state.value, open=self.engine.open_requests))
-            self._front.announce_end()
-        if state == State.ENDING:
-            self._stopping.set()
-
-    def relieve(self, handed_over: Callable[[ClientRequest], bool] | None) -> None:
-        """Have clients whose requests are a neighbour's to take turned away at once, by what this says."""
-        self._front.relieved = handed_over
-
-    @property
-    def pressed(self) -> float:
-        """How much of what may be held for clients and of their connections is in use: the larger part."""
-        front = self._front
-        engine = self.engine
-        held = max(front.held, engine.held_body_bytes) / max(1, engine.max_body_bytes)
-        return max(held, front.connected / max(1, front.most_connections))
-
-    def running(self) -> dict[str, dict[str, object]]:
-        """The figures that each part runs on, read from the part itself."""
-        return {part.part: dict(part.running()) for part in self.parts}
+    # --- settings
 
     async def prepare(self, document: Document) -> Prepared:
-        """Let all parts make ready for a document; ``PreparationFailed`` where one rejects it. What comes
-        back is for ``commit``, before any other document is prepared."""
+        """Have all parts make ready for a document; ``PreparationFailed`` where one rejects it.
+
+        What it returns is for ``commit``, before any other document is prepared.
+        """
         return await prepare(self.parts, self.document, align_numbers(self.document, document))
 
     def commit(self, prepared: Prepared, version: int) -> None:
-        """Put a document in force, in one turn of the event loop, letting go of nothing that is open."""
+        """Put a document in force, in one turn of the event loop, dropping nothing that is open."""
         self.document = prepared.document
         self.version = version
         prepared.commit()
-        for told in self.committed:
-            told(self.document, version)
+        for listener in self.commit_listeners:
+            listener(self.document, version)
+
+    def running(self) -> dict[str, dict[str, object]]:
+        """The settings that each part runs on, read from the part itself."""
+        return {part.part: dict(part.running()) for part in self.parts}
+
+    # --- load
+
+    def offload_by(self, hands_over: Callable[[ClientRequest], bool] | None) -> None:
+        """Reject at once the requests that a neighbour is to take, as this function says; None for none."""
+        self._downstream.relieved = hands_over
 
     @property
-    def ending(self) -> bool:
-        """Whether the planned end has begun."""
-        return self.lifecycle.state == State.ENDING
+    def pressure(self) -> float:
+        """How full the memory held for clients or their connections are, whichever is fuller; 1.0 is full."""
+        downstream = self._downstream
+        engine = self.engine
+        memory = max(downstream.held, engine.held_body_bytes) / max(1, engine.max_body_bytes)
+        return max(memory, downstream.connected / max(1, downstream.most_connections))
 
-    async def stopping(self) -> None:
-        """Wait for the planned end to begin."""
-        await self._stopping.wait()
+    # --- start and end
+
+    def start(self) -> None:
+        """Apply what is known, follow the change log, listen, and only then be ready."""
+        self._open()
+        self._listen()
 
     async def run(self, started: Callable[[], None] = lambda: None) -> None:
         """Serve until ``stop``, then drain; ``started`` is called once it serves."""
-        tidying = asyncio.ensure_future(self._tidy())
+        maintenance = asyncio.ensure_future(self._maintain())
         try:
             self._open()
-            if self._claim is not None and self._claim.another_lives:
-                told = await self.change_source.caught_up(CATCH_UP_S)
-                log.info("replacing another process", extra=fields(caught_up=told, seq=self.changes.last))
-            if self.ending:  # it was told to before it took anything: nothing is owed
-                tidying.cancel()
+            if self._process_lock is not None and self._process_lock.other_is_alive:
+                caught_up = await self.change_source.caught_up(CATCH_UP_TIMEOUT_S)
+                log.info(
+                    "replacing another process", extra=fields(caught_up=caught_up, seq=self.changes.last)
+                )
+            if self.is_shutting_down:  # stopped before it took anything, so nothing is owed
+                maintenance.cancel()
                 return self.close()
             self._listen()
         except BaseException:
-            tidying.cancel()
+            maintenance.cancel()
             self.close()
             raise
         started()
-        await self._stopping.wait()
+        await self._shutdown_begun.wait()
         log.info("draining", extra=fields(open=self.engine.open_requests))
-        await asyncio.sleep(LAST_CALL_US / 1e6)
-        self._front.announce_end()
-        if self.lifecycle.replaced:
-            self._front.stop_listening()
-        await asyncio.sleep(DRAIN_S - LAST_CALL_US / 1e6)
-        waits_s = max(cls.deadline_us for cls in self.document.settings.classes) / 1e6
-        end = asyncio.get_running_loop().time() + min(waits_s, LONGEST_WAIT_S) + LAST_S - DRAIN_S
-        with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout_at(end):
-                while self.engine.open_requests or self._front.owing:
-                    await asyncio.sleep(0.01)
-        self.engine.answer_all()
-        # what comes from here on is answered at once, and all that rests is closed
-        left_s = end - asyncio.get_running_loop().time()
-        await self._front.end(min(max(left_s, 0.0) + CLOSE_S, LINGER_S))
-        tidying.cancel()
+        await shutdown.drain(self.engine, self._downstream, self.lifecycle, self._longest_deadline_s)
+        maintenance.cancel()
         self.close()
         log.info("ended")
+        return None
+
+    def stop(self) -> None:
+        """Begin the planned shutdown; ``run`` returns when all that was taken is answered."""
+        self.lifecycle.begin_shutdown()
+
+    @property
+    def is_shutting_down(self) -> bool:
+        """Whether the planned shutdown has begun."""
+        return self.lifecycle.state == State.ENDING
+
+    async def wait_for_shutdown(self) -> None:
+        """Wait for the planned shutdown to begin."""
+        await self._shutdown_begun.wait()
 
     def close(self) -> None:
-        """Give back every socket, whatever is open."""
-        if self._door is not None:
-            self._door.close()
-        self._front.close_all()
-        if self._claim is not None:
-            self._claim.close()
-            self._claim = None  # it knows of nobody now: what is asked later must not pass for "alone again"
+        """Release every socket, whatever is open."""
+        if self._admin_server is not None:
+            self._admin_server.close()
+        self._downstream.close_all()
+        if self._process_lock is not None:
+            self._process_lock.close()
+            # A closed lock knows of no other process; membership, which checks once more after this, would
+            # take that for being alone again, and both processes would use the whole limits.
+            self._process_lock = None
         self.change_source.stop()
         self._pool.close_all()
 
-    async def _tidy(self) -> None:
+    def check_other_process(self) -> None:
+        """See whether another process of this router is alive: it has its part of the limits."""
+        if self._process_lock is not None:
+            self._limits.set_shared(self._process_lock.other_is_alive)
+            self.lifecycle.replacement_serves = self._process_lock.other_is_serving
+
+    def _open(self) -> None:
+        """Bring up all that comes before clients do."""
+        self.changes.known(self._known)
+        self._known = {}
+        self.engine.flush()
+        if self.document.console is not None:
+            from magpieshift.admin.server import AdminServer
+            from magpieshift.process_lock import ProcessLock  # only where they are used
+
+            self._process_lock = ProcessLock(self.document.listen)
+            self.check_other_process()
+            self._admin_server = AdminServer(
+                self.lifecycle, self.admin_commands, self.admin_commands_with_argument
+            )
+            self._admin_server.open(self.document.console)
+        self.change_source.start()
+
+    def _listen(self) -> None:
+        """Take clients.
+
+        A router with an admin address may replace another process, and be replaced: both listen, and new
+        connections go to the later one.
+        """
+        listener = listen_socket(*self.document.listen, shared=self._process_lock is not None)
+        if self._process_lock is not None and self._process_lock.other_is_alive:
+            steer_to_second(listener)
+        self._downstream.listen_on(listener)
+        self.lifecycle.start_completed()
+
+    def _lifecycle_changed(self, state: State) -> None:
+        if self._process_lock is not None:
+            self._process_lock.set_serving(state == State.SERVING)
+        self.check_other_process()
+        if state == State.SERVING:
+            pairs = {"version": self.version} if self.version else {}
+            log.info("ready", extra=fields(name=self.document.name, seq=self.changes.last, **pairs))
+        if self.lifecycle.is_draining:
+            log.info("emptying", extra=fields(state=state.value, open=self.engine.open_requests))
+            self._downstream.announce_end()
+        if state == State.ENDING:
+            self._shutdown_begun.set()
+
+    async def _maintain(self) -> None:
         while True:
-            await asyncio.sleep(EMPTYING_TIDY_S if self.lifecycle.emptying else TIDY_S)
+            is_draining = self.lifecycle.is_draining
+            await asyncio.sleep(DRAINING_MAINTENANCE_INTERVAL_S if is_draining else MAINTENANCE_INTERVAL_S)
             self._pool.tidy()
-            self._front.tidy()
-            self.look_round()
+            self._downstream.tidy()
+            self.check_other_process()
 
-    def look_round(self) -> None:
-        """Whether another process of this router is there: it has its part of the limits."""
-        if self._claim is not None:
-            self._limits.share(self._claim.another_lives)
-            self.lifecycle.replaced = self._claim.another_serves
+    def _longest_deadline_s(self) -> float:
+        return max(each.deadline_us for each in self.document.settings.classes) / 1e6
 
 
 async def serve(
     router: EdgeRouter,
     reload: Callable[[], None],
     started: Callable[[], None] = lambda: None,
-    hangups: Sequence[int] = (),
+    early_reloads: Sequence[int] = (),
 ) -> None:
-    """Run a router as the process's own: SIGTERM and SIGINT begin its end, SIGHUP calls ``reload``, as do
-    ``hangups`` that came before; ``started`` is called once it serves."""
-    loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, router.stop)
-    loop.add_signal_handler(signal.SIGHUP, reload)  # unhandled, it killed the router with all that was open
-    if hangups:
-        reload()
-    gc.freeze()
-    try:
+    """Run a router as the process's own: SIGTERM and SIGINT begin its shutdown, SIGHUP calls ``reload``.
+
+    ``early_reloads`` are the SIGHUPs that came before; ``started`` is called once the router serves.
+    """
+    with signal_handlers(router.stop, reload):
+        if early_reloads:
+            reload()
+        gc.freeze()
         await router.run(started)
-    finally:  # the loop would leave them to the system, and a second one kill what is about to exit with 0
-        for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-            loop.remove_signal_handler(number)
-            signal.signal(number, signal.SIG_IGN)
 
 
 async def _run(
-    config: Config, read: Callable[[], Config], traced: bool = False, hangups: Sequence[int] = ()
+    config: Config, read: Callable[[], Config], is_traced: bool, early_reloads: Sequence[int]
 ) -> None:
-    """The platform's router: its configuration is a file, and has no versions."""
+    """Run the platform's router: its configuration is a file, and has no versions."""
     router = EdgeRouter(config)
-    if traced:
-        from magpieshift.engine.trace import Trace
+    if is_traced:
+        from magpieshift.engine.trace import Trace  # only where it is used
 
         router.engine.policy_observer = Trace()
-    reloads: asyncio.Queue[Document] = asyncio.Queue()
-
-    def reload() -> None:
-        try:
-            reloads.put_nowait(read().document)
-        except ConfigError as err:
-            log.error("configuration not reloaded", extra=fields(reason=err))
-
-    async def apply() -> None:
-        while True:
-            document = await reloads.get()
-            try:
-                router.commit(await router.prepare(document), router.version)
-            except PreparationFailed as err:
-                log.error("configuration not reloaded", extra=fields(reason=err))
-            else:
-                host, port = document.changelog
-                log.info("configuration reloaded", extra=fields(changelog=f"{host}:{port}"))
-
-    applying = asyncio.ensure_future(apply())
+    file_reload = FileReload(router, read)
+    applying = asyncio.ensure_future(file_reload.run())
     try:
-        await serve(router, reload, hangups=hangups)
+        await serve(router, file_reload.request, early_reloads=early_reloads)
     finally:
         applying.cancel()
 
 
-def main(environ: Mapping[str, str] | None = None, hangups: Sequence[int] = ()) -> int:
-    """Run one edge router as the environment says; the process's exit code. ``hangups`` grows by each SIGHUP
-    that comes before the router handles them itself."""
+def main(environ: Mapping[str, str] | None = None, early_reloads: Sequence[int] = ()) -> int:
+    """Run one edge router by the environment's settings; returns the process's exit code.
+
+    ``early_reloads`` grows by each SIGHUP that comes before the router handles them itself.
+    """
     environ = os.environ if environ is None else environ
-    traced = environ.get("EDGE_TRACE", "") == "1"
-    setup("DEBUG" if traced else "INFO")
+    is_traced = environ.get("EDGE_TRACE", "") == "1"
+    setup("DEBUG" if is_traced else "INFO")
     read = partial(load, environ)
     try:
         config = read()
@@ -437,7 +319,7 @@
         print(f"magpieshift: {err}", file=sys.stderr)
         return 2
     try:
-        asyncio.run(_run(config, read, traced, hangups))
+        asyncio.run(_run(config, read, is_traced, early_reloads))
     except OSError as err:
         print(f"magpieshift: {err}", file=sys.stderr)
         return 1
--- a/magpieshift/cli/fleet.py
+++ b/magpieshift/cli/fleet.py
@@ -13,7 +13,7 @@
 
 from magpieshift.cli.hinting import JSON
 from magpieshift.cli.parameters import SEED, SHARE, Address, NewFolder, Number, OneOf, Sizes, Whole
-from magpieshift.config import ConfigError, address
+from magpieshift.config import ConfigError, parse_address
 
 PRINTED = ("name", "standing", "for_s", "address", "zone", "state", "program", "settings", "load", "why")
 TALK_KEYS = ("failing", "left", "over", "share", "why", "pressure", "rate")
@@ -33,7 +33,7 @@
 def _asked(console: str, word: str, keys: Sequence[str], hint: str) -> dict[str, Any]:
     """What a router's door answers to a word, from JSON, with these keys; ``ConfigError`` where it does
     not."""
-    host, port = address(console, "console")
+    host, port = parse_address(console, "console")
 
     async def ask() -> str:
         async with asyncio.timeout(3.0):
--- a/magpieshift/cli/parameters.py
+++ b/magpieshift/cli/parameters.py
@@ -11,7 +11,7 @@
 
 import click
 
-from magpieshift.config import ConfigError, address
+from magpieshift.config import ConfigError, parse_address
 
 MOST_COUNT = 1_000_000
 MOST_NUMBER = 1e6
@@ -89,7 +89,7 @@
         if not value or (self._any_port and host and port == "0"):
             return value
         try:
-            address(value, "it")
+            parse_address(value, "it")
         except ConfigError:
             self.fail(f"found {value!r}, expected host:port", param, ctx)
         return value
--- a/magpieshift/cli/relays.py
+++ b/magpieshift/cli/relays.py
@@ -12,7 +12,7 @@
 from magpieshift.cli.hinting import JSON, Hinting
 from magpieshift.cli.logs import LOG, setup
 from magpieshift.cli.parameters import Address
-from magpieshift.config import ConfigError, address
+from magpieshift.config import ConfigError, parse_address
 
 LISTEN = click.option(
     "--listen", required=True, type=Address(any_port=True), help="host:port for relays and routers."
@@ -48,7 +48,7 @@
 
     if versions and not Path(versions).is_dir():
         raise ConfigError(f"--versions: found {versions!r}, expected a folder")
-    options = SourceOptions(address(changelog, "--changelog"), listen, versions, name, region)
+    options = SourceOptions(parse_address(changelog, "--changelog"), listen, versions, name, region)
     setup(log_form)
     _run(lambda: SourceNode(options))
 
--- a/magpieshift/config.py
+++ b/magpieshift/config.py
@@ -21,7 +21,7 @@
 
 Address = tuple[str, int]
 CLASS_NAME = re.compile(r"[!-+\--~]{1,64}")  # it goes into a list on a store's line
-LEAST_SOCKETS = 192  # fewer leave no room for stores beside the clients' third and what is kept aside
+MIN_SOCKETS = 192  # fewer leave no room for stores beside the clients' third and what is kept aside
 
 
 class ConfigError(Exception):
@@ -197,7 +197,7 @@
         raise ConfigError(f"{path} cannot be read: {err}") from err
 
 
-def address(text: object, what: str) -> Address:
+def parse_address(text: object, what: str) -> Address:
     """``host:port``, the host as an IPv4 address or a name."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
@@ -266,14 +266,14 @@
     except ValueError:
         raise ConfigError(f"configuration has a bad seed: {seed!r}") from None
     limits = Limits(_get(data, "limits.memory_mb", (int, float)), _get(data, "limits.sockets", int))
-    if limits.sockets < LEAST_SOCKETS:
+    if limits.sockets < MIN_SOCKETS:
         raise ConfigError(f"limits.sockets is too small to serve with: {limits.sockets}")
     console = console or data.get("console")
     document = Document(
         name=name or str(data.get("name", "")),
-        listen=address(listen or data.get("listen"), "listen"),
+        listen=parse_address(listen or data.get("listen"), "listen"),
         limits=limits,
-        changelog=address(_get(data, "changelog", str), "changelog"),
+        changelog=parse_address(_get(data, "changelog", str), "changelog"),
         settings=settings,
         names=Names(
             classes=tuple(str(_get(c, "Name", str)) for c in _get(nested, "Classes", list)),
@@ -283,7 +283,7 @@
         ),
         idle_us=int(_get(nested, "Caps.ConnIdleUs", (int, float))),
         streams_per_connection=max(1, int(_get(nested, "Caps.MaxStreams", (int, float)))),
-        console=address(console, "console") if console else None,
+        console=parse_address(console, "console") if console else None,
     )
     return Config(document, seed_number, _get(data, "known", Mapping))
 
--- a/magpieshift/config_transaction.py
+++ b/magpieshift/config_transaction.py
@@ -1,9 +1,9 @@
-"""All or none: a document goes to every part of a router, each of which prepares it or turns it down.
+"""A new document for all parts of a router or for none: each part prepares it or rejects it, then all commit.
 
-A part's ``prepare`` changes nothing that runs; it returns what is to be called to put the document in force.
-Those calls come one after another in one turn of the event loop, after all parts have prepared, and must not
-fail: a part does all its checking and building before, and only assigns then. No I/O here, and no clock but
-the time-out.
+A part's ``prepare`` changes nothing that runs; it returns its commit, which puts the document in force. The
+commits are called one after another in one turn of the event loop, after all parts have prepared, and must
+not fail: a part does all its checking and building before, and only assigns then. No I/O here, and no clock
+but the timeout.
 """
 
 from __future__ import annotations
@@ -13,25 +13,51 @@
 import logging
 from collections.abc import Awaitable, Callable, Mapping, Sequence
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import Protocol
 
 from magpieshift.config import Document
+from magpieshift.errors import MagpieshiftError
 from magpieshift.log import fields
 
 log = logging.getLogger(__name__)
 
-PREPARE_S = 2.0  # for one part; they prepare in memory, so one that takes longer is stuck
+PREPARE_TIMEOUT_S = 2.0
+"""For one part. Parts prepare in memory, so one that takes longer is stuck."""
+MAX_REASON_CHARACTERS = 200
+"""Of an unexpected error, where it is shown to operators."""
 
 Commit = Callable[[], None]
-Running = Mapping[str, object]
+"""Puts a prepared document in force in one part."""
+RunningSettings = Mapping[str, object]
+"""What a part runs on, in JSON's types, by the names that operators are shown."""
 
 
-class SettingsRejected(Exception):
+class SettingsRejected(MagpieshiftError):
     """A part cannot go over to a document while it runs; the text says why."""
 
-    def __init__(self, reason: str, at_start: bool = False) -> None:
+    def __init__(self, reason: str, needs_restart: bool = False) -> None:
         super().__init__(reason)
-        self.at_start = at_start  # whether it could with a restart
+        self.needs_restart = needs_restart
+        """Whether it could with a restart."""
+
+
+class FailureKind(StrEnum):
+    """Why a document could not be prepared."""
+
+    NEEDS_RESTART = "start"
+    REJECTED = "part"
+    RAISED = "raised"
+    """A part failed with an error that is no rejection."""
+    TIMED_OUT = "late"
+
+
+class PreparationFailed(MagpieshiftError):
+    """A part rejected a document, failed, or took too long; nothing has changed."""
+
+    def __init__(self, part: str, detail: str, kind: FailureKind) -> None:
+        super().__init__(f"{part}: {detail}")
+        self.kind = kind
 
 
 class Part(Protocol):
@@ -39,37 +65,31 @@
 
     @property
     def part(self) -> str:
-        """Its name, for people."""
+        """Its name, which is shown to operators."""
         ...
 
     def prepare(self, old: Document, new: Document) -> Commit | Awaitable[Commit]:
-        """Make ready for ``new``, changing nothing; ``SettingsRejected`` where it cannot be."""
+        """Make ready for ``new``, changing nothing; ``SettingsRejected`` where that is not possible."""
         ...
 
-    def running(self) -> Running:
-        """The figures that it runs on, read from where it uses them; JSON's types."""
+    def running(self) -> RunningSettings:
+        """The settings that it runs on, read from where it uses them."""
         ...
 
 
-class PreparationFailed(Exception):
-    """A part turned a document down, raised, or took too long; nothing has changed."""
-
-    def __init__(self, part: str, detail: str, kind: str) -> None:
-        super().__init__(f"{part}: {detail}")
-        self.kind = kind  # "start", "part", "raised" or "late"
-
-
 @dataclass(frozen=True)
 class Prepared:
     """A document that all parts are ready for."""
 
     document: Document
     commits: Sequence[tuple[str, Commit]]
+    """Each with the name of its part, in the order in which they are called."""
 
     def commit(self) -> None:
-        """Put it in force. A part that fails all the same, against its promise, is logged and does not keep
-        the others on the old document: the configuration in force is the new one from here on."""
+        """Put the document in force."""
         for name, commit in self.commits:
+            # A part that fails in spite of its promise must not keep the others on the old document: the
+            # settings in force are the new ones from here on.
             try:
                 commit()
             except Exception:
@@ -77,22 +97,32 @@
 
 
 async def prepare(
-    parts: Sequence[Part], old: Document, new: Document, within_s: float = PREPARE_S
+    parts: Sequence[Part], old: Document, new: Document, within_s: float = PREPARE_TIMEOUT_S
 ) -> Prepared:
-    """Let every part prepare, in order; ``PreparationFailed`` at the first that does not."""
+    """Have every part prepare, in order; ``PreparationFailed`` at the first that does not.
+
+    ``within_s`` is the timeout of each part.
+    """
     commits: list[tuple[str, Commit]] = []
     for part in parts:
-        try:
-            found = part.prepare(old, new)
-            if inspect.isawaitable(found):
-                async with asyncio.timeout(within_s):
-                    found = await found
-        except SettingsRejected as err:
-            raise PreparationFailed(part.part, str(err), "start" if err.at_start else "part") from None
-        except TimeoutError:
-            raise PreparationFailed(part.part, f"not ready after {within_s} s", "late") from None
-        except Exception as err:
-            log.exception("part raised", extra=fields(part=part.part))
-            raise PreparationFailed(part.part, f"{type(err).__name__}: {err}"[:200], "raised") from err
-        commits.append((part.part, found))
+        commits.append((part.part, await _prepare_part(part, old, new, within_s)))
     return Prepared(new, commits)
+
+
+async def _prepare_part(part: Part, old: Document, new: Document, within_s: float) -> Commit:
+    try:
+        prepared = part.prepare(old, new)
+        if inspect.isawaitable(prepared):
+            async with asyncio.timeout(within_s):
+                return await prepared
+        return prepared
+    except SettingsRejected as err:
+        kind = FailureKind.NEEDS_RESTART if err.needs_restart else FailureKind.REJECTED
+        raise PreparationFailed(part.part, str(err), kind) from None
+    except TimeoutError:
+        detail = f"not ready after {within_s} s"
+        raise PreparationFailed(part.part, detail, FailureKind.TIMED_OUT) from None
+    except Exception as err:  # whatever a part raises rejects the document, and the router runs on
+        log.exception("part failed to prepare", extra=fields(part=part.part))
+        detail = f"{type(err).__name__}: {err}"[:MAX_REASON_CHARACTERS]
+        raise PreparationFailed(part.part, detail, FailureKind.RAISED) from err
--- a/magpieshift/control/document_form.py
+++ b/magpieshift/control/document_form.py
@@ -10,7 +10,7 @@
 
 from pydantic import BaseModel, BeforeValidator, ConfigDict, Field, StringConstraints
 
-from magpieshift.config import LEAST_SOCKETS
+from magpieshift.config import MIN_SOCKETS
 
 MOST_CLASSES = 256  # each costs every store a record of its answers
 MOST_ZONES = 4096
@@ -37,7 +37,7 @@
 
 class LimitsForm(_Form):
     memory_mb: Annotated[float, Field(ge=8, le=1 << 20, allow_inf_nan=False, strict=True)]
-    sockets: Annotated[int, Field(ge=LEAST_SOCKETS, le=1 << 20, strict=True)]
+    sockets: Annotated[int, Field(ge=MIN_SOCKETS, le=1 << 20, strict=True)]
 
 
 class ZoneForm(_Form):
--- a/magpieshift/control/document_reading.py
+++ b/magpieshift/control/document_reading.py
@@ -3,7 +3,7 @@
 
 from __future__ import annotations
 
-from magpieshift.config import Document, Limits, MembershipSettings, Names, address
+from magpieshift.config import Document, Limits, MembershipSettings, Names, parse_address
 from magpieshift.control.document_form import ClassForm, DocumentForm, MembersForm, ZoneForm
 from magpieshift.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
@@ -65,14 +65,14 @@
     names = Names(tuple(form.classes), tuple(order), tuple(form.kinds), settings.load_report_columns)
     return Document(
         name=form.name,
-        listen=address(form.listen, "listen"),
+        listen=parse_address(form.listen, "listen"),
         limits=Limits(form.limits.memory_mb, form.limits.sockets),
-        changelog=address(form.change_log, "change-log"),
+        changelog=parse_address(form.change_log, "change-log"),
         settings=settings,
         names=names,
         idle_us=_us(form.connections.idle_ms),
         streams_per_connection=form.connections.streams,
-        console=address(form.console, "console") if form.console is not None else None,
+        console=parse_address(form.console, "console") if form.console is not None else None,
         members=_members(form.members) if form.members is not None else None,
     )
 
@@ -80,9 +80,9 @@
 def _members(form: MembersForm) -> MembershipSettings:
     return MembershipSettings(
         fleet=form.fleet,
-        listen=address(form.listen, "listen"),
-        advertise=address(form.advertise or form.listen, "advertise"),
-        seeds=tuple(address(seed, "seeds") for seed in form.seeds),
+        listen=parse_address(form.listen, "listen"),
+        advertise=parse_address(form.advertise or form.listen, "advertise"),
+        seeds=tuple(parse_address(seed, "seeds") for seed in form.seeds),
         voters=tuple(form.council),
         solo_quota=form.alone,
         digests=form.digests,
--- a/magpieshift/control/schema.py
+++ b/magpieshift/control/schema.py
@@ -10,7 +10,7 @@
 
 from pydantic import ValidationError
 
-from magpieshift.config import ConfigError, Document, address, read_text
+from magpieshift.config import ConfigError, Document, parse_address, read_text
 from magpieshift.control import sexp
 from magpieshift.control.document_form import DocumentForm, MembersForm, ZoneForm, known_entries
 from magpieshift.control.document_reading import document_of
@@ -111,7 +111,7 @@
 
 def _is_address(text: str) -> bool:
     try:
-        address(text, "it")
+        parse_address(text, "it")
     except ConfigError:
         return False
     return True
--- a/magpieshift/control/session.py
+++ b/magpieshift/control/session.py
@@ -9,7 +9,7 @@
 
 from google.protobuf.message import DecodeError
 
-from magpieshift.config_transaction import Running
+from magpieshift.config_transaction import RunningSettings
 from magpieshift.control import sexp
 from magpieshift.control.content import Delta, Full
 from magpieshift.control.sexp import Change, Unusable
@@ -21,7 +21,7 @@
 SOURCE = "control"
 
 
-def running_digests(running: Mapping[str, Running]) -> dict[str, str]:
+def running_digests(running: Mapping[str, RunningSettings]) -> dict[str, str]:
     """Of each part's figures, a short digest that the control service can compare with what it expects."""
     return {
         part: hashlib.blake2b(json.dumps(figures, sort_keys=True).encode(), digest_size=8).hexdigest()
@@ -37,7 +37,12 @@
         self.answered = 0
 
     def hello(
-        self, router: str, boot: str, in_force: Record, running: Mapping[str, Running], trouble: str = ""
+        self,
+        router: str,
+        boot: str,
+        in_force: Record,
+        running: Mapping[str, RunningSettings],
+        trouble: str = "",
     ) -> bytes:
         hello = wire.Hello(
             router=router,
@@ -78,7 +83,7 @@
         self,
         answer: Answer,
         in_force: Record,
-        running: Mapping[str, Running],
+        running: Mapping[str, RunningSettings],
         apply_us: int = 0,
         pause_us: int = 0,
     ) -> bytes:
--- a/magpieshift/control/version_manager.py
+++ b/magpieshift/control/version_manager.py
@@ -17,7 +17,7 @@
 from typing import Any, Protocol
 
 from magpieshift.config import Document
-from magpieshift.config_transaction import PreparationFailed, Prepared, Running
+from magpieshift.config_transaction import PreparationFailed, Prepared, RunningSettings
 from magpieshift.control import sexp
 from magpieshift.control.content import Full, Overrides, Refused, resolve
 from magpieshift.control.schema import Loaded, to_data
@@ -34,7 +34,7 @@
 class Host(Protocol):
     """The router that versions are for."""
 
-    def running(self) -> Mapping[str, Running]: ...
+    def running(self) -> Mapping[str, RunningSettings]: ...
 
     async def prepare(self, document: Document) -> Prepared: ...
 
@@ -100,7 +100,7 @@
     def in_force(self) -> Record:
         return self.versions.in_force
 
-    def running(self) -> Mapping[str, Running]:
+    def running(self) -> Mapping[str, RunningSettings]:
         return self._host.running()
 
     def offer(self, offer: Offer) -> None:
--- a/magpieshift/discovery/changes.py
+++ b/magpieshift/discovery/changes.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping, Sequence
 from typing import Any, Protocol
 
-from magpieshift.config import Names, address
+from magpieshift.config import Names, parse_address
 from magpieshift.engine.model import ListedEndpoint, endpoint_number
 from magpieshift.log import fields
 from magpieshift.policy.events import Endpoint, EndpointListKind, EndpointState
@@ -158,7 +158,7 @@
             weight=weight,
             started_us=max(0, int(raw.get("up_since_ms", 0) * 1000)),
         )
-        return ListedEndpoint(ident, address(raw["host_port"], "host_port"), entry)
+        return ListedEndpoint(ident, parse_address(raw["host_port"], "host_port"), entry)
 
     def _purge(self, purge: Mapping[str, Any]) -> None:
         made_us = int(purge["time"] * 1000)
--- a/magpieshift/downstream/server.py
+++ b/magpieshift/downstream/server.py
@@ -17,7 +17,7 @@
 from magpieshift.engine.model import ClientRequest, Response
 from magpieshift.lifecycle import Lifecycle, State
 from magpieshift.log import fields
-from magpieshift.sockets import READ_SIZE, LingeringClose, LingeringStream, Listener
+from magpieshift.sockets import READ_CHUNK_BYTES, LingeringClose, LingeringStream, Listener
 
 log = logging.getLogger(__name__)
 
@@ -58,7 +58,7 @@
         """Whether nothing is owed on it: nothing open or unsent, and nothing come that was not read yet. A
         request may have come just now, and one that came before the close has a right to its answer."""
         read = self._read is not None and self._read.done()
-        return not (self.busy or read or self._stream.unread)
+        return not (self.busy or read or self._stream.has_unread)
 
     @property
     def eviction_rank(self) -> tuple[bool, int]:
@@ -75,7 +75,7 @@
         in_one_turn = 0
         try:
             while True:
-                self._read = asyncio.ensure_future(self._stream.read_bytes(READ_SIZE, partial=True))
+                self._read = asyncio.ensure_future(self._stream.read_bytes(READ_CHUNK_BYTES, partial=True))
                 in_one_turn = in_one_turn + 1 if self._read.done() else 0
                 data = await self._read
                 if not self._leaving:
@@ -115,7 +115,7 @@
         if self._ended or self._read is None or self._read.done() or self._stream.closed():
             return
         try:
-            data = self._stream.socket.recv(READ_SIZE)
+            data = self._stream.socket.recv(READ_CHUNK_BYTES)
         except BlockingIOError:
             return
         except OSError:
@@ -157,7 +157,7 @@
                 self._release(stream)
                 engine.cancel(op)
             case ReadyAsked():
-                self._write(self._session.ready(stream, self._server.lifecycle.ready))
+                self._write(self._session.ready(stream, self._server.lifecycle.is_ready))
 
     def _answer(self, stream: int, answer: Response) -> None:
         self._write(self._session.answer(stream, answer))
@@ -190,8 +190,8 @@
         whether we are ready may go on asking."""
         if self.busy or not self._session.told_no_more:
             return False
-        turning_away = self._server.lifecycle.turning_away
-        cutting = self._server.lifecycle.cutting
+        turning_away = self._server.lifecycle.rejects_requests
+        cutting = self._server.lifecycle.cuts_incomplete_requests
         asks_only = self._session.requests == 0
         quiet = self.heard_us < quiet_since_us
         if self._session.pending:
@@ -325,7 +325,7 @@
         now = self.clock.now_us()
         idle, stall, whole, quiet = (now - int(1e6 * s) for s in (IDLE_S, STALL_S, WHOLE_S, NOTICE_IDLE_S))
         lame = self.lifecycle.state == State.LAME_DUCK
-        if self.lifecycle.last_call:
+        if self.lifecycle.arrivals_settled:
             self.announce_end()
         for connection in list(self._connections):
             late = connection.late(whole)
@@ -374,7 +374,7 @@
     @property
     def turning_away(self) -> bool:
         """Whether what still comes is refused at once."""
-        return self._ending or self.lifecycle.turning_away
+        return self._ending or self.lifecycle.rejects_requests
 
     async def end(self, within_s: float) -> None:
         """Listen no more, refuse what still comes, and close each connection once nothing is owed on it; all
@@ -382,7 +382,7 @@
         self._ending = True
         self.stop_listening()
         # nobody comes any more, so descriptors do not bound how many linger at once
-        self._closing.most += len(self._connections)
+        self._closing.max_open += len(self._connections)
         loop = asyncio.get_running_loop()
         end = loop.time() + within_s
         while True:
--- a/magpieshift/engine/engine.py
+++ b/magpieshift/engine/engine.py
@@ -34,7 +34,8 @@
 MAX_DRAINING_RETRY_FRACTION = 0.3
 """Bounds of the Retry-After of a draining router, as fractions of the settings' largest. Other routers can
 take the request, so it is short; it is drawn between them, or all rejected clients would be back at once.
-Chosen by trial: smaller fractions bring clients back to a router that still drains, larger ones only add waiting."""
+Chosen by trial: smaller fractions bring clients back to a router that still drains, larger ones only add
+waiting."""
 
 
 class EndpointHealth(NamedTuple):
--- a/magpieshift/engine/open_request.py
+++ b/magpieshift/engine/open_request.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from magpieshift.clock import Handle
+from magpieshift.clock import TimerHandle
 from magpieshift.engine.interfaces import Reply, UpstreamExchange
 from magpieshift.engine.model import ClientRequest, ListedEndpoint
 from magpieshift.policy.settings import RequestClass
@@ -69,5 +69,5 @@
     endpoint: ListedEndpoint | None
     """As listed when the attempt began; None if it was not listed."""
     exchange: UpstreamExchange | None = None
-    timer: Handle | None = None
+    timer: TimerHandle | None = None
     """Fires when the attempt times out."""
--- /dev/null
+++ b/magpieshift/expected_settings.py
@@ -0,0 +1,31 @@
+"""What the parts of a router show when it runs on a document, to compare with what they do show."""
+
+from __future__ import annotations
+
+from magpieshift.config import Document, settings_by_name
+from magpieshift.limits import ResourceShares
+from magpieshift.start_settings import start_settings
+
+
+def expected_settings(document: Document) -> dict[str, dict[str, object]]:
+    """What ``EdgeRouter.running`` returns of a router on this document, by the names of its parts."""
+    settings = document.settings
+    names = document.names
+    classes = dict(zip(names.classes, settings.classes, strict=True))
+    return {
+        "start": start_settings(document),
+        "engine": settings_by_name(settings, names, classes),
+        "front": {"classes": sorted(names.classes)},
+        "back": {
+            "report": list(settings.load_report_columns),
+            "connect_timeout_us": settings.connect_timeout_us,
+            "streams": document.streams_per_connection,
+            "idle_us": document.idle_us,
+        },
+        "feed": {
+            "address": list(document.changelog),
+            "zones": sorted(names.zones),
+            "kinds": sorted(names.kinds),
+        },
+        "limits": dict(ResourceShares.of(document.limits).shown()),
+    }
--- a/magpieshift/extensions/control_channel.py
+++ b/magpieshift/extensions/control_channel.py
@@ -20,7 +20,7 @@
     def __init__(self, router: EdgeRouter, manager: VersionManager, service: str, name: str) -> None:
         self._client = ControlClient(service, manager, name, secrets.token_hex(4), random.Random())
         self._started = False
-        router.lifecycle.watchers.append(self._went)
+        router.lifecycle.listeners.append(self._went)
 
     def _went(self, state: State) -> None:
         if state == State.SERVING and not self._started:  # it comes back to serving after a lame duck, too
--- a/magpieshift/extensions/counters.py
+++ b/magpieshift/extensions/counters.py
@@ -118,7 +118,7 @@
                 "program": version("magpieshift"),
                 "settings": self._router.version,
                 "incarnation": self._incarnation,
-                "state": self._router.lifecycle.word,
+                "state": self._router.lifecycle.state_name,
                 "up_us": clock.source.steady_us() - self._began_us,
                 "classes": {name: counts.plain() for name, counts in self._classes.items()},
                 "attempts": self._attempts,
--- a/magpieshift/extensions/fencing.py
+++ b/magpieshift/extensions/fencing.py
@@ -94,4 +94,4 @@
 
     def _end(self) -> str:
         self._router.stop()
-        return self._router.lifecycle.word
+        return self._router.lifecycle.state_name
--- a/magpieshift/extensions/membership.py
+++ b/magpieshift/extensions/membership.py
@@ -49,7 +49,7 @@
             zone=document.names.zones[document.settings.zone],
             program=version("magpieshift"),
             settings=router.version,
-            state=router.lifecycle.word,
+            state=router.lifecycle.state_name,
         )
         now = steady_us()
         self._detector = FailureDetector(own, settings.fleet, settings.seeds, now, rand)
@@ -66,7 +66,7 @@
         self.turns: list[Callable[[], None]] = []  # of other parts, called at the end of each turn
         self.topics: dict[str, Callable[[bytes, Member], None]] = {}  # who takes which notes
         self._detector.noted = self._noted
-        router.lifecycle.watchers.append(self._went)
+        router.lifecycle.listeners.append(self._went)
 
     def _slots(self, document: Document) -> dict[str, int]:
         s = document.settings
@@ -136,7 +136,7 @@
     def _turned(self) -> None:
         """After each turn of the driver."""
         lifecycle = self._router.lifecycle
-        self._detector.expects_rival = lifecycle.replaced or lifecycle.state == State.ENDING
+        self._detector.expects_rival = lifecycle.replacement_serves or lifecycle.state == State.ENDING
         self._detector.say(load=self._router.engine.open_requests)
         if self._detector.counters.conflicts != self._conflicts:
             self._conflicts = self._detector.counters.conflicts
@@ -152,7 +152,7 @@
         """What may be used at this instant, rounded to the safe side, is what the engine divides by. It is
         asked before each batch as well: a process that has just woken acts on nothing that ran out, and one
         that is being replaced leaves its successor its part from the first batch on."""
-        self._router.look_round()
+        self._router.check_other_process()
         now = steady_us()
         shares = [self._shares.share(scope, now) for scope in (ALL, self._scope)]
         # the engine has each process of this router take its part of that
--- a/magpieshift/extensions/overload_gossip.py
+++ b/magpieshift/extensions/overload_gossip.py
@@ -55,13 +55,13 @@
 
     def start(self) -> None:
         if self._hand_over:
-            self._router.relieve(self._hands_over)
+            self._router.offload_by(self._hands_over)
 
     def commands(self) -> Mapping[str, Callable[[], str]]:
         return {"TALK": self._line}
 
     async def stop(self) -> None:
-        self._router.relieve(None)
+        self._router.offload_by(None)
 
     # --- what goes on
 
@@ -113,7 +113,7 @@
             self._membership.note(by_name[name], TOPIC, encode(digest))
 
     def _pressure(self) -> float:
-        return max(self._router.pressed, self._late_us / LATE_US)
+        return max(self._router.pressure, self._late_us / LATE_US)
 
     def _log_acts(self, left: list[int], tried: set[int], seen: Mapping[str, Seen]) -> None:
         """A line for each store that begins to be left alone, and for each that is taken up again."""
--- a/magpieshift/extensions/relay_subscription.py
+++ b/magpieshift/extensions/relay_subscription.py
@@ -119,7 +119,7 @@
         self._early: list[ConfigurationChange] | None = []  # until the router serves
         router.change_source = self._changes
         router.engine.copy_age_limit = self._copy_age_limit
-        router.lifecycle.watchers.append(self._went)
+        router.lifecycle.listeners.append(self._went)
         manager.listeners.append(self._answered)
 
     def commands(self) -> Mapping[str, Callable[[], str]]:
--- a/magpieshift/extensions/runner.py
+++ b/magpieshift/extensions/runner.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from magpieshift.app import EdgeRouter, serve
-from magpieshift.config import Config, ConfigError, address, parse
+from magpieshift.config import Config, ConfigError, parse, parse_address
 from magpieshift.control.content import Overrides
 from magpieshift.control.schema import Loaded, load_text
 from magpieshift.control.sexp import Unusable
@@ -45,8 +45,8 @@
 
     @property
     def overrides(self) -> Overrides:
-        listen = address(self.listen, "listen") if self.listen else None
-        return Overrides(self.name, listen, address(self.console, "console") if self.console else None)
+        listen = parse_address(self.listen, "listen") if self.listen else None
+        return Overrides(self.name, listen, parse_address(self.console, "console") if self.console else None)
 
 
 def load_any(path: str) -> tuple[Loaded, Config | None]:
@@ -128,9 +128,9 @@
             self.fittings.append(FencingTerms(self.router, options.term))
             self.fittings.append(RequestCounters(self.router, options.label))
         for fitting in self.fittings:
-            self.router.committed.append(fitting.configuration_changed)
-            self.router.calls.update(fitting.commands())
-            self.router.worded.update(fitting.commands_with_argument())
+            self.router.commit_listeners.append(fitting.configuration_changed)
+            self.router.admin_commands.update(fitting.commands())
+            self.router.admin_commands_with_argument.update(fitting.commands_with_argument())
 
     def reload(self) -> None:
         """SIGHUP: the settings file is offered as a version."""
@@ -155,7 +155,7 @@
         try:
             await serve(self.router, self.reload)
         finally:
-            if not self.router.ending:  # it never came to serve
+            if not self.router.is_shutting_down:  # it never came to serve
                 ending.cancel()
                 await self.manager.stop()
             await asyncio.wait([ending])
@@ -164,7 +164,7 @@
 
     async def _end_with(self) -> None:
         """Nothing else changes while the router drains."""
-        await self.router.stopping()
+        await self.router.wait_for_shutdown()
         await self.manager.stop()
 
 
--- a/magpieshift/lab/experiments/admin_client.py
+++ b/magpieshift/lab/experiments/admin_client.py
@@ -9,7 +9,7 @@
 import time
 from typing import Any
 
-from magpieshift.admin.server import MOST_CALLERS
+from magpieshift.admin.server import MAX_CONNECTIONS
 from magpieshift.lab.emulators import peers
 from magpieshift.lab.emulators.world import World
 from magpieshift.lab.experiments.cost import Variant, started
@@ -43,7 +43,7 @@
     async with started(variant, world) as (process, _):
         clients = [peers.Client(world.port, random.Random(i), lambda: True) for i in range(4)]
         loads = [asyncio.ensure_future(c.run(rate / len(clients), lambda: ["picture"])) for c in clients]
-        mute = [asyncio.ensure_future(_mute(port)) for _ in range(MOST_CALLERS)]
+        mute = [asyncio.ensure_future(_mute(port)) for _ in range(MAX_CONNECTIONS)]
         await asyncio.sleep(0.5)
         found = [await _call(port, b"PING\n") for _ in range(calls)]
         for each in mute:
--- a/magpieshift/lab/experiments/version_checks.py
+++ b/magpieshift/lab/experiments/version_checks.py
@@ -4,12 +4,12 @@
 
 import asyncio
 
-from magpieshift.app import expected
 from magpieshift.control.publisher import Subscriber
 from magpieshift.control.schema import Loaded
 from magpieshift.control.session import running_digests
 from magpieshift.control.version_history import PASSING, Reason
 from magpieshift.control.wire import control_pb2 as wire
+from magpieshift.expected_settings import expected_settings
 from magpieshift.lab.experiments.version_report import Report
 
 MOST_DOCUMENTS = 400  # nothing older can be in force any more
@@ -100,7 +100,7 @@
         if number < self.acknowledged:
             self.mismatch(f"{where}: in force is {number}, acknowledged was {self.acknowledged}")
         self.acknowledged = max(self.acknowledged, number)
-        wanted = running_digests(expected(loaded.document))
+        wanted = running_digests(expected_settings(loaded.document))
         wrong = sorted(part for part in wanted if running.get(part) != wanted[part])
         if wrong:
             self._report.half_applied += 1
--- a/magpieshift/lab/fault_injection/skewed.py
+++ b/magpieshift/lab/fault_injection/skewed.py
@@ -27,7 +27,7 @@
         file.write(FORM.pack(step_us, rate))
 
 
-class Skewed(clock.Source):
+class Skewed(clock.TimeSource):
     """The machine's clocks, stepped and bent. A change of the rate bends from then on: no clock jumps by it,
     and the steady one never goes back."""
 
--- a/magpieshift/lab/scale/hollow.py
+++ b/magpieshift/lab/scale/hollow.py
@@ -14,7 +14,7 @@
 
 from magpieshift.clock import LoopClock
 from magpieshift.config import Address, Document
-from magpieshift.config_transaction import Part, Prepared, Running, prepare
+from magpieshift.config_transaction import Part, Prepared, RunningSettings, prepare
 from magpieshift.control.client import ControlClient
 from magpieshift.control.content import Overrides
 from magpieshift.control.schema import Loaded
@@ -153,7 +153,7 @@
         """What takes settings, the engine last, as in a router."""
         return [self.change_log, self.engine]
 
-    def running(self) -> Mapping[str, Running]:
+    def running(self) -> Mapping[str, RunningSettings]:
         return {part.part: dict(part.running()) for part in self.parts}
 
     async def prepare(self, document: Document) -> Prepared:
--- a/magpieshift/lab/scale/relayed.py
+++ b/magpieshift/lab/scale/relayed.py
@@ -35,7 +35,7 @@
 
     def start(self) -> None:
         self._router.change_source.start()
-        self._router.lifecycle.served()
+        self._router.lifecycle.start_completed()
 
     async def crash(self) -> None:
         """Close the stream without a farewell, as a process that is killed."""
--- a/magpieshift/log.py
+++ b/magpieshift/log.py
@@ -8,9 +8,9 @@
 
 
 def _quote(value: object) -> str:
-    """One word stays bare; anything that could be taken for two, or that breaks the line, is quoted."""
+    """A value as one word: quoted if it could be taken for two, or would break the line."""
     text = str(value)
-    if text and text.isprintable() and not any(mark in text for mark in ' ="\\'):
+    if text and text.isprintable() and not any(character in text for character in ' ="\\'):
         return text
     escaped = text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n").replace("\r", "\\r")
     return f'"{escaped}"'
@@ -20,6 +20,7 @@
     """``time=… level=… logger=… event=…`` and then the pairs of ``fields(...)``."""
 
     def format(self, record: logging.LogRecord) -> str:
+        """The line of one record."""
         pairs: dict[str, object] = {
             "time": f"{record.created:.3f}",
             "level": record.levelname.lower(),
@@ -33,12 +34,12 @@
 
 
 def fields(**pairs: Any) -> dict[str, dict[str, Any]]:
-    """What to pass as ``extra`` to a logging call."""
+    """The value of ``extra`` for a logging call with these pairs."""
     return {"fields": pairs}
 
 
 def setup(level: str = "INFO") -> None:
-    """Send everything to standard error, one line a record."""
+    """Log to standard error from this level on, one line a record."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     root = logging.getLogger()
--- a/magpieshift/relay/settings.py
+++ b/magpieshift/relay/settings.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from magpieshift.config import ConfigError, address
+from magpieshift.config import ConfigError, parse_address
 from magpieshift.relay.selection import Relay
 
 
@@ -20,7 +20,7 @@
     if not place or (slash and not given):
         raise ConfigError(f"{what}: found {word!r}, expected [REGION/]HOST:PORT")
     try:
-        host, port = address(place, what)
+        host, port = parse_address(place, what)
     except ConfigError:
         raise ConfigError(f"{what}: found {word!r}, expected [REGION/]HOST:PORT") from None
     return Relay(place, given or region, f"{host}:{port}")
--- a/magpieshift/rollout/plan.py
+++ b/magpieshift/rollout/plan.py
@@ -11,7 +11,7 @@
 
 from pydantic import Field
 
-from magpieshift.config import Address, ConfigError, address, read_text
+from magpieshift.config import Address, ConfigError, parse_address, read_text
 from magpieshift.control import sexp
 from magpieshift.control.sexp import Problem, Unusable
 from magpieshift.control.validation import Form, Lines, Seconds, checked
@@ -145,7 +145,7 @@
         doors: list[Address] = []
         for text in row.doors:
             try:
-                doors.append(address(text, "doors"))
+                doors.append(parse_address(text, "doors"))
             except ConfigError:
                 wrong(("routers", name, "doors"), text, "two of host:port")
                 continue
--- a/magpieshift/upstream/pool.py
+++ b/magpieshift/upstream/pool.py
@@ -16,7 +16,7 @@
 from magpieshift.log import fields
 from magpieshift.policy.events import EndpointState
 from magpieshift.policy.outcomes import Outcome
-from magpieshift.sockets import unread
+from magpieshift.sockets import peek_byte
 from magpieshift.upstream.lines import LineError
 from magpieshift.upstream.link import Done, Link
 
@@ -57,7 +57,7 @@
         then is reset, and has to pass for what may have run."""
         if self.retired or self._stream.closed() or self.silent(now_us):
             return False
-        if self._up and self.load == 0 and unread(self._stream.socket) == b"":
+        if self._up and self.load == 0 and peek_byte(self._stream.socket) == b"":
             return False
         return self.link.takes(ticket.ident, ticket.order is not None and ticket.order.must_not_repeat)
 
--- a/tests/control/test_channel.py
+++ b/tests/control/test_channel.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from magpieshift.config import Document
-from magpieshift.config_transaction import Prepared, Running, prepare
+from magpieshift.config_transaction import Prepared, RunningSettings, prepare
 from magpieshift.control import sexp, store
 from magpieshift.control.backoff import FIRST_S, MOST_S, STEADY_S, Backoff
 from magpieshift.control.client import ControlClient
@@ -46,7 +46,7 @@
         self.hold: asyncio.Event | None = None
         self.says: Exception | None = None
 
-    def running(self) -> Mapping[str, Running]:
+    def running(self) -> Mapping[str, RunningSettings]:
         return {"fake": {"retry_us": self.document.settings.max_retry_after_us}}
 
     async def prepare(self, document: Document) -> Prepared:
--- a/tests/control/test_transaction.py
+++ b/tests/control/test_transaction.py
@@ -12,11 +12,11 @@
 from hypothesis import strategies as st
 
 from magpieshift import Document, parse
-from magpieshift.app import expected
 from magpieshift.config_transaction import Commit, PreparationFailed, SettingsRejected, prepare
 from magpieshift.engine.class_numbers import initial_class_numbers, renumber_classes
 from magpieshift.engine.model import AttemptResult, Verdict
 from magpieshift.engine.name_numbers import align_numbers, renumber
+from magpieshift.expected_settings import expected_settings
 from magpieshift.policy.events import EndpointListKind, EndpointState
 from magpieshift.policy.outcomes import Outcome
 from magpieshift.policy.settings import Idempotency
@@ -155,7 +155,7 @@
         self.engine.prepare(self.document, new)()
         self.document = new
         self.clock.run()
-        self.assertEqual(self.engine.running(), expected(new)["engine"])
+        self.assertEqual(self.engine.running(), expected_settings(new)["engine"])
 
     def test_what_is_open_ends_under_the_figures_it_was_taken_under(self) -> None:
         """The class's time becomes shorter than the open request has already waited: it is waited for."""
--- a/tests/real/test_change_source.py
+++ b/tests/real/test_change_source.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from unittest import mock
 
-from magpieshift.app import CATCH_UP_S, EdgeRouter
+from magpieshift.app import CATCH_UP_TIMEOUT_S, EdgeRouter
 from magpieshift.clock import source as clock
 from magpieshift.discovery.changes import ChangeSource
 from magpieshift.engine.model import endpoint_number
@@ -73,11 +73,11 @@
         with (
             tempfile.TemporaryDirectory() as folder,
             mock.patch.object(tempfile, "tempdir", folder),
-            mock.patch.object(ProcessLock, "another_lives", True),
+            mock.patch.object(ProcessLock, "other_is_alive", True),
             mock.patch("magpieshift.app.steer_to_second"),
         ):
             starting = asyncio.ensure_future(within.__aenter__())
-            await within.until(lambda: f"caught up within {CATCH_UP_S}" in source.asked)
+            await within.until(lambda: f"caught up within {CATCH_UP_TIMEOUT_S}" in source.asked)
             with self.assertRaises(ConnectionRefusedError):
                 within.act("client+")
             source.all_told.set()
--- a/tests/real/test_endings.py
+++ b/tests/real/test_endings.py
@@ -18,7 +18,7 @@
 from magpieshift.downstream.frames import Type, head
 from magpieshift.engine.engine import Engine
 from magpieshift.policy.events import PurgeReceived, RequestReceived
-from magpieshift.sockets import MOST_LINGERING
+from magpieshift.sockets import MAX_LINGERING
 from tests.real.exchange import PATIENCE_S, ROOT, Program, Within, config, free_port
 from tests.real.test_front import request
 
@@ -65,7 +65,7 @@
     async def test_what_crosses_the_close_does_not_destroy_the_last_answer(self) -> None:
         async with Within() as router:
             await router.play(f"client+\nclient> {READY_ASKED}\nclient< {READY}")
-            (connection,) = router.router._front._connections
+            (connection,) = router.router._downstream._connections
             connection.no_more()
             connection.close()
             for stream in (1, 2):  # the first alone would be answered by a reset, and the second see it
@@ -76,10 +76,10 @@
 
     async def test_more_than_may_linger_at_other_times_are_closed_gently_at_the_end(self) -> None:
         async with Within() as router:
-            many = range(MOST_LINGERING + 4)
+            many = range(MAX_LINGERING + 4)
             for i in many:
                 router.act(f"client{i}+")
-            front = router.router._front
+            front = router.router._downstream
             await router.until(lambda: front.connected == len(many))
             ending = asyncio.ensure_future(front.end(PATIENCE_S))
             await router.until(lambda: not front.connected)
@@ -104,7 +104,7 @@
     async def test_a_request_that_has_come_keeps_a_resting_connection(self) -> None:
         """At the limit, and in the round that closes what was long idle, in the turn in which it comes."""
         async with Within() as router:
-            front = router.router._front
+            front = router.router._downstream
             await router.play(f"client+\nclient> {READY_ASKED}\nclient< {READY}")
             router.act(f"client> {ASK[1]}")
             with mock.patch.object(server, "IDLE_S", -1.0):
@@ -118,9 +118,9 @@
         async with Within() as router:
             await router.play(f"client+\nclient> {ASK[1]}\ncache+\ncache< {CACHE_ASKED}")
             router.act(f"client> {ASK[2][:20]}")
-            await router.until(lambda: router.router._front.held > 0)
+            await router.until(lambda: router.router._downstream.held > 0)
             with mock.patch.object(server, "WHOLE_S", -1.0):
-                router.router._front.tidy()
+                router.router._downstream.tidy()
             reason = '1e00000002000000004500 "frame not whole in time"'
             await router.play(f"client< {reason}\ncache> {CACHE_DATA}\nclient< {SERVED}\nclient.")
 
@@ -145,7 +145,9 @@
             with mock.patch.object(server, "HIGH_WATER", 1 << 24):
                 await asyncio.to_thread(answer)
             with mock.patch.object(server, "HIGH_WATER", 1 << 16):
-                await router.until(lambda: engine.open_requests == 0 and router.router._front.held > 1 << 16)
+                await router.until(
+                    lambda: engine.open_requests == 0 and router.router._downstream.held > 1 << 16
+                )
                 for stream in (31, 32):
                     router.act(f"client> {ASK[stream]}")
                 await router.until(lambda: engine.open_requests == 2)
@@ -187,7 +189,7 @@
                 router.act("client+")
                 router.act(f"client> {ASK[1]}")
                 router.act(f"client{ending}")  # behind the request, before it was read
-                await router.until(lambda: not router.router._front.connected)
+                await router.until(lambda: not router.router._downstream.connected)
             await router.play(f"client2+\nclient2> {ASK[2]}\ncache+")
             await router.play('cache< "ASK 0000000000000002 class=picture," /[^\\r]*\\r\\n\\r\\n/')
 
@@ -245,7 +247,7 @@
 class ChangeLogs(unittest.IsolatedAsyncioTestCase):
     async def test_one_that_answers_and_closes_at_once_is_asked_ever_more_rarely(self) -> None:
         async with Within() as router:
-            feed = router.router._feed
+            feed = router.router._change_log_client
             for _ in range(10):
                 await router.play(f"log+\nlog< /.*\\r\\n\\r\\n/\nlog> {STREAM}\nlog-")
             await router.until(lambda: feed.pause_s == client.MOST_PAUSE_S)
--- a/tests/real/test_front.py
+++ b/tests/real/test_front.py
@@ -42,7 +42,7 @@
         return self._closed
 
     @property
-    def unread(self) -> bool:
+    def has_unread(self) -> bool:
         return not self.input.empty()
 
     def close(self) -> None:
--- a/tests/real/test_operation.py
+++ b/tests/real/test_operation.py
@@ -14,13 +14,21 @@
 
 from magpieshift import ConfigError, parse
 from magpieshift.admin import server as door
-from magpieshift.admin.command import MOST_LINE, AdminCommand
-from magpieshift.app import Bounds, EdgeRouter
+from magpieshift.admin.command import MAX_LINE_BYTES, AdminCommand
+from magpieshift.app import EdgeRouter
 from magpieshift.config import Limits
 from magpieshift.discovery.client import ChangeLogClient
 from magpieshift.downstream.frames import Code, Type, answer_head, head
 from magpieshift.engine.model import Response, Verdict
-from magpieshift.lifecycle import CUT_US, LAST_CALL_US, SERVE_ON_US, InvalidStateError, Lifecycle, State
+from magpieshift.lifecycle import (
+    ARRIVALS_SETTLED_US,
+    CUT_INCOMPLETE_US,
+    SERVE_WHILE_DRAINING_US,
+    InvalidStateError,
+    Lifecycle,
+    State,
+)
+from magpieshift.limits import ResourceShares
 from magpieshift.policy.events import EndpointListKind
 from magpieshift.process_lock import ProcessLock
 from magpieshift.sockets import listen_socket, steer_to_second
@@ -37,7 +45,7 @@
 
     def test_each_call_in_each_state(self) -> None:
         """What the door answers, and the state behind it; None for ERR."""
-        calls = ("ping", "lame_duck", "rejoin", "end")
+        calls = ("ping", "lame_duck", "rejoin", "begin_shutdown")
         wanted = {
             State.STARTING: (None, None, None, State.ENDING),
             State.SERVING: (State.SERVING, State.LAME_DUCK, State.SERVING, State.ENDING),
@@ -56,29 +64,29 @@
                         self.assertEqual((then, life.state), (None, state))
                     else:
                         self.assertEqual(life.state, then)
-                        self.assertIn(said, (None, life.word))
+                        self.assertIn(said, (None, life.state_name))
 
     def test_its_time_begins_with_the_first_call(self) -> None:
-        self.life.served()
+        self.life.start_completed()
         self.life.lame_duck()
-        self.now = LAST_CALL_US
+        self.now = ARRIVALS_SETTLED_US
         self.life.lame_duck()
-        self.assertEqual((self.life.last_call, self.life.turning_away), (True, False))
-        self.now = SERVE_ON_US
-        self.assertEqual((self.life.turning_away, self.life.cutting), (True, False))
+        self.assertEqual((self.life.arrivals_settled, self.life.rejects_requests), (True, False))
+        self.now = SERVE_WHILE_DRAINING_US
+        self.assertEqual((self.life.rejects_requests, self.life.cuts_incomplete_requests), (True, False))
         self.life.rejoin()
-        self.assertEqual((self.life.ready, self.life.turning_away), (True, False))
+        self.assertEqual((self.life.is_ready, self.life.rejects_requests), (True, False))
         self.life.lame_duck()
-        self.assertEqual((self.life.ready, self.life.turning_away), (False, False))
-        self.now += CUT_US
-        self.assertTrue(self.life.cutting)
+        self.assertEqual((self.life.is_ready, self.life.rejects_requests), (False, False))
+        self.now += CUT_INCOMPLETE_US
+        self.assertTrue(self.life.cuts_incomplete_requests)
 
     def test_an_end_before_the_start_is_over_stays_an_end(self) -> None:
-        self.life.end()
-        self.life.served()
-        self.assertEqual((self.life.state, self.life.ready), (State.ENDING, False))
-        self.life.replaced = True  # the other process takes who asks here
-        self.assertTrue(self.life.ready)
+        self.life.begin_shutdown()
+        self.life.start_completed()
+        self.assertEqual((self.life.state, self.life.is_ready), (State.ENDING, False))
+        self.life.replacement_serves = True  # the other process takes who asks here
+        self.assertTrue(self.life.is_ready)
 
 
 class Calls(unittest.TestCase):
@@ -89,7 +97,7 @@
             (b"PING \r\nLAMEDUCK\n", b"OK serving\n"),
             (b"ping\n", b"ERR call: found 'ping', expected one of PING\n"),
             (b"\xff\x00\n", b"ERR call: found '\\\\xff\\x00', expected one of PING\n"),
-            (b"x" * (MOST_LINE + 1), b"ERR line: found more than 256 bytes, expected one of PING\n"),
+            (b"x" * (MAX_LINE_BYTES + 1), b"ERR line: found more than 256 bytes, expected one of PING\n"),
         ):
             for size in (1, 2, 1000):
                 with self.subTest(data[:9], size=size):
@@ -97,18 +105,18 @@
                     for at in range(0, len(data), size):
                         answers.append(call.feed(data[at : at + size]))
                     self.assertEqual(next(filter(None, answers)), wanted)
-        self.assertIn(b"ERR line: found nothing", AdminCommand({"PING": told}).late(2.0))
+        self.assertIn(b"ERR line: found nothing", AdminCommand({"PING": told}).timed_out(2.0))
 
 
 class Doors(unittest.IsolatedAsyncioTestCase):
     async def test_mute_callers_do_not_lock_out_who_calls(self) -> None:
         life = Lifecycle(lambda: 0)
-        life.served()
+        life.start_completed()
         opened = door.AdminServer(life)
         with mock.patch.object(door, "listen_socket") as listen:
             listen.return_value = listener = listen_socket("127.0.0.1", 0)
             opened.open(("127.0.0.1", 0))
-        mute = [await asyncio.open_connection(*listener.getsockname()) for _ in range(door.MOST_CALLERS)]
+        mute = [await asyncio.open_connection(*listener.getsockname()) for _ in range(door.MAX_CONNECTIONS)]
         reader, writer = await asyncio.open_connection(*listener.getsockname())
         writer.write(b"PING\n")
         writer.write_eof()  # as some do that call from a shell
@@ -126,7 +134,7 @@
         self.server.clock = mock.Mock(now_us=lambda: self.now)
         self.server.lifecycle = self.life = Lifecycle(lambda: self.now)
         self.server.most_connections = 8
-        self.life.served()
+        self.life.start_completed()
 
     async def test_who_is_told_and_has_nothing_open_is_let_go_and_who_asks_on_is_refused(self) -> None:
         idle, busy, asker, half = [await self.join() for _ in range(4)]
@@ -142,7 +150,7 @@
                 if not done.done():
                     done.set_result(None)
         await self.settle()
-        self.now = SERVE_ON_US
+        self.now = SERVE_WHILE_DRAINING_US
         asker.input.put_nowait(head(Type.READY_ASKED, 1, b"\0"))
         await self.settle()
         asker.written[-1][1].set_result(None)
@@ -158,7 +166,7 @@
         busy.written[-1][1].set_result(None)
         reply(self.refusal())
         busy.written[-1][1].set_result(None)
-        self.now = CUT_US
+        self.now = CUT_INCOMPLETE_US
         await self.settle()
         self.server.tidy()
         self.assertEqual([c.closed() for c in (busy, half)], [True, True])
@@ -173,35 +181,35 @@
             with open(os.path.join(folder, "magpieshift-h-1.lock"), "w") as left:
                 left.write("not ours " * 100)
             mine = ProcessLock(("h", 1), folder)
-            self.assertFalse(mine.another_lives or mine.another_serves)
+            self.assertFalse(mine.other_is_alive or mine.other_is_serving)
             code = (
                 "import sys; from magpieshift.process_lock import ProcessLock;"
                 "c = ProcessLock(('h', 1), sys.argv[1]);"
-                "print(c.another_lives, c.another_serves, flush=True); sys.stdin.readline();"
-                "c.serve(True); print(flush=True); sys.stdin.readline();"
-                "c.serve(False); print(flush=True); sys.stdin.readline()"
+                "print(c.other_is_alive, c.other_is_serving, flush=True); sys.stdin.readline();"
+                "c.set_serving(True); print(flush=True); sys.stdin.readline();"
+                "c.set_serving(False); print(flush=True); sys.stdin.readline()"
             )
-            mine.serve(True)
+            mine.set_serving(True)
             pipes: dict[str, Any] = {"stdin": subprocess.PIPE, "stdout": subprocess.PIPE, "text": True}
             with subprocess.Popen([sys.executable, "-c", code, folder], cwd=ROOT, **pipes) as other:
                 assert other.stdout is not None and other.stdin is not None
                 self.assertEqual(other.stdout.readline(), "True True\n")
-                self.assertEqual((mine.another_lives, mine.another_serves), (True, False))
+                self.assertEqual((mine.other_is_alive, mine.other_is_serving), (True, False))
                 for serves in (True, False):  # who empties is nobody's successor, though it lives
                     other.stdin.write("\n")
                     other.stdin.flush()
                     other.stdout.readline()
-                    self.assertEqual((mine.another_lives, mine.another_serves), (True, serves))
+                    self.assertEqual((mine.other_is_alive, mine.other_is_serving), (True, serves))
                 other.kill()
                 other.wait()
-            self.assertFalse(mine.another_lives or mine.another_serves)
+            self.assertFalse(mine.other_is_alive or mine.other_is_serving)
             mine.close()
 
     def test_a_folder_that_cannot_be_written_is_told_and_stops_nothing(self) -> None:
         with self.assertLogs("magpieshift.process_lock", "WARNING"):
             claim = ProcessLock(("h", 1), "/nowhere/at/all")
-        claim.serve(True)
-        self.assertFalse(claim.another_lives)
+        claim.set_serving(True)
+        self.assertFalse(claim.other_is_alive)
 
     def test_connections_go_to_the_second_listener_and_back_when_it_closes(self) -> None:
         first = listen_socket("127.0.0.1", 0, shared=True)
@@ -224,10 +232,13 @@
 
     def test_two_processes_stay_within_the_limits_of_one(self) -> None:
         for sockets, memory in ((192, 32.0), (256, 64.0), (1024, 192.0)):
-            alone, shared = Bounds.of(Limits(memory, sockets)), Bounds.of(Limits(memory, sockets), True)
-            self.assertLessEqual(2 * shared.stores + alone.clients, sockets)
-            self.assertLessEqual(2 * 3 * shared.bytes_each, memory * (1 << 20) / 2)
-            self.assertEqual(alone.bytes_each, int(memory * (1 << 20) / 4))
+            alone, shared = (
+                ResourceShares.of(Limits(memory, sockets)),
+                ResourceShares.of(Limits(memory, sockets), True),
+            )
+            self.assertLessEqual(2 * shared.upstream_connections + alone.client_connections, sockets)
+            self.assertLessEqual(2 * 3 * shared.bytes_per_purpose, memory * (1 << 20) / 2)
+            self.assertEqual(alone.bytes_per_purpose, int(memory * (1 << 20) / 4))
 
 
 class Successor(test_front.FrontCase):
@@ -290,12 +301,12 @@
         """Membership looks once more after it: both processes then used the whole part, 1.125 of all."""
         router = EdgeRouter(parse(config(PORTS)))
         with tempfile.TemporaryDirectory() as folder:
-            router._claim = ProcessLock(("127.0.0.1", 1), folder)
-            with mock.patch.object(ProcessLock, "another_lives", property(lambda claim: claim._file >= 0)):
-                router.look_round()
+            router._process_lock = ProcessLock(("127.0.0.1", 1), folder)
+            with mock.patch.object(ProcessLock, "other_is_alive", property(lambda lock: lock._file >= 0)):
+                router.check_other_process()
                 self.assertEqual(router.engine.sibling_processes, 1)
                 router.close()
-                router.look_round()
+                router.check_other_process()
         self.assertEqual(router.engine.sibling_processes, 1)
 
 
