--- a/magpieshift/app.py
+++ b/magpieshift/app.py
@@ -64,7 +64,7 @@
             document.settings.connect_timeout_us,
             document.idle_us,
             document.streams_per_connection,
-            most_connections=shares.upstream_connections,
+            max_connections=shares.upstream_connections,
         )
         self.engine = Engine(
             document.settings, config.seed, clock, self._pool, shares.bytes_per_purpose, document.names
@@ -109,7 +109,7 @@
     def list_changed(self, kind: EndpointListKind, version: int, members: Sequence[ListedEndpoint]) -> None:
         """Endpoints have come, changed or gone; all but a ``DELTA`` is the complete list."""
         self.engine.list_changed(kind, version, members)
-        self._pool.list_changed(members, whole=kind != EndpointListKind.DELTA)
+        self._pool.list_changed(members, is_complete=kind != EndpointListKind.DELTA)
 
     def purged(self, key: str, group: int, made_us: int) -> None:
         """An object (16 hex digits), or with no key a group, was purged at this Unix microsecond."""
@@ -140,15 +140,15 @@
 
     def offload_by(self, hands_over: Callable[[ClientRequest], bool] | None) -> None:
         """Reject at once the requests that a neighbour is to take, as this function says; None for none."""
-        self._downstream.relieved = hands_over
+        self._downstream.should_offload = hands_over
 
     @property
     def pressure(self) -> float:
         """How full the memory held for clients or their connections are, whichever is fuller; 1.0 is full."""
         downstream = self._downstream
         engine = self.engine
-        memory = max(downstream.held, engine.held_body_bytes) / max(1, engine.max_body_bytes)
-        return max(memory, downstream.connected / max(1, downstream.most_connections))
+        memory = max(downstream.held_bytes, engine.held_body_bytes) / max(1, engine.max_body_bytes)
+        return max(memory, downstream.connection_count / max(1, downstream.max_connections))
 
     # --- start and end
 
@@ -254,7 +254,7 @@
             log.info("ready", extra=fields(name=self.document.name, seq=self.changes.last, **pairs))
         if self.lifecycle.is_draining:
             log.info("emptying", extra=fields(state=state.value, open=self.engine.open_requests))
-            self._downstream.announce_end()
+            self._downstream.send_go_away()
         if state == State.ENDING:
             self._shutdown_begun.set()
 
@@ -262,8 +262,8 @@
         while True:
             is_draining = self.lifecycle.is_draining
             await asyncio.sleep(DRAINING_MAINTENANCE_INTERVAL_S if is_draining else MAINTENANCE_INTERVAL_S)
-            self._pool.tidy()
-            self._downstream.tidy()
+            self._pool.close_expired()
+            self._downstream.close_expired()
             self.check_other_process()
 
     def _longest_deadline_s(self) -> float:
--- a/magpieshift/limits.py
+++ b/magpieshift/limits.py
@@ -10,7 +10,7 @@
 from magpieshift.downstream.server import DownstreamServer
 from magpieshift.engine.engine import Engine
 from magpieshift.log import fields
-from magpieshift.upstream.lines import MOST_BODY
+from magpieshift.upstream.codec import MAX_BODY_BYTES
 from magpieshift.upstream.pool import ConnectionPool
 
 log = logging.getLogger(__name__)
@@ -44,7 +44,7 @@
         # Clients come to both from the same third; the rest is for endpoints, if there is memory for answers.
         clients = limits.sockets // 3 + EXTRA_CLIENT_CONNECTIONS
         upstream = (limits.sockets - clients - RESERVED_DESCRIPTORS) // processes
-        return cls(clients, min(upstream, max(MIN_UPSTREAM_CONNECTIONS, part // MOST_BODY)), part)
+        return cls(clients, min(upstream, max(MIN_UPSTREAM_CONNECTIONS, part // MAX_BODY_BYTES)), part)
 
     def shown(self) -> dict[str, int]:
         """The shares under the names that operators are shown and that processes compare."""
@@ -89,18 +89,18 @@
 
     def running(self) -> dict[str, object]:
         """The limits in force, read from the parts themselves; ``bytes_each`` is -1 where they disagree."""
-        is_consistent = self._engine.max_body_bytes == self._downstream.most_held
+        is_consistent = self._engine.max_body_bytes == self._downstream.max_held_bytes
         held_bytes = self._engine.max_body_bytes if is_consistent else -1
         return {
-            "clients": self._downstream.most_connections,
-            "stores": self._upstream.most_connections,
+            "clients": self._downstream.max_connections,
+            "stores": self._upstream.max_connections,
             "bytes_each": held_bytes,
         }
 
     def _apply(self) -> ResourceShares:
         shares = ResourceShares.of(self._limits, self._shared)
-        self._upstream.most_connections = shares.upstream_connections
-        self._downstream.most_connections = shares.client_connections
-        self._downstream.most_held = shares.bytes_per_purpose
+        self._upstream.max_connections = shares.upstream_connections
+        self._downstream.max_connections = shares.client_connections
+        self._downstream.max_held_bytes = shares.bytes_per_purpose
         self._engine.max_body_bytes = shares.bytes_per_purpose
         return shares
--- a/magpieshift/shutdown.py
+++ b/magpieshift/shutdown.py
@@ -38,7 +38,7 @@
     connections. ``longest_deadline_s`` is the longest deadline of any class then in force."""
     arrivals_settled_s = ARRIVALS_SETTLED_US / 1e6
     await asyncio.sleep(arrivals_settled_s)
-    downstream.announce_end()
+    downstream.send_go_away()
     if lifecycle.replacement_serves:
         downstream.stop_listening()
     await asyncio.sleep(DRAIN_S - arrivals_settled_s)
@@ -47,9 +47,9 @@
     answer_by_s = loop.time() + wait_s + ANSWER_MARGIN_S - DRAIN_S
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout_at(answer_by_s):
-            while engine.open_requests or downstream.owing:
+            while engine.open_requests or downstream.has_unsent:
                 await asyncio.sleep(POLL_S)
     engine.answer_all()
     # What comes from here on is answered at once, and idle connections are closed.
     time_left_s = max(answer_by_s - loop.time(), 0.0)
-    await downstream.end(min(time_left_s + CLOSE_S, LINGER_S))
+    await downstream.shut_down(min(time_left_s + CLOSE_S, LINGER_S))
