--- a/magpieshift/downstream/connection.py
+++ b/magpieshift/downstream/connection.py
@@ -25,7 +25,7 @@
 from magpieshift.engine.model import ClientRequest, Response
 from magpieshift.lifecycle import Lifecycle
 from magpieshift.log import fields
-from magpieshift.sockets import READ_SIZE, LingeringStream
+from magpieshift.sockets import READ_CHUNK_BYTES, LingeringStream
 
 log = logging.getLogger(__name__)
 
@@ -104,7 +104,7 @@
         """Whether nothing is owed on it: nothing open or unsent, and nothing come that was not read yet. A
         request may have come just now, and one that came before the close has a right to its response."""
         has_read = self._read is not None and self._read.done()
-        return not (self.is_busy or has_read or self._stream.unread)
+        return not (self.is_busy or has_read or self._stream.has_unread)
 
     @property
     def has_unsent(self) -> bool:
@@ -131,8 +131,8 @@
         only asks for readiness may go on asking."""
         if self.is_busy or not self._session.go_away_sent:
             return False
-        turning_away = self._host.lifecycle.turning_away
-        cutting = self._host.lifecycle.cutting
+        turning_away = self._host.lifecycle.rejects_requests
+        cutting = self._host.lifecycle.cuts_incomplete_requests
         asks_readiness_only = self._session.requests_received == 0
         is_quiet = self.last_received_us < quiet_since_us
         if self._session.partial_frame_bytes:
@@ -145,7 +145,7 @@
         reads_in_a_row = 0
         try:
             while True:
-                self._read = asyncio.ensure_future(self._stream.read_bytes(READ_SIZE, partial=True))
+                self._read = asyncio.ensure_future(self._stream.read_bytes(READ_CHUNK_BYTES, partial=True))
                 reads_in_a_row = reads_in_a_row + 1 if self._read.done() else 0
                 data = await self._read
                 if not self._is_closing:
@@ -203,7 +203,7 @@
         if self._is_closed or self._read is None or self._read.done() or self._stream.closed():
             return
         try:
-            data = self._stream.socket.recv(READ_SIZE)
+            data = self._stream.socket.recv(READ_CHUNK_BYTES)
         except BlockingIOError:
             return
         except OSError:
@@ -224,7 +224,7 @@
                 self._release(stream_id)
                 self._host.engine.cancel(request_number)
             case ReadinessRequested(stream_id=stream_id):
-                self._write(write_readiness(stream_id, self._host.lifecycle.ready))
+                self._write(write_readiness(stream_id, self._host.lifecycle.is_ready))
 
     def _submit(self, stream_id: int, request: ClientRequest) -> None:
         """Hand a request to the engine, or reject it: to one that was asked to send no more and goes on, and
--- a/magpieshift/downstream/server.py
+++ b/magpieshift/downstream/server.py
@@ -89,7 +89,7 @@
     @property
     def rejects_requests(self) -> bool:
         """Whether new requests are rejected at once."""
-        return self._is_shutting_down or self.lifecycle.turning_away
+        return self._is_shutting_down or self.lifecycle.rejects_requests
 
     def offloads(self, request: ClientRequest) -> bool:
         """Whether a request is a neighbour's to take, and is rejected here."""
@@ -136,7 +136,7 @@
         """Close connections on which nothing is open and nothing has come for long, and those whose clients
         have long taken nothing of their responses or owe the rest of a frame. Called now and then."""
         now_us = self.clock.now_us()
-        if self.lifecycle.last_call:
+        if self.lifecycle.arrivals_settled:
             self.send_go_away()
         for connection in list(self._connections):
             self._close_if_expired(connection, now_us)
@@ -169,7 +169,7 @@
         self._is_shutting_down = True
         self.stop_listening()
         # no connection comes any more, so descriptors do not bound how many linger at once
-        self._closing.most += len(self._connections)
+        self._closing.max_open += len(self._connections)
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + timeout_s
         while True:
--- a/magpieshift/extensions/membership.py
+++ b/magpieshift/extensions/membership.py
@@ -49,7 +49,7 @@
             zone=document.names.zones[document.settings.zone],
             program_version=version("magpieshift"),
             settings_version=router.version,
-            lifecycle_state=router.lifecycle.word,
+            lifecycle_state=router.lifecycle.state_name,
         )
         now = steady_us()
         self._detector = FailureDetector(own, settings.fleet, settings.seeds, now, rand)
@@ -64,7 +64,7 @@
         self.turns: list[Callable[[], None]] = []  # of other parts, called at the end of each turn
         self.topics: dict[str, Callable[[bytes, Member], None]] = {}  # who takes which notes
         self._detector.on_extension_message = self._noted
-        router.lifecycle.watchers.append(self._went)
+        router.lifecycle.listeners.append(self._went)
 
     def _slots(self, document: Document) -> dict[str, int]:
         s = document.settings
@@ -138,7 +138,7 @@
     def _turned(self) -> None:
         """After each turn of the driver."""
         lifecycle = self._router.lifecycle
-        self._detector.expects_successor = lifecycle.replaced or lifecycle.state == State.ENDING
+        self._detector.expects_successor = lifecycle.replacement_serves or lifecycle.state == State.ENDING
         self._detector.update_own_record(open_requests=self._router.engine.open_requests)
         if self._detector.counters.conflicts != self._conflicts:
             self._conflicts = self._detector.counters.conflicts
@@ -154,7 +154,7 @@
         """What may be used at this instant, rounded to the safe side, is what the engine divides by. It is
         asked before each batch as well: a process that has just woken acts on nothing that ran out, and one
         that is being replaced leaves its successor its part from the first batch on."""
-        self._router.look_round()
+        self._router.check_other_process()
         now = steady_us()
         shares = [self._shares.quota(scope, now) for scope in (FLEET_SCOPE, self._scope)]
         # the engine has each process of this router take its part of that
--- a/tests/test_public_names.py
+++ b/tests/test_public_names.py
@@ -19,10 +19,10 @@
 import click
 
 import magpieshift
-from magpieshift.app import expected
 from magpieshift.cli.main import cli
 from magpieshift.control.document_form import DocumentForm
 from magpieshift.control.document_writing import to_data
+from magpieshift.expected_settings import expected_settings
 
 ROOT = Path(__file__).resolve().parents[1]
 LISTED = Path(__file__).with_name("public_names.json")
@@ -122,7 +122,7 @@
         "platform settings": {
             ".".join(path): without(data, path) for path in leaves(data) if path[0] not in ("known", "listen")
         },
-        "shown as running": expected(document),
+        "shown as running": expected_settings(document),
         "deploy keys": sorted(deploy),
     }
 
