--- a/magpieshift/app.py
+++ b/magpieshift/app.py
@@ -227,7 +227,7 @@
 
     def _open(self) -> None:
         """All that comes before clients do."""
-        self.changes.known(self._known)
+        self.changes.apply_known(self._known)
         self._known = {}
         self.engine.flush()
         if self.document.console is not None:
@@ -260,7 +260,7 @@
         self.look_round()
         if state == State.SERVING:
             pairs = {"version": self.version} if self.version else {}
-            log.info("ready", extra=fields(name=self.document.name, seq=self.changes.last, **pairs))
+            log.info("ready", extra=fields(name=self.document.name, seq=self.changes.last_sequence, **pairs))
         if self.lifecycle.emptying:
             log.info("emptying", extra=fields(state=state.value, open=self.engine.open_requests))
             self._front.send_go_away()
@@ -312,7 +312,9 @@
             self._open()
             if self._claim is not None and self._claim.another_lives:
                 told = await self.change_source.caught_up(CATCH_UP_S)
-                log.info("replacing another process", extra=fields(caught_up=told, seq=self.changes.last))
+                log.info(
+                    "replacing another process", extra=fields(caught_up=told, seq=self.changes.last_sequence)
+                )
             if self.ending:  # it was told to before it took anything: nothing is owed
                 tidying.cancel()
                 return self.close()
--- a/magpieshift/discovery/__init__.py
+++ b/magpieshift/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The feed: the change log with the list of stores and the purges."""
+"""Discovery: the change log, which tells of endpoints and of purges, read over HTTP."""
--- a/magpieshift/discovery/changes.py
+++ b/magpieshift/discovery/changes.py
@@ -1,170 +1,132 @@
-"""The change log's events, read, put in order, and told to the core."""
+"""The change log's order: each change is applied once, and none is skipped while it can still be had."""
 
 from __future__ import annotations
 
-import json
 import logging
 from collections.abc import Mapping, Sequence
 from typing import Any, Protocol
 
-from magpieshift.config import Names, address
-from magpieshift.engine.model import ListedEndpoint, endpoint_number
+from magpieshift.config import Names
+from magpieshift.discovery import codec
+from magpieshift.discovery.errors import MissingChangesError
+from magpieshift.engine.model import ListedEndpoint
 from magpieshift.log import fields
-from magpieshift.policy.events import Endpoint, EndpointListKind, EndpointState
+from magpieshift.policy.events import EndpointListKind
 
 log = logging.getLogger(__name__)
 
-LINE_EVERY_S = 1.0  # purges are logged together: a line for each is three tenths of what a purge costs
+LOG_INTERVAL_S = 1.0
+"""Purges are logged together, since a line for each costs a good part of what a purge costs. Chosen by trial:
+longer tells operators later."""
 
-PHASES = {
-    "SERVING": EndpointState.READY,
-    "DRAINING": EndpointState.DRAINING,
-    "DELETED": EndpointState.REMOVED,
-}
 
+class ChangeListener(Protocol):
+    """Is notified of changes."""
 
-class Gap(Exception):
-    """Events are missing: the log must be read again from the last one known."""
-
-
-class Listener(Protocol):
-    """Who is told of changes."""
-
-    def list_changed(
-        self, kind: EndpointListKind, version: int, members: Sequence[ListedEndpoint]
-    ) -> None: ...
+    def list_changed(self, kind: EndpointListKind, version: int, members: Sequence[ListedEndpoint]) -> None:
+        """Endpoints have come, changed or gone; all but a ``DELTA`` is the complete list."""
+        ...
 
-    def purged(self, key: str, group: int, made_us: int) -> None: ...
+    def purged(self, key: str, group: int, made_us: int) -> None:
+        """An object, or a group where the key is empty, was purged at this Unix time."""
+        ...
 
 
 class ChangeSource(Protocol):
-    """Where a router hears of changes from: ``feed.client.FeedClient``, or what is put in its place as
-    ``EdgeRouter.change_source`` before the start. It tells them on the router's event loop, to the router as
-    a ``Listener``, or as events to ``EdgeRouter.changes``, a ``ChangeLog``, with ``log_due`` after each
-    batch."""
+    """Where a router has its changes from: ``discovery.client.ChangeLogClient``, or what is put in its place
+    as ``EdgeRouter.change_source`` before the start. It notifies, on the router's event loop, the router as a
+    ``ChangeListener``, or hands events to ``EdgeRouter.changes``, a ``ChangeLog``, with ``log_if_due`` after
+    each batch."""
 
     def start(self) -> None:
-        """Begin to tell; what the configuration knows was applied before. Must not wait."""
+        """Begin; what the configuration knows was applied before. Must not wait."""
         ...
 
     def stop(self) -> None:
-        """Tell nothing more and give back all that is held; may be called again, and without a start."""
+        """Notify no more and give back all that is held; may be called again, and without a start."""
         ...
 
     async def caught_up(self, within_s: float) -> bool:
-        """Wait, so many seconds at most, until all is told that there was to tell; whether it is. Asked where
-        the router replaces another process, before it takes clients."""
+        """Wait, so many seconds at most, until all changes so far are applied; whether they are. Called where
+        the router replaces another process, before it accepts clients."""
         ...
 
 
 class ChangeLog:
-    """Follows the log: each event once, none skipped while it can still be had."""
+    """Applies the changes of the log in their order."""
 
-    def __init__(self, names: Names, listener: Listener) -> None:
+    def __init__(self, names: Names, listener: ChangeListener) -> None:
         self.names = names
+        """The names of zones and kinds, by number."""
         self._listener = listener
-        self.last = 0
-        self._asked_again_for = 0
-        self._unlogged = 0
+        self.last_sequence = 0
+        """The number of the last change applied."""
+        self._requested_sequence = 0
+        """The last number that was missing, and for which the log was read again."""
+        self._unlogged_count = 0
+        """Changes applied since the last log line."""
         self._log_at_once = False
-        self._next_line_s = 0.0
-
-    def known(self, known: Mapping[str, Any]) -> None:
-        """What the configuration tells of the time before the start."""
-        results = known.get("results")
-        for event in results if isinstance(results, list) else []:
-            self._apply(event, first=True)
-        seq = known.get("seq")
-        if isinstance(seq, int):
-            self.last = max(self.last, seq)
-        self.log_all()
-
-    def event(self, text: str, ident: str = "") -> None:
-        """An event of the log. One that is known is passed over; ``Gap`` where some before it are missing,
-        unless they were asked for already."""
+        """Whether a list of endpoints is among them."""
+        self._next_log_s = 0.0
+        """When purges may be logged again, on the clock of ``log_if_due``."""
+
+    def apply_known(self, known: Mapping[str, Any]) -> None:
+        """Apply what the configuration knows of the time before the start."""
+        for content in codec.read_known_changes(known):
+            self._apply(content, is_initial=True)
+        self.last_sequence = max(self.last_sequence, codec.read_known_sequence(known))
+        self.log_applied()
+
+    def receive(self, text: str, event_id: str = "") -> None:
+        """Apply an event of the log. One that was applied is dropped; ``MissingChangesError`` where some
+        before it are missing, unless the log was read again for them already."""
         try:
-            event = json.loads(text)
-            seq = event["seq"] if "seq" in event else int(ident)
-            if not isinstance(seq, int):
-                raise ValueError(f"seq {seq!r}")
+            change = codec.read_change(text, event_id)
         except (ValueError, TypeError, KeyError) as err:
-            log.warning("unreadable change", extra=fields(reason=str(err)[:200]))
+            reason = str(err)[: codec.MAX_REASON_CHARACTERS]
+            log.warning("unreadable change", extra=fields(reason=reason))
             return
-        if seq <= self.last:
+        if change.sequence <= self.last_sequence:
             return
-        if seq > self.last + 1 and self._asked_again_for != self.last + 1:
-            self._asked_again_for = self.last + 1
-            raise Gap(f"change {self.last + 1} is missing before {seq}")
-        self.last = seq
-        self._apply(event)
-
-    def log_due(self, now_s: float) -> None:
-        """Log what was applied since the last line, in one line: at once where the list of stores has
-        changed, purges once in ``LINE_EVERY_S``. To be called after each batch of events, with the time of a
-        clock that never goes back, in seconds."""
-        due = self._log_at_once or now_s >= self._next_line_s
-        if due and self.log_all():
-            self._next_line_s = now_s + LINE_EVERY_S
-
-    def log_all(self) -> bool:
+        expected = self.last_sequence + 1
+        if change.sequence > expected and self._requested_sequence != expected:
+            self._requested_sequence = expected
+            raise MissingChangesError(f"change {expected} is missing before {change.sequence}")
+        self.last_sequence = change.sequence
+        self._apply(change.content)
+
+    def apply_list(self, raw: Mapping[str, Any], is_initial: bool) -> None:
+        """Notify the listener of a list of endpoints, as the log has it."""
+        endpoints = codec.read_list(raw, is_initial, self.names)
+        self._listener.list_changed(endpoints.kind, endpoints.version, endpoints.endpoints)
+
+    def log_if_due(self, now_s: float) -> None:
+        """Log what was applied since the last line, in one line: at once where the list of endpoints has
+        changed, purges once in ``LOG_INTERVAL_S``. To be called after each batch of events, with the time of
+        a clock that never goes back, in seconds."""
+        is_due = self._log_at_once or now_s >= self._next_log_s
+        if is_due and self.log_applied():
+            self._next_log_s = now_s + LOG_INTERVAL_S
+
+    def log_applied(self) -> bool:
         """Log what was applied since the last line, in one line; whether there was anything."""
-        count = self._unlogged
-        self._unlogged = 0
+        count = self._unlogged_count
+        self._unlogged_count = 0
         self._log_at_once = False
         if count:
-            log.info("change applied", extra=fields(seq=self.last, count=count))
+            log.info("change applied", extra=fields(seq=self.last_sequence, count=count))
         return count > 0
 
-    def _apply(self, event: Any, first: bool = False) -> None:
-        """Tell the core; what cannot be read is logged in one line and changes nothing."""
+    def _apply(self, content: Any, is_initial: bool = False) -> None:
+        """Notify the listener; what cannot be read is logged in one line and changes nothing."""
         try:
-            if "fleet" in event:
+            if codec.has_list(content):
                 self._log_at_once = True
-                self.take_list(event["fleet"], first)
-            if "invalidate" in event:
-                self._purge(event["invalidate"])
-        except Exception as err:
-            log.warning("unreadable change", extra=fields(reason=f"{type(err).__name__}: {err}"[:200]))
-        else:
-            self._unlogged += 1
-
-    def take_list(self, fleet: Mapping[str, Any], first: bool) -> None:
-        """Tell the listener of a list of stores, as the log has it."""
-        members = []
-        for raw in fleet["members"]:
-            try:
-                members.append(self._member(raw))
-            except Exception as err:  # the others count all the same
-                log.warning("unreadable member", extra=fields(reason=f"{type(err).__name__}: {err}"[:200]))
-        kind = EndpointListKind.CACHED if first else EndpointListKind.COMPLETE
-        kind = kind if fleet.get("complete") else EndpointListKind.DELTA
-        self._listener.list_changed(kind, int(fleet.get("revision", 0)), members)
-
-    def _member(self, raw: Mapping[str, Any]) -> ListedEndpoint:
-        ident = str(raw["id"])
-        names = self.names
-        phase = PHASES[raw["phase"]]
-        if not ident or any(mark in ident for mark in " ,=\r\n"):
-            raise ValueError(f"id {ident!r}")
-        weight = float(raw.get("size", 1.0))
-        if not 0 < weight < 1e9:  # also false for what is no number: it would poison every comparison
-            raise ValueError(f"size {weight}")
-        entry = Endpoint(
-            number=endpoint_number(ident),
-            zone=names.zones.index(raw["locality"] or None),  # numbers out of use have an empty name
-            kind=names.kinds.index(raw["flavor"] or None),
-            cell=int(raw.get("cell", 0)),
-            state=phase,
-            weight=weight,
-            started_us=max(0, int(raw.get("up_since_ms", 0) * 1000)),
-        )
-        return ListedEndpoint(ident, address(raw["host_port"], "host_port"), entry)
-
-    def _purge(self, purge: Mapping[str, Any]) -> None:
-        made_us = int(purge["time"] * 1000)
-        if "object" in purge:
-            key = str(purge["object"])
-            int(key, 16)
-            self._listener.purged(key, 0, made_us)
+                self.apply_list(codec.raw_list(content), is_initial)
+            purge = codec.read_purge(content)
+            if purge is not None:
+                self._listener.purged(purge.object_key, purge.group, purge.purged_at_us)
+        except Exception as err:  # JSON of any shape from outside; the log's other changes count all the same
+            log.warning("unreadable change", extra=fields(reason=codec.describe_error(err)))
         else:
-            self._listener.purged("", int(purge["bucket"]), made_us)
+            self._unlogged_count += 1
--- a/magpieshift/discovery/event_stream.py
+++ b/magpieshift/discovery/event_stream.py
@@ -1,62 +1,70 @@
-"""An incremental parser of server-sent events."""
+"""An incremental parser of server-sent events (the ``text/event-stream`` of the HTML standard). No I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-MOST_EVENT = 4 << 20
+from magpieshift.discovery.errors import EventStreamError
 
-
-class SseError(Exception):
-    """The stream cannot be followed any further."""
+MAX_EVENT_BYTES = 4 << 20
+"""Largest event. Chosen by trial: smaller cuts off long lists of endpoints, larger lets a broken log take
+more memory."""
 
 
 @dataclass(slots=True, frozen=True)
 class ServerEvent:
-    """One event: its id, empty where none was given, and its data."""
+    """One event."""
 
-    ident: str
+    event_id: str
+    """Empty where none was given."""
     data: str
+    """Its data lines, joined by newlines."""
 
 
-class SseParser:
-    """Bytes in, events out, however they are cut. Comments only prove that the sender is alive."""
+class EventStreamParser:
+    """Bytes in, events out, however the bytes are cut. Comments are dropped: they only prove that the sender
+    is alive."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
+        """The line that has begun and not ended."""
         self._data: list[str] = []
-        self._ident = ""
-        self._after_cr = False
+        """Data lines of the event that has begun and not ended."""
+        self._event_id = ""
+        self._ends_in_cr = False
+        """Whether the last byte was a CR, whose LF may follow."""
 
     @property
-    def pending(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether an event, or a line, has begun and not ended."""
         return bool(self._data or self._buffer)
 
     def feed(self, data: bytes) -> Iterator[ServerEvent]:
-        if self._after_cr and data[:1] == b"\n":
+        """The events that these bytes complete; ``EventStreamError`` for one that is too long."""
+        if self._ends_in_cr and data[:1] == b"\n":
             data = data[1:]  # the other half of a CR LF
-        self._after_cr = data[-1:] == b"\r" if data else self._after_cr
+        self._ends_in_cr = data[-1:] == b"\r" if data else self._ends_in_cr
         self._buffer += data.replace(b"\r\n", b"\n").replace(b"\r", b"\n")
-        *whole, rest = self._buffer.split(b"\n")
+        *lines, rest = self._buffer.split(b"\n")
         self._buffer = bytearray(rest)
-        if len(rest) + sum(map(len, self._data)) > MOST_EVENT:
-            raise SseError("event is too long")
-        for line in whole:
-            if (event := self._line(line.decode("utf-8", "replace"))) is not None:
+        if len(rest) + sum(map(len, self._data)) > MAX_EVENT_BYTES:
+            raise EventStreamError("event is too long")
+        for line in lines:
+            if (event := self._take_line(line.decode("utf-8", "replace"))) is not None:
                 yield event
 
-    def _line(self, line: str) -> ServerEvent | None:
+    def _take_line(self, line: str) -> ServerEvent | None:
+        """The event that an empty line ends, if it has data; None for any other line."""
         if not line:
-            event = ServerEvent(self._ident, "\n".join(self._data)) if self._data else None
+            event = ServerEvent(self._event_id, "\n".join(self._data)) if self._data else None
             self._data = []
-            self._ident = ""
+            self._event_id = ""
             return event
         name, _, value = line.partition(":")
         value = value.removeprefix(" ")
         if name == "data":
             self._data.append(value)
         elif name == "id":
-            self._ident = value
+            self._event_id = value
         return None
--- a/magpieshift/extensions/relay_subscription.py
+++ b/magpieshift/extensions/relay_subscription.py
@@ -97,7 +97,7 @@
         """A list of stores; what cannot be read is logged in one line and changes nothing, as on the change
         log."""
         try:
-            self._router.changes.take_list(json.loads(fleet), first=False)
+            self._router.changes.apply_list(json.loads(fleet), is_initial=False)
         except Exception as err:
             log.warning("unreadable change", extra=fields(reason=f"{type(err).__name__}: {err}"[:200]))
 
--- a/magpieshift/lab/scale/hollow.py
+++ b/magpieshift/lab/scale/hollow.py
@@ -172,7 +172,7 @@
         """Take up versions, and be fed. ``known`` is what the change log had told before, as a configuration
         holds it."""
         self._feed = feed
-        self.changes.known(known)
+        self.changes.apply_known(known)
         self.engine.flush()
         self.manager.start()
         feed.start()
@@ -196,7 +196,7 @@
 
     @property
     def connected(self) -> bool:
-        return self._log.answered
+        return self._log.has_answered
 
     def start(self) -> None:
         self._log.start()
--- a/magpieshift/relay/source.py
+++ b/magpieshift/relay/source.py
@@ -13,7 +13,7 @@
 from magpieshift.config import NO_NAMES, Address
 from magpieshift.control.publisher import Published, read_folder
 from magpieshift.discovery.changes import ChangeLog
-from magpieshift.discovery.client import QUIET_S, ChangeLogClient
+from magpieshift.discovery.client import CAUGHT_UP_AFTER_S, ChangeLogClient
 from magpieshift.engine.model import ListedEndpoint
 from magpieshift.log import fields
 from magpieshift.policy.events import EndpointListKind
@@ -67,9 +67,9 @@
         super().__init__(NO_NAMES, listener)
         self._reader = listener
 
-    def take_list(self, fleet: Mapping[str, Any], first: bool) -> None:
+    def apply_list(self, raw: Mapping[str, Any], is_initial: bool) -> None:
         """Hand a list on as JSON."""
-        self._reader.list_told(json.dumps(fleet, separators=(",", ":")))
+        self._reader.list_told(json.dumps(raw, separators=(",", ":")))
 
 
 class LogReader:
@@ -151,23 +151,27 @@
 
     def look(self, now_us: int) -> None:
         """Look whether all that has arrived is read."""
-        if self._feed.answered and self._answered_us is None:
+        if self._feed.has_answered and self._answered_us is None:
             self._answered_us = clock.source.unix_us()
             self._quiet_since_us = now_us
-        if not self._feed.all_read():
+        if not self._feed.has_read_all():
             return
-        if self._feed.chunks != self._chunks_then:
+        if self._feed.chunks_read != self._chunks_then:
             if self._all_read_us is not None:
                 self._currency.read_all(self._all_read_us)
-            self._chunks_then = self._feed.chunks
+            self._chunks_then = self._feed.chunks_read
             self._quiet_since_us = now_us
-        elif self._feed.answered and not self.told and now_us - self._quiet_since_us >= QUIET_S * 1e6:
+        elif (
+            self._feed.has_answered
+            and not self.told
+            and now_us - self._quiet_since_us >= CAUGHT_UP_AFTER_S * 1e6
+        ):
             self._history_told()
         self._all_read_us = now_us
 
     def _history_told(self) -> None:
         self.told = True
-        log.info("change log told", extra=fields(seq=self._feed.changes.last))
+        log.info("change log told", extra=fields(seq=self._feed.changes.last_sequence))
 
 
 class VersionReader:
--- a/tests/discovery/test_changes.py
+++ b/tests/discovery/test_changes.py
@@ -18,8 +18,8 @@
         good = fleet["fleet"]["members"]
         bad = [{"size": float("nan")}, {"id": "a b"}, {"locality": "moon"}, {"host_port": "x"}, {"phase": 1}]
         fleet["fleet"]["members"] = [good[0] | change for change in bad] + good
-        with self.assertLogs("magpieshift.discovery.changes", "WARNING") as logs:
-            ChangeLog(read.document.names, listener).known(read.known)
+        with self.assertLogs("magpieshift.discovery.codec", "WARNING") as logs:
+            ChangeLog(read.document.names, listener).apply_known(read.known)
         self.assertEqual(len([r for r in logs.records if r.levelno == logging.WARNING]), len(bad))
         (kind, version, members), _ = listener.list_changed.call_args
         self.assertEqual([kind, version, *(m.name for m in members)], [2, 1, "s-cache", "s-origin"])
@@ -47,11 +47,11 @@
             for now_s, events in batches:
                 before = len(logs.records)
                 for event in events:
-                    changes.event(event)
-                changes.log_due(now_s)
+                    changes.receive(event)
+                changes.log_if_due(now_s)
                 told += [(now_s, *vars(r)["fields"].values()) for r in logs.records[before:]]
-            changes.log_all()
-            changes.log_all()
+            changes.log_applied()
+            changes.log_applied()
         self.assertEqual(told, [(0.0, 3, 3), (0.3, 6, 3), (1.35, 8, 2)])
         self.assertEqual([vars(r)["fields"] for r in logs.records[3:]], [{"seq": 9, "count": 1}])
 
--- a/tests/discovery/test_event_stream.py
+++ b/tests/discovery/test_event_stream.py
@@ -2,14 +2,14 @@
 
 import unittest
 
-from magpieshift.discovery.event_stream import ServerEvent, SseParser
+from magpieshift.discovery.event_stream import EventStreamParser, ServerEvent
 
 
 class Events(unittest.TestCase):
     def test_events_may_be_cut_anywhere(self) -> None:
         data = b": alive\r\n\r\nid: 4\r\ndata: {\r\ndata: }\r\n\r\nretry: 5\n\ndata:x\n\n"
         for size in (1, 2, 5, 1000):
-            parser = SseParser()
+            parser = EventStreamParser()
             cuts = [data[at : at + size] for at in range(0, len(data), size)]
             events = [event for cut in cuts for event in parser.feed(cut)]
             self.assertEqual(events, [ServerEvent("4", "{\n}"), ServerEvent("", "x")])
--- a/tests/real/test_change_source.py
+++ b/tests/real/test_change_source.py
@@ -60,8 +60,8 @@
             drain(within.router, "s-cache")
             await within.play(f"client> {ASK[2]}\norigin+\n{ORIGIN_ASKED}")
             event = '{"seq":3,"invalidate":{"bucket":17,"time":1764576000480}}'
-            within.router.changes.event(event)
-            self.assertEqual(within.router.changes.last, 3)
+            within.router.changes.receive(event)
+            self.assertEqual(within.router.changes.last_sequence, 3)
             with self.assertRaises(BlockingIOError):
                 within.listeners["log"].accept()
         self.assertIn("stop", source.asked)
--- a/tests/real/test_endings.py
+++ b/tests/real/test_endings.py
@@ -252,11 +252,11 @@
             feed = router.router._feed
             for _ in range(10):
                 await router.play(f"log+\nlog< /.*\\r\\n\\r\\n/\nlog> {STREAM}\nlog-")
-            await router.until(lambda: feed.pause_s == client.MOST_PAUSE_S)
+            await router.until(lambda: feed.backoff_s == client.MAX_BACKOFF_S)
             await router.play(f'log+\nlog< /.*\\r\\n\\r\\n/\nlog> {STREAM}\nlog> {PURGE} "\\n\\n"')
-            await router.until(lambda: feed.changes.last == 3)
+            await router.until(lambda: feed.changes.last_sequence == 3)
             await router.play("log-")
-            await router.until(lambda: feed.pause_s == client.PAUSE_S)
+            await router.until(lambda: feed.backoff_s == client.MIN_BACKOFF_S)
 
     async def test_the_purges_of_a_chunk_are_one_batch_and_one_line(self) -> None:
         purges, batches = range(3, 43), list[int]()
--- a/tests/real/test_operation.py
+++ b/tests/real/test_operation.py
@@ -257,8 +257,8 @@
             mock.patch.object(asyncio, "sleep", mock.AsyncMock()) as waits,
         ):
             self.assertFalse(await feed.caught_up(0.5))  # no answer: the start goes on all the same
-            feed.answered = True
-            feed.alive()
+            feed.has_answered = True
+            feed.note_received()
             waits.reset_mock()
             self.assertTrue(await feed.caught_up(5.0))
             self.assertGreater(waits.await_count, 3)  # it told something just now, so there may be more
