--- a/magpieshift/app.py
+++ b/magpieshift/app.py
@@ -165,7 +165,8 @@
             if self._process_lock is not None and self._process_lock.other_is_alive:
                 caught_up = await self.change_source.caught_up(CATCH_UP_TIMEOUT_S)
                 log.info(
-                    "replacing another process", extra=fields(caught_up=caught_up, seq=self.changes.last)
+                    "replacing another process",
+                    extra=fields(caught_up=caught_up, seq=self.changes.last_sequence),
                 )
             if self.is_shutting_down:  # stopped before it took anything, so nothing is owed
                 maintenance.cancel()
@@ -218,7 +219,7 @@
 
     def _open(self) -> None:
         """Bring up all that comes before clients do."""
-        self.changes.known(self._known)
+        self.changes.apply_known(self._known)
         self._known = {}
         self.engine.flush()
         if self.document.console is not None:
@@ -251,7 +252,7 @@
         self.check_other_process()
         if state == State.SERVING:
             pairs = {"version": self.version} if self.version else {}
-            log.info("ready", extra=fields(name=self.document.name, seq=self.changes.last, **pairs))
+            log.info("ready", extra=fields(name=self.document.name, seq=self.changes.last_sequence, **pairs))
         if self.lifecycle.is_draining:
             log.info("emptying", extra=fields(state=state.value, open=self.engine.open_requests))
             self._downstream.send_go_away()
