--- a/magpieshift/cli/relays.py
+++ b/magpieshift/cli/relays.py
@@ -64,8 +64,8 @@
 @LOG
 def serve(sources: str, listen: str, name: str, region: str, log_form: str) -> None:
     """Follow a source, and serve what it tells to routers."""
+    from magpieshift.relay.addresses import read_relays
     from magpieshift.relay.node import RelayNode, RelayOptions
-    from magpieshift.relay.settings import read_relays
 
     if not name:
         raise click.UsageError("--name: found nothing, expected a name")
@@ -76,7 +76,7 @@
 
 def _run(make: Any) -> None:
     """Run a node until it is told to end."""
-    from magpieshift.relay.node import SourceSuperseded
+    from magpieshift.relay.errors import SourceSupersededError
 
     async def main() -> None:
         node = make()
@@ -87,7 +87,7 @@
 
     try:
         asyncio.run(main())
-    except (OSError, SourceSuperseded) as err:
+    except (OSError, SourceSupersededError) as err:
         raise click.ClickException(str(err)) from err
 
 
@@ -98,13 +98,14 @@
     """How far behind is whom, as a source or relay tells it; exit code 1 where it does not."""
     from magpieshift.cli import show
     from magpieshift.relay import status
+    from magpieshift.relay.errors import RelayUnreachableError
 
     try:
-        report = asyncio.run(status.ask(place))
-    except status.Unreachable as err:
+        report = asyncio.run(status.fetch_status(place))
+    except RelayUnreachableError as err:
         raise click.ClickException(f"{place}: {err}") from err
     if as_json:
-        show.as_json(status.as_data(report))
+        show.as_json(status.status_as_data(report))
         return
     age = f"{report.age_us / 1e6:.1f} s old" if report.HasField("age_us") else "not current"
     click.echo(
--- a/magpieshift/control/client.py
+++ b/magpieshift/control/client.py
@@ -14,18 +14,18 @@
 import grpc.aio
 
 from magpieshift.control.backoff import Backoff
-from magpieshift.control.session import MOST_BYTES, SOURCE, RouterSession
+from magpieshift.control.session import MAX_MESSAGE_BYTES, OFFER_SOURCE, RouterSession
 from magpieshift.control.version_history import Answer, Offer
 from magpieshift.control.version_manager import VersionManager
 from magpieshift.log import fields
 
 log = logging.getLogger(__name__)
 
-METHOD = "/magpieshift.control.v1.Control/Follow"
+FOLLOW_METHOD = "/magpieshift.control.v1.Control/Follow"
 MOST_UNSENT = 64  # answers; a service that takes none is not read from
 CONNECT_S = 3.0
-OPTIONS: list[tuple[str, Any]] = [
-    ("grpc.max_receive_message_length", MOST_BYTES),
+CHANNEL_OPTIONS: list[tuple[str, Any]] = [
+    ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
     ("grpc.keepalive_time_ms", 2000),  # a machine that has vanished says nothing
     ("grpc.keepalive_timeout_ms", 2000),
     ("grpc.http2.max_pings_without_data", 0),
@@ -97,7 +97,7 @@
                 log.exception("control stream failed")
                 self._trouble = f"{type(err).__name__}: {err}"[:200]
             lasted = loop.time() - began
-            wait_s = self._backoff.after(lasted)
+            wait_s = self._backoff.next_delay_s(lasted)
             tell = log.debug if self._told_lost else log.warning
             tell(
                 "control service lost",
@@ -110,8 +110,8 @@
 
     async def _follow(self) -> None:
         """One stream, from hello to its end."""
-        async with grpc.aio.insecure_channel(self._address, options=OPTIONS) as channel:
-            call = channel.stream_stream(METHOD)()
+        async with grpc.aio.insecure_channel(self._address, options=CHANNEL_OPTIONS) as channel:
+            call = channel.stream_stream(FOLLOW_METHOD)()
             writing: asyncio.Task[None] | None = None
             session = RouterSession()
             try:
@@ -151,7 +151,7 @@
                 self._answered(answer, 0, 0)
 
     def _answered(self, answer: Answer, apply_us: int, pause_us: int) -> None:
-        if self._session is not None and answer.offer.source == SOURCE:
+        if self._session is not None and answer.offer.source == OFFER_SOURCE:
             manager = self._manager
             self._unsent.append(
                 self._session.answer(answer, manager.in_force, manager.running(), apply_us, pause_us)
--- /dev/null
+++ b/magpieshift/control/grpc_server.py
@@ -0,0 +1,32 @@
+"""What all gRPC services share: server options, and listening."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import Any
+
+import grpc
+import grpc.aio
+
+SERVER_OPTIONS: list[tuple[str, Any]] = [
+    # clients ping every 2 s; a server that allowed fewer pings would end their streams with GOAWAY
+    ("grpc.http2.min_recv_ping_interval_without_data_ms", 500),
+    ("grpc.keepalive_permit_without_calls", 1),
+    ("grpc.max_send_message_length", -1),
+    ("grpc.so_reuseport", 0),
+]
+
+
+async def start_server(
+    handler: grpc.GenericRpcHandler, listen: str, options: Sequence[tuple[str, Any]] = SERVER_OPTIONS
+) -> tuple[Any, int]:
+    """Serve a handler on ``host:port``; port 0 picks a free one. Returns the server and its port; ``OSError``
+    if the address cannot be listened on."""
+    server = grpc.aio.server(options=options)
+    server.add_generic_rpc_handlers((handler,))
+    try:
+        port: int = server.add_insecure_port(listen)
+    except RuntimeError as err:
+        raise OSError(f"cannot listen on {listen}") from err
+    await server.start()
+    return server, port
--- a/magpieshift/control/service.py
+++ b/magpieshift/control/service.py
@@ -20,7 +20,7 @@
 
 POLL_S = 0.3
 MOST_UNSENT = 64  # messages to one router; older ones make room, as only the newest version counts
-OPTIONS: list[tuple[str, Any]] = [
+SERVER_OPTIONS: list[tuple[str, Any]] = [
     ("grpc.http2.min_recv_ping_interval_without_data_ms", 500),
     ("grpc.keepalive_permit_without_calls", 1),
     ("grpc.max_send_message_length", -1),
@@ -73,7 +73,7 @@
 
     async def start(self, listen: str) -> None:
         """Listen on ``host:port``; port 0 picks a free one. ``OSError`` where that cannot be."""
-        self._server = grpc.aio.server(options=OPTIONS)
+        self._server = grpc.aio.server(options=SERVER_OPTIONS)
         self._server.add_generic_rpc_handlers((self,))
         try:
             self.port = self._server.add_insecure_port(listen)
--- a/magpieshift/control/session.py
+++ b/magpieshift/control/session.py
@@ -16,9 +16,9 @@
 from magpieshift.control.version_history import Answer, Offer, Reason, Record
 from magpieshift.control.wire import control_pb2 as wire
 
-MOST_BYTES = 1 << 20  # of one message; a document of a thousand zones takes a tenth
-MOST_CHANGES = 10_000
-SOURCE = "control"
+MAX_MESSAGE_BYTES = 1 << 20  # of one message; a document of a thousand zones takes a tenth
+MAX_CHANGES = 10_000
+OFFER_SOURCE = "control"
 
 
 def running_digests(running: Mapping[str, Running]) -> dict[str, str]:
@@ -44,7 +44,7 @@
             boot=boot,
             in_force=in_force.number,
             digest=in_force.digest,
-            most_bytes=MOST_BYTES,
+            most_bytes=MAX_MESSAGE_BYTES,
             trouble=trouble,
             running=running_digests(running),
         )
@@ -53,7 +53,7 @@
     def feed(self, data: bytes) -> Offer | Answer:
         """A message: a version that is offered, or the answer to what is none."""
         self.received += 1
-        nothing = Offer(0, hashlib.blake2b(data, digest_size=16).hexdigest(), SOURCE)
+        nothing = Offer(0, hashlib.blake2b(data, digest_size=16).hexdigest(), OFFER_SOURCE)
         try:
             message = wire.FromControl.FromString(data)
         except DecodeError as err:
@@ -70,9 +70,9 @@
             try:
                 payload = Delta(base, read_changes(version.delta))
             except Unusable as err:
-                offer = Offer(version.number, version.digest, SOURCE, version.nonce, base)
+                offer = Offer(version.number, version.digest, OFFER_SOURCE, version.nonce, base)
                 return Answer(offer, False, Reason.MALFORMED, str(err)[:500])
-        return Offer(version.number, version.digest, SOURCE, version.nonce, base, payload)
+        return Offer(version.number, version.digest, OFFER_SOURCE, version.nonce, base, payload)
 
     def answer(
         self,
@@ -103,8 +103,8 @@
 
 def read_changes(delta: wire.Delta) -> tuple[Change, ...]:
     """A delta's changes; ``Unusable`` where one cannot be read."""
-    if len(delta.changes) > MOST_CHANGES:
-        raise Unusable([sexp.Problem("delta", 0, f"{len(delta.changes)} changes", f"at most {MOST_CHANGES}")])
+    if len(delta.changes) > MAX_CHANGES:
+        raise Unusable([sexp.Problem("delta", 0, f"{len(delta.changes)} changes", f"at most {MAX_CHANGES}")])
     found = []
     for change in delta.changes:
         path = tuple(change.path)
--- a/magpieshift/extensions/relay_subscription.py
+++ b/magpieshift/extensions/relay_subscription.py
@@ -19,9 +19,9 @@
 from magpieshift.log import fields
 from magpieshift.relay import configuration
 from magpieshift.relay.client import RelayClient
-from magpieshift.relay.follower import Apply, Follower
-from magpieshift.relay.messages import ConfigurationChange, Entry, Purge, Snapshot, StoreChange
-from magpieshift.relay.selection import Relay, Selection, rank
+from magpieshift.relay.follower import ApplyEntries, Follower
+from magpieshift.relay.messages import ConfigurationChange, EndpointListChange, Entry, Purge, Snapshot
+from magpieshift.relay.selection import RelayAddress, RelaySelection, rank_relays
 
 log = logging.getLogger(__name__)
 
@@ -36,7 +36,7 @@
         self,
         router: EdgeRouter,
         follower: Follower,
-        selection: Selection,
+        selection: RelaySelection,
         offer: Callable[[ConfigurationChange], None],
     ) -> None:
         self._router = router
@@ -64,23 +64,23 @@
 
     # --- as the client's receiver
 
-    def apply(self, batch: Apply) -> None:
+    def apply_entries(self, batch: ApplyEntries) -> None:
         """Put a batch in force; the router decides by it from here on."""
         for entry in batch.entries:
             self._take(entry)
         self._router.engine.flush()
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def restore_snapshot(self, snapshot: Snapshot) -> None:
         """Put in force what a snapshot says."""
-        if snapshot.stores:
-            self._take(StoreChange(snapshot.stores))
+        if snapshot.endpoint_list_json:
+            self._take(EndpointListChange(snapshot.endpoint_list_json))
         for purge in snapshot.purges:
             self._take(purge)
         if snapshot.configuration is not None:
             self._take(snapshot.configuration)
         self._router.engine.flush()
 
-    def take_configuration(self, change: ConfigurationChange) -> None:
+    def apply_configuration(self, change: ConfigurationChange) -> None:
         """A whole version, which was asked for."""
         self._offer(change)
 
@@ -88,7 +88,7 @@
         match entry:
             case Purge(key, group, made_us):
                 self._router.purged(key, group, made_us)
-            case StoreChange(fleet):
+            case EndpointListChange(fleet):
                 self._take_stores(fleet)
             case ConfigurationChange():
                 self._offer(entry)
@@ -108,13 +108,18 @@
     name = "relays"
 
     def __init__(
-        self, router: EdgeRouter, manager: VersionManager, relays: Sequence[Relay], region: str, name: str
+        self,
+        router: EdgeRouter,
+        manager: VersionManager,
+        relays: Sequence[RelayAddress],
+        region: str,
+        name: str,
     ) -> None:
         self._manager = manager
         self._lifecycle = router.lifecycle
         self._follower = Follower(name, secrets.token_hex(4))
-        self._follower.configuration = manager.in_force.digest
-        selection = Selection(rank(name, region, relays), random.Random())
+        self._follower.configuration_digest = manager.in_force.digest
+        selection = RelaySelection(rank_relays(name, region, relays), random.Random())
         self._changes = Changes(router, self._follower, selection, self._offer)
         self._early: list[ConfigurationChange] | None = []  # until the router serves
         router.change_source = self._changes
@@ -130,7 +135,7 @@
         await self._changes.client.stop()
 
     def _copy_age_limit(self) -> int:
-        return self._follower.currency.copy_age_limit(clock.source.steady_us())
+        return self._follower.staleness.copy_age_limit_us(clock.source.steady_us())
 
     def _line(self) -> str:
         """Where the router stands, for operators."""
@@ -141,9 +146,9 @@
                 "relay": self._changes.client.relay.address,
                 "epoch": follower.epoch.term,
                 "applied": follower.applied,
-                "done": follower.done,
-                "age_us": follower.currency.age_us(now_us),
-                "leased": follower.currency.lease_held(now_us),
+                "done": follower.watermark,
+                "age_us": follower.staleness.age_us(now_us),
+                "leased": follower.staleness.lease_held(now_us),
             }
         )
 
@@ -163,7 +168,7 @@
             self._early = [*(self._early if change.base_digest else []), change]
             return
         try:
-            self._manager.offer(configuration.offer(change))
+            self._manager.offer(configuration.version_offer(change))
         except Unusable as err:
             log.warning("version turned down", extra=fields(version=change.number, reason=err))
             self._refuse(change.number, str(err), want_whole=bool(change.base_digest))
@@ -171,19 +176,19 @@
     def _answered(self, answer: Answer, apply_us: int, pause_us: int) -> None:
         """What became of a version, whoever offered it."""
         follower = self._follower
-        follower.configuration = self._manager.in_force.digest
-        if answer.offer.source != configuration.OFFERED_BY:
+        follower.configuration_digest = self._manager.in_force.digest
+        if answer.offer.source != configuration.OFFER_SOURCE:
             return
         if answer.accepted:
-            if answer.offer.number >= follower.refused:
-                follower.refused = 0
-                follower.refusal = ""
+            if answer.offer.number >= follower.rejected_version:
+                follower.rejected_version = 0
+                follower.rejection_reason = ""
         elif answer.reason is not Reason.SUPERSEDED:
             why = f"{answer.reason.name.lower()}: {answer.detail}"
             self._refuse(answer.offer.number, why, answer.want_full)
 
     def _refuse(self, number: int, why: str, want_whole: bool) -> None:
         follower = self._follower
-        follower.refused = number
-        follower.refusal = why[:MOST_REFUSAL]
-        follower.want_whole = follower.want_whole or want_whole
+        follower.rejected_version = number
+        follower.rejection_reason = why[:MOST_REFUSAL]
+        follower.wants_full = follower.wants_full or want_whole
--- a/magpieshift/extensions/runner.py
+++ b/magpieshift/extensions/runner.py
@@ -105,7 +105,7 @@
             self.fittings.append(ControlChannel(self.router, self.manager, options.control, self._name))
         if options.relays:
             from magpieshift.extensions.relay_subscription import RelaySubscription
-            from magpieshift.relay.settings import read_relays
+            from magpieshift.relay.addresses import read_relays
 
             relays = read_relays(options.relays, options.region, "relays")
             self.fittings.append(
--- a/magpieshift/lab/capacity/arithmetic.py
+++ b/magpieshift/lab/capacity/arithmetic.py
@@ -10,7 +10,7 @@
 from magpieshift.lab.capacity.measure import Row
 from magpieshift.lab.capacity.results import Result
 from magpieshift.lab.capacity.tables import NOT_TOLD, Results, growth, number, table
-from magpieshift.relay.limits import LEASE_US, SILENCE_US, SNAPSHOTS_PER_S
+from magpieshift.relay.limits import LEASE_US, MAX_SNAPSHOTS_PER_S, RELAY_SILENCE_TIMEOUT_US
 
 LARGEST_ANSWER = 240_000  # bytes: the largest object part that stores send, and the largest measured
 HOUR_S = 3_600
@@ -169,7 +169,7 @@
     if relay is None or whole is None or read is None:
         return []
     lease_s = LEASE_US / 1e6
-    silence_s = SILENCE_US / 1e6
+    silence_s = RELAY_SILENCE_TIMEOUT_US / 1e6
     region = fleet.ROUTERS // fleet.REGIONS
     others = fleet.CONTROL_MACHINES - 2
     bounded = f"without a lease of {lease_s:g} s a router takes only copies younger than that"
@@ -194,7 +194,7 @@
             "a region cut off for an hour, behind relays",
             f"{region} routers",
             f"a snapshot each: {_kilobytes(whole.at_target)} and {_ms(read.at_target)} of processor a router,"
-            f" at most {SNAPSHOTS_PER_S} a second from a relay",
+            f" at most {MAX_SNAPSHOTS_PER_S} a second from a relay",
             bounded,
             f"{whole.how}; the time to return is unmeasured here (`lab scale`)",
         ),
--- a/magpieshift/lab/capacity/roles/control.py
+++ b/magpieshift/lab/capacity/roles/control.py
@@ -15,8 +15,8 @@
 import grpc.aio
 
 from magpieshift.control import sexp
-from magpieshift.control.client import METHOD
-from magpieshift.control.client import OPTIONS as CLIENT_OPTIONS
+from magpieshift.control.grpc_channel import CHANNEL_OPTIONS as CLIENT_OPTIONS
+from magpieshift.control.grpc_channel import FOLLOW_METHOD
 from magpieshift.control.publisher import Published, read_folder
 from magpieshift.control.session import RouterSession
 from magpieshift.control.version_history import Answer, Offer, Record, State
@@ -45,7 +45,7 @@
         """Follow until cancelled."""
         session = RouterSession()
         async with grpc.aio.insecure_channel(f"127.0.0.1:{port}", options=CLIENT_OPTIONS) as channel:
-            call = channel.stream_stream(METHOD)()
+            call = channel.stream_stream(FOLLOW_METHOD)()
             await call.write(session.hello(self.name, "lab", self.in_force, {}))
             while (data := await call.read()) is not grpc.aio.EOF:
                 self.received += len(data)
--- a/magpieshift/lab/capacity/roles/relays.py
+++ b/magpieshift/lab/capacity/roles/relays.py
@@ -15,16 +15,17 @@
 import grpc.aio
 
 from magpieshift import clock
-from magpieshift.control.client import METHOD
+from magpieshift.control.grpc_channel import FOLLOW_METHOD
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.processor import processor_s, resident_mb
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.capacity.roles.changelog import HALF_CORE, NETWORK, log_process
 from magpieshift.lab.capacity.roles.purges import MEMORY, PROCESSOR, RESIDENT, remember, tell
 from magpieshift.lab.capacity.routers import HERE, CountedWorld, come_up
-from magpieshift.relay.client import OPTIONS
-from magpieshift.relay.codec import decode, encode_from
-from magpieshift.relay.follower import Apply, EndStream, Follower, TakeSnapshot
+from magpieshift.relay.connection import CHANNEL_OPTIONS
+from magpieshift.relay.decoding import decode_downstream
+from magpieshift.relay.encoding import encode_upstream
+from magpieshift.relay.follower import ApplyEntries, EndStream, Follower, RestoreSnapshot
 
 WITHIN_S = 30.0
 SETTLE_S = 1.0
@@ -45,9 +46,9 @@
     async def follow(self, port: int) -> None:
         """Follow the relay or source at this port until cancelled; ``RuntimeError`` where it ends the
         stream."""
-        async with grpc.aio.insecure_channel(f"127.0.0.1:{port}", options=OPTIONS) as channel:
-            call = channel.stream_stream(METHOD)()
-            await self._write(call, encode_from(self._machine.connect(clock.source.steady_us())))
+        async with grpc.aio.insecure_channel(f"127.0.0.1:{port}", options=CHANNEL_OPTIONS) as channel:
+            call = channel.stream_stream(FOLLOW_METHOD)()
+            await self._write(call, encode_upstream(self._machine.connect(clock.source.steady_us())))
             telling = asyncio.ensure_future(self._tell(call))
             try:
                 while (data := await call.read()) is not grpc.aio.EOF:
@@ -59,23 +60,25 @@
     def _take(self, data: bytes) -> None:
         self.received += len(data)
         now_us = clock.source.steady_us()
-        for effect in self._machine.receive(decode(data), now_us):
+        for effect in self._machine.receive(decode_downstream(data), now_us):
             match effect:
-                case Apply():
-                    self._machine.applied_up_to(effect.epoch, effect.last)
-                case TakeSnapshot(snapshot=snapshot):
-                    self._machine.applied_up_to(snapshot.epoch, snapshot.applied)
+                case ApplyEntries():
+                    self._machine.acknowledge_applied(effect.epoch, effect.last)
+                case RestoreSnapshot(snapshot=snapshot):
+                    self._machine.acknowledge_applied(snapshot.epoch, snapshot.applied)
                 case EndStream():
                     raise RuntimeError(f"a follower ends its stream: {effect.reason.value} {effect.detail}")
-        if self._machine.rests_on_stream:
+        if self._machine.lease_from_stream:
             self.current.set()
 
     async def _tell(self, call: grpc.aio.StreamStreamCall) -> None:
         while True:
             now_us = clock.source.steady_us()
             if (progress := self._machine.progress(now_us)) is not None:
-                await self._write(call, encode_from(progress))
-            await asyncio.sleep(max(0.01, (self._machine.due_us() - clock.source.steady_us()) / 1e6))
+                await self._write(call, encode_upstream(progress))
+            await asyncio.sleep(
+                max(0.01, (self._machine.next_progress_us() - clock.source.steady_us()) / 1e6)
+            )
 
     async def _write(self, call: grpc.aio.StreamStreamCall, data: bytes) -> None:
         self.sent += len(data)
--- a/magpieshift/lab/capacity/roles/snapshots.py
+++ b/magpieshift/lab/capacity/roles/snapshots.py
@@ -11,19 +11,20 @@
 from magpieshift.lab.capacity.processor import spending
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.capacity.roles.changelog import NETWORK_BYTES_PER_S
-from magpieshift.relay.codec import decode, encode
-from magpieshift.relay.limits import PURGES_KEPT_US, SNAPSHOT_REUSED_US, SNAPSHOTS_PER_S
+from magpieshift.relay.decoding import decode_downstream
+from magpieshift.relay.encoding import encode_downstream
+from magpieshift.relay.limits import MAX_SNAPSHOTS_PER_S, PURGE_RETENTION_US, SNAPSHOT_REUSE_US
 from magpieshift.relay.messages import ConfigurationChange, Epoch, Purge, Snapshot
 
 TIMES = 3
-KEPT_S = PURGES_KEPT_US / 1e6
-REUSED_S = SNAPSHOT_REUSED_US / 1e6
+KEPT_S = PURGE_RETENTION_US / 1e6
+REUSED_S = SNAPSHOT_REUSE_US / 1e6
 NOW_US = 1_764_576_000_000_000
 
 
 def snapshot(purges: int, draw: random.Random) -> Snapshot:
     """A snapshot with so many purges, the target's list of caches and a whole version."""
-    made_us = sorted(NOW_US - draw.randrange(PURGES_KEPT_US) // 1000 * 1000 for _ in range(purges))
+    made_us = sorted(NOW_US - draw.randrange(PURGE_RETENTION_US) // 1000 * 1000 for _ in range(purges))
     members = [
         {
             "id": f"s-{number}",
@@ -63,7 +64,9 @@
         Resource(
             "bytes",
             "bytes",
-            Budget(NETWORK_BYTES_PER_S / SNAPSHOTS_PER_S, f"{SNAPSHOTS_PER_S} a second in half a gigabit"),
+            Budget(
+                NETWORK_BYTES_PER_S / MAX_SNAPSHOTS_PER_S, f"{MAX_SNAPSHOTS_PER_S} a second in half a gigabit"
+            ),
         ),
     )
 
@@ -71,10 +74,10 @@
         made = snapshot(int(size), random.Random(seed))
         with spending() as written:
             for _ in range(TIMES):
-                data = encode(made)
+                data = encode_downstream(made)
         with spending() as read:
             for _ in range(TIMES):
-                decode(data)
+                decode_downstream(data)
         return Sample(
             size,
             {
--- a/magpieshift/lab/scale/node.py
+++ b/magpieshift/lab/scale/node.py
@@ -8,7 +8,7 @@
 from magpieshift.lab.scale import child
 from magpieshift.lab.scale.messages import Message, Ready, StartRelay, StartSource
 from magpieshift.relay.node import RelayNode, RelayOptions, SourceNode, SourceOptions
-from magpieshift.relay.selection import Relay
+from magpieshift.relay.selection import RelayAddress
 
 LOOPBACK = "127.0.0.1"
 
@@ -18,7 +18,7 @@
         case StartSource(log_port=log_port, versions=versions, port=port):
             return SourceNode(SourceOptions((LOOPBACK, log_port), f"{LOOPBACK}:{port}", versions))
         case StartRelay(name=name, region=region, source_port=source_port, port=port):
-            source = Relay("source", region, f"{LOOPBACK}:{source_port}")
+            source = RelayAddress("source", region, f"{LOOPBACK}:{source_port}")
             return RelayNode(RelayOptions((source,), f"{LOOPBACK}:{port}", name, region))
         case other:
             raise RuntimeError(f"a node knows no {other.kind!r}")
--- a/magpieshift/lab/scale/relayed.py
+++ b/magpieshift/lab/scale/relayed.py
@@ -9,13 +9,13 @@
 from magpieshift.app import EdgeRouter
 from magpieshift.extensions.relay_subscription import Changes, RelaySubscription
 from magpieshift.lab.scale.hollow import HollowRouter
-from magpieshift.relay.selection import Relay
+from magpieshift.relay.selection import RelayAddress
 
 
 class RelayFeed:
     """A place in the fan-out tier, which brings purges, lists and versions."""
 
-    def __init__(self, router: HollowRouter, relays: Sequence[Relay], region: str) -> None:
+    def __init__(self, router: HollowRouter, relays: Sequence[RelayAddress], region: str) -> None:
         """The fitting uses of its router only what a hollow one has."""
         self._router = router
         self._relayed = RelaySubscription(
--- a/magpieshift/lab/scale/relays.py
+++ b/magpieshift/lab/scale/relays.py
@@ -17,7 +17,8 @@
 from magpieshift.lab.scale.tier import LOG, Reach
 from magpieshift.lab.scale.topology import Place, Topology
 from magpieshift.relay import status
-from magpieshift.relay.limits import PURGES_KEPT_US
+from magpieshift.relay.errors import RelayUnreachableError
+from magpieshift.relay.limits import PURGE_RETENTION_US
 
 SOURCE = "source"
 LOOPBACK = "127.0.0.1"
@@ -149,16 +150,16 @@
 
     async def digested(self, events: int, without: Collection[str]) -> bool:
         ports = [m.port for m in self._machines.values() if m.zone not in without]
-        asked = (status.ask(f"{LOOPBACK}:{port}") for port in [self.source.ports["node"], *ports])
+        asked = (status.fetch_status(f"{LOOPBACK}:{port}") for port in [self.source.ports["node"], *ports])
         try:
             reports = await asyncio.gather(*asked)
-        except status.Unreachable:  # it is busy
+        except RelayUnreachableError:  # it is busy
             return False
         return all(report.head >= events for report in reports)
 
     @property
     def forgets_after_s(self) -> float:
-        return PURGES_KEPT_US / 1e6
+        return PURGE_RETENTION_US / 1e6
 
     async def lose(self, machines: int, seconds: float) -> None:
         """So many relays of the largest region are killed, and started again at their ports."""
--- a/magpieshift/lab/scale/worker.py
+++ b/magpieshift/lab/scale/worker.py
@@ -32,7 +32,7 @@
 from magpieshift.lab.scale.relayed import RelayFeed
 from magpieshift.lab.scale.tally import Applied, Shared, index_of
 from magpieshift.policy.events import PurgeReceived
-from magpieshift.relay.selection import Relay
+from magpieshift.relay.selection import RelayAddress
 
 SWITCH_S = 0.0005  # as a router process has it: versions are read in a thread
 CONNECT_S = 60.0
@@ -134,7 +134,7 @@
 def _feed(router: HollowRouter, place: Place) -> Feed:
     """What the router is fed by, as its place says."""
     if place.relays:
-        relays = [Relay(each.name, each.region, f"{LOOPBACK}:{each.port}") for each in place.relays]
+        relays = [RelayAddress(each.name, each.region, f"{LOOPBACK}:{each.port}") for each in place.relays]
         return RelayFeed(router, relays, place.region)
     rand = random.Random(f"control/{place.name}")
     return DirectFeed(router, (LOOPBACK, place.control_port), rand)
--- a/magpieshift/lab/simulated/fanout.py
+++ b/magpieshift/lab/simulated/fanout.py
@@ -31,7 +31,7 @@
 )
 from magpieshift.lab.simulated.time import Time
 from magpieshift.relay import limits, selection
-from magpieshift.relay.messages import Epoch, FromFollower, Snapshot
+from magpieshift.relay.messages import Epoch, Snapshot, UpstreamMessage
 
 SECOND = 1_000_000
 APPLIED_SHARE = 0.2  # of its turns, in which a router that applies later does
@@ -69,8 +69,8 @@
         self.bytes: dict[str, int] = {}  # sent to each host, by estimate
         self.snapshots: dict[str, int] = {}  # sent to each host
         self.purged: list[int] = []  # when each purge was made
-        self.ranked: dict[str, tuple[selection.Relay, ...]] = {}  # by follower
-        self._selections: dict[str, selection.Selection] = {}
+        self.ranked: dict[str, tuple[selection.RelayAddress, ...]] = {}  # by follower
+        self._selections: dict[str, selection.RelaySelection] = {}
         self._retry_us: dict[str, int] = {}
         self._connected_us: dict[str, int | None] = {}
         self._tried: dict[str, int] = {}  # the stream to the relay that each follows
@@ -82,9 +82,13 @@
     def _make_hosts(self) -> None:
         form = self.form
         regions = [str(region) for region in range(form.regions)]
-        sources = [selection.Relay(f"S{n + 1}", regions[n % form.regions], "") for n in range(form.sources)]
+        sources = [
+            selection.RelayAddress(f"S{n + 1}", regions[n % form.regions], "") for n in range(form.sources)
+        ]
         relays = [
-            selection.Relay(f"R{r}.{n + 1}", r, "") for r in regions for n in range(form.relays_a_region)
+            selection.RelayAddress(f"R{r}.{n + 1}", r, "")
+            for r in regions
+            for n in range(form.relays_a_region)
         ]
         for place in (*sources, *relays):
             self._add(place.name, place.region)
@@ -94,7 +98,7 @@
             for n in range(form.routers_a_region):
                 name = f"E{region}.{n + 1}"
                 self._add(name, region)
-                self.ranked[name] = selection.rank(name, region, relays)
+                self.ranked[name] = selection.rank_relays(name, region, relays)
         for name in self.network.hosts:
             if name == "S1" or not name.startswith("S"):
                 self.start(name)
@@ -142,7 +146,7 @@
             return
         self._tried.pop(name, None)
         rand = random.Random(f"{self.form.seed} {boot}")
-        self._selections[name] = selection.Selection(self.ranked[name], rand)
+        self._selections[name] = selection.RelaySelection(self.ranked[name], rand)
         self._retry_us[name] = host.now_us()
         self._connected_us[name] = None
         if name.startswith("R"):
@@ -236,18 +240,18 @@
         if process.stream is None:
             if now >= self._retry_us[host.name]:
                 self._handle(host, process.connect(choice.current.name, now))
-        elif (better := choice.better(now)) is not None:
+        elif (better := choice.return_candidate(now)) is not None:
             if self.network.reachable(host, self.network.hosts[better.name]):
-                choice.moved(better, now)
+                choice.switch_to(better, now)
                 self._handle(host, process.connect(better.name, now))
             else:
-                choice.not_moved(now)
+                choice.reject_candidate(now)
         self._handle(host, process.acknowledge(now))
 
     def _serve(self, host: Host, process: Server) -> None:
         now = host.now_us()
         self._handle(host, process.end_streams(now))
-        for ident in process.fanout.due(now):
+        for ident in process.fanout.due_streams(now):
             stream = self.network.streams.get(ident)
             if stream is not None and stream.unread(host) < WRITES_AHEAD:
                 self._handle(host, process.send_to(ident, now))
@@ -260,7 +264,7 @@
         process = host.process
         if isinstance(process, Source):
             self._note_sources()
-            done = process.fanout.done(host.now_us())
+            done = process.fanout.watermark(host.now_us())
             if done != self.judge.claims[process.log.epoch]:
                 self.judge.called_done(process.log.epoch, done, self.time.now_us)
                 for other, router in self.routers():
@@ -271,7 +275,7 @@
     def _look_at_lease(self, host: Host, router: Router) -> None:
         now_us = host.now_us()
         if router.copy_age_limit(now_us) == 0:
-            age_us = router.follower.currency.epoch_age_us(now_us)
+            age_us = router.follower.staleness.epoch_age_us(now_us)
             by_its_epoch = age_us is not None and age_us < limits.LEASE_US
             self.judge.holds_lease(host.name, by_its_epoch, self.time.now_us)
 
@@ -320,7 +324,7 @@
         now = host.now_us()
         connected_us = self._connected_us[host.name]
         lasted_s = 0.0 if connected_us is None else (now - connected_us) / SECOND
-        self._retry_us[host.name] = now + int(self._selections[host.name].failed(lasted_s) * SECOND)
+        self._retry_us[host.name] = now + int(self._selections[host.name].record_failure(lasted_s) * SECOND)
         self._connected_us[host.name] = None
 
     def _deliver(self, host: Host, stream: Stream, message: Message | EndMark) -> None:
@@ -329,12 +333,12 @@
         now = host.now_us()
         if isinstance(message, EndMark):
             self._lost(host, stream)
-        elif isinstance(message, FromFollower) and isinstance(process, Server):
+        elif isinstance(message, UpstreamMessage) and isinstance(process, Server):
             self._handle(host, process.heard_from_follower(stream.ident, message, now))
-        elif isinstance(process, Following) and not isinstance(message, FromFollower):
+        elif isinstance(process, Following) and not isinstance(message, UpstreamMessage):
             if self._connected_us[host.name] is None and stream.ident == process.stream:
                 self._connected_us[host.name] = now
-                self._selections[host.name].connected(now)
+                self._selections[host.name].record_connected(now)
             self._handle(host, process.heard_from_relay(stream.ident, message, now))
         self._look(host)
 
--- a/magpieshift/lab/simulated/fanout_changes.py
+++ b/magpieshift/lab/simulated/fanout_changes.py
@@ -7,11 +7,11 @@
 from magpieshift.lab.simulated.fanout_network import Host
 from magpieshift.lab.simulated.fanout_processes import Source
 from magpieshift.lab.simulated.time import Time
-from magpieshift.relay.limits import PURGES_KEPT_US
-from magpieshift.relay.messages import ConfigurationChange, Entry, Purge, StoreChange
+from magpieshift.relay.limits import PURGE_RETENTION_US
+from magpieshift.relay.messages import ConfigurationChange, EndpointListChange, Entry, Purge
 
 HELD_MOST_US = 900_000  # the longest that its words are under way to a source
-REPLAYED_US = PURGES_KEPT_US  # entries so old are still told to a source that begins
+REPLAYED_US = PURGE_RETENTION_US  # entries so old are still told to a source that begins
 
 
 class ChangeLog:
@@ -30,7 +30,9 @@
     def change_stores(self) -> None:
         """Accept a list of stores."""
         self._accept(
-            StoreChange(f'{{"complete": true, "revision": {len(self.entries)}, "members": [{{"id": "a"}}]}}')
+            EndpointListChange(
+                f'{{"complete": true, "revision": {len(self.entries)}, "members": [{{"id": "a"}}]}}'
+            )
         )
 
     def configure(self, content: bytes = b"x" * 200) -> None:
--- a/magpieshift/lab/simulated/fanout_frozen.py
+++ b/magpieshift/lab/simulated/fanout_frozen.py
@@ -13,13 +13,13 @@
 from magpieshift.relay.messages import (
     Batch,
     ConfigurationChange,
+    EndpointListChange,
     Epoch,
+    FreshnessProof,
     Join,
     Progress,
-    Proof,
     Purge,
     Snapshot,
-    StoreChange,
 )
 
 VALUES = (
@@ -34,10 +34,10 @@
     Epoch,
     Join,
     Progress,
-    Proof,
+    FreshnessProof,
     Purge,
     Snapshot,
-    StoreChange,
+    EndpointListChange,
 )  # compared as they are
 
 Event = Callable[[Process], list[Output]]
--- a/magpieshift/lab/simulated/fanout_judge.py
+++ b/magpieshift/lab/simulated/fanout_judge.py
@@ -5,19 +5,19 @@
 
 from dataclasses import dataclass, field
 
-from magpieshift.relay.follower import Apply, TakeSnapshot
-from magpieshift.relay.limits import CLOCK_DRIFT, LEASE_US, PURGE_BOUND_US, PURGES_KEPT_US
+from magpieshift.relay.follower import ApplyEntries, RestoreSnapshot
+from magpieshift.relay.limits import CLOCK_DRIFT, LEASE_US, MAX_PURGE_US, PURGE_RETENTION_US
 from magpieshift.relay.messages import (
     NO_EPOCH,
     ConfigurationChange,
+    EndpointListChange,
     Entry,
     Epoch,
     Purge,
     Snapshot,
-    StoreChange,
 )
 
-REMEMBERED_US = PURGES_KEPT_US - 3_000_000  # older purges matter no more: snapshots may leave them out
+REMEMBERED_US = PURGE_RETENTION_US - 3_000_000  # older purges matter no more: snapshots may leave them out
 OVERLAP_US = LEASE_US + 100_000  # how long the leases of a source that has ended may hold
 
 
@@ -36,7 +36,7 @@
     claims_judged: dict[Epoch, int] = field(default_factory=dict)
 
     def has(self, purge: Purge) -> bool:
-        return self.purges.get(purge.key, -1) >= purge.made_us
+        return self.purges.get(purge.key, -1) >= purge.issued_us
 
 
 class Judge:
@@ -66,15 +66,15 @@
         """A new life of a router, which knows nothing."""
         self.routers[name] = Applied()
 
-    def took(self, name: str, effect: Apply | TakeSnapshot, now_us: int) -> None:
+    def took(self, name: str, effect: ApplyEntries | RestoreSnapshot, now_us: int) -> None:
         """A router applied entries or a snapshot: none skipped, none twice, in order."""
         router = self.routers[name]
-        if isinstance(effect, Apply):
+        if isinstance(effect, ApplyEntries):
             self._took_entries(name, router, effect)
         else:
             self._took_snapshot(name, router, effect.snapshot, now_us)
 
-    def _took_entries(self, name: str, router: Applied, effect: Apply) -> None:
+    def _took_entries(self, name: str, router: Applied, effect: ApplyEntries) -> None:
         if effect.epoch != router.epoch or effect.first != router.sequence + 1:
             raise RuleBroken(f"order: {name} at {router.sequence} applied {effect.first} of {effect.epoch}")
         true = self.logs[effect.epoch][effect.first - 1 : effect.last]
@@ -91,7 +91,7 @@
         true = self.logs[snapshot.epoch][: snapshot.applied]
         for entry in reversed(true):
             if isinstance(entry, Purge):
-                if entry.made_us < now_us - REMEMBERED_US:
+                if entry.issued_us < now_us - REMEMBERED_US:
                     break
                 if not told.has(entry):
                     raise RuleBroken(f"skipped: purge {entry.key} is not in the snapshot that {name} took")
@@ -107,31 +107,31 @@
             raise RuleBroken(
                 f"skipped: {name} took a snapshot with version {told!r} in place of {versions[-1]!r}"
             )
-        if any(isinstance(entry, StoreChange) for entry in true) and not snapshot.stores:
+        if any(isinstance(entry, EndpointListChange) for entry in true) and not snapshot.endpoint_list_json:
             raise RuleBroken(f"skipped: the list of stores is not in the snapshot that {name} took")
 
     @staticmethod
     def _note(router: Applied, entries: tuple[Entry, ...]) -> None:
         for entry in entries:
             if isinstance(entry, Purge):
-                router.purges[entry.key] = max(entry.made_us, router.purges.get(entry.key, -1))
+                router.purges[entry.key] = max(entry.issued_us, router.purges.get(entry.key, -1))
 
     def attempt(self, name: str, limit_us: int, now_us: int) -> None:
         """A router makes an attempt that accepts copies of at most this age, 0 for any: none from before a
         purge that was made longer ago than the bound."""
         self.attempts += 1
         if limit_us:
-            if limit_us * (1 + CLOCK_DRIFT) > PURGE_BOUND_US:
+            if limit_us * (1 + CLOCK_DRIFT) > MAX_PURGE_US:
                 raise RuleBroken(f"bound: {name} accepts copies of {limit_us} us")
             return
         self.unbounded_attempts += 1
         router = self.routers[name]
         while router.judged < len(self.purges):
             purge = self.purges[router.judged]
-            if purge.made_us > now_us - PURGE_BOUND_US:
+            if purge.issued_us > now_us - MAX_PURGE_US:
                 return
-            if purge.made_us > now_us - REMEMBERED_US and not router.has(purge):
-                age_s = (now_us - purge.made_us) / 1e6
+            if purge.issued_us > now_us - REMEMBERED_US and not router.has(purge):
+                age_s = (now_us - purge.issued_us) / 1e6
                 raise RuleBroken(
                     f"bound: {name} accepts any copy {age_s:.2f} s after a purge it never applied"
                 )
@@ -164,7 +164,7 @@
         """The same by the purges themselves, for a source of another epoch."""
         judged = router.claims_judged.get(epoch, 0)
         for entry in self.logs[epoch][judged : self.claims[epoch]]:
-            fresh = isinstance(entry, Purge) and entry.made_us > now_us - REMEMBERED_US
+            fresh = isinstance(entry, Purge) and entry.issued_us > now_us - REMEMBERED_US
             if fresh and isinstance(entry, Purge) and not router.has(entry):
                 raise RuleBroken(f"watermark: purge {entry.key} is done, {name} with a lease lacks it")
         router.claims_judged[epoch] = self.claims[epoch]
--- a/magpieshift/lab/simulated/fanout_measures.py
+++ b/magpieshift/lab/simulated/fanout_measures.py
@@ -17,7 +17,9 @@
 # estimates of what a purge and a message cost on the wire
 PURGE_BYTES = 28
 MESSAGE_BYTES = 40
-MOST_UNREAD = 3 * limits.WINDOW_BATCHES  # messages on their way to a follower: its window, and heartbeats
+MOST_UNREAD = (
+    3 * limits.MAX_UNACKNOWLEDGED_BATCHES
+)  # messages on their way to a follower: its window, and heartbeats
 
 
 def settled(world: World) -> str:
@@ -35,9 +37,9 @@
             follower = other.process.follower
             if (follower.epoch, follower.applied) != (epoch, head):
                 return f"{other.name} is at {follower.applied} of {follower.epoch}, not {head} of {epoch}"
-            if not follower.currency.lease_held(other.now_us()):
+            if not follower.staleness.lease_held(other.now_us()):
                 return f"{other.name} holds no lease"
-    done = source.fanout.done(host.now_us())
+    done = source.fanout.watermark(host.now_us())
     return "" if done == head else f"{done} of {head} entries are done"
 
 
@@ -51,7 +53,7 @@
                 raise RuleBroken(f"bounds: the log of {host.name}")
             statuses = process.fanout.status(host.now_us())
             # who holds no lease keeps a place only as long as its stream, or until the next look
-            idle = sum(1 for status in statuses if not status.counts)
+            idle = sum(1 for status in statuses if not status.may_hold_lease)
             if idle > 2 * followers:
                 raise RuleBroken(f"bounds: {idle} idle places at {host.name}")
     for stream in world.network.streams.values():
@@ -68,7 +70,7 @@
         entries = message.purges
         return (
             MESSAGE_BYTES
-            + len(message.stores)
+            + len(message.endpoint_list_json)
             + PURGE_BYTES * len(entries)
             + (len(whole.content) if whole else 0)
         )
--- a/magpieshift/lab/simulated/fanout_processes.py
+++ b/magpieshift/lab/simulated/fanout_processes.py
@@ -10,24 +10,30 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from magpieshift.relay.fanout import Fanout, Full, Superseded, Unfit, UnknownStream
-from magpieshift.relay.follower import Apply, EndStream, Follower, TakeConfiguration, TakeSnapshot
-from magpieshift.relay.limits import MOST_LOG_ENTRIES, lapse_us
+from magpieshift.relay.errors import (
+    EpochSupersededError,
+    TooManyFollowersError,
+    UnknownStreamError,
+    UpstreamStaleError,
+)
+from magpieshift.relay.fanout import Fanout
+from magpieshift.relay.follower import ApplyConfiguration, ApplyEntries, EndStream, Follower, RestoreSnapshot
+from magpieshift.relay.limits import MAX_LOG_ENTRIES, lease_lapse_us
 from magpieshift.relay.log import SequencedLog
+from magpieshift.relay.log_state import LogState
 from magpieshift.relay.messages import (
     NO_EPOCH,
     ConfigurationChange,
+    DownstreamMessage,
     Entry,
     Epoch,
-    FromFollower,
     Join,
     Progress,
-    ToFollower,
+    UpstreamMessage,
 )
-from magpieshift.relay.snapshot import State
 from magpieshift.relay.staleness_bound import SourceStalenessBound
 
-Message = ToFollower | FromFollower
+Message = DownstreamMessage | UpstreamMessage
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +64,7 @@
 class Took:
     """For the judge: entries or a snapshot were applied."""
 
-    effect: Apply | TakeSnapshot
+    effect: ApplyEntries | RestoreSnapshot
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,23 +97,23 @@
     def __init__(self, name: str, boot: str) -> None:
         self.name = name
         self.boot = boot
-        self.state = State(whole_configuration)
+        self.state = LogState(whole_configuration)
         self._streams: set[int] = set()  # of followers
         self.fanout: Fanout
 
-    def heard_from_follower(self, stream: int, message: FromFollower, now_us: int) -> list[Output]:
+    def heard_from_follower(self, stream: int, message: UpstreamMessage, now_us: int) -> list[Output]:
         """A message of a follower."""
         try:
             if isinstance(message, Progress):
-                self.fanout.progress(stream, message, now_us)
+                self.fanout.receive_progress(stream, message, now_us)
                 return []
             earlier = self.fanout.join(stream, message, now_us)
             self._streams.add(stream)
             return [] if earlier is None else [End(earlier)]
-        except Superseded as newer:
+        except EpochSupersededError as newer:
             self.follower_lost(stream, now_us)
             return [*self.superseded(newer.epoch, now_us), End(stream)]
-        except (Full, Unfit, UnknownStream):
+        except (TooManyFollowersError, UpstreamStaleError, UnknownStreamError):
             return [End(stream)]
 
     def superseded(self, epoch: Epoch, now_us: int) -> list[Output]:
@@ -117,11 +123,11 @@
     def follower_lost(self, stream: int, now_us: int) -> None:
         """The stream of a follower has ended."""
         self._streams.discard(stream)
-        self.fanout.leave(stream, now_us)
+        self.fanout.close_stream(stream, now_us)
 
     def end_streams(self, now_us: int) -> list[Output]:
         """End the streams of silent followers, and all of them where this process is not current itself."""
-        ending = self.fanout.silent(now_us) if self.fanout.fit(now_us) else sorted(self._streams)
+        ending = self.fanout.silent_streams(now_us) if self.fanout.is_fresh(now_us) else sorted(self._streams)
         for stream in ending:
             self.follower_lost(stream, now_us)
         return [End(stream) for stream in ending]
@@ -129,8 +135,8 @@
     def send_to(self, stream: int, now_us: int) -> list[Output]:
         """What a follower's stream is to be sent now."""
         try:
-            return [Send(stream, message) for message in self.fanout.send(stream, now_us)]
-        except UnknownStream:
+            return [Send(stream, message) for message in self.fanout.messages_to_send(stream, now_us)]
+        except UnknownStreamError:
             return []
 
 
@@ -138,25 +144,25 @@
     """A source: reads the change log, numbers what it reads."""
 
     def __init__(
-        self, name: str, boot: str, epoch: Epoch, now_us: int, most_entries: int = MOST_LOG_ENTRIES
+        self, name: str, boot: str, epoch: Epoch, now_us: int, most_entries: int = MAX_LOG_ENTRIES
     ) -> None:
         super().__init__(name, boot)
         self.currency = SourceStalenessBound()
-        self.log = SequencedLog(epoch, most=most_entries)
+        self.log = SequencedLog(epoch, max_entries=most_entries)
         self.fanout = Fanout(
             self.log,
             self.state,
             self.currency.age_us,
-            counts_from_us=now_us + lapse_us(),
-            link_age=no_age,
+            watermark_from_us=now_us + lease_lapse_us(),
+            sync_age_us=no_age,
         )
 
     def read(self, entries: Iterable[Entry], current_to_us: int, now_us: int) -> None:
         """Everything in the change log's socket was read; ``current_to_us`` is when it was empty before."""
         for entry in entries:
             self.log.append(entry)
-            self.state.fold(entry, now_us)
-        self.currency.read_all(current_to_us)
+            self.state.apply_entry(entry, now_us)
+        self.currency.record_read(current_to_us)
 
     def superseded(self, epoch: Epoch, now_us: int) -> list[Output]:
         return [Ended(epoch)]
@@ -181,7 +187,7 @@
         self._next_stream += 1
         return [*outputs, Connect(self.stream, to, self.follower.connect(now_us))]
 
-    def heard_from_relay(self, stream: int, message: ToFollower, now_us: int) -> list[Output]:
+    def heard_from_relay(self, stream: int, message: DownstreamMessage, now_us: int) -> list[Output]:
         """A message of the relay or source that is followed."""
         if stream != self.stream:
             return []
@@ -190,24 +196,24 @@
             if isinstance(effect, EndStream):
                 self.stream = None
                 outputs.append(End(stream))
-            elif isinstance(effect, TakeConfiguration):
+            elif isinstance(effect, ApplyConfiguration):
                 self.took_configuration(effect.configuration)
             else:
                 outputs += self.carry_out(effect, now_us)
         return outputs
 
-    def carry_out(self, effect: Apply | TakeSnapshot, now_us: int) -> list[Output]:
+    def carry_out(self, effect: ApplyEntries | RestoreSnapshot, now_us: int) -> list[Output]:
         """Apply entries or a snapshot, as a whole."""
-        if isinstance(effect, Apply):
-            self.follower.applied_up_to(effect.epoch, effect.last)
+        if isinstance(effect, ApplyEntries):
+            self.follower.acknowledge_applied(effect.epoch, effect.last)
         else:
-            self.follower.applied_up_to(effect.snapshot.epoch, effect.snapshot.applied)
+            self.follower.acknowledge_applied(effect.snapshot.epoch, effect.snapshot.applied)
         return [Took(effect)]
 
     def took_configuration(self, whole: ConfigurationChange) -> None:
         """A whole configuration was sent on request."""
-        self.follower.configuration = whole.digest
-        self.follower.want_whole = False
+        self.follower.configuration_digest = whole.digest
+        self.follower.wants_full = False
 
     def _end_earlier(self) -> list[Output]:
         ended = self._earlier
@@ -224,7 +230,7 @@
     def acknowledge(self, now_us: int) -> list[Output]:
         """The progress that is due, if any, and a farewell to the relay that was followed before."""
         outputs: list[Output] = []
-        if self._earlier is not None and self.follower.rests_on_stream:
+        if self._earlier is not None and self.follower.lease_from_stream:
             outputs = [Send(self._earlier, self.follower.farewell()), *self._end_earlier()]
         if self.stream is not None and (progress := self.follower.progress(now_us)) is not None:
             outputs.append(Send(self.stream, progress))
@@ -245,9 +251,9 @@
     def __init__(self, name: str, boot: str, first_stream: int, applies_later: bool = False) -> None:
         super().__init__(name, boot, first_stream)
         self._applies_later = applies_later
-        self._to_apply: deque[Apply | TakeSnapshot] = deque()
+        self._to_apply: deque[ApplyEntries | RestoreSnapshot] = deque()
 
-    def carry_out(self, effect: Apply | TakeSnapshot, now_us: int) -> list[Output]:
+    def carry_out(self, effect: ApplyEntries | RestoreSnapshot, now_us: int) -> list[Output]:
         if self._applies_later:
             self._to_apply.append(effect)
             return []
@@ -262,41 +268,41 @@
 
     def copy_age_limit(self, now_us: int) -> int:
         """The bound of an attempt that is made now; 0 for none."""
-        return self.follower.currency.copy_age_limit(now_us)
+        return self.follower.staleness.copy_age_limit_us(now_us)
 
 
 class Relay(Following, Server):
     """A relay: follows a source, serves routers."""
 
-    def __init__(self, name: str, boot: str, first_stream: int, most_entries: int = MOST_LOG_ENTRIES) -> None:
+    def __init__(self, name: str, boot: str, first_stream: int, most_entries: int = MAX_LOG_ENTRIES) -> None:
         Following.__init__(self, name, boot, first_stream)
         Server.__init__(self, name, boot)
-        self.log = SequencedLog(NO_EPOCH, most=most_entries)
-        currency = self.follower.currency
+        self.log = SequencedLog(NO_EPOCH, max_entries=most_entries)
+        currency = self.follower.staleness
         self.fanout = Fanout(
             self.log,
             self.state,
             currency.epoch_age_us,
             self.done_everywhere,
-            link_age=currency.epoch_link_age_us,
+            sync_age_us=currency.epoch_sync_age_us,
         )
 
     def done_everywhere(self) -> int:
         """What the source has called done."""
-        return self.follower.done
+        return self.follower.watermark
 
-    def carry_out(self, effect: Apply | TakeSnapshot, now_us: int) -> list[Output]:
-        if isinstance(effect, Apply):
+    def carry_out(self, effect: ApplyEntries | RestoreSnapshot, now_us: int) -> list[Output]:
+        if isinstance(effect, ApplyEntries):
             self.log.extend(effect.first, effect.entries)
             for entry in effect.entries:
-                self.state.fold(entry, now_us)
+                self.state.apply_entry(entry, now_us)
         else:
             self.state.restore(effect.snapshot, now_us)
             self.log.restart(effect.snapshot.epoch, effect.snapshot.applied)
         return super().carry_out(effect, now_us)
 
     def took_configuration(self, whole: ConfigurationChange) -> None:
-        self.state.take_configuration(whole)
+        self.state.apply_full_configuration(whole)
         super().took_configuration(whole)
 
     def acknowledge(self, now_us: int) -> list[Output]:
@@ -306,7 +312,7 @@
         return [] if progress is None else [Send(self.stream, progress)]
 
     def superseded(self, epoch: Epoch, now_us: int) -> list[Output]:
-        self.follower.heard_of(epoch)
+        self.follower.learn_epoch(epoch)
         return []
 
 
--- a/magpieshift/lab/simulated/fanout_tier.py
+++ b/magpieshift/lab/simulated/fanout_tier.py
@@ -23,9 +23,9 @@
     Source,
     Took,
 )
-from magpieshift.relay.follower import Apply, TakeSnapshot
-from magpieshift.relay.limits import CLOCK_DRIFT, PURGE_BOUND_US
-from magpieshift.relay.messages import Entry, Epoch, FromFollower, Purge
+from magpieshift.relay.follower import ApplyEntries, RestoreSnapshot
+from magpieshift.relay.limits import CLOCK_DRIFT, MAX_PURGE_US
+from magpieshift.relay.messages import Entry, Epoch, Purge, UpstreamMessage
 
 SOURCE = "S"
 RELAYS = ("R1", "R2")
@@ -201,7 +201,7 @@
                 server(process).follower_lost(way.ident, now_us)
                 return []
             message = self._memory.messages[number]
-            assert isinstance(message, FromFollower)
+            assert isinstance(message, UpstreamMessage)
             outputs = server(process).heard_from_follower(way.ident, message, now_us)
             return [*outputs, *(send_if_due(way.ident, process, now_us) if answer else ())]
 
@@ -218,7 +218,7 @@
             self._lost(follower, way.ident)
             return
         message = self._memory.messages[number]
-        assert not isinstance(message, FromFollower)
+        assert not isinstance(message, UpstreamMessage)
 
         def event(process: Process, now_us: int) -> list[Output]:
             return following(process).heard_from_relay(way.ident, message, now_us)
@@ -326,7 +326,7 @@
                     self.known[name] = self._took(name, effect)
 
     def _send(self, ident: int, number: int, message: Message) -> None:
-        up = isinstance(message, FromFollower)
+        up = isinstance(message, UpstreamMessage)
         for follower, way in self.ways.items():
             if way is not None and way.ident == ident:
                 changed = way._replace(up=(*way.up, number)) if up else way._replace(down=(*way.down, number))
@@ -348,10 +348,10 @@
 
     # --- the rules
 
-    def _took(self, name: str, effect: Apply | TakeSnapshot) -> Known:
+    def _took(self, name: str, effect: ApplyEntries | RestoreSnapshot) -> Known:
         known = self.known[name]
         logs = {log.term: log.entries for log in self.logs}
-        if isinstance(effect, Apply):
+        if isinstance(effect, ApplyEntries):
             term = effect.epoch.term
             last = effect.last
             if (term, effect.first) != (known.term, known.sequence + 1):
@@ -371,7 +371,7 @@
 
     def judge(self) -> None:
         """Hold what the processes claim against what is true."""
-        done = self._ask(SOURCE, "done", lambda process, now_us: server(process).fanout.done(now_us))
+        done = self._ask(SOURCE, "done", lambda process, now_us: server(process).fanout.watermark(now_us))
         log = self.logs[-1]
         if done > log.done:
             self.logs = (*self.logs[:-1], log._replace(done=done))
@@ -388,7 +388,7 @@
             if behind or not known.purges.issuperset(log.entries[: log.done]):
                 raise RuleBroken(f"watermark: {log.done} of {log.term} is done, {name} (leased) has {known}")
         for position, made_us in enumerate(self.made_us):
-            if made_us <= self.now_us - PURGE_BOUND_US and position not in known.purges:
+            if made_us <= self.now_us - MAX_PURGE_US and position not in known.purges:
                 raise RuleBroken(f"bound: {name} (leased) lacks a purge of {self.now_us - made_us} us ago")
 
     def _ask(self, name: str, what: str, question: Callable[[Process, int], int]) -> int:
@@ -431,7 +431,7 @@
 
 def send_if_due(ident: int, process: Process, now_us: int) -> list[Output]:
     """What a server sends to a stream, if its time has come."""
-    due = ident in server(process).fanout.due(now_us)
+    due = ident in server(process).fanout.due_streams(now_us)
     return server(process).send_to(ident, now_us) if due else []
 
 
--- /dev/null
+++ b/magpieshift/relay/addresses.py
@@ -0,0 +1,26 @@
+"""Addresses of relays and sources, from settings."""
+
+from __future__ import annotations
+
+from magpieshift.config import ConfigError, address
+from magpieshift.relay.selection import RelayAddress
+
+
+def read_relays(text: str, region: str, setting: str) -> tuple[RelayAddress, ...]:
+    """The relays of a list ``[REGION/]HOST:PORT,...``; one without a region is of ``region``. ``ConfigError``
+    for the ``setting`` if the list cannot be used."""
+    relays = [_read_relay(entry.strip(), region, setting) for entry in text.split(",")]
+    if len({relay.address for relay in relays}) < len(relays):
+        raise ConfigError(f"{setting}: found {text!r}, expected each address once")
+    return tuple(relays)
+
+
+def _read_relay(entry: str, region: str, setting: str) -> RelayAddress:
+    given_region, slash, host_port = entry.rpartition("/")
+    if not host_port or (slash and not given_region):
+        raise ConfigError(f"{setting}: found {entry!r}, expected [REGION/]HOST:PORT")
+    try:
+        host, port = address(host_port, setting)
+    except ConfigError:
+        raise ConfigError(f"{setting}: found {entry!r}, expected [REGION/]HOST:PORT") from None
+    return RelayAddress(host_port, given_region or region, f"{host}:{port}")
--- a/magpieshift/relay/configuration.py
+++ b/magpieshift/relay/configuration.py
@@ -1,4 +1,4 @@
-"""Configuration versions as entries of the log: made from published ones, put together again, offered."""
+"""Configuration versions as entries of the log: made of published ones, put together, offered to a router."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from google.protobuf.message import DecodeError
 
 from magpieshift.control import sexp
-from magpieshift.control.content import Delta, Full, content_digest
+from magpieshift.control.content import Delta, Full
 from magpieshift.control.publisher import Published
 from magpieshift.control.session import read_changes, write_changes
 from magpieshift.control.sexp import Problem, Unusable
@@ -16,12 +16,13 @@
 from magpieshift.control.wire import control_pb2 as wire
 from magpieshift.relay.messages import ConfigurationChange
 
-OFFERED_BY = "relay"  # the source of offers, in the history
+OFFER_SOURCE = "relay"
+"""The source of offers, in the history of versions."""
 
 
-def entry(previous: Published | None, version: Published) -> ConfigurationChange:
-    """A version as the log's next: what differs from the one before it, or the whole where one of them is no
-    document."""
+def log_entry(previous: Published | None, version: Published) -> ConfigurationChange:
+    """A version as the log's next entry: the delta to the one before it, or the complete text if one of them
+    is no document."""
     if previous is None or previous.data is None or version.data is None:
         return ConfigurationChange(version.number, version.digest, "", version.text.encode())
     delta = wire.Delta(base=previous.number, base_digest=previous.digest)
@@ -30,35 +31,30 @@
     return ConfigurationChange(version.number, version.digest, previous.digest, content)
 
 
-def make_whole(base: ConfigurationChange | None, change: ConfigurationChange) -> ConfigurationChange | None:
-    """The whole version that a delta makes of the whole ``base``; None where it does not fit."""
+def apply_delta(base: ConfigurationChange | None, change: ConfigurationChange) -> ConfigurationChange | None:
+    """The complete version that a delta makes of the complete ``base``; None if it does not fit."""
     if base is None or base.digest != change.base_digest:
         return None
     try:
-        data = sexp.apply(_bare(sexp.read(base.content.decode()).data), _changes(change.content))
+        data = sexp.apply(_without_version(sexp.read(base.content.decode()).data), _changes(change.content))
     except Unusable:
         return None
-    if sexp.digest(_bare(data)) != change.digest:
+    if sexp.digest(_without_version(data)) != change.digest:
         return None
     return ConfigurationChange(change.number, change.digest, "", sexp.write(data).encode())
 
 
-def offer(change: ConfigurationChange) -> Offer:
-    """What is offered to a router's versions; ``Unusable`` where the content cannot be read."""
+def version_offer(change: ConfigurationChange) -> Offer:
+    """What is offered to a router's versions; ``Unusable`` if the content cannot be read."""
     if not change.base_digest:
         text = change.content.decode(errors="replace")
-        return Offer(change.number, change.digest, OFFERED_BY, payload=Full(text))
+        return Offer(change.number, change.digest, OFFER_SOURCE, payload=Full(text))
     base = change.base_digest
     payload = Delta(base, _changes(change.content))
-    return Offer(change.number, change.digest, OFFERED_BY, base=base, payload=payload)
+    return Offer(change.number, change.digest, OFFER_SOURCE, base=base, payload=payload)
 
 
-def is_whole(change: ConfigurationChange) -> bool:
-    """Whether a whole version's content is what its digest says."""
-    return not change.base_digest and content_digest(change.content.decode(errors="replace")) == change.digest
-
-
-def _bare(data: Mapping[str, Any]) -> dict[str, Any]:
+def _without_version(data: Mapping[str, Any]) -> dict[str, Any]:
     """Without the number, which is no part of the digest."""
     return {name: value for name, value in data.items() if name != "version"}
 
--- a/magpieshift/relay/messages.py
+++ b/magpieshift/relay/messages.py
@@ -1,8 +1,8 @@
 """What passes between a source, its relays and their followers, as plain values.
 
-The wire form is in ``codec``; the state machines (``log``, ``snapshot``, ``currency``, ``fanout``,
-``follower``) know only these. Sequence numbers begin at 1 in each epoch; times are microseconds, ages are
-durations and never instants, since no two machines share a clock.
+The wire form is in ``encoding`` and ``decoding``; the state machines (``log``, ``log_state``,
+``staleness_bound``, ``fanout``, ``follower``) know only these. Sequence numbers begin at 1 in each epoch;
+times are microseconds, ages are durations and never instants, since no two machines share a clock.
 """
 
 from __future__ import annotations
@@ -12,43 +12,55 @@
 
 @dataclass(frozen=True, order=True, slots=True)
 class Epoch:
-    """One life of a source. The later term wins; of two sources that drew the same term, the one with the
+    """One run of a source. The later term wins; of two sources that drew the same term, the one with the
     larger instance number."""
 
-    term: int  # wall clock at the source's start in milliseconds, above every term it has heard of
-    instance: int  # drawn at random at the start
+    term: int
+    """Wall clock at the source's start in milliseconds."""
+    instance: int
+    """Drawn at random at the start."""
 
 
 NO_EPOCH = Epoch(0, 0)
+"""Of a process that has nothing yet; below every epoch."""
 
 
 @dataclass(frozen=True, slots=True)
 class Purge:
     """An object or a group was purged at the origin."""
 
-    key: str  # the object's hexadecimal id; empty for a group
+    key: str
+    """The object's hexadecimal id; empty for a group."""
     group: int
-    made_us: int  # Unix time
+    """The group's number, if ``key`` is empty."""
+    issued_us: int
+    """Unix time of the purge at the origin."""
 
 
 @dataclass(frozen=True, slots=True)
-class StoreChange:
-    """A change of the list of stores: the change log's ``fleet`` value as JSON text."""
+class EndpointListChange:
+    """A change of the list of endpoints."""
 
-    fleet: str
+    list_json: str
+    """The change log's ``fleet`` value."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationChange:
-    """A configuration version: a delta to the version before it in the log, or the whole content."""
+    """A configuration version: a delta to the version before it in the log, or the complete content."""
 
     number: int
+    """The version's number, from 1."""
     digest: str
-    base_digest: str  # of the version that the delta builds on; empty where ``content`` is whole
-    content: bytes  # a serialized control.wire Delta, or the settings file as UTF-8
+    """Of the version's content."""
+    base_digest: str
+    """Of the version that the delta builds on; empty if ``content`` is complete."""
+    content: bytes
+    """A serialized control.wire Delta, or the settings file as UTF-8."""
 
 
-Entry = Purge | StoreChange | ConfigurationChange
+Entry = Purge | EndpointListChange | ConfigurationChange
+"""What a log holds."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,29 +68,37 @@
     """Consecutive entries of one epoch; an empty one is a heartbeat."""
 
     epoch: Epoch
-    first: int  # sequence number of the first entry; where there is none, of the next to come
+    """Of the entries."""
+    first: int
+    """Sequence number of the first entry; of a heartbeat, of the next to come."""
     entries: tuple[Entry, ...]
-    proof: Proof | None  # absent while the sender has not yet passed on all it has
-    waiting: bool = False  # of a heartbeat: a snapshot is needed, and follows when it is its turn
+    """In the log's order."""
+    proof: FreshnessProof | None
+    """None while the sender has not yet passed on all it has."""
+    snapshot_pending: bool = False
+    """Of a heartbeat: the receiver needs a snapshot, which follows in its slot."""
 
     @property
     def last(self) -> int:
-        """Sequence number of the last entry; ``first - 1`` where there is none."""
+        """Sequence number of the last entry; ``first - 1`` in a heartbeat."""
         return self.first + len(self.entries) - 1
 
 
 @dataclass(frozen=True, slots=True)
-class Proof:
-    """How current the receiver is once it has applied everything up to ``head``: at the moment in which the
-    sender answered probe ``probe``, the sender had all that the source had accepted ``age_us`` before."""
+class FreshnessProof:
+    """How fresh the receiver's knowledge is once it has applied everything up to ``head``: when the sender
+    answered the probe, it had all that the source had accepted ``age_us`` before."""
 
-    probe: int  # the last probe heard on this stream
+    probe: int
+    """Number of the last probe received on this stream."""
     age_us: int
+    """Of the sender's knowledge, when it answered."""
     head: int
-    done: int  # every follower, everywhere, has applied everything up to here (or bounds its copies)
-    source_age_us: int = (
-        0  # the part of ``age_us`` by which the source lagged its change log; the rest is the way
-    )
+    """Sequence number up to which the receiver must apply everything."""
+    watermark: int
+    """Up to here every follower, everywhere, has applied everything, or bounds the age of its copies."""
+    source_age_us: int = 0
+    """The part of ``age_us`` by which the source lagged its change log; the rest is the way."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,22 +106,33 @@
     """All that matters of the log up to ``applied``, in place of entries that were dropped."""
 
     epoch: Epoch
+    """Of the log."""
     applied: int
-    stores: str  # as ``StoreChange.fleet``, ``complete`` once a complete list was told; empty if nothing was
+    """Sequence number of the last entry that it covers."""
+    endpoint_list_json: str
+    """As ``EndpointListChange.list_json``, ``complete`` once a complete list came; empty before any."""
     purges: tuple[Purge, ...]
-    configuration: ConfigurationChange | None  # whole
+    """Those that caches may still have to hear."""
+    configuration: ConfigurationChange | None
+    """The newest version, complete."""
 
 
 @dataclass(frozen=True, slots=True)
 class Join:
-    """A follower's first message on a stream: who it is and what it has."""
+    """A follower's first message on a stream: its name and what it has."""
 
     name: str
-    boot: str  # new with each start
-    epoch: Epoch  # NO_EPOCH where it has nothing
+    """Of the follower; the same after a restart."""
+    boot: str
+    """New with each start."""
+    epoch: Epoch
+    """Of what it has; ``NO_EPOCH`` if it has nothing."""
     applied: int
-    configuration: str  # digest of the version in force
-    heard: Epoch = NO_EPOCH  # the highest it has heard of: a source of a lower one ends
+    """Sequence number up to which it has applied everything."""
+    configuration_digest: str
+    """Of the version in force."""
+    highest_epoch: Epoch = NO_EPOCH
+    """The highest it has heard of: a source of a lower one ends."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,20 +140,32 @@
     """A follower's acknowledgement and probe."""
 
     epoch: Epoch
-    applied: int  # every entry up to here is applied
-    probe: int  # number of this message on its stream, from 1
-    done: int  # of a relay: every follower of its has applied everything up to here; else as ``applied``
-    configuration: str  # digest of the version in force
-    refused: int = 0  # number of a version that was turned down
-    refusal: str = ""  # why
-    want_whole: bool = False  # the configuration's delta did not fit: send the newest version whole
-    behind: tuple[str, ...] = ()  # of a relay: names of some followers without the newest version
-    behind_count: int = 0
-    followers: int = 0  # of a relay
-    released: bool = (
-        False  # it holds no lease by what was proven on this stream, and takes none: it counts no more
-    )
-
-
-ToFollower = Batch | Snapshot | ConfigurationChange
-FromFollower = Join | Progress
+    """Of ``applied``."""
+    applied: int
+    """Every entry up to here is applied."""
+    probe: int
+    """Number of this message on its stream, from 1."""
+    watermark: int
+    """Of a relay: each of its followers has applied everything up to here; else the same as ``applied``."""
+    configuration_digest: str
+    """Of the version in force."""
+    rejected_version: int = 0
+    """Number of a version that was rejected; 0 if none was."""
+    rejection_reason: str = ""
+    """Why it was."""
+    wants_full: bool = False
+    """The configuration's delta did not fit: send the newest version complete."""
+    lagging_names: tuple[str, ...] = ()
+    """Of a relay: some followers without the newest version."""
+    lagging_count: int = 0
+    """Of a relay: how many followers lack the newest version."""
+    follower_count: int = 0
+    """Of a relay."""
+    lease_released: bool = False
+    """It holds no lease by what was proven on this stream, and takes none."""
+
+
+DownstreamMessage = Batch | Snapshot | ConfigurationChange
+"""What a follower is sent."""
+UpstreamMessage = Join | Progress
+"""What a follower sends."""
--- a/magpieshift/relay/node.py
+++ b/magpieshift/relay/node.py
@@ -1,4 +1,4 @@
-"""A process of the fan-out tier: a source, or a relay. Neither keeps anything on disk."""
+"""A process of the fan-out tier: a source, or a relay. Neither stores anything on disk."""
 
 from __future__ import annotations
 
@@ -7,88 +7,104 @@
 import random
 import secrets
 from collections.abc import Callable, Sequence
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 
 from magpieshift import clock
 from magpieshift.config import Address
 from magpieshift.control.wire import control_pb2 as wire
 from magpieshift.log import fields
-from magpieshift.relay import configuration, status
+from magpieshift.relay import status
+from magpieshift.relay.change_log_reader import ChangeLogReader
 from magpieshift.relay.client import RelayClient
+from magpieshift.relay.configuration import apply_delta
+from magpieshift.relay.errors import SourceSupersededError
 from magpieshift.relay.fanout import Fanout
-from magpieshift.relay.follower import Apply, Follower
-from magpieshift.relay.limits import MOST_LOG_ENTRIES, RELAY_FAILOVER_MOST_S, lapse_us
+from magpieshift.relay.follower import ApplyEntries, Follower
+from magpieshift.relay.limits import MAX_LOG_ENTRIES, MAX_RELAY_FAILOVER_BACKOFF_S, lease_lapse_us
 from magpieshift.relay.log import SequencedLog
+from magpieshift.relay.log_state import LogState
 from magpieshift.relay.messages import NO_EPOCH, ConfigurationChange, Entry, Epoch, Snapshot
-from magpieshift.relay.selection import Relay, Selection, rank
+from magpieshift.relay.selection import RelayAddress, RelaySelection, rank_relays
 from magpieshift.relay.service import RelayService
-from magpieshift.relay.snapshot import State
-from magpieshift.relay.source import LogReader, VersionReader
+from magpieshift.relay.version_reader import VersionReader
 
 log = logging.getLogger(__name__)
 
-COUNTERS_S = 10.0  # between two lines with the counters
-LOOK_S = 0.05  # between two looks whether a relay may begin to serve
-
-
-class SourceSuperseded(Exception):
-    """Another source is newer: this one ends."""
+COUNTERS_INTERVAL_S = 10.0
+"""Between two log lines with the counters."""
+READY_POLL_S = 0.05
+"""Between two looks whether a relay may begin to serve: a small part of its start."""
 
 
 @dataclass(frozen=True)
 class SourceOptions:
-    """What a source is told."""
+    """A source's settings."""
 
     changelog: Address
-    listen: str  # host:port
-    versions: str = ""  # folder of configuration versions; empty: none are passed on
+    """Of the change log."""
+    listen: str
+    """host:port; port 0 picks a free one."""
+    versions: str = ""
+    """Folder of configuration versions; empty: none are passed on."""
     name: str = "source"
+    """By which reports name it."""
     region: str = ""
-    log_entries: int = MOST_LOG_ENTRIES  # kept; who lacks older ones gets a snapshot
+    """In which it stands."""
+    log_entries: int = MAX_LOG_ENTRIES
+    """Retained; a follower that lacks older ones gets a snapshot."""
 
 
 @dataclass(frozen=True)
 class RelayOptions:
-    """What a relay is told."""
+    """A relay's settings."""
 
-    sources: Sequence[Relay]
-    listen: str  # host:port
+    sources: Sequence[RelayAddress]
+    """That it may follow."""
+    listen: str
+    """host:port; port 0 picks a free one."""
     name: str
+    """By which followers rank it."""
     region: str
-    log_entries: int = MOST_LOG_ENTRIES
+    """In which it stands."""
+    log_entries: int = MAX_LOG_ENTRIES
+    """Retained; a follower that lacks older ones gets a snapshot."""
 
 
-class _Node:
-    """What source and relay have in common: a log, its state, followers, and the lines about them."""
+class _FanoutNode:
+    """What source and relay have in common: a log, its state, followers, and the log lines about them."""
 
     def __init__(self, options: SourceOptions | RelayOptions, epoch: Epoch) -> None:
         self.name = options.name
         self.region = options.region
-        self.log = SequencedLog(epoch, most=options.log_entries)
-        self.state = State(configuration.make_whole)
+        self.log = SequencedLog(epoch, max_entries=options.log_entries)
+        """The newest entries."""
+        self.state = LogState(apply_delta)
+        """The fold of all entries."""
         self.fanout = self._make_fanout()
-        self.service = RelayService(self.fanout, self._superseded, self.report)
-        self._ended = asyncio.Event()
+        """The followers."""
+        self.service = RelayService(self.fanout, self._on_superseded, self.report)
+        """Their streams."""
+        self._stopping = asyncio.Event()
 
     def _make_fanout(self) -> Fanout:
         raise NotImplementedError
 
-    def _superseded(self, epoch: Epoch) -> None:
+    def _on_superseded(self, epoch: Epoch) -> None:
         raise NotImplementedError
 
     def age_us(self, now_us: int) -> int | None:
-        """How current the process is; None where that is not known."""
+        """How old the process's knowledge is; None if that is not known."""
         raise NotImplementedError
 
     @property
     def upstream(self) -> str:
-        """Whom it follows, or what it reads."""
+        """Address of the source that it follows, or of the change log that it reads."""
         raise NotImplementedError
 
     def report(self) -> wire.StatusReport:
-        """How it stands, and how its followers do."""
+        """The status report for operators."""
         now_us = clock.source.steady_us()
-        return status.report(
+        return status.make_status_report(
             self.name,
             self.region,
             self.upstream,
@@ -102,25 +118,25 @@
 
     def stop(self) -> None:
         """Begin the end; ``run`` returns then."""
-        self._ended.set()
+        self._stopping.set()
 
-    async def _tell_counters(self) -> None:
+    async def _log_counters(self) -> None:
         """One line with the counters, once in a while."""
         while True:
-            await asyncio.sleep(COUNTERS_S)
+            await asyncio.sleep(COUNTERS_INTERVAL_S)
             now_us = clock.source.steady_us()
             followers = self.fanout.status(now_us)
-            slowest = max(followers, key=lambda each: each.behind, default=None)
+            slowest = max(followers, key=lambda each: each.lag_entries, default=None)
             log.info(
                 "counters",
                 extra=fields(
-                    **asdict(self.service.counters),
+                    **self.service.counters.as_data(),
                     followers=len(followers),
                     head=self.log.head,
-                    done=self.fanout.done(now_us),
+                    done=self.fanout.watermark(now_us),
                     age_us=self.age_us(now_us),
                     slowest=slowest.name if slowest is not None else "",
-                    slowest_behind=slowest.behind if slowest is not None else 0,
+                    slowest_behind=slowest.lag_entries if slowest is not None else 0,
                 ),
             )
 
@@ -129,41 +145,43 @@
         await self.service.start(listen)
         log.info("ready", extra=fields(name=self.name, region=self.region, port=self.service.port))
         ready(self.service.port)
-        telling = asyncio.ensure_future(self._tell_counters())
+        counters_logger = asyncio.ensure_future(self._log_counters())
         try:
-            await self._ended.wait()
+            await self._stopping.wait()
         finally:
-            telling.cancel()
+            counters_logger.cancel()
 
 
-class SourceNode(_Node):
-    """Numbers what the change log and the folder of versions tell, and serves it to relays."""
+class SourceNode(_FanoutNode):
+    """Numbers the changes of the change log and of the folder of versions, and serves them to relays."""
 
     def __init__(self, options: SourceOptions) -> None:
         self._options = options
-        self._reader = LogReader(options.changelog, self._append, secrets.randbits(32))
-        self._versions = VersionReader(options.versions, self._append) if options.versions else None
-        self._newer = NO_EPOCH
+        self._change_log_reader = ChangeLogReader(options.changelog, self._append, secrets.randbits(32))
+        self._version_reader = VersionReader(options.versions, self._append) if options.versions else None
+        self._newer_epoch = NO_EPOCH
         epoch = Epoch(clock.source.unix_us() // 1000, secrets.randbits(64))
         super().__init__(options, epoch)
 
     async def run(self, ready: Callable[[int], None] = lambda port: None) -> None:
-        """Serve until ``stop``; ``SourceSuperseded`` where another source is newer, ``OSError`` where it
+        """Serve until ``stop``; ``SourceSupersededError`` if another source is newer, ``OSError`` if it
         cannot listen."""
         epoch = self.log.epoch
         log.info("epoch new", extra=fields(epoch=epoch.term, instance=f"{epoch.instance:016x}"))
-        self._reader.start()
-        if self._versions is not None:
-            self._versions.start()
+        self._change_log_reader.start()
+        if self._version_reader is not None:
+            self._version_reader.start()
         try:
             await self._serve(self._options.listen, ready)
         finally:
-            self._reader.stop()
-            if self._versions is not None:
-                self._versions.stop()
+            self._change_log_reader.stop()
+            if self._version_reader is not None:
+                self._version_reader.stop()
             await self.service.stop()
-        if self._newer != NO_EPOCH:
-            raise SourceSuperseded(f"a source with epoch {self._newer.term} is newer than {epoch.term}")
+        if self._newer_epoch != NO_EPOCH:
+            raise SourceSupersededError(
+                f"a source with epoch {self._newer_epoch.term} is newer than {epoch.term}"
+            )
 
     @property
     def upstream(self) -> str:
@@ -171,41 +189,41 @@
         return f"{host}:{port}"
 
     def _make_fanout(self) -> Fanout:
-        counts_from_us = clock.source.steady_us() + lapse_us()
-        return Fanout(self.log, self.state, self.age_us, counts_from_us=counts_from_us)
+        watermark_from_us = clock.source.steady_us() + lease_lapse_us()
+        return Fanout(self.log, self.state, self.age_us, watermark_from_us=watermark_from_us)
 
     def age_us(self, now_us: int) -> int | None:
-        """How current the process is; None where that is not known."""
-        return self._reader.age_us(now_us)
+        """How old the process's knowledge is; None if that is not known."""
+        return self._change_log_reader.age_us(now_us)
 
     def _append(self, entry: Entry) -> None:
         self.log.append(entry)
-        self.state.fold(entry, clock.source.steady_us())
+        self.state.apply_entry(entry, clock.source.steady_us())
 
-    def _superseded(self, epoch: Epoch) -> None:
+    def _on_superseded(self, epoch: Epoch) -> None:
         log.error("superseded", extra=fields(epoch=self.log.epoch.term, by=epoch.term))
-        self._newer = epoch
+        self._newer_epoch = epoch
         self.stop()
 
 
-class RelayNode(_Node):
-    """Follows a source, keeps a copy of the newest part of its log, and serves it to followers."""
+class RelayNode(_FanoutNode):
+    """Follows a source, holds a copy of the newest part of its log, and serves it to followers."""
 
     def __init__(self, options: RelayOptions, rand: random.Random | None = None) -> None:
         self._options = options
         self.follower = Follower(options.name, secrets.token_hex(4))
         super().__init__(options, NO_EPOCH)
-        ranked = rank(options.name, options.region, options.sources)
-        selection = Selection(ranked, rand or random.Random(), RELAY_FAILOVER_MOST_S)
+        ranked = rank_relays(options.name, options.region, options.sources)
+        selection = RelaySelection(ranked, rand or random.Random(), MAX_RELAY_FAILOVER_BACKOFF_S)
         self.client = RelayClient(self.follower, selection, self, self.fanout.report)
 
     async def run(self, ready: Callable[[int], None] = lambda port: None) -> None:
-        """Serve until ``stop``, once it has what the source has; ``OSError`` where it cannot listen."""
+        """Serve until ``stop``, once it has what the source has; ``OSError`` if it cannot listen."""
         self.client.start()
         try:
-            while not self._ended.is_set() and not self.fanout.fit(clock.source.steady_us()):
-                await asyncio.sleep(LOOK_S)
-            if not self._ended.is_set():
+            while not self._stopping.is_set() and not self.fanout.is_fresh(clock.source.steady_us()):
+                await asyncio.sleep(READY_POLL_S)
+            if not self._stopping.is_set():
                 await self._serve(self._options.listen, ready)
         finally:
             await self.service.stop()
@@ -221,42 +239,42 @@
             self.log,
             self.state,
             self.age_us,
-            done_everywhere=lambda: follower.done,
-            link_age=follower.currency.epoch_link_age_us,
+            source_watermark=lambda: follower.watermark,
+            sync_age_us=follower.staleness.epoch_sync_age_us,
         )
 
     def age_us(self, now_us: int) -> int | None:
-        """How current the process is; None where that is not known."""
-        return self.follower.currency.epoch_age_us(now_us)
+        """How old the process's knowledge is; None if that is not known."""
+        return self.follower.staleness.epoch_age_us(now_us)
 
-    def _superseded(self, epoch: Epoch) -> None:
+    def _on_superseded(self, epoch: Epoch) -> None:
         log.warning("superseded", extra=fields(epoch=self.log.epoch.term, by=epoch.term))
-        self.follower.heard_of(epoch)
+        self.follower.learn_epoch(epoch)
 
     # --- what it receives
 
-    def apply(self, batch: Apply) -> None:
+    def apply_entries(self, batch: ApplyEntries) -> None:
         """Copy a batch into the log."""
         now_us = clock.source.steady_us()
         self.log.extend(batch.first, batch.entries)
         for entry in batch.entries:
-            self.state.fold(entry, now_us)
-        self._tell_configuration()
+            self.state.apply_entry(entry, now_us)
+        self._publish_configuration()
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
-        """Go on from what a snapshot says."""
+    def restore_snapshot(self, snapshot: Snapshot) -> None:
+        """Go on from a snapshot."""
         if snapshot.epoch != self.log.epoch:
             log.info("epoch new", extra=fields(epoch=snapshot.epoch.term, applied=snapshot.applied))
         self.state.restore(snapshot, clock.source.steady_us())
         self.log.restart(snapshot.epoch, snapshot.applied)
-        self._tell_configuration()
+        self._publish_configuration()
 
-    def take_configuration(self, change: ConfigurationChange) -> None:
-        """A version whose delta did not fit, whole."""
-        self.state.take_configuration(change)
-        self._tell_configuration()
+    def apply_configuration(self, change: ConfigurationChange) -> None:
+        """A complete version in place of a delta that did not fit."""
+        self.state.apply_full_configuration(change)
+        self._publish_configuration()
 
-    def _tell_configuration(self) -> None:
-        whole = self.state.configuration
-        self.follower.configuration = whole.digest if whole is not None else ""
-        self.follower.want_whole = self.state.want_whole
+    def _publish_configuration(self) -> None:
+        newest = self.state.configuration
+        self.follower.configuration_digest = newest.digest if newest is not None else ""
+        self.follower.wants_full = self.state.needs_full
--- a/magpieshift/relay/selection.py
+++ b/magpieshift/relay/selection.py
@@ -7,83 +7,99 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from magpieshift.control.backoff import STEADY_S, Backoff
-from magpieshift.relay.limits import FAILOVER_FIRST_S, FAILOVER_MOST_S, RETURN_LEAST_S, RETURN_MOST_S
+from magpieshift.control.backoff import STABLE_CONNECTION_S, Backoff
+from magpieshift.relay.limits import (
+    FAILOVER_INITIAL_BACKOFF_S,
+    MAX_FAILOVER_BACKOFF_S,
+    MAX_RETURN_DELAY_S,
+    MIN_RETURN_DELAY_S,
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Relay:
+class RelayAddress:
     """A relay (or source) by its settings."""
 
     name: str
+    """By which followers rank it."""
     region: str
-    address: str  # host:port
+    """In which it stands."""
+    address: str
+    """host:port."""
 
 
-def rank(follower: str, region: str, relays: Iterable[Relay]) -> tuple[Relay, ...]:
+def rank_relays(follower: str, region: str, relays: Iterable[RelayAddress]) -> tuple[RelayAddress, ...]:
     """The relays in the order in which the follower tries them: those of its region first, by rendezvous hash
     of both names."""
 
-    def order(relay: Relay) -> tuple[bool, bytes, str]:
-        # lengths apart, so that no two pairs of names are hashed alike
-        both = f"{len(follower)} {follower} {relay.name}".encode()
-        return relay.region != region, hashlib.blake2b(both, digest_size=8).digest(), relay.name
+    def sort_key(relay: RelayAddress) -> tuple[bool, bytes, str]:
+        # with the length, so that no two pairs of names are hashed alike
+        pair = f"{len(follower)} {follower} {relay.name}".encode()
+        return relay.region != region, hashlib.blake2b(pair, digest_size=8).digest(), relay.name
 
-    return tuple(sorted(relays, key=order))
+    return tuple(sorted(relays, key=sort_key))
 
 
-class Selection:
+class RelaySelection:
     """The choice of one follower."""
 
-    def __init__(self, ranked: Sequence[Relay], rand: random.Random, most_s: float = FAILOVER_MOST_S) -> None:
-        """``ranked`` as by ``rank``; ``ValueError`` where there is none. ``most_s`` bounds the pauses: a
-        relay that looks for a source gives ``RELAY_FAILOVER_MOST_S``."""
+    def __init__(
+        self,
+        ranked: Sequence[RelayAddress],
+        rand: random.Random,
+        max_backoff_s: float = MAX_FAILOVER_BACKOFF_S,
+    ) -> None:
+        """``ranked`` as by ``rank_relays``; ``ValueError`` if it is empty. ``max_backoff_s`` bounds the
+        delays: a relay that looks for a source gives ``MAX_RELAY_FAILOVER_BACKOFF_S``."""
         if not ranked:
             raise ValueError("no relay to follow")
         self._ranked = tuple(ranked)
         self._random = rand
-        self._at = 0
-        self._backoff = Backoff(rand, FAILOVER_FIRST_S, most_s)
-        self._return_us: int | None = None
-        self._better = 0  # the next better one to try
+        # of the current relay, in the ranking
+        self._index = 0
+        self._backoff = Backoff(rand, FAILOVER_INITIAL_BACKOFF_S, max_backoff_s)
+        # when a relay that ranks higher is tried; None while the current one is the first, or has failed
+        self._return_at_us: int | None = None
+        # the next one to try then
+        self._candidate_index = 0
 
     @property
-    def current(self) -> Relay:
+    def current(self) -> RelayAddress:
         """The relay to follow, or to try next."""
-        return self._ranked[self._at]
+        return self._ranked[self._index]
 
-    def connected(self, now_us: int) -> None:
+    def record_connected(self, now_us: int) -> None:
         """A stream with the current relay began to work; from now on a return is due at some time."""
-        self._return_us = None if self._at == 0 else self._draw(now_us)
-        self._better = 0
+        self._return_at_us = None if self._index == 0 else self._draw_return_us(now_us)
+        self._candidate_index = 0
 
-    def failed(self, lasted_s: float) -> float:
-        """The current relay failed, after a stream that lasted so long (0 where none began). Moves on to the
-        next, or after a stream that held to the best of the others; returns the seconds to wait before trying
+    def record_failure(self, lasted_s: float) -> float:
+        """The current relay failed, after a stream that lasted so long (0 if none began). Moves on to the
+        next, or after a stable stream to the best of the others; returns the seconds to wait before trying
         it."""
-        failed = self._at
-        self._return_us = None
-        self._at = (failed + 1) % len(self._ranked)
-        if lasted_s >= STEADY_S and failed > 0:
-            self._at = 0
-        return self._backoff.after(lasted_s)
-
-    def better(self, now_us: int) -> Relay | None:
-        """The relay to try in place of the current one, where it is time; the current stream goes on until
-        ``moved``."""
-        if self._return_us is None or now_us < self._return_us:
+        failed = self._index
+        self._return_at_us = None
+        self._index = (failed + 1) % len(self._ranked)
+        if lasted_s >= STABLE_CONNECTION_S and failed > 0:
+            self._index = 0
+        return self._backoff.next_delay_s(lasted_s)
+
+    def return_candidate(self, now_us: int) -> RelayAddress | None:
+        """The relay to try in place of the current one, if it is time; the current stream goes on until
+        ``switch_to``."""
+        if self._return_at_us is None or now_us < self._return_at_us:
             return None
-        return self._ranked[self._better]
+        return self._ranked[self._candidate_index]
 
-    def moved(self, relay: Relay, now_us: int) -> None:
-        """The better relay answers: it is the current one."""
-        self._at = self._ranked.index(relay)
-        self.connected(now_us)
+    def switch_to(self, relay: RelayAddress, now_us: int) -> None:
+        """The candidate answers: it is the current relay."""
+        self._index = self._ranked.index(relay)
+        self.record_connected(now_us)
 
-    def not_moved(self, now_us: int) -> None:
-        """The better relay does not answer: after another draw it is the turn of the next better one."""
-        self._better = (self._better + 1) % max(1, self._at)
-        self._return_us = self._draw(now_us)
+    def reject_candidate(self, now_us: int) -> None:
+        """The candidate does not answer: after another delay the next one is tried."""
+        self._candidate_index = (self._candidate_index + 1) % max(1, self._index)
+        self._return_at_us = self._draw_return_us(now_us)
 
-    def _draw(self, now_us: int) -> int:
-        return now_us + int(self._random.uniform(RETURN_LEAST_S, RETURN_MOST_S) * 1e6)
+    def _draw_return_us(self, now_us: int) -> int:
+        return now_us + int(self._random.uniform(MIN_RETURN_DELAY_S, MAX_RETURN_DELAY_S) * 1e6)
--- a/magpieshift/relay/service.py
+++ b/magpieshift/relay/service.py
@@ -11,61 +11,70 @@
 import itertools
 import logging
 from collections.abc import AsyncIterator, Callable
-from dataclasses import dataclass
 from typing import Any
 
 import grpc
 import grpc.aio
 
 from magpieshift import clock
-from magpieshift.control.service import OPTIONS
+from magpieshift.control.grpc_server import SERVER_OPTIONS as CONTROL_OPTIONS
+from magpieshift.control.grpc_server import start_server
 from magpieshift.control.wire import control_pb2 as wire
 from magpieshift.log import fields
-from magpieshift.relay.codec import Malformed, decode_from
-from magpieshift.relay.encoder import Encoder
-from magpieshift.relay.fanout import Fanout, Full, Superseded, Unfit, UnknownStream
-from magpieshift.relay.messages import Batch, Epoch, Join, Snapshot, ToFollower
+from magpieshift.relay.decoding import decode_upstream
+from magpieshift.relay.errors import (
+    EpochSupersededError,
+    MalformedMessageError,
+    TooManyFollowersError,
+    UnknownStreamError,
+    UpstreamStaleError,
+)
+from magpieshift.relay.fanout import Fanout
+from magpieshift.relay.message_cache import MessageCache
+from magpieshift.relay.messages import DownstreamMessage, Epoch, Join, Snapshot
+from magpieshift.relay.service_counters import ServiceCounters
 
 log = logging.getLogger(__name__)
 
 TICK_S = 0.05
-JOIN_S = 3.0  # a stream that has not joined by then is ended
-MOST_STREAMS = 8192  # also those that have not joined
-MOST_HEARD_BYTES = 1 << 14  # of a follower's message, the last of which is kept: a hundred are common
-SERVER_OPTIONS = [*OPTIONS, ("grpc.max_receive_message_length", MOST_HEARD_BYTES)]
+"""Between two looks at what is due: a fifth of a batch's interval."""
+JOIN_TIMEOUT_S = 3.0
+"""A stream that has not joined by then is ended: as long as a client waits for a connection."""
+MAX_STREAMS = 8192
+"""Twice ``MAX_FOLLOWERS``: also those that have not joined, or were replaced."""
+MAX_UPSTREAM_BYTES = 1 << 14
+"""Of a follower's message, the last of which is remembered; they have about a hundred."""
+MAX_REASON_LENGTH = 200
+"""Characters of an unexpected error that a follower is sent."""
+
+SERVER_OPTIONS = [*CONTROL_OPTIONS, ("grpc.max_receive_message_length", MAX_UPSTREAM_BYTES)]
 
 Code = grpc.StatusCode
 
 
-@dataclass
-class Counters:
-    """What a service has done since its start."""
-
-    joins: int = 0
-    batches: int = 0
-    entries: int = 0
-    bytes_out: int = 0
-    snapshots: int = 0
-    refused: int = 0  # streams that were ended for what was said on them, or for want of room
-    lapses: int = 0  # streams that were ended because nothing was heard on them
-
-
-class Stream:
+class StreamDriver:
     """One follower's stream."""
 
     def __init__(self, number: int, task: asyncio.Task[None]) -> None:
+        """``task`` is the one that writes."""
         self.number = number
-        self._task = task
-        self.name = ""  # once it has joined
+        """By which the ``Fanout`` knows the stream."""
+        self.name = ""
+        """Of the follower, once it has joined."""
         self.began_us = clock.source.steady_us()
+        """When the stream was opened."""
         self.woken = asyncio.Event()
+        """Set when there may be something to write."""
         self.writing = False
-        self.ended: tuple[Any, str] | None = None  # the status that the follower is to be told, and why
+        """Whether a write is in flight."""
+        self.end_status: tuple[Any, str] | None = None
+        """The status code with which the stream is ended, and why; None while it goes on."""
+        self._task = task
 
-    def end(self, code: Any = Code.OK, why: str = "") -> None:
+    def end(self, code: Any = Code.OK, reason: str = "") -> None:
         """End it; a write that does not come through is given up."""
-        if self.ended is None:
-            self.ended = code, why
+        if self.end_status is None:
+            self.end_status = (code, reason)
             self.woken.set()
             if self.writing:
                 self._task.cancel()
@@ -77,24 +86,28 @@
     def __init__(
         self,
         fanout: Fanout,
-        superseded: Callable[[Epoch], None],
-        report: Callable[[], wire.StatusReport],
+        on_superseded: Callable[[Epoch], None],
+        make_report: Callable[[], wire.StatusReport],
     ) -> None:
-        """``superseded`` is told where a follower knows of a higher epoch; ``report`` answers operators."""
+        """``on_superseded`` is called if a follower knows of a higher epoch; ``make_report`` answers
+        operators."""
+        self.counters = ServiceCounters()
+        """Since the start."""
+        self.port = 0
+        """On which it listens, once started."""
         self._fanout = fanout
-        self._superseded = superseded
-        self._report = report
-        self._streams: dict[int, Stream] = {}
+        self._on_superseded = on_superseded
+        self._make_report = make_report
+        self._streams: dict[int, StreamDriver] = {}
         self._numbers = itertools.count(1)
-        self._encoder = Encoder()
-        self._fit = True
+        self._messages = MessageCache()
+        # whether the fanout was fresh at the last tick
+        self._was_fresh = True
         self._server: Any = None
-        self._ticking: asyncio.Task[None] | None = None
-        self.counters = Counters()
-        self.port = 0
+        self._ticker: asyncio.Task[None] | None = None
 
     def service(self, details: Any) -> Any:
-        """gRPC asks for the handler of a method."""
+        """The handler of a method, for gRPC."""
         if details.method.endswith("/Follow"):
             return grpc.stream_stream_rpc_method_handler(self._follow)
         if details.method.endswith("/Status"):
@@ -102,98 +115,92 @@
         return None
 
     async def start(self, listen: str) -> None:
-        """Listen on ``host:port``; port 0 picks a free one. ``OSError`` where that cannot be."""
-        self._server = grpc.aio.server(options=SERVER_OPTIONS)
-        self._server.add_generic_rpc_handlers((self,))
-        try:
-            self.port = self._server.add_insecure_port(listen)
-        except RuntimeError as err:
-            raise OSError(f"cannot listen on {listen}") from err
-        await self._server.start()
-        self._ticking = asyncio.ensure_future(self._tick())
+        """Listen on ``host:port``; port 0 picks a free one. ``OSError`` if that cannot be."""
+        self._server, self.port = await start_server(self, listen, SERVER_OPTIONS)
+        self._ticker = asyncio.ensure_future(self._tick())
 
-    def end_streams(self, why: str) -> None:
+    def end_streams(self, reason: str) -> None:
         """End all streams: nothing more is written on them."""
         for stream in list(self._streams.values()):
-            stream.end(Code.UNAVAILABLE, why)
+            stream.end(Code.UNAVAILABLE, reason)
 
     async def stop(self) -> None:
         """End all streams, at once."""
-        if self._ticking is not None:
-            self._ticking.cancel()
+        if self._ticker is not None:
+            self._ticker.cancel()
         self.end_streams("ending")
         if self._server is not None:
             await self._server.stop(0)
 
     async def _status(self, request: bytes, context: Any) -> bytes:
-        return bytes(self._report().SerializeToString())
+        return bytes(self._make_report().SerializeToString())
 
     async def _tick(self) -> None:
-        """Wake the writers whose time has come, and end streams on which nothing is heard."""
+        """Wake the writers whose time has come, and end streams on which nothing is received."""
         while True:
             now_us = clock.source.steady_us()
-            for number in self._fanout.due(now_us):
+            for number in self._fanout.due_streams(now_us):
                 if (stream := self._streams.get(number)) is not None:
                     stream.woken.set()
-            for number in self._fanout.silent(now_us):
-                self._lapse(number)
-            self._end_others(now_us)
+            for number in self._fanout.silent_streams(now_us):
+                self._end_silent(number)
+            self._end_ineligible(now_us)
             await asyncio.sleep(TICK_S)
 
-    def _end_others(self, now_us: int) -> None:
-        """Streams that did not join in time; all, where this process is not current itself."""
-        fit = self._fanout.fit(now_us)
-        if self._fit and not fit and self._streams:
+    def _end_ineligible(self, now_us: int) -> None:
+        """End streams that did not join in time; all, if this process is not fresh itself."""
+        is_fresh = self._fanout.is_fresh(now_us)
+        if self._was_fresh and not is_fresh and self._streams:
             log.warning("not current", extra=fields(followers=len(self._streams)))
-        self._fit = fit
+        self._was_fresh = is_fresh
         for stream in list(self._streams.values()):
-            if stream.name and not fit:
+            if stream.name and not is_fresh:
                 stream.end(Code.UNAVAILABLE, "not current")
-            elif not stream.name and now_us - stream.began_us > JOIN_S * 1e6:
+            elif not stream.name and now_us - stream.began_us > JOIN_TIMEOUT_S * 1e6:
                 stream.end(Code.DEADLINE_EXCEEDED, "nothing was said")
 
-    def _lapse(self, number: int) -> None:
+    def _end_silent(self, number: int) -> None:
         stream = self._streams.get(number)
-        if stream is not None and stream.ended is None:
-            self.counters.lapses += 1
+        if stream is not None and stream.end_status is None:
+            self.counters.silent_streams += 1
             log.warning("follower lapsed", extra=fields(name=stream.name))
             stream.end(Code.DEADLINE_EXCEEDED, "nothing was heard")
 
     # --- one stream
 
     async def _follow(self, requests: AsyncIterator[bytes], context: Any) -> None:
-        if len(self._streams) >= MOST_STREAMS:
-            self.counters.refused += 1
-            await context.abort(Code.RESOURCE_EXHAUSTED, f"{MOST_STREAMS} streams are open")
+        if len(self._streams) >= MAX_STREAMS:
+            self.counters.rejected_streams += 1
+            await context.abort(Code.RESOURCE_EXHAUSTED, f"{MAX_STREAMS} streams are open")
         task: Any = asyncio.current_task()
-        stream = Stream(next(self._numbers), task)
+        stream = StreamDriver(next(self._numbers), task)
         self._streams[stream.number] = stream
         reading = asyncio.ensure_future(self._read(stream, requests))
         try:
             await self._write(stream, context)
-        except (grpc.aio.BaseError, asyncio.CancelledError, UnknownStream):
-            if stream.ended is None:  # it left under a message
+        except (grpc.aio.BaseError, asyncio.CancelledError, UnknownStreamError):
+            if stream.end_status is None:  # the follower has gone under a message
                 raise
         finally:
             reading.cancel()
             del self._streams[stream.number]
-            self._left(stream)
-        code, why = stream.ended or (Code.OK, "")
+            self._close_stream(stream)
+        code, reason = stream.end_status or (Code.OK, "")
         if code is not Code.OK:
-            await context.abort(code, why)
+            await context.abort(code, reason)
 
-    def _left(self, stream: Stream) -> None:
+    def _close_stream(self, stream: StreamDriver) -> None:
         if stream.name:
-            self._fanout.leave(stream.number, clock.source.steady_us())
-            _, why = stream.ended or (None, "")
-            log.info("follower left", extra=fields(name=stream.name, reason=why or "its stream ended"))
+            self._fanout.close_stream(stream.number, clock.source.steady_us())
+            _, reason = stream.end_status or (None, "")
+            log.info("follower left", extra=fields(name=stream.name, reason=reason or "its stream ended"))
 
-    async def _write(self, stream: Stream, context: Any) -> None:
-        while stream.ended is None:
+    async def _write(self, stream: StreamDriver, context: Any) -> None:
+        while stream.end_status is None:
             stream.woken.clear()
             now_us = clock.source.steady_us()
-            due = stream.name and self._fanout.due_us(stream.number) <= now_us
-            messages = self._fanout.send(stream.number, now_us) if due else []
+            is_due = stream.name and self._fanout.next_send_us(stream.number) <= now_us
+            messages = self._fanout.messages_to_send(stream.number, now_us) if is_due else []
             if not messages:
                 await stream.woken.wait()
             stream.writing = True
@@ -201,64 +208,60 @@
                 await self._write_one(message, context)
             stream.writing = False
 
-    async def _write_one(self, message: ToFollower, context: Any) -> None:
-        for data in self._encoder.encode(message):
+    async def _write_one(self, message: DownstreamMessage, context: Any) -> None:
+        for data in self._messages.encode(message):
             await context.write(data)
             self.counters.bytes_out += len(data)
-        if isinstance(message, Batch):
-            self.counters.batches += 1
-            self.counters.entries += len(message.entries)
-        elif isinstance(message, Snapshot):
-            self.counters.snapshots += 1
+        self.counters.count_sent(message)
+        if isinstance(message, Snapshot):
             log.info("snapshot sent", extra=fields(applied=message.applied, purges=len(message.purges)))
 
-    async def _read(self, stream: Stream, requests: AsyncIterator[bytes]) -> None:
-        """Take in what a follower says, until it ends the stream or says what cannot be."""
+    async def _read(self, stream: StreamDriver, requests: AsyncIterator[bytes]) -> None:
+        """Take in what a follower sends, until it ends the stream or sends what cannot be."""
         code = Code.OK
-        why = ""
+        reason = ""
         try:
             async for data in requests:
-                self._heard(stream, data)
+                self._receive(stream, data)
         except grpc.aio.BaseError:
-            why = "its stream broke off"
-        except Malformed as err:
-            log.warning("malformed message", extra=fields(name=stream.name, reason=err))
-            code = Code.INVALID_ARGUMENT
-            why = str(err)
-        except Superseded as err:
-            code = Code.FAILED_PRECONDITION
-            why = str(err)
-            self._superseded(err.epoch)
-        except Full:
-            code = Code.RESOURCE_EXHAUSTED
-            why = "there are too many followers"
-        except Unfit as err:
-            code = Code.UNAVAILABLE
-            why = str(err)
-        except UnknownStream:
-            code = Code.ABORTED
-            why = "replaced by a later stream"
-        except Exception as err:
-            log.exception("follower's stream failed", extra=fields(name=stream.name))
-            code = Code.INTERNAL
-            why = f"{type(err).__name__}: {err}"[:200]
-        self.counters.refused += code is not Code.OK
-        stream.end(code, why)
-
-    def _heard(self, stream: Stream, data: bytes) -> None:
-        message = decode_from(data)
+            reason = "its stream broke off"
+        except Exception as err:  # whatever a follower sent, its stream alone ends
+            code, reason = self._judge_failure(stream, err)
+        self.counters.rejected_streams += code is not Code.OK
+        stream.end(code, reason)
+
+    def _judge_failure(self, stream: StreamDriver, error: Exception) -> tuple[Any, str]:
+        """The status with which a stream ends whose message could not be taken in, and why."""
+        match error:
+            case MalformedMessageError():
+                log.warning("malformed message", extra=fields(name=stream.name, reason=error))
+                return Code.INVALID_ARGUMENT, str(error)
+            case EpochSupersededError():
+                self._on_superseded(error.epoch)
+                return Code.FAILED_PRECONDITION, str(error)
+            case TooManyFollowersError():
+                return Code.RESOURCE_EXHAUSTED, "there are too many followers"
+            case UpstreamStaleError():
+                return Code.UNAVAILABLE, str(error)
+            case UnknownStreamError():
+                return Code.ABORTED, "replaced by a later stream"
+        log.error("follower's stream failed", exc_info=error, extra=fields(name=stream.name))
+        return Code.INTERNAL, f"{type(error).__name__}: {error}"[:MAX_REASON_LENGTH]
+
+    def _receive(self, stream: StreamDriver, data: bytes) -> None:
+        message = decode_upstream(data)
         now_us = clock.source.steady_us()
         if not isinstance(message, Join):
             if not stream.name:
-                raise Malformed("first message", "progress", "join")
-            self._fanout.progress(stream.number, message, now_us)
+                raise MalformedMessageError("first message", "progress", "join")
+            self._fanout.receive_progress(stream.number, message, now_us)
         elif stream.name:
-            raise Malformed("message", "a second join", "progress")
+            raise MalformedMessageError("message", "a second join", "progress")
         else:
             self._join(stream, message, now_us)
         stream.woken.set()
 
-    def _join(self, stream: Stream, join: Join, now_us: int) -> None:
+    def _join(self, stream: StreamDriver, join: Join, now_us: int) -> None:
         earlier = self._fanout.join(stream.number, join, now_us)
         if earlier is not None and (other := self._streams.get(earlier)) is not None:
             other.end(Code.ABORTED, "replaced by a later stream")
--- /dev/null
+++ b/magpieshift/relay/snapshot_schedule.py
@@ -0,0 +1,80 @@
+"""Which stream gets a snapshot when, and one snapshot for all streams that need one at about the same time.
+
+Snapshots go out at a bounded rate: each stream has a slot of its own, and one that does not come holds up no
+other.
+"""
+
+from __future__ import annotations
+
+from magpieshift.relay.limits import MAX_SNAPSHOTS_PER_S, SNAPSHOT_REUSE_US
+from magpieshift.relay.log import SequencedLog
+from magpieshift.relay.log_state import LogState
+from magpieshift.relay.messages import Snapshot
+
+SLOT_EXPIRY_US = 1_000_000
+"""A stream that comes later than this to its slot gets another: long beside a driver's tick."""
+
+
+class SnapshotSchedule:
+    """The slots of all streams that need a snapshot. Times are of the monotonic clock."""
+
+    def __init__(self, per_s: int = MAX_SNAPSHOTS_PER_S) -> None:
+        """``per_s`` slots a second."""
+        self._interval_us = 1_000_000 // per_s
+        # the slot of each stream that has one
+        self._slots_us: dict[int, int] = {}
+        # the latest slot that was used
+        self._last_taken_us: int | None = None
+
+    def reserve(self, stream: int, now_us: int) -> int:
+        """The slot of the stream: the one it has, or the next that is free."""
+        slot_us = self._slots_us.get(stream)
+        if slot_us is None or now_us > slot_us + SLOT_EXPIRY_US:
+            slot_us = self._next_free_us(now_us)
+            self._slots_us[stream] = slot_us
+        return slot_us
+
+    def slot_us(self, stream: int) -> int | None:
+        """The slot that the stream has, if any."""
+        return self._slots_us.get(stream)
+
+    def take_slot(self, stream: int, now_us: int) -> bool:
+        """Whether it is the stream's turn; its slot is used up then."""
+        slot_us = self.reserve(stream, now_us)
+        if now_us < slot_us:
+            return False
+        del self._slots_us[stream]
+        self._last_taken_us = slot_us if self._last_taken_us is None else max(self._last_taken_us, slot_us)
+        return True
+
+    def cancel(self, stream: int) -> None:
+        """The stream needs no slot."""
+        self._slots_us.pop(stream, None)
+
+    def _next_free_us(self, now_us: int) -> int:
+        others = [*self._slots_us.values()]
+        if self._last_taken_us is not None:
+            others.append(self._last_taken_us)
+        return max(now_us, max(others) + self._interval_us) if others else now_us
+
+
+class SnapshotCache:
+    """The last snapshot that was made of a log, while it can be used again."""
+
+    def __init__(self, log: SequencedLog, state: LogState) -> None:
+        """``state`` holds what matters of all entries of ``log``."""
+        self._log = log
+        self._state = state
+        self._snapshot: Snapshot | None = None
+        self._made_us = 0
+
+    def get(self, now_us: int) -> Snapshot:
+        """A snapshot from which the log's entries lead on, at most ``SNAPSHOT_REUSE_US`` old."""
+        log = self._log
+        made = self._snapshot
+        usable = made is not None and made.epoch == log.epoch and made.applied + 1 >= log.first
+        if made is None or not usable or now_us - self._made_us >= SNAPSHOT_REUSE_US:
+            made = self._state.snapshot(log.epoch, log.head, now_us)
+            self._snapshot = made
+            self._made_us = now_us
+        return made
--- a/magpieshift/relay/status.py
+++ b/magpieshift/relay/status.py
@@ -1,41 +1,41 @@
-"""How far behind is whom: the report of a source or relay, and how it is asked for."""
+"""The status report of a source or relay for operators, and how it is fetched."""
 
 from __future__ import annotations
 
-from dataclasses import asdict
 from typing import Any
 
 import grpc
 import grpc.aio
 from google.protobuf.message import DecodeError
 
-from magpieshift.control.client import OPTIONS, connect
+from magpieshift.control.grpc_channel import CHANNEL_OPTIONS, connect, failure_text
 from magpieshift.control.wire import control_pb2 as wire
+from magpieshift.relay.errors import RelayUnreachableError
 from magpieshift.relay.fanout import Fanout
 from magpieshift.relay.log import SequencedLog
-from magpieshift.relay.service import Counters
-from magpieshift.relay.snapshot import State
+from magpieshift.relay.log_state import LogState
+from magpieshift.relay.report import FollowerStatus
+from magpieshift.relay.service_counters import ServiceCounters
 
-METHOD = "/magpieshift.control.v1.Control/Status"
-ANSWER_S = 2.0
+STATUS_METHOD = "/magpieshift.control.v1.Control/Status"
+"""The call that operators' commands make."""
+STATUS_TIMEOUT_S = 2.0
+"""For a report, which a relay makes at once; a busy one takes a second."""
 
 
-class Unreachable(Exception):
-    """No report can be had, and why."""
-
-
-def report(
+def make_status_report(
     name: str,
     region: str,
     upstream: str,
     log: SequencedLog,
-    state: State,
+    state: LogState,
     fanout: Fanout,
-    counters: Counters,
+    counters: ServiceCounters,
     age_us: int | None,
     now_us: int,
 ) -> wire.StatusReport:
-    """What a source or relay tells of itself and of its followers."""
+    """The report of a source or relay on itself and its followers; ``age_us`` is how old its knowledge is.
+    The wire's names stand here alone."""
     below = fanout.report(now_us)
     version = state.configuration
     return wire.StatusReport(
@@ -44,59 +44,58 @@
         upstream=upstream,
         epoch=wire.Epoch(term=log.epoch.term, instance=log.epoch.instance),
         head=log.head,
-        done=fanout.done(now_us),
+        done=fanout.watermark(now_us),
         age_us=age_us,
         version=version.number if version is not None else 0,
         digest=version.digest if version is not None else "",
-        followers=[
-            wire.FollowerStatus(
-                name=each.name,
-                boot=each.boot,
-                connected=each.connected,
-                counts=each.counts,
-                applied=each.applied,
-                behind=each.behind,
-                heard_us=each.heard_us,
-                configuration=each.configuration,
-                refused=each.refused,
-                refusal=each.refusal,
-                disbelieved=each.disbelieved,
-            )
-            for each in fanout.status(now_us)
-        ],
-        behind=below.behind,
-        behind_count=below.behind_count,
-        followers_count=below.followers,
-        counters=asdict(counters),
+        followers=[_follower_row(each) for each in fanout.status(now_us)],
+        behind=below.lagging_names,
+        behind_count=below.lagging_count,
+        followers_count=below.follower_count,
+        counters=counters.as_data(),
+    )
+
+
+def _follower_row(status: FollowerStatus) -> wire.FollowerStatus:
+    return wire.FollowerStatus(
+        name=status.name,
+        boot=status.boot,
+        connected=status.connected,
+        counts=status.may_hold_lease,
+        applied=status.applied,
+        behind=status.lag_entries,
+        heard_us=status.silent_us,
+        configuration=status.configuration_digest,
+        refused=status.rejected_version,
+        refusal=status.rejection_reason,
+        disbelieved=status.invalid_acknowledgements,
     )
 
 
-async def ask(address: str) -> wire.StatusReport:
-    """The report of the source or relay at ``host:port``; ``Unreachable`` where there is none."""
+async def fetch_status(address: str) -> wire.StatusReport:
+    """The report of the source or relay at ``host:port``; ``RelayUnreachableError`` if there is none."""
     try:
-        async with grpc.aio.insecure_channel(address, options=OPTIONS) as channel:
+        async with grpc.aio.insecure_channel(address, options=CHANNEL_OPTIONS) as channel:
             await connect(channel)
-            data: bytes = await channel.unary_unary(METHOD)(b"", timeout=ANSWER_S)
+            data: bytes = await channel.unary_unary(STATUS_METHOD)(b"", timeout=STATUS_TIMEOUT_S)
             return wire.StatusReport.FromString(data)
-    except grpc.aio.AioRpcError as err:
-        raise Unreachable(f"{err.code().name}: {err.details() or ''}") from None
-    except (ConnectionError, TimeoutError) as err:
-        raise Unreachable(str(err) or "no connection in time") from None
+    except (grpc.aio.AioRpcError, ConnectionError, TimeoutError) as err:
+        raise RelayUnreachableError(failure_text(err)) from None
     except DecodeError as err:
-        raise Unreachable(f"no report: {err}") from None
+        raise RelayUnreachableError(f"no report: {err}") from None
 
 
-def as_data(report: wire.StatusReport) -> dict[str, Any]:
+def status_as_data(make_status_report: wire.StatusReport) -> dict[str, Any]:
     """A report for machines: names as in the messages, times in microseconds."""
     names = ("name", "region", "upstream", "head", "done", "version", "digest", "behind_count")
-    data: dict[str, Any] = {name: getattr(report, name) for name in names}
-    data["epoch"] = {"term": report.epoch.term, "instance": report.epoch.instance}
-    data["age_us"] = report.age_us if report.HasField("age_us") else None
-    data["behind"] = list(report.behind)
-    data["followers_count"] = report.followers_count
-    data["counters"] = dict(sorted(report.counters.items()))
+    data: dict[str, Any] = {name: getattr(make_status_report, name) for name in names}
+    data["epoch"] = {"term": make_status_report.epoch.term, "instance": make_status_report.epoch.instance}
+    data["age_us"] = make_status_report.age_us if make_status_report.HasField("age_us") else None
+    data["behind"] = list(make_status_report.behind)
+    data["followers_count"] = make_status_report.followers_count
+    data["counters"] = dict(sorted(make_status_report.counters.items()))
     data["followers"] = [
         {field.name: getattr(each, field.name) for field in each.DESCRIPTOR.fields}
-        for each in report.followers
+        for each in make_status_report.followers
     ]
     return data
--- /dev/null
+++ b/magpieshift/relay/version_reader.py
@@ -0,0 +1,78 @@
+"""A source's reading of a folder of configuration versions."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable
+from functools import partial
+
+from magpieshift.control.publisher import Published, read_folder
+from magpieshift.log import fields
+from magpieshift.relay.configuration import log_entry
+from magpieshift.relay.message_cache import fits_message
+from magpieshift.relay.messages import ConfigurationChange
+
+log = logging.getLogger(__name__)
+
+POLL_INTERVAL_S = 0.3
+"""Between two looks into the folder: a small part of the seconds in which a version is in force."""
+
+
+class VersionReader:
+    """Reads a folder of versions: the newest of them at first, then each that comes."""
+
+    def __init__(self, folder: str, append: Callable[[ConfigurationChange], None]) -> None:
+        """``append`` adds an entry to the source's log."""
+        self._folder = folder
+        self._append = append
+        # number of the last version that was read
+        self._newest_number = -1
+        # the last version that was passed on
+        self._previous: Published | None = None
+        self._task: asyncio.Task[None] | None = None
+
+    def start(self) -> None:
+        """Read, until ``stop``."""
+        self._task = asyncio.ensure_future(self._run())
+
+    def stop(self) -> None:
+        """Read no more."""
+        if self._task is not None:
+            self._task.cancel()
+
+    async def _run(self) -> None:
+        loop = asyncio.get_running_loop()
+        while True:
+            try:
+                versions = await loop.run_in_executor(None, self._read_new)
+            except OSError as err:
+                log.warning("versions not read", extra=fields(folder=self._folder, reason=err))
+                versions = []
+            for version in versions:
+                entry = await loop.run_in_executor(None, partial(log_entry, self._previous, version))
+                self._pass_on(version, entry)
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+    def _read_new(self) -> list[Published]:
+        versions = read_folder(self._folder, self._newest_number)
+        return versions if self._newest_number >= 0 else versions[-1:]
+
+    def _pass_on(self, version: Published, entry: ConfigurationChange) -> None:
+        self._newest_number = version.number
+        if not version.number or not fits_message(entry):
+            reason = "it has no number" if not version.number else "too large"
+            log.error("version not passed on", extra=fields(version=version.number, reason=reason))
+            return
+        self._previous = version
+        self._append(entry)
+        content = "delta" if entry.base_digest else "whole"
+        log.info(
+            "version passed on",
+            extra=fields(
+                version=version.number,
+                digest=version.digest,
+                content=content,
+                bytes=len(entry.content),
+            ),
+        )
--- a/tests/control/test_channel.py
+++ b/tests/control/test_channel.py
@@ -17,7 +17,7 @@
 from magpieshift.config import Document
 from magpieshift.config_transaction import Prepared, Running, prepare
 from magpieshift.control import sexp, store
-from magpieshift.control.backoff import FIRST_S, MOST_S, STEADY_S, Backoff
+from magpieshift.control.backoff import INITIAL_BACKOFF_S, MAX_BACKOFF_S, STABLE_CONNECTION_S, Backoff
 from magpieshift.control.client import ControlClient
 from magpieshift.control.publisher import Published, Publisher
 from magpieshift.control.schema import load_text
@@ -267,11 +267,11 @@
     def test_waits_grow_to_a_cap_with_full_jitter_and_begin_anew_after_a_steady_connection(self) -> None:
         top = mock.Mock(uniform=lambda low, high: high)
         backoff = Backoff(top)
-        waits = [backoff.after(0.0) for _ in range(1200)]
-        self.assertEqual(waits[:3], [FIRST_S, 2 * FIRST_S, 4 * FIRST_S])
-        self.assertEqual(set(waits[10:]), {MOST_S})
-        self.assertEqual(backoff.after(STEADY_S), FIRST_S)
-        self.assertGreater(len({Backoff(random.Random(seed)).after(0) for seed in range(50)}), 45)
+        waits = [backoff.next_delay_s(0.0) for _ in range(1200)]
+        self.assertEqual(waits[:3], [INITIAL_BACKOFF_S, 2 * INITIAL_BACKOFF_S, 4 * INITIAL_BACKOFF_S])
+        self.assertEqual(set(waits[10:]), {MAX_BACKOFF_S})
+        self.assertEqual(backoff.next_delay_s(STABLE_CONNECTION_S), INITIAL_BACKOFF_S)
+        self.assertGreater(len({Backoff(random.Random(seed)).next_delay_s(0) for seed in range(50)}), 45)
 
     @given(st.binary(max_size=200), st.integers(0, 400))
     def test_any_bytes_are_an_offer_or_an_answer(self, noise: bytes, at: int) -> None:
--- a/tests/relay/pieces.py
+++ b/tests/relay/pieces.py
@@ -3,10 +3,18 @@
 from __future__ import annotations
 
 from magpieshift.relay.fanout import Fanout
-from magpieshift.relay.follower import Apply, Effect, EndStream, Follower, TakeSnapshot
+from magpieshift.relay.follower import ApplyEntries, EndStream, Follower, Instruction, RestoreSnapshot
 from magpieshift.relay.log import SequencedLog
-from magpieshift.relay.messages import Batch, ConfigurationChange, Entry, Epoch, Proof, Purge, ToFollower
-from magpieshift.relay.snapshot import State
+from magpieshift.relay.log_state import LogState
+from magpieshift.relay.messages import (
+    Batch,
+    ConfigurationChange,
+    DownstreamMessage,
+    Entry,
+    Epoch,
+    FreshnessProof,
+    Purge,
+)
 
 MS, SECOND = 1_000, 1_000_000
 EPOCH, LATER = Epoch(1, 5), Epoch(2, 3)
@@ -17,7 +25,7 @@
     return Purge(f"{number:x}", 0, made_us)
 
 
-def whole_only(newest: ConfigurationChange | None, change: ConfigurationChange) -> None:
+def full_versions_only(newest: ConfigurationChange | None, change: ConfigurationChange) -> None:
     """For a state that never can put a delta together."""
     return None
 
@@ -25,16 +33,16 @@
 class Server:
     """A source or relay with a log, and as current as a test says."""
 
-    def __init__(self, epoch: Epoch = EPOCH, most: int = 10_000, counts_from_us: int = 0) -> None:
-        self.log, self.state = SequencedLog(epoch, most=most), State(whole_only)
+    def __init__(self, epoch: Epoch = EPOCH, max_entries: int = 10_000, watermark_from_us: int = 0) -> None:
+        self.log, self.state = SequencedLog(epoch, max_entries=max_entries), LogState(full_versions_only)
         self.age_us: int | None = 0
-        self.link_age_us: int | None = 0  # as at a source; of a relay, since it heard of its source
+        self.sync_age_us: int | None = 0  # as at a source; of a relay, since it heard of its source
         self.fanout = Fanout(
             self.log,
             self.state,
             lambda now_us: self.age_us,
-            counts_from_us=counts_from_us,
-            link_age=lambda now_us: self.link_age_us,
+            watermark_from_us=watermark_from_us,
+            sync_age_us=lambda now_us: self.sync_age_us,
         )
 
     def add(self, count: int = 1, now_us: int = 0) -> None:
@@ -43,7 +51,7 @@
 
     def put(self, entry: Entry, now_us: int = 0) -> None:
         self.log.append(entry)
-        self.state.fold(entry, now_us)
+        self.state.apply_entry(entry, now_us)
 
 
 class Client:
@@ -58,34 +66,36 @@
         self.ended = None
         server.fanout.join(stream, self.follower.connect(now_us), now_us)
 
-    def take(self, messages: list[ToFollower], now_us: int) -> None:
+    def take(self, messages: list[DownstreamMessage], now_us: int) -> None:
         for message in messages:
             for effect in self.follower.receive(message, now_us):
                 self.carry_out(effect)
 
-    def carry_out(self, effect: Effect) -> None:
+    def carry_out(self, effect: Instruction) -> None:
         match effect:
-            case Apply():
+            case ApplyEntries():
                 self.applied += effect.entries
-                self.follower.applied_up_to(effect.epoch, effect.last)
-            case TakeSnapshot(snapshot):
+                self.follower.acknowledge_applied(effect.epoch, effect.last)
+            case RestoreSnapshot(snapshot):
                 self.applied = list(snapshot.purges)
-                self.follower.applied_up_to(snapshot.epoch, snapshot.applied)
+                self.follower.acknowledge_applied(snapshot.epoch, snapshot.applied)
             case EndStream():
                 self.ended = effect
 
     def leased(self, now_us: int) -> bool:
-        return self.follower.currency.lease_held(now_us)
+        return self.follower.staleness.lease_held(now_us)
 
 
 def exchange(
     server: Server, stream: int, client: Client, now_us: int, up: bool = True, down: bool = True
-) -> list[ToFollower]:
+) -> list[DownstreamMessage]:
     """One turn of both drivers; what goes up or down may be lost. Returns what was sent down."""
     progress = client.follower.progress(now_us)
     if progress is not None and up:
-        server.fanout.progress(stream, progress, now_us)
-    messages = server.fanout.send(stream, now_us) if server.fanout.due_us(stream) <= now_us else []
+        server.fanout.receive_progress(stream, progress, now_us)
+    messages = (
+        server.fanout.messages_to_send(stream, now_us) if server.fanout.next_send_us(stream) <= now_us else []
+    )
     if down:
         client.take(messages, now_us)
     client.ended = client.ended or client.follower.check(now_us)
@@ -107,5 +117,5 @@
     return from_us + for_us
 
 
-def proofs(messages: list[ToFollower]) -> list[Proof]:
+def proofs(messages: list[DownstreamMessage]) -> list[FreshnessProof]:
     return [message.proof for message in messages if isinstance(message, Batch) and message.proof]
--- a/tests/relay/rig.py
+++ b/tests/relay/rig.py
@@ -13,56 +13,56 @@
 from magpieshift import clock
 from magpieshift.lab.emulators import peers
 from magpieshift.relay.client import RelayClient
-from magpieshift.relay.follower import Apply, Follower
-from magpieshift.relay.limits import MOST_LOG_ENTRIES
+from magpieshift.relay.follower import ApplyEntries, Follower
+from magpieshift.relay.limits import MAX_LOG_ENTRIES
 from magpieshift.relay.messages import ConfigurationChange, Entry, Purge, Snapshot
 from magpieshift.relay.node import RelayNode, RelayOptions, SourceNode, SourceOptions
-from magpieshift.relay.selection import Relay, Selection
+from magpieshift.relay.selection import RelayAddress, RelaySelection
 
 PATIENCE_S = 30.0  # of waits for events; what is asserted are never speeds
 
 
-def at(port: int, region: str = "north") -> Relay:
+def at(port: int, region: str = "north") -> RelayAddress:
     """A node on loopback."""
-    return Relay(f"127.0.0.1:{port}", region, f"127.0.0.1:{port}")
+    return RelayAddress(f"127.0.0.1:{port}", region, f"127.0.0.1:{port}")
 
 
 class Router:
-    """A follower that notes what it is told."""
+    """A follower that records what it receives."""
 
-    def __init__(self, name: str, relays: Sequence[Relay], rand: random.Random | None = None) -> None:
+    def __init__(self, name: str, relays: Sequence[RelayAddress], rand: random.Random | None = None) -> None:
         self.name = name
         self.follower = Follower(name, f"boot of {name}")
         self.entries: list[Entry] = []
         self.snapshots: list[Snapshot] = []
-        self.whole: list[ConfigurationChange] = []
-        self.client = RelayClient(self.follower, Selection(relays, rand or random.Random(1)), self)
+        self.full_versions: list[ConfigurationChange] = []
+        self.client = RelayClient(self.follower, RelaySelection(relays, rand or random.Random(1)), self)
 
-    def apply(self, batch: Apply) -> None:
+    def apply_entries(self, batch: ApplyEntries) -> None:
         self.entries += batch.entries
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
+    def restore_snapshot(self, snapshot: Snapshot) -> None:
         self.snapshots.append(snapshot)
 
-    def take_configuration(self, change: ConfigurationChange) -> None:
-        self.whole.append(change)
+    def apply_configuration(self, change: ConfigurationChange) -> None:
+        self.full_versions.append(change)
 
     @property
     def purged(self) -> list[str]:
         """The keys of all purges, in the order in which they came, by snapshot or one by one."""
-        told = [purge for snapshot in self.snapshots for purge in snapshot.purges]
-        told += [entry for entry in self.entries if isinstance(entry, Purge)]
-        return [purge.key for purge in told]
+        purges = [purge for snapshot in self.snapshots for purge in snapshot.purges]
+        purges += [entry for entry in self.entries if isinstance(entry, Purge)]
+        return [purge.key for purge in purges]
 
     @property
     def current(self) -> bool:
         """Whether it holds its lease."""
-        return self.follower.currency.lease_held(clock.source.steady_us())
+        return self.follower.staleness.lease_held(clock.source.steady_us())
 
 
 class Wire:
     """A TCP connection between a follower and a node, which can be cut in each direction: what is sent that
-    way then goes nowhere, and nobody is told."""
+    way then goes nowhere, without an error."""
 
     def __init__(self, target: int) -> None:
         self._target = target
@@ -150,7 +150,7 @@
         return SourceOptions(("127.0.0.1", log_port or self.changes.port), listen, versions)
 
     async def relay(
-        self, name: str, *sources: int, log_entries: int = MOST_LOG_ENTRIES
+        self, name: str, *sources: int, log_entries: int = MAX_LOG_ENTRIES
     ) -> tuple[RelayNode, int]:
         relays = [at(port) for port in sources]
         options = RelayOptions(relays, "127.0.0.1:0", name, "north", log_entries)
@@ -174,12 +174,12 @@
         for router in routers:
             await self.until(lambda router=router: router.current, "a lease")  # type: ignore[misc]
 
-    async def all_told(self, *routers: Router) -> None:
-        """Wait until each has been told of all purges; none is told out of order, or twice."""
+    async def all_purged(self, *routers: Router) -> None:
+        """Wait until each has applied all purges."""
         for router in routers:
             await self.until(
                 lambda router=router: self.keys[-1] in router.purged,  # type: ignore[misc]
-                f"{router.name} is told of all purges",
+                f"{router.name} applies all purges",
             )
 
     async def until(self, true: Callable[[], bool], what: str) -> None:
--- a/tests/relay/test_codec.py
+++ b/tests/relay/test_codec.py
@@ -5,27 +5,30 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from magpieshift.control.session import MOST_BYTES
+from magpieshift.control.session import MAX_MESSAGE_BYTES
 from magpieshift.control.wire import control_pb2 as wire
-from magpieshift.relay import codec
-from magpieshift.relay.codec import MOST_SNAPSHOT_BYTES, Malformed
+from magpieshift.relay import decoding, encoding
+from magpieshift.relay.decoding import MAX_SNAPSHOT_BYTES
+from magpieshift.relay.errors import MalformedMessageError
 from magpieshift.relay.messages import (
     NO_EPOCH,
     Batch,
     ConfigurationChange,
+    DownstreamMessage,
+    EndpointListChange,
     Epoch,
-    FromFollower,
+    FreshnessProof,
     Join,
     Progress,
-    Proof,
     Purge,
     Snapshot,
-    StoreChange,
-    ToFollower,
+    UpstreamMessage,
 )
 
 counts = st.integers(0, (1 << 63) - 1)
-times = st.one_of(st.integers(0, codec.MOST_TIME_US), st.integers(0, 1 << 51).map(lambda ms: ms * 1000))
+times = st.one_of(
+    st.integers(0, decoding.MAX_UNIX_TIME_US), st.integers(0, 1 << 51).map(lambda ms: ms * 1000)
+)
 texts = st.text(max_size=20)
 epochs = st.builds(Epoch, st.integers(1, 1 << 50), st.integers(0, (1 << 64) - 1))
 plain_keys = st.integers(0, (1 << 64) - 1).map(lambda key: f"{key:016x}")
@@ -38,13 +41,13 @@
 changes = st.builds(
     ConfigurationChange, st.integers(1, 1 << 62), texts.map(lambda text: text + "d"), texts, st.binary()
 )
-entries = st.lists(st.one_of(purges, st.builds(StoreChange, texts), changes), max_size=20).map(tuple)
-proofs = st.builds(Proof, counts, counts, counts, counts, counts)
+entries = st.lists(st.one_of(purges, st.builds(EndpointListChange, texts), changes), max_size=20).map(tuple)
+proofs = st.builds(FreshnessProof, counts, counts, counts, counts, counts)
 batches = st.builds(Batch, epochs, st.integers(1, 1 << 62), entries, st.none() | proofs, st.booleans())
 snapshots = st.builds(
     Snapshot, epochs, counts, texts, st.lists(purges, max_size=20).map(tuple), st.none() | changes
 )
-whole_versions = st.builds(
+full_versions = st.builds(
     ConfigurationChange, st.integers(1, 1 << 62), st.just("d1"), st.just(""), texts.map(str.encode)
 )
 some_epochs = epochs | st.just(NO_EPOCH)
@@ -66,39 +69,39 @@
 )
 
 
-def refused(data: bytes) -> Malformed:
+def refused(data: bytes) -> MalformedMessageError:
     """What is said of bytes that are no message to a follower."""
     try:
-        found = codec.decode(data)
-    except Malformed as err:
+        found = decoding.decode_downstream(data)
+    except MalformedMessageError as err:
         return err
     raise AssertionError(f"read as {found}")
 
 
 def batch_of(*runs: wire.Run, **fields: object) -> bytes:
-    whole = {"epoch": wire.Epoch(term=1, instance=1), "first": 1, "runs": runs} | fields
-    return bytes(wire.FromControl(batch=wire.Batch(**whole)).SerializeToString())  # type: ignore[arg-type]
+    complete = {"epoch": wire.Epoch(term=1, instance=1), "first": 1, "runs": runs} | fields
+    return bytes(wire.FromControl(batch=wire.Batch(**complete)).SerializeToString())  # type: ignore[arg-type]
 
 
 class RoundTrips(unittest.TestCase):
-    @given(st.one_of(batches, snapshots, whole_versions))
-    def test_to_followers(self, message: ToFollower) -> None:
-        self.assertEqual(codec.decode(codec.encode(message)), message)
+    @given(st.one_of(batches, snapshots, full_versions))
+    def test_to_followers(self, message: DownstreamMessage) -> None:
+        self.assertEqual(decoding.decode_downstream(encoding.encode_downstream(message)), message)
 
     @given(st.one_of(joins, progress))
-    def test_from_followers(self, message: FromFollower) -> None:
-        self.assertEqual(codec.decode_from(codec.encode_from(message)), message)
+    def test_from_followers(self, message: UpstreamMessage) -> None:
+        self.assertEqual(decoding.decode_upstream(encoding.encode_upstream(message)), message)
 
     def test_a_delta_outside_the_log(self) -> None:
         delta = wire.Delta(base=1, base_digest="b", changes=[wire.Change(path=["listen"])])
         change = ConfigurationChange(2, "d", "b", bytes(delta.SerializeToString()))
-        self.assertEqual(codec.decode(codec.encode(change)), change)
+        self.assertEqual(decoding.decode_downstream(encoding.encode_downstream(change)), change)
 
     @given(batches, proofs)
-    def test_two_followers_share_the_bytes_of_the_entries(self, batch: Batch, proof: Proof) -> None:
-        shared = codec.encode_entries(batch.epoch, batch.first, batch.entries)
-        for each in (proof, Proof(proof.probe, 0, proof.head, proof.done, 0)):
-            found = codec.decode(shared + codec.encode_proof(each))
+    def test_two_followers_share_the_bytes_of_the_entries(self, batch: Batch, proof: FreshnessProof) -> None:
+        shared = encoding.encode_entries(batch.epoch, batch.first, batch.entries)
+        for each in (proof, FreshnessProof(proof.probe, 0, proof.head, proof.watermark, 0)):
+            found = decoding.decode_downstream(shared + encoding.encode_proof(each))
             self.assertEqual(found, Batch(batch.epoch, batch.first, batch.entries, each))
 
 
@@ -107,14 +110,17 @@
         """27 purges at 110 a second, over a quarter of a second and as much delay before it."""
         now_us = 1_790_000_000_000_000
         made = [Purge(f"{(1 << 63) + 77 * n:016x}", 0, now_us - 500_000 + n * 9_000 * 2) for n in range(27)]
-        proof = Proof(1 << 20, 8_000_000, 1 << 34, 1 << 34, 2_000_000)
-        data = codec.encode(Batch(Epoch(now_us // 1000, 1 << 63), 1 << 34, tuple(made), proof))
+        proof = FreshnessProof(1 << 20, 8_000_000, 1 << 34, 1 << 34, 2_000_000)
+        data = encoding.encode_downstream(Batch(Epoch(now_us // 1000, 1 << 63), 1 << 34, tuple(made), proof))
         self.assertLessEqual(len(data) / len(made), 16)
 
     def test_a_group_and_a_key_of_another_form_do_not_cost_the_others_their_form(self) -> None:
         plain = [Purge(f"{n:016x}", 0, 5_000_000) for n in range(100)]
         mixed = [*plain[:50], Purge("", 7, 5_000_000), Purge("ABC", 0, 5_000_000), *plain[50:]]
-        sizes = [len(codec.encode(Batch(Epoch(1, 1), 1, tuple(each), None))) for each in (plain, mixed)]
+        sizes = [
+            len(encoding.encode_downstream(Batch(Epoch(1, 1), 1, tuple(each), None)))
+            for each in (plain, mixed)
+        ]
         self.assertLess(sizes[1] - sizes[0], 60)
 
 
@@ -123,35 +129,35 @@
     def test_a_truncated_message_is_refused_or_proves_less(
         self, message: Batch | Snapshot, data: st.DataObject
     ) -> None:
-        whole = codec.encode(message)
-        cut = whole[: data.draw(st.integers(0, len(whole) - 1))]
+        complete = encoding.encode_downstream(message)
+        cut = complete[: data.draw(st.integers(0, len(complete) - 1))]
         try:
-            found = codec.decode(cut)
-        except Malformed as err:
+            found = decoding.decode_downstream(cut)
+        except MalformedMessageError as err:
             self.assertTrue(err.place and err.found and err.expected)
         else:
             assert isinstance(message, Batch)  # cut between its two pieces
             self.assertEqual(
-                found, Batch(message.epoch, message.first, message.entries, None, message.waiting)
+                found, Batch(message.epoch, message.first, message.entries, None, message.snapshot_pending)
             )
 
     @given(st.binary(max_size=200))
     def test_noise_is_a_message_or_malformed_and_never_another_error(self, noise: bytes) -> None:
-        for read in (codec.decode, codec.decode_from):
+        for read in (decoding.decode_downstream, decoding.decode_upstream):
             try:
                 read(noise)
-            except Malformed as err:
+            except MalformedMessageError as err:
                 self.assertNotIn("\n", str(err))
 
     def test_an_oversized_message(self) -> None:
         def snapshot(bytes_: int) -> bytes:
-            return codec.encode(Snapshot(Epoch(1, 1), 1, "x" * bytes_, (), None))
+            return encoding.encode_downstream(Snapshot(Epoch(1, 1), 1, "x" * bytes_, (), None))
 
-        batch = Batch(Epoch(1, 1), 1, (StoreChange("x" * MOST_BYTES),), None)
-        self.assertIsInstance(codec.decode(snapshot(MOST_BYTES)), Snapshot)
+        batch = Batch(Epoch(1, 1), 1, (EndpointListChange("x" * MAX_MESSAGE_BYTES),), None)
+        self.assertIsInstance(decoding.decode_downstream(snapshot(MAX_MESSAGE_BYTES)), Snapshot)
         for data, place, most in (
-            (codec.encode(batch), "batch", MOST_BYTES),
-            (snapshot(MOST_SNAPSHOT_BYTES), "message", MOST_SNAPSHOT_BYTES),
+            (encoding.encode_downstream(batch), "batch", MAX_MESSAGE_BYTES),
+            (snapshot(MAX_SNAPSHOT_BYTES), "message", MAX_SNAPSHOT_BYTES),
         ):
             err = refused(data)
             self.assertEqual((err.place, err.expected), (place, f"at most {most}"))
@@ -175,7 +181,7 @@
             (batch_of(wire.Run(purges=wire.Purges(objects=[1], before=[9]))), "batch runs[0] purges before"),
             (batch_of(wire.Run(purges=wire.Purges(keys=["x y"], before=[0]))), "batch runs[0] purges keys"),
             (batch_of(wire.Run(configuration=wire.ConfigurationVersion())), "batch runs[0] configuration"),
-            (codec.encode_proof(Proof(1, 1, 1, 1)), "batch first"),
+            (encoding.encode_proof(FreshnessProof(1, 1, 1, 1)), "batch first"),
             (bytes(wire.FromControl(version=wire.Version(number=1)).SerializeToString()), "version"),
         ):
             with self.subTest(place):
@@ -183,16 +189,16 @@
 
     def test_what_is_no_followers_message(self) -> None:
         hello = bytes(wire.FromRouter(hello=wire.Hello(router="r")).SerializeToString())
-        nameless = codec.encode_from(Join("", "", NO_EPOCH, 0, ""))
-        long = codec.encode_from(Join("n" * (codec.MOST_NAME + 1), "", NO_EPOCH, 0, ""))
+        nameless = encoding.encode_upstream(Join("", "", NO_EPOCH, 0, ""))
+        long = encoding.encode_upstream(Join("n" * (decoding.MAX_NAME_LENGTH + 1), "", NO_EPOCH, 0, ""))
         for data, found in (
             (hello, "hello"),
             (b"", "nothing"),
             (nameless, "0 characters"),
             (long, "257 characters"),
         ):
-            with self.assertRaises(Malformed) as caught:
-                codec.decode_from(data)
+            with self.assertRaises(MalformedMessageError) as caught:
+                decoding.decode_upstream(data)
             self.assertEqual(caught.exception.found, found)
 
 
--- a/tests/relay/test_drivers.py
+++ b/tests/relay/test_drivers.py
@@ -19,15 +19,16 @@
 
 from magpieshift import clock
 from magpieshift.control import sexp
-from magpieshift.control.client import METHOD
+from magpieshift.control.grpc_channel import FOLLOW_METHOD
 from magpieshift.control.wire import control_pb2 as wire
 from magpieshift.lab.emulators import peers
-from magpieshift.relay import codec
-from magpieshift.relay.follower import Apply
+from magpieshift.relay import decoding, encoding
+from magpieshift.relay.change_log_reader import DelayWindow
+from magpieshift.relay.errors import SourceSupersededError
+from magpieshift.relay.follower import ApplyEntries
 from magpieshift.relay.messages import NO_EPOCH, Batch, ConfigurationChange, Epoch, Join, Progress
-from magpieshift.relay.node import RelayNode, RelayOptions, SourceNode, SourceSuperseded
-from magpieshift.relay.service import MOST_HEARD_BYTES, Stream
-from magpieshift.relay.source import Delays
+from magpieshift.relay.node import RelayNode, RelayOptions, SourceNode
+from magpieshift.relay.service import MAX_UPSTREAM_BYTES, StreamDriver
 from tests.relay.rig import PATIENCE_S, RelayCase, Router, at
 
 
@@ -36,8 +37,8 @@
 
     dying = False
 
-    def apply(self, batch: Apply) -> None:
-        super().apply(batch)
+    def apply_entries(self, batch: ApplyEntries) -> None:
+        super().apply_entries(batch)
         if self.dying:
             self.service.end_streams("killed")
             self.stop()
@@ -50,15 +51,15 @@
         # without a larger window than HTTP/2's first, what is not read is soon not taken either
         options = [("grpc.max_receive_message_length", -1), ("grpc.http2.bdp_probe", 0)]
         self._channel = grpc.aio.insecure_channel(f"127.0.0.1:{port}", options=options)
-        self.call: Any = self._channel.stream_stream(METHOD)()
+        self.call: Any = self._channel.stream_stream(FOLLOW_METHOD)()
         self.probes = 0
 
     async def join(self, name: str, epoch: Epoch = NO_EPOCH, applied: int = 0) -> None:
-        await self.call.write(codec.encode_from(Join(name, "boot", epoch, applied, "")))
+        await self.call.write(encoding.encode_upstream(Join(name, "boot", epoch, applied, "")))
 
     async def probe(self, epoch: Epoch = NO_EPOCH, applied: int = 0) -> None:
         self.probes += 1
-        await self.call.write(codec.encode_from(Progress(epoch, applied, self.probes, applied, "")))
+        await self.call.write(encoding.encode_upstream(Progress(epoch, applied, self.probes, applied, "")))
 
     async def code(self) -> Any:
         return await self.call.code()
@@ -77,12 +78,13 @@
         routers = [self.router(f"r{n}", port) for n, port in enumerate([first_port, second_port, first_port])]
         await self.all_current(*routers)
         self.purge(200)
-        await self.all_told(*routers)
+        await self.all_purged(*routers)
         for router in routers:
             self.assertEqual(router.purged, self.keys)
         # entries are serialized for all followers of a relay together
-        encoder, counters = first.service._encoder, first.service.counters
-        self.assertGreaterEqual(counters.batches, 2 * encoder.serialized - 3)
+        cache = first.service._messages
+        counters = first.service.counters
+        self.assertGreaterEqual(counters.batches, 2 * cache.serialized_count - 3)
         await self.until(
             lambda: source.report().followers_count == 5, "the relays have told of their followers"
         )
@@ -100,7 +102,7 @@
         routers = [self.router(f"r{n}", first_port, second) for n in range(3)]
         await self.all_current(*routers)
         self.purge(20)
-        await self.all_told(*routers)
+        await self.all_purged(*routers)
         first.dying = True
         self.purge(20)
         while not all(self.keys[-1] in router.purged for router in routers):
@@ -112,7 +114,7 @@
         self.assertEqual([router.follower.applied for router in routers], [source.log.head] * 3)
 
     def check_done(self, source: SourceNode, routers: list[Router]) -> None:
-        done = source.fanout.done(clock.source.steady_us())
+        done = source.fanout.watermark(clock.source.steady_us())
         for router in routers:
             if router.current:
                 self.assertLessEqual(done, router.follower.applied)
@@ -133,21 +135,21 @@
             await stuck.probe()
             self.large_change()
             self.purge(3)
-            await self.all_told(router)
+            await self.all_purged(router)
         self.assertEqual(router.purged, self.keys)
         self.assertTrue(stream.writing)
 
         # it says nothing more: its stream is ended although a write is under way on it
         await self.until(lambda: stream not in source.service._streams.values(), "the stream is gone")
-        self.assertEqual(source.service.counters.lapses, 1)
+        self.assertEqual(source.service.counters.silent_streams, 1)
         self.purge(3)
-        await self.all_told(router)
+        await self.all_purged(router)
         self.assertEqual(router.purged, self.keys)
 
     def large_change(self) -> None:
         self.changes.tell(fleet={"revision": 1, "members": [], "padding": "x" * 200_000})
 
-    async def stream(self, source: SourceNode, name: str) -> Stream:
+    async def stream(self, source: SourceNode, name: str) -> StreamDriver:
         streams = source.service._streams
         await self.until(lambda: any(s.name == name for s in streams.values()), f"{name} joins")
         return next(s for s in streams.values() if s.name == name)
@@ -167,20 +169,20 @@
             self.purge(3)
             await slow.probe()
             await asyncio.sleep(0.02)  # so that they do not all come in one batch
-        told: list[str] = []
+        purged_keys: list[str] = []
         applied = 0
         async with asyncio.timeout(30.0):
-            while not told or told[-1] != self.keys[-1]:
-                message = codec.decode(await slow.call.read())
+            while not purged_keys or purged_keys[-1] != self.keys[-1]:
+                message = decoding.decode_downstream(await slow.call.read())
                 if isinstance(message, Batch):
                     self.assertLessEqual(message.first, applied + 1)
                     entries, applied = message.entries, message.last
                 else:
                     assert not isinstance(message, ConfigurationChange)
                     entries, applied = message.purges, message.applied
-                told += [entry.key for entry in entries if hasattr(entry, "key")]
+                purged_keys += [entry.key for entry in entries if hasattr(entry, "key")]
                 await slow.probe(epoch, applied)
-        self.assertEqual(told, self.keys)
+        self.assertEqual(purged_keys, self.keys)
 
     async def test_a_cut_longer_than_the_log_ends_with_a_snapshot(self) -> None:
         source, source_port = await self.source()
@@ -189,17 +191,17 @@
         router = self.router("r1", wire.port)
         await self.all_current(router)
         self.purge(5)
-        await self.all_told(router)
+        await self.all_purged(router)
         wire.to_follower = wire.to_node = False
         missed = self.purge(60)
         await self.until(lambda: relay.follower.applied == source.log.head == 65, "the relay has all")
         wire.to_follower = wire.to_node = True
-        await self.all_told(router)
+        await self.all_purged(router)
         self.assertEqual(len(router.snapshots), 2)  # the first, and that after the cut
         self.assertLessEqual(set(missed), {purge.key for purge in router.snapshots[1].purges})
         self.assertEqual(router.follower.applied, 65)
         self.purge(5)
-        await self.all_told(router)
+        await self.all_purged(router)
         self.assertEqual(router.purged[-5:], self.keys[-5:])
 
     async def test_one_whose_acknowledgements_are_lost_is_waited_for_until_its_lease_has_lapsed(self) -> None:
@@ -212,7 +214,7 @@
         head = 5
         await self.until(lambda: source.log.head == head, "the purges are numbered")
         await self.until(lambda: other.follower.applied == head, "one has them")
-        await self.until(lambda: source.fanout.done(clock.source.steady_us()) == head, "done everywhere")
+        await self.until(lambda: source.fanout.watermark(clock.source.steady_us()) == head, "done everywhere")
         self.assertTrue(not router.current or router.follower.applied == head)
 
     async def test_a_source_that_is_started_again_is_followed_in_its_new_epoch(self) -> None:
@@ -223,7 +225,7 @@
         router = self.router("r1", relay_port)
         await self.all_current(router)
         self.purge(5)
-        await self.all_told(router)
+        await self.all_purged(router)
         before = router.follower.epoch
         first.stop()
         await self.until(lambda: not first.service._streams, "it has ended")
@@ -233,7 +235,7 @@
         await self.until(lambda: router.follower.epoch == second.log.epoch, "the new epoch")
         self.assertGreater(router.follower.epoch, before)
         self.purge(5)
-        await self.all_told(router)
+        await self.all_purged(router)
         self.assertLessEqual(set(self.keys), set(router.purged))
         self.assertEqual(relay.log.epoch, second.log.epoch)
 
@@ -245,7 +247,7 @@
         self.addAsyncCleanup(late.close)
         newer = Epoch(source.log.epoch.term + 1, 1)
         await late.join("late", newer, 7)
-        with self.assertLogs("magpieshift.relay", logging.ERROR), self.assertRaises(SourceSuperseded):
+        with self.assertLogs("magpieshift.relay", logging.ERROR), self.assertRaises(SourceSupersededError):
             await running
         self.assertIs(await late.code(), grpc.StatusCode.FAILED_PRECONDITION)
 
@@ -267,7 +269,7 @@
         self.addAsyncCleanup(router.client.stop)
         await self.all_current(router)
         self.purge(5)
-        await self.all_told(router)
+        await self.all_purged(router)
         self.assertEqual(router.client.relay, at(other_port))
 
         options = RelayOptions([at(source_port)], f"127.0.0.1:{better_port}", "a", "north")
@@ -280,7 +282,7 @@
         await self.until(lambda: leaving.released, "it takes leave of the other")
         self.assertTrue(router.current)
         self.purge(5)
-        await self.all_told(router)
+        await self.all_purged(router)
         self.assertEqual(router.purged, self.keys)
         await router.client.stop()
         await self.until(lambda: ending.released, "it gives up its lease as it ends")
@@ -290,18 +292,18 @@
     """Notes what a node's followers say, and hands it on."""
 
     def __init__(self, node: RelayNode) -> None:
-        self._progress = node.fanout.progress
-        self.heard: list[Progress] = []
-        node.fanout.progress = self.progress  # type: ignore[method-assign]
+        self._progress = node.fanout.receive_progress
+        self.received: list[Progress] = []
+        node.fanout.receive_progress = self.progress  # type: ignore[method-assign]
 
     def progress(self, stream: int, progress: Progress, now_us: int) -> None:
-        self.heard.append(progress)
+        self.received.append(progress)
         self._progress(stream, progress, now_us)
 
     @property
     def released(self) -> bool:
         """Whether the last word was that the follower need not be counted."""
-        return bool(self.heard) and self.heard[-1].released
+        return bool(self.received) and self.received[-1].lease_released
 
 
 class SilentRelay(grpc.GenericRpcHandler):  # type: ignore[misc]  # the library is not typed
@@ -330,7 +332,9 @@
             message = wire.FromRouter.FromString(data)
             if message.HasField("progress"):
                 self.progress.append(
-                    Progress(NO_EPOCH, 0, message.progress.probe, 0, "", released=message.progress.released)
+                    Progress(
+                        NO_EPOCH, 0, message.progress.probe, 0, "", lease_released=message.progress.released
+                    )
                 )
 
 
@@ -343,10 +347,12 @@
         await relay.start()
         self.addAsyncCleanup(relay.server.stop, 0)
         router = Router("r1", [at(relay.port)])
-        router.follower.refusal = "x" * (4 << 20)
+        router.follower.rejection_reason = "x" * (4 << 20)
         router.client.start()
         self.addAsyncCleanup(router.client.stop)
-        await self.until(lambda: router.follower.due_us() > clock.source.steady_us(), "an acknowledgement")
+        await self.until(
+            lambda: router.follower.next_progress_us() > clock.source.steady_us(), "an acknowledgement"
+        )
         return router
 
     async def test_a_relay_that_reads_nothing_is_given_up_soon_and_without_an_error(self) -> None:
@@ -358,13 +364,15 @@
     async def test_the_last_message_follows_the_write_in_flight(self) -> None:
         relay = SilentRelay()
         router = await self.stopping(relay)
-        with mock.patch("magpieshift.relay.client.GOODBYE_S", PATIENCE_S):
+        with mock.patch("magpieshift.relay.connection.LAST_WRITE_TIMEOUT_S", PATIENCE_S):
             stopping = asyncio.ensure_future(router.client.stop())
             await asyncio.sleep(0)  # the last message is due, and waits
             self.assertFalse(stopping.done())
             relay.reads.set()
             await stopping
-        self.assertEqual([(each.probe, each.released) for each in relay.progress], [(1, False), (2, True)])
+        self.assertEqual(
+            [(each.probe, each.lease_released) for each in relay.progress], [(1, False), (2, True)]
+        )
 
 
 class Words(RelayCase):
@@ -375,7 +383,7 @@
         router = self.router("r1", port)
         await self.all_current(router)
         hello = wire.FromRouter(hello=wire.Hello(router="r")).SerializeToString()
-        progress = codec.encode_from(Progress(NO_EPOCH, 0, 1, 0, ""))
+        progress = encoding.encode_upstream(Progress(NO_EPOCH, 0, 1, 0, ""))
         for data in (b"\xff\xff", b"", hello, progress):
             bad = RawFollower(port)
             with self.assertLogs("magpieshift.relay.service", logging.WARNING) as logged:
@@ -384,20 +392,20 @@
             self.assertEqual(len(logged.records), 1)
             self.assertIn("found", await bad.call.details())
             await bad.close()
-        self.assertEqual(source.service.counters.refused, 4)
+        self.assertEqual(source.service.counters.rejected_streams, 4)
         large = RawFollower(port)
-        await large.call.write(b"x" * (MOST_HEARD_BYTES + 1))
+        await large.call.write(b"x" * (MAX_UPSTREAM_BYTES + 1))
         self.assertIs(await large.code(), grpc.StatusCode.RESOURCE_EXHAUSTED)
         await large.close()
         self.purge(5)
-        await self.all_told(router)
+        await self.all_purged(router)
 
     async def test_a_malformed_message_of_a_relay_is_one_line_and_nothing_is_applied_or_lost(self) -> None:
         _, port = await self.source()
         for garbage in (
             b"\xff\xff\xff",
-            codec.encode(Batch(Epoch(1 << 60, 1), 1, (), None))[:-1],
-            b"x" * (codec.MOST_SNAPSHOT_BYTES + 1),
+            encoding.encode_downstream(Batch(Epoch(1 << 60, 1), 1, (), None))[:-1],
+            b"x" * (decoding.MAX_SNAPSHOT_BYTES + 1),
         ):
             with self.subTest(len(garbage)):
                 liar = await self.liar(garbage)
@@ -406,9 +414,9 @@
                     await self.all_current(router)
                 events = [record.getMessage() for record in logged.records]
                 self.assertEqual(events, ["malformed message"])
-                self.assertEqual(router.follower.heard.term < 1 << 60, True)
+                self.assertEqual(router.follower.highest_epoch.term < 1 << 60, True)
                 self.purge(5)
-                await self.all_told(router)
+                await self.all_purged(router)
                 self.assertEqual(router.purged, self.keys)
 
     async def liar(self, garbage: bytes) -> int:
@@ -444,18 +452,18 @@
             for router in routers:
                 await self.until(lambda router=router: bool(router.entries), "a version")  # type: ignore[misc]
         for router in routers:
-            whole = router.snapshots[0].configuration
-            assert whole is not None
-            self.assertEqual((whole.number, whole.base_digest), (1, ""))
+            full = router.snapshots[0].configuration
+            assert full is not None
+            self.assertEqual((full.number, full.base_digest), (1, ""))
             (change,) = router.entries
             assert isinstance(change, ConfigurationChange)
-            self.assertEqual((change.number, change.base_digest), (2, whole.digest))
+            self.assertEqual((change.number, change.base_digest), (2, full.digest))
         self.assertEqual(relay.service.counters.entries, 3)
 
         # one that could not use the delta asks for the whole
-        routers[0].follower.want_whole = True
-        await self.until(lambda: bool(routers[0].whole), "the whole version")
-        found = routers[0].whole[0]
+        routers[0].follower.wants_full = True
+        await self.until(lambda: bool(routers[0].full_versions), "the whole version")
+        found = routers[0].full_versions[0]
         data = sexp.read(found.content.decode()).data
         self.assertEqual((found.number, found.digest, data["a"]), (2, sexp.digest(data), {"b": 2}))
 
@@ -493,11 +501,11 @@
         self.assertGreaterEqual(source.age_us(clock.source.steady_us()) or 0, 60_000_000)
 
     def test_delays_are_forgotten(self) -> None:
-        delays = Delays()
-        delays.note(-5, 0)
+        delays = DelayWindow()
+        delays.record(-5, 0)
         self.assertEqual(delays.largest_us(0), 0)
-        delays.note(70, 1)
-        delays.note(20, 6_000_000)
+        delays.record(70, 1)
+        delays.record(20, 6_000_000)
         self.assertEqual(delays.largest_us(6_000_001), 70)
         self.assertEqual(delays.largest_us(10_000_000), 20)
         self.assertEqual(delays.largest_us(21_000_000), 0)
