--- a/tests/relay/test_fanout.py
+++ b/tests/relay/test_fanout.py
@@ -5,20 +5,20 @@
 import unittest
 from dataclasses import replace
 
-from magpieshift.relay.fanout import Superseded, Unfit, UnknownStream
-from magpieshift.relay.follower import Reason
+from magpieshift.relay.errors import EpochSupersededError, UnknownStreamError, UpstreamStaleError
+from magpieshift.relay.follower import EndReason
 from magpieshift.relay.limits import (
-    BATCH_US,
-    HEARTBEAT_US,
-    LAGGING_US,
+    BATCH_INTERVAL_US,
+    HEARTBEAT_INTERVAL_US,
     LEASE_US,
-    MOST_BATCH_ENTRIES,
-    SNAPSHOTS_PER_S,
-    STALE_US,
-    UNFIT_US,
-    WHOLE_AGAIN_US,
-    WINDOW_BATCHES,
-    lapse_us,
+    MAX_ACKNOWLEDGE_DELAY_US,
+    MAX_BATCH_ENTRIES,
+    MAX_SERVING_SYNC_AGE_US,
+    MAX_SNAPSHOTS_PER_S,
+    MAX_UNACKNOWLEDGED_BATCHES,
+    MIN_FULL_CONFIGURATION_INTERVAL_US,
+    RELAY_STALE_TIMEOUT_US,
+    lease_lapse_us,
 )
 from magpieshift.relay.messages import (
     NO_EPOCH,
@@ -47,8 +47,8 @@
     return Join(name, boot, epoch, applied, "")
 
 
-def heard(applied: int, probe: int, epoch: Epoch = EPOCH, done: int | None = None) -> Progress:
-    return Progress(epoch, applied, probe, applied if done is None else done, "")
+def acknowledged(applied: int, probe: int, epoch: Epoch = EPOCH, watermark: int | None = None) -> Progress:
+    return Progress(epoch, applied, probe, applied if watermark is None else watermark, "")
 
 
 class Sending(unittest.TestCase):
@@ -63,18 +63,18 @@
             self.server.add()
             run(self.server, {1: self.client}, number * SECOND, SECOND)
         self.assertEqual(self.client.applied, [purge(number) for number in range(1, 40)])
-        self.assertEqual(self.server.fanout.done(40 * SECOND), 39)
+        self.assertEqual(self.server.fanout.watermark(40 * SECOND), 39)
         self.assertTrue(self.client.leased(40 * SECOND))
 
     def test_entries_wait_for_others_no_longer_than_a_batch_time(self) -> None:
         now_us = run(self.server, {1: self.client}, 0, SECOND)
         self.server.add()
-        self.assertLessEqual(self.server.fanout.due_us(1), now_us, "the first does not wait at all")
+        self.assertLessEqual(self.server.fanout.next_send_us(1), now_us, "the first does not wait at all")
         exchange(self.server, 1, self.client, now_us)
         self.server.add(5)
-        self.assertEqual(self.server.fanout.due_us(1), now_us + BATCH_US)
-        self.assertEqual(self.server.fanout.send(1, now_us + BATCH_US - 1), [])
-        sent = self.server.fanout.send(1, now_us + BATCH_US)
+        self.assertEqual(self.server.fanout.next_send_us(1), now_us + BATCH_INTERVAL_US)
+        self.assertEqual(self.server.fanout.messages_to_send(1, now_us + BATCH_INTERVAL_US - 1), [])
+        sent = self.server.fanout.messages_to_send(1, now_us + BATCH_INTERVAL_US)
         self.assertEqual([len(batch.entries) for batch in sent if isinstance(batch, Batch)], [5])
 
     def test_a_probe_is_answered_within_a_batch_time_and_silence_is_broken_by_heartbeats(self) -> None:
@@ -85,42 +85,47 @@
             if exchange(self.server, 1, self.client, t, up=False)
         ]
         gaps = [later - earlier for earlier, later in zip(sent_us, sent_us[1:], strict=False)]
-        self.assertEqual(set(gaps), {HEARTBEAT_US})
+        self.assertEqual(set(gaps), {HEARTBEAT_INTERVAL_US})
         at_us = sent_us[-1] + 10 * MS
-        self.server.fanout.progress(1, heard(3, 99), at_us)
-        self.assertEqual(self.server.fanout.due_us(1), sent_us[-1] + BATCH_US)
+        self.server.fanout.receive_progress(1, acknowledged(3, 99), at_us)
+        self.assertEqual(self.server.fanout.next_send_us(1), sent_us[-1] + BATCH_INTERVAL_US)
         self.assertEqual(
-            [proof.probe for proof in proofs(self.server.fanout.send(1, at_us + BATCH_US))], [99]
+            [
+                proof.probe
+                for proof in proofs(self.server.fanout.messages_to_send(1, at_us + BATCH_INTERVAL_US))
+            ],
+            [99],
         )
 
     def test_no_proof_before_a_probe_nor_while_anything_is_still_to_be_sent(self) -> None:
-        server = Server(most=10 * WINDOW_BATCHES * MOST_BATCH_ENTRIES)
-        server.add(3 * WINDOW_BATCHES * MOST_BATCH_ENTRIES)
+        server = Server(max_entries=10 * MAX_UNACKNOWLEDGED_BATCHES * MAX_BATCH_ENTRIES)
+        server.add(3 * MAX_UNACKNOWLEDGED_BATCHES * MAX_BATCH_ENTRIES)
         server.fanout.join(1, joined(), 0)
-        first = server.fanout.send(1, 0)
+        first = server.fanout.messages_to_send(1, 0)
         self.assertEqual(
-            [len(b.entries) for b in first if isinstance(b, Batch)], [MOST_BATCH_ENTRIES] * WINDOW_BATCHES
+            [len(b.entries) for b in first if isinstance(b, Batch)],
+            [MAX_BATCH_ENTRIES] * MAX_UNACKNOWLEDGED_BATCHES,
         )
-        server.fanout.progress(1, heard(0, 1), 0)
-        self.assertEqual(proofs(server.fanout.send(1, HEARTBEAT_US)), [])
-        for applied in range(MOST_BATCH_ENTRIES, server.log.head, MOST_BATCH_ENTRIES):
-            server.fanout.progress(1, heard(applied, 2), SECOND)
-            self.assertEqual(proofs(server.fanout.send(1, SECOND)), [])
-            self.assertEqual(server.fanout.done(SECOND), server.log.head, "it does not count yet")
-        server.fanout.progress(1, heard(server.log.head, 3), SECOND)
-        found = proofs(server.fanout.send(1, SECOND + BATCH_US))
+        server.fanout.receive_progress(1, acknowledged(0, 1), 0)
+        self.assertEqual(proofs(server.fanout.messages_to_send(1, HEARTBEAT_INTERVAL_US)), [])
+        for applied in range(MAX_BATCH_ENTRIES, server.log.head, MAX_BATCH_ENTRIES):
+            server.fanout.receive_progress(1, acknowledged(applied, 2), SECOND)
+            self.assertEqual(proofs(server.fanout.messages_to_send(1, SECOND)), [])
+            self.assertEqual(server.fanout.watermark(SECOND), server.log.head, "it does not count yet")
+        server.fanout.receive_progress(1, acknowledged(server.log.head, 3), SECOND)
+        found = proofs(server.fanout.messages_to_send(1, SECOND + BATCH_INTERVAL_US))
         self.assertEqual([(proof.probe, proof.head) for proof in found], [(3, server.log.head)])
 
     def test_a_process_passes_its_own_age_on_and_the_part_of_it_that_is_the_sources(self) -> None:
         now_us = run(self.server, {1: self.client}, 0, SECOND)
-        self.server.age_us, self.server.link_age_us = 3 * SECOND, SECOND
-        self.server.fanout.progress(1, heard(3, 50), now_us)
-        (proof,) = proofs(self.server.fanout.send(1, now_us + SECOND))
+        self.server.age_us, self.server.sync_age_us = 3 * SECOND, SECOND
+        self.server.fanout.receive_progress(1, acknowledged(3, 50), now_us)
+        (proof,) = proofs(self.server.fanout.messages_to_send(1, now_us + SECOND))
         self.assertAlmostEqual(proof.age_us, 3 * SECOND, delta=1)
         self.assertEqual(proof.source_age_us, 2 * SECOND)
-        self.server.link_age_us = None
-        self.server.fanout.progress(1, heard(3, 51), now_us + SECOND)
-        sent = self.server.fanout.send(1, now_us + 2 * SECOND)
+        self.server.sync_age_us = None
+        self.server.fanout.receive_progress(1, acknowledged(3, 51), now_us + SECOND)
+        sent = self.server.fanout.messages_to_send(1, now_us + 2 * SECOND)
         self.assertEqual((len(sent), proofs(sent)), (1, []), "it never heard of its source")
 
     def test_a_source_that_lost_its_change_log_is_followed_on_without_a_lease(self) -> None:
@@ -128,68 +133,78 @@
         for self.server.age_us in (None, LEASE_US):
             client = Client()
             client.join(self.server, 2, end_us)
-            end_us = run(self.server, {2: client}, end_us, 4 * STALE_US)
+            end_us = run(self.server, {2: client}, end_us, 4 * RELAY_STALE_TIMEOUT_US)
             self.assertIsNone(client.ended, "its configurations are as good as ever")
             self.assertFalse(client.leased(end_us))
             self.server.add()
             self.assertEqual(
-                self.server.fanout.done(end_us + BATCH_US), self.server.log.head, "nor does it count"
+                self.server.fanout.watermark(end_us + BATCH_INTERVAL_US),
+                self.server.log.head,
+                "nor does it count",
             )
-            self.server.fanout.leave(2, end_us)
+            self.server.fanout.close_stream(2, end_us)
 
     def test_entries_not_yet_visible_make_a_proof_older_instead_of_wrong(self) -> None:
         now_us = run(self.server, {1: self.client}, 0, 2 * SECOND)
         self.server.add()
-        self.server.fanout.send(1, now_us)
+        self.server.fanout.messages_to_send(1, now_us)
         self.server.add()
-        self.server.fanout.progress(1, heard(4, 50), now_us + 100 * MS)
-        self.assertEqual(self.server.fanout.send(1, now_us + BATCH_US - 1), [], "it is not due")
-        self.server.fanout._streams[1].sent_us = 0  # as if it were due before the entry becomes visible
-        (proof,) = proofs(self.server.fanout.send(1, now_us + 200 * MS))
+        self.server.fanout.receive_progress(1, acknowledged(4, 50), now_us + 100 * MS)
+        self.assertEqual(
+            self.server.fanout.messages_to_send(1, now_us + BATCH_INTERVAL_US - 1), [], "it is not due"
+        )
+        self.server.fanout._streams[1].last_sent_us = 0  # as if it were due before the entry becomes visible
+        (proof,) = proofs(self.server.fanout.messages_to_send(1, now_us + 200 * MS))
         self.assertEqual(proof.head, 4)
         self.assertGreaterEqual(proof.age_us, 200 * MS)
 
     def test_a_whole_configuration_is_sent_on_request_once_it_is_known(self) -> None:
         now_us = run(self.server, {1: self.client}, 0, SECOND)
         self.server.put(ConfigurationChange(2, "d2", "d1", b"delta"))
-        self.client.follower.want_whole = True
+        self.client.follower.wants_full = True
         now_us = run(self.server, {1: self.client}, now_us, SECOND)
-        self.assertTrue(self.client.follower.want_whole, "this process does not know it either")
-        whole = ConfigurationChange(2, "d2", "", b"whole")
-        self.server.state.take_configuration(whole)
-        self.assertEqual(self.server.fanout.send(1, now_us), [whole])
-        self.server.fanout.progress(1, replace(heard(4, 99), want_whole=True), now_us)
-        self.assertNotIn(whole, self.server.fanout.send(1, now_us + BATCH_US), "it is under way")
-        self.server.fanout.progress(1, replace(heard(4, 100), want_whole=True), now_us + WHOLE_AGAIN_US)
-        self.assertIn(whole, self.server.fanout.send(1, now_us + WHOLE_AGAIN_US))
+        self.assertTrue(self.client.follower.wants_full, "this process does not know it either")
+        full = ConfigurationChange(2, "d2", "", b"whole")
+        self.server.state.apply_full_configuration(full)
+        self.assertEqual(self.server.fanout.messages_to_send(1, now_us), [full])
+        self.server.fanout.receive_progress(1, replace(acknowledged(4, 99), wants_full=True), now_us)
+        self.assertNotIn(
+            full, self.server.fanout.messages_to_send(1, now_us + BATCH_INTERVAL_US), "it is under way"
+        )
+        self.server.fanout.receive_progress(
+            1, replace(acknowledged(4, 100), wants_full=True), now_us + MIN_FULL_CONFIGURATION_INTERVAL_US
+        )
+        self.assertIn(
+            full, self.server.fanout.messages_to_send(1, now_us + MIN_FULL_CONFIGURATION_INTERVAL_US)
+        )
 
 
 class Windows(unittest.TestCase):
     def test_a_slow_follower_costs_its_window_and_holds_up_nobody(self) -> None:
-        server, slow, quick = Server(most=2_000), Client("slow"), Client("quick")
+        server, slow, quick = Server(max_entries=2_000), Client("slow"), Client("quick")
         for stream, client in ((1, slow), (2, quick)):
             client.join(server, stream, 0)
         now_us = run(server, {1: slow, 2: quick}, 0, SECOND)
         batches = 0
         for _ in range(300):
-            now_us += BATCH_US
+            now_us += BATCH_INTERVAL_US
             server.add(20, now_us)
             exchange(server, 2, quick, now_us)
             if now_us < 4 * SECOND:  # then it is silent
-                server.fanout.progress(1, heard(0, now_us), now_us)
-            sent = server.fanout.send(1, now_us)
+                server.fanout.receive_progress(1, acknowledged(0, now_us), now_us)
+            sent = server.fanout.messages_to_send(1, now_us)
             batches += sum(1 for message in sent if isinstance(message, Batch) and message.entries)
-        self.assertEqual(batches, WINDOW_BATCHES)
+        self.assertEqual(batches, MAX_UNACKNOWLEDGED_BATCHES)
         self.assertEqual(quick.applied, [purge(number) for number in range(1, server.log.head + 1)])
-        self.assertGreater(server.fanout.done(now_us), server.log.head - 100, "it counts no more")
-        self.assertIn(1, server.fanout.silent(now_us))
-        self.assertNotIn(2, server.fanout.silent(now_us))
+        self.assertGreater(server.fanout.watermark(now_us), server.log.head - 100, "it counts no more")
+        self.assertIn(1, server.fanout.silent_streams(now_us))
+        self.assertNotIn(2, server.fanout.silent_streams(now_us))
 
     def test_a_dropped_tail_is_made_good_by_a_snapshot(self) -> None:
-        server, client = Server(most=50), Client()
+        server, client = Server(max_entries=50), Client()
         client.join(server, 1, 0)
         now_us = run(server, {1: client}, 0, SECOND)
-        server.fanout.leave(1, now_us)
+        server.fanout.close_stream(1, now_us)
         server.add(1_000, now_us)
         client.join(server, 2, now_us)
         sent = exchange(server, 2, client, now_us)
@@ -202,15 +217,15 @@
     def test_snapshots_go_at_a_bounded_rate_and_one_that_does_not_read_holds_up_nobody(self) -> None:
         server = Server()
         server.add(5)
-        count = 3 * SNAPSHOTS_PER_S
+        count = 3 * MAX_SNAPSHOTS_PER_S
         for stream in range(count):
             server.fanout.join(stream, joined(f"r{stream}", epoch=NO_EPOCH), 0)
         times: dict[int, int] = {}
         for now_us in range(0, 5 * SECOND, MS):
-            for stream in server.fanout.due(now_us):
+            for stream in server.fanout.due_streams(now_us):
                 if stream % 10:  # one of ten does not read
-                    sent = server.fanout.send(stream, now_us)
-                    waiting = [message.waiting for message in sent if isinstance(message, Batch)]
+                    sent = server.fanout.messages_to_send(stream, now_us)
+                    waiting = [message.snapshot_pending for message in sent if isinstance(message, Batch)]
                     if any(isinstance(message, Snapshot) for message in sent):
                         self.assertNotIn(stream, times)
                         times[stream] = now_us
@@ -219,15 +234,19 @@
         self.assertEqual(len(times), count * 9 // 10)
         for from_us in times.values():
             within = [at for at in times.values() if from_us <= at < from_us + SECOND]
-            self.assertLessEqual(len(within), SNAPSHOTS_PER_S + 1)
+            self.assertLessEqual(len(within), MAX_SNAPSHOTS_PER_S + 1)
         self.assertLessEqual(max(times.values()), 4 * SECOND)
 
     def test_a_relay_that_was_paused_does_not_hand_out_all_snapshots_at_once(self) -> None:
         server = Server()
         for stream in range(200):
             server.fanout.join(stream, joined(f"r{stream}", epoch=NO_EPOCH), 0)
-            server.fanout.send(stream, 0)  # which takes its turn, or gets one
-        sent = [message for stream in range(200) for message in server.fanout.send(stream, 20 * SECOND)]
+            server.fanout.messages_to_send(stream, 0)  # which takes its turn, or gets one
+        sent = [
+            message
+            for stream in range(200)
+            for message in server.fanout.messages_to_send(stream, 20 * SECOND)
+        ]
         self.assertLessEqual(sum(1 for message in sent if isinstance(message, Snapshot)), 1)
 
     def test_who_took_a_snapshot_without_the_newest_configuration_gets_it_once_it_is_known(self) -> None:
@@ -236,9 +255,9 @@
         client.join(server, 1, 0)
         now_us = run(server, {1: client}, 0, SECOND)
         self.assertEqual(client.follower.applied, 1)
-        whole = ConfigurationChange(2, "d2", "", b"whole")
-        server.state.take_configuration(whole)
-        self.assertIn(whole, server.fanout.send(1, now_us))
+        full = ConfigurationChange(2, "d2", "", b"whole")
+        server.state.apply_full_configuration(full)
+        self.assertIn(full, server.fanout.messages_to_send(1, now_us))
 
 
 class Watermarks(unittest.TestCase):
@@ -252,52 +271,55 @@
         self.assertEqual(self.done(), 3)
 
     def done(self, after_us: int = 0) -> int:
-        return self.server.fanout.done(self.now_us + after_us)
+        return self.server.fanout.watermark(self.now_us + after_us)
 
     def test_lost_acknowledgements_hold_the_watermark_until_the_lease_has_lapsed(self) -> None:
         self.server.add()
         now_us = self.now_us
-        while self.server.fanout.done(now_us) < 4:
+        while self.server.fanout.watermark(now_us) < 4:
             exchange(self.server, 1, self.client, now_us, up=False)
             now_us += 10 * MS
         self.assertEqual(self.client.follower.applied, 4, "it hears")
         self.assertFalse(self.client.leased(now_us), "but proofs of what it asked long ago prove nothing new")
-        self.assertLessEqual(now_us, self.now_us + lapse_us() + 10 * MS)
+        self.assertLessEqual(now_us, self.now_us + lease_lapse_us() + 10 * MS)
 
     def test_the_reverse_cut_is_no_different_and_the_follower_leaves(self) -> None:
         self.server.add()
         now_us = run(self.server, {1: self.client}, self.now_us, 3 * SECOND, down=False)
-        self.assertEqual((self.server.fanout.done(now_us), self.client.follower.applied), (3, 3))
-        self.assertEqual(self.client.ended and self.client.ended.reason, Reason.SILENCE)
-        self.server.fanout.leave(1, now_us)
+        self.assertEqual((self.server.fanout.watermark(now_us), self.client.follower.applied), (3, 3))
+        self.assertEqual(self.client.ended and self.client.ended.reason, EndReason.SILENCE)
+        self.server.fanout.close_stream(1, now_us)
         self.assertTrue(self.client.leased(now_us))
-        self.assertEqual(self.server.fanout.done(now_us), 3, "it counts without a stream")
+        self.assertEqual(self.server.fanout.watermark(now_us), 3, "it counts without a stream")
         while self.client.leased(now_us):
-            self.assertEqual(self.server.fanout.done(now_us), 3)
+            self.assertEqual(self.server.fanout.watermark(now_us), 3)
             now_us += 10 * MS
-        self.assertEqual(self.server.fanout.done(now_us + lapse_us()), 4)
+        self.assertEqual(self.server.fanout.watermark(now_us + lease_lapse_us()), 4)
 
     def test_an_acknowledgement_of_what_was_not_sent_is_not_believed(self) -> None:
         self.server.add(5)
-        self.server.fanout.progress(1, heard(8, 90), self.now_us)
+        self.server.fanout.receive_progress(1, acknowledged(8, 90), self.now_us)
         self.assertEqual(self.done(), 3)
-        self.server.fanout.progress(1, heard(8, 91, epoch=Epoch(0, 9)), self.now_us)
+        self.server.fanout.receive_progress(1, acknowledged(8, 91, epoch=Epoch(0, 9)), self.now_us)
         self.assertEqual(self.done(), 3)
         (status,) = self.server.fanout.status(self.now_us)
-        self.assertEqual((status.applied, status.behind, status.counts, status.disbelieved), (3, 5, True, 1))
+        self.assertEqual(
+            (status.applied, status.lag_entries, status.may_hold_lease, status.invalid_acknowledgements),
+            (3, 5, True, 1),
+        )
 
     def test_a_new_life_takes_a_new_place_and_the_old_one_counts_until_it_has_lapsed(self) -> None:
-        self.server.fanout.leave(1, self.now_us)
+        self.server.fanout.close_stream(1, self.now_us)
         self.server.add()
         twin = Client(boot="b2")
         twin.join(self.server, 2, self.now_us)
         run(self.server, {2: twin}, self.now_us, 2 * SECOND)
         self.assertEqual((twin.follower.applied, self.done(2 * SECOND)), (4, 3))
         self.assertTrue(self.client.leased(self.now_us + 2 * SECOND), "it may be paused and not killed")
-        self.assertEqual(self.done(lapse_us()), 4)
+        self.assertEqual(self.done(lease_lapse_us()), 4)
 
     def test_a_follower_that_acknowledged_and_was_killed_counts_by_what_its_new_life_has(self) -> None:
-        self.server.fanout.leave(1, self.now_us)
+        self.server.fanout.close_stream(1, self.now_us)
         twin = Client(boot="b2")
         twin.join(self.server, 2, self.now_us)
         exchange(self.server, 2, twin, self.now_us, down=False)
@@ -311,30 +333,30 @@
         other.join(self.server, 2, now_us)
         run(self.server, {1: self.client}, now_us, SECOND)
         exchange(self.server, 2, other, now_us + SECOND)
-        sent = exchange(self.server, 2, other, now_us + SECOND + BATCH_US, up=False)
+        sent = exchange(self.server, 2, other, now_us + SECOND + BATCH_INTERVAL_US, up=False)
         self.assertEqual((len(sent), proofs(sent)), (1, []))
         self.assertEqual((self.done(SECOND), other.follower.applied), (103, 103))
         exchange(self.server, 2, other, now_us + 2 * SECOND)
-        self.assertTrue(self.server.fanout.status(now_us + 2 * SECOND)[0].counts)
+        self.assertTrue(self.server.fanout.status(now_us + 2 * SECOND)[0].may_hold_lease)
 
     def test_nothing_is_proven_while_the_window_holds_something_back(self) -> None:
-        self.server.add(WINDOW_BATCHES * MOST_BATCH_ENTRIES + 1)
-        sent = self.server.fanout.send(1, self.now_us)
-        self.assertEqual((len(sent), proofs(sent)), (WINDOW_BATCHES, []))
-        self.server.fanout.progress(1, heard(3 + MOST_BATCH_ENTRIES, 90), self.now_us)
-        sent = self.server.fanout.send(1, self.now_us)
+        self.server.add(MAX_UNACKNOWLEDGED_BATCHES * MAX_BATCH_ENTRIES + 1)
+        sent = self.server.fanout.messages_to_send(1, self.now_us)
+        self.assertEqual((len(sent), proofs(sent)), (MAX_UNACKNOWLEDGED_BATCHES, []))
+        self.server.fanout.receive_progress(1, acknowledged(3 + MAX_BATCH_ENTRIES, 90), self.now_us)
+        sent = self.server.fanout.messages_to_send(1, self.now_us)
         self.assertEqual([proof.head for proof in proofs(sent)], [self.server.log.head])
 
     def test_nothing_is_done_that_a_later_follower_can_hold_a_lease_without(self) -> None:
         server = Server()
         server.add()
         server.fanout.join(1, joined(applied=1), 0)
-        server.fanout.progress(1, heard(1, 1), 0)
+        server.fanout.receive_progress(1, acknowledged(1, 1), 0)
         server.add()
-        self.assertEqual(server.fanout.done(300 * MS), 2, "it does not count yet")
+        self.assertEqual(server.fanout.watermark(300 * MS), 2, "it does not count yet")
         server.add()  # which becomes visible with the next cut, after the first proof
-        done = server.fanout.done(320 * MS)
-        (proof,) = proofs(server.fanout.send(1, 330 * MS))
+        done = server.fanout.watermark(320 * MS)
+        (proof,) = proofs(server.fanout.messages_to_send(1, 330 * MS))
         self.assertEqual(proof.head, 2)
         self.assertLessEqual(done, proof.head)
 
@@ -342,36 +364,40 @@
         for second in range(12):
             self.server.add(100)
             now_us = run(self.server, {1: self.client}, self.now_us + second * SECOND, SECOND, down=False)
-            self.server.fanout.leave(1, now_us)
+            self.server.fanout.close_stream(1, now_us)
             self.client.join(self.server, 1, now_us)
         self.assertFalse(self.client.leased(now_us))
-        self.assertEqual(self.server.fanout.done(now_us), self.server.log.head)
+        self.assertEqual(self.server.fanout.watermark(now_us), self.server.log.head)
 
     def test_whose_acknowledgements_lag_is_proven_nothing_until_they_do_not(self) -> None:
         self.server.add()
-        self.server.fanout.send(1, self.now_us)
-        for lag_us, proven in ((LAGGING_US, 1), (LAGGING_US + SECOND, 0)):
-            self.server.fanout.progress(1, heard(3, 90 + lag_us), self.now_us + lag_us)
-            self.assertEqual(len(proofs(self.server.fanout.send(1, self.now_us + lag_us))), proven)
-        self.server.fanout.progress(1, heard(4, 10**9), self.now_us + 4 * SECOND)
-        self.assertEqual(len(proofs(self.server.fanout.send(1, self.now_us + 5 * SECOND))), 1)
+        self.server.fanout.messages_to_send(1, self.now_us)
+        for lag_us, proven in ((MAX_ACKNOWLEDGE_DELAY_US, 1), (MAX_ACKNOWLEDGE_DELAY_US + SECOND, 0)):
+            self.server.fanout.receive_progress(1, acknowledged(3, 90 + lag_us), self.now_us + lag_us)
+            self.assertEqual(
+                len(proofs(self.server.fanout.messages_to_send(1, self.now_us + lag_us))), proven
+            )
+        self.server.fanout.receive_progress(1, acknowledged(4, 10**9), self.now_us + 4 * SECOND)
+        self.assertEqual(len(proofs(self.server.fanout.messages_to_send(1, self.now_us + 5 * SECOND))), 1)
 
     def test_the_same_life_on_another_stream_takes_its_place_over(self) -> None:
         self.server.add()
         join = self.client.follower.connect(self.now_us)
         self.assertEqual(self.server.fanout.join(2, join, self.now_us), 1, "the stream to be ended")
-        with self.assertRaises(UnknownStream):
-            self.server.fanout.progress(1, heard(4, 99), self.now_us)
+        with self.assertRaises(UnknownStreamError):
+            self.server.fanout.receive_progress(1, acknowledged(4, 99), self.now_us)
         self.assertEqual(self.done(), 3)
         run(self.server, {2: self.client}, self.now_us, SECOND)
         self.assertEqual((self.done(SECOND), len(self.server.fanout.status(self.now_us))), (4, 1))
 
     def test_who_gives_up_its_lease_counts_no_more_and_is_proven_nothing(self) -> None:
         self.server.add()
-        self.server.fanout.progress(1, self.client.follower.release(self.now_us), self.now_us)
+        self.server.fanout.receive_progress(1, self.client.follower.release_lease(self.now_us), self.now_us)
         self.assertEqual(self.done(), 4)
-        self.assertEqual(proofs(self.server.fanout.send(1, self.now_us + HEARTBEAT_US)), [])
-        self.assertEqual(self.done(HEARTBEAT_US), 4)
+        self.assertEqual(
+            proofs(self.server.fanout.messages_to_send(1, self.now_us + HEARTBEAT_INTERVAL_US)), []
+        )
+        self.assertEqual(self.done(HEARTBEAT_INTERVAL_US), 4)
 
     def test_a_planned_move_does_not_hold_up_the_relay_it_leaves(self) -> None:
         better = Server()
@@ -381,66 +407,66 @@
         with self.assertRaises(ValueError):
             self.client.follower.farewell()
         now_us = run(better, {7: self.client}, self.now_us, SECOND)
-        self.assertEqual(self.server.fanout.done(now_us), 3)
-        self.server.fanout.progress(1, self.client.follower.farewell(), now_us)
-        self.assertEqual(self.server.fanout.done(now_us), 4)
+        self.assertEqual(self.server.fanout.watermark(now_us), 3)
+        self.server.fanout.receive_progress(1, self.client.follower.farewell(), now_us)
+        self.assertEqual(self.server.fanout.watermark(now_us), 4)
         better.add()
-        self.assertEqual(better.fanout.done(now_us), 3, "there it counts")
+        self.assertEqual(better.fanout.watermark(now_us), 3, "there it counts")
 
     def test_a_relay_counts_by_what_all_its_followers_have(self) -> None:
         self.server.fanout.join(5, joined("relay", applied=3), self.now_us)
-        self.server.fanout.progress(5, heard(3, 1, done=2), self.now_us)
+        self.server.fanout.receive_progress(5, acknowledged(3, 1, watermark=2), self.now_us)
         self.server.add()
-        self.server.fanout.send(5, self.now_us)
+        self.server.fanout.messages_to_send(5, self.now_us)
         run(self.server, {1: self.client}, self.now_us, 2 * SECOND)
-        self.server.fanout.progress(5, heard(4, 2, done=2), self.now_us)
+        self.server.fanout.receive_progress(5, acknowledged(4, 2, watermark=2), self.now_us)
         self.assertEqual(self.done(2 * SECOND), 3, "it never goes back")
-        self.server.fanout.progress(5, heard(4, 3, done=4), self.now_us)
+        self.server.fanout.receive_progress(5, acknowledged(4, 3, watermark=4), self.now_us)
         self.assertEqual(self.done(2 * SECOND), 4)
 
     def test_after_a_restart_nothing_is_done_while_leases_of_the_source_before_may_hold(self) -> None:
-        new = Server(LATER, counts_from_us=self.now_us + lapse_us())
+        new = Server(LATER, watermark_from_us=self.now_us + lease_lapse_us())
         new.add(2)
-        self.assertEqual(new.fanout.done(self.now_us + lapse_us() - 1), 0)
-        self.assertFalse(self.client.leased(self.now_us + lapse_us()))
-        self.assertEqual(new.fanout.done(self.now_us + lapse_us()), 2)
+        self.assertEqual(new.fanout.watermark(self.now_us + lease_lapse_us() - 1), 0)
+        self.assertFalse(self.client.leased(self.now_us + lease_lapse_us()))
+        self.assertEqual(new.fanout.watermark(self.now_us + lease_lapse_us()), 2)
 
     def test_a_relay_that_turns_to_another_epoch_counts_those_that_have_not(self) -> None:
         self.server.log.restart(LATER, 1)  # the last two entries were lost
         self.assertEqual(self.done(), 0)
-        self.server.fanout.progress(1, heard(3, 0), self.now_us)
+        self.server.fanout.receive_progress(1, acknowledged(3, 0), self.now_us)
         self.assertEqual(self.done(), 0, "numbers of the epoch before mean nothing")
         now_us = run(self.server, {1: self.client}, self.now_us, SECOND)
         self.assertEqual((self.client.follower.epoch, self.client.follower.applied), (LATER, 1))
-        self.assertEqual(self.server.fanout.done(now_us), 1)
+        self.assertEqual(self.server.fanout.watermark(now_us), 1)
         self.assertTrue(self.client.leased(run(self.server, {1: self.client}, now_us, 2 * LEASE_US)))
 
     def test_many_lives_leave_nothing_behind(self) -> None:
         for life in range(200):
             self.server.fanout.join(100 + life, joined("other", boot=f"x{life}"), self.now_us)
-            self.server.fanout.progress(100 + life, heard(0, 1), self.now_us)
-            self.server.fanout.send(100 + life, self.now_us)
-            self.server.fanout.leave(100 + life, self.now_us)
-        self.assertEqual(self.done(lapse_us()), 3)
-        self.assertLessEqual(len(self.server.fanout.status(self.now_us + lapse_us())), 1)
+            self.server.fanout.receive_progress(100 + life, acknowledged(0, 1), self.now_us)
+            self.server.fanout.messages_to_send(100 + life, self.now_us)
+            self.server.fanout.close_stream(100 + life, self.now_us)
+        self.assertEqual(self.done(lease_lapse_us()), 3)
+        self.assertLessEqual(len(self.server.fanout.status(self.now_us + lease_lapse_us())), 1)
 
 
 class Refusals(unittest.TestCase):
     def test_whoever_is_of_a_lower_epoch_learns_of_the_higher(self) -> None:
         server = Server()
-        for join in (joined(epoch=LATER), Join("r", "b", EPOCH, 0, "", heard=LATER)):
-            with self.assertRaises(Superseded) as raised:
+        for join in (joined(epoch=LATER), Join("r", "b", EPOCH, 0, "", highest_epoch=LATER)):
+            with self.assertRaises(EpochSupersededError) as raised:
                 server.fanout.join(1, join, 0)
             self.assertEqual(raised.exception.epoch, LATER)
         server.fanout.join(1, joined(), 0)
-        with self.assertRaises(Superseded):
-            server.fanout.progress(1, heard(0, 1, epoch=LATER), 0)
+        with self.assertRaises(EpochSupersededError):
+            server.fanout.receive_progress(1, acknowledged(0, 1, epoch=LATER), 0)
 
     def test_a_relay_that_lost_its_source_sends_followers_elsewhere(self) -> None:
         server = Server()
-        for server.link_age_us in (None, UNFIT_US):
-            self.assertFalse(server.fanout.fit(0))
-            with self.assertRaises(Unfit):
+        for server.sync_age_us in (None, MAX_SERVING_SYNC_AGE_US):
+            self.assertFalse(server.fanout.is_fresh(0))
+            with self.assertRaises(UpstreamStaleError):
                 server.fanout.join(1, joined(), 0)
 
     def test_a_relay_that_was_paused_wakes_with_words_that_prove_what_they_did_before(self) -> None:
@@ -448,14 +474,14 @@
         server.add(3)
         client.join(server, 1, 0)
         now_us = run(server, {1: client}, 0, SECOND)
-        before_us = client.follower.currency.current_to_us
-        late = server.fanout.send(1, now_us + HEARTBEAT_US)  # made, and held up for 5 s
+        before_us = client.follower.staleness.current_to_us
+        late = server.fanout.messages_to_send(1, now_us + HEARTBEAT_INTERVAL_US)  # made, and held up for 5 s
         now_us += 5 * SECOND
         client.take(late, now_us)
-        self.assertEqual(client.follower.currency.current_to_us, before_us)
+        self.assertEqual(client.follower.staleness.current_to_us, before_us)
         server.age_us = 5 * SECOND  # on waking, its own probe is as old as its pause
         exchange(server, 1, client, now_us)
-        age_us = client.follower.currency.age_us(now_us)
+        age_us = client.follower.staleness.age_us(now_us)
         assert age_us is not None
         self.assertGreaterEqual(age_us, 5 * SECOND)
 
@@ -467,14 +493,16 @@
         for stream, (name, digest) in enumerate([("a", "d1"), ("b", "d0"), ("c", "")]):
             source.fanout.join(stream, joined(name), 0)
             behind = tuple(f"{name}{number}" for number in range(10)) if digest == "d1" else ()
-            source.fanout.progress(
+            source.fanout.receive_progress(
                 stream,
-                Progress(EPOCH, 0, 1, 0, digest, behind=behind, behind_count=len(behind), followers=40),
+                Progress(
+                    EPOCH, 0, 1, 0, digest, lagging_names=behind, lagging_count=len(behind), follower_count=40
+                ),
                 0,
             )
         report = source.fanout.report(0)
-        self.assertEqual((report.behind_count, report.followers, report.epoch), (12, 123, EPOCH))
-        self.assertEqual(set(report.behind), {"b", "c", *(f"a{number}" for number in range(10))})
+        self.assertEqual((report.lagging_count, report.follower_count, report.epoch), (12, 123, EPOCH))
+        self.assertEqual(set(report.lagging_names), {"b", "c", *(f"a{number}" for number in range(10))})
 
 
 if __name__ == "__main__":
--- a/tests/relay/test_histories.py
+++ b/tests/relay/test_histories.py
@@ -100,7 +100,7 @@
                 load(world, 11)
                 self.assertEqual(router.copy_age_limit(host.now_us()), limits.LEASE_US)
                 source, process = world.sources()[0]
-                self.assertEqual(process.fanout.done(source.now_us()), process.log.head)  # without it
+                self.assertEqual(process.fanout.watermark(source.now_us()), process.log.head)  # without it
                 world.network.heal()
                 settles(world, 20)
 
@@ -112,7 +112,7 @@
         host, source = world.sources()[0]
         others = [router for other, router in world.routers() if other.name != "E0.1"]
         self.assertEqual({router.follower.applied for router in others}, {source.log.head})
-        self.assertEqual(source.fanout.done(host.now_us()), source.log.head)
+        self.assertEqual(source.fanout.watermark(host.now_us()), source.log.head)
         world.read_slowly("E0.1", 0)
         settles(world, 30)
 
@@ -188,7 +188,7 @@
         for name in away:
             spent, snapshots = world.bytes[name] - before[name][0], world.snapshots[name] - before[name][1]
             self.assertLessEqual(snapshots, 2, name)
-            whole = MESSAGE_BYTES + PURGE_BYTES * 20 * limits.PURGES_KEPT_US // SECOND
+            whole = MESSAGE_BYTES + PURGE_BYTES * 20 * limits.PURGE_RETENTION_US // SECOND
             self.assertLess(spent, (snapshots + 1) * whole, f"{name} in {took_s} s")
         print(
             f"an hour away: {took_s} s and {max(world.bytes[name] - before[name][0] for name in away)} bytes"
--- a/tests/relay/test_log.py
+++ b/tests/relay/test_log.py
@@ -7,12 +7,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from magpieshift.relay.log import Dropped, Gap, SequencedLog
+from magpieshift.relay.errors import DroppedEntriesError, MissingEntriesError
+from magpieshift.relay.log import SequencedLog
 from tests.relay.pieces import EPOCH, LATER, purge
 
 
-def filled(count: int, most: int = 100) -> SequencedLog:
-    log = SequencedLog(EPOCH, most=most)
+def filled(count: int, max_entries: int = 100) -> SequencedLog:
+    log = SequencedLog(EPOCH, max_entries=max_entries)
     for number in range(1, count + 1):
         log.append(purge(number))
     return log
@@ -20,39 +21,39 @@
 
 class Log(unittest.TestCase):
     def test_numbers_begin_at_1_and_the_oldest_are_dropped(self) -> None:
-        log = filled(10, most=4)
+        log = filled(10, max_entries=4)
         self.assertEqual((log.first, log.head), (7, 10))
-        self.assertEqual(log.after(6), tuple(map(purge, (7, 8, 9, 10))))
-        with self.assertRaises(Dropped):
-            log.after(5)
-        self.assertEqual(log.after(10), ())
+        self.assertEqual(log.entries_after(6), tuple(map(purge, (7, 8, 9, 10))))
+        with self.assertRaises(DroppedEntriesError):
+            log.entries_after(5)
+        self.assertEqual(log.entries_after(10), ())
 
     def test_a_copy_skips_what_it_has_and_refuses_a_gap_whole(self) -> None:
         log = filled(5)
         self.assertEqual(log.extend(4, [purge(4), purge(5), purge(6)]), 1)
         self.assertEqual(log.extend(2, [purge(2), purge(3)]), 0, "it jumps back")
-        with self.assertRaises(Gap):
+        with self.assertRaises(MissingEntriesError):
             log.extend(8, [purge(8)])
-        self.assertEqual(log.after(0), tuple(purge(number) for number in range(1, 7)))
+        self.assertEqual(log.entries_after(0), tuple(purge(number) for number in range(1, 7)))
 
     def test_it_goes_on_after_a_snapshot_of_another_epoch(self) -> None:
         log = filled(5)
         log.restart(LATER, 40)
         self.assertEqual((log.epoch, log.first, log.head, log.append(purge(1))), (LATER, 41, 40, 41))
-        with self.assertRaises(Dropped):
-            log.after(5)
+        with self.assertRaises(DroppedEntriesError):
+            log.entries_after(5)
 
     @given(st.integers(0, 40), st.integers(1, 12), st.integers(0, 45), st.integers(0, 45))
     def test_after_is_a_slice_of_all_that_was_appended(
-        self, count: int, most: int, after: int, to: int
+        self, count: int, max_entries: int, after: int, to: int
     ) -> None:
-        log = filled(count, most)
+        log = filled(count, max_entries)
         wanted = [number for number in range(1, count + 1) if after < number <= to]
         if after + 1 < log.first:
-            with self.assertRaises(Dropped):
-                log.after(after, to)
+            with self.assertRaises(DroppedEntriesError):
+                log.entries_after(after, to)
         else:
-            self.assertEqual(log.after(after, to), tuple(map(purge, wanted)))
+            self.assertEqual(log.entries_after(after, to), tuple(map(purge, wanted)))
 
 
 if __name__ == "__main__":
--- a/tests/relay/test_snapshot.py
+++ b/tests/relay/test_log_state.py
@@ -7,14 +7,14 @@
 import unittest
 from typing import Any
 
-from magpieshift.relay.messages import ConfigurationChange, Purge, StoreChange
-from magpieshift.relay.snapshot import RecentPurges, State
-from tests.relay.pieces import EPOCH, LATER, SECOND, purge, whole_only
+from magpieshift.relay.log_state import LogState, RecentPurges
+from magpieshift.relay.messages import ConfigurationChange, EndpointListChange, Purge
+from tests.relay.pieces import EPOCH, LATER, SECOND, full_versions_only, purge
 
 
-def fleet(*members: tuple[str, str], complete: bool = False) -> StoreChange:
+def fleet(*members: tuple[str, str], complete: bool = False) -> EndpointListChange:
     rows = [{"id": ident, "phase": phase} for ident, phase in members]
-    return StoreChange(json.dumps({"revision": 3, "complete": complete, "members": rows}))
+    return EndpointListChange(json.dumps({"revision": 3, "complete": complete, "members": rows}))
 
 
 def version(number: int, base: int = 0) -> ConfigurationChange:
@@ -26,32 +26,32 @@
     return version(change.number) if fits else None
 
 
-def listed(state: State) -> tuple[bool, dict[str, str]]:
-    value: dict[str, Any] = json.loads(state.snapshot(EPOCH, 1, 0).stores)
+def listed(state: LogState) -> tuple[bool, dict[str, str]]:
+    value: dict[str, Any] = json.loads(state.snapshot(EPOCH, 1, 0).endpoint_list_json)
     return value["complete"], {member["id"]: member["phase"] for member in value["members"]}
 
 
 class Stores(unittest.TestCase):
     def test_a_complete_list_replaces_and_a_partial_one_merges(self) -> None:
-        state = State(whole_only)
-        self.assertEqual(state.snapshot(EPOCH, 0, 0).stores, "")
-        state.fold(fleet(("a", "SERVING"), ("b", "SERVING"), complete=True), 0)
-        state.fold(fleet(("b", "DRAINING"), ("c", "SERVING"), ("a", "DELETED")), 0)
+        state = LogState(full_versions_only)
+        self.assertEqual(state.snapshot(EPOCH, 0, 0).endpoint_list_json, "")
+        state.apply_entry(fleet(("a", "SERVING"), ("b", "SERVING"), complete=True), 0)
+        state.apply_entry(fleet(("b", "DRAINING"), ("c", "SERVING"), ("a", "DELETED")), 0)
         self.assertEqual(listed(state), (True, {"b": "DRAINING", "c": "SERVING"}))
-        state.fold(fleet(("d", "SERVING"), complete=True), 0)
+        state.apply_entry(fleet(("d", "SERVING"), complete=True), 0)
         self.assertEqual(listed(state), (True, {"d": "SERVING"}))
 
     def test_without_a_complete_list_it_tells_who_is_gone_and_claims_no_more(self) -> None:
-        state = State(whole_only)
-        state.fold(fleet(("a", "DELETED"), ("b", "SERVING")), 0)
+        state = LogState(full_versions_only)
+        state.apply_entry(fleet(("a", "DELETED"), ("b", "SERVING")), 0)
         self.assertEqual(listed(state), (False, {"a": "DELETED", "b": "SERVING"}))
 
     def test_what_cannot_be_read_changes_nothing_and_is_counted(self) -> None:
-        state = State(whole_only)
-        state.fold(fleet(("a", "SERVING"), complete=True), 0)
+        state = LogState(full_versions_only)
+        state.apply_entry(fleet(("a", "SERVING"), complete=True), 0)
         for text in ("{", "[]", '{"members": [{}]}', '{"members": 3}', '{"members": [4], "complete": true}'):
-            state.fold(StoreChange(text), 0)
-        self.assertEqual((listed(state), state.unreadable), ((True, {"a": "SERVING"}), 5))
+            state.apply_entry(EndpointListChange(text), 0)
+        self.assertEqual((listed(state), state.unreadable_lists), ((True, {"a": "SERVING"}), 5))
 
 
 class Purges(unittest.TestCase):
@@ -61,68 +61,68 @@
         for number in range(count):
             recent.add(purge(number), 0)
         begin = time.process_time()
-        self.assertEqual(recent.all(2 * SECOND), ())
+        self.assertEqual(recent.retained(2 * SECOND), ())
         self.assertLess(time.process_time() - begin, 10.0)  # 0.2 s; half a minute if each looks at all gaps
 
     def test_each_is_kept_for_its_time_once_and_with_its_latest_moment(self) -> None:
-        state = State(whole_only, kept_us=10 * SECOND)
-        state.fold(purge(1, made_us=70), 0)
-        state.fold(purge(2), 4 * SECOND)
-        state.fold(purge(1, made_us=60), 5 * SECOND)
-        state.fold(Purge("", 9, 5), 12 * SECOND)
+        state = LogState(full_versions_only, retention_us=10 * SECOND)
+        state.apply_entry(purge(1, made_us=70), 0)
+        state.apply_entry(purge(2), 4 * SECOND)
+        state.apply_entry(purge(1, made_us=60), 5 * SECOND)
+        state.apply_entry(Purge("", 9, 5), 12 * SECOND)
         self.assertEqual(
             state.snapshot(EPOCH, 4, 14 * SECOND).purges, (purge(2), purge(1, 70), Purge("", 9, 5))
         )
         self.assertEqual(state.snapshot(EPOCH, 4, 16 * SECOND).purges, (Purge("", 9, 5),))
 
     def test_there_are_never_more_than_the_bound(self) -> None:
-        state = State(whole_only, most_purges=3)
+        state = LogState(full_versions_only, max_purges=3)
         for number in range(9):
-            state.fold(purge(number), 0)
+            state.apply_entry(purge(number), 0)
         self.assertEqual(state.snapshot(EPOCH, 9, 0).purges, tuple(map(purge, (6, 7, 8))))
 
     def test_a_snapshot_adds_to_those_known(self) -> None:
-        source, relay = State(whole_only), State(whole_only)
-        source.fold(purge(2), 0)
-        relay.fold(purge(1), 0)
+        source, relay = LogState(full_versions_only), LogState(full_versions_only)
+        source.apply_entry(purge(2), 0)
+        relay.apply_entry(purge(1), 0)
         relay.restore(source.snapshot(LATER, 1, 0), 0)
         self.assertEqual(relay.snapshot(LATER, 1, 0).purges, (purge(1), purge(2)))
 
 
 class Configurations(unittest.TestCase):
     def test_deltas_are_put_together_and_handed_out_whole(self) -> None:
-        state = State(joined)
-        state.fold(version(1), 0)
-        state.fold(version(2, base=1), 0)
-        self.assertEqual((state.snapshot(EPOCH, 2, 0).configuration, state.want_whole), (version(2), False))
+        state = LogState(joined)
+        state.apply_entry(version(1), 0)
+        state.apply_entry(version(2, base=1), 0)
+        self.assertEqual((state.snapshot(EPOCH, 2, 0).configuration, state.needs_full), (version(2), False))
 
     def test_one_that_does_not_fit_is_wanted_whole_until_it_comes(self) -> None:
-        state = State(joined)
-        state.fold(version(1), 0)
-        state.fold(version(3, base=2), 0)
+        state = LogState(joined)
+        state.apply_entry(version(1), 0)
+        state.apply_entry(version(3, base=2), 0)
         self.assertEqual(
-            (state.configuration, state.newest_digest, state.want_whole), (version(1), "d3", True)
+            (state.configuration, state.newest_digest, state.needs_full), (version(1), "d3", True)
         )
-        state.take_configuration(version(3))
-        self.assertEqual((state.configuration, state.want_whole), (version(3), False))
-        state.take_configuration(version(2))
+        state.apply_full_configuration(version(3))
+        self.assertEqual((state.configuration, state.needs_full), (version(3), False))
+        state.apply_full_configuration(version(2))
         self.assertEqual(state.configuration, version(3), "an older one changes nothing")
 
     def test_one_from_ahead_of_the_log_is_not_taken_back_by_its_entry(self) -> None:
-        state = State(joined)
-        state.fold(version(1), 0)
-        state.take_configuration(version(3))
-        state.fold(version(3, base=2), 0)
-        self.assertEqual((state.configuration, state.want_whole), (version(3), False))
+        state = LogState(joined)
+        state.apply_entry(version(1), 0)
+        state.apply_full_configuration(version(3))
+        state.apply_entry(version(3, base=2), 0)
+        self.assertEqual((state.configuration, state.needs_full), (version(3), False))
 
     def test_it_is_restored_as_the_snapshot_has_it(self) -> None:
-        source, relay = State(joined), State(joined)
-        source.fold(version(4), 0)
-        source.fold(fleet(("a", "SERVING"), complete=True), 0)
-        relay.fold(version(9), 0)
+        source, relay = LogState(joined), LogState(joined)
+        source.apply_entry(version(4), 0)
+        source.apply_entry(fleet(("a", "SERVING"), complete=True), 0)
+        relay.apply_entry(version(9), 0)
         relay.restore(source.snapshot(LATER, 2, 0), 0)
         self.assertEqual(relay.snapshot(LATER, 2, 0), source.snapshot(LATER, 2, 0))
-        relay.fold(version(5, base=4), 0)
+        relay.apply_entry(version(5, base=4), 0)
         self.assertEqual(relay.configuration, version(5))
 
 
--- a/tests/relay/test_planted.py
+++ b/tests/relay/test_planted.py
@@ -13,15 +13,14 @@
 from magpieshift.lab.simulated.fanout_histories import History
 from magpieshift.lab.simulated.fanout_judge import RuleBroken
 from magpieshift.lab.simulated.fanout_processes import Connect, Router, Send, Source
-from magpieshift.relay import fanout
-from magpieshift.relay import staleness_bound as currency
+from magpieshift.relay import fanout, staleness_bound
 from magpieshift.relay.fanout import Fanout
-from magpieshift.relay.follower import Apply, EndStream, Follower
+from magpieshift.relay.follower import ApplyEntries, EndStream, Follower
+from magpieshift.relay.follower_stream import FollowerStream
 from magpieshift.relay.limits import CLOCK_DRIFT, LEASE_US
 from magpieshift.relay.log import SequencedLog
-from magpieshift.relay.messages import Epoch, Progress, ToFollower
-from magpieshift.relay.serving import Stream
-from magpieshift.relay.snapshot import State
+from magpieshift.relay.log_state import LogState
+from magpieshift.relay.messages import DownstreamMessage, Epoch, Progress
 from magpieshift.relay.staleness_bound import SourceStalenessBound, StalenessBound
 from magpieshift.relay.watermark import Watermark
 from tests.relay.test_explored import SCENARIOS, explore
@@ -35,43 +34,43 @@
 
 
 def ignore_the_lease() -> Plant:
-    return mock.patch.object(StalenessBound, "copy_age_limit", lambda self, now_us: 0)
+    return mock.patch.object(StalenessBound, "copy_age_limit_us", lambda self, now_us: 0)
 
 
 def count_a_follower_late() -> Plant:
-    def make(proof_sent: Any) -> Any:
-        def wrong(self: Any, place: Any, until_us: int) -> None:
-            if place.counts_until_us is None:
-                place.counts_until_us = 0
+    def make(extend_lease: Any) -> Any:
+        def wrong(self: Any, follower: Any, until_us: int) -> None:
+            if follower.lease_until_us is None:
+                follower.lease_until_us = 0
             else:
-                proof_sent(self, place, until_us)
+                extend_lease(self, follower, until_us)
 
         return wrong
 
-    return replaced(Watermark, "proof_sent", make)
+    return replaced(Watermark, "extend_lease", make)
 
 
 def forget_who_has_left() -> Plant:
-    def make(drop: Any) -> Any:
+    def make(forget_stream: Any) -> Any:
         def wrong(self: Any, stream: int) -> None:
-            self._watermark.released(self._streams[stream].place)
-            drop(self, stream)
+            self._followers.release_lease(self._streams[stream].follower)
+            forget_stream(self, stream)
 
         return wrong
 
-    return replaced(Fanout, "_drop", make)
+    return replaced(Fanout, "_forget_stream", make)
 
 
 def forget_the_boot() -> Plant:
-    def make(place: Any) -> Any:
+    def make(follower: Any) -> Any:
         def wrong(self: Any, name: str, boot: str, now_us: int) -> Any:
-            for at in [at for at in self.places if at[0] == name and at[1] != boot]:
-                del self.places[at]
-            return place(self, name, boot, now_us)
+            for key in [key for key in self.followers if key[0] == name and key[1] != boot]:
+                del self.followers[key]
+            return follower(self, name, boot, now_us)
 
         return wrong
 
-    return replaced(Watermark, "place", make)
+    return replaced(Watermark, "follower", make)
 
 
 @contextlib.contextmanager
@@ -86,34 +85,34 @@
         return wrong
 
     with (
-        replaced(Fanout, "_proof", make),
-        mock.patch.object(Stream, "keeps_up", lambda self, now_us: True),
-        mock.patch.object(fanout, "MOST_BATCH_ENTRIES", 1),
+        replaced(Fanout, "_make_proof", make),
+        mock.patch.object(FollowerStream, "is_keeping_up", lambda self, now_us: True),
+        mock.patch.object(fanout, "MAX_BATCH_ENTRIES", 1),
     ):
         yield
 
 
 def count_a_proof_before_its_head_is_applied() -> Plant:
-    def make(proven: Any) -> Any:
+    def make(add_proof: Any) -> Any:
         def wrong(self: Any, epoch: Any, proof: Any) -> None:
-            proven(self, self._position[0], dataclasses.replace(proof, head=0))
+            add_proof(self, self._position[0], dataclasses.replace(proof, head=0))
 
         return wrong
 
-    return replaced(StalenessBound, "proven", make)
+    return replaced(StalenessBound, "add_proof", make)
 
 
 def acknowledge_before_applying() -> Plant:
     def make(progress: Any) -> Any:
         def wrong(self: Any, now_us: int, report: Any) -> Any:
-            made, (epoch, taken) = progress(self, now_us, report), self._taken
+            made, (epoch, taken) = progress(self, now_us, report), self._handed_out
             if report is not None:
                 return made
-            return dataclasses.replace(made, epoch=epoch, applied=taken, done=taken)
+            return dataclasses.replace(made, epoch=epoch, applied=taken, watermark=taken)
 
         return wrong
 
-    return replaced(Follower, "_progress", make)
+    return replaced(Follower, "_make_progress", make)
 
 
 def acknowledge_what_never_came() -> Plant:
@@ -121,34 +120,36 @@
         def wrong(self: Any, now_us: int, report: Any) -> Any:
             made = progress(self, now_us, report)
             return (
-                made if report else dataclasses.replace(made, applied=made.applied + 1, done=made.applied + 1)
+                made
+                if report
+                else dataclasses.replace(made, applied=made.applied + 1, watermark=made.applied + 1)
             )
 
         return wrong
 
-    return replaced(Follower, "_progress", make)
+    return replaced(Follower, "_make_progress", make)
 
 
 @contextlib.contextmanager
 def believe_any_acknowledgement() -> Iterator[None]:
-    def make(acknowledged: Any) -> Any:
+    def make(acknowledge: Any) -> Any:
         def wrong(self: Any, to: Any, progress: Any) -> None:
-            to.known = max(to.known, progress.applied)
-            acknowledged(self, to, progress)
+            to.joined_with = max(to.joined_with, progress.applied)
+            acknowledge(self, to, progress)
 
         return wrong
 
-    with acknowledge_what_never_came(), replaced(Fanout, "_acknowledged", make):
+    with acknowledge_what_never_came(), replaced(Fanout, "_acknowledge", make):
         yield
 
 
 def call_done_what_followers_cannot_see_yet() -> Plant:
     def wrong(self: Any, now_us: int) -> int:
-        self._heed(now_us)
-        self._watermark.expire(now_us)
-        return 0 if now_us < self._counts_from_us else int(self._watermark.done(self._log.head, now_us))
+        self._refresh_cut(now_us)
+        self._followers.forget_expired(now_us)
+        return 0 if now_us < self._watermark_from_us else int(self._followers.advance(self._log.head, now_us))
 
-    return mock.patch.object(Fanout, "done", wrong)
+    return mock.patch.object(Fanout, "watermark", wrong)
 
 
 def take_the_age_of_a_relay_as_zero() -> Plant:
@@ -170,7 +171,7 @@
 
         return wrong
 
-    return replaced(SequencedLog, "after", make)
+    return replaced(SequencedLog, "entries_after", make)
 
 
 def apply_duplicates_as_new() -> Plant:
@@ -179,19 +180,19 @@
             effects = batch(self, message, now_us)
             if not message.entries or any(isinstance(effect, EndStream) for effect in effects):
                 return effects
-            return [Apply(message.epoch, message.first, message.entries)]
+            return [ApplyEntries(message.epoch, message.first, message.entries)]
 
         return wrong
 
-    return replaced(Follower, "_batch", make)
+    return replaced(Follower, "_receive_batch", make)
 
 
 @contextlib.contextmanager
 def forget_the_drift() -> Iterator[None]:
     with (
-        mock.patch.object(currency, "stretched", lambda duration_us: duration_us),
-        mock.patch.object(fanout, "stretched", lambda duration_us: duration_us),
-        mock.patch.object(fanout, "lapse_us", lambda: LEASE_US),
+        mock.patch.object(staleness_bound, "max_elapsed_us", lambda duration_us: duration_us),
+        mock.patch.object(fanout, "max_elapsed_us", lambda duration_us: duration_us),
+        mock.patch.object(fanout, "lease_lapse_us", lambda: LEASE_US),
     ):
         yield
 
@@ -199,7 +200,7 @@
 def call_done_at_once_after_a_start() -> Plant:
     def make(begin: Any) -> Any:
         def wrong(self: Any, *args: Any, **options: Any) -> None:
-            begin(self, *args, **options | {"counts_from_us": 0})
+            begin(self, *args, **options | {"watermark_from_us": 0})
 
         return wrong
 
@@ -209,7 +210,7 @@
 def report_only_what_the_relay_has() -> Plant:
     def make(report: Any) -> Any:
         def wrong(self: Any, now_us: int) -> Any:
-            return dataclasses.replace(report(self, now_us), done=self._log.head)
+            return dataclasses.replace(report(self, now_us), watermark=self._log.head)
 
         return wrong
 
@@ -223,15 +224,15 @@
 
         return wrong
 
-    return replaced(State, "snapshot", make)
+    return replaced(LogState, "snapshot", make)
 
 
 def count_half_as_long() -> Plant:
-    return mock.patch.object(fanout, "lapse_us", lambda: LEASE_US // 2)
+    return mock.patch.object(fanout, "lease_lapse_us", lambda: LEASE_US // 2)
 
 
 def say_farewell_before_the_lease_rests_on_the_new_stream() -> Plant:
-    return mock.patch.object(Follower, "rests_on_stream", True)
+    return mock.patch.object(Follower, "lease_from_stream", True)
 
 
 @contextlib.contextmanager
@@ -240,19 +241,19 @@
 
     def make_join(join: Any) -> Any:
         def wrong(self: Any, stream: int, message: Any, now_us: int) -> Any:
-            told = dataclasses.replace(message, epoch=self._epoch, heard=self._epoch)
+            told = dataclasses.replace(message, epoch=self._epoch, highest_epoch=self._epoch)
             return join(self, stream, told, now_us)
 
         return wrong
 
     def make_batch(batch: Any) -> Any:
         def wrong(self: Any, message: Any, now_us: int) -> Any:
-            self.heard = self._taken[0]
-            return batch(self, dataclasses.replace(message, epoch=self._taken[0]), now_us)
+            self.highest_epoch = self._handed_out[0]
+            return batch(self, dataclasses.replace(message, epoch=self._handed_out[0]), now_us)
 
         return wrong
 
-    with replaced(Fanout, "join", make_join), replaced(Follower, "_batch", make_batch):
+    with replaced(Fanout, "join", make_join), replaced(Follower, "_receive_batch", make_batch):
         yield
 
 
@@ -340,12 +341,12 @@
             elif isinstance(output, Send) and isinstance(output.message, Progress):
                 source.heard_from_follower(0, output.message, by_source(now_us))
         for output in source.send_to(0, by_source(now_us)):
-            if isinstance(output, Send) and isinstance(output.message, ToFollower):
+            if isinstance(output, Send) and isinstance(output.message, DownstreamMessage):
                 router.heard_from_relay(0, output.message, by_router(now_us))
     began_us = now_us
     while router.copy_age_limit(by_router(now_us)) == 0:
         (status,) = source.fanout.status(by_source(now_us))
-        if not status.counts:
+        if not status.may_hold_lease:
             raise RuleBroken(f"watermark: leased after {now_us - began_us} us, and not counted")
         now_us += STEP_US
     return now_us - began_us
--- a/tests/relay/test_processes.py
+++ b/tests/relay/test_processes.py
@@ -195,7 +195,7 @@
         return dict(json.loads(line.removeprefix("OK ")))
 
     async def status(self, name: str) -> wire.StatusReport:
-        return await status.ask(f"127.0.0.1:{self.ports[name]}")
+        return await status.fetch_status(f"127.0.0.1:{self.ports[name]}")
 
     async def told_status(self, name: str) -> dict[str, Any]:
         """The same, as the command tells it."""
--- a/tests/relay/test_selection.py
+++ b/tests/relay/test_selection.py
@@ -6,81 +6,86 @@
 import unittest
 from collections import Counter
 
-from magpieshift.relay.limits import FAILOVER_FIRST_S, FAILOVER_MOST_S, RETURN_LEAST_S, RETURN_MOST_S
-from magpieshift.relay.selection import Relay, Selection, rank
+from magpieshift.relay.limits import (
+    FAILOVER_INITIAL_BACKOFF_S,
+    MAX_FAILOVER_BACKOFF_S,
+    MAX_RETURN_DELAY_S,
+    MIN_RETURN_DELAY_S,
+)
+from magpieshift.relay.selection import RelayAddress, RelaySelection, rank_relays
 from tests.relay.pieces import SECOND
 
-RELAYS = [Relay(f"relay-{number}", f"region-{number // 2}", "127.0.0.1:1") for number in range(20)]
+RELAYS = [RelayAddress(f"relay-{number}", f"region-{number // 2}", "127.0.0.1:1") for number in range(20)]
 
 
 class Ranking(unittest.TestCase):
     def test_own_region_comes_first_and_order_does_not_matter(self) -> None:
-        ranked = rank("router-7", "region-3", RELAYS)
+        ranked = rank_relays("router-7", "region-3", RELAYS)
         self.assertEqual({relay.region for relay in ranked[:2]}, {"region-3"})
-        self.assertEqual(ranked, rank("router-7", "region-3", reversed(RELAYS)))
+        self.assertEqual(ranked, rank_relays("router-7", "region-3", reversed(RELAYS)))
         self.assertEqual([relay.name for relay in ranked[:3]], ["relay-6", "relay-7", "relay-16"], "stable")
 
     def test_a_region_is_shared_out_evenly_and_one_that_goes_moves_only_its_own(self) -> None:
         names = [f"router-{number}" for number in range(480)]
-        firsts = {name: rank(name, "region-0", RELAYS)[0] for name in names}
+        firsts = {name: rank_relays(name, "region-0", RELAYS)[0] for name in names}
         self.assertTrue(all(180 <= count <= 300 for count in Counter(firsts.values()).values()))
         left = [relay for relay in RELAYS if relay.name != "relay-12"]
         for name in names:
-            before = [relay for relay in rank(name, "region-0", RELAYS) if relay.name != "relay-12"]
-            self.assertEqual(list(rank(name, "region-0", left)), before)
+            before = [relay for relay in rank_relays(name, "region-0", RELAYS) if relay.name != "relay-12"]
+            self.assertEqual(list(rank_relays(name, "region-0", left)), before)
 
 
 class Choice(unittest.TestCase):
     def setUp(self) -> None:
-        self.ranked = rank("router-1", "region-1", RELAYS)
-        self.selection = Selection(self.ranked, random.Random(1))
+        self.ranked = rank_relays("router-1", "region-1", RELAYS)
+        self.selection = RelaySelection(self.ranked, random.Random(1))
 
     def test_failures_lead_through_all_with_growing_jittered_pauses(self) -> None:
         tried, waits = [], []
         for _ in range(len(RELAYS)):
             tried.append(self.selection.current)
-            waits.append(self.selection.failed(0.0))
+            waits.append(self.selection.record_failure(0.0))
         self.assertEqual(tuple(tried), self.ranked)
         self.assertEqual(self.selection.current, self.ranked[0])
-        self.assertLessEqual(waits[0], FAILOVER_FIRST_S)
-        self.assertLessEqual(max(waits), FAILOVER_MOST_S)
-        self.assertGreater(max(waits), 4 * FAILOVER_FIRST_S)
+        self.assertLessEqual(waits[0], FAILOVER_INITIAL_BACKOFF_S)
+        self.assertLessEqual(max(waits), MAX_FAILOVER_BACKOFF_S)
+        self.assertGreater(max(waits), 4 * FAILOVER_INITIAL_BACKOFF_S)
 
     def test_after_a_stream_that_held_it_begins_with_the_best_and_a_short_pause(self) -> None:
         for _ in range(5):
-            self.selection.failed(0.0)
-        self.assertLessEqual(self.selection.failed(60.0), FAILOVER_FIRST_S)
+            self.selection.record_failure(0.0)
+        self.assertLessEqual(self.selection.record_failure(60.0), FAILOVER_INITIAL_BACKOFF_S)
         self.assertEqual(self.selection.current, self.ranked[0])
 
     def test_it_goes_back_after_a_time_that_is_drawn_anew(self) -> None:
         returns = []
         for _ in range(200):
-            self.selection.failed(0.0)
-            self.selection.connected(0)
-            self.assertIsNone(self.selection.better(int(RETURN_LEAST_S * SECOND) - 1))
-            second = next(s for s in range(100) if self.selection.better(s * SECOND))
+            self.selection.record_failure(0.0)
+            self.selection.record_connected(0)
+            self.assertIsNone(self.selection.return_candidate(int(MIN_RETURN_DELAY_S * SECOND) - 1))
+            second = next(s for s in range(100) if self.selection.return_candidate(s * SECOND))
             returns.append(second)
-            self.selection.moved(self.ranked[0], second * SECOND)
-            self.assertIsNone(self.selection.better(10**12), "there is no better one")
-        self.assertLessEqual(max(returns), RETURN_MOST_S)
+            self.selection.switch_to(self.ranked[0], second * SECOND)
+            self.assertIsNone(self.selection.return_candidate(10**12), "there is no better one")
+        self.assertLessEqual(max(returns), MAX_RETURN_DELAY_S)
         self.assertGreater(max(returns) - min(returns), 40, "a relay that returns is not stormed")
 
     def test_where_the_best_does_not_answer_the_next_better_one_has_its_turn(self) -> None:
         for _ in range(3):
-            self.selection.failed(0.0)
-        self.selection.connected(0)
+            self.selection.record_failure(0.0)
+        self.selection.record_connected(0)
         tried = []
         for attempt in range(1, 5):
             now_us = attempt * 100 * SECOND
-            tried.append(self.selection.better(now_us))
-            self.selection.not_moved(now_us)
-            self.assertIsNone(self.selection.better(now_us))
+            tried.append(self.selection.return_candidate(now_us))
+            self.selection.reject_candidate(now_us)
+            self.assertIsNone(self.selection.return_candidate(now_us))
         self.assertEqual(tried, [*self.ranked[:3], self.ranked[0]])
         self.assertEqual(self.selection.current, self.ranked[3], "it stays where it is meanwhile")
 
     def test_there_must_be_one(self) -> None:
         with self.assertRaises(ValueError):
-            Selection((), random.Random(1))
+            RelaySelection((), random.Random(1))
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/tests/relay/test_staleness_bound.py
@@ -0,0 +1,113 @@
+"""Probes, proofs and the lease."""
+
+from __future__ import annotations
+
+import unittest
+
+from magpieshift.relay.limits import CLOCK_DRIFT, LEASE_US, MAX_PROBES
+from magpieshift.relay.messages import FreshnessProof
+from magpieshift.relay.staleness_bound import SourceStalenessBound, StalenessBound
+from tests.relay.pieces import EPOCH, LATER, SECOND
+
+
+class Lease(unittest.TestCase):
+    def setUp(self) -> None:
+        self.staleness = StalenessBound()
+        self.staleness.record_applied(EPOCH, 10)
+        for number in (1, 2, 3):
+            self.staleness.record_probe(number, number * SECOND)
+
+    def prove(self, probe: int, age_us: int = 0, head: int = 10) -> int | None:
+        self.staleness.add_proof(EPOCH, FreshnessProof(probe, age_us, head, 0))
+        return self.staleness.current_to_us
+
+    def test_it_was_never_current_before_the_first_proof(self) -> None:
+        self.assertIsNone(self.staleness.age_us(0))
+        self.assertEqual(self.staleness.copy_age_limit_us(0), LEASE_US)
+
+    def test_it_is_current_to_when_the_probe_was_sent_less_the_senders_age(self) -> None:
+        self.assertEqual(self.prove(2, age_us=SECOND // 2), 3 * SECOND // 2)
+        age_us = self.staleness.age_us(10 * SECOND)
+        assert age_us is not None
+        self.assertAlmostEqual(age_us, 8.5 * SECOND * (1 + CLOCK_DRIFT), delta=1)
+
+    def test_the_lease_lapses_with_age_and_copies_are_bounded_from_then_on(self) -> None:
+        self.prove(1)
+        lapse_us = SECOND + int(LEASE_US / (1 + CLOCK_DRIFT))
+        self.assertTrue(self.staleness.lease_held(lapse_us - 2))
+        self.assertEqual(self.staleness.copy_age_limit_us(lapse_us - 2), 0)
+        self.assertFalse(self.staleness.lease_held(lapse_us + 2), "whoever was paused finds out on waking")
+        self.assertEqual(self.staleness.copy_age_limit_us(lapse_us + 2), LEASE_US)
+        self.assertEqual(self.staleness.copy_age_limit_us(10**12), LEASE_US)
+
+    def test_a_proof_counts_once_everything_up_to_its_head_is_applied(self) -> None:
+        self.assertIsNone(self.prove(1, head=12))
+        self.staleness.record_applied(EPOCH, 11)
+        self.assertIsNone(self.staleness.current_to_us)
+        self.staleness.record_applied(EPOCH, 12)
+        self.assertEqual(self.staleness.current_to_us, SECOND)
+
+    def test_a_proof_of_another_epoch_waits_for_that_epoch(self) -> None:
+        self.staleness.add_proof(LATER, FreshnessProof(1, 0, 4, 0))
+        self.staleness.record_applied(EPOCH, 100)
+        self.assertIsNone(self.staleness.current_to_us)
+        self.staleness.record_applied(LATER, 4)
+        self.assertEqual(self.staleness.current_to_us, SECOND)
+        self.assertEqual(self.prove(3), SECOND, "the epoch before is over")
+
+    def test_unknown_old_and_repeated_probes_prove_nothing_new(self) -> None:
+        self.assertIsNone(self.prove(9))
+        self.assertEqual(self.prove(3), 3 * SECOND)
+        self.assertEqual(self.prove(3, age_us=SECOND), 3 * SECOND, "the same answer, held up in a queue")
+        self.assertEqual(self.prove(1), 3 * SECOND)
+
+    def test_it_survives_a_change_of_stream_whose_probes_begin_anew(self) -> None:
+        self.prove(3)
+        self.staleness.record_probe(4, 4 * SECOND)
+        self.staleness.begin_stream()
+        self.assertEqual(self.prove(4), 3 * SECOND, "a number of the stream before")
+        self.assertFalse(self.staleness.lease_from_stream)
+        self.staleness.record_probe(1, 5 * SECOND)
+        self.assertEqual(self.prove(1, age_us=SECOND), 4 * SECOND)
+        self.assertTrue(self.staleness.lease_from_stream)
+
+    def test_a_proof_that_waits_is_forgotten_with_its_stream(self) -> None:
+        self.prove(3, head=11)
+        self.staleness.begin_stream()
+        self.staleness.record_applied(EPOCH, 11)
+        self.assertIsNone(self.staleness.current_to_us)
+
+    def test_what_is_passed_on_is_by_the_present_epoch_alone(self) -> None:
+        self.prove(3)
+        self.staleness.record_applied(LATER, 1)
+        self.assertIsNone(self.staleness.epoch_age_us(3 * SECOND), "the new source may have lost entries")
+        self.assertTrue(self.staleness.lease_held(3 * SECOND), "which this process has applied")
+        self.staleness.add_proof(LATER, FreshnessProof(3, 0, 1, 0))
+        self.assertEqual(self.staleness.epoch_age_us(3 * SECOND), 1)
+
+    def test_what_it_remembers_is_bounded(self) -> None:
+        for number in range(4, 10 * MAX_PROBES):
+            self.staleness.record_probe(number, number * SECOND)
+        self.assertIsNone(self.prove(3), "its probe is forgotten")
+        self.assertIsNotNone(self.prove(10 * MAX_PROBES - 1))
+
+    def test_who_gave_up_the_lease_holds_none_again(self) -> None:
+        self.prove(3)
+        self.staleness.release_lease()
+        self.prove(3)
+        self.assertEqual(self.staleness.copy_age_limit_us(3 * SECOND), LEASE_US)
+
+
+class Source(unittest.TestCase):
+    def test_a_source_is_as_current_as_its_last_reading(self) -> None:
+        source = SourceStalenessBound()
+        self.assertIsNone(source.age_us(0))
+        source.record_read(2 * SECOND)
+        source.record_read(SECOND)
+        age_us = source.age_us(7 * SECOND)
+        assert age_us is not None
+        self.assertGreaterEqual(age_us, 5 * SECOND)
+
+
+if __name__ == "__main__":
+    unittest.main()
