--- a/magpieshift/app.py
+++ b/magpieshift/app.py
@@ -23,7 +23,7 @@
 from magpieshift.engine.model import ClientRequest, ListedEndpoint
 from magpieshift.engine.name_numbers import align_numbers
 from magpieshift.lifecycle import Lifecycle, State
-from magpieshift.limits import ResourceLimits, ResourceShares
+from magpieshift.limits import ResourceBudget, ResourceLimits
 from magpieshift.log import fields, setup
 from magpieshift.policy.events import EndpointListKind
 from magpieshift.signals import signal_handlers
@@ -46,6 +46,17 @@
 """The same while draining, where connections that have become idle are to be closed soon."""
 
 
+def _connection_pool(document: Document, clock: LoopClock, budget: ResourceBudget) -> ConnectionPool:
+    return ConnectionPool(
+        clock,
+        document.names.report,
+        document.settings.connect_timeout_us,
+        document.idle_timeout_us,
+        document.streams_per_connection,
+        max_connections=budget.upstream_connections,
+    )
+
+
 class EdgeRouter:
     """Owner of all the parts of one router."""
 
@@ -55,19 +66,12 @@
         """The settings in force."""
         self.version = config.version
         """Version number of the settings in force; 0 where they have none."""
-        self._known = config.known  # the endpoint list and purges that the configuration brings
+        self._known = config.known_changes  # the endpoint list and purges that the configuration brings
         clock = LoopClock()
-        shares = ResourceShares.of(document.limits)
-        self._pool = ConnectionPool(
-            clock,
-            document.names.report,
-            document.settings.connect_timeout_us,
-            document.idle_us,
-            document.streams_per_connection,
-            max_connections=shares.upstream_connections,
-        )
+        budget = ResourceBudget.of(document.limits)
+        self._pool = _connection_pool(document, clock, budget)
         self.engine = Engine(
-            document.settings, config.seed, clock, self._pool, shares.bytes_per_purpose, document.names
+            document.settings, config.seed, clock, self._pool, budget.bytes_per_purpose, document.names
         )
         self.lifecycle = Lifecycle(clock.now_us)
         self.lifecycle.listeners.append(self._lifecycle_changed)
@@ -75,12 +79,12 @@
             self.engine,
             clock,
             self.engine.classes,
-            shares.client_connections,
-            shares.bytes_per_purpose,
+            budget.client_connections,
+            budget.bytes_per_purpose,
             self.lifecycle,
         )
         self.changes = ChangeLog(document.names, self)
-        self._change_log_client = ChangeLogClient(document.changelog, self.changes, config.seed)
+        self._change_log_client = ChangeLogClient(document.change_log_address, self.changes, config.seed)
         self.change_source: ChangeSource = self._change_log_client
         """Where changes come from; another may take its place before the start."""
         self.commit_listeners: list[Callable[[Document, int], None]] = []
@@ -92,7 +96,7 @@
         self._limits = ResourceLimits(document.limits, self.engine, self._downstream, self._pool)
         self._admin_server: AdminServer | None = None
         self._process_lock: ProcessLock | None = None
-        self._shutdown_begun = asyncio.Event()
+        self._shutdown_started = asyncio.Event()
         # The engine comes last: its commit enters the policy, which may send at once.
         self.parts: list[Part] = [
             StartSettings(document),
@@ -176,7 +180,7 @@
             self.close()
             raise
         started()
-        await self._shutdown_begun.wait()
+        await self._shutdown_started.wait()
         log.info("draining", extra=fields(open=self.engine.open_requests))
         await shutdown.drain(self.engine, self._downstream, self.lifecycle, self._longest_deadline_s)
         maintenance.cancel()
@@ -195,7 +199,7 @@
 
     async def wait_for_shutdown(self) -> None:
         """Wait for the planned shutdown to begin."""
-        await self._shutdown_begun.wait()
+        await self._shutdown_started.wait()
 
     def close(self) -> None:
         """Release every socket, whatever is open."""
@@ -221,7 +225,7 @@
         self.changes.known(self._known)
         self._known = {}
         self.engine.flush()
-        if self.document.console is not None:
+        if self.document.admin_address is not None:
             from magpieshift.admin.server import AdminServer
             from magpieshift.process_lock import ProcessLock  # only where they are used
 
@@ -230,7 +234,7 @@
             self._admin_server = AdminServer(
                 self.lifecycle, self.admin_commands, self.admin_commands_with_argument
             )
-            self._admin_server.open(self.document.console)
+            self._admin_server.open(self.document.admin_address)
         self.change_source.start()
 
     def _listen(self) -> None:
@@ -256,7 +260,7 @@
             log.info("emptying", extra=fields(state=state.value, open=self.engine.open_requests))
             self._downstream.send_go_away()
         if state == State.ENDING:
-            self._shutdown_begun.set()
+            self._shutdown_started.set()
 
     async def _maintain(self) -> None:
         while True:
--- a/magpieshift/config_reload.py
+++ b/magpieshift/config_reload.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from magpieshift.config import Config, ConfigError, Document
-from magpieshift.config_transaction import PreparationFailed, Prepared
+from magpieshift.config_transaction import PreparationError, Prepared
 from magpieshift.log import fields
 
 log = logging.getLogger(__name__)
@@ -20,7 +20,7 @@
     version: int
 
     async def prepare(self, document: Document, /) -> Prepared:
-        """Have all parts make ready; ``PreparationFailed`` where one rejects the document."""
+        """Have all parts make ready; ``PreparationError`` where one rejects the document."""
         ...
 
     def commit(self, prepared: Prepared, version: int, /) -> None:
@@ -49,8 +49,8 @@
             document = await self._documents.get()
             try:
                 self._router.commit(await self._router.prepare(document), self._router.version)
-            except PreparationFailed as err:
+            except PreparationError as err:
                 log.error("configuration not reloaded", extra=fields(reason=err))
             else:
-                host, port = document.changelog
+                host, port = document.change_log_address
                 log.info("configuration reloaded", extra=fields(changelog=f"{host}:{port}"))
--- a/magpieshift/config_transaction.py
+++ b/magpieshift/config_transaction.py
@@ -33,7 +33,7 @@
 """What a part runs on, in JSON's types, by the names that operators are shown."""
 
 
-class SettingsRejected(MagpieshiftError):
+class SettingsRejectedError(MagpieshiftError):
     """A part cannot go over to a document while it runs; the text says why."""
 
     def __init__(self, reason: str, needs_restart: bool = False) -> None:
@@ -52,7 +52,7 @@
     TIMED_OUT = "late"
 
 
-class PreparationFailed(MagpieshiftError):
+class PreparationError(MagpieshiftError):
     """A part rejected a document, failed, or took too long; nothing has changed."""
 
     def __init__(self, part: str, detail: str, kind: FailureKind) -> None:
@@ -69,7 +69,7 @@
         ...
 
     def prepare(self, old: Document, new: Document) -> Commit | Awaitable[Commit]:
-        """Make ready for ``new``, changing nothing; ``SettingsRejected`` where that is not possible."""
+        """Make ready for ``new``, changing nothing; ``SettingsRejectedError`` where that is not possible."""
         ...
 
     def running(self) -> RunningSettings:
@@ -99,7 +99,7 @@
 async def prepare(
     parts: Sequence[Part], old: Document, new: Document, within_s: float = PREPARE_TIMEOUT_S
 ) -> Prepared:
-    """Have every part prepare, in order; ``PreparationFailed`` at the first that does not.
+    """Have every part prepare, in order; ``PreparationError`` at the first that does not.
 
     ``within_s`` is the timeout of each part.
     """
@@ -116,13 +116,13 @@
             async with asyncio.timeout(within_s):
                 return await prepared
         return prepared
-    except SettingsRejected as err:
+    except SettingsRejectedError as err:
         kind = FailureKind.NEEDS_RESTART if err.needs_restart else FailureKind.REJECTED
-        raise PreparationFailed(part.part, str(err), kind) from None
+        raise PreparationError(part.part, str(err), kind) from None
     except TimeoutError:
         detail = f"not ready after {within_s} s"
-        raise PreparationFailed(part.part, detail, FailureKind.TIMED_OUT) from None
+        raise PreparationError(part.part, detail, FailureKind.TIMED_OUT) from None
     except Exception as err:  # whatever a part raises rejects the document, and the router runs on
         log.exception("part failed to prepare", extra=fields(part=part.part))
         detail = f"{type(err).__name__}: {err}"[:MAX_REASON_CHARACTERS]
-        raise PreparationFailed(part.part, detail, FailureKind.RAISED) from err
+        raise PreparationError(part.part, detail, FailureKind.RAISED) from err
--- a/magpieshift/control/content.py
+++ b/magpieshift/control/content.py
@@ -41,7 +41,7 @@
             document,
             name=self.name or document.name,
             listen=self.listen or document.listen,
-            console=self.console or document.console,
+            admin_address=self.console or document.admin_address,
         )
 
 
--- a/magpieshift/control/document_reading.py
+++ b/magpieshift/control/document_reading.py
@@ -67,13 +67,13 @@
         name=form.name,
         listen=parse_address(form.listen, "listen"),
         limits=Limits(form.limits.memory_mb, form.limits.sockets),
-        changelog=parse_address(form.change_log, "change-log"),
+        change_log_address=parse_address(form.change_log, "change-log"),
         settings=settings,
         names=names,
-        idle_us=_us(form.connections.idle_ms),
+        idle_timeout_us=_us(form.connections.idle_ms),
         streams_per_connection=form.connections.streams,
-        console=parse_address(form.console, "console") if form.console is not None else None,
-        members=_members(form.members) if form.members is not None else None,
+        admin_address=parse_address(form.console, "console") if form.console is not None else None,
+        membership=_members(form.members) if form.members is not None else None,
     )
 
 
@@ -85,7 +85,7 @@
         seeds=tuple(parse_address(seed, "seeds") for seed in form.seeds),
         voters=tuple(form.council),
         solo_quota=form.alone,
-        digests=form.digests,
+        gossips_overload=form.digests,
         may_offload=form.hand_over,
     )
 
--- a/magpieshift/control/document_writing.py
+++ b/magpieshift/control/document_writing.py
@@ -21,9 +21,9 @@
     return {
         "name": document.name,
         "listen": _host_port(document.listen),
-        **({"console": _host_port(document.console)} if document.console else {}),
-        **({"members": _members(document.members)} if document.members else {}),
-        "change-log": _host_port(document.changelog),
+        **({"console": _host_port(document.admin_address)} if document.admin_address else {}),
+        **({"members": _members(document.membership)} if document.membership else {}),
+        "change-log": _host_port(document.change_log_address),
         "limits": {"memory-mb": _number(document.limits.memory_mb), "sockets": document.limits.sockets},
         "zone": names.zones[s.zone],
         "routers": s.router_count,
@@ -42,7 +42,7 @@
         "purges": {"grace-ms": _ms(s.purge_grace_us), "done-ms": _ms(s.purge_propagation_us)},
         "attempts": _attempts(s),
         "connections": {
-            "idle-ms": _ms(document.idle_us),
+            "idle-ms": _ms(document.idle_timeout_us),
             "streams": document.streams_per_connection,
         },
         "retry-after-ms": _ms(s.max_retry_after_us),
@@ -115,7 +115,7 @@
         **({"seeds": _words(seeds)} if seeds else {}),
         **({"council": _words(members.voters)} if members.voters else {}),
         "alone": _number(members.solo_quota),
-        "digests": members.digests,
+        "digests": members.gossips_overload,
         "hand-over": members.may_offload,
     }
 
--- a/magpieshift/control/version_manager.py
+++ b/magpieshift/control/version_manager.py
@@ -17,7 +17,7 @@
 from typing import Any, Protocol
 
 from magpieshift.config import Document
-from magpieshift.config_transaction import PreparationFailed, Prepared, RunningSettings
+from magpieshift.config_transaction import PreparationError, Prepared, RunningSettings
 from magpieshift.control import sexp
 from magpieshift.control.content import Full, Overrides, Refused, resolve
 from magpieshift.control.schema import Loaded, to_data
@@ -156,7 +156,7 @@
         held = time.perf_counter()
         try:
             prepared = await self._host.prepare(self._overrides.on(loaded.document))
-        except PreparationFailed as err:
+        except PreparationError as err:
             return await self._turn_down(KINDS[err.kind], str(err))
         pause_us = int(1e6 * (time.perf_counter() - held))
         self.step("prepared")
--- a/magpieshift/discovery/client.py
+++ b/magpieshift/discovery/client.py
@@ -85,7 +85,7 @@
 
         def commit() -> None:
             self.changes.names = new.names
-            self.follow(new.changelog)
+            self.follow(new.change_log_address)
 
         return commit
 
--- a/magpieshift/engine/attempts.py
+++ b/magpieshift/engine/attempts.py
@@ -62,7 +62,7 @@
         now_us = self._clock.now_us()
         if request is None:
             log.error("attempt blocked", extra=fields(number=send.request_id, reason="unknown request"))
-            return
+            return None
         request_id = request.request.request_id
         if request.in_flight and not self._guard.may_hedge(request, send.endpoint):
             log.error("attempt cancelled", extra=fields(request_id=request_id, reason="another was started"))
--- a/magpieshift/engine/reconfiguration.py
+++ b/magpieshift/engine/reconfiguration.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from magpieshift.config import Document
-from magpieshift.config_transaction import SettingsRejected
+from magpieshift.config_transaction import SettingsRejectedError
 from magpieshift.engine.class_numbers import renumber_classes
 from magpieshift.engine.endpoint_table import EndpointTable
 from magpieshift.engine.policy_calls import PolicyCalls
@@ -38,7 +38,7 @@
     def prepare(self, old: Document, new: Document) -> Callable[[], None]:
         """Make ready for a document that numbers zones and kinds as the old one (``name_numbers``).
 
-        Returns the commit. Raises ``SettingsRejected`` if endpoints are listed in a zone or kind that it
+        Returns the commit. Raises ``SettingsRejectedError`` if endpoints are listed in a zone or kind that it
         leaves out.
         """
         self._check_names_in_use(old, new)
@@ -71,4 +71,6 @@
     ) -> None:
         for number in sorted(in_use):
             if before[number] not in after:
-                raise SettingsRejected(f"{what} {before[number]} is left out, and stores are listed in it")
+                raise SettingsRejectedError(
+                    f"{what} {before[number]} is left out, and stores are listed in it"
+                )
--- a/magpieshift/expected_settings.py
+++ b/magpieshift/expected_settings.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from magpieshift.config import Document, settings_by_name
-from magpieshift.limits import ResourceShares
+from magpieshift.limits import ResourceBudget
 from magpieshift.start_settings import start_settings
 
 
@@ -20,12 +20,12 @@
             "report": list(settings.load_report_columns),
             "connect_timeout_us": settings.connect_timeout_us,
             "streams": document.streams_per_connection,
-            "idle_us": document.idle_us,
+            "idle_us": document.idle_timeout_us,
         },
         "feed": {
-            "address": list(document.changelog),
+            "address": list(document.change_log_address),
             "zones": sorted(names.zones),
             "kinds": sorted(names.kinds),
         },
-        "limits": dict(ResourceShares.of(document.limits).shown()),
+        "limits": dict(ResourceBudget.of(document.limits).shown()),
     }
--- a/magpieshift/extensions/runner.py
+++ b/magpieshift/extensions/runner.py
@@ -83,7 +83,7 @@
             raise ConfigError(str(err)) from None
         document = overrides.on(loaded.document)
         seed = platform.seed if platform is not None else secrets.randbits(64)
-        known = platform.known if platform is not None else {}
+        known = platform.known_changes if platform is not None else {}
         self.router = EdgeRouter(Config(document, seed, known, versions.in_force.number))
         self.manager = VersionManager(self.router, versions, loaded.data, store, trouble, overrides)
         self._name = document.name
@@ -111,15 +111,15 @@
             self.fittings.append(
                 RelaySubscription(self.router, self.manager, relays, options.region, self._name)
             )
-        if document.members is not None:
+        if document.membership is not None:
             from magpieshift.extensions.membership import Membership
 
-            membership = Membership(self.router, document.members, seed)
+            membership = Membership(self.router, document.membership, seed)
             self.fittings.append(membership)
-            if document.members.digests:
+            if document.membership.gossips_overload:
                 from magpieshift.extensions.overload_gossip import OverloadGossip
 
-                hand_over = document.members.may_offload
+                hand_over = document.membership.may_offload
                 self.fittings.append(OverloadGossip(self.router, membership, seed, hand_over))
         if options.label or options.term >= 0:
             from magpieshift.extensions.counters import RequestCounters
--- a/magpieshift/lab/scale/hollow.py
+++ b/magpieshift/lab/scale/hollow.py
@@ -46,7 +46,7 @@
 
     def on(self, document: Document) -> Document:
         found = super().on(document)
-        return found if self.changelog is None else replace(found, changelog=self.changelog)
+        return found if self.changelog is None else replace(found, change_log_address=self.changelog)
 
 
 class Feed(Protocol):
@@ -132,7 +132,7 @@
         self.manager = VersionManager(self, VersionHistory(first), loaded.data, overrides=overrides)
         self.lifecycle = Lifecycle(LoopClock().now_us)
         self.changes = ChangeLog(self.document.names, self)
-        self.change_log = ChangeLogClient(self.document.changelog, self.changes, seed)
+        self.change_log = ChangeLogClient(self.document.change_log_address, self.changes, seed)
         self.change_source: ChangeSource = self.change_log  # a feed may put another in its place
         self._feed: Feed | None = None
         self._crashed = False
--- a/magpieshift/limits.py
+++ b/magpieshift/limits.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class ResourceShares:
+class ResourceBudget:
     """What one process may use."""
 
     client_connections: int
@@ -35,8 +35,8 @@
     """Each for what is held for clients, of writes, and of answers."""
 
     @classmethod
-    def of(cls, limits: Limits, shared: bool = False) -> ResourceShares:
-        """The shares of one process alone, or of each of two that share the limits."""
+    def of(cls, limits: Limits, shared: bool = False) -> ResourceBudget:
+        """The budget of one process alone, or of each of two that share the limits."""
         processes = 2 if shared else 1
         quarter = limits.memory_mb * (1 << 20) / MEMORY_PURPOSES
         # Each process needs its program's quarter in full; the processes divide up what is left.
@@ -47,7 +47,7 @@
         return cls(clients, min(upstream, max(MIN_UPSTREAM_CONNECTIONS, part // MAX_BODY_BYTES)), part)
 
     def shown(self) -> dict[str, int]:
-        """The shares under the names that operators are shown and that processes compare."""
+        """The budget under the names that operators are shown and that processes compare."""
         return {
             "clients": self.client_connections,
             "stores": self.upstream_connections,
@@ -97,10 +97,10 @@
             "bytes_each": held_bytes,
         }
 
-    def _apply(self) -> ResourceShares:
-        shares = ResourceShares.of(self._limits, self._shared)
-        self._upstream.max_connections = shares.upstream_connections
-        self._downstream.max_connections = shares.client_connections
-        self._downstream.max_held_bytes = shares.bytes_per_purpose
-        self._engine.max_body_bytes = shares.bytes_per_purpose
-        return shares
+    def _apply(self) -> ResourceBudget:
+        budget = ResourceBudget.of(self._limits, self._shared)
+        self._upstream.max_connections = budget.upstream_connections
+        self._downstream.max_connections = budget.client_connections
+        self._downstream.max_held_bytes = budget.bytes_per_purpose
+        self._engine.max_body_bytes = budget.bytes_per_purpose
+        return budget
--- a/magpieshift/sockets.py
+++ b/magpieshift/sockets.py
@@ -193,7 +193,8 @@
             except ConnectionAbortedError:
                 continue
             except OSError as err:  # out of descriptors, for one
-                return self._pause_accepting(err)
+                self._pause_accepting(err)
+                return
             self._is_exhausted = False
             sock.setblocking(False)
             self._on_accepted(sock)
--- a/magpieshift/start_settings.py
+++ b/magpieshift/start_settings.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from magpieshift.config import Document, shown_membership
-from magpieshift.config_transaction import SettingsRejected
+from magpieshift.config_transaction import SettingsRejectedError
 
 
 def start_settings(document: Document) -> dict[str, object]:
@@ -13,8 +13,8 @@
     return {
         "name": document.name,
         "listen": list(document.listen),
-        "console": list(document.console) if document.console else None,
-        "members": shown_membership(document.members) if document.members else None,
+        "console": list(document.admin_address) if document.admin_address else None,
+        "members": shown_membership(document.membership) if document.membership else None,
     }
 
 
@@ -28,12 +28,12 @@
         self._settings = start_settings(document)
 
     def prepare(self, old: Document, new: Document) -> Callable[[], None]:
-        """Check a new document; ``SettingsRejected`` where it needs a restart."""
+        """Check a new document; ``SettingsRejectedError`` where it needs a restart."""
         for name, wanted in start_settings(new).items():
             current = self._settings[name]
             if current != wanted:
                 reason = f"{name} is {current} and cannot become {wanted} without a restart"
-                raise SettingsRejected(reason, needs_restart=True)
+                raise SettingsRejectedError(reason, needs_restart=True)
         return lambda: None
 
     def running(self) -> dict[str, object]:
--- a/magpieshift/upstream/pool.py
+++ b/magpieshift/upstream/pool.py
@@ -71,7 +71,7 @@
             self._settings.load_report_columns = new.settings.load_report_columns
             self._settings.connect_timeout_us = new.settings.connect_timeout_us
             self._max_streams = new.streams_per_connection
-            self._idle_us = new.idle_us
+            self._idle_us = new.idle_timeout_us
             for pool in self._all_pools():
                 for connection in pool.connections:
                     connection.exchanges.load_report_columns = self._settings.load_report_columns
--- a/tests/control/test_transaction.py
+++ b/tests/control/test_transaction.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from magpieshift import Document, parse
-from magpieshift.config_transaction import Commit, PreparationFailed, SettingsRejected, prepare
+from magpieshift.config_transaction import Commit, PreparationError, SettingsRejectedError, prepare
 from magpieshift.engine.class_numbers import initial_class_numbers, renumber_classes
 from magpieshift.engine.model import AttemptResult, Verdict
 from magpieshift.engine.name_numbers import align_numbers, renumber
@@ -33,7 +33,7 @@
 
     def prepare(self, old: Document, new: Document) -> Commit | Awaitable[Commit]:
         if self.how == "turned down":
-            raise SettingsRejected("no")
+            raise SettingsRejectedError("no")
         if self.how == "raises":
             raise ZeroDivisionError
         if self.how == "never":
@@ -67,7 +67,7 @@
                     self.assertEqual({part.runs_on for part in parts}, {"new"})
                     continue
                 within_s = 0.001 if first == "never" else 60.0  # a busy machine is no part that is late
-                with self.assertRaises(PreparationFailed) as caught:
+                with self.assertRaises(PreparationError) as caught:
                     await prepare(parts, DOCUMENT, DOCUMENT, within_s=within_s)
                 self.assertEqual(caught.exception.kind, kinds[first])
                 self.assertEqual({part.runs_on for part in parts}, {"old"})
@@ -220,7 +220,7 @@
 
     def test_a_zone_with_stores_cannot_go(self) -> None:
         new = replace(self.document, names=replace(self.document.names, zones=("hub", "mall")))
-        with self.assertRaisesRegex(SettingsRejected, "zone shop"):
+        with self.assertRaisesRegex(SettingsRejectedError, "zone shop"):
             self.engine.prepare(self.document, new)
 
     def test_a_drain_between_prepare_and_commit_stays(self) -> None:
--- a/tests/discovery/test_changes.py
+++ b/tests/discovery/test_changes.py
@@ -14,12 +14,12 @@
     def test_an_unreadable_member_does_not_hide_the_others(self) -> None:
         """A size that is no number would have made every comparison of caches false."""
         read, listener = parse(config(PORTS)), mock.Mock()
-        (fleet, _) = read.known["results"]
+        (fleet, _) = read.known_changes["results"]
         good = fleet["fleet"]["members"]
         bad = [{"size": float("nan")}, {"id": "a b"}, {"locality": "moon"}, {"host_port": "x"}, {"phase": 1}]
         fleet["fleet"]["members"] = [good[0] | change for change in bad] + good
         with self.assertLogs("magpieshift.discovery.changes", "WARNING") as logs:
-            ChangeLog(read.document.names, listener).known(read.known)
+            ChangeLog(read.document.names, listener).known(read.known_changes)
         self.assertEqual(len([r for r in logs.records if r.levelno == logging.WARNING]), len(bad))
         (kind, version, members), _ = listener.list_changed.call_args
         self.assertEqual([kind, version, *(m.name for m in members)], [2, 1, "s-cache", "s-origin"])
--- a/tests/membership/test_joined.py
+++ b/tests/membership/test_joined.py
@@ -38,11 +38,11 @@
 
     def test_what_is_written_is_read(self) -> None:
         document = load_data(self.data()).document
-        assert document.members is not None
-        self.assertEqual(document.members.advertise, ("10.0.0.1", 7946))
+        assert document.membership is not None
+        self.assertEqual(document.membership.advertise, ("10.0.0.1", 7946))
         self.assertEqual(load_data(to_data(document)).document, document)
         without = {name: value for name, value in self.data().items() if name != "members"}
-        self.assertIsNone(load_data(without).document.members)
+        self.assertIsNone(load_data(without).document.membership)
 
     def test_mistakes_are_told(self) -> None:
         wrongs: list[dict[str, Any]] = [
--- a/tests/real/test_change_source.py
+++ b/tests/real/test_change_source.py
@@ -69,7 +69,7 @@
     async def test_a_router_that_replaces_another_waits_for_it(self) -> None:
         within, source = Within(), Source()
         within.router.change_source = source
-        within.router.document = replace(within.router.document, console=("127.0.0.1", free_port()))
+        within.router.document = replace(within.router.document, admin_address=("127.0.0.1", free_port()))
         with (
             tempfile.TemporaryDirectory() as folder,
             mock.patch.object(tempfile, "tempdir", folder),
--- a/tests/real/test_operation.py
+++ b/tests/real/test_operation.py
@@ -28,7 +28,7 @@
     Lifecycle,
     State,
 )
-from magpieshift.limits import ResourceShares
+from magpieshift.limits import ResourceBudget
 from magpieshift.policy.events import EndpointListKind
 from magpieshift.process_lock import ProcessLock
 from magpieshift.sockets import listen_socket, steer_to_second
@@ -233,7 +233,7 @@
     def test_two_processes_stay_within_the_limits_of_one(self) -> None:
         for sockets, memory in ((192, 32.0), (256, 64.0), (1024, 192.0)):
             limits = Limits(memory, sockets)
-            alone, shared = ResourceShares.of(limits), ResourceShares.of(limits, True)
+            alone, shared = ResourceBudget.of(limits), ResourceBudget.of(limits, True)
             self.assertLessEqual(2 * shared.upstream_connections + alone.client_connections, sockets)
             self.assertLessEqual(2 * 3 * shared.bytes_per_purpose, memory * (1 << 20) / 2)
             self.assertEqual(alone.bytes_per_purpose, int(memory * (1 << 20) / 4))
@@ -329,10 +329,10 @@
                 parse(changed(config(PORTS), {path: json.dumps(value)}))
 
     def test_the_console_is_read_from_the_file_and_the_variable_wins(self) -> None:
-        self.assertIsNone(parse(config(PORTS)).document.console)
+        self.assertIsNone(parse(config(PORTS)).document.admin_address)
         data = config(PORTS) | {"console": "127.0.0.1:7"}
-        self.assertEqual(parse(data).document.console, ("127.0.0.1", 7))
-        self.assertEqual(parse(data, console="127.0.0.1:8").document.console, ("127.0.0.1", 8))
+        self.assertEqual(parse(data).document.admin_address, ("127.0.0.1", 7))
+        self.assertEqual(parse(data, console="127.0.0.1:8").document.admin_address, ("127.0.0.1", 8))
         with self.assertRaisesRegex(ConfigError, "console is not host:port: 'here'"):
             parse(data, console="here")
 
--- a/tests/test_public_names.py
+++ b/tests/test_public_names.py
@@ -152,7 +152,11 @@
     else:
         raise AssertionError("a router starts without a configuration")
     document = magpieshift.parse(data, *variables.values()).document
-    assert (document.listen, document.name, document.console) == (("127.0.0.1", 2), "other", ("127.0.0.1", 3))
+    assert (document.listen, document.name, document.admin_address) == (
+        ("127.0.0.1", 2),
+        "other",
+        ("127.0.0.1", 3),
+    )
     try:
         magpieshift.load({"EDGE_CONFIG": str(path)} | variables)
     except magpieshift.ConfigError as err:  # its addresses stand for what a test puts there
