--- a/magpieshift/discovery/client.py
+++ b/magpieshift/discovery/client.py
@@ -116,7 +116,7 @@
         def commit() -> None:
             """Put it in force."""
             self.changes.names = new.names
-            self.set_address(new.changelog)
+            self.set_address(new.change_log_address)
 
         return commit
 
--- a/magpieshift/relay/node.py
+++ b/magpieshift/relay/node.py
@@ -185,6 +185,7 @@
 
     @property
     def upstream(self) -> str:
+        """The change log's address, ``host:port``."""
         host, port = self._options.changelog
         return f"{host}:{port}"
 
@@ -231,6 +232,7 @@
 
     @property
     def upstream(self) -> str:
+        """The address of the relay it subscribes to, ``host:port``."""
         return self.client.relay.address
 
     def _make_fanout(self) -> Fanout:
