--- /dev/null
+++ b/magpieshift/engine/guards.py
@@ -0,0 +1,78 @@
+"""What may not be sent or answered, checked whatever the policy decides.
+
+The rules themselves are those of ``policy.retry`` and ``policy.rejection``; the guards apply them to the
+engine's own record of what has been sent.
+"""
+
+from __future__ import annotations
+
+from magpieshift.clock import Clock
+from magpieshift.engine.endpoint_table import EndpointTable
+from magpieshift.engine.open_request import Attempt, OpenRequest
+from magpieshift.engine.settings_in_force import SettingsInForce
+from magpieshift.policy.events import EndpointState
+from magpieshift.policy.outcomes import Outcome
+from magpieshift.policy.rejection import may_reject
+from magpieshift.policy.retry import is_repeat_permitted, is_within_scope
+from magpieshift.policy.settings import Idempotency
+
+
+def is_rejection_permitted(request: OpenRequest) -> bool:
+    """Whether a rejection is true, which promises that trying again does no harm."""
+    may_have_run = request.first_execution is not None or bool(request.in_flight)
+    return may_reject(request.request_class, may_have_run)
+
+
+class AttemptGuard:
+    """Checks each attempt when it is started, and again right before it is written."""
+
+    def __init__(self, clock: Clock, in_force: SettingsInForce, endpoints: EndpointTable) -> None:
+        self._clock = clock
+        self._in_force = in_force
+        self._endpoints = endpoints
+
+    def may_hedge(self, request: OpenRequest, endpoint_number: int) -> bool:
+        """Whether a second attempt may run beside the one in flight.
+
+        The settings must allow it, running twice must do no harm, and it must go to another endpoint, for an
+        endpoint knows a request by its id.
+        """
+        return (
+            self._in_force.settings.hedged_requests
+            and request.request_class.idempotency == Idempotency.IDEMPOTENT
+            and len(request.in_flight) == 1
+            and request.in_flight[0].endpoint_number != endpoint_number
+        )
+
+    def check_before_write(self, attempt: Attempt) -> Outcome | None:
+        """``check`` at the moment of the write.
+
+        While the attempt waited for its connection, its endpoint or source may have begun to drain, its
+        client may have disconnected without the busy loop having read so, or the deduplication window have
+        passed.
+        """
+        attempt.request.before_write()
+        return self.check(attempt)
+
+    def check(self, attempt: Attempt) -> Outcome | None:
+        """How an attempt that is not written yet must end, or None if it may be sent."""
+        request = attempt.request
+        for number in (attempt.endpoint_number, attempt.source_number):
+            listed = self._endpoints.get(number)
+            if listed is None or listed.endpoint.state != EndpointState.READY:
+                return Outcome.CONNECT_FAILED
+        if request.is_closed or self._clock.now_us() >= request.deadline_us:
+            return Outcome.SUPERSEDED
+        return None if self._is_repeat_permitted(request, attempt.endpoint_number) else Outcome.SUPERSEDED
+
+    def _is_repeat_permitted(self, request: OpenRequest, endpoint_number: int) -> bool:
+        """Whether the endpoint may get a request now that may have run already."""
+        if request.first_execution is None:
+            return True
+        first_sent_us, first = request.first_execution
+        candidate = self._endpoints.by_number[endpoint_number]
+        tick_us = self._in_force.settings.tick_us
+        request_class = request.request_class
+        return is_repeat_permitted(
+            request_class, first_sent_us, self._clock.now_us(), tick_us
+        ) and is_within_scope(request_class, first.endpoint, candidate.endpoint)
--- a/magpieshift/extensions/overload_gossip.py
+++ b/magpieshift/extensions/overload_gossip.py
@@ -14,7 +14,7 @@
 from magpieshift.extensions.membership import Membership
 from magpieshift.log import fields
 from magpieshift.membership.driver import steady_us
-from magpieshift.membership.failure_detector import TURN_US as MEMBERS_TURN_US
+from magpieshift.membership.failure_detector import TICK_INTERVAL_US as MEMBERS_TURN_US
 from magpieshift.membership.member_table import Member
 from magpieshift.overload.codec import Malformed, decode, encode
 from magpieshift.overload.gossip import TURN_US, Gossip
@@ -55,13 +55,13 @@
 
     def start(self) -> None:
         if self._hand_over:
-            self._router.relieve(self._hands_over)
+            self._router.offload_by(self._hands_over)
 
     def commands(self) -> Mapping[str, Callable[[], str]]:
         return {"TALK": self._line}
 
     async def stop(self) -> None:
-        self._router.relieve(None)
+        self._router.offload_by(None)
 
     # --- what goes on
 
@@ -113,7 +113,7 @@
             self._membership.note(by_name[name], TOPIC, encode(digest))
 
     def _pressure(self) -> float:
-        return max(self._router.pressed, self._late_us / LATE_US)
+        return max(self._router.pressure, self._late_us / LATE_US)
 
     def _log_acts(self, left: list[int], tried: set[int], seen: Mapping[str, Seen]) -> None:
         """A line for each store that begins to be left alone, and for each that is taken up again."""
@@ -131,7 +131,9 @@
     def _hands_over(self, call: ClientRequest) -> bool:
         engine = self._router.engine
         number = engine.object_number(call.object_key)
-        return self._talker.offloading.hands_over(number, call.is_repeat, engine.writes(call.class_index))
+        return self._talker.offloading.hands_over(
+            number, call.is_repeat, engine.is_write_class(call.class_index)
+        )
 
     def _line(self) -> str:
         """What is said and done, as one line of JSON."""
--- a/magpieshift/extensions/runner.py
+++ b/magpieshift/extensions/runner.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from magpieshift.app import EdgeRouter, serve
-from magpieshift.config import Config, ConfigError, address, parse
+from magpieshift.config import Config, ConfigError, parse, parse_address
 from magpieshift.control.content import Overrides
 from magpieshift.control.schema import Loaded, load_text
 from magpieshift.control.sexp import Unusable
@@ -45,8 +45,8 @@
 
     @property
     def overrides(self) -> Overrides:
-        listen = address(self.listen, "listen") if self.listen else None
-        return Overrides(self.name, listen, address(self.console, "console") if self.console else None)
+        listen = parse_address(self.listen, "listen") if self.listen else None
+        return Overrides(self.name, listen, parse_address(self.console, "console") if self.console else None)
 
 
 def load_any(path: str) -> tuple[Loaded, Config | None]:
@@ -83,7 +83,7 @@
             raise ConfigError(str(err)) from None
         document = overrides.on(loaded.document)
         seed = platform.seed if platform is not None else secrets.randbits(64)
-        known = platform.known if platform is not None else {}
+        known = platform.known_changes if platform is not None else {}
         self.router = EdgeRouter(Config(document, seed, known, versions.in_force.number))
         self.manager = VersionManager(self.router, versions, loaded.data, store, trouble, overrides)
         self._name = document.name
@@ -105,21 +105,21 @@
             self.fittings.append(ControlChannel(self.router, self.manager, options.control, self._name))
         if options.relays:
             from magpieshift.extensions.relay_subscription import RelaySubscription
-            from magpieshift.relay.settings import read_relays
+            from magpieshift.relay.addresses import read_relays
 
             relays = read_relays(options.relays, options.region, "relays")
             self.fittings.append(
                 RelaySubscription(self.router, self.manager, relays, options.region, self._name)
             )
-        if document.members is not None:
+        if document.membership is not None:
             from magpieshift.extensions.membership import Membership
 
-            membership = Membership(self.router, document.members, seed)
+            membership = Membership(self.router, document.membership, seed)
             self.fittings.append(membership)
-            if document.members.digests:
+            if document.membership.gossips_overload:
                 from magpieshift.extensions.overload_gossip import OverloadGossip
 
-                hand_over = document.members.may_offload
+                hand_over = document.membership.may_offload
                 self.fittings.append(OverloadGossip(self.router, membership, seed, hand_over))
         if options.label or options.term >= 0:
             from magpieshift.extensions.counters import RequestCounters
@@ -128,9 +128,9 @@
             self.fittings.append(FencingTerms(self.router, options.term))
             self.fittings.append(RequestCounters(self.router, options.label))
         for fitting in self.fittings:
-            self.router.committed.append(fitting.configuration_changed)
-            self.router.calls.update(fitting.commands())
-            self.router.worded.update(fitting.commands_with_argument())
+            self.router.commit_listeners.append(fitting.configuration_changed)
+            self.router.admin_commands.update(fitting.commands())
+            self.router.admin_commands_with_argument.update(fitting.commands_with_argument())
 
     def reload(self) -> None:
         """SIGHUP: the settings file is offered as a version."""
@@ -155,7 +155,7 @@
         try:
             await serve(self.router, self.reload)
         finally:
-            if not self.router.ending:  # it never came to serve
+            if not self.router.is_shutting_down:  # it never came to serve
                 ending.cancel()
                 await self.manager.stop()
             await asyncio.wait([ending])
@@ -164,7 +164,7 @@
 
     async def _end_with(self) -> None:
         """Nothing else changes while the router drains."""
-        await self.router.stopping()
+        await self.router.wait_for_shutdown()
         await self.manager.stop()
 
 
--- a/tests/real/test_change_source.py
+++ b/tests/real/test_change_source.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from unittest import mock
 
-from magpieshift.app import CATCH_UP_S, EdgeRouter
+from magpieshift.app import CATCH_UP_TIMEOUT_S, EdgeRouter
 from magpieshift.clock import source as clock
 from magpieshift.discovery.changes import ChangeSource
 from magpieshift.engine.model import endpoint_number
@@ -41,7 +41,7 @@
 
 def drain(router: EdgeRouter, ident: str) -> None:
     """Tell the router that a store drains."""
-    member = router.engine._members[endpoint_number(ident)]
+    member = router.engine.endpoints.by_number[endpoint_number(ident)]
     draining = replace(member, endpoint=replace(member.endpoint, state=EndpointState.DRAINING))
     router.list_changed(EndpointListKind.DELTA, 2, [draining])
 
@@ -60,8 +60,8 @@
             drain(within.router, "s-cache")
             await within.play(f"client> {ASK[2]}\norigin+\n{ORIGIN_ASKED}")
             event = '{"seq":3,"invalidate":{"bucket":17,"time":1764576000480}}'
-            within.router.changes.event(event)
-            self.assertEqual(within.router.changes.last, 3)
+            within.router.changes.receive(event)
+            self.assertEqual(within.router.changes.last_sequence, 3)
             with self.assertRaises(BlockingIOError):
                 within.listeners["log"].accept()
         self.assertIn("stop", source.asked)
@@ -69,15 +69,15 @@
     async def test_a_router_that_replaces_another_waits_for_it(self) -> None:
         within, source = Within(), Source()
         within.router.change_source = source
-        within.router.document = replace(within.router.document, console=("127.0.0.1", free_port()))
+        within.router.document = replace(within.router.document, admin_address=("127.0.0.1", free_port()))
         with (
             tempfile.TemporaryDirectory() as folder,
             mock.patch.object(tempfile, "tempdir", folder),
-            mock.patch.object(ProcessLock, "another_lives", True),
+            mock.patch.object(ProcessLock, "other_is_alive", True),
             mock.patch("magpieshift.app.steer_to_second"),
         ):
             starting = asyncio.ensure_future(within.__aenter__())
-            await within.until(lambda: f"caught up within {CATCH_UP_S}" in source.asked)
+            await within.until(lambda: f"caught up within {CATCH_UP_TIMEOUT_S}" in source.asked)
             with self.assertRaises(ConnectionRefusedError):
                 within.act("client+")
             source.all_told.set()
--- a/tests/real/test_endings.py
+++ b/tests/real/test_endings.py
@@ -14,13 +14,13 @@
 from unittest import mock
 
 from magpieshift.discovery import client
-from magpieshift.downstream import server
-from magpieshift.downstream.frames import Type, head
+from magpieshift.downstream import connection, server
+from magpieshift.downstream.frames import FrameType, frame_head
 from magpieshift.engine.engine import Engine
 from magpieshift.policy.events import PurgeReceived, RequestReceived
-from magpieshift.sockets import MOST_LINGERING
+from magpieshift.sockets import MAX_LINGERING
+from tests.downstream.server_case import request
 from tests.real.exchange import PATIENCE_S, ROOT, Program, Within, config, free_port
-from tests.real.test_front import request
 
 FIELDS = "tag=4b,minted=1764576000000,how=warm,stats=inflight:7;util:0.61;x1:0.2"
 ASK = {stream: request(stream, i=f"{stream:016x}", d="30000").hex() for stream in range(1, 40)}
@@ -65,9 +65,9 @@
     async def test_what_crosses_the_close_does_not_destroy_the_last_answer(self) -> None:
         async with Within() as router:
             await router.play(f"client+\nclient> {READY_ASKED}\nclient< {READY}")
-            (connection,) = router.router._front._connections
-            connection.no_more()
-            connection.close()
+            (client_connection,) = router.router._downstream._connections
+            client_connection.send_go_away()
+            client_connection.close()
             for stream in (1, 2):  # the first alone would be answered by a reset, and the second see it
                 router.act(f"client> {ASK[stream]}")
             await asyncio.sleep(0)
@@ -76,13 +76,13 @@
 
     async def test_more_than_may_linger_at_other_times_are_closed_gently_at_the_end(self) -> None:
         async with Within() as router:
-            many = range(MOST_LINGERING + 4)
+            many = range(MAX_LINGERING + 4)
             for i in many:
                 router.act(f"client{i}+")
-            front = router.router._front
-            await router.until(lambda: front.connected == len(many))
-            ending = asyncio.ensure_future(front.end(PATIENCE_S))
-            await router.until(lambda: not front.connected)
+            front = router.router._downstream
+            await router.until(lambda: front.connection_count == len(many))
+            ending = asyncio.ensure_future(front.shut_down(PATIENCE_S))
+            await router.until(lambda: not front.connection_count)
             for i in many:
                 for stream in (1, 2):
                     router.act(f"client{i}> {ASK[stream]}")
@@ -104,12 +104,12 @@
     async def test_a_request_that_has_come_keeps_a_resting_connection(self) -> None:
         """At the limit, and in the round that closes what was long idle, in the turn in which it comes."""
         async with Within() as router:
-            front = router.router._front
+            front = router.router._downstream
             await router.play(f"client+\nclient> {READY_ASKED}\nclient< {READY}")
             router.act(f"client> {ASK[1]}")
-            with mock.patch.object(server, "IDLE_S", -1.0):
-                front.tidy()
-            front.most_connections = 1
+            with mock.patch.object(server, "MAX_IDLE_S", -1.0):
+                front.close_expired()
+            front.max_connections = 1
             router.act("client2+")
             await router.play(f"cache+\ncache< {CACHE_ASKED}\nclient2.")
             await router.play(f"cache> {CACHE_DATA}\nclient< {SERVED}")
@@ -118,9 +118,9 @@
         async with Within() as router:
             await router.play(f"client+\nclient> {ASK[1]}\ncache+\ncache< {CACHE_ASKED}")
             router.act(f"client> {ASK[2][:20]}")
-            await router.until(lambda: router.router._front.held > 0)
+            await router.until(lambda: router.router._downstream.held_bytes > 0)
             with mock.patch.object(server, "WHOLE_S", -1.0):
-                router.router._front.tidy()
+                router.router._downstream.close_expired()
             reason = '1e00000002000000004500 "frame not whole in time"'
             await router.play(f"client< {reason}\ncache> {CACHE_DATA}\nclient< {SERVED}\nclient.")
 
@@ -142,14 +142,16 @@
                     body = bytes(240_000) + b"\r\n"
                     cache.sendall(f"{stream:016x} data {FIELDS} 240000\r\n".encode() + body)
 
-            with mock.patch.object(server, "HIGH_WATER", 1 << 24):
+            with mock.patch.object(connection, "HIGH_WATER_BYTES", 1 << 24):
                 await asyncio.to_thread(answer)
-            with mock.patch.object(server, "HIGH_WATER", 1 << 16):
-                await router.until(lambda: engine.open_requests == 0 and router.router._front.held > 1 << 16)
+            with mock.patch.object(connection, "HIGH_WATER_BYTES", 1 << 16):
+                await router.until(
+                    lambda: engine.open_requests == 0 and router.router._downstream.held_bytes > 1 << 16
+                )
                 for stream in (31, 32):
                     router.act(f"client> {ASK[stream]}")
                 await router.until(lambda: engine.open_requests == 2)
-                router.act(f"client> {head(Type.ABANDON, 31).hex()}")
+                router.act(f"client> {frame_head(FrameType.CANCEL, 31).hex()}")
                 await router.until(lambda: engine.open_requests == 1)
                 router.act("client^")
                 await router.until(lambda: engine.open_requests == 0)
@@ -163,9 +165,9 @@
     async def test_nothing_is_written_for_who_goes_in_the_instant_before(self) -> None:
         """Read by a busy loop only behind the write, it was sent on all the same."""
         async with Within() as router:
-            module = router.router.engine._router
+            module = router.router.engine.policy_calls.policy
             decide = module.handle
-            for ending in ("~", "^", "-", f"> {head(Type.ABANDON, 1).hex()}"):
+            for ending in ("~", "^", "-", f"> {frame_head(FrameType.CANCEL, 1).hex()}"):
                 await router.play(f"client+\nclient> {READY_ASKED}\nclient< {READY}")
 
                 def go_first(now_us: int, events: Any, ending: str = ending) -> Any:
@@ -187,7 +189,7 @@
                 router.act("client+")
                 router.act(f"client> {ASK[1]}")
                 router.act(f"client{ending}")  # behind the request, before it was read
-                await router.until(lambda: not router.router._front.connected)
+                await router.until(lambda: not router.router._downstream.connection_count)
             await router.play(f"client2+\nclient2> {ASK[2]}\ncache+")
             await router.play('cache< "ASK 0000000000000002 class=picture," /[^\\r]*\\r\\n\\r\\n/')
 
@@ -212,7 +214,7 @@
         async with Within(**{"Classes.1.Effect": '"single_shot"'}) as router:
             await router.play(f"client+\nclient> {WRITE[1]}\norigin+\norigin< {ORIGIN_ASKED[1]}")
             await router.play(f"origin> {ORIGIN_DATA[1]}\nclient< {SERVED}")
-            module = router.router.engine._router
+            module = router.router.engine.policy_calls.policy
             decide = module.handle
 
             def close_first(now_us: int, events: Any) -> Any:
@@ -235,9 +237,11 @@
         async with Within() as router:
             await router.play(f"client+\nclient> {ASK[1]}\ncache+\ncache< {CACHE_ASKED}")
             await router.play(f'cache> "0000000000000001 data {FIELDS} 9\\r\\nco"')
-            (pool,) = (p for p in router.router._pool._stores.values() if p.connections)
-            await router.until(lambda: pool.connections[0].link.stuck_with("0000000000000001"))
-            await router.play(f'client> {head(Type.ABANDON, 1).hex()}\ncache< "QUIT 0000000000000001\\r\\n"')
+            (pool,) = (p for p in router.router._pool._pools.values() if p.connections)
+            await router.until(lambda: pool.connections[0].exchanges.is_receiving("0000000000000001"))
+            await router.play(
+                f'client> {frame_head(FrameType.CANCEL, 1).hex()}\ncache< "QUIT 0000000000000001\\r\\n"'
+            )
             await router.play(f"client> {ASK[2]}\ncache2+")
             await router.play('cache2< "ASK 0000000000000002 class=picture," /[^\\r]*\\r\\n\\r\\n/')
 
@@ -245,21 +249,21 @@
 class ChangeLogs(unittest.IsolatedAsyncioTestCase):
     async def test_one_that_answers_and_closes_at_once_is_asked_ever_more_rarely(self) -> None:
         async with Within() as router:
-            feed = router.router._feed
+            feed = router.router._change_log_client
             for _ in range(10):
                 await router.play(f"log+\nlog< /.*\\r\\n\\r\\n/\nlog> {STREAM}\nlog-")
-            await router.until(lambda: feed.pause_s == client.MOST_PAUSE_S)
+            await router.until(lambda: feed.backoff_s == client.MAX_BACKOFF_S)
             await router.play(f'log+\nlog< /.*\\r\\n\\r\\n/\nlog> {STREAM}\nlog> {PURGE} "\\n\\n"')
-            await router.until(lambda: feed.changes.last == 3)
+            await router.until(lambda: feed.changes.last_sequence == 3)
             await router.play("log-")
-            await router.until(lambda: feed.pause_s == client.PAUSE_S)
+            await router.until(lambda: feed.backoff_s == client.MIN_BACKOFF_S)
 
     async def test_the_purges_of_a_chunk_are_one_batch_and_one_line(self) -> None:
         purges, batches = range(3, 43), list[int]()
         event = r'''"id: %d\ndata: {\"seq\":%d,\"invalidate\":{\"bucket\":17,\"time\":1764576000480}}\n\n"'''
         chunk = " ".join(event % (seq, seq) for seq in purges)
         async with Within() as router:
-            module = router.router.engine._router
+            module = router.router.engine.policy_calls.policy
             decide = module.handle
 
             def count(now_us: int, events: Any) -> Any:
