--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -24,8 +24,8 @@
 from magpieshift.capture.writer import Limits
 from magpieshift.policy.actions import Action
 from magpieshift.policy.events import PurgeReceived, RequestReceived
-from tests import test_properties as random_runs
-from tests.helpers import settings as make_settings
+from tests.policy import test_properties as random_runs
+from tests.policy.helpers import settings as make_settings
 from tests.real.exchange import PATIENCE_S, ROOT
 
 OWN = policy.own()
--- a/tests/capture/test_former_layout.py
+++ b/tests/capture/test_former_layout.py
@@ -184,7 +184,7 @@
 
     @staticmethod
     def settings() -> bytes:
-        from tests.helpers import settings as make_settings
+        from tests.policy.helpers import settings as make_settings
 
         return state.encode(state.snapshot_record(make_settings()))
 
--- a/tests/overload/test_talk.py
+++ b/tests/overload/test_talk.py
@@ -35,7 +35,7 @@
 from magpieshift.policy.outcomes import Outcome
 from magpieshift.policy.outlier_detection import is_available
 from magpieshift.policy.router_policy import RouterPolicy
-from tests.helpers import PARENTS, SECOND, World
+from tests.policy.helpers import PARENTS, SECOND, World
 
 NAMES = [f"r{i}" for i in range(8)]
 FEW = settings(max_examples=60, deadline=None)
--- a/tests/policy/differential/record.py
+++ b/tests/policy/differential/record.py
@@ -231,7 +231,7 @@
         while self.batches < batches and self.due:
             tick_us = self.due[0][0] // 2000 * 2000 + 2000
             self.now_us = max(self.now_us + 1, tick_us - self.random.randrange(3))
-            events = []
+            events: list[Any] = []
             while self.due and self.due[0][0] <= self.now_us and len(events) < 12:
                 happened = heapq.heappop(self.due)[2]
                 event = happened() if callable(happened) else happened
--- a/tests/policy/differential/test_former_decisions.py
+++ b/tests/policy/differential/test_former_decisions.py
@@ -114,6 +114,11 @@
     assert states > 100
 
 
+def address(endpoint: int) -> bytes:
+    """An endpoint's address and port."""
+    return endpoint.to_bytes(6, "big")
+
+
 def wire_record(recorded: list[Any], tail: bytearray) -> bytes:
     """A recorded event as the simulator sends it; what has no fixed length goes to the tail."""
     name, *values = recorded
@@ -122,22 +127,22 @@
             kind, version, entries = values
             start = len(tail)
             for _, number, zone, entry_kind, cell, state_number, weight, started_us in entries:
-                tail += number.to_bytes(6, "big")
+                tail += address(number)
                 tail += struct.pack("<HBHBfQ", zone, entry_kind, cell, state_number, weight, started_us)
             return struct.pack("<BIBQII", 1, INSTANCE, kind, version, start, len(entries))
         case "Request":
             request_id, class_index, tenant, key, left_us, size_kb, group, part, is_repeat, is_write = values
             marks = 2 * is_repeat + 4 * is_write
-            fields = (request_id, class_index, tenant, key, left_us, size_kb, group, part, marks)
-            return struct.pack("<BIIBIQIfffH", 2, INSTANCE, *fields)
+            asked = (request_id, class_index, tenant, key, left_us, size_kb, group, part, marks)
+            return struct.pack("<BIIBIQIfffH", 2, INSTANCE, *asked)
         case "Begun":
             request_id, number, latency_us, attempt = values
-            head = struct.pack("<BII", 3, INSTANCE, request_id)
-            return head + number.to_bytes(6, "big") + struct.pack("<IH", latency_us, attempt)
+            head = struct.pack("<BII", 3, INSTANCE, request_id) + address(number)
+            return head + struct.pack("<IH", latency_us, attempt)
         case "Ended":
             request_id, outcome, latency_us, wait_us, is_closed, status, number, attempt, load = values
             fields = (request_id, outcome, latency_us, wait_us, is_closed, status)
-            head = struct.pack("<BIIBIIBI", 4, INSTANCE, *fields) + number.to_bytes(6, "big")
+            head = struct.pack("<BIIBIIBI", 4, INSTANCE, *fields) + address(number)
             return head + struct.pack(f"<HB{len(load)}f", attempt, len(load), *load)
         case "Hangup":
             return struct.pack("<BII", 5, INSTANCE, *values)
@@ -145,7 +150,7 @@
             return struct.pack("<BIQ", 6, INSTANCE, *values)
         case "Probed":
             number, outcome, latency_us, load = values
-            head = struct.pack("<BI", 7, INSTANCE) + number.to_bytes(6, "big")
+            head = struct.pack("<BI", 7, INSTANCE) + address(number)
             return head + struct.pack(f"<BIB{len(load)}f", outcome, latency_us, len(load), *load)
         case "Message":
             body = bytes.fromhex(values[1])
--- a/tests/test_deployments.py
+++ b/tests/policy/test_deployments.py
@@ -29,7 +29,7 @@
 from magpieshift.policy.outcomes import CacheStatus, Outcome
 from magpieshift.policy.settings import Idempotency, RequestClass
 from magpieshift.policy.state import FILL
-from tests.helpers import (
+from tests.policy.helpers import (
     CACHE,
     CACHES,
     ORIGIN,
--- a/tests/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -4,10 +4,16 @@
 
 from dataclasses import replace
 
-from magpieshift.policy.actions import FailRequest, RejectRequest, SendCacheRequest, SendPlainRequest
+from magpieshift.policy.actions import (
+    FailRequest,
+    RejectRequest,
+    SendCacheRequest,
+    SendPlainRequest,
+)
 from magpieshift.policy.admission import concurrency_limit
 from magpieshift.policy.events import (
     AttemptEnded,
+    Endpoint,
     EndpointListKind,
     EndpointListReceived,
     RequestReceived,
@@ -18,7 +24,7 @@
 from magpieshift.policy.placement import fill_sources
 from magpieshift.policy.settings import RequestClass
 from magpieshift.policy.state import FILL, PendingRequest
-from tests.helpers import PARENTS, SECOND, World, a_class, entry, settings
+from tests.policy.helpers import PARENTS, SECOND, World, a_class, entry, settings
 
 
 def fleet(size: int, *classes: RequestClass, **changes: object) -> list[World]:
@@ -135,7 +141,15 @@
     cache, parent, origin = entry(11, 0), entry(21, 1), entry(31, 2)
     bare = [replace(e, weight=0.0, started_us=0) for e in (cache, parent, origin)]
     new = [replace(e, weight=0.0, started_us=100 * SECOND) for e in (cache, parent)]
-    lists = ([], [cache], [cache, origin], [parent, origin], bare, [*new, origin], [origin, cache] * 2)
+    lists: tuple[list[Endpoint], ...] = (
+        [],
+        [cache],
+        [cache, origin],
+        [parent, origin],
+        bare,
+        [*new, origin],
+        [origin, cache] * 2,
+    )
     for routers, here in ((0, 0), (1, 1), (40, 7)):
         for entries in lists:
             for kind in (EndpointListKind.COMPLETE, EndpointListKind.DELTA):
@@ -144,7 +158,8 @@
                 world = World(settings(router_count=routers, zone_router_counts=(0, here)), told)
                 world.tell(told)
                 world.tell(older)
-                answers, out = 0, {}
+                answers = 0
+                out: dict[int, SendCacheRequest | SendPlainRequest] = {}
                 for _ in range(8):
                     said = world.ask(size_kb=10.0)
                     answers += sum(isinstance(a, RejectRequest | FailRequest) for a in said)
--- a/tests/test_purges.py
+++ b/tests/policy/test_invalidation.py
@@ -11,7 +11,7 @@
 from magpieshift.policy import invalidation as purges
 from magpieshift.policy.events import PurgeReceived, RequestReceived
 from magpieshift.policy.router_policy import RouterPolicy
-from tests.helpers import settings
+from tests.policy.helpers import settings
 
 DONE_US = 500
 KEPT_US = 2 * DONE_US
--- a/tests/test_path.py
+++ b/tests/policy/test_path.py
@@ -13,7 +13,7 @@
 from magpieshift.policy.events import ClientDisconnected, EndpointListKind, EndpointListReceived, TimerFired
 from magpieshift.policy.outcomes import CacheStatus, Outcome
 from magpieshift.policy.state import FILL
-from tests.helpers import (
+from tests.policy.helpers import (
     CACHES,
     PARENT,
     PARENTS,
--- a/tests/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -26,8 +26,8 @@
 from magpieshift.policy.outcomes import NEVER_RAN, Outcome
 from magpieshift.policy.router_policy import RouterPolicy
 from magpieshift.policy.settings import DeduplicationScope, Idempotency
-from tests.helpers import CACHE, CACHES, PARENT, PARENTS, SECOND, a_class, entry, whole_list
-from tests.helpers import settings as make_settings
+from tests.policy.helpers import CACHE, CACHES, PARENT, PARENTS, SECOND, a_class, entry, whole_list
+from tests.policy.helpers import settings as make_settings
 
 CLASSES = (
     a_class(),
--- a/tests/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -24,7 +24,7 @@
 from magpieshift.policy.outcomes import Outcome
 from magpieshift.policy.settings import DeduplicationScope, Idempotency
 from magpieshift.policy.state import FILL
-from tests.helpers import (
+from tests.policy.helpers import (
     CACHE,
     CACHES,
     PARENT,
--- a/tests/test_scale.py
+++ b/tests/policy/test_scale.py
@@ -20,7 +20,7 @@
 from magpieshift.policy.settings import Idempotency, Settings
 from magpieshift.policy.slow_start import permitted_rate
 from magpieshift.policy.state import FILL
-from tests.helpers import (
+from tests.policy.helpers import (
     CACHE,
     CACHES,
     ORIGIN,
--- a/tests/test_wire.py
+++ b/tests/policy/test_simulator.py
@@ -12,6 +12,7 @@
 from magpieshift.policy.errors import SettingsError
 from magpieshift.policy.events import AttemptEnded
 from magpieshift.policy.outcomes import Outcome
+from magpieshift.policy.router_policy import RouterPolicy
 from magpieshift.policy.settings import DeduplicationScope, Idempotency
 from magpieshift.policy.simulator_codec import EventFrame
 from magpieshift.policy.simulator_settings import parse_settings
@@ -111,7 +112,7 @@
     def fail(self: object, now_us: int, events: object) -> None:
         raise IndexError("no such store")
 
-    monkeypatch.setattr(simulator.RouterPolicy, "handle", fail)
+    monkeypatch.setattr(RouterPolicy, "handle", fail)
     record, tail = boot(SETTINGS)
     reply = simulator.Simulator().answer(EventFrame(9, frame([record], tail)[8:]))
     assert reply[12:17] == b"\x09\x04\0\0\0" and reply.endswith(b"IndexError: no such store")
--- a/tests/real/test_fleet_logs.py
+++ b/tests/real/test_fleet_logs.py
@@ -22,7 +22,7 @@
 )
 from magpieshift.policy.outcomes import CacheStatus, Outcome
 from magpieshift.policy.router_policy import RouterPolicy
-from tests import helpers
+from tests.policy import helpers
 
 NAMES = {11: "box-a", 12: "box-b", 13: "box-c", 21: "hub-a", 22: "hub-b", 23: "hub-c", 31: "origin"}
 
