--- a/magpieshift/policy/events.py
+++ b/magpieshift/policy/events.py
@@ -38,12 +38,16 @@
     """One entry of an endpoint list."""
 
     number: int
+    """Its address and port as one number."""
     zone: int
+    """By number."""
     kind: int
+    """Cache, parent or origin: see ``Settings.parent_kind`` and ``origin_kind``."""
     cell: int
     """Endpoints of one cell may discard each other's repeats, see ``DeduplicationScope``."""
     state: EndpointState
     weight: float
+    """Its capacity or a live weight, see ``Settings.weights_are_sizes``."""
     started_us: int
     """When its process started, on the policy's clock; 0 where that is not known."""
 
@@ -54,6 +58,7 @@
 
     kind: EndpointListKind
     version: int
+    """Of the list."""
     endpoints: tuple[Endpoint, ...]
 
 
@@ -63,8 +68,10 @@
 
     request_id: int
     class_index: int
+    """Its class's number."""
     tenant: int
     object_key: int
+    """The object's number; 0 for none."""
     time_left_us: int
     """From now until the client gives up."""
     size_kb: float
@@ -72,6 +79,7 @@
     group: int
     """The group of objects by which it may be purged."""
     part: int
+    """Of the object, from 0."""
     is_repeat: bool
     """Whether the client sent it before."""
     is_write: bool
@@ -84,6 +92,7 @@
     request_id: int
     endpoint: int
     latency_us: int
+    """From when the attempt was sent."""
     attempt: int
 
 
@@ -94,6 +103,7 @@
     request_id: int
     outcome: Outcome
     latency_us: int
+    """From when the attempt was sent."""
     fill_wait_us: int
     """Part of the latency that the cache spent waiting for its fill."""
     request_closed: bool
@@ -102,6 +112,7 @@
     """A ``CacheStatus``, or a number that this version does not know."""
     endpoint: int
     attempt: int
+    """Its number, from 0."""
     load: tuple[float, ...]
     """The endpoint's load report, by ``Settings.load_report_columns``."""
 
@@ -128,6 +139,7 @@
     outcome: Outcome
     latency_us: int
     load: tuple[float, ...]
+    """The endpoint's load report, by ``Settings.load_report_columns``."""
 
 
 @dataclass(slots=True)
@@ -143,8 +155,10 @@
     """An object, or with no key a whole group, was purged at the origin some time ago."""
 
     object_key: int
+    """0: the whole group."""
     group: int
     age_us: int
+    """How long ago it was made at the origin."""
 
 
 Event = (
--- a/magpieshift/policy/settings.py
+++ b/magpieshift/policy/settings.py
@@ -30,7 +30,9 @@
     """The figures of one class of requests."""
 
     idempotency: Idempotency
+    """What running a request twice may do."""
     deduplication_scope: DeduplicationScope
+    """Which endpoints discard each other's repeats, with an idempotency key."""
     deduplication_us: int
     """How long after the first attempt a repeat is still discarded."""
     latency_objective_us: int
@@ -44,7 +46,9 @@
     late_priority_weight: float
     """What an answer between objective and deadline earns, as a fraction of the weight."""
     is_stream: bool
+    """Whether its answers may be streamed: they begin long before they end."""
     is_write: bool
+    """Whether it changes the object; it goes to the origin."""
     in_parts: bool
     """Whether the class's objects have several parts."""
     max_age_us: int
@@ -66,6 +70,7 @@
     router_count: int
     """Routers in all zones; what all share is divided by it."""
     router_index: int
+    """Of this router, from 0, among those of all zones."""
     zone_hub: tuple[int, ...]
     """By zone, the hub zone to which it is attached."""
     zone_router_counts: tuple[int, ...]
@@ -83,6 +88,7 @@
     weights_are_sizes: bool
     """Whether an endpoint's listed weight is its capacity in requests at once; else it is a live weight."""
     answer_slack_us: int
+    """How late a final answer may be."""
     drain_grace_us: int
     """After the notice of a drain nothing new may go to the endpoint beyond this."""
     slow_start_fraction: float
@@ -94,20 +100,27 @@
     overload_window_us: int
     """The time over which that is counted."""
     parent_slow_start_fraction: float
+    """As ``slow_start_fraction``, of a parent."""
     parent_slow_start_us: int
+    """As ``slow_start_us``, of a parent."""
     parent_overload_multiple: float
+    """As ``overload_multiple``, of a parent."""
     purge_grace_us: int
     """From its notice a purge must be obeyed within this."""
     purge_propagation_us: int
     """Within this caches and parents have dropped purged copies by themselves."""
     connect_timeout_us: int
+    """After so long without a connection an attempt ends."""
     max_attempts: int
     """Attempts a request may have, the first included."""
     max_retry_after_us: int
     """The longest time that a rejected client may be told to stay away."""
     can_cancel_attempts: bool
+    """Whether ``CancelAttempt`` has an effect."""
     can_check_health: bool
+    """Whether ``StartHealthCheck`` has an effect."""
     can_message_peers: bool
+    """Whether ``SendPeerMessage`` has an effect."""
     may_bypass_caches: bool
     """Whether a parent or the origin may be asked directly."""
     hedged_requests: bool
@@ -121,3 +134,4 @@
     must_subscribe: bool
     """Whether the endpoint list has to be asked for."""
     load_report_columns: tuple[str, ...]
+    """What the values of a load report are, in their order."""
--- a/magpieshift/policy/state.py
+++ b/magpieshift/policy/state.py
@@ -33,7 +33,9 @@
     """How long answers take, each as a fraction of its latency objective."""
 
     samples: int = 0
+    """Answers taken in."""
     mean: float = 0.0
+    """Running mean."""
     deviation: float = 0.0
     """Running mean of the distance from the mean."""
 
@@ -49,6 +51,7 @@
     failure_rate: float = 0.0
     """Running share of failures among its answers."""
     ejected_until_us: int = 0
+    """It is sent nothing before; 0: it was never ejected."""
     last_failure_us: int = -1
     """-1: never, as in ``last_heard_us``."""
     in_flight: int = 0
@@ -73,6 +76,7 @@
     weighted_in_flight_sum_us: float = 0.0
     """The same of that time multiplied by the attempts in flight at it, the hit's own included."""
     last_hit_us: int = 0
+    """When its last cache hit ended; 0: never."""
 
 
 @dataclass(slots=True, eq=False)
@@ -118,13 +122,16 @@
     """An attempt in flight; it outlives its request, so that its slot is given back exactly once."""
 
     pending: PendingRequest
+    """The request it is for."""
     endpoint: EndpointRecord
+    """Where it was sent."""
     source: EndpointRecord | None
     """Where a miss is filled from; None: a lookup of what the endpoint holds."""
     involved: tuple[EndpointRecord, ...]
     """Endpoint and source, each once."""
     sent_us: int
     answer_times: AnswerTimes
+    """Those that its duration counts among."""
     latency_objective_us: float
     in_flight_at_start: int
     """Attempts in flight at the endpoint, this one included."""
