--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -190,7 +190,7 @@
             self.assertGreater(result.batches, 0)
         self.assertEqual(self.replayed().differences, 0)
 
-    def test_a_module_that_raises_in_the_middle_of_a_batch(self) -> None:
+    def test_a_policy_that_raises_in_the_middle_of_a_batch(self) -> None:
         recorder = self.recorder()
         referee = random_runs.Referee()
         router = referee.router
@@ -236,7 +236,7 @@
         result = self.replayed()
         self.assertEqual((result.differences, result.reconfigurations), (0, 1))
 
-    def test_a_stuck_disk_costs_whole_batches_and_is_told(self) -> None:
+    def test_a_stuck_disk_costs_complete_batches_and_is_logged(self) -> None:
         """The loop goes on at once; memory is bounded; what follows begins with a keyframe."""
         release, stuck = threading.Event(), threading.Event()
         real = os.write
@@ -270,7 +270,7 @@
         self.assertRegex(result.missing[0], rf"{recorder.dropped} batches dropped")
         self.assertEqual(len(logs.records), 2, logs.output)  # interrupted, goes on
 
-    def test_a_full_disk_is_told_once_and_recording_goes_on_when_there_is_room(self) -> None:
+    def test_a_full_disk_is_logged_once_and_recording_resumes_when_there_is_room(self) -> None:
         full = mock.patch("os.write", side_effect=OSError(28, "No space left on device"))
         recorder = self.recorder()
         referee = random_runs.Referee()
@@ -355,7 +355,7 @@
         (home / file).write_text(text.replace(old, new))
         return policy.load(str(self.folder / "altered"))
 
-    def test_the_same_module_from_another_folder_differs_in_nothing(self) -> None:
+    def test_the_same_policy_from_another_folder_differs_in_nothing(self) -> None:
         self.record()
         result = self.replayed(against=policy.load(str(ROOT)))
         self.assertEqual((result.differences, result.kinds), (0, {}))
@@ -382,7 +382,7 @@
         self.assertNotEqual(result.policies, {other.digest})
         self.assertLessEqual(result.differences, 4)
 
-    def test_why_tells_a_requests_story(self) -> None:
+    def test_a_requests_story_is_explained(self) -> None:
         recorder = self.recorder()
         referee = random_runs.Referee()
         referee.router = Taped(referee.router, recorder)  # type: ignore[assignment]
--- a/tests/overload/test_talk.py
+++ b/tests/overload/test_talk.py
@@ -184,7 +184,7 @@
         fill = world.fill(5)
         source = fill.source  # type: ignore[union-attr]
         for _ in range(3):
-            world.end(fill, Outcome.TIMEOUT, 1, after=SECOND)
+            world.end_attempt(fill, Outcome.TIMEOUT, 1, after=SECOND)
             fill = world.fill(5)
         shunned, failed, good = {number: rest for number, *rest in endpoint_health(world.router)}[source]
         self.assertEqual((shunned, good), (True, -1))
--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -1,4 +1,4 @@
-"""A small world for the module alone: settings, stores and a router that has been told of them."""
+"""A small world for the policy alone: settings, endpoints and a router that knows them."""
 
 from __future__ import annotations
 
@@ -31,6 +31,7 @@
 
 
 def a_class(**changes: object) -> RequestClass:
+    """An idempotent class, with other figures for some."""
     base = RequestClass(
         idempotency=Idempotency.IDEMPOTENT,
         deduplication_scope=DeduplicationScope.ALL,
@@ -51,6 +52,7 @@
 
 
 def settings(*classes: RequestClass, **changes: object) -> Settings:
+    """A router of zone 1 beside another, zone 0 as its hub, with other figures for some."""
     base = Settings(
         classes=classes or (a_class(),),
         zone=1,
@@ -92,62 +94,78 @@
     return replace(base, **changes)  # type: ignore[arg-type]
 
 
-def entry(store: int, kind: int, **changes: object) -> Endpoint:
+def entry(number: int, kind: int, **changes: object) -> Endpoint:
+    """An endpoint's entry in the list; caches are in the router's own zone, the others in the hub's."""
     zone = 1 if kind == CACHE else 0
-    base = Endpoint(store, zone, kind, store, EndpointState.READY, 10.0, 0)
+    base = Endpoint(number, zone, kind, number, EndpointState.READY, 10.0, 0)
     return replace(base, **changes)  # type: ignore[arg-type]
 
 
-CACHES, PARENTS, THE_ORIGIN = (11, 12, 13), (21, 22, 23), 31
+CACHES = (11, 12, 13)
+PARENTS = (21, 22, 23)
+THE_ORIGIN = 31
 
 
-def whole_list(**changes: Endpoint) -> EndpointListReceived:
-    stores = {s: entry(s, CACHE) for s in CACHES} | {s: entry(s, PARENT) for s in PARENTS}
-    stores[THE_ORIGIN] = entry(THE_ORIGIN, ORIGIN)
-    stores |= {e.number: e for e in changes.values()}
-    return EndpointListReceived(EndpointListKind.CACHED, 1, tuple(stores.values()))
+def complete_list(**changes: Endpoint) -> EndpointListReceived:
+    """Three caches, three parents and the origin, with other entries for some."""
+    endpoints = {number: entry(number, CACHE) for number in CACHES}
+    endpoints |= {number: entry(number, PARENT) for number in PARENTS}
+    endpoints[THE_ORIGIN] = entry(THE_ORIGIN, ORIGIN)
+    endpoints |= {each.number: each for each in changes.values()}
+    return EndpointListReceived(EndpointListKind.CACHED, 1, tuple(endpoints.values()))
 
 
-def refused(actions: list[Action], ident: int) -> bool:
-    """Whether this request, and nothing else, is turned away; when it may come back is told elsewhere."""
-    return [a.request_id if isinstance(a, RejectRequest) else a for a in actions] == [ident]
+def is_only_rejection_of(actions: list[Action], request_id: int) -> bool:
+    """Whether this request is rejected, and nothing else happens; its Retry-After is tested elsewhere."""
+    found = [each.request_id if isinstance(each, RejectRequest) else each for each in actions]
+    return found == [request_id]
 
 
 class World:
-    """A router and its clock; ``does`` keeps only the actions that are not timers."""
+    """A router and its clock; its methods return only the actions that are not timers."""
 
     def __init__(self, config: Settings | None = None, listed: EndpointListReceived | None = None) -> None:
         self.router = RouterPolicy(config or settings(), 7)
         self.now = 100 * SECOND
         self.next_id = 1
-        self.tell(listed or whole_list())
+        self.receive(listed or complete_list())
 
-    def tell(self, *events: Event, after: int = 0) -> list[Action]:
+    def receive(self, *events: Event, after: int = 0) -> list[Action]:
+        """Some events, so many microseconds after the last."""
         self.now += after
         actions = self.router.handle(self.now, events)
-        return [a for a in actions if not isinstance(a, SetTimer)]
+        return [each for each in actions if not isinstance(each, SetTimer)]
 
-    def ask(self, key: int = 5, cls: int = 0, patience: int = 4 * SECOND, **more: object) -> list[Action]:
-        """A request lands; its id is ``next_id - 1`` afterwards."""
-        base = RequestReceived(self.next_id, cls, 0, key, patience, 0.0, 3, 0, False, False)
+    def request(
+        self, key: int = 5, class_index: int = 0, time_left_us: int = 4 * SECOND, **more: object
+    ) -> list[Action]:
+        """A request comes; its id is ``next_id - 1`` afterwards."""
+        base = RequestReceived(self.next_id, class_index, 0, key, time_left_us, 0.0, 3, 0, False, False)
         self.next_id += 1
-        return self.tell(replace(base, **more))  # type: ignore[arg-type]
+        return self.receive(replace(base, **more))  # type: ignore[arg-type]
 
-    def end(self, sent: Action, outcome: Outcome, leg: int, after: int = 1000, note: int = 0) -> list[Action]:
+    def end_attempt(
+        self, sent: Action, outcome: Outcome, attempt: int, after: int = 1000, cache_status: int = 0
+    ) -> list[Action]:
+        """An attempt ends, so many microseconds after it was sent."""
         assert isinstance(sent, SendPlainRequest | SendCacheRequest)
-        closed = outcome == Outcome.OK
-        event = AttemptEnded(sent.request_id, outcome, after, 0, closed, note, sent.endpoint, leg, ())
-        return self.tell(event, after=after)
+        is_closed = outcome == Outcome.OK
+        event = AttemptEnded(
+            sent.request_id, outcome, after, 0, is_closed, cache_status, sent.endpoint, attempt, ()
+        )
+        return self.receive(event, after=after)
 
     def fill(self, key: int = 5, **more: object) -> Action:
         """A request that its cache lacks, and each parent that is asked what it holds: the fill that
         follows, or whatever else does."""
-        (first,) = self.ask(key, **more)  # type: ignore[arg-type]
-        actions, leg = self.end(first, Outcome.MISS, 0), 1
+        (first,) = self.request(key, **more)  # type: ignore[arg-type]
+        attempt = 1
+        actions = self.end_attempt(first, Outcome.MISS, 0)
         while (
             actions
             and isinstance(actions[0], SendCacheRequest)
             and actions[0].flags & CacheRequestFlag.SOURCE_CACHED_ONLY
         ):
-            actions, leg = self.end(actions[0], Outcome.MISS, leg), leg + 1
-        return actions[0] if actions else WriteLog("held")
+            actions = self.end_attempt(actions[0], Outcome.MISS, attempt)
+            attempt += 1
+        return actions[0] if actions else WriteLog("queued")
--- a/tests/policy/test_deployments.py
+++ b/tests/policy/test_deployments.py
@@ -117,7 +117,7 @@
         assert isinstance(action, SendCacheRequest), action
         return action
 
-    def test_fills_are_capped_held_woken_and_spill(self) -> None:
+    def test_fills_are_limited_queued_released_and_spill(self) -> None:
         for world in self.each():
             fills = [world.fill() for _ in range(40)]
             sources = [f.source for f in fills if isinstance(f, SendCacheRequest)]
@@ -125,56 +125,56 @@
             held = [type(f) for f in fills]
             self.assertIn(WriteLog, held)  # in a queue
             self.assertIn(RejectRequest, held)
-            self.assertTrue(world.end(fills[0], Outcome.OK, 1, after=100 * MS))
+            self.assertTrue(world.end_attempt(fills[0], Outcome.OK, 1, after=100 * MS))
 
     def test_writes_and_fills_do_not_wait_for_each_other(self) -> None:
         for world in self.each():
             while not isinstance(world.fill(), RejectRequest):
                 pass
-            self.assertIsInstance(world.ask(cls=1)[0], SendPlainRequest)
+            self.assertIsInstance(world.request(class_index=1)[0], SendPlainRequest)
 
     def test_what_a_parent_holds_is_had_while_fills_wait(self) -> None:
         for world in self.each():
             home = self.sent([world.fill() for _ in range(4)][0])
-            (asked,) = world.ask()
-            (look,) = world.end(asked, Outcome.MISS, 0)
+            (asked,) = world.request()
+            (look,) = world.end_attempt(asked, Outcome.MISS, 0)
             self.assertTrue(self.sent(look).flags & CacheRequestFlag.SOURCE_CACHED_ONLY)
             self.assertEqual(self.sent(look).source, home.source)
 
-    def test_a_full_link_in_refuses_at_once(self) -> None:
+    def test_a_full_link_in_rejects_at_once(self) -> None:
         for world in self.each(zone_link_kb_per_s=(0.0, LINK)):
             fills = [world.fill(key, size_kb=300.0) for key in range(1, 12)]
             self.assertIsInstance(fills[0], SendCacheRequest)
             self.assertIsInstance(fills[-1], RejectRequest)
             self.assertIsInstance(world.fill(50, size_kb=1.0), SendCacheRequest)
 
-    def test_a_late_fill_halves_the_cap_down_to_one(self) -> None:
+    def test_a_late_fill_halves_the_limit_down_to_one(self) -> None:
         for world in self.each():
             fill = self.sent(world.fill(5, size_kb=10.0))
             source = world.router.endpoints[fill.source]
-            world.end(fill, Outcome.OK, 1)
+            world.end_attempt(fill, Outcome.OK, 1)
             source.concurrency_peaks[FILL] = (8, world.now)
             caps = []
             for _ in range(4):
-                (asked,) = world.ask(5, size_kb=10.0)
-                (fill,) = map(self.sent, world.end(asked, Outcome.MISS, 0))
-                world.end(fill, Outcome.OK, 1, after=2 * SECOND, note=CacheStatus.FILLED)
+                (asked,) = world.request(5, size_kb=10.0)
+                (fill,) = map(self.sent, world.end_attempt(asked, Outcome.MISS, 0))
+                world.end_attempt(fill, Outcome.OK, 1, after=2 * SECOND, cache_status=CacheStatus.FILLED)
                 caps.append(concurrency_limit(world.router, source, FILL))
             self.assertEqual(caps, [5, 3, 2, 1])
 
     def test_a_hot_part_is_passed_on(self) -> None:
         for world in self.each():
             stores = {
-                a.endpoint for _ in range(12) for a in world.ask(key=9) if isinstance(a, SendCacheRequest)
+                a.endpoint for _ in range(12) for a in world.request(key=9) if isinstance(a, SendCacheRequest)
             }
             self.assertGreater(len(stores), 1)
 
     def test_no_second_attempt_goes_out_while_one_is(self) -> None:
         """Not even where the settings allow it: copies earned nothing (findings)."""
         for world in self.each():
-            (asked,) = world.ask()
+            (asked,) = world.request()
             for _ in range(30):
-                actions = world.tell(TimerFired(0), after=100 * MS)
+                actions = world.receive(TimerFired(0), after=100 * MS)
                 self.assertEqual(
                     [a for a in actions if isinstance(a, SendCacheRequest | SendPlainRequest)], []
                 )
@@ -193,10 +193,10 @@
                 max(times), world.router.settings.classes[0].latency_objective_us
             )  # half of what the mean has
 
-    def test_a_drained_store_gets_nothing_as_cache_or_source(self) -> None:
+    def test_a_drained_endpoint_gets_nothing_as_cache_or_source(self) -> None:
         for world in self.each():
             gone = [entry(CACHES[0], CACHE), entry(PARENTS[0], PARENT)]
-            world.tell(
+            world.receive(
                 EndpointListReceived(
                     EndpointListKind.DELTA,
                     2,
@@ -211,39 +211,39 @@
                 if isinstance(fill, SendCacheRequest):
                     self.assertNotIn(CACHES[0], (fill.endpoint, fill.source))
                     self.assertNotIn(PARENTS[0], (fill.endpoint, fill.source))
-                    world.end(fill, Outcome.OK, 1, after=50 * MS)
+                    world.end_attempt(fill, Outcome.OK, 1, after=50 * MS)
 
     def test_no_copy_from_before_a_purge(self) -> None:
         for world in self.each():
-            world.tell(PurgeReceived(5, 0, 40 * MS))
-            (asked,) = world.ask(5)
+            world.receive(PurgeReceived(5, 0, 40 * MS))
+            (asked,) = world.request(5)
             self.assertLessEqual(self.sent(asked).max_age_us, 40 * MS)
 
-    def test_routers_together_keep_a_new_stores_budget(self) -> None:
+    def test_routers_together_keep_a_new_endpoints_budget(self) -> None:
         """Work sent within the rule's time by all routers of the zone, as if all had their whole part."""
         for world in self.each(zone_router_counts=(0, 4), router_count=4):
             cfg = world.router.settings
             new = entry(CACHES[0], CACHE, started_us=world.now)
-            world.tell(EndpointListReceived(EndpointListKind.DELTA, 2, (new,)))
+            world.receive(EndpointListReceived(EndpointListKind.DELTA, 2, (new,)))
             sent = 0
             for key in range(4_000):
                 world.now += cfg.overload_window_us // 4_000
-                for action in world.ask(key, size_kb=167.0):
+                for action in world.request(key, size_kb=167.0):
                     if isinstance(action, SendCacheRequest):
                         sent += action.endpoint == new.number
-                        world.end(action, Outcome.OK, 0, after=0)
+                        world.end_attempt(action, Outcome.OK, 0, after=0)
             self.assertGreater(sent, 0)
             work_us = 4 * sent * world.router.service_times_us[0]
             bears_us = new.weight * cfg.overload_multiple * cfg.slow_start_fraction * cfg.overload_window_us
             self.assertLess(work_us, bears_us)
 
-    def test_an_origin_that_turns_away_is_left_without_being_called_ill(self) -> None:
+    def test_an_overloaded_origin_is_avoided_and_not_ejected(self) -> None:
         for world in self.each():
             listed = (entry(THE_ORIGIN, ORIGIN), *(entry(c, CACHE) for c in CACHES))
-            world.tell(EndpointListReceived(EndpointListKind.COMPLETE, 2, listed))
+            world.receive(EndpointListReceived(EndpointListKind.COMPLETE, 2, listed))
             fill = self.sent(world.fill())
             self.assertEqual(fill.source, THE_ORIGIN)
-            world.end(fill, Outcome.OVERLOADED, 1, after=30 * MS)
+            world.end_attempt(fill, Outcome.OVERLOADED, 1, after=30 * MS)
             self.assertLess(world.router.endpoints[THE_ORIGIN].failure_rate, 0.4)
 
 
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -46,7 +46,7 @@
     return [action for action in said if isinstance(action, RejectRequest)]
 
 
-def test_clients_turned_away_by_all_routers_at_once_come_back_spread_and_in_time() -> None:
+def test_clients_rejected_by_all_routers_at_once_come_back_spread_and_in_time() -> None:
     """Spread over half of the time in which an answer is of use: who is turned away again can return once
     more (Kayal's overloaded days: all of that time cost 0.017)."""
     for long in (
@@ -62,9 +62,9 @@
             assert most <= len(waits) / 2 + 3
 
 
-def test_who_is_turned_away_too_late_for_its_aim_is_told_to_stay_away() -> None:
+def test_a_rejection_too_late_for_the_objective_has_the_longest_retry_after() -> None:
     (world,) = fleet(1, a_class(latency_objective_us=300_000, latency_objective_stretch=0.0))
-    (no,) = world.end(world.fill(size_kb=100.0), Outcome.OVERLOADED, 1, after=4 * SECOND - 10_000)
+    (no,) = world.end_attempt(world.fill(size_kb=100.0), Outcome.OVERLOADED, 1, after=4 * SECOND - 10_000)
     assert isinstance(no, RejectRequest) and no.retry_after_us == world.router.settings.max_retry_after_us
 
 
@@ -79,11 +79,11 @@
                 sent, leg = world.fill(world.next_id, size_kb=100.0), 1
                 while isinstance(sent, SendCacheRequest) and sent.source == PARENTS[0]:
                     times.append(world.now - start)
-                    after = world.end(
-                        sent, Outcome.OVERLOADED, leg, after=50_000, note=CacheStatus.SOURCE_LOST
+                    after = world.end_attempt(
+                        sent, Outcome.OVERLOADED, leg, after=50_000, cache_status=CacheStatus.SOURCE_LOST
                     )
                     sent, leg = after[0], leg + 1
-                world.end(sent, Outcome.OK, leg, after=150_000, note=CacheStatus.FILLED)
+                world.end_attempt(sent, Outcome.OK, leg, after=150_000, cache_status=CacheStatus.FILLED)
         late = [at for at in times if at > 5 * SECOND]
         tried.append(len(late) / size)
         busiest = max(sum(1 for at in late if now <= at < now + 200_000) for now in late) if late else 0
@@ -102,7 +102,7 @@
                 assert (len(sources) == 1) == waits
 
 
-def test_a_source_is_worked_harder_only_while_its_fills_leave_room_in_their_aim() -> None:
+def test_a_limit_is_raised_only_while_fills_are_well_within_their_objective() -> None:
     """All routers raise their caps until answers are late, and see it only after a fill's time."""
     for size in (1, 4, 40):
         for share, grows in ((0.4, True), (0.8, False)):
@@ -124,7 +124,7 @@
                         ended = AttemptEnded(
                             fill.request_id, Outcome.OK, took, 0, True, CacheStatus.FILLED, cache, 1, ()
                         )
-                        world.tell(ended)
+                        world.receive(ended)
                 together += concurrency_limit(world.router, world.router.parents[PARENTS[0]], FILL)
             floor = size * max(1, min(4, 16 // size))
             assert (together > floor) == grows
@@ -156,12 +156,12 @@
                 told = EndpointListReceived(kind, 1, tuple(entries))
                 older = EndpointListReceived(kind, 0, tuple(reversed(entries)))
                 world = World(settings(router_count=routers, zone_router_counts=(0, here)), told)
-                world.tell(told)
-                world.tell(older)
+                world.receive(told)
+                world.receive(older)
                 answers = 0
                 out: dict[int, SendCacheRequest | SendPlainRequest] = {}
                 for _ in range(8):
-                    said = world.ask(size_kb=10.0)
+                    said = world.request(size_kb=10.0)
                     answers += sum(isinstance(a, RejectRequest | FailRequest) for a in said)
                     out |= {
                         a.request_id: a for a in said if isinstance(a, SendCacheRequest | SendPlainRequest)
@@ -170,14 +170,14 @@
                     for sent in list(out.values()):
                         leg = world.router.requests[sent.request_id].attempts_started - 1
                         del out[sent.request_id]
-                        said = world.end(sent, Outcome.OVERLOADED, leg)
+                        said = world.end_attempt(sent, Outcome.OVERLOADED, leg)
                         answers += sum(isinstance(a, RejectRequest | FailRequest) for a in said)
                         out |= {
                             a.request_id: a
                             for a in said
                             if isinstance(a, SendCacheRequest | SendPlainRequest)
                         }
-                    said = world.tell(TimerFired(0), after=SECOND)
+                    said = world.receive(TimerFired(0), after=SECOND)
                     answers += sum(isinstance(a, RejectRequest | FailRequest) for a in said)
                     out |= {
                         a.request_id: a for a in said if isinstance(a, SendCacheRequest | SendPlainRequest)
@@ -186,7 +186,7 @@
                 assert answers == 8 and not world.router.requests
 
 
-def test_a_store_that_stays_silent_for_ever_is_paused_for_a_bounded_time() -> None:
+def test_an_endpoint_that_stays_silent_is_ejected_for_a_bounded_time() -> None:
     """Its share of failures comes to be exactly one, which nothing may be divided by."""
     world = World()
     store = world.router.parents[PARENTS[0]]
--- a/tests/policy/test_invalidation.py
+++ b/tests/policy/test_invalidation.py
@@ -56,7 +56,7 @@
                     found = purges.max_copy_age_us(table, request(key, group), fresh_us, now_us, DONE_US)
                     self.assertEqual(found, min(bounds, default=0))
 
-    def test_the_module_goes_through_it_only_when_it_has_doubled(self) -> None:
+    def test_the_table_is_swept_only_when_it_has_doubled(self) -> None:
         """It was gone through for each purge, which cost four times as much a second at twice the rate."""
         router = RouterPolicy(settings(), 1)
         kept_s = 2 * router.settings.purge_propagation_us / 1e6
--- a/tests/policy/test_path.py
+++ b/tests/policy/test_path.py
@@ -22,21 +22,21 @@
     World,
     a_class,
     entry,
-    refused,
+    is_only_rejection_of,
     settings,
 )
 
 
 def test_first_asks_the_cache_for_what_it_holds() -> None:
-    (sent,) = World().ask()
+    (sent,) = World().request()
     assert isinstance(sent, SendCacheRequest)
     assert sent.endpoint in CACHES and sent.source == sent.endpoint
 
 
 def test_a_miss_is_filled_from_a_parent_through_the_same_cache() -> None:
     world = World()
-    (asked,) = world.ask()
-    (fill,) = world.end(asked, Outcome.MISS, 0)
+    (asked,) = world.request()
+    (fill,) = world.end_attempt(asked, Outcome.MISS, 0)
     assert isinstance(fill, SendCacheRequest) and isinstance(asked, SendCacheRequest)
     assert fill.endpoint == asked.endpoint and fill.source in PARENTS
 
@@ -47,15 +47,15 @@
         a, b = one.fill(key), other.fill(key)
         assert isinstance(a, SendCacheRequest) and isinstance(b, SendCacheRequest)
         assert a.source == b.source
-        one.end(a, Outcome.OK, 1)
-        other.end(b, Outcome.OK, 1)
+        one.end_attempt(a, Outcome.OK, 1)
+        other.end_attempt(b, Outcome.OK, 1)
 
 
-def test_fills_in_flight_are_capped_held_and_woken() -> None:
+def test_fills_in_flight_are_limited_queued_and_released() -> None:
     world = World()
     fills = [world.fill() for _ in range(6)]
     assert [isinstance(f, SendCacheRequest) for f in fills] == [True] * 4 + [False] * 2
-    woken = world.end(fills[0], Outcome.OK, 1)
+    woken = world.end_attempt(fills[0], Outcome.OK, 1)
     assert [type(a) for a in woken] == [
         SendCacheRequest,
         SendCacheRequest,
@@ -76,45 +76,45 @@
     world = World(settings(a_class(), a_class(is_write=True)))
     while not isinstance(world.fill(), RejectRequest):
         pass  # all sources are full, and so are their queues
-    writes = [actions[0] if (actions := world.ask(cls=1)) else None for _ in range(9)]
+    writes = [actions[0] if (actions := world.request(class_index=1)) else None for _ in range(9)]
     assert [type(a) for a in writes] == [SendPlainRequest] * 4 + [type(None)] * 4 + [RejectRequest]
     assert isinstance(writes[0], SendPlainRequest)
-    woken = world.end(writes[0], Outcome.OK, 0, after=SECOND // 4)
+    woken = world.end_attempt(writes[0], Outcome.OK, 0, after=SECOND // 4)
     assert any(isinstance(action, SendPlainRequest) for action in woken)  # the slot is a write's again
 
 
-def test_the_hold_timeout_refuses() -> None:
+def test_the_queue_timeout_rejects() -> None:
     world = World()
     for _ in range(5):
         world.fill()
-    actions = world.tell(TimerFired(0), after=3 * SECOND)
+    actions = world.receive(TimerFired(0), after=3 * SECOND)
     assert RejectRequest(5, 500_000) in actions
 
 
 def test_a_cache_with_far_more_than_its_part_passes_the_excess_on() -> None:
     """A hot part jammed its one cache while its neighbours idled (incident i8e715a)."""
     world = World()
-    stores = {a.endpoint for _ in range(12) for a in world.ask(key=9) if isinstance(a, SendCacheRequest)}
+    stores = {a.endpoint for _ in range(12) for a in world.request(key=9) if isinstance(a, SendCacheRequest)}
     assert len(stores) > 1
 
 
-def test_a_late_fill_does_not_raise_the_cap() -> None:
+def test_a_late_fill_does_not_raise_the_limit() -> None:
     """A slowing source was handed ever more as long as answers came at all (incident i0e1bf3)."""
     world = World()
     fills = [world.fill() for _ in range(6)]
-    assert len(world.end(fills[0], Outcome.OK, 1, after=2 * SECOND)) == 1
+    assert len(world.end_attempt(fills[0], Outcome.OK, 1, after=2 * SECOND)) == 1
 
 
 def test_a_slow_attempt_is_left_alone_while_its_client_waits() -> None:
     """Calling it off starts the same fill again elsewhere while the first runs on (incident i620dab)."""
     world = World()
-    world.ask()
-    assert world.tell(TimerFired(0), after=int(3.9 * SECOND)) == []
+    world.request()
+    assert world.receive(TimerFired(0), after=int(3.9 * SECOND)) == []
 
 
 def test_nothing_is_sent_with_too_little_time_left() -> None:
     """Late attempts only fed the jams (incident i144f8c): the mean sending time must fit."""
-    assert refused(World().ask(patience=100_000), 1)
+    assert is_only_rejection_of(World().request(time_left_us=100_000), 1)
 
 
 def test_a_cache_out_of_fill_places_keeps_its_hits() -> None:
@@ -123,10 +123,10 @@
     for _ in range(12):
         fill = world.fill()
         assert isinstance(fill, SendCacheRequest)
-        again = world.end(fill, Outcome.OVERLOADED, 1, note=CacheStatus.NO_CAPACITY)
-        world.tell(ClientDisconnected(fill.request_id))
+        again = world.end_attempt(fill, Outcome.OVERLOADED, 1, cache_status=CacheStatus.NO_CAPACITY)
+        world.receive(ClientDisconnected(fill.request_id))
         assert isinstance(again[0], SendCacheRequest)
-        world.end(again[0], Outcome.CANCELLED, 2)
+        world.end_attempt(again[0], Outcome.CANCELLED, 2)
     assert all(world.router.endpoints[s].failure_rate == 0 for s in CACHES)
 
 
@@ -136,24 +136,24 @@
     fills = [world.fill() for _ in range(7)]
     assert [isinstance(f, SendCacheRequest) for f in fills] == [True] * 4 + [False] * 3
     monkeypatch.setattr(admission, "concurrency_limit", lambda state, source, work_kind: 4)
-    (woken,) = world.end(fills[0], Outcome.OK, 1)
+    (woken,) = world.end_attempt(fills[0], Outcome.OK, 1)
     assert isinstance(woken, SendCacheRequest) and woken.request_id == 7
 
 
 def test_a_miss_that_is_being_filled_is_asked_for_again_twice_at_most() -> None:
     """Where caches join no fills, routers filled the same part side by side (nila-later)."""
     world = World(settings(coalesces_fills=False))
-    (first,) = world.ask()
-    assert world.end(first, Outcome.MISS, 0, note=CacheStatus.COALESCED) == []
-    (again,) = world.tell(TimerFired(0), after=SECOND)
+    (first,) = world.request()
+    assert world.end_attempt(first, Outcome.MISS, 0, cache_status=CacheStatus.COALESCED) == []
+    (again,) = world.receive(TimerFired(0), after=SECOND)
     assert isinstance(again, SendCacheRequest) and again.endpoint == again.source
-    world.end(again, Outcome.MISS, 1, note=CacheStatus.COALESCED)
-    (third,) = world.tell(TimerFired(0), after=SECOND)
-    (fill,) = world.end(third, Outcome.MISS, 2, note=CacheStatus.COALESCED)
+    world.end_attempt(again, Outcome.MISS, 1, cache_status=CacheStatus.COALESCED)
+    (third,) = world.receive(TimerFired(0), after=SECOND)
+    (fill,) = world.end_attempt(third, Outcome.MISS, 2, cache_status=CacheStatus.COALESCED)
     assert isinstance(fill, SendCacheRequest) and fill.source in PARENTS
 
 
-def test_a_fill_is_held_no_longer_than_it_can_be_within_its_aim() -> None:
+def test_a_fill_is_queued_no_longer_than_it_can_meet_its_objective() -> None:
     """What was held for half the client's patience came back late and kept a slot (nila-later)."""
     world = World()
     world.router.fill_times_us[0] = 100_000.0
@@ -164,15 +164,15 @@
     )  # the aim is 0.45 s, the patience 4 s
 
 
-def test_nothing_is_held_for_a_cold_source() -> None:
+def test_nothing_is_queued_for_a_warming_source() -> None:
     """Its pace lets those behind wait in vain (arena big-1, parents back after a lost hub)."""
     world = World()
     home = world.fill(9)
     assert isinstance(home, SendCacheRequest)
-    world.tell(
+    world.receive(
         EndpointListReceived(EndpointListKind.DELTA, 2, (entry(home.source, PARENT, started_us=world.now),))
     )
-    world.tell(TimerFired(0), after=10 * SECOND)
+    world.receive(TimerFired(0), after=10 * SECOND)
     fills = [world.fill(9, part=part) for part in range(3)]
     assert sum(isinstance(f, SendCacheRequest) and f.source == home.source for f in fills) == 1
     assert not world.router.endpoints[home.source].queue
@@ -192,32 +192,32 @@
     for notes in (True, False):  # answers tell all, or only whether it was a hit
         world = World(settings(a_class(latency_objective_us=SECOND), reports_cache_status=notes))
         home = [world.fill() for _ in range(4)][0]  # at their cap, and the origin does not answer
-        (asked,) = world.ask()
-        (look,) = looks(world.end(asked, Outcome.MISS, 0))
+        (asked,) = world.request()
+        (look,) = looks(world.end_attempt(asked, Outcome.MISS, 0))
         assert isinstance(home, SendCacheRequest) and look.source == home.source
-        world.end(look, Outcome.OK, 1, after=20_000, note=CacheStatus.FILLED)
-        (asked,) = world.ask()
-        (look,) = looks(world.end(asked, Outcome.MISS, 0))
-        assert world.end(look, Outcome.MISS, 1) == []  # it lacks it: now it waits for a slot of fills
+        world.end_attempt(look, Outcome.OK, 1, after=20_000, cache_status=CacheStatus.FILLED)
+        (asked,) = world.request()
+        (look,) = looks(world.end_attempt(asked, Outcome.MISS, 0))
+        assert world.end_attempt(look, Outcome.MISS, 1) == []  # it lacks it: now it waits for a slot of fills
         assert world.router.requests[look.request_id].queued_source is world.router.endpoints[home.source]
         assert world.router.endpoints[home.source].failure_rate == 0  # and that speaks against nobody
-        (woken,) = world.end(home, Outcome.OK, 1, after=300_000, note=CacheStatus.FILLED)
+        (woken,) = world.end_attempt(home, Outcome.OK, 1, after=300_000, cache_status=CacheStatus.FILLED)
         assert (
             isinstance(woken, SendCacheRequest) and woken.request_id == look.request_id and not looks([woken])
         )
 
 
-def test_a_look_past_the_caches_names_the_parent_itself() -> None:
+def test_a_lookup_past_the_caches_names_the_parent_itself() -> None:
     """Straight at a parent only itself or the origin may be named; itself is what asks for no fill."""
     world = World(listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(21, PARENT), entry(31, 2))))
     for _ in range(4):
-        (straight,) = world.ask()
+        (straight,) = world.request()
         assert isinstance(straight, SendCacheRequest) and (straight.endpoint, straight.source) == (21, 31)
-    (look,) = world.ask()
+    (look,) = world.request()
     assert isinstance(look, SendCacheRequest) and look.endpoint == look.source == 21 and looks([look])
 
 
-def test_a_fill_that_the_zones_link_cannot_bring_in_time_is_refused_at_once() -> None:
+def test_a_fill_that_the_zones_link_cannot_bring_in_time_is_rejected_at_once() -> None:
     """With a branch's caches new, each fill was let in that its source could bear, and the branch's link that
     they all share brought every one too late (Kayal trouble-11)."""
     for routers, fit in ((1, 3), (2, 1)):  # a link of 100 KB in 100 ms, and what others on it may be doing
@@ -226,23 +226,23 @@
         assert [type(f) for f in fills] == [SendCacheRequest] * fit + [RejectRequest] * (7 - fit)
         small = world.fill(9, size_kb=10.0)  # there is room for a small one
         assert isinstance(small, SendCacheRequest) and isinstance(fills[0], SendCacheRequest)
-        world.end(small, Outcome.OK, 1, after=10_000)
-        world.end(fills[0], Outcome.OK, 1, after=50_000)
+        world.end_attempt(small, Outcome.OK, 1, after=10_000)
+        world.end_attempt(fills[0], Outcome.OK, 1, after=50_000)
         assert isinstance(world.fill(1, size_kb=100.0), SendCacheRequest)  # and again once one is through
 
 
-def test_a_late_fill_halves_the_cap_down_to_the_free_pass() -> None:
+def test_a_late_fill_halves_the_limit_down_to_the_free_pass() -> None:
     """It fell to the floor at most, four fills of each router that the origin brought too late, all of them
     (Kayal trouble-3, the origin slow)."""
     world = World(settings(a_class(latency_objective_us=SECOND)))
     first, caps = world.fill(5, size_kb=10.0), []
     assert isinstance(first, SendCacheRequest)
     source = world.router.endpoints[first.source]
-    world.end(first, Outcome.OK, 1)
+    world.end_attempt(first, Outcome.OK, 1)
     source.concurrency_peaks[FILL] = (8, world.now)
     for share in (1.5, 1.5, 1.5, 1.5, 0.5):
-        (asked,) = world.ask(5, size_kb=10.0)
-        (fill,) = world.end(asked, Outcome.MISS, 0)
-        world.end(fill, Outcome.OK, 1, after=int(share * SECOND), note=CacheStatus.FILLED)
+        (asked,) = world.request(5, size_kb=10.0)
+        (fill,) = world.end_attempt(asked, Outcome.MISS, 0)
+        world.end_attempt(fill, Outcome.OK, 1, after=int(share * SECOND), cache_status=CacheStatus.FILLED)
         caps.append(admission.concurrency_limit(world.router, source, FILL))
     assert caps == [5, 3, 2, 1, 2]
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -26,7 +26,7 @@
 from magpieshift.policy.outcomes import NEVER_RAN, Outcome
 from magpieshift.policy.router_policy import RouterPolicy
 from magpieshift.policy.settings import DeduplicationScope, Idempotency
-from tests.policy.helpers import CACHE, CACHES, PARENT, PARENTS, SECOND, a_class, entry, whole_list
+from tests.policy.helpers import CACHE, CACHES, PARENT, PARENTS, SECOND, a_class, complete_list, entry
 from tests.policy.helpers import settings as make_settings
 
 CLASSES = (
@@ -62,7 +62,7 @@
         self.unwelcome: set[int] = set()
         self.timers: list[int] = []
         self.bounds: dict[tuple[int, int], int] = {}
-        self.feed(whole_list())
+        self.feed(complete_list())
 
     def feed(self, *events: Event) -> None:
         actions = self.router.handle(self.now, events)
@@ -170,7 +170,7 @@
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(steps)
-def test_promises_hold_under_any_lawful_events(script: list[tuple[str, int]]) -> None:
+def test_promises_hold_under_any_valid_events(script: list[tuple[str, int]]) -> None:
     referee = play(script)
     assert not referee.open, "a request was lost"
     assert not referee.router.requests and not referee.router.attempts
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -33,10 +33,10 @@
     THE_ORIGIN,
     World,
     a_class,
+    complete_list,
     entry,
-    refused,
+    is_only_rejection_of,
     settings,
-    whole_list,
 )
 
 KEYED_WRITE = a_class(idempotency=Idempotency.WITH_KEY, is_write=True, deduplication_us=2 * SECOND)
@@ -50,31 +50,32 @@
 # rule 1: no request lost
 
 
-def test_the_clients_own_patience_is_the_deadline() -> None:
+def test_the_clients_own_time_left_is_the_deadline() -> None:
     world = World()
-    (sent,) = world.ask(patience=SECOND)
+    (sent,) = world.request(time_left_us=SECOND)
     assert isinstance(sent, SendCacheRequest) and sent.timeout_us < SECOND
-    actions = world.tell(TimerFired(0), after=SECOND - 1000)
+    actions = world.receive(TimerFired(0), after=SECOND - 1000)
     assert actions == [RejectRequest(1, 500_000), CancelAttempt(1, 0)]
 
 
 def test_a_closed_request_gets_no_second_answer() -> None:
     world = World()
-    (sent,) = world.ask()
-    assert world.end(sent, Outcome.OK, 0) == []
-    assert world.tell(TimerFired(0), after=5 * SECOND) == []
+    (sent,) = world.request()
+    assert world.end_attempt(sent, Outcome.OK, 0) == []
+    assert world.receive(TimerFired(0), after=5 * SECOND) == []
 
 
-def test_no_store_at_all_still_gives_one_answer() -> None:
+def test_no_endpoint_at_all_still_gives_one_answer() -> None:
     world = World(listed=EndpointListReceived(EndpointListKind.CACHED, 1, ()))
-    assert refused(world.ask(), 1)
+    assert is_only_rejection_of(world.request(), 1)
 
 
-def test_unknown_outcomes_timers_and_hangups_are_passed_over() -> None:
+def test_unknown_outcomes_timers_and_disconnects_are_passed_over() -> None:
     world = World()
     gone = AttemptEnded(77, Outcome.OK, 1, 0, True, 0, CACHES[0], 0, ())
     assert (
-        world.tell(gone, ClientDisconnected(77), TimerFired(99), ResponseStarted(77, CACHES[0], 1, 0)) == []
+        world.receive(gone, ClientDisconnected(77), TimerFired(99), ResponseStarted(77, CACHES[0], 1, 0))
+        == []
     )
 
 
@@ -82,51 +83,51 @@
     world = World()
     fill = world.fill()
     assert isinstance(fill, SendCacheRequest)
-    world.tell(ClientDisconnected(fill.request_id))
+    world.receive(ClientDisconnected(fill.request_id))
     assert world.router.endpoints[fill.source].in_flight_by_kind[FILL] == world.router.fills_in_flight == 1
-    world.end(fill, Outcome.CANCELLED, 1)
-    world.end(fill, Outcome.CANCELLED, 1)
+    world.end_attempt(fill, Outcome.CANCELLED, 1)
+    world.end_attempt(fill, Outcome.CANCELLED, 1)
     assert world.router.endpoints[fill.source].in_flight_by_kind[FILL] == world.router.fills_in_flight == 0
 
 
 # rule 2: no effect twice
 
 
-def test_a_keyed_repeat_goes_only_within_its_window() -> None:
+def test_a_repeat_with_a_key_goes_only_within_its_window() -> None:
     world = World(settings(KEYED_WRITE))
-    (first,) = world.ask()
+    (first,) = world.request()
     assert isinstance(first, SendPlainRequest) and first.endpoint == THE_ORIGIN
-    late = world.end(first, Outcome.ERROR, 0, after=2 * SECOND)
-    assert refused(late, 1)  # the group is 'all': a refusal is lawful, a send is not
+    late = world.end_attempt(first, Outcome.ERROR, 0, after=2 * SECOND)
+    assert is_only_rejection_of(late, 1)  # the group is 'all': a refusal is lawful, a send is not
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
-def test_an_unsafe_request_that_may_have_run_is_failed(outcome: Outcome) -> None:
+def test_a_request_that_is_not_idempotent_and_may_have_run_is_failed(outcome: Outcome) -> None:
     world = World(settings(UNSAFE_WRITE))
-    (first,) = world.ask()
-    assert world.end(first, outcome, 0) == [FailRequest(1)]
+    (first,) = world.request()
+    assert world.end_attempt(first, outcome, 0) == [FailRequest(1)]
 
 
-def test_an_unsafe_request_that_never_ran_may_be_refused() -> None:
+def test_a_request_that_is_not_idempotent_and_never_ran_may_be_rejected() -> None:
     world = World(settings(UNSAFE_WRITE))
-    (first,) = world.ask()
-    assert refused(world.end(first, Outcome.OVERLOADED, 0), 1)
+    (first,) = world.request()
+    assert is_only_rejection_of(world.end_attempt(first, Outcome.OVERLOADED, 0), 1)
 
 
-def test_an_unsafe_request_still_out_at_the_deadline_is_failed() -> None:
+def test_a_request_that_is_not_idempotent_and_in_flight_at_the_deadline_is_failed() -> None:
     world = World(settings(UNSAFE_WRITE))
-    world.ask()
-    assert world.tell(TimerFired(0), after=4 * SECOND)[0] == FailRequest(1)
+    world.request()
+    assert world.receive(TimerFired(0), after=4 * SECOND)[0] == FailRequest(1)
 
 
 @pytest.mark.parametrize("scope", [DeduplicationScope.ZONE, DeduplicationScope.CELL])
-def test_a_narrow_group_allows_no_refusal_once_it_may_have_run(scope: DeduplicationScope) -> None:
+def test_a_narrow_scope_allows_no_rejection_once_it_may_have_run(scope: DeduplicationScope) -> None:
     keyed = a_class(idempotency=Idempotency.WITH_KEY, deduplication_scope=scope)
     world = World(settings(keyed))
-    (first,) = world.ask()
+    (first,) = world.request()
     assert isinstance(first, SendCacheRequest)
     for leg in range(6):
-        actions = world.end(first, Outcome.ERROR, leg)
+        actions = world.end_attempt(first, Outcome.ERROR, leg)
         if isinstance(actions[0], FailRequest):
             return
         assert isinstance(actions[0], SendCacheRequest)
@@ -138,63 +139,66 @@
 
 def test_never_more_than_the_allowed_attempts() -> None:
     world = World(settings(max_attempts=2))
-    (first,) = world.ask()
-    (second,) = world.end(first, Outcome.ERROR, 0)
-    assert refused(world.end(second, Outcome.ERROR, 1), 1)
+    (first,) = world.request()
+    (second,) = world.end_attempt(first, Outcome.ERROR, 0)
+    assert is_only_rejection_of(world.end_attempt(second, Outcome.ERROR, 1), 1)
 
 
 # rule 3: drains kept
 
 
 @pytest.mark.parametrize("phase", [EndpointState.DRAINING, EndpointState.REMOVED])
-def test_nothing_goes_to_or_through_a_draining_store(phase: EndpointState) -> None:
+def test_nothing_goes_to_or_through_a_draining_endpoint(phase: EndpointState) -> None:
     world = World()
-    world.tell(change(entry(CACHES[0], CACHE, state=phase), entry(PARENTS[0], PARENT, state=phase)))
+    world.receive(change(entry(CACHES[0], CACHE, state=phase), entry(PARENTS[0], PARENT, state=phase)))
     for key in range(40):
         fill = world.fill(key)
         if isinstance(fill, SendCacheRequest):
             assert fill.endpoint != CACHES[0] and fill.source != PARENTS[0]
-            world.end(fill, Outcome.OK, 1)
+            world.end_attempt(fill, Outcome.OK, 1)
 
 
-def test_a_store_missing_from_a_whole_list_is_gone() -> None:
+def test_an_endpoint_missing_from_a_complete_list_is_removed() -> None:
     world = World()
-    entries = tuple(e for e in whole_list().endpoints if e.number != CACHES[1])
-    world.tell(EndpointListReceived(EndpointListKind.COMPLETE, 3, entries))
+    entries = tuple(e for e in complete_list().endpoints if e.number != CACHES[1])
+    world.receive(EndpointListReceived(EndpointListKind.COMPLETE, 3, entries))
     assert all(
-        a.endpoint != CACHES[1] for k in range(40) for a in world.ask(k) if isinstance(a, SendCacheRequest)
+        a.endpoint != CACHES[1]
+        for k in range(40)
+        for a in world.request(k)
+        if isinstance(a, SendCacheRequest)
     )
 
 
-def test_waiters_leave_a_source_that_drains() -> None:
+def test_queued_requests_leave_a_source_that_drains() -> None:
     world = World()
     fills = [world.fill() for _ in range(5)]
     assert isinstance(fills[0], SendCacheRequest) and isinstance(fills[4], WriteLog)
-    (moved,) = world.tell(change(entry(fills[0].source, PARENT, state=EndpointState.DRAINING)))
+    (moved,) = world.receive(change(entry(fills[0].source, PARENT, state=EndpointState.DRAINING)))
     assert isinstance(moved, SendCacheRequest) and moved.source != fills[0].source
 
 
 # rule 4: no cold store pushed over
 
 
-def test_a_cold_parent_is_sent_less_than_its_budget() -> None:
+def test_a_warming_parent_is_sent_less_than_its_budget() -> None:
     started = 100 * SECOND - 1
-    world = World(listed=whole_list(a=entry(PARENTS[0], PARENT, started_us=started, weight=10.0)))
+    world = World(listed=complete_list(a=entry(PARENTS[0], PARENT, started_us=started, weight=10.0)))
     sent = 0
     for key in range(300):
         fill = world.fill(key)
         if isinstance(fill, SendCacheRequest):
             sent += fill.source == PARENTS[0]
-            world.end(fill, Outcome.OK, 1)
+            world.end_attempt(fill, Outcome.OK, 1)
     # the budget of one second: 2 x 0.1 x 10 transfers of 0.3 s, shared by two routers
     assert sent <= 2 * 0.13 * 10 / 0.3 / 2
 
 
-def test_a_cold_cache_is_not_asked_and_then_filled() -> None:
+def test_a_warming_cache_is_not_asked_and_then_filled() -> None:
     cold = {str(s): entry(s, CACHE, started_us=100 * SECOND - 1) for s in CACHES}
-    world = World(listed=whole_list(**cold))
-    world.tell(after=2 * SECOND)
-    (sent,) = world.ask()
+    world = World(listed=complete_list(**cold))
+    world.receive(after=2 * SECOND)
+    (sent,) = world.request()
     assert isinstance(sent, SendCacheRequest) and sent.source in (*PARENTS, THE_ORIGIN)
 
 
@@ -202,42 +206,42 @@
 
 
 def age(world: World, **request: int) -> int:
-    (sent,) = world.ask(**request)
+    (sent,) = world.request(**request)
     assert isinstance(sent, SendCacheRequest)
     return sent.max_age_us
 
 
 def test_no_copy_older_than_a_purge_will_do() -> None:
     world = World()
-    world.tell(PurgeReceived(5, 3, 200_000))
+    world.receive(PurgeReceived(5, 3, 200_000))
     assert 0 < age(world, object_key=5) < 200_000
     assert age(world, object_key=6) == 0
-    world.tell(after=SECOND)
+    world.receive(after=SECOND)
     assert 1_000_000 < age(world, object_key=5) < 1_200_000
 
 
 def test_a_purge_just_made_never_becomes_the_default_bound() -> None:
     world = World()
-    world.tell(PurgeReceived(5, 3, 0))
+    world.receive(PurgeReceived(5, 3, 0))
     assert age(world, object_key=5) == 1
 
 
 def test_a_group_purge_covers_its_objects() -> None:
     world = World()
-    world.tell(PurgeReceived(0, 3, 100_000))
+    world.receive(PurgeReceived(0, 3, 100_000))
     assert 0 < age(world, object_key=1, group=3) < 100_000
     assert age(world, object_key=1, group=4) == 0
 
 
 def test_the_fresh_time_bounds_the_age_too() -> None:
     world = World(settings(a_class(max_age_us=50_000)))
-    world.tell(PurgeReceived(5, 3, 100_000))
+    world.receive(PurgeReceived(5, 3, 100_000))
     assert age(world, object_key=5) == 50_000
 
 
 def test_a_repeated_request_is_judged_at_its_own_send() -> None:
     world = World()
-    (first,) = world.ask()
-    world.tell(PurgeReceived(5, 3, 100_000))
-    (again,) = world.end(first, Outcome.ERROR, 0)
+    (first,) = world.request()
+    world.receive(PurgeReceived(5, 3, 100_000))
+    (again,) = world.end_attempt(first, Outcome.ERROR, 0)
     assert isinstance(again, SendCacheRequest) and 0 < again.max_age_us <= 101_000
--- a/tests/policy/test_scale.py
+++ b/tests/policy/test_scale.py
@@ -30,10 +30,10 @@
     THE_ORIGIN,
     World,
     a_class,
+    complete_list,
     entry,
-    refused,
+    is_only_rejection_of,
     settings,
-    whole_list,
 )
 
 
@@ -44,28 +44,28 @@
 def test_caches_of_other_zones_are_not_even_known() -> None:
     """A request can then never touch them, however many are listed."""
     world = World(settings(zone_router_counts=(0, 2, 2)))
-    world.tell(delta(*(entry(1000 + i, CACHE, zone=2) for i in range(500))))
+    world.receive(delta(*(entry(1000 + i, CACHE, zone=2) for i in range(500))))
     assert len(world.router.endpoints) == len(CACHES + PARENTS) + 1
 
 
-def test_a_departed_store_is_forgotten_and_its_slot_comes_back() -> None:
+def test_a_departed_endpoint_is_forgotten_and_its_slot_comes_back() -> None:
     world = World()
     fill = world.fill()
     assert isinstance(fill, SendCacheRequest)
     store = world.router.endpoints[fill.source]
-    world.tell(delta(entry(fill.source, PARENT, state=EndpointState.REMOVED)))
+    world.receive(delta(entry(fill.source, PARENT, state=EndpointState.REMOVED)))
     assert fill.source not in world.router.endpoints
-    world.end(fill, Outcome.RESET, 1)
+    world.end_attempt(fill, Outcome.RESET, 1)
     assert store.in_flight_by_kind[FILL] == store.in_flight == 0
 
 
-def test_a_store_that_changes_its_role_does_not_raise() -> None:
+def test_an_endpoint_that_changes_its_role_does_not_raise() -> None:
     world = World()
-    world.tell(
+    world.receive(
         delta(entry(CACHES[0], PARENT)), delta(entry(CACHES[0], ORIGIN)), delta(entry(CACHES[0], CACHE))
     )
     assert list(world.router.caches).count(CACHES[0]) == 1 and CACHES[0] not in world.router.parents
-    world.ask()
+    world.request()
 
 
 def sends_to_cold(routers: int, config: Settings, kind: int, store: int) -> list[int]:
@@ -90,7 +90,7 @@
     return sent
 
 
-def test_many_routers_together_keep_a_new_stores_budget() -> None:
+def test_many_routers_together_keep_a_new_endpoints_budget() -> None:
     """All are told of it at once and none sees the others: the sum in any window stays under the rule."""
     for routers in (2, 20, 120):
         config = settings(router_count=routers, zone_router_counts=(0, routers))
@@ -135,7 +135,7 @@
     return sent
 
 
-def test_turns_at_a_cold_store_are_not_saved_up_for_a_burst() -> None:
+def test_turns_at_a_warming_endpoint_are_not_saved_up_for_a_burst() -> None:
     """Of a budget of 12 calls 30 were used in one instant: each router had saved one up."""
     sent = 0
     for routers, kind, weight, fall_us, seed in itertools.product(
@@ -161,38 +161,40 @@
     assert sent > 1000, "a cold store must still get something"
 
 
-def test_a_cold_parent_is_shared_by_all_routers() -> None:
+def test_a_warming_parent_is_shared_by_all_routers() -> None:
     config = settings(router_count=120, zone_router_counts=(0, 4))
     assert len(sends_to_cold(4, config, PARENT, 99)) <= 4
 
 
-def test_sizes_untold_a_cold_store_gets_its_part_of_what_warm_ones_answer() -> None:
+def test_sizes_unknown_a_warming_endpoint_gets_its_part_of_what_warm_ones_answer() -> None:
     busy, idle = (World(settings(weights_are_sizes=False)) for _ in range(2))
     for world in (busy, idle):
         for key in range(200 if world is busy else 0):
-            for sent in world.ask(key):
-                world.end(sent, Outcome.OK, 0)
-        world.tell(delta(entry(99, CACHE, started_us=world.now)))
+            for sent in world.request(key):
+                world.end_attempt(sent, Outcome.OK, 0)
+        world.receive(delta(entry(99, CACHE, started_us=world.now)))
     rates = [permitted_rate(w.router, w.router.endpoints[99]) for w in (busy, idle)]
     assert rates[0] > 2 * rates[1] > 0
 
 
 def test_an_old_purge_told_first_does_not_raise_and_hides_no_later_one() -> None:
     world = World()
-    world.tell(PurgeReceived(0, 3, 60 * SECOND), PurgeReceived(0, 4, SECOND), PurgeReceived(0, 3, 2 * SECOND))
-    (sent,) = world.ask(group=3)
+    world.receive(
+        PurgeReceived(0, 3, 60 * SECOND), PurgeReceived(0, 4, SECOND), PurgeReceived(0, 3, 2 * SECOND)
+    )
+    (sent,) = world.request(group=3)
     assert isinstance(sent, SendCacheRequest) and 0 < sent.max_age_us < 2 * SECOND
 
 
-def test_the_whole_list_drops_what_it_leaves_out_and_a_failed_call_nothing() -> None:
+def test_a_complete_list_removes_what_it_leaves_out_and_a_failed_one_nothing() -> None:
     world = World()
-    world.tell(EndpointListReceived(EndpointListKind.FAILED, 0, ()))
+    world.receive(EndpointListReceived(EndpointListKind.FAILED, 0, ()))
     assert len(world.router.endpoints) == 7
-    world.tell(EndpointListReceived(EndpointListKind.COMPLETE, 3, whole_list().endpoints[1:]))
+    world.receive(EndpointListReceived(EndpointListKind.COMPLETE, 3, complete_list().endpoints[1:]))
     assert len(world.router.endpoints) == 6
 
 
-def test_the_floor_of_the_cap_is_shared_and_the_free_pass_stays() -> None:
+def test_the_floor_of_the_limit_is_shared_and_the_free_pass_stays() -> None:
     """One fill each is what many routers keep; four each would be hundreds at one parent."""
     for routers, each in ((2, 4), (8, 2), (120, 1)):
         world = World(settings(router_count=routers, zone_router_counts=(0, routers)))
@@ -200,11 +202,11 @@
         assert sum(isinstance(fill, SendCacheRequest) for fill in fills) == each
 
 
-def test_a_fill_that_worked_raises_the_cap_by_one() -> None:
+def test_a_fill_that_worked_raises_the_limit_by_one() -> None:
     world = World(settings(router_count=120, zone_router_counts=(0, 2)))
     fill = world.fill(part=0)
     assert isinstance(fill, SendCacheRequest)
-    world.end(fill, Outcome.OK, 1)
+    world.end_attempt(fill, Outcome.OK, 1)
     fills = [world.fill(part=part) for part in range(1, 4)]
     assert sum(isinstance(fill, SendCacheRequest) for fill in fills) == 2
 
@@ -212,18 +214,18 @@
 def slow_hits(world: World, times: int) -> None:
     """Hits of 100 KB, a tenth of a second by themselves, that take eight times as long."""
     for key in range(times):
-        for sent in (a for a in world.ask(key, size_kb=100.0) if isinstance(a, SendCacheRequest)):
-            world.end(sent, Outcome.OK, 0, after=800_000, note=CacheStatus.HIT)
+        for sent in (a for a in world.request(key, size_kb=100.0) if isinstance(a, SendCacheRequest)):
+            world.end_attempt(sent, Outcome.OK, 0, after=800_000, cache_status=CacheStatus.HIT)
 
 
-def test_what_a_slow_cache_cannot_send_in_time_is_refused_at_once() -> None:
+def test_what_a_slow_cache_cannot_send_in_time_is_rejected_at_once() -> None:
     """The aim is 0.3 s and once the sending time; at eight times slower 100 KB would take 0.8 s."""
     world = World(
         listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
     )
     slow_hits(world, 10)
-    assert refused(world.ask(5, size_kb=100.0), world.next_id - 1)
-    (small,) = world.ask(5, size_kb=10.0)
+    assert is_only_rejection_of(world.request(5, size_kb=100.0), world.next_id - 1)
+    (small,) = world.request(5, size_kb=10.0)
     assert isinstance(small, SendCacheRequest)
 
 
@@ -233,9 +235,9 @@
     )
     slow_hits(world, 10)
     for key in range(60):
-        for sent in world.ask(key, size_kb=20.0):
-            world.end(sent, Outcome.OK, 0, after=20_000, note=CacheStatus.HIT)
-    (sent,) = world.ask(5, size_kb=100.0)
+        for sent in world.request(key, size_kb=20.0):
+            world.end_attempt(sent, Outcome.OK, 0, after=20_000, cache_status=CacheStatus.HIT)
+    (sent,) = world.request(5, size_kb=100.0)
     assert isinstance(sent, SendCacheRequest)
 
 
@@ -246,25 +248,31 @@
     for key in range(10):
         fill = world.fill(key, size_kb=100.0)
         assert isinstance(fill, SendCacheRequest)
-        world.end(fill, Outcome.OK, 1, after=800_000, note=CacheStatus.FILLED)
-    assert isinstance(world.ask(5, size_kb=100.0)[0], SendCacheRequest)
+        world.end_attempt(fill, Outcome.OK, 1, after=800_000, cache_status=CacheStatus.FILLED)
+    assert isinstance(world.request(5, size_kb=100.0)[0], SendCacheRequest)
 
 
-def test_sizes_untold_the_sending_time_is_the_least_lately_seen() -> None:
+def test_sizes_unknown_the_sending_time_is_the_least_lately_seen() -> None:
     """Or a cache that is slow for long would come to be held for a quick one."""
     config = settings(a_class(latency_objective_us=300_000, latency_objective_stretch=2.0))
     world = World(
         config, EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
     )
-    refused = 0
+    is_only_rejection_of = 0
     for key in range(300):
-        actions = world.ask(key)
-        refused += isinstance(actions[0], RejectRequest)
+        actions = world.request(key)
+        is_only_rejection_of += isinstance(actions[0], RejectRequest)
         if isinstance(actions[0], SendCacheRequest):
-            world.end(actions[0], Outcome.OK, 0, after=100_000 if key < 40 else 900_000, note=CacheStatus.HIT)
+            world.end_attempt(
+                actions[0],
+                Outcome.OK,
+                0,
+                after=100_000 if key < 40 else 900_000,
+                cache_status=CacheStatus.HIT,
+            )
         if key < 40:
-            assert refused == 0
-    assert 50 < refused < 290
+            assert is_only_rejection_of == 0
+    assert 50 < is_only_rejection_of < 290
 
 
 def test_a_slow_cache_without_hits_does_not_stay_shut() -> None:
@@ -273,92 +281,94 @@
         listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
     )
     slow_hits(world, 10)
-    assert isinstance(world.ask(5, size_kb=100.0)[0], RejectRequest)
+    assert isinstance(world.request(5, size_kb=100.0)[0], RejectRequest)
     world.now += 30 * SECOND
-    assert isinstance(world.ask(5, size_kb=100.0)[-1], SendCacheRequest)
+    assert isinstance(world.request(5, size_kb=100.0)[-1], SendCacheRequest)
 
 
-def test_lost_answers_count_against_a_store_and_are_forgiven() -> None:
+def test_lost_answers_count_against_an_endpoint_and_are_forgiven() -> None:
     """Probes would be answered; the outcomes alone tell, and let go once answers come."""
     world = World()
-    (first,) = world.ask(5)
+    (first,) = world.request(5)
     assert isinstance(first, SendCacheRequest)
     store = world.router.endpoints[first.endpoint]
-    world.end(first, Outcome.TIMEOUT, 0, after=SECOND)
+    world.end_attempt(first, Outcome.TIMEOUT, 0, after=SECOND)
     assert not is_available(world.router, store)
-    (other,) = world.ask(5)
+    (other,) = world.request(5)
     assert isinstance(other, SendCacheRequest) and other.endpoint != first.endpoint
     world.now += 2 * SECOND
-    (back,) = world.ask(5)
+    (back,) = world.request(5)
     assert isinstance(back, SendCacheRequest) and back.endpoint == first.endpoint
-    world.end(back, Outcome.OK, 0, note=CacheStatus.HIT)
+    world.end_attempt(back, Outcome.OK, 0, cache_status=CacheStatus.HIT)
     assert is_available(world.router, store) and store.failure_rate < 0.41
 
 
-def test_a_request_that_two_stores_cannot_use_speaks_against_neither() -> None:
+def test_a_request_that_two_endpoints_cannot_use_speaks_against_neither() -> None:
     """Bad clients' requests had all stores passed over, one after the other (rude day)."""
     world = World()
     for key in range(20):
-        (first,) = world.ask(key)
-        (second,) = world.end(first, Outcome.ERROR, 0)
+        (first,) = world.request(key)
+        (second,) = world.end_attempt(first, Outcome.ERROR, 0)
         assert (
             isinstance(second, SendCacheRequest)
             and isinstance(first, SendCacheRequest)
             and second.endpoint != first.endpoint
         )
-        assert isinstance(world.end(second, Outcome.ERROR, 1)[0], RejectRequest)
+        assert isinstance(world.end_attempt(second, Outcome.ERROR, 1)[0], RejectRequest)
     assert all(store.failure_rate == 0 for store in world.router.endpoints.values())
 
 
-def test_a_request_that_the_next_store_serves_speaks_against_the_first() -> None:
+def test_a_request_that_the_next_endpoint_serves_speaks_against_the_first() -> None:
     world = World()
-    (first,) = world.ask()
-    (second,) = world.end(first, Outcome.ERROR, 0)
+    (first,) = world.request()
+    (second,) = world.end_attempt(first, Outcome.ERROR, 0)
     assert isinstance(second, SendCacheRequest) and isinstance(first, SendCacheRequest)
-    world.end(second, Outcome.OK, 1)
+    world.end_attempt(second, Outcome.OK, 1)
     bad = {number for number, store in world.router.endpoints.items() if store.failure_rate > 0}
     assert bad == {first.endpoint}
 
 
-def test_a_connection_that_breaks_is_one_failure_and_its_requests_ask_the_store_again() -> None:
+def test_a_connection_reset_is_one_failure_and_its_requests_ask_the_endpoint_again() -> None:
     """One unreadable answer took four requests along, and a healthy cache was shut for it (garbled day)."""
     world = World()
-    asked = [a for _ in range(4) for a in world.ask(5) if isinstance(a, SendCacheRequest)]
+    asked = [a for _ in range(4) for a in world.request(5) if isinstance(a, SendCacheRequest)]
     (store,) = {a.endpoint for a in asked}
     ends = [AttemptEnded(a.request_id, Outcome.RESET, 1000, 0, False, 0, store, 0, ()) for a in asked]
-    again = world.tell(*ends, after=1000)
+    again = world.receive(*ends, after=1000)
     assert [a.endpoint for a in again if isinstance(a, SendCacheRequest)] == [store] * 4
     assert is_available(world.router, world.router.endpoints[store])
 
 
 def test_a_write_that_broke_off_goes_out_once_more() -> None:
     world = World(settings(a_class(idempotency=Idempotency.WITH_KEY, is_write=True)))
-    (first,) = world.ask()
-    (again,) = world.end(first, Outcome.RESET, 0)
+    (first,) = world.request()
+    (again,) = world.end_attempt(first, Outcome.RESET, 0)
     assert isinstance(again, SendPlainRequest) and again.endpoint == THE_ORIGIN
-    assert isinstance(world.end(again, Outcome.RESET, 1)[0], RejectRequest)
+    assert isinstance(world.end_attempt(again, Outcome.RESET, 1)[0], RejectRequest)
 
 
 def test_a_size_that_a_client_claims_is_not_learnt_from() -> None:
     world = World()
     for _ in range(20):
-        world.ask(5, size_kb=1e9)
-    assert isinstance(world.ask(6)[0], SendCacheRequest)
+        world.request(5, size_kb=1e9)
+    assert isinstance(world.request(6)[0], SendCacheRequest)
 
 
-def test_what_was_slow_in_a_crowd_is_not_refused_when_the_crowd_has_gone() -> None:
+def test_what_was_slow_in_a_crowd_is_not_rejected_when_the_crowd_has_gone() -> None:
     """A cache was taken for as slow as under its last load, ten seconds after it had nothing left to do."""
     world = World(
         listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
     )
-    crowd = [a for key in range(20) for a in world.ask(key, size_kb=100.0) if isinstance(a, SendCacheRequest)]
+    crowd = [
+        a for key in range(20) for a in world.request(key, size_kb=100.0) if isinstance(a, SendCacheRequest)
+    ]
     ends = [
         AttemptEnded(a.request_id, Outcome.OK, 800_000, 0, True, CacheStatus.HIT, a.endpoint, 0, ())
         for a in crowd
     ]
-    world.tell(*ends, after=800_000)
+    world.receive(*ends, after=800_000)
     assert len(ends) == 20 and slowdown(world.router.endpoints[11]) > 6
-    assert isinstance(world.ask(5, size_kb=100.0)[0], SendCacheRequest)
+    assert isinstance(world.request(5, size_kb=100.0)[0], SendCacheRequest)
 
 
 def test_a_cache_much_slower_than_its_neighbours_gets_one_request_at_a_time() -> None:
@@ -371,20 +381,20 @@
         100_000.0,
         world.now,
     )
-    sent = [a for key in range(60) for a in world.ask(key, size_kb=10.0)]
+    sent = [a for key in range(60) for a in world.request(key, size_kb=10.0)]
     assert all(isinstance(a, SendCacheRequest) for a in sent)
     assert sum(isinstance(a, SendCacheRequest) and a.endpoint == CACHES[0] for a in sent) == 1
-    big = [a for key in range(60) for a in world.ask(key, size_kb=200.0)]
+    big = [a for key in range(60) for a in world.request(key, size_kb=200.0)]
     assert all(isinstance(a, SendCacheRequest) and a.endpoint != CACHES[0] for a in big)
 
 
 def test_waves_of_drains_leave_nothing_behind() -> None:
     world = World()
     for wave in range(20):
-        world.tell(delta(entry(100 + wave, CACHE, started_us=world.now)), after=SECOND)
-        world.tell(delta(entry(100 + wave, CACHE, state=EndpointState.DRAINING)), after=SECOND)
-        assert all(a.endpoint != 100 + wave for a in world.ask(wave) if isinstance(a, SendCacheRequest))
-        world.tell(delta(entry(100 + wave, CACHE, state=EndpointState.REMOVED)), after=SECOND)
+        world.receive(delta(entry(100 + wave, CACHE, started_us=world.now)), after=SECOND)
+        world.receive(delta(entry(100 + wave, CACHE, state=EndpointState.DRAINING)), after=SECOND)
+        assert all(a.endpoint != 100 + wave for a in world.request(wave) if isinstance(a, SendCacheRequest))
+        world.receive(delta(entry(100 + wave, CACHE, state=EndpointState.REMOVED)), after=SECOND)
     assert len(world.router.endpoints) == 7
 
 
@@ -394,8 +404,8 @@
         a_class(latency_objective_us=0), slow_start_fraction=0.0, parent_slow_start_fraction=0.0
     )
     world = World(config)
-    world.tell(delta(entry(99, CACHE, started_us=world.now), entry(98, PARENT, started_us=world.now)))
-    world.ask(5)
+    world.receive(delta(entry(99, CACHE, started_us=world.now), entry(98, PARENT, started_us=world.now)))
+    world.request(5)
 
 
 def test_many_routers_land_one_fill_each_at_most_on_a_parent_that_answers_none() -> None:
@@ -405,7 +415,7 @@
     landed: dict[tuple[int, bool], int] = {}
     for seed in range(120):
         router = RouterPolicy(config, seed)
-        router.handle(now, [whole_list()])
+        router.handle(now, [complete_list()])
         for ident in range(1, 11):
             request = RequestReceived(ident, 0, 0, 5, 4 * SECOND, 0.0, 3, ident, False, False)
             sent = next(a for a in router.handle(now, [request]) if isinstance(a, SendCacheRequest))
@@ -421,8 +431,8 @@
 def test_a_request_that_is_over_keeps_no_timer() -> None:
     """Each woke the router once more at its deadline, 900 times a second (rate day)."""
     world = World()
-    (sent,) = world.ask()
-    world.end(sent, Outcome.OK, 0)
+    (sent,) = world.request()
+    world.end_attempt(sent, Outcome.OK, 0)
     assert world.router.timers == []
 
 
@@ -434,38 +444,38 @@
     world.router.endpoints[CACHES[0]].in_flight = 42
     stores = set()
     for key in range(60):
-        (sent,) = world.ask(key)
+        (sent,) = world.request(key)
         assert isinstance(sent, SendCacheRequest)
         stores.add(sent.endpoint)
-        world.end(sent, Outcome.OK, 0)
+        world.end_attempt(sent, Outcome.OK, 0)
     assert stores == set(CACHES)
 
 
-def test_once_answers_get_lost_a_late_one_is_asked_for_again_in_time_and_only_so_many() -> None:
+def test_once_answers_get_lost_late_ones_are_retried_in_time_within_a_budget() -> None:
     """They never came, from stores that answered all others, and their clients waited in vain (re32f6e)."""
     world = World(
         listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
     )
 
     def ask(key: int) -> SendCacheRequest:
-        (sent,) = world.ask(key, size_kb=100.0)
+        (sent,) = world.request(key, size_kb=100.0)
         assert isinstance(sent, SendCacheRequest)
         return sent
 
     def hit(sent: SendCacheRequest) -> None:
-        world.end(sent, Outcome.OK, 0, after=100_000, note=CacheStatus.HIT)
+        world.end_attempt(sent, Outcome.OK, 0, after=100_000, cache_status=CacheStatus.HIT)
 
     for key in range(20):
         hit(ask(key))
     first = ask(1)
     assert first.timeout_us > 3 * SECOND  # nothing was ever lost: a slow answer is waited for
     hit(ask(2))
-    world.end(first, Outcome.TIMEOUT, 0, after=first.timeout_us)
-    world.tell(ClientDisconnected(first.request_id))
+    world.end_attempt(first, Outcome.TIMEOUT, 0, after=first.timeout_us)
+    world.receive(ClientDisconnected(first.request_id))
     second = ask(3)
     assert second.timeout_us < 400_000  # of an aim of 0.4 s
     hit(ask(4))
-    (again,) = world.end(second, Outcome.TIMEOUT, 0, after=second.timeout_us)
+    (again,) = world.end_attempt(second, Outcome.TIMEOUT, 0, after=second.timeout_us)
     assert isinstance(again, SendCacheRequest) and again.endpoint == 11 and again.timeout_us > 3 * SECOND
     assert world.router.endpoints[11].failure_rate == 0
     world.router.retry_budget = 0.5  # what may be taken for lost is used up
--- a/tests/policy/test_simulator.py
+++ b/tests/policy/test_simulator.py
@@ -106,7 +106,7 @@
     assert done.returncode == 0 and key.encode() in done.stdout and done.stdout[12] == 9
 
 
-def test_an_exception_in_the_module_is_reported_for_its_instance(
+def test_an_exception_in_the_policy_is_reported_for_its_instance(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     def fail(self: object, now_us: int, events: object) -> None:
--- a/tests/real/test_fleet_logs.py
+++ b/tests/real/test_fleet_logs.py
@@ -48,7 +48,7 @@
         listed = EndpointListReceived(
             EndpointListKind.CACHED,
             1,
-            tuple(helpers.entry(e.number + offset, e.kind) for e in helpers.whole_list().endpoints),
+            tuple(helpers.entry(e.number + offset, e.kind) for e in helpers.complete_list().endpoints),
         )
         module = RouterPolicy(helpers.settings(), number)
         asked = RequestReceived(1, 0, 0, 5, 4 * helpers.SECOND, 100.0, 3, 0, False, False)
