--- a/magpieshift/engine/attempts.py
+++ b/magpieshift/engine/attempts.py
@@ -61,7 +61,9 @@
         request = self._requests.by_number.get(send.request_id)
         now_us = self._clock.now_us()
         if request is None:
-            log.error("attempt blocked", extra=fields(number=send.request_id, reason="unknown request"))
+            log.error(
+                "attempt blocked", extra=fields(request_number=send.request_id, reason="unknown request")
+            )
             return None
         request_id = request.request.request_id
         if request.in_flight and not self._guard.may_hedge(request, send.endpoint):
--- a/magpieshift/engine/trace.py
+++ b/magpieshift/engine/trace.py
@@ -1,5 +1,8 @@
-"""A trace of all that the module is told and says, as log lines, for counting over a fleet afterwards
-(``magpieshift lab fleet``). Off unless it is asked for: a request takes about six lines."""
+"""A trace of the policy's events and actions as log lines, for counting over a whole fleet.
+
+It is off unless ``EDGE_TRACE=1``: a request takes about six lines. ``lab.experiments.fleet`` parses the words
+of the events and fields; change both together.
+"""
 
 from __future__ import annotations
 
@@ -19,6 +22,7 @@
 from magpieshift.policy.events import (
     AttemptEnded,
     ClientDisconnected,
+    Endpoint,
     EndpointListReceived,
     EndpointState,
     Event,
@@ -32,114 +36,140 @@
 
 log = logging.getLogger("magpieshift.trace")
 
-MOST_NAMES = 4096  # of stores, oldest forgotten first: a name only makes a line readable
+MAX_NAMES = 4096
+"""Names of endpoints, oldest forgotten first: a name only makes a line readable."""
+MIN_ENDPOINT_NUMBER = (1 << 32) + 1
+"""Endpoints' numbers are 64-bit hashes; smaller ones are those of requests, which are logged as numbers."""
+UNKNOWN = "-"
+"""Stands for an endpoint without a name, and for no source."""
 
 
 class Trace:
-    """Stands between the engine and the module, and logs what passes."""
+    """A policy observer that logs what passes."""
 
     def __init__(self) -> None:
         self._names: dict[int, str] = {}
-        self._order: deque[int] = deque()
-
-    def register_name(self, number: int, ident: str) -> None:
-        if number not in self._names and number > 1 << 32:  # requests are told by number alone
-            self._order.append(number)
-            if len(self._order) > MOST_NAMES:
-                self._names.pop(self._order.popleft(), None)
-            self._names[number] = ident
-
-    def reconfigured(self, settings: Settings, fresh: Collection[int]) -> None:
-        log.debug("retuned", extra=fields(routers=settings.router_count, zone=settings.zone))
-
-    def overrides_applied(self, now_us: int, acts: Sequence[HealthOverride]) -> None:
-        for act in acts:
-            log.debug("heeded", extra=fields(store=self._store(act.endpoint), act=type(act).__name__.lower()))
-
-    def handle(self, module: RouterPolicy, now_us: int, events: Sequence[Event]) -> list[Action]:
+        self._order: deque[int] = deque()  # of the names' numbers, oldest first
+
+    def register_name(self, number: int, name: str) -> None:
+        """Remember the name of an endpoint."""
+        if number in self._names or number < MIN_ENDPOINT_NUMBER:
+            return
+        self._order.append(number)
+        if len(self._order) > MAX_NAMES:
+            self._names.pop(self._order.popleft(), None)
+        self._names[number] = name
+
+    def reconfigured(self, settings: Settings, reset_classes: Collection[int]) -> None:
+        """Log that the policy runs on new settings."""
+        log.debug("policy reconfigured", extra=fields(routers=settings.router_count, zone=settings.zone))
+
+    def overrides_applied(self, now_us: int, overrides: Sequence[HealthOverride]) -> None:
+        """Log what other routers' reports have changed."""
+        for override in overrides:
+            kind = type(override).__name__.lower()
+            log.debug(
+                "health override applied",
+                extra=fields(endpoint=self._endpoint_name(override.endpoint), override=kind),
+            )
+
+    def handle(self, policy: RouterPolicy, now_us: int, events: Sequence[Event]) -> list[Action]:
+        """Pass a batch to the policy and log it with the policy's actions."""
         for event in events:
-            self._heard(event)
-        actions = module.handle(now_us, events)
+            self._log_event(event)
+        actions = policy.handle(now_us, events)
         for action in actions:
-            self._said(action)
+            self._log_action(action)
         return actions
 
-    def _store(self, number: int) -> str:
-        return self._names.get(number, "-")
+    def _endpoint_name(self, number: int) -> str:
+        return self._names.get(number, UNKNOWN)
 
-    def _heard(self, event: Event) -> None:
+    def _log_event(self, event: Event) -> None:
         match event:
-            case RequestReceived(request_id=op):
-                log.debug(
-                    "asked",
-                    extra=fields(
-                        op=op,
-                        cls=event.class_index,
-                        key=event.object_key,
-                        part=event.part,
-                        kb=event.size_kb,
-                        wait_us=event.time_left_us,
-                        repeat=int(event.is_repeat),
-                    ),
-                )
-            case AttemptEnded(request_id=op):
-                log.debug(
-                    "ended",
-                    extra=fields(
-                        op=op,
-                        leg=event.attempt,
-                        store=self._store(event.endpoint),
-                        took_us=event.latency_us,
-                        outcome=Outcome(event.outcome).name.lower(),
-                        note=_note(event.cache_status),
-                        lag_us=event.fill_wait_us,
-                        over=int(event.request_closed),
-                        load=",".join(f"{value:.2f}" for value in event.load),
-                    ),
-                )
-            case ClientDisconnected(request_id=op):
-                log.debug("left", extra=fields(op=op))
+            case RequestReceived():
+                self._log_request(event)
+            case AttemptEnded():
+                self._log_attempt(event)
+            case ClientDisconnected(request_id=number):
+                log.debug("client disconnected", extra=fields(request_number=number))
             case PurgeReceived():
-                log.debug(
-                    "purged", extra=fields(key=event.object_key, group=event.group, age_us=event.age_us)
-                )
+                pairs = fields(object=event.object_key, group=event.group, age_us=event.age_us)
+                log.debug("object purged", extra=pairs)
             case EndpointListReceived():
-                for entry in event.endpoints:
-                    log.debug(
-                        "listed",
-                        extra=fields(
-                            store=self._store(entry.number),
-                            zone=entry.zone,
-                            kind=entry.kind,
-                            size=entry.weight,
-                            phase=EndpointState(entry.state).name.lower(),
-                            up_since_us=entry.started_us,
-                        ),
-                    )
-
-    def _said(self, action: Action) -> None:
+                for endpoint in event.endpoints:
+                    self._log_endpoint(endpoint)
+
+    def _log_request(self, event: RequestReceived) -> None:
+        log.debug(
+            "request received",
+            extra=fields(
+                request_number=event.request_id,
+                class_number=event.class_index,
+                object=event.object_key,
+                part=event.part,
+                size_kb=event.size_kb,
+                time_left_us=event.time_left_us,
+                is_repeat=int(event.is_repeat),
+            ),
+        )
+
+    def _log_attempt(self, event: AttemptEnded) -> None:
+        log.debug(
+            "attempt ended",
+            extra=fields(
+                request_number=event.request_id,
+                attempt=event.attempt,
+                endpoint=self._endpoint_name(event.endpoint),
+                duration_us=event.latency_us,
+                outcome=Outcome(event.outcome).name.lower(),
+                cache_status=_cache_status_name(event.cache_status),
+                fill_wait_us=event.fill_wait_us,
+                request_closed=int(event.request_closed),
+                load=",".join(f"{value:.2f}" for value in event.load),
+            ),
+        )
+
+    def _log_endpoint(self, endpoint: Endpoint) -> None:
+        log.debug(
+            "endpoint listed",
+            extra=fields(
+                endpoint=self._endpoint_name(endpoint.number),
+                zone=endpoint.zone,
+                kind=endpoint.kind,
+                weight=endpoint.weight,
+                state=EndpointState(endpoint.state).name.lower(),
+                started_us=endpoint.started_us,
+            ),
+        )
+
+    def _log_action(self, action: Action) -> None:
         match action:
-            case SendPlainRequest(request_id=op):
-                log.debug("sent", extra=fields(op=op, store=self._store(action.endpoint), source="-"))
-            case SendCacheRequest(request_id=op):
+            case SendPlainRequest(request_id=number):
+                endpoint = self._endpoint_name(action.endpoint)
+                pairs = fields(request_number=number, endpoint=endpoint, source=UNKNOWN)
+                log.debug("attempt started", extra=pairs)
+            case SendCacheRequest(request_id=number):
                 log.debug(
-                    "sent",
+                    "attempt started",
                     extra=fields(
-                        op=op,
-                        store=self._store(action.endpoint),
-                        source=self._store(action.source),
-                        age_us=action.max_age_us,
-                        mode=action.flags,
+                        request_number=number,
+                        endpoint=self._endpoint_name(action.endpoint),
+                        source=self._endpoint_name(action.source),
+                        max_age_us=action.max_age_us,
+                        flags=action.flags,
                     ),
                 )
-            case RejectRequest(request_id=op):
-                log.debug("refused", extra=fields(op=op, after_us=action.retry_after_us))
-            case FailRequest(request_id=op):
-                log.debug("failed", extra=fields(op=op))
+            case RejectRequest(request_id=number):
+                pairs = fields(request_number=number, retry_after_us=action.retry_after_us)
+                log.debug("request rejected", extra=pairs)
+            case FailRequest(request_id=number):
+                log.debug("request failed", extra=fields(request_number=number))
             case StartHealthCheck():
-                log.debug("probed", extra=fields(store=self._store(action.endpoint)))
+                endpoint = self._endpoint_name(action.endpoint)
+                log.debug("health check started", extra=fields(endpoint=endpoint))
 
 
-def _note(number: int) -> str:
+def _cache_status_name(number: int) -> str:
     known = number in CacheStatus._value2member_map_
     return CacheStatus(number).name.lower() if known else str(number)
--- a/magpieshift/lab/experiments/fleet.py
+++ b/magpieshift/lab/experiments/fleet.py
@@ -5,21 +5,26 @@
 
 from __future__ import annotations
 
+import re
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 from pathlib import Path
 
-KINDS: dict[str, tuple[str, ...]] = {  # the events that count, and what each must tell
-    "asked": (),
-    "refused": (),
-    "failed": (),
-    "left": (),
-    "sent": ("store", "source"),
-    "ended": ("outcome", "note"),
+KINDS: dict[str, tuple[str, ...]] = {  # the events that count (``engine.trace``), and what each must tell
+    "request received": (),
+    "request rejected": (),
+    "request failed": (),
+    "client disconnected": (),
+    "attempt started": ("endpoint", "source"),
+    "attempt ended": ("outcome", "cache_status"),
     "connecting": (),
-    "listed": (),
+    "endpoint listed": (),
 }
+FINAL = {"request rejected": "refused", "request failed": "failed", "client disconnected": "left"}
+"""Events that end a request, with the names of their counts."""
+PAIR = re.compile(r'(\w+)=(?:"((?:[^"\\]|\\.)*)"|(\S*))')
+"""One ``key=value`` of a log line, its value quoted if it is more than a word (``magpieshift.log``)."""
 
 
 @dataclass(slots=True)
@@ -43,7 +48,7 @@
 def _read(path: Path) -> Iterator[Line]:
     with path.open(encoding="utf-8", errors="replace") as file:
         for text in file:
-            pairs = dict(word.split("=", 1) for word in text.split() if "=" in word)
+            pairs = {name: quoted or bare for name, quoted, bare in PAIR.findall(text)}
             needed = KINDS.get(pairs.get("event", ""))
             if needed is None or not pairs.keys() >= {"time", *needed}:
                 continue
@@ -111,16 +116,16 @@
         at = int(line.at_s - start)
         pairs = line.pairs
         second = counts.seconds[at]
-        key = (line.router, pairs.get("op", ""))
+        key = (line.router, pairs.get("request_number", ""))
         if line.event == "connecting":
             second["connections"] += 1
-        elif line.event == "asked":
+        elif line.event == "request received":
             requests[key] = _Request(line.at_s)
             second["asked"] += 1
         elif key not in requests:
             continue
-        elif line.event == "sent":
-            store = pairs["store"]
+        elif line.event == "attempt started":
+            store = pairs["endpoint"]
             source = pairs["source"]
             filled = source not in ("-", store)
             requests[key].out = store, source if filled else "-"
@@ -128,10 +133,10 @@
             counts.stores[store][at]["asked"] += 1
             if filled:
                 counts.stores[source][at]["fills"] += 1
-        elif line.event == "ended":
+        elif line.event == "attempt ended":
             request = requests[key]
             ok = pairs["outcome"] == "ok"
-            request.last = f"{pairs['outcome']}/{pairs['note']}"
+            request.last = f"{pairs['outcome']}/{pairs['cache_status']}"
             second[request.last] += 1
             for store in request.out:
                 if store != "-":
@@ -143,8 +148,8 @@
                         counts.gone_after_s[store] = max(counts.gone_after_s.get(store, 0.0), silent)
         else:
             request = requests.pop(key)
-            second[line.event] += 1
-            if line.event == "refused":
+            second[FINAL[line.event]] += 1
+            if line.event == "request rejected":
                 held = "at once" if line.at_s - request.asked_s < 0.01 else "after waiting"
                 counts.refusals[f"{request.last} {held}"] += 1
     counts.routers = len(routers)
--- /dev/null
+++ b/tests/downstream/test_lame_duck.py
@@ -0,0 +1,65 @@
+"""Clients' connections of a router that drains as a lame duck."""
+
+import unittest
+from unittest import mock
+
+from magpieshift.downstream.frames import FrameType, ResponseCode, frame_head, response_head
+from magpieshift.engine.model import Response, Verdict
+from magpieshift.lifecycle import (
+    CUT_INCOMPLETE_US,
+    SERVE_WHILE_DRAINING_US,
+    Lifecycle,
+)
+from tests.downstream import server_case
+
+
+class LameDuck(server_case.ServerCase):
+    async def asyncSetUp(self) -> None:
+        await super().asyncSetUp()
+        self.now = 0
+        self.server.clock = mock.Mock(now_us=lambda: self.now)
+        self.server.lifecycle = self.life = Lifecycle(lambda: self.now)
+        self.server.max_connections = 8
+        self.life.start_completed()
+
+    async def test_who_is_told_and_has_nothing_open_is_let_go_and_who_asks_on_is_refused(self) -> None:
+        idle, busy, asker, half = [await self.join() for _ in range(4)]
+        await self.ask(idle, 1)
+        self.engine.submit.call_args.args[1](self.refusal())
+        idle.written[-1][1].set_result(None)
+        reply = await self.ask(busy, 1)
+        half.input.put_nowait(server_case.request(1)[:20])
+        self.life.lame_duck()
+        self.server.send_go_away()
+        for client in (idle, busy, asker, half):
+            for _, done in client.written:
+                if not done.done():
+                    done.set_result(None)
+        await self.settle()
+        self.now = SERVE_WHILE_DRAINING_US
+        asker.input.put_nowait(frame_head(FrameType.READINESS_REQUEST, 1, b"\0"))
+        await self.settle()
+        asker.written[-1][1].set_result(None)
+        await self.settle()
+        self.server.close_expired()
+        self.assertEqual([c.closed() for c in (idle, busy, asker, half)], [True, False, False, False])
+        self.engine.draining_response.return_value = self.refusal()
+        before = self.engine.submit.call_count
+        busy.input.put_nowait(server_case.request(2))
+        await self.settle()
+        self.assertEqual(self.engine.submit.call_count, before)
+        self.assertEqual(busy.written[-1][0], response_head(2, ResponseCode.REJECTED, {"w": "70"}))
+        busy.written[-1][1].set_result(None)
+        reply(self.refusal())
+        busy.written[-1][1].set_result(None)
+        self.now = CUT_INCOMPLETE_US
+        await self.settle()
+        self.server.close_expired()
+        self.assertEqual([c.closed() for c in (busy, half)], [True, True])
+
+    def refusal(self) -> Response:
+        return Response(Verdict.REJECTED, retry_after_us=70_000)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- /dev/null
+++ b/tests/engine/engine_case.py
@@ -0,0 +1,125 @@
+"""An engine whose clock and upstream are the test's own, without sockets."""
+
+import unittest
+from collections.abc import Callable
+from dataclasses import replace
+from typing import Any
+from unittest import mock
+
+from magpieshift.config import parse
+from magpieshift.engine.engine import Engine
+from magpieshift.engine.model import (
+    AttemptResult,
+    ClientRequest,
+    ListedEndpoint,
+    Response,
+    UpstreamRequest,
+    endpoint_number,
+)
+from magpieshift.policy.actions import Action
+from magpieshift.policy.events import (
+    AttemptEnded,
+    Endpoint,
+    EndpointListKind,
+    EndpointState,
+    Event,
+)
+from magpieshift.policy.outcomes import Outcome
+from tests.real.exchange import config
+
+SECOND = 1_000_000
+CALL = ClientRequest(
+    "00000000000000a1", 0, "picture", "7f3a9c21e0b4d655", 3, 17, 9.5, 4 * SECOND, False, "", "", b""
+)
+WRITE = replace(CALL, class_index=1, class_name="basket", idempotency_key="5c0f", body=b"eggs")
+
+
+class FakeClock:
+    """Time that passes only when told to."""
+
+    def __init__(self) -> None:
+        self.now = 1_764_576_000 * SECOND
+        self.timers: list[tuple[int, int, Callable[[], None]]] = []
+
+    def now_us(self) -> int:
+        return self.now
+
+    def after(self, delay_us: int, call: Callable[[], None]) -> Any:
+        timer = (self.now + max(delay_us, 0), len(self.timers), call)
+        self.timers.append(timer)
+        return mock.Mock(cancel=lambda: self.timers.remove(timer) if timer in self.timers else None)
+
+    def soon(self, call: Callable[[], None]) -> None:
+        self.after(0, call)
+
+    def run(self, for_us: int = 0) -> None:
+        end = self.now + for_us
+        while (due := min((t for t in self.timers if t[0] <= end), default=None)) is not None:
+            self.timers.remove(due)
+            self.now = max(self.now, due[0])
+            due[2]()
+        self.now = end
+
+
+class FakeUpstream:
+    """Keeps the orders; the test says how they end."""
+
+    def __init__(self) -> None:
+        self.orders: list[tuple[UpstreamRequest, Callable[[AttemptResult], None]]] = []
+        self.quit: list[UpstreamRequest] = []
+        self.reached = True
+
+    def start(self, order: UpstreamRequest, done: Callable[[AttemptResult], None]) -> Any:
+        self.orders.append((order, done))
+        return mock.Mock(cancel=lambda: self.quit.append(order) or self.reached)  # type: ignore[func-returns-value]
+
+    def probe(self, member: ListedEndpoint, done: Callable[[AttemptResult], None]) -> None:
+        done(AttemptResult(Outcome.OK))
+
+    def close_idle(self, member: ListedEndpoint) -> None: ...
+
+
+class EngineCase(unittest.TestCase):
+    def setUp(self) -> None:
+        ports = {"cache": "127.0.0.1:1", "origin": "127.0.0.1:2", "log": "127.0.0.1:3"}
+        self.clock, self.back, self.answers = FakeClock(), FakeUpstream(), list[Response]()
+        self.engine = Engine(
+            parse(config(ports)).document.settings, 7, self.clock, self.back, max_body_bytes=100
+        )
+        self.members = [self.member("s-cache", 0, 1, 1), self.member("s-origin", 2, 0, 2)]
+        self.engine.list_changed(EndpointListKind.CACHED, 1, self.members)
+        self.clock.run()
+        self.events: list[Event] = []
+        self.module = self.engine.policy_calls.policy.handle
+        self.engine.policy_calls.policy.handle = self.spy  # type: ignore[method-assign, assignment]
+        self.force: list[Action] | Exception | None = None
+
+    def member(
+        self, ident: str, kind: int, zone: int, port: int, phase: EndpointState = EndpointState.READY
+    ) -> ListedEndpoint:
+        entry = Endpoint(endpoint_number(ident), zone, kind, port, phase, 4.0, 0)
+        return ListedEndpoint(ident, ("127.0.0.1", port), entry)
+
+    def spy(self, now_us: int, events: list[Event]) -> list[Action]:
+        """The module, unless the test decides in its place."""
+        self.events += events
+        force = self.force
+        self.force = None if force else force  # silence lasts, a word is said once
+        if isinstance(force, Exception):
+            raise force
+        actions = self.module(now_us, events)
+        return actions if force is None else force
+
+    def ask(self, call: ClientRequest = CALL) -> int:
+        """A request lands, under an id of its own."""
+        call = replace(call, request_id=f"{self.engine.requests_taken + 1:016x}")
+        op = self.engine.submit(call, self.answers.append)
+        self.clock.run()
+        return op
+
+    def end(self, result: AttemptResult) -> None:
+        self.back.orders[-1][1](result)
+        self.clock.run()
+
+    def ended(self) -> list[tuple[int, Outcome, bool]]:
+        return [(e.attempt, e.outcome, e.request_closed) for e in self.events if isinstance(e, AttemptEnded)]
--- a/tests/control/test_transaction.py
+++ b/tests/engine/test_reconfiguration.py
@@ -1,136 +1,26 @@
-"""All or none, whatever parts do in prepare; and what a running engine makes of a new document."""
+"""What a running engine makes of a new document, with requests open."""
 
-import asyncio
-import itertools
 import unittest
-from collections.abc import Awaitable
 from dataclasses import replace
 from typing import Any
-from unittest import mock
-
-from hypothesis import given, settings
-from hypothesis import strategies as st
 
 from magpieshift import Document, parse
-from magpieshift.config_transaction import Commit, PreparationError, SettingsRejectedError, prepare
-from magpieshift.engine.class_numbers import initial_class_numbers, renumber_classes
+from magpieshift.config_transaction import SettingsRejectedError
+from magpieshift.engine.class_numbers import initial_class_numbers
 from magpieshift.engine.model import AttemptResult, Verdict
-from magpieshift.engine.name_numbers import align_numbers, renumber
+from magpieshift.engine.name_numbers import align_numbers
 from magpieshift.expected_settings import expected_settings
 from magpieshift.policy.events import EndpointListKind, EndpointState
 from magpieshift.policy.outcomes import Outcome
 from magpieshift.policy.settings import Idempotency
+from tests.engine.engine_case import CALL, SECOND, WRITE, EngineCase
 from tests.real.exchange import config
-from tests.real.test_engine import CALL, SECOND, WRITE, EngineCase
 
 PORTS = {"cache": "127.0.0.1:1", "origin": "127.0.0.1:2", "log": "127.0.0.1:3"}
 DOCUMENT = parse(config(PORTS)).document
 
 
-class FakePart:
-    def __init__(self, part: str, how: str) -> None:
-        self.part, self.how, self.runs_on = part, how, "old"
-
-    def prepare(self, old: Document, new: Document) -> Commit | Awaitable[Commit]:
-        if self.how == "turned down":
-            raise SettingsRejectedError("no")
-        if self.how == "raises":
-            raise ZeroDivisionError
-        if self.how == "never":
-            return asyncio.get_running_loop().create_future()
-        return self._later() if self.how == "later" else self._commit
-
-    async def _later(self) -> Commit:
-        await asyncio.sleep(0)
-        return self._commit
-
-    def _commit(self) -> None:
-        if self.how == "breaks its word":
-            raise ZeroDivisionError
-        self.runs_on = "new"
-
-    def running(self) -> dict[str, object]:
-        return {}
-
-
-class Transactions(unittest.IsolatedAsyncioTestCase):
-    async def test_every_way_in_which_three_parts_can_answer(self) -> None:
-        kinds = {"turned down": "part", "raises": "raised", "never": "late"}
-        for hows in itertools.product(["at once", "later", *kinds], repeat=3):
-            parts = [FakePart(f"p{i}", how) for i, how in enumerate(hows)]
-            first = next((how for how in hows if how in kinds), None)
-            with self.subTest(hows), mock.patch("magpieshift.config_transaction.log"):
-                if first is None:
-                    prepared = await prepare(parts, DOCUMENT, DOCUMENT)
-                    self.assertEqual({part.runs_on for part in parts}, {"old"})
-                    prepared.commit()
-                    self.assertEqual({part.runs_on for part in parts}, {"new"})
-                    continue
-                within_s = 0.001 if first == "never" else 60.0  # a busy machine is no part that is late
-                with self.assertRaises(PreparationError) as caught:
-                    await prepare(parts, DOCUMENT, DOCUMENT, within_s=within_s)
-                self.assertEqual(caught.exception.kind, kinds[first])
-                self.assertEqual({part.runs_on for part in parts}, {"old"})
-
-    async def test_a_part_that_breaks_its_word_does_not_hold_up_the_others(self) -> None:
-        parts = [FakePart("a", "at once"), FakePart("b", "breaks its word"), FakePart("c", "at once")]
-        with self.assertLogs("magpieshift.config_transaction", "ERROR"):
-            (await prepare(parts, DOCUMENT, DOCUMENT)).commit()
-        self.assertEqual([part.runs_on for part in parts], ["new", "old", "new"])
-
-
-class ClassNumbers(unittest.TestCase):
-    @given(
-        st.lists(st.tuples(st.sets(st.sampled_from("abcdef"), min_size=1), st.integers(0, 63)), max_size=12)
-    )
-    @settings(deadline=None)
-    def test_no_number_ever_serves_two_classes_while_requests_are_open(
-        self, steps: list[tuple[set[str], int]]
-    ) -> None:
-        """Requests open under any class at any step, some of which end (the bits of the second figure)."""
-        figures = dict(
-            zip(
-                "abcdef",
-                [replace(DOCUMENT.settings.classes[0], priority_weight=w) for w in range(6)],
-                strict=True,
-            )
-        )
-        now = initial_class_numbers(["a"], [figures["a"]])
-        open_: dict[int, str] = {0: "a"}
-        for names, ends in steps:
-            open_ = {number: name for number, name in open_.items() if not ends >> number & 1}
-            order = sorted(names)
-            now = renumber_classes(now, order, [figures[name] for name in order], open_.keys())
-            for number, name in open_.items():
-                self.assertEqual(now.classes[number], figures[name])
-            self.assertEqual(set(now.by_name), names)
-            self.assertEqual(len(set(now.by_name.values())), len(names))
-            self.assertLessEqual(len(now.classes), 6 + len(open_))
-            for name, number in now.by_name.items():
-                self.assertEqual(now.classes[number], figures[name])
-                self.assertIn(open_.get(number, name), (name,))
-                open_[number] = name
-
-
-class Numbers(unittest.TestCase):
-    @given(st.lists(st.lists(st.sampled_from("abcdef"), unique=True, min_size=1), min_size=1, max_size=10))
-    @settings(deadline=None)
-    def test_a_name_keeps_its_number_and_a_number_is_empty_for_one_change(
-        self, steps: list[list[str]]
-    ) -> None:
-        old = tuple(steps[0])
-        for names in steps[1:]:
-            new = renumber(old, names)
-            self.assertEqual({name for name in new if name}, set(names))
-            self.assertEqual(len([name for name in new if name]), len(names))
-            for number, name in enumerate(old):
-                if name and number < len(new):
-                    self.assertIn(new[number], (name, "") if name not in names else (name,))
-            self.assertLessEqual(len(new), 6 + 6)
-            old = new
-
-
-class Running(EngineCase):
+class ReconfigurationTest(EngineCase):
     """A new document on a running engine, with requests open."""
 
     def setUp(self) -> None:
--- a/tests/real/test_fleet_logs.py
+++ b/tests/engine/test_trace.py
@@ -77,6 +77,8 @@
         self.assertEqual(sum(counts.refusals.values()), 3)
 
     def test_logs_without_a_trace_are_named(self) -> None:
-        (self.folder / "n0.log").write_text("time=1.0 level=info event=ready\ntime=x event=asked op=1\n")
+        (self.folder / "n0.log").write_text(
+            'time=1.0 level=info event=ready\ntime=x event="request received" request_number=1\n'
+        )
         with self.assertRaisesRegex(ValueError, "found no traced lines"):
             fleet.read(self.folder)
--- a/tests/membership/test_joined.py
+++ b/tests/membership/test_joined.py
@@ -18,7 +18,7 @@
 from magpieshift.control.schema import load_data, to_data
 from magpieshift.control.sexp import Unusable
 from magpieshift.lab.emulators.world import World
-from tests.real.test_engine import CALL, EngineCase
+from tests.engine.engine_case import CALL, EngineCase
 
 MEMBERS = {
     "fleet": "f",
--- a/tests/real/test_change_source.py
+++ b/tests/test_change_source.py
@@ -13,7 +13,7 @@
 from magpieshift.policy.events import EndpointListKind, EndpointState
 from magpieshift.process_lock import ProcessLock
 from tests.real.exchange import Within, free_port
-from tests.real.test_endings import ASK, CACHE_DATA, READY, READY_ASKED, SERVED
+from tests.test_shutdown import ASK, CACHE_DATA, READY, READY_ASKED, SERVED
 
 KEY = "7f3a9c21e0b4d655"
 BOUNDED = r'cache< "ASK 0000000000000001 class=picture," /[^\r]*/ ",fresh=" /[1-9]\d*/ " 0\r\n\r\n"'
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,10 +1,11 @@
 """The platform's configuration: what is read, and what is rejected."""
 
+import json
 import unittest
 from typing import Any
 
 from magpieshift import ConfigError, parse
-from tests.real.exchange import config
+from tests.real.exchange import changed, config
 
 PORTS = {"cache": "127.0.0.1:1", "origin": "127.0.0.1:2", "log": "127.0.0.1:3"}
 
@@ -32,5 +33,34 @@
             self.assertNotIn("\n", str(caught.exception))
 
 
+class NewSettings(unittest.TestCase):
+    def test_nothing_is_taken_from_a_broken_file(self) -> None:
+        """A deadline below zero was taken, with all its file's classes, and every request failed."""
+        figures: tuple[Any, ...] = (0, -5, "500", True, float("nan"), float("inf"), None, [])
+        for path in ("Classes.0.GiveUpUs", "Classes.1.AimUs", "Caps.MaxAttempts", "Caps.ConnectTimeoutUs"):
+            for value in figures:
+                with self.subTest(path, value=value), self.assertRaisesRegex(ConfigError, path) as caught:
+                    parse(changed(config(PORTS), {path: json.dumps(value)}))
+                self.assertNotIn("\n", str(caught.exception))
+        for path, value in (
+            ("Classes.1.Name", "picture"),
+            ("Classes.1.Name", "a,b"),
+            ("Classes", []),
+            ("Caps.MaxAttempts", 1.5),
+            ("Contract.FallMultiple", float("nan")),
+            ("Contract.ColdUs", float("inf")),
+        ):
+            with self.subTest(path, value=value), self.assertRaises(ConfigError):
+                parse(changed(config(PORTS), {path: json.dumps(value)}))
+
+    def test_the_console_is_read_from_the_file_and_the_variable_wins(self) -> None:
+        self.assertIsNone(parse(config(PORTS)).document.admin_address)
+        data = config(PORTS) | {"console": "127.0.0.1:7"}
+        self.assertEqual(parse(data).document.admin_address, ("127.0.0.1", 7))
+        self.assertEqual(parse(data, console="127.0.0.1:8").document.admin_address, ("127.0.0.1", 8))
+        with self.assertRaisesRegex(ConfigError, "console is not host:port: 'here'"):
+            parse(data, console="here")
+
+
 if __name__ == "__main__":
     unittest.main()
--- /dev/null
+++ b/tests/test_config_transaction.py
@@ -0,0 +1,70 @@
+"""A new document for all parts or for none, whatever parts do in prepare."""
+
+import asyncio
+import itertools
+import unittest
+from collections.abc import Awaitable
+from unittest import mock
+
+from magpieshift import Document, parse
+from magpieshift.config_transaction import Commit, PreparationError, SettingsRejectedError, prepare
+from tests.real.exchange import config
+
+PORTS = {"cache": "127.0.0.1:1", "origin": "127.0.0.1:2", "log": "127.0.0.1:3"}
+DOCUMENT = parse(config(PORTS)).document
+
+
+class FakePart:
+    def __init__(self, part: str, how: str) -> None:
+        self.part, self.how, self.runs_on = part, how, "old"
+
+    def prepare(self, old: Document, new: Document) -> Commit | Awaitable[Commit]:
+        if self.how == "turned down":
+            raise SettingsRejectedError("no")
+        if self.how == "raises":
+            raise ZeroDivisionError
+        if self.how == "never":
+            return asyncio.get_running_loop().create_future()
+        return self._later() if self.how == "later" else self._commit
+
+    async def _later(self) -> Commit:
+        await asyncio.sleep(0)
+        return self._commit
+
+    def _commit(self) -> None:
+        if self.how == "breaks its word":
+            raise ZeroDivisionError
+        self.runs_on = "new"
+
+    def running(self) -> dict[str, object]:
+        return {}
+
+
+class Transactions(unittest.IsolatedAsyncioTestCase):
+    async def test_every_way_in_which_three_parts_can_answer(self) -> None:
+        kinds = {"turned down": "part", "raises": "raised", "never": "late"}
+        for hows in itertools.product(["at once", "later", *kinds], repeat=3):
+            parts = [FakePart(f"p{i}", how) for i, how in enumerate(hows)]
+            first = next((how for how in hows if how in kinds), None)
+            with self.subTest(hows), mock.patch("magpieshift.config_transaction.log"):
+                if first is None:
+                    prepared = await prepare(parts, DOCUMENT, DOCUMENT)
+                    self.assertEqual({part.runs_on for part in parts}, {"old"})
+                    prepared.commit()
+                    self.assertEqual({part.runs_on for part in parts}, {"new"})
+                    continue
+                within_s = 0.001 if first == "never" else 60.0  # a busy machine is no part that is late
+                with self.assertRaises(PreparationError) as caught:
+                    await prepare(parts, DOCUMENT, DOCUMENT, within_s=within_s)
+                self.assertEqual(caught.exception.kind, kinds[first])
+                self.assertEqual({part.runs_on for part in parts}, {"old"})
+
+    async def test_a_part_that_breaks_its_word_does_not_hold_up_the_others(self) -> None:
+        parts = [FakePart("a", "at once"), FakePart("b", "breaks its word"), FakePart("c", "at once")]
+        with self.assertLogs("magpieshift.config_transaction", "ERROR"):
+            (await prepare(parts, DOCUMENT, DOCUMENT)).commit()
+        self.assertEqual([part.runs_on for part in parts], ["new", "old", "new"])
+
+
+if __name__ == "__main__":
+    unittest.main()
--- /dev/null
+++ b/tests/test_resource_limits.py
@@ -0,0 +1,41 @@
+"""How the limits are shared between two processes of one router."""
+
+import tempfile
+import unittest
+from unittest import mock
+
+from magpieshift import parse
+from magpieshift.app import EdgeRouter
+from magpieshift.config import Limits
+from magpieshift.limits import ResourceBudget
+from magpieshift.process_lock import ProcessLock
+from tests.real.exchange import config
+from tests.test_config import PORTS
+
+
+class ResourceLimitsTest(unittest.TestCase):
+    def test_two_processes_stay_within_the_limits_of_one(self) -> None:
+        for sockets, memory in ((192, 32.0), (256, 64.0), (1024, 192.0)):
+            limits = Limits(memory, sockets)
+            alone, shared = ResourceBudget.of(limits), ResourceBudget.of(limits, True)
+            self.assertLessEqual(2 * shared.upstream_connections + alone.client_connections, sockets)
+            self.assertLessEqual(2 * 3 * shared.bytes_per_purpose, memory * (1 << 20) / 2)
+            self.assertEqual(alone.bytes_per_purpose, int(memory * (1 << 20) / 4))
+
+
+class Ended(unittest.IsolatedAsyncioTestCase):
+    async def test_who_has_ended_beside_its_successor_does_not_take_its_whole_part_back(self) -> None:
+        """Membership looks once more after it: both processes then used the whole part, 1.125 of all."""
+        router = EdgeRouter(parse(config(PORTS)))
+        with tempfile.TemporaryDirectory() as folder:
+            router._process_lock = ProcessLock(("127.0.0.1", 1), folder)
+            with mock.patch.object(ProcessLock, "other_is_alive", property(lambda lock: lock._file >= 0)):
+                router.check_other_process()
+                self.assertEqual(router.engine.sibling_processes, 1)
+                router.close()
+                router.check_other_process()
+        self.assertEqual(router.engine.sibling_processes, 1)
+
+
+if __name__ == "__main__":
+    unittest.main()
