--- a/magpieshift/cli/configuration.py
+++ b/magpieshift/cli/configuration.py
@@ -2,26 +2,35 @@
 
 from __future__ import annotations
 
-from typing import Any
+import datetime
+from typing import TYPE_CHECKING, Any
 
 import click
 
-from magpieshift.cli.hinting import JSON, Hinting
-from magpieshift.cli.parameters import Whole
+from magpieshift.cli import output
+from magpieshift.cli.groups import JSON_OPTION, SuggestingGroup
+from magpieshift.cli.parameters import WholeNumber
 from magpieshift.config import ConfigError
 
+if TYPE_CHECKING:
+    from magpieshift.control.version_history import Record
 
-@click.group(cls=Hinting)
+SHOWN_DIGEST_CHARACTERS = 12
+"""Of a digest in tables; enough to tell versions apart."""
+MAX_SHOWN_REASON_CHARACTERS = 100
+"""Of a reason in tables, which must stay readable."""
+
+
+@click.group(cls=SuggestingGroup)
 def config() -> None:
     """Settings files and versions."""
 
 
 @config.command(epilog="\b\nExample:\n  magpieshift config check router.sexp")
 @click.argument("file")
-@JSON
+@JSON_OPTION
 def check(file: str, as_json: bool) -> None:
     """Check a settings file; exit code 1 if it cannot be used."""
-    from magpieshift.cli import show
     from magpieshift.control import schema
     from magpieshift.control.sexp import Unusable
 
@@ -29,13 +38,13 @@
         loaded = schema.load_file(file)
     except Unusable as err:
         if as_json:
-            show.as_json({"file": file, "usable": False, "problems": [vars(p) for p in err.problems]})
+            output.print_json({"file": file, "usable": False, "problems": [vars(p) for p in err.problems]})
         else:
             for problem in err.problems:
                 click.echo(f"{file}: {problem}", err=True)
         raise SystemExit(1) from None
     if as_json:
-        show.as_json({"file": file, "usable": True, "version": loaded.version, "digest": loaded.digest})
+        output.print_json({"file": file, "usable": True, "version": loaded.version, "digest": loaded.digest})
     else:
         document = loaded.document
         click.echo(
@@ -44,45 +53,44 @@
         )
 
 
-STATE = click.option("--state", envvar="EDGE_STATE", default="", help="Folder where a router keeps versions.")
+STATE_OPTION = click.option(
+    "--state", envvar="EDGE_STATE", default="", help="Folder where a router keeps versions."
+)
 
 
-def _data(what: str, state: str) -> dict[str, Any]:
-    """A document's data: a file's, or by its number that of a version kept."""
-    from magpieshift.control import schema
-    from magpieshift.control import store as stores
+def _read_data(name: str, state: str) -> dict[str, Any]:
+    """A document's data: that of a file, or with a state folder that of the version of this number."""
+    from magpieshift.control import schema, store
     from magpieshift.extensions import runner
 
-    if state and what.isdecimal():
-        for kept in reversed(stores.read(state).kept):
-            if kept.record.number == int(what) and kept.text:
-                return dict(schema.load_text(kept.text).data)
-        raise ConfigError(f"{state} has no version {what}")
-    loaded, _ = runner.load_any(what)
+    if state and name.isdecimal():
+        for stored in reversed(store.read(state).kept):
+            if stored.record.number == int(name) and stored.text:
+                return dict(schema.load_text(stored.text).data)
+        raise ConfigError(f"{state} has no version {name}")
+    loaded, _ = runner.load_any(name)
     return dict(loaded.data)
 
 
 @config.command("show", epilog="\b\nExample:\n  magpieshift config show --state state/ 12")
 @click.argument("what", default="")
-@STATE
-@JSON
+@STATE_OPTION
+@JSON_OPTION
 def show_(what: str, state: str, as_json: bool) -> None:
     """Show WHAT as a settings file: a file of either kind, or with --state a version's number; the version in
     force where WHAT is left out."""
-    from magpieshift.cli import show
-    from magpieshift.control import sexp
-    from magpieshift.control import store as stores
+    from magpieshift.control import sexp, store
 
     if not what and not state:
         raise click.UsageError("name a file, or a folder with --state")
     if not what:
-        force = stores.read(state).in_force
-        if force is None:
+        in_force = store.read(state).in_force
+        if in_force is None:
             raise ConfigError(f"{state} has no version in force")
-        what = str(force.record.number)
-    data = _data(what, state)
+        what = str(in_force.record.number)
+    data = _read_data(what, state)
     if as_json:
-        show.as_json({"digest": sexp.digest(data), "settings": data})
+        output.print_json({"digest": sexp.digest(data), "settings": data})
     else:
         click.echo(f"; digest {sexp.digest(data)}\n{sexp.write(data)}", nl=False)
 
@@ -90,94 +98,99 @@
 @config.command(epilog="\b\nExample:\n  magpieshift config diff old.sexp new.sexp")
 @click.argument("a")
 @click.argument("b")
-@STATE
-@JSON
+@STATE_OPTION
+@JSON_OPTION
 def diff(a: str, b: str, state: str, as_json: bool) -> None:
     """What makes B of A, each a file or with --state a version's number; exit code 1 if anything does."""
-    from magpieshift.cli import show
     from magpieshift.control import sexp
 
-    changes = sexp.differences(_data(a, state), _data(b, state))
+    changes = sexp.differences(_read_data(a, state), _read_data(b, state))
     if as_json:
-        show.as_json([{"path": c.path, "gone": c.value is None, "value": c.value} for c in changes])
-    for change in [] if as_json else changes:
-        click.echo(str(change))
+        output.print_json(
+            [{"path": change.path, "gone": change.value is None, "value": change.value} for change in changes]
+        )
+    else:
+        for change in changes:
+            click.echo(str(change))
     raise SystemExit(1 if changes else 0)
 
 
 @config.command(epilog="\b\nExample:\n  magpieshift config history --state state/")
-@STATE
-@JSON
+@STATE_OPTION
+@JSON_OPTION
 def history(state: str, as_json: bool) -> None:
     """The versions that a router has kept: what came into force when, and what was turned down and why."""
-    import datetime
-
-    from magpieshift.cli import show
-    from magpieshift.control import store as stores
+    from magpieshift.control import store
 
     if not state:
         raise click.UsageError("name the folder with --state")
-    contents = stores.read(state)
-    records = [kept.record for kept in stores.history(contents)]
+    contents = store.read(state)
+    records = [stored.record for stored in store.history(contents)]
     if as_json:
-        show.as_json(
-            {
-                "damaged": contents.damaged,
-                "torn_bytes": contents.torn,
-                "versions": [
-                    {
-                        "number": r.number,
-                        "state": r.state.value,
-                        "at_us": r.at_us,
-                        "digest": r.digest,
-                        "source": r.source,
-                        "reason": r.reason.name.lower(),
-                        "detail": r.detail,
-                        "skipped": r.skipped,
-                    }
-                    for r in records
-                ],
-            }
-        )
+        versions = [_record_figures(record) for record in records]
+        output.print_json({"damaged": contents.damaged, "torn_bytes": contents.torn, "versions": versions})
         return
-    rows = []
-    for r in records:
-        at = datetime.datetime.fromtimestamp(r.at_us / 1e6, datetime.UTC).strftime("%Y-%m-%d %H:%M:%S")
-        why = f"{r.reason.name.lower()}: {r.detail}" if r.detail else ""
-        rows.append((r.number, r.state.value, at, r.source, r.digest[:12], why[:100]))
-    show.table(("version", "state", "since (UTC)", "from", "digest", "why"), rows)
+    head = ("version", "state", "since (UTC)", "from", "digest", "why")
+    output.print_table(head, [_record_row(record) for record in records])
     if contents.damaged or contents.torn:
         click.echo(f"{contents.damaged} damaged stretches, {contents.torn} bytes torn off", err=True)
 
 
+def _record_figures(record: Record) -> dict[str, object]:
+    """A version's record for machines."""
+    return {
+        "number": record.number,
+        "state": record.state.value,
+        "at_us": record.at_us,
+        "digest": record.digest,
+        "source": record.source,
+        "reason": record.reason.name.lower(),
+        "detail": record.detail,
+        "skipped": record.skipped,
+    }
+
+
+def _record_row(record: Record) -> tuple[object, ...]:
+    """A version's record for people."""
+    since = datetime.datetime.fromtimestamp(record.at_us / 1e6, datetime.UTC).strftime("%Y-%m-%d %H:%M:%S")
+    reason = f"{record.reason.name.lower()}: {record.detail}" if record.detail else ""
+    return (
+        record.number,
+        record.state.value,
+        since,
+        record.source,
+        record.digest[:SHOWN_DIGEST_CHARACTERS],
+        reason[:MAX_SHOWN_REASON_CHARACTERS],
+    )
+
+
 @config.command(epilog="\b\nExample:\n  magpieshift config rollback 12 --versions versions/")
-@click.argument("number", type=Whole(0, 10**18 - 1))
+@click.argument("number", type=WholeNumber(0, 10**18 - 1))
 @click.option("--versions", required=True, help="The control service's folder.")
-@JSON
+@JSON_OPTION
 def rollback(number: int, versions: str, as_json: bool) -> None:
     """Publish the content of version NUMBER again, as a new version above all others."""
     import os
     from pathlib import Path
 
-    from magpieshift.cli import show
     from magpieshift.control import schema, sexp
     from magpieshift.control.publisher import read_folder
 
     if not Path(versions).is_dir():
         raise ConfigError(f"{versions} is no folder")
-    found = {version.number: version for version in read_folder(versions)}
-    if number not in found:
+    published = {version.number: version for version in read_folder(versions)}
+    if number not in published:
         raise ConfigError(f"{versions} has no version {number}")
     try:
-        data = schema.load_text(found[number].text).data
+        data = schema.load_text(published[number].text).data
     except sexp.Unusable as err:
         raise ConfigError(f"{Path(versions) / f'{number}.sexp'}: {err}") from err
-    new = max(found) + 1
-    path = Path(versions) / f"{new}.sexp"
-    part = path.with_suffix(".new")
-    part.write_text(f"; version {number} again\n{sexp.write(data)}", encoding="utf-8")
-    os.rename(part, path)  # the service must not read half of it
+    new_number = max(published) + 1
+    path = Path(versions) / f"{new_number}.sexp"
+    unfinished = path.with_suffix(".new")
+    unfinished.write_text(f"; version {number} again\n{sexp.write(data)}", encoding="utf-8")
+    os.rename(unfinished, path)  # the service must not read half of it
     if as_json:
-        show.as_json({"version": new, "of": number, "digest": found[number].digest})
+        output.print_json({"version": new_number, "of": number, "digest": published[number].digest})
     else:
-        click.echo(f"version {new} has the content of version {number}")
+        click.echo(f"version {new_number} has the content of version {number}")
--- a/magpieshift/cli/service.py
+++ b/magpieshift/cli/control.py
@@ -6,13 +6,13 @@
 
 import click
 
-from magpieshift.cli.hinting import Hinting
-from magpieshift.cli.logs import LOG, setup
+from magpieshift.cli.groups import SuggestingGroup
+from magpieshift.cli.logs import LOG_OPTION, setup
 from magpieshift.cli.parameters import Address
 from magpieshift.config import ConfigError
 
 
-@click.group(cls=Hinting)
+@click.group(cls=SuggestingGroup)
 def control() -> None:
     """The control service."""
 
@@ -22,7 +22,7 @@
 )
 @click.argument("folder")
 @click.option("--listen", default="127.0.0.1:7080", show_default=True, type=Address(any_port=True))
-@LOG
+@LOG_OPTION
 def serve_(folder: str, listen: str, log_form: str) -> None:
     """Serve the versions in FOLDER (files NUMBER.sexp, also ones that come later) to all routers that ask."""
     from pathlib import Path
--- a/magpieshift/cli/errors.py
+++ b/magpieshift/cli/errors.py
@@ -1,71 +1,80 @@
-"""How the command line ends: what went wrong in one line on standard error, and an exit code.
-
-0: done. 1: it failed or was turned down, or a comparison found differences. 2: the call, or a file that it
-names, cannot be used.
-"""
+"""How the command line ends: an exit code, and one line on standard error for what the caller can mend."""
 
 from __future__ import annotations
 
-import importlib
 import sys
 from collections.abc import Callable
+from contextlib import suppress
+from enum import IntEnum
 
 import click
 
 from magpieshift.config import ConfigError
 
 PROGRAM = "magpieshift"
-DONE = 0
-FAILED = 1
-UNUSABLE = 2
-INTERRUPTED = 130
-# errors of optional parts, which are known only where their libraries are there
-OPTIONAL = (
-    ("magpieshift.control.sexp", "Unusable"),
-    ("magpieshift.control.store", "StoreError"),
-    ("magpieshift.capture.segments", "CaptureError"),
-    ("magpieshift.capture.policy", "PolicyError"),
-)
-
-
-def unusable() -> tuple[type[Exception], ...]:
-    """The errors whose text says in one line what cannot be used."""
-    found: list[type[Exception]] = [ConfigError]
-    for module, name in OPTIONAL:
-        try:
-            found.append(getattr(importlib.import_module(module), name))
-        except ImportError:
-            continue
-    return tuple(found)
-
-
-def line_of(err: click.UsageError) -> str:
-    """The command, the parameter where it is one, and what is wrong."""
-    place = err.ctx.command_path if err.ctx is not None else PROGRAM
-    what = err.format_message()
+
+
+class ExitCode(IntEnum):
+    """The exit codes of all commands; some use 1 for differences that they found."""
+
+    OK = 0
+    FAILED = 1
+    """It failed or was rejected, or a comparison found differences."""
+    UNUSABLE_INPUT = 2
+    """The call, or a file that it names, cannot be used."""
+    INTERRUPTED = 130
+
+
+def unusable_input_errors() -> tuple[type[Exception], ...]:
+    """The errors whose text says in one line which input cannot be used. Those of optional parts are known
+    only where their libraries are installed."""
+    errors: list[type[Exception]] = [ConfigError]
+    with suppress(ImportError):
+        from magpieshift.control.sexp import Unusable
+
+        errors.append(Unusable)
+    with suppress(ImportError):
+        from magpieshift.control.store import StoreError
+
+        errors.append(StoreError)
+    with suppress(ImportError):
+        from magpieshift.capture.segments import CaptureError
+
+        errors.append(CaptureError)
+    with suppress(ImportError):
+        from magpieshift.capture.policy import PolicyError
+
+        errors.append(PolicyError)
+    return tuple(errors)
+
+
+def usage_error_line(err: click.UsageError) -> str:
+    """The command, the parameter if it is one, and what is wrong."""
+    command = err.ctx.command_path if err.ctx is not None else PROGRAM
+    message = err.format_message()
     if isinstance(err, click.BadParameter) and not isinstance(err, click.MissingParameter) and err.param:
         name = err.param.opts[0] if isinstance(err.param, click.Option) else err.param.human_readable_name
-        what = f"{name}: {err.message}"
-    return " ".join(f"{place}: {what}".split())
+        message = f"{name}: {err.message}"
+    return " ".join(f"{command}: {message}".split())
 
 
-def guarded(command: Callable[[], object]) -> int:
+def exit_code_of(command: Callable[[], object]) -> int:
     """Run a command; its exit code, after one line for what the caller can mend."""
     try:
         command()
     except click.UsageError as err:
-        print(line_of(err), file=sys.stderr)
-        return UNUSABLE
-    except unusable() as err:
+        print(usage_error_line(err), file=sys.stderr)
+        return ExitCode.UNUSABLE_INPUT
+    except unusable_input_errors() as err:
         print(f"{PROGRAM}: {err}", file=sys.stderr)
-        return UNUSABLE
+        return ExitCode.UNUSABLE_INPUT
     except click.ClickException as err:
         err.show()
-        return FAILED
+        return ExitCode.FAILED
     except click.exceptions.Exit as err:
         return err.exit_code
     except click.Abort:
-        return INTERRUPTED
+        return ExitCode.INTERRUPTED
     except SystemExit as err:
-        return int(err.code or DONE)
-    return DONE
+        return int(err.code or ExitCode.OK)
+    return ExitCode.OK
--- a/magpieshift/cli/capacity.py
+++ b/magpieshift/cli/lab_capacity.py
@@ -4,22 +4,28 @@
 
 import json
 import time
+from collections.abc import Sequence
 from dataclasses import asdict
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 
-from magpieshift.cli.hinting import JSON
-from magpieshift.cli.parameters import SEED, NewFile, OneOf
+from magpieshift.cli import output
+from magpieshift.cli.groups import JSON_OPTION
+from magpieshift.cli.parameters import SEED_TYPE, LazyChoice, WritableFile
 from magpieshift.config import ConfigError
 
-EPILOG = """\b
+if TYPE_CHECKING:
+    from magpieshift.lab.capacity.role import Role
+
+EXAMPLES = """\b
 Examples:
   magpieshift lab capacity --quick
   magpieshift lab capacity --json --role 'router: purges'
   magpieshift lab capacity --json --save docs/capacity/after.json
 """
-SHOWN = (
+PRINTED_COLUMNS = (
     "role",
     "resource",
     "by",
@@ -38,7 +44,8 @@
 
 
 def _role_names() -> list[str]:
-    """Looked up only when a role is named: it takes the laboratory's libraries."""
+    """What can be named as --role; looked up only when one is named, since that takes the laboratory's
+    libraries."""
     from magpieshift.lab.capacity.roles import every_role
 
     names = {role.name for role in every_role()}
@@ -50,12 +57,12 @@
     return name.partition(":")[0]
 
 
-@click.command(epilog=EPILOG)
+@click.command(epilog=EXAMPLES)
 @click.option(
     "--role",
     "names",
     multiple=True,
-    type=OneOf(_role_names),
+    type=LazyChoice(_role_names),
     help="Only this role, or all with this before the colon; may be given again.",
 )
 @click.option("--list", "listing", is_flag=True, help="Name the roles, and measure nothing.")
@@ -65,12 +72,12 @@
     help="A trial, not a result: fewer sizes, once each, without sources and relays.",
 )
 @click.option(
-    "--seed", default=1, show_default=True, type=SEED, help="Of the order of turns and of what is told."
+    "--seed", default=1, show_default=True, type=SEED_TYPE, help="Of the order of turns and of what is told."
 )
 @click.option("--router", "folder", default="", help="Folder of another checkout, whose router is started.")
-@click.option("--save", default="", type=NewFile(), help="File for the result.")
+@click.option("--save", default="", type=WritableFile(), help="File for the result.")
 @click.option("--page", "make_page", is_flag=True, help="Make docs/CAPACITY.md's tables from saved results.")
-@JSON
+@JSON_OPTION
 def capacity(
     names: tuple[str, ...],
     listing: bool,
@@ -82,38 +89,59 @@
     as_json: bool,
 ) -> None:
     """Measure what each role costs by what grows with the fleet, fit it, and hold it against its budget."""
-    from magpieshift.cli import show
     from magpieshift.lab.capacity import measure, page, results
     from magpieshift.lab.capacity.roles import every_role
     from magpieshift.lab.capacity.routers import HERE
 
     if make_page:
-        return click.echo("made anew" if page.rewrite() else "unchanged")
+        click.echo("made anew" if page.rewrite() else "unchanged")
+        return
     if folder and not (Path(folder) / "magpieshift" / "__main__.py").is_file():
         raise ConfigError(f"--router: found {folder!r}, expected the folder of a checkout")
     roles = every_role(folder or HERE)
     if listing:
-        return show.rows([{"role": r.name, "by": r.by, "target": r.target} for r in roles], as_json)
-    chosen = [role for role in roles if not names or {role.name, _group(role.name)} & set(names)]
-    if quick and names and (without := [role.name for role in chosen if not role.quick_sizes]):
-        raise ConfigError(f"--quick: found {without[0]!r}, expected a role that has a trial; leave it out")
-    began = time.monotonic()
+        output.print_rows(
+            [{"role": role.name, "by": role.by, "target": role.target} for role in roles], as_json
+        )
+        return
+    chosen = _choose_roles(roles, names, quick)
+    started_s = time.monotonic()
     turns = measure.take_turns(chosen, seed, quick, measure.on_terminal)
     measure.on_terminal("")
-    rows = [row for place, role in enumerate(chosen) for row in measure.rows(role, turns.samples[place])]
-    command = " ".join(["magpieshift lab capacity --json", *(f"--role {n!r}" for n in names)])
-    command += f" --seed {seed}" + (" --quick" if quick else "") + (" --router FOLDER" if folder else "")
+    rows = [row for index, role in enumerate(chosen) for row in measure.rows(role, turns.samples[index])]
     if save:
-        result = results.Result(
-            results.origin(command, folder or HERE, seed, time.monotonic() - began, turns.failures),
-            tuple(rows),
-        )
-        results.save(result, save)
+        command = _command_line(names, seed, quick, folder)
+        duration_s = time.monotonic() - started_s
+        origin = results.origin(command, folder or HERE, seed, duration_s, turns.failures)
+        results.save(results.Result(origin, tuple(rows)), save)
     if as_json:
         click.echo(json.dumps([asdict(row) for row in rows]))
     else:
-        show.rows([{name: asdict(row)[name] for name in SHOWN} for row in results.ranked(rows)], False)
+        ranked = [asdict(row) for row in results.ranked(rows)]
+        output.print_rows([{name: row[name] for name in PRINTED_COLUMNS} for row in ranked], as_json=False)
     for failure in turns.failures:
         click.echo(f"failed: {failure}", err=True)
     if turns.failures:
         raise SystemExit(1)
+
+
+def _choose_roles(roles: Sequence[Role], names: tuple[str, ...], quick: bool) -> list[Role]:
+    """The roles of these names or groups, all without names; ``ConfigError`` where one has no trial and a
+    trial is wanted."""
+    chosen = [role for role in roles if not names or {role.name, _group(role.name)} & set(names)]
+    without_trial = [role.name for role in chosen if not role.quick_sizes]
+    if quick and names and without_trial:
+        raise ConfigError(
+            f"--quick: found {without_trial[0]!r}, expected a role that has a trial; leave it out"
+        )
+    return chosen
+
+
+def _command_line(names: tuple[str, ...], seed: int, quick: bool, folder: str) -> str:
+    """The call as a saved result tells it; folders differ between machines and are left out."""
+    words = ["magpieshift lab capacity --json", *(f"--role {name!r}" for name in names), f"--seed {seed}"]
+    if quick:
+        words.append("--quick")
+    if folder:
+        words.append("--router FOLDER")
+    return " ".join(words)
--- a/magpieshift/cli/laboratory.py
+++ b/magpieshift/cli/lab_router.py
@@ -6,39 +6,55 @@
 
 import click
 
-from magpieshift.cli.hinting import JSON
+from magpieshift.cli import output
+from magpieshift.cli.groups import JSON_OPTION
 from magpieshift.cli.logs import setup
-from magpieshift.cli.parameters import RATE, SEED, SHARE, Sizes, Whole
+from magpieshift.cli.parameters import (
+    FRACTION_TYPE,
+    REQUEST_RATE_TYPE,
+    SEED_TYPE,
+    WholeNumber,
+    WholeNumberList,
+)
 from magpieshift.config import ConfigError
 
 
 @click.command(epilog="\b\nExample:\n  magpieshift lab versions --count 1000 --invalid 0.2 --seed 7 --json")
-@click.option("--count", default=1000, show_default=True, type=Whole(), help="Versions to send.")
+@click.option("--count", default=1000, show_default=True, type=WholeNumber(), help="Versions to send.")
+@click.option(
+    "--invalid", default=0.2, show_default=True, type=FRACTION_TYPE, help="Share of them that cannot be used."
+)
 @click.option(
-    "--invalid", default=0.2, show_default=True, type=SHARE, help="Share of them that cannot be used."
+    "--kills",
+    default=6,
+    show_default=True,
+    type=WholeNumber(0, 1000),
+    help="Times the router is killed (SIGKILL).",
 )
 @click.option(
-    "--kills", default=6, show_default=True, type=Whole(0, 1000), help="Times the router is killed (SIGKILL)."
+    "--breaks",
+    default=10,
+    show_default=True,
+    type=WholeNumber(0, 1000),
+    help="Times the connection is broken.",
 )
 @click.option(
-    "--breaks", default=10, show_default=True, type=Whole(0, 1000), help="Times the connection is broken."
+    "--rate", default=20.0, show_default=True, type=REQUEST_RATE_TYPE, help="Requests a second meanwhile."
 )
-@click.option("--rate", default=20.0, show_default=True, type=RATE, help="Requests a second meanwhile.")
-@click.option("--seed", default=1, show_default=True, type=SEED)
-@JSON
+@click.option("--seed", default=1, show_default=True, type=SEED_TYPE)
+@JSON_OPTION
 def versions(
     count: int, invalid: float, kills: int, breaks: int, rate: float, seed: int, as_json: bool
 ) -> None:
     """Send a real router numbered versions, break its connection, kill it, and check what it has in force."""
-    from magpieshift.cli import show
     from magpieshift.lab.experiments.versions import Plan, play
 
     setup("pairs", "ERROR")
     report = asyncio.run(play(Plan(count, invalid, kills, breaks, rate, seed), progress=not as_json))
     if as_json:
-        show.as_json(report.figures())
+        output.print_json(report.figures())
     else:
-        show.table(("figure", "value"), list(report.figures().items()))
+        output.print_table(("figure", "value"), list(report.figures().items()))
         for line in report.findings[:20]:
             click.echo(line, err=True)
     raise SystemExit(0 if report.good else 1)
@@ -46,18 +62,17 @@
 
 @click.command("apply", epilog="\b\nExample:\n  magpieshift lab apply --members 1000")
 @click.option(
-    "--members", default=1000, show_default=True, type=Whole(1, 100_000), help="Stores in the list."
+    "--members", default=1000, show_default=True, type=WholeNumber(1, 100_000), help="Stores in the list."
 )
-@click.option("--rounds", default=100, show_default=True, type=Whole(), help="Versions of each kind.")
-@JSON
+@click.option("--rounds", default=100, show_default=True, type=WholeNumber(), help="Versions of each kind.")
+@JSON_OPTION
 def apply_(members: int, rounds: int, as_json: bool) -> None:
     """Measure how long versions take to come into force, and how long the event loop is held."""
-    from magpieshift.cli import show
     from magpieshift.lab.experiments.apply import measure
 
     setup("pairs", "ERROR")
     rows = asyncio.run(measure(members, rounds)).rows()
-    show.rows(rows, as_json)
+    output.print_rows(rows, as_json)
 
 
 @click.command(epilog="\b\nExample:\n  magpieshift lab cost --against ../earlier")
@@ -66,10 +81,10 @@
     "--capture", is_flag=True, help="Measure run with and without recording, in place of the bare program."
 )
 @click.option("--stuck", is_flag=True, help="Likewise, and with a disk that is stuck for 10 s.")
-@click.option("--rounds", default=5, show_default=True, type=Whole())
-@click.option("--requests", default=4000, show_default=True, type=Whole(), help="In each run.")
-@click.option("--rate", default=400.0, show_default=True, type=RATE, help="Requests a second.")
-@JSON
+@click.option("--rounds", default=5, show_default=True, type=WholeNumber())
+@click.option("--requests", default=4000, show_default=True, type=WholeNumber(), help="In each run.")
+@click.option("--rate", default=400.0, show_default=True, type=REQUEST_RATE_TYPE, help="Requests a second.")
+@JSON_OPTION
 def cost(
     against: str, capture: bool, stuck: bool, rounds: int, requests: int, rate: float, as_json: bool
 ) -> None:
@@ -77,16 +92,15 @@
     run."""
     from pathlib import Path
 
-    from magpieshift.cli import show
     from magpieshift.lab.experiments.cost import Variant, compare, recording
 
-    here = str(Path(__file__).parents[2])
+    own_checkout = str(Path(__file__).parents[2])
     if against and not (Path(against) / "magpieshift" / "__main__.py").is_file():
         raise ConfigError(f"--against: found {against!r}, expected a folder with magpieshift/__main__.py")
-    variants = [Variant("this", here), *([Variant("other", against)] if against else [])]
+    variants = [Variant("this", own_checkout), *([Variant("other", against)] if against else [])]
     if capture or stuck:
-        variants = recording(here, stuck)
-    show.rows(asyncio.run(compare(variants, rounds, requests, rate)), as_json)
+        variants = recording(own_checkout, stuck)
+    output.print_rows(asyncio.run(compare(variants, rounds, requests, rate)), as_json)
 
 
 @click.command(epilog="\b\nExample:\n  magpieshift lab decisions --caches 4,12,100")
@@ -94,64 +108,69 @@
     "--caches",
     default="4,12,17,100,1000",
     show_default=True,
-    type=Sizes(1, 100_000),
+    type=WholeNumberList(1, 100_000),
     help="Sizes of the zone.",
 )
-@click.option("--requests", default=3000, show_default=True, type=Whole(), help="In each run.")
-@click.option("--rounds", default=3, show_default=True, type=Whole())
-@JSON
+@click.option("--requests", default=3000, show_default=True, type=WholeNumber(), help="In each run.")
+@click.option("--rounds", default=3, show_default=True, type=WholeNumber())
+@JSON_OPTION
 def decisions(caches: tuple[int, ...], requests: int, rounds: int, as_json: bool) -> None:
     """Measure what the decisions alone cost a request, by the number of caches in the zone."""
-    from magpieshift.cli import show
     from magpieshift.lab.experiments.decisions import measure
 
-    show.rows(measure(caches, requests, rounds), as_json)
+    output.print_rows(measure(caches, requests, rounds), as_json)
 
 
 @click.command(epilog="\b\nExample:\n  magpieshift lab door --calls 500")
-@click.option("--calls", default=500, show_default=True, type=Whole())
-@click.option("--rate", default=300.0, show_default=True, type=RATE, help="Requests a second meanwhile.")
-@JSON
+@click.option("--calls", default=500, show_default=True, type=WholeNumber())
+@click.option(
+    "--rate", default=300.0, show_default=True, type=REQUEST_RATE_TYPE, help="Requests a second meanwhile."
+)
+@JSON_OPTION
 def door(calls: int, rate: float, as_json: bool) -> None:
     """Measure how long the operators' door takes to answer under load, with mute callers crowding it."""
-    from magpieshift.cli import show
     from magpieshift.lab.experiments.admin_client import measure
 
-    show.rows([asyncio.run(measure(calls, rate))], as_json)
+    output.print_rows([asyncio.run(measure(calls, rate))], as_json)
 
 
 @click.command(epilog="\b\nExample:\n  magpieshift lab handover --rounds 40")
-@click.option("--rounds", default=40, show_default=True, type=Whole(), help="Handovers of each way.")
+@click.option("--rounds", default=40, show_default=True, type=WholeNumber(), help="Handovers of each way.")
 @click.option(
-    "--clients", default=16, show_default=True, type=Whole(1, 1000), help="Threads that connect all the time."
+    "--clients",
+    default=16,
+    show_default=True,
+    type=WholeNumber(1, 1000),
+    help="Threads that connect all the time.",
 )
-@JSON
+@JSON_OPTION
 def handover(rounds: int, clients: int, as_json: bool) -> None:
     """Count connections lost while one listener takes an address over, by the way it is done."""
-    from magpieshift.cli import show
     from magpieshift.lab.experiments.handover import OUTCOMES, measure
 
-    found = measure(rounds, clients)
-    show.rows([{"way": way} | {name: n[name] for name in OUTCOMES} for way, n in found.items()], as_json)
+    counts_by_way = measure(rounds, clients)
+    output.print_rows(
+        [{"way": way} | {name: counts[name] for name in OUTCOMES} for way, counts in counts_by_way.items()],
+        as_json,
+    )
 
 
 @click.command(epilog="\b\nExample:\n  magpieshift lab fleet logs/")
 @click.argument("folder")
 @click.option("--stores", is_flag=True, help="A row a store in place of a row a second.")
-@JSON
+@JSON_OPTION
 def fleet(folder: str, stores: bool, as_json: bool) -> None:
     """Count what all routers of a fleet did together, from their logs (one file a router, run with
     EDGE_TRACE=1)."""
     from pathlib import Path
 
-    from magpieshift.cli import show
     from magpieshift.lab.experiments import fleet as fleets
 
     try:
         counts = fleets.count(fleets.read(Path(folder)))
     except ValueError as err:
         raise ConfigError(str(err)) from err
-    show.rows(counts.store_rows() if stores else counts.rows(), as_json)
+    output.print_rows(counts.store_rows() if stores else counts.rows(), as_json)
     if not as_json:
-        for why, number in counts.refusals.most_common(10):
-            click.echo(f"refused after {why}: {number}")
+        for circumstance, number in counts.refusals.most_common(10):
+            click.echo(f"refused after {circumstance}: {number}")
--- a/magpieshift/cli/scale.py
+++ b/magpieshift/cli/lab_scale.py
@@ -12,9 +12,18 @@
 
 import click
 
-from magpieshift.cli.hinting import JSON
+from magpieshift.cli import output
+from magpieshift.cli.groups import JSON_OPTION
 from magpieshift.cli.logs import setup
-from magpieshift.cli.parameters import SEED, NewFile, NewFolder, Number, OneOf, Sizes, Whole
+from magpieshift.cli.parameters import (
+    SEED_TYPE,
+    FiniteNumber,
+    LazyChoice,
+    WholeNumber,
+    WholeNumberList,
+    WritableFile,
+    WritableFolder,
+)
 
 if TYPE_CHECKING:
     from magpieshift.lab.scale.calibration import Calibration
@@ -22,19 +31,22 @@
 
 CALIBRATE = "calibrate"
 TOPOLOGY = "topology"
-LEAST_SECONDS = 2.0
-DAY_S = 86_400.0
+MIN_LOAD_S = 2.0
+"""Shortest load; in less, nothing is measured."""
+MAX_LOAD_S = 86_400.0
+"""Longest load: a day."""
 ROLES = ("log", "control", "node", "network", "worker")
+"""The processes of a run."""
 
 
-def scenarios() -> Iterable[str]:
+def scenario_names() -> Iterable[str]:
     """What can be named as SCENARIO."""
     from magpieshift.lab.scale.scenario import SCENARIOS
 
     return [*SCENARIOS, CALIBRATE, TOPOLOGY]
 
 
-def feeds() -> Iterable[str]:
+def feed_names() -> Iterable[str]:
     """The ways to feed a router."""
     from magpieshift.lab.scale.run import FEEDS
 
@@ -46,43 +58,49 @@
     epilog="\b\nExamples:\n  magpieshift lab scale steady --routers 50 --seed 1 --json\n"
     "  magpieshift lab scale calibrate --runs 3 --save docs/capacity/calibration.json",
 )
-@click.argument("scenario", required=False, type=OneOf(scenarios))
+@click.argument("scenario", required=False, type=LazyChoice(scenario_names))
 @click.option("--list", "listed", is_flag=True, help="The scenarios.")
-@click.option("--routers", type=Whole(), default=20, show_default=True, help="Hollow routers.")
-@click.option("--seed", type=SEED, default=1, show_default=True, help="Of the load and of the topology.")
+@click.option("--routers", type=WholeNumber(), default=20, show_default=True, help="Hollow routers.")
+@click.option("--seed", type=SEED_TYPE, default=1, show_default=True, help="Of the load and of the topology.")
 @click.option(
     "--seconds",
-    type=Number(LEAST_SECONDS, DAY_S),
+    type=FiniteNumber(MIN_LOAD_S, MAX_LOAD_S),
     default=20.0,
     show_default=True,
     help="Length of the load.",
 )
 @click.option(
     "--settle",
-    type=Number(0.0, DAY_S),
+    type=FiniteNumber(0.0, MAX_LOAD_S),
     default=15.0,
     show_default=True,
     help="Seconds after it for all to catch up.",
 )
-@click.option("--feed", type=OneOf(feeds), default="direct", show_default=True, help="How routers are fed.")
-@click.option("--caches", type=Whole(), default=1000, show_default=True, help="Caches in the list.")
+@click.option(
+    "--feed", type=LazyChoice(feed_names), default="direct", show_default=True, help="How routers are fed."
+)
+@click.option("--caches", type=WholeNumber(), default=1000, show_default=True, help="Caches in the list.")
 @click.option("--topology", default="", help="File with the places of routers, in place of --routers.")
 @click.option(
-    "--runs", type=Whole(), default=3, show_default=True, help="Of each size and kind, with calibrate."
+    "--runs", type=WholeNumber(), default=3, show_default=True, help="Of each size and kind, with calibrate."
 )
 @click.option(
-    "--sizes", type=Sizes(), default="1,4,10", show_default=True, help="Numbers of routers, with calibrate."
+    "--sizes",
+    type=WholeNumberList(),
+    default="1,4,10",
+    show_default=True,
+    help="Numbers of routers, with calibrate.",
 )
 @click.option(
     "--drop-every",
-    type=Whole(0),
+    type=WholeNumber(0),
     default=0,
     hidden=True,
     help="Planted fault: routers drop every such purge.",
 )
-@click.option("--logs", type=NewFolder(), default="", help="Folder for the log lines of all processes.")
-@click.option("--save", type=NewFile(), default="", help="File to write the whole result to, as JSON.")
-@JSON
+@click.option("--logs", type=WritableFolder(), default="", help="Folder for the log lines of all processes.")
+@click.option("--save", type=WritableFile(), default="", help="File to write the whole result to, as JSON.")
+@JSON_OPTION
 def lab_scale(
     scenario: str | None,
     listed: bool,
@@ -114,7 +132,7 @@
             click.echo(f"{known.name}: {known.summary}")
         return
     if scenario is None:
-        raise click.UsageError(f"SCENARIO: found nothing, expected one of {', '.join(scenarios())}")
+        raise click.UsageError(f"SCENARIO: found nothing, expected one of {', '.join(scenario_names())}")
     if scenario == TOPOLOGY:
         click.echo(write(generate(routers, seed)), nl=False)
         return
@@ -144,12 +162,13 @@
 
 
 def _play(plan: Plan, save: str, as_json: bool) -> None:
+    """Run a scenario, and show its result; exit code 1 if an invariant broke."""
     from magpieshift.lab.scale.run import Run
     from magpieshift.lab.scale.saved import save_result
 
     progress = Progress()
     result = asyncio.run(Run(plan, progress.show).play())
-    progress.end()
+    progress.clear()
     if save:
         save_result(save, result.as_data(), plan.seed)
     for note in [*result.notes, *(f"broken: {rule}" for rule in result.rules_broken)]:
@@ -157,51 +176,53 @@
     if as_json:
         click.echo(json.dumps(result.as_data()))
     else:
-        _show(result.as_data())
+        _print_figures(result.as_data())
     if result.rules_broken:
         raise SystemExit(1)
 
 
-def _show(figures: dict[str, object]) -> None:
-    from magpieshift.cli import show
-
-    show.table(("figure", "value"), [(name, "unknown" if v is None else v) for name, v in figures.items()])
+def _print_figures(figures: dict[str, object]) -> None:
+    """Figures for people, one a line."""
+    output.print_table(
+        ("figure", "value"), [(name, "unknown" if v is None else v) for name, v in figures.items()]
+    )
 
 
 def _calibrate(plan: Calibration, save: str, as_json: bool) -> None:
+    """Measure hollow routers against real ones, and show the result."""
     from magpieshift.lab.scale.calibration import calibrate
     from magpieshift.lab.scale.saved import save_result
 
     progress = Progress()
-    found = asyncio.run(calibrate(plan, progress.show))
-    progress.end()
+    result = asyncio.run(calibrate(plan, progress.show))
+    progress.clear()
     if save:
-        save_result(save, found, plan.seed)
+        save_result(save, result, plan.seed)
     if as_json:
-        click.echo(json.dumps(found))
+        click.echo(json.dumps(result))
     else:
-        from magpieshift.cli import show
-
-        show.rows(found["rows"], False)
+        output.print_rows(result["rows"], as_json=False)
 
 
 class Progress:
     """One line on a terminal that is written over; nothing elsewhere."""
 
     def __init__(self) -> None:
-        self._shown = sys.stderr.isatty()
+        self._is_shown = sys.stderr.isatty()
 
     def show(self, line: str) -> None:
-        if self._shown:
+        """Write this line over the last one."""
+        if self._is_shown:
             click.echo(f"\r\033[K{line}", err=True, nl=False)
 
-    def end(self) -> None:
-        if self._shown:
+    def clear(self) -> None:
+        """Remove the last line."""
+        if self._is_shown:
             click.echo("\r\033[K", err=True, nl=False)
 
 
 @click.command("scale-process", hidden=True)
-@click.argument("role", type=OneOf(lambda: ROLES))
+@click.argument("role", type=LazyChoice(lambda: ROLES))
 def scale_process(role: str) -> None:
     """A process of ``lab scale``, which speaks on standard input and output."""
     from magpieshift.lab.scale import changelog, controller, network, node, worker
--- a/magpieshift/cli/logs.py
+++ b/magpieshift/cli/logs.py
@@ -1,5 +1,4 @@
-"""Log lines by structlog on the standard ``logging``: the router's own lines, as key=value pairs or as
-JSON."""
+"""Log lines by structlog on the standard ``logging``, as key=value pairs or as JSON."""
 
 from __future__ import annotations
 
@@ -11,8 +10,8 @@
 import structlog
 from structlog.typing import EventDict, WrappedLogger
 
-ORDER = ["time", "level", "logger", "event"]
-LOG = click.option(
+KEY_ORDER = ["time", "level", "logger", "event"]
+LOG_OPTION = click.option(
     "--log",
     "log_form",
     type=click.Choice(["pairs", "json"]),
@@ -22,7 +21,7 @@
 )
 
 
-def _pairs(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
+def _record_pairs(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
     """The pairs that ``magpieshift.log.fields`` put on the record, the time and the logger's name."""
     record: logging.LogRecord = event["_record"]
     pairs: dict[str, Any] = {
@@ -31,28 +30,30 @@
         "logger": record.name,
         "event": event.pop("event"),
     }
-    return pairs | {k: _plain(v) for k, v in getattr(record, "fields", {}).items()} | dict(event)
+    fields = {name: _loggable(value) for name, value in getattr(record, "fields", {}).items()}
+    return pairs | fields | dict(event)
 
 
-def _plain(value: object) -> object:
+def _loggable(value: object) -> object:
+    """The value if a renderer shows it as it is; its text else."""
     return value if isinstance(value, str | int | float | bool) else str(value)
 
 
 def setup(form: str = "pairs", level: str = "INFO") -> None:
     """Send everything to standard error, one line a record; ``form`` is ``pairs`` or ``json``."""
-    render: Any = (
+    renderer: Any = (
         structlog.processors.JSONRenderer()
         if form == "json"
-        else structlog.processors.LogfmtRenderer(key_order=ORDER, drop_missing=True, bool_as_flag=False)
+        else structlog.processors.LogfmtRenderer(key_order=KEY_ORDER, drop_missing=True, bool_as_flag=False)
     )
     formatter = structlog.stdlib.ProcessorFormatter(
         foreign_pre_chain=[structlog.stdlib.ExtraAdder(allow=())],
         processors=[
-            _pairs,
+            _record_pairs,
             structlog.stdlib.ProcessorFormatter.remove_processors_meta,
             structlog.processors.format_exc_info,
             _one_line,
-            render,
+            renderer,
         ],
     )
     handler = logging.StreamHandler(sys.stderr)
@@ -63,6 +64,8 @@
 
 
 def _one_line(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
+    """The event with its line ends escaped: one record must stay one line."""
     return {
-        k: v.replace("\r", "\\r").replace("\n", "\\n") if isinstance(v, str) else v for k, v in event.items()
+        name: value.replace("\r", "\\r").replace("\n", "\\n") if isinstance(value, str) else value
+        for name, value in event.items()
     }
--- a/magpieshift/cli/main.py
+++ b/magpieshift/cli/main.py
@@ -7,11 +7,23 @@
 
 import click
 
-from magpieshift.cli import capacity as capacity_command
-from magpieshift.cli import captures, configuration, laboratory, relays, rollouts, router, scale, service
-from magpieshift.cli import fleet as fleet_commands
-from magpieshift.cli.errors import PROGRAM, guarded
-from magpieshift.cli.hinting import Hinting
+from magpieshift.cli import (
+    captures,
+    configuration,
+    control,
+    lab_capacity,
+    lab_episode,
+    lab_fleet,
+    lab_rollout,
+    lab_router,
+    lab_scale,
+    membership,
+    relays,
+    rollouts,
+    router,
+)
+from magpieshift.cli.errors import PROGRAM, exit_code_of
+from magpieshift.cli.groups import SuggestingGroup
 
 EXAMPLES = """\b
 Examples:
@@ -21,50 +33,56 @@
 """
 
 
-@click.group(cls=Hinting, epilog=EXAMPLES, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=SuggestingGroup, epilog=EXAMPLES, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="magpieshift")
 def cli() -> None:
-    """An edge router for the caches of a small content network. Without a word, one is run as EDGE_CONFIG,
-    EDGE_LISTEN and EDGE_NAME say."""
+    """An edge router for the caches of a small content network. Without a sub-command, one is run as
+    EDGE_CONFIG, EDGE_LISTEN and EDGE_NAME say."""
 
 
-@cli.group(cls=Hinting)
+@cli.group(cls=SuggestingGroup)
 def lab() -> None:
     """The laboratory: failures on purpose, on loopback, and what they show."""
     # ended from outside, it still ends the routers that it has started
     signal.signal(signal.SIGTERM, signal.default_int_handler)
 
 
-cli.add_command(router.run_)
-cli.add_command(configuration.config)
-cli.add_command(service.control)
-cli.add_command(fleet_commands.members)
-cli.add_command(fleet_commands.talk)
-cli.add_command(rollouts.rollout)
-cli.add_command(relays.relay)
-cli.add_command(captures.capture)
-cli.add_command(captures.replay)
+for _command in (
+    router.run_,
+    configuration.config,
+    control.control,
+    membership.members,
+    membership.talk,
+    rollouts.rollout,
+    relays.relay,
+    captures.capture,
+    captures.replay,
+):
+    cli.add_command(_command)
 
-lab.add_command(capacity_command.capacity)
-lab.add_command(laboratory.versions)
-lab.add_command(laboratory.apply_)
-lab.add_command(laboratory.cost)
-lab.add_command(laboratory.decisions)
-lab.add_command(laboratory.door)
-lab.add_command(laboratory.handover)
-lab.add_command(laboratory.fleet)
-lab.add_command(fleet_commands.lab_members)
-lab.add_command(fleet_commands.lab_overload)
-lab.add_command(fleet_commands.fleet_run)
-lab.add_command(fleet_commands.trials)
-lab.add_command(rollouts.lab_rollout)
-lab.add_command(captures.episode)
-lab.add_command(captures.report_)
-lab.add_command(captures.demo)
-lab.add_command(scale.lab_scale)
-lab.add_command(scale.scale_process)
+for _command in (
+    lab_capacity.capacity,
+    lab_router.versions,
+    lab_router.apply_,
+    lab_router.cost,
+    lab_router.decisions,
+    lab_router.door,
+    lab_router.handover,
+    lab_router.fleet,
+    lab_fleet.lab_members,
+    lab_fleet.lab_overload,
+    lab_fleet.fleet_run,
+    lab_fleet.trials,
+    lab_rollout.lab_rollout,
+    lab_episode.episode,
+    lab_episode.report_,
+    lab_episode.demo,
+    lab_scale.lab_scale,
+    lab_scale.scale_process,
+):
+    lab.add_command(_command)
 
 
 def run(args: Sequence[str]) -> int:
     """Run the command line; its exit code."""
-    return guarded(lambda: cli.main(args=list(args), prog_name=PROGRAM, standalone_mode=False))
+    return exit_code_of(lambda: cli.main(args=list(args), prog_name=PROGRAM, standalone_mode=False))
--- a/magpieshift/cli/parameters.py
+++ b/magpieshift/cli/parameters.py
@@ -1,5 +1,5 @@
-"""Types of parameters that turn bad values down before a command begins, each saying what was found and what
-was expected. ``magpieshift.cli.errors`` puts the command and the parameter before it."""
+"""Types of parameters that reject bad values before a command begins, saying what was found and what was
+expected. ``magpieshift.cli.errors`` puts the command and the parameter before it."""
 
 from __future__ import annotations
 
@@ -13,62 +13,70 @@
 
 from magpieshift.config import ConfigError, address
 
-MOST_COUNT = 1_000_000
-MOST_NUMBER = 1e6
-SEEDS = (1 << 63) - 1
+MAX_COUNT = 1_000_000
+"""Largest count where a parameter names no bound of its own; beyond it is a slip of the keyboard."""
+MAX_NUMBER = 1e6
+"""Likewise of numbers that need not be whole."""
+MAX_SEED = (1 << 63) - 1
+"""Largest seed: what a signed number of 64 bits holds."""
 
 
-class Whole(click.IntRange):
-    """A whole number from ``least`` to ``most``."""
+class WholeNumber(click.IntRange):
+    """A whole number from a minimum to a maximum, both included."""
 
     name = "number"
 
-    def __init__(self, least: int = 1, most: int = MOST_COUNT) -> None:
-        super().__init__(least, most)
+    def __init__(self, minimum: int = 1, maximum: int = MAX_COUNT) -> None:
+        super().__init__(minimum, maximum)
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
+        """The number."""
         try:
             return super().convert(value, param, ctx)
         except click.BadParameter:
             self.fail(f"found {value!r}, expected a whole number from {self.min} to {self.max}", param, ctx)
 
 
-class Number(click.FloatRange):
-    """A number from ``least`` to ``most``; never one that is not finite."""
+class FiniteNumber(click.FloatRange):
+    """A finite number from a minimum to a maximum."""
 
     name = "number"
 
-    def __init__(self, least: float = 0.0, most: float = MOST_NUMBER, above: bool = False) -> None:
-        """``above``: the least itself is no such number."""
-        super().__init__(least, most, min_open=above)
+    def __init__(
+        self, minimum: float = 0.0, maximum: float = MAX_NUMBER, above_minimum: bool = False
+    ) -> None:
+        """``above_minimum``: the minimum itself is rejected."""
+        super().__init__(minimum, maximum, min_open=above_minimum)
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
+        """The number."""
         try:
-            found = super().convert(value, param, ctx)
+            number = super().convert(value, param, ctx)
         except click.BadParameter:
-            found = math.nan
-        if math.isnan(found):
-            least = f"above {self.min:g} and up" if self.min_open else f"from {self.min:g}"
-            self.fail(f"found {value!r}, expected a number {least} to {self.max:g}", param, ctx)
-        return found
+            number = math.nan
+        if math.isnan(number):
+            lower = f"above {self.min:g} and up" if self.min_open else f"from {self.min:g}"
+            self.fail(f"found {value!r}, expected a number {lower} to {self.max:g}", param, ctx)
+        return number
 
 
-class Sizes(click.ParamType[Any]):
+class WholeNumberList(click.ParamType[Any]):
     """Whole numbers with commas between them, as a tuple."""
 
     name = "numbers"
 
-    def __init__(self, least: int = 1, most: int = MOST_COUNT) -> None:
-        self._each = Whole(least, most)
+    def __init__(self, minimum: int = 1, maximum: int = MAX_COUNT) -> None:
+        self._element = WholeNumber(minimum, maximum)
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
+        """The numbers."""
         if isinstance(value, tuple):
             return value
         try:
-            return tuple(self._each.convert(word, param, ctx) for word in str(value).split(","))
+            return tuple(self._element.convert(text, param, ctx) for text in str(value).split(","))
         except click.BadParameter:
             self.fail(
-                f"found {value!r}, expected whole numbers from {self._each.min} to {self._each.max} "
+                f"found {value!r}, expected whole numbers from {self._element.min} to {self._element.max} "
                 "with commas between them",
                 param,
                 ctx,
@@ -76,7 +84,7 @@
 
 
 class Address(click.ParamType[Any]):
-    """``host:port``, kept as text; an empty one stands for none."""
+    """``host:port``, which stays text; an empty one stands for none."""
 
     name = "host:port"
 
@@ -85,6 +93,7 @@
         self._any_port = any_port
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
+        """The text."""
         host, _, port = str(value).rpartition(":")
         if not value or (self._any_port and host and port == "0"):
             return value
@@ -95,8 +104,9 @@
         return value
 
 
-class OneOf(click.ParamType[Any]):
-    """One of several names, which are looked up only when a value is given; an empty one stands for none."""
+class LazyChoice(click.ParamType[Any]):
+    """One of several names, which are looked up only when a value is given, since that may import optional
+    libraries; an empty one stands for none."""
 
     name = "name"
 
@@ -104,23 +114,25 @@
         self._names = names
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
+        """The name."""
         if value and value not in (names := list(self._names())):
             self.fail(f"found {value!r}, expected one of {', '.join(names)}", param, ctx)
         return value
 
 
-def _existing(path: Path) -> Path:
-    """The path, or the nearest folder above it that there is."""
-    whole = path.absolute()
-    return next(each for each in (whole, *whole.parents) if each.exists())
+def _nearest_existing(path: Path) -> Path:
+    """The path, or the nearest folder above it that exists."""
+    absolute = path.absolute()
+    return next(candidate for candidate in (absolute, *absolute.parents) if candidate.exists())
 
 
-class NewFile(click.ParamType[Any]):
+class WritableFile(click.ParamType[Any]):
     """A path that a file can be written to; an empty one stands for none."""
 
     name = "file"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
+        """The path."""
         if not value:
             return value
         path = Path(value)
@@ -132,20 +144,22 @@
         return value
 
 
-class NewFolder(click.ParamType[Any]):
+class WritableFolder(click.ParamType[Any]):
     """A path of a folder to write into, made where there is none; an empty one stands for none."""
 
     name = "folder"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
+        """The path."""
         if not value:
             return value
-        there = _existing(Path(value))
-        if not there.is_dir() or not os.access(there, os.W_OK):
+        existing = _nearest_existing(Path(value))
+        if not existing.is_dir() or not os.access(existing, os.W_OK):
             self.fail(f"found {value!r}, expected a folder that can be made or written to", param, ctx)
         return value
 
 
-SEED = Whole(0, SEEDS)
-SHARE = Number(0.0, 1.0)
-RATE = Number(0.0, 100_000.0, above=True)
+SEED_TYPE = WholeNumber(0, MAX_SEED)
+FRACTION_TYPE = FiniteNumber(0.0, 1.0)
+REQUEST_RATE_TYPE = FiniteNumber(0.0, 100_000.0, above_minimum=True)
+"""Requests a second; beyond the maximum is a slip of the keyboard."""
--- a/magpieshift/cli/relays.py
+++ b/magpieshift/cli/relays.py
@@ -4,20 +4,26 @@
 
 import asyncio
 import signal
+from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING
 
 import click
 
-from magpieshift.cli.hinting import JSON, Hinting
-from magpieshift.cli.logs import LOG, setup
+from magpieshift.cli import output
+from magpieshift.cli.groups import JSON_OPTION, SuggestingGroup
+from magpieshift.cli.logs import LOG_OPTION, setup
 from magpieshift.cli.parameters import Address
 from magpieshift.config import ConfigError, address
 
-LISTEN = click.option(
+if TYPE_CHECKING:
+    from magpieshift.relay.node import RelayNode, SourceNode
+
+LISTEN_OPTION = click.option(
     "--listen", required=True, type=Address(any_port=True), help="host:port for relays and routers."
 )
-SHOWN_DIGEST = 12  # characters
+SHOWN_DIGEST_CHARACTERS = 12
+"""Of a digest; enough to tell versions apart."""
 
 EXAMPLES = """\b
 Examples:
@@ -28,7 +34,7 @@
 """
 
 
-@click.group(cls=Hinting, epilog=EXAMPLES)
+@click.group(cls=SuggestingGroup, epilog=EXAMPLES)
 def relay() -> None:
     """The fan-out tier between the change log and the routers."""
 
@@ -38,10 +44,10 @@
 )
 @click.option("--changelog", required=True, type=Address(), help="host:port of the change log.")
 @click.option("--versions", default="", help="Folder of configuration versions (files NUMBER.sexp).")
-@LISTEN
+@LISTEN_OPTION
 @click.option("--name", default="source", show_default=True)
 @click.option("--region", default="", help="Where it stands.")
-@LOG
+@LOG_OPTION
 def source(changelog: str, versions: str, listen: str, name: str, region: str, log_form: str) -> None:
     """Number what the change log and a folder of versions tell, and serve it to relays."""
     from magpieshift.relay.node import SourceNode, SourceOptions
@@ -58,10 +64,10 @@
     "--name n1 --region north"
 )
 @click.option("--source", "sources", required=True, help="host:port of the source; several with commas.")
-@LISTEN
+@LISTEN_OPTION
 @click.option("--name", required=True, help="Unique among the source's relays.")
 @click.option("--region", required=True, help="Where it stands.")
-@LOG
+@LOG_OPTION
 def serve(sources: str, listen: str, name: str, region: str, log_form: str) -> None:
     """Follow a source, and serve what it tells to routers."""
     from magpieshift.relay.node import RelayNode, RelayOptions
@@ -74,29 +80,29 @@
     _run(lambda: RelayNode(options))
 
 
-def _run(make: Any) -> None:
-    """Run a node until it is told to end."""
+def _run(make_node: Callable[[], SourceNode | RelayNode]) -> None:
+    """Run a node until a signal ends it. It is made on the event loop."""
     from magpieshift.relay.node import SourceSuperseded
 
-    async def main() -> None:
-        node = make()
+    async def run_node() -> None:
+        """Make the node and run it."""
+        node = make_node()
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, node.stop)
         await node.run()
 
     try:
-        asyncio.run(main())
+        asyncio.run(run_node())
     except (OSError, SourceSuperseded) as err:
         raise click.ClickException(str(err)) from err
 
 
 @relay.command("status", epilog="\b\nExample:\n  magpieshift relay status 10.0.1.1:7091")
 @click.argument("place", metavar="HOST:PORT", type=Address())
-@JSON
+@JSON_OPTION
 def status_(place: str, as_json: bool) -> None:
     """How far behind is whom, as a source or relay tells it; exit code 1 where it does not."""
-    from magpieshift.cli import show
     from magpieshift.relay import status
 
     try:
@@ -104,31 +110,35 @@
     except status.Unreachable as err:
         raise click.ClickException(f"{place}: {err}") from err
     if as_json:
-        show.as_json(status.as_data(report))
+        output.print_json(status.as_data(report))
         return
     age = f"{report.age_us / 1e6:.1f} s old" if report.HasField("age_us") else "not current"
     click.echo(
         f"{report.name} {report.region} after {report.upstream}: epoch {report.epoch.term}, "
         f"entry {report.head}, done everywhere {report.done}, {age}"
     )
-    version = f"version {report.version} {report.digest[:SHOWN_DIGEST]}" if report.version else "no version"
+    version = (
+        f"version {report.version} {report.digest[:SHOWN_DIGEST_CHARACTERS]}"
+        if report.version
+        else "no version"
+    )
     click.echo(
         f"{version}; {report.followers_count} followers, "
         f"{report.behind_count} without it: {' '.join(report.behind)}"
     )
-    show.table(
+    output.print_table(
         ("follower", "connected", "counts", "applied", "behind", "heard s ago", "version", "refused"),
         [
             (
-                each.name,
-                each.connected,
-                each.counts,
-                each.applied,
-                each.behind,
-                f"{each.heard_us / 1e6:.1f}",
-                each.configuration[:SHOWN_DIGEST],
-                f"{each.refused}: {each.refusal}" if each.refused else "",
+                follower.name,
+                follower.connected,
+                follower.counts,
+                follower.applied,
+                follower.behind,
+                f"{follower.heard_us / 1e6:.1f}",
+                follower.configuration[:SHOWN_DIGEST_CHARACTERS],
+                f"{follower.refused}: {follower.refusal}" if follower.refused else "",
             )
-            for each in report.followers
+            for follower in report.followers
         ],
     )
--- a/magpieshift/cli/rollouts.py
+++ b/magpieshift/cli/rollouts.py
@@ -6,19 +6,23 @@
 import json
 import time
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import click
 
-from magpieshift.cli.hinting import JSON, Hinting
+from magpieshift.cli import output
+from magpieshift.cli.groups import JSON_OPTION, SuggestingGroup
 from magpieshift.cli.logs import setup
-from magpieshift.cli.parameters import SEED, NewFolder, Whole
 from magpieshift.config import ConfigError
 
-STATE = click.option("--state", required=True, help="Folder of the rollout's journal.")
-# router processes on one machine
-LEAST_REAL = 2
-MOST_REAL = 16
+if TYPE_CHECKING:
+    from magpieshift.rollout.plan import Plan
+
+STATE_OPTION = click.option("--state", required=True, help="Folder of the rollout's journal.")
+WATCH_INTERVAL_S = 1.0
+"""How often ``status --watch`` looks; its help says each second."""
+MAX_SHOWN_CHANGES = 12
+"""Routers named in a row of a plan; a table must stay readable."""
 STATUS_KEYS = (
     "name",
     "term",
@@ -35,12 +39,13 @@
 )
 
 
-@click.group(cls=Hinting)
+@click.group(cls=SuggestingGroup)
 def rollout() -> None:
     """Change a fleet in stages, with old and new compared side by side."""
 
 
-def _plan(path: str) -> Any:
+def _load_plan(path: str) -> Plan:
+    """The plan in a file; ``ConfigError`` where it cannot be used."""
     from magpieshift.control.sexp import Unusable
     from magpieshift.rollout.plan import load_file
 
@@ -52,132 +57,134 @@
 
 @rollout.command(epilog="\b\nExample:\n  magpieshift rollout check plan.sexp")
 @click.argument("plan")
-@JSON
+@JSON_OPTION
 def check(plan: str, as_json: bool) -> None:
     """Whether a plan can be used, and what it would change when."""
-    from magpieshift.cli import show
-
-    found = _plan(plan)
-    before: set[str] = set()
+    loaded = _load_plan(plan)
+    changed: set[str] = set()
     rows = []
-    for stage in found.stages:
-        fresh = [name for name in stage.targets if name not in before]
-        before |= set(stage.targets)
+    for stage in loaded.stages:
+        changes = [name for name in stage.targets if name not in changed]
+        changed |= set(stage.targets)
         rows.append(
             {
                 "stage": stage.name,
-                "new": len(before),
-                "of": len(found.routers),
+                "new": len(changed),
+                "of": len(loaded.routers),
                 "soak_s": stage.soak_s,
                 "most_s": stage.most_s,
-                "changes": " ".join(fresh[:12]),
+                "changes": " ".join(changes[:MAX_SHOWN_CHANGES]),
             }
         )
-    show.rows(rows, as_json)
+    output.print_rows(rows, as_json)
 
 
-def _carry_out(plan: str, state: str, as_json: bool, fresh: bool, back: bool = False) -> None:
+def _carry_out(plan_path: str, state: str, as_json: bool, is_new: bool, put_back: bool = False) -> None:
+    """Run a coordinator to its end; exit code 1 where the fleet is not what was wanted then."""
     from magpieshift.rollout.journal import JournalError, read
     from magpieshift.rollout.runner import Runner
 
     folder = Path(state)
-    found = _plan(plan)
-    last = ""
+    plan = _load_plan(plan_path)
+    last_line = ""
 
-    def told(status: Any) -> None:
-        nonlocal last
+    def print_status(status: Any) -> None:
+        """Print a status, unless it reads like the last one."""
+        nonlocal last_line
         line = (
             f"{status['way']:8} {status['stage']:10} new {len(status['new'])} old {len(status['old'])} "
             f"away {len(status['away'])}  {status['verdict']}: {status['why']}"
         )
-        if line != last and not as_json:
+        if line != last_line and not as_json:
             click.echo(line)
-        last = line
+        last_line = line
 
     setup("pairs")
     try:
-        if fresh and read(folder):
+        if is_new and read(folder):
             raise ConfigError(f"{state} holds a rollout already: resume it, or name another folder")
-        status = asyncio.run(Runner(found, folder, told=told, back=back).run())
+        status = asyncio.run(Runner(plan, folder, told=print_status, back=put_back).run())
     except (JournalError, ValueError) as err:
         raise ConfigError(str(err)) from err
     if as_json:
         click.echo(json.dumps(status))
-    wanted = "old" if back else "new"
-    if status["way"] != "ended" or status[wanted] != sorted(found.routers):
+    wanted = "old" if put_back else "new"
+    if status["way"] != "ended" or status[wanted] != sorted(plan.routers):
         raise SystemExit(1)
 
 
 @rollout.command(epilog="\b\nExample:\n  magpieshift rollout start plan.sexp --state rollouts/new-7")
 @click.argument("plan")
-@STATE
-@JSON
+@STATE_OPTION
+@JSON_OPTION
 def start(plan: str, state: str, as_json: bool) -> None:
     """Carry a plan out. Exit code 1 where the fleet is not all new at the end."""
-    _carry_out(plan, state, as_json, fresh=True)
+    _carry_out(plan, state, as_json, is_new=True)
 
 
 @rollout.command(epilog="\b\nExample:\n  magpieshift rollout resume plan.sexp --state rollouts/new-7")
 @click.argument("plan")
-@STATE
+@STATE_OPTION
 @click.option("--back", "put_back", is_flag=True, help="Put all back in place of going on.")
-@JSON
+@JSON_OPTION
 def resume(plan: str, state: str, put_back: bool, as_json: bool) -> None:
     """Go on with a rollout whose coordinator has ended or held, under a later term."""
-    _carry_out(plan, state, as_json, fresh=False, back=put_back)
+    _carry_out(plan, state, as_json, is_new=False, put_back=put_back)
 
 
-def _status(path: Path) -> dict[str, Any]:
+def _read_status(path: Path) -> dict[str, Any]:
     """What a coordinator has left in its folder; ``ConfigError`` where that is no status."""
     try:
-        found = json.loads(path.read_text(encoding="utf-8"))
+        read_status = json.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError, RecursionError) as err:
         raise ConfigError(f"{path.parent}: no status: {err}") from err
-    if not isinstance(found, dict) or not found.keys() >= set(STATUS_KEYS):
-        raise ConfigError(f"{path}: found {found!r:.80}, expected {', '.join(STATUS_KEYS)}")
-    return found
+    if not isinstance(read_status, dict) or not read_status.keys() >= set(STATUS_KEYS):
+        raise ConfigError(f"{path}: found {read_status!r:.80}, expected {', '.join(STATUS_KEYS)}")
+    return read_status
 
 
 @rollout.command(epilog="\b\nExample:\n  magpieshift rollout status --state rollouts/new-7 --watch")
-@STATE
+@STATE_OPTION
 @click.option("--watch", is_flag=True, help="Again every second, until it is over.")
-@JSON
+@JSON_OPTION
 def status(state: str, watch: bool, as_json: bool) -> None:
     """Where a rollout stands: stages, routers, both sides' figures, and why it does what it does."""
-    from magpieshift.cli import show
     from magpieshift.rollout.runner import STATUS
 
     while True:
-        found = _status(Path(state) / STATUS)
+        current = _read_status(Path(state) / STATUS)
         if as_json:
-            show.as_json(found)
+            output.print_json(current)
         else:
-            stages = " ".join(f"[{s}]" if s == found["stage"] else s for s in found["stages"])
-            click.echo(f"{found['name']} (term {found['term']}): {found['way']}, {stages}")
-            away = ", ".join(found["away"]) or "nobody"
-            click.echo(f"new {len(found['new'])}, old {len(found['old'])}, away: {away}")
-            show.rows(
-                [
-                    {
-                        "class": name,
-                        "new served": row["new"][0],
-                        "of": row["new"][1],
-                        "old served": row["old"][0],
-                        "of ": row["old"][1],
-                        "difference": "{} to {}".format(*row["between"]),
-                    }
-                    for name, row in found["figures"]["classes"].items()
-                ],
-                False,
-            )
-            click.echo(f"{found['verdict']}: {found['why']}")
-        if not watch or found["way"] in ("ended", "hold") or found["fenced"]:
+            _print_status(current)
+        if not watch or current["way"] in ("ended", "hold") or current["fenced"]:
             return
-        time.sleep(1.0)
+        time.sleep(WATCH_INTERVAL_S)
+
+
+def _print_status(current: dict[str, Any]) -> None:
+    """A rollout's status for people."""
+    stages = " ".join(f"[{stage}]" if stage == current["stage"] else stage for stage in current["stages"])
+    click.echo(f"{current['name']} (term {current['term']}): {current['way']}, {stages}")
+    away = ", ".join(current["away"]) or "nobody"
+    click.echo(f"new {len(current['new'])}, old {len(current['old'])}, away: {away}")
+    rows = [
+        {
+            "class": name,
+            "new served": row["new"][0],
+            "of": row["new"][1],
+            "old served": row["old"][0],
+            "of ": row["old"][1],
+            "difference": "{} to {}".format(*row["between"]),
+        }
+        for name, row in current["figures"]["classes"].items()
+    ]
+    output.print_rows(rows, as_json=False)
+    click.echo(f"{current['verdict']}: {current['why']}")
 
 
 @rollout.command(epilog="\b\nExample:\n  magpieshift rollout report --state rollouts/v7")
-@STATE
+@STATE_OPTION
 def report(state: str) -> None:
     """An HTML report with plots of a rollout, under way or over; needs the laboratory's libraries."""
     from magpieshift.lab.experiments import rollout_report
@@ -189,7 +196,7 @@
         raise ConfigError(str(err)) from err
 
 
-def _must_hold_rollout(folder: Path) -> None:
+def _require_rollout(folder: Path) -> None:
     """``ConfigError`` where no coordinator has ever worked in this folder."""
     from magpieshift.rollout.journal import JournalError, read
 
@@ -203,84 +210,23 @@
         raise ConfigError(f"{folder} holds no rollout")
 
 
-def _say(word: str, help_text: str) -> click.Command:
+def _add_control_command(word: str, help_text: str) -> None:
+    """Add a sub-command that gives a running coordinator this word."""
+
     @rollout.command(word, help=help_text)
-    @STATE
+    @STATE_OPTION
     @click.option("--why", default="", help="For the journal.")
-    def command(state: str, why: str) -> None:
+    def _control(state: str, why: str) -> None:
         from magpieshift.rollout.runner import say
 
-        _must_hold_rollout(Path(state))
+        _require_rollout(Path(state))
         say(Path(state), word, why)
 
-    return command
-
 
-for _word, _help in (
+for _word, _help_text in (
     ("pause", "Begin no further step until resumed."),
     ("go-on", "Go on after a pause."),
     ("stop", "Stop where it stands."),
     ("back", "Put all back."),
 ):
-    _say(_word, _help)
-
-
-@click.command("rollout", epilog="\b\nExample:\n  magpieshift lab rollout --scenario leak --simulated")
-@click.option("--scenario", default="", help="One of them; all where none is named.")
-@click.option("--routers", default=0, type=Whole(0, 10_000), help="8 real ones, or 200 simulated.")
-@click.option("--seed", default=1, show_default=True, type=SEED)
-@click.option("--simulated", is_flag=True, help="The same plan, judge and coordinator on a fake clock.")
-@click.option(
-    "--runs", default=1, show_default=True, type=Whole(), help="Simulated: so many, seeds counting up."
-)
-@click.option("--before", is_flag=True, help="Simulated, an ablation: compare with what was before.")
-@click.option(
-    "--folder",
-    default="",
-    type=NewFolder(),
-    help="Where logs, settings and the journal are left; else in /tmp.",
-)
-@JSON
-def lab_rollout(
-    scenario: str,
-    routers: int,
-    seed: int,
-    simulated: bool,
-    runs: int,
-    before: bool,
-    folder: str,
-    as_json: bool,
-) -> None:
-    """Whole rollouts: of real processes under load, or thousands simulated; exit code 1 if one was judged
-    wrongly or a rule was broken."""
-    import os
-    import tempfile
-
-    from magpieshift.cli import show
-    from magpieshift.lab.fault_injection import rollouts as proving
-    from magpieshift.lab.simulated import rollout as simulation
-    from magpieshift.lab.simulated import rollout_scenarios
-
-    known = rollout_scenarios.SCENARIOS if simulated else proving.SCENARIOS
-    if scenario and scenario not in known:
-        raise click.UsageError(f"--scenario: found {scenario}, expected one of {', '.join(known)}")
-    if not simulated and routers and not LEAST_REAL <= routers <= MOST_REAL:
-        raise click.UsageError(
-            f"--routers: found {routers}, expected {LEAST_REAL} to {MOST_REAL} where they are no simulation"
-        )
-    wrong = False
-    for name in [scenario] if scenario else list(known):
-        if simulated:
-            row = simulation.many(name, routers or 200, runs, seed, os.cpu_count() or 1, before)
-            wrong |= bool(row["stopped_wrongly"] or row["not_ended"] or row["terms_at_once"])
-        else:
-            where = Path(folder or tempfile.mkdtemp(prefix="rollout-")) / name
-            row = asyncio.run(proving.play(name, where, routers or 8, seed)) | {"folder": str(where)}
-            bad = proving.SCENARIOS[name][2]
-            wrong |= bool(row["stopped_wrongly"] or row["rules_broken"] or row["caught"] != bad)
-        if as_json:
-            click.echo(json.dumps(row))
-        else:
-            show.rows([row], False)
-    if wrong:
-        raise SystemExit(1)
+    _add_control_command(_word, _help_text)
--- a/magpieshift/cli/router.py
+++ b/magpieshift/cli/router.py
@@ -4,8 +4,8 @@
 
 import click
 
-from magpieshift.cli.logs import LOG, setup
-from magpieshift.cli.parameters import Address, Whole
+from magpieshift.cli.logs import LOG_OPTION, setup
+from magpieshift.cli.parameters import Address, WholeNumber
 
 
 @click.command(
@@ -25,7 +25,7 @@
 )
 @click.option("--capture", envvar="EDGE_CAPTURE", default="", help="Folder to record all decisions into.")
 @click.option(
-    "--capture-mb", envvar="EDGE_CAPTURE_MB", default=512, show_default=True, type=Whole(64, 1 << 30)
+    "--capture-mb", envvar="EDGE_CAPTURE_MB", default=512, show_default=True, type=WholeNumber(64, 1 << 30)
 )
 @click.option(
     "--hash-key", envvar="EDGE_HASH_KEY", default="", help="File with a key to hash object ids under."
@@ -35,14 +35,14 @@
     "--term",
     envvar="EDGE_TERM",
     default=-1,
-    type=Whole(-1, 1 << 53),
+    type=WholeNumber(-1, 1 << 53),
     help="Of the rollout that starts it; -1: none.",
 )
 @click.option(
     "--relays", envvar="EDGE_RELAYS", default="", help="[REGION/]host:port,... to follow, not the change log."
 )
 @click.option("--region", envvar="EDGE_REGION", default="", help="Where it stands; its relays come first.")
-@LOG
+@LOG_OPTION
 def run_(
     config: str,
     state: str,
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -260,7 +260,7 @@
 
 def takes_any_text(option: click.Option) -> bool:
     """Whether nonsense is no mistake: a flag takes no value, and a plain text any."""
-    anything = (click.STRING, parameters.NewFile, parameters.NewFolder)
+    anything = (click.STRING, parameters.WritableFile, parameters.WritableFolder)
     return option.is_flag or option.type is click.STRING or isinstance(option.type, anything[1:])
 
 
@@ -366,7 +366,7 @@
                     continue
                 with self.subTest(f"{words} {option.opts[0]}"):
                     self.refused([*words.split(), option.opts[0], NONSENSE], option.opts[0])
-                if isinstance(option.type, parameters.Number):
+                if isinstance(option.type, parameters.FiniteNumber):
                     self.refused([*words.split(), option.opts[0], "nan"], option.opts[0])
 
     def test_words_that_are_no_command_are_refused_in_every_group(self) -> None:
@@ -385,14 +385,14 @@
         return kind.convert(value, None, None)
 
     def test_what_is_good_is_taken(self) -> None:
-        self.assertEqual(self.converted(parameters.Sizes(), "4,12"), (4, 12))
-        self.assertEqual(self.converted(parameters.Number(), "0"), 0.0)
-        self.assertEqual(self.converted(parameters.Whole(-1, 3), "-1"), -1)
+        self.assertEqual(self.converted(parameters.WholeNumberList(), "4,12"), (4, 12))
+        self.assertEqual(self.converted(parameters.FiniteNumber(), "0"), 0.0)
+        self.assertEqual(self.converted(parameters.WholeNumber(-1, 3), "-1"), -1)
         self.assertEqual(self.converted(parameters.Address(any_port=True), "127.0.0.1:0"), "127.0.0.1:0")
         with tempfile.TemporaryDirectory() as folder:
-            for kind in (parameters.NewFile(), parameters.NewFolder()):
+            for kind in (parameters.WritableFile(), parameters.WritableFolder()):
                 self.assertEqual(self.converted(kind, f"{folder}/new"), f"{folder}/new")
-            self.assertEqual(self.converted(parameters.NewFolder(), f"{folder}/a/b"), f"{folder}/a/b")
+            self.assertEqual(self.converted(parameters.WritableFolder(), f"{folder}/a/b"), f"{folder}/a/b")
 
 
 if __name__ == "__main__":
