--- a/magpieshift/cli/fleet.py
+++ b/magpieshift/cli/fleet.py
@@ -150,7 +150,7 @@
         return
     from magpieshift.lab.experiments.members import play
     from magpieshift.membership.codec import encode
-    from magpieshift.membership.failure_detector import DetectorTuning
+    from magpieshift.membership.suspicion import DetectorTuning
 
     tuning = DetectorTuning(local_health=without != "health")
     if without == "observers":
--- a/magpieshift/extensions/membership.py
+++ b/magpieshift/extensions/membership.py
@@ -1,107 +1,128 @@
-"""Membership, as a fitting of a router: who else is there, and what part of the whole it may use."""
+"""The membership extension: which other routers are present, and what part of the whole this one may use."""
 
 from __future__ import annotations
 
 import asyncio
-import json
 import logging
 import math
 import random
 from collections import deque
 from collections.abc import Callable, Mapping
-from dataclasses import asdict
 from importlib.metadata import version
 
 from magpieshift import clock
 from magpieshift.app import EdgeRouter
 from magpieshift.config import Document, MembershipSettings
 from magpieshift.extensions.extension import BaseExtension
+from magpieshift.extensions.membership_status import membership_status
 from magpieshift.lifecycle import State
 from magpieshift.log import fields
 from magpieshift.membership.driver import MembershipDriver, steady_us
 from magpieshift.membership.failure_detector import FailureDetector
-from magpieshift.membership.member_table import Member, MembershipChange, MemberState
+from magpieshift.membership.member import Member, MembershipChange, MemberState
 from magpieshift.membership.messages import ExtensionMessage
 from magpieshift.membership.quota_lease import FLEET_SCOPE, ZONE_SCOPE_PREFIX, QuotaLease
 
 log = logging.getLogger(__name__)
 
-MOST_HISTORY = 64
-MOST_SHOWN = 256  # members in an answer at the door
-BIND_AGAIN_S = 0.25
+MAX_HISTORY = 64  # changes of the view kept for the answer to MEMBERS
+BIND_RETRY_S = 0.25  # while a predecessor of this router still has the address
+MAX_ROUTER_COUNT = 1 << 20  # what the engine divides by where nothing may be used
+ROUNDING_TOLERANCE = 1e-9  # so that a quota of exactly 1/n gives the divisor n
+
+
+def _divisor(quota: float) -> int:
+    """The whole number of routers that a quota stands for, rounded to the safe side."""
+    return math.ceil(1 / quota - ROUNDING_TOLERANCE) if quota > 0 else MAX_ROUTER_COUNT
 
 
 class Membership(BaseExtension):
-    """Owner of the driver, and with it of the socket."""
+    """Owner of the membership driver, and with it of the socket."""
 
     name = "members"
 
     def __init__(self, router: EdgeRouter, settings: MembershipSettings, seed: int) -> None:
+        """``seed`` is mixed with the wall clock, so that two starts draw different numbers."""
         self._router = router
         self._settings = settings
-        document = router.document
         rand = random.Random(seed ^ clock.source.unix_us())
-        own = Member(
+        own = self._first_record(rand)
+        now_us = steady_us()
+        self._detector = FailureDetector(own, settings.fleet, settings.seeds, now_us, rand)
+        self._detector.on_extension_message = self._receive_extension_message
+        self._detector.view.listeners.append(self._on_change)
+        self._zone_scope = ZONE_SCOPE_PREFIX + own.zone
+        counts = self._configured_router_counts(router.document)
+        self._quota_lease = QuotaLease(own, settings.voters, counts, settings.solo_quota, now_us, rand)
+        self._driver = MembershipDriver(
+            self._detector, self._quota_lease, after_tick=self._after_tick, refresh_quota=self._refresh_quota
+        )
+        self._history: deque[MembershipChange] = deque(maxlen=MAX_HISTORY)
+        self._opening: asyncio.Task[None] | None = None  # until the socket is bound
+        self._conflicts_logged = 0
+        self._quota_logged = -1.0
+        self.after_tick: list[Callable[[], None]] = []  # of other parts, called at the end of each tick
+        self.message_receivers: dict[str, Callable[[bytes, Member], None]] = {}  # of other parts, by topic
+        router.lifecycle.watchers.append(self._on_lifecycle_state)
+
+    def _first_record(self, rand: random.Random) -> Member:
+        document = self._router.document
+        host, port = self._settings.advertise
+        return Member(
             document.name,
-            *settings.advertise,
-            clock.source.unix_us() // 1_000,
-            rand.getrandbits(32),
+            host,
+            port,
+            incarnation=clock.source.unix_us() // 1_000,
+            boot_id=rand.getrandbits(32),
             zone=document.names.zones[document.settings.zone],
             program_version=version("magpieshift"),
-            settings_version=router.version,
-            lifecycle_state=router.lifecycle.word,
+            settings_version=self._router.version,
+            lifecycle_state=self._router.lifecycle.word,
         )
-        now = steady_us()
-        self._detector = FailureDetector(own, settings.fleet, settings.seeds, now, rand)
-        self._scope = ZONE_SCOPE_PREFIX + own.zone
-        self._shares = QuotaLease(own, settings.voters, self._slots(document), settings.solo_quota, now, rand)
-        self._driver = MembershipDriver(self._detector, self._shares, after=self._turned, used=self._check)
-        self._history: deque[MembershipChange] = deque(maxlen=MOST_HISTORY)
-        self._detector.view.listeners.append(self._changed)
-        self._opening: asyncio.Task[None] | None = None
-        self._conflicts = 0
-        self._share = -1.0
-        self.turns: list[Callable[[], None]] = []  # of other parts, called at the end of each turn
-        self.topics: dict[str, Callable[[bytes, Member], None]] = {}  # who takes which notes
-        self._detector.on_extension_message = self._noted
-        router.lifecycle.watchers.append(self._went)
-
-    def _slots(self, document: Document) -> dict[str, int]:
-        s = document.settings
-        return {FLEET_SCOPE: max(1, s.router_count), self._scope: max(1, s.zone_router_counts[s.zone])}
-
-    # --- as a fitting
+
+    def _configured_router_counts(self, document: Document) -> dict[str, int]:
+        settings = document.settings
+        return {
+            FLEET_SCOPE: max(1, settings.router_count),
+            self._zone_scope: max(1, settings.zone_router_counts[settings.zone]),
+        }
+
+    # --- as an extension
 
     def start(self) -> None:
-        self._router.engine.refresh_quota = self._check
+        """Begin to join; the router serves meanwhile on its solo quota."""
+        self._router.engine.refresh_quota = self._refresh_quota
         self._opening = asyncio.ensure_future(self._open())
 
     async def _open(self) -> None:
-        """Bind and join. While this process replaces another, that one still has the address."""
-        where = "{}:{}".format(*self._settings.listen)
-        told = False
+        """Bind and join, as soon as a process that this one replaces has released the address."""
+        address = "{}:{}".format(*self._settings.listen)
+        failure_logged = False
         while True:
             try:
                 bound = await self._driver.open(self._settings.listen)
-            except OSError as err:  # the router serves without: it has what its settings give it
-                if not told:
-                    log.warning("members not joined yet", extra=fields(address=where, reason=err))
-                told = True
-                await asyncio.sleep(BIND_AGAIN_S)
+            except OSError as err:
+                if not failure_logged:
+                    log.warning("membership not joined yet", extra=fields(address=address, reason=err))
+                failure_logged = True
+                await asyncio.sleep(BIND_RETRY_S)
             else:
                 address = "{}:{}".format(*bound)
-                log.info("members open", extra=fields(address=address, fleet=self._settings.fleet))
+                log.info("membership opened", extra=fields(address=address, fleet=self._settings.fleet))
                 return
 
     def configuration_changed(self, document: Document, version: int) -> None:
-        self._shares.router_counts = self._slots(document)
+        """Use the router counts of the new configuration, and say its version."""
+        self._quota_lease.router_counts = self._configured_router_counts(document)
         self._detector.update_own_record(settings_version=version)
-        self._check()
+        self._refresh_quota()
 
     def commands(self) -> Mapping[str, Callable[[], str]]:
-        return {"MEMBERS": self._members}
+        """MEMBERS shows the view."""
+        return {"MEMBERS": self._status}
 
     async def stop(self) -> None:
+        """Leave the fleet and release the socket."""
         if self._opening is not None:
             self._opening.cancel()
             await asyncio.wait([self._opening])
@@ -112,64 +133,63 @@
 
     @property
     def zone(self) -> str:
+        """The name of this router's zone."""
         return self._detector.view.own.zone
 
-    def there(self) -> list[Member]:
-        """Who is there and not suspected, this router included."""
-        return [
-            known.member
-            for known in self._detector.view.present_members()
-            if known.state == MemberState.ALIVE
-        ]
+    def alive_members(self) -> list[Member]:
+        """The members that are present and not suspect, this router included."""
+        present = self._detector.view.present_members()
+        return [known.member for known in present if known.state == MemberState.ALIVE]
 
-    def note(self, member: Member, topic: str, data: bytes) -> None:
-        """Send another part's words to a member, with this turn's datagrams."""
+    def send_message(self, member: Member, topic: str, data: bytes) -> None:
+        """Send another part's message to a member, at the end of this tick."""
         self._detector.send_extension_message(member, topic, data)
 
-    def _noted(self, note: ExtensionMessage, sender: Member) -> None:
-        if (takes := self.topics.get(note.topic)) is not None:  # else it is of a later version
-            takes(note.data, sender)
+    def _receive_extension_message(self, message: ExtensionMessage, sender: Member) -> None:
+        receive = self.message_receivers.get(message.topic)
+        if receive is not None:  # else the topic is of a later version
+            receive(message.data, sender)
 
-    # --- what goes on
+    # --- events
 
-    def _went(self, state: State) -> None:
+    def _on_lifecycle_state(self, state: State) -> None:
         self._detector.update_own_record(lifecycle_state=state.value)
 
-    def _turned(self) -> None:
-        """After each turn of the driver."""
+    def _after_tick(self) -> None:
         lifecycle = self._router.lifecycle
         self._detector.expects_successor = lifecycle.replaced or lifecycle.state == State.ENDING
         self._detector.update_own_record(open_requests=self._router.engine.open_requests)
-        if self._detector.counters.conflicts != self._conflicts:
-            self._conflicts = self._detector.counters.conflicts
+        conflicts = self._detector.counters.conflicts
+        if conflicts != self._conflicts_logged:
+            self._conflicts_logged = conflicts
             log.error(
-                "name conflict",
+                "name conflict found",
                 extra=fields(name=self._router.document.name, goes_on_as=self._detector.view.own.name),
             )
-        self._check()
-        for turn in self.turns:
-            turn()
-
-    def _check(self) -> None:
-        """What may be used at this instant, rounded to the safe side, is what the engine divides by. It is
-        asked before each batch as well: a process that has just woken acts on nothing that ran out, and one
-        that is being replaced leaves its successor its part from the first batch on."""
-        self._router.look_round()
-        now = steady_us()
-        shares = [self._shares.quota(scope, now) for scope in (FLEET_SCOPE, self._scope)]
-        # the engine has each process of this router take its part of that
-        used = shares[0] / (1 + self._router.engine.sibling_processes)
-        if used != self._share:
-            self._share = used
-            log.info(
-                "share", extra=fields(at_us=now, share=f"{used:.6f}", here=self._detector.view.present_count)
-            )
-        divisors = [math.ceil(1 / share - 1e-9) if share > 0 else 1 << 20 for share in shares]
-        self._router.engine.set_router_counts(divisors[0], divisors[1])
+        self._refresh_quota()
+        for callback in self.after_tick:
+            callback()
 
-    def _changed(self, change: MembershipChange) -> None:
+    def _refresh_quota(self) -> None:
+        """Have the engine divide by what may be used at this instant.
+
+        The engine calls this before each batch as well: a process that resumes from a pause uses nothing of a
+        lease that expired, and one that is being replaced leaves its successor its part from the first batch.
+        """
+        self._router.look_round()
+        now_us = steady_us()
+        fleet_quota = self._quota_lease.quota(FLEET_SCOPE, now_us)
+        zone_quota = self._quota_lease.quota(self._zone_scope, now_us)
+        # the engine divides among the processes of this router
+        used = fleet_quota / (1 + self._router.engine.sibling_processes)
+        if used != self._quota_logged:
+            self._quota_logged = used
+            present = self._detector.view.present_count
+            log.info("share", extra=fields(at_us=now_us, share=f"{used:.6f}", here=present))
+        self._router.engine.set_router_counts(_divisor(fleet_quota), _divisor(zone_quota))
+
+    def _on_change(self, change: MembershipChange) -> None:
         self._history.append(change)
-        before = change.old_state.value if change.old_state else "unknown"
         level = (
             logging.WARNING if change.new_state in (MemberState.SUSPECT, MemberState.DEAD) else logging.INFO
         )
@@ -178,7 +198,7 @@
             "member",
             extra=fields(
                 name=change.name,
-                before=before,
+                before=change.old_state.value if change.old_state else "unknown",
                 after=change.new_state.value,
                 why=change.reason,
                 view=change.view_version,
@@ -186,35 +206,7 @@
             ),
         )
 
-    def _members(self) -> str:
-        """The view as one line of JSON."""
-        view = self._detector.view
-        now = steady_us()
-        rows = sorted(view.members.values(), key=lambda known: (not known.is_present, known.member.name))
-        return json.dumps(
-            {
-                "own": view.own.name,
-                "view": view.version,
-                "digest": f"{view.digest:016x}",
-                "here": view.present_count,
-                "isolated": self._detector.isolated,
-                "quiet": self._detector.superseded,
-                "share": round(self._shares.quota(FLEET_SCOPE, now), 6),
-                "zone_share": round(self._shares.quota(self._scope, now), 6),
-                "lease_s": round(max(0, self._shares.lease_expires_us - now) / 1e6, 2),
-                "dropped": asdict(self._detector.counters),
-                "members": [self._detector.row(known) for known in rows[:MOST_SHOWN]],
-                "history": [
-                    {
-                        "view": c.view_version,
-                        "ago_s": round((now - c.changed_at_us) / 1e6, 1),
-                        "name": c.name,
-                        "before": c.old_state.value if c.old_state else "",
-                        "after": c.new_state.value,
-                        "why": c.reason,
-                    }
-                    for c in self._history
-                ],
-            },
-            separators=(",", ":"),
+    def _status(self) -> str:
+        return membership_status(
+            self._detector, self._quota_lease, self._zone_scope, self._history, steady_us()
         )
--- a/magpieshift/extensions/overload_gossip.py
+++ b/magpieshift/extensions/overload_gossip.py
@@ -14,8 +14,8 @@
 from magpieshift.extensions.membership import Membership
 from magpieshift.log import fields
 from magpieshift.membership.driver import steady_us
-from magpieshift.membership.failure_detector import TICK_INTERVAL_US as MEMBERS_TURN_US
-from magpieshift.membership.member_table import Member
+from magpieshift.membership.member import Member
+from magpieshift.membership.probing import TICK_INTERVAL_US as MEMBERS_TURN_US
 from magpieshift.overload.codec import Malformed, decode, encode
 from magpieshift.overload.gossip import TURN_US, Gossip
 from magpieshift.overload.offloading import FRESH_US
@@ -48,8 +48,8 @@
         self._taken = 0
         self._left: set[int] = set()
         self.malformed = 0
-        membership.turns.append(self._turn)
-        membership.topics[TOPIC] = self._heard
+        membership.after_tick.append(self._turn)
+        membership.message_receivers[TOPIC] = self._heard
 
     # --- as a fitting
 
@@ -92,7 +92,7 @@
             m.name: Seen(m.endpoint.number, (m.endpoint.kind, m.endpoint.zone), shunned, failed, good)
             for m, shunned, failed, good in self._router.engine.endpoint_health()
         }
-        here = self._membership.there()
+        here = self._membership.alive_members()
         names = sorted(member.name for member in here)
         mates = [member.name for member in here if member.zone == self._membership.zone]
         turn = self._talker.turn(now, seen, names, mates, self._pressure(), self._rate)
@@ -110,7 +110,7 @@
             )
         by_name = {member.name: member for member in here}
         for name, digest in turn.sends:
-            self._membership.note(by_name[name], TOPIC, encode(digest))
+            self._membership.send_message(by_name[name], TOPIC, encode(digest))
 
     def _pressure(self) -> float:
         return max(self._router.pressed, self._late_us / LATE_US)
--- a/magpieshift/lab/experiments/members.py
+++ b/magpieshift/lab/experiments/members.py
@@ -16,10 +16,12 @@
 from itertools import count
 from typing import Any
 
-from magpieshift.membership.failure_detector import TICK_INTERVAL_US, DetectorTuning, FailureDetector
-from magpieshift.membership.member_table import Member, MembershipChange, MemberState
+from magpieshift.membership.failure_detector import FailureDetector
+from magpieshift.membership.member import Member, MembershipChange, MemberState
 from magpieshift.membership.messages import Address, Datagram, SendDatagram
+from magpieshift.membership.probing import TICK_INTERVAL_US
 from magpieshift.membership.quota_lease import FLEET_SCOPE, QuotaLease
+from magpieshift.membership.suspicion import DetectorTuning
 
 SECOND = 1_000_000
 BUFFER = 512  # datagrams that a socket keeps for a process that does not read
--- a/magpieshift/lab/experiments/membership_exploration.py
+++ b/magpieshift/lab/experiments/membership_exploration.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 
 from magpieshift.membership.failure_detector import FailureDetector
-from magpieshift.membership.member_table import Member, MemberState
+from magpieshift.membership.member import Member, MemberState
 from magpieshift.membership.messages import Address, Datagram, SendDatagram
 
 NAMES = ("a", "b", "c")
--- a/magpieshift/membership/__init__.py
+++ b/magpieshift/membership/__init__.py
@@ -1,6 +1,6 @@
-"""Membership among routers: who is there, and what part of the whole each may use.
+"""Membership among routers: which are present, and what part of the whole each may use.
 
-Pure state machines told messages and the time: ``view`` keeps what is known of every member, ``detector``
-watches, accuses and spreads, ``shares`` grants parts of what all divide; ``codec`` is the form on the wire.
-``driver`` has the socket. Nothing here is imported by a router that runs without it.
+State machines of messages and time: ``failure_detector`` monitors, reports and spreads, ``member_table``
+holds what is known, ``quota_lease`` deals out the whole by leases, ``codec`` is the form on the wire, and
+``driver`` does the I/O. A router that runs without membership imports none of it.
 """
--- a/magpieshift/membership/codec.py
+++ b/magpieshift/membership/codec.py
@@ -9,7 +9,8 @@
 
 from google.protobuf.message import DecodeError
 
-from magpieshift.membership.member_table import DIGEST_BUCKETS, MAX_TEXT_CHARACTERS, Member, SuspicionReport
+from magpieshift.errors import MagpieshiftError
+from magpieshift.membership.member import MAX_TEXT_CHARACTERS, Member, SuspicionReport
 from magpieshift.membership.messages import (
     Ack,
     Body,
@@ -21,16 +22,13 @@
     PingRequest,
     Sync,
 )
+from magpieshift.membership.ring import DIGEST_BUCKETS
 from magpieshift.membership.wire import members_pb2 as wire
 
-MAX_DATAGRAM_BYTES = 1400  # what goes through whole on any way; what is larger is not read
-MAX_RECORDS = 64  # records in one datagram: far more than a router writes
-MAX_QUOTA_PARTS = 16
-
-
-class MalformedDatagramError(Exception):
-    """No datagram of ours; the text says what was found and what expected."""
-
+MAX_DATAGRAM_BYTES = 1400  # below the Ethernet MTU of 1500 with headers: larger ones would be fragmented
+MAX_RECORDS = 64  # of each kind in one datagram: far more than a router writes
+MAX_QUOTA_PARTS = 16  # scopes in one lease message; a router writes two
+RECORD_CACHE_SIZE = 64  # records: a sender's own is encoded many times between two heartbeats
 
 _WIRE_KINDS = {
     LeaseMessageKind.NONE: wire.Claim.NONE,
@@ -40,113 +38,163 @@
     LeaseMessageKind.GRANT: wire.Claim.GRANT,
     LeaseMessageKind.GRANT_ACCEPTED: wire.Claim.RETURN,
 }
+_KINDS = {int(wire_kind): kind for kind, wire_kind in _WIRE_KINDS.items()}
 
 
-def seal(data: bytes) -> bytes:
+class MalformedDatagramError(MagpieshiftError):
+    """Bytes are no datagram of a router; the text says what was found and what was expected."""
+
+
+def _seal(data: bytes) -> bytes:
     """The seam for a message authentication code: here it would be added."""
     return data
 
 
-def opened(data: bytes) -> bytes:
+def _unseal(data: bytes) -> bytes:
     """And here checked and taken off; ``MalformedDatagramError`` where it does not fit."""
     return data
 
 
-def _member(member: Member, row: wire.Member) -> None:
-    row.name = member.name
-    row.host = member.host
-    row.port = member.port
-    row.incarnation = member.incarnation
-    row.boot = member.boot_id
-    row.beat = member.heartbeat
-    row.left = member.has_left
-    row.zone = member.zone
-    row.program = member.program_version
-    row.settings = member.settings_version
-    row.state = member.lifecycle_state
-    row.load = member.open_requests
-
-
-@lru_cache(maxsize=64)
-def _row(member: Member) -> wire.Member:
-    """A record as it goes along: the same one is sent many times between two beats."""
-    row = wire.Member()
-    _member(member, row)
-    return row
+# --- encoding
 
 
 def encode(datagram: Datagram) -> bytes:
-    """A datagram as bytes, of ``MAX_DATAGRAM_BYTES`` at most: what is only passed on gives way."""
-    rows = list(datagram.members)
-    said = list(datagram.suspicions)
+    """A datagram as at most ``MAX_DATAGRAM_BYTES``: half of the updates give way until it fits."""
+    members = datagram.members
+    suspicions = datagram.suspicions
     while True:
-        out = wire.Datagram(fleet=datagram.fleet, serial=datagram.sequence_number, view=datagram.view_digest)
-        out.sender.CopyFrom(_row(datagram.sender))
-        match datagram.body:
-            case Ping(ping_id=number):
-                out.ping.number = number
-            case Ack(ping_id=number, target=about):
-                out.ack.number = number
-                out.ack.about = about
-            case PingRequest(ping_id=number, target=about):
-                out.ask.number = number
-                out.ask.about = about
-            case Sync(bucket_digests=parts, is_reply=answer):
-                out.sync.parts.extend(parts)
-                out.sync.answer = answer
-            case LeaseMessage(term=term, kind=kind, request_id=number, quotas=shares):
-                out.claim.MergeFrom(wire.Claim(term=term, kind=_WIRE_KINDS[kind], number=number))
-                for scope, share in shares:
-                    out.claim.parts.add(scope=scope, share=share)
-            case ExtensionMessage(topic=topic, data=data):
-                out.note.topic = topic
-                out.note.data = data
-        for member in rows:
-            out.members.append(_row(member))
-        for each in said:
-            out.accusations.add(
-                about=each.suspect, incarnation=each.incarnation, beat=each.heartbeat, accuser=each.reporter
-            )
-        whole = seal(out.SerializeToString())
-        if len(whole) <= MAX_DATAGRAM_BYTES or not (rows or said):
-            return whole
-        rows = rows[: len(rows) // 2]
-        said = said[: len(said) // 2]
-
-
-def _text(value: str, what: str, needed: bool = True) -> str:
-    if len(value) > MAX_TEXT_CHARACTERS or (needed and not value) or not (value.isprintable() or not value):
+        data = _seal(_encode_whole(datagram, members, suspicions))
+        if len(data) <= MAX_DATAGRAM_BYTES or not (members or suspicions):
+            return data
+        members = members[: len(members) // 2]
+        suspicions = suspicions[: len(suspicions) // 2]
+
+
+def _encode_whole(
+    datagram: Datagram, members: tuple[Member, ...], suspicions: tuple[SuspicionReport, ...]
+) -> bytes:
+    raw = wire.Datagram(fleet=datagram.fleet, serial=datagram.sequence_number, view=datagram.view_digest)
+    raw.sender.CopyFrom(_encode_member(datagram.sender))
+    _encode_body(datagram.body, raw)
+    for member in members:
+        raw.members.append(_encode_member(member))
+    for report in suspicions:
+        raw.accusations.add(
+            about=report.suspect,
+            incarnation=report.incarnation,
+            beat=report.heartbeat,
+            accuser=report.reporter,
+        )
+    return raw.SerializeToString()
+
+
+@lru_cache(maxsize=RECORD_CACHE_SIZE)
+def _encode_member(member: Member) -> wire.Member:
+    return wire.Member(
+        name=member.name,
+        host=member.host,
+        port=member.port,
+        incarnation=member.incarnation,
+        boot=member.boot_id,
+        beat=member.heartbeat,
+        left=member.has_left,
+        zone=member.zone,
+        program=member.program_version,
+        settings=member.settings_version,
+        state=member.lifecycle_state,
+        load=member.open_requests,
+    )
+
+
+def _encode_body(body: Body, raw: wire.Datagram) -> None:
+    match body:
+        case Ping():
+            raw.ping.number = body.ping_id
+        case Ack():
+            raw.ack.number = body.ping_id
+            raw.ack.about = body.target
+        case PingRequest():
+            raw.ask.number = body.ping_id
+            raw.ask.about = body.target
+        case Sync():
+            raw.sync.parts.extend(body.bucket_digests)
+            raw.sync.answer = body.is_reply
+        case LeaseMessage():
+            claim = wire.Claim(term=body.term, kind=_WIRE_KINDS[body.kind], number=body.request_id)
+            raw.claim.MergeFrom(claim)
+            for scope, quota in body.quotas:
+                raw.claim.parts.add(scope=scope, share=quota)
+        case ExtensionMessage():
+            raw.note.topic = body.topic
+            raw.note.data = body.data
+
+
+# --- decoding
+
+
+def decode(data: bytes) -> Datagram:
+    """Bytes from anybody as a datagram; ``MalformedDatagramError`` where they are none."""
+    if len(data) > MAX_DATAGRAM_BYTES:
+        raise MalformedDatagramError(
+            f"datagram: found {len(data)} bytes, expected at most {MAX_DATAGRAM_BYTES}"
+        )
+    raw = wire.Datagram()
+    try:
+        raw.ParseFromString(_unseal(data))
+    except DecodeError as err:
+        raise MalformedDatagramError(f"datagram: {err}") from err
+    if len(raw.members) > MAX_RECORDS or len(raw.accusations) > MAX_RECORDS:
+        raise MalformedDatagramError(f"datagram: found more than {MAX_RECORDS} rows")
+    suspicions = tuple(_decode_suspicion(row) for row in raw.accusations)
+    return Datagram(
+        fleet=_text(raw.fleet, "fleet"),
+        sender=_decode_member(raw.sender, "sender"),
+        sequence_number=raw.serial,
+        view_digest=raw.view,
+        body=_decode_body(raw),
+        members=tuple(_decode_member(row, "member") for row in raw.members),
+        suspicions=suspicions,
+    )
+
+
+def _text(value: str, field: str, required: bool = True) -> str:
+    if len(value) > MAX_TEXT_CHARACTERS or (required and not value) or not (value.isprintable() or not value):
         raise MalformedDatagramError(
-            f"{what}: found {len(value)} characters, expected 1 to {MAX_TEXT_CHARACTERS} that can be shown"
+            f"{field}: found {len(value)} characters, expected 1 to {MAX_TEXT_CHARACTERS} that can be shown"
         )
     return value
 
 
-def _read_member(row: wire.Member, what: str) -> Member:
+def _decode_suspicion(row: wire.Accusation) -> SuspicionReport:
+    field = "accusation"
+    return SuspicionReport(_text(row.about, field), row.incarnation, row.beat, _text(row.accuser, field))
+
+
+def _decode_member(row: wire.Member, field: str) -> Member:
     if not 0 < row.port < 65536:
-        raise MalformedDatagramError(f"{what}: found port {row.port}, expected 1 to 65535")
+        raise MalformedDatagramError(f"{field}: found port {row.port}, expected 1 to 65535")
     return Member(
-        _text(row.name, what),
-        _text(row.host, what),
-        row.port,
-        row.incarnation,
-        row.boot,
-        row.beat,
-        row.left,
-        _text(row.zone, what, False),
-        _text(row.program, what, False),
-        row.settings,
-        _text(row.state, what, False),
-        row.load,
+        name=_text(row.name, field),
+        host=_text(row.host, field),
+        port=row.port,
+        incarnation=row.incarnation,
+        boot_id=row.boot,
+        heartbeat=row.beat,
+        has_left=row.left,
+        zone=_text(row.zone, field, required=False),
+        program_version=_text(row.program, field, required=False),
+        settings_version=row.settings,
+        lifecycle_state=_text(row.state, field, required=False),
+        open_requests=row.load,
     )
 
 
-def _read_body(raw: wire.Datagram) -> Body:
+def _decode_body(raw: wire.Datagram) -> Body:
     match raw.WhichOneof("body"):
         case "ping":
             return Ping(raw.ping.number)
         case "ack":
-            return Ack(raw.ack.number, _text(raw.ack.about, "ack", False))
+            return Ack(raw.ack.number, _text(raw.ack.about, "ack", required=False))
         case "ask":
             return PingRequest(raw.ask.number, _text(raw.ask.about, "ask"))
         case "sync":
@@ -156,45 +204,17 @@
                 )
             return Sync(tuple(raw.sync.parts), raw.sync.answer)
         case "claim":
-            if len(raw.claim.parts) > MAX_QUOTA_PARTS:
-                raise MalformedDatagramError(
-                    f"claim: found {len(raw.claim.parts)} parts, expected at most {MAX_QUOTA_PARTS}"
-                )
-            parts = tuple((_text(part.scope, "claim"), part.share) for part in raw.claim.parts)
-            try:
-                kind = LeaseMessageKind(raw.claim.kind)
-            except ValueError:
-                kind = LeaseMessageKind.NONE  # of a later version
-            return LeaseMessage(raw.claim.term, kind, raw.claim.number, parts)
+            return _decode_lease_message(raw.claim)
         case "note":
             return ExtensionMessage(_text(raw.note.topic, "note"), raw.note.data)
-    return None  # or of a later version
+    return None  # none, or of a later version
 
 
-def decode(data: bytes) -> Datagram:
-    """Bytes from anybody as a datagram; ``MalformedDatagramError`` where they are none."""
-    if len(data) > MAX_DATAGRAM_BYTES:
+def _decode_lease_message(claim: wire.Claim) -> LeaseMessage:
+    if len(claim.parts) > MAX_QUOTA_PARTS:
         raise MalformedDatagramError(
-            f"datagram: found {len(data)} bytes, expected at most {MAX_DATAGRAM_BYTES}"
+            f"claim: found {len(claim.parts)} parts, expected at most {MAX_QUOTA_PARTS}"
         )
-    raw = wire.Datagram()
-    try:
-        raw.ParseFromString(opened(data))
-    except DecodeError as err:
-        raise MalformedDatagramError(f"datagram: {err}") from err
-    if len(raw.members) > MAX_RECORDS or len(raw.accusations) > MAX_RECORDS:
-        raise MalformedDatagramError(f"datagram: found more than {MAX_RECORDS} rows")
-    what = "accusation"
-    accusations = tuple(
-        SuspicionReport(_text(row.about, what), row.incarnation, row.beat, _text(row.accuser, what))
-        for row in raw.accusations
-    )
-    return Datagram(
-        _text(raw.fleet, "fleet"),
-        _read_member(raw.sender, "sender"),
-        raw.serial,
-        raw.view,
-        _read_body(raw),
-        tuple(_read_member(row, "member") for row in raw.members),
-        accusations,
-    )
+    quotas = tuple((_text(part.scope, "claim"), part.share) for part in claim.parts)
+    kind = _KINDS.get(claim.kind, LeaseMessageKind.NONE)  # NONE: of a later version
+    return LeaseMessage(claim.term, kind, claim.number, quotas)
--- a/magpieshift/membership/dissemination.py
+++ b/magpieshift/membership/dissemination.py
@@ -1,30 +1,24 @@
-"""What a router passes on: records of members and accusations, a few with each datagram that it sends."""
+"""Dissemination of updates, piggybacked on the datagrams that a router sends anyway (SWIM)."""
 
 from __future__ import annotations
 
 import math
 
 from magpieshift.membership.counters import MembershipCounters
-from magpieshift.membership.member_table import (
-    KnownMember,
-    Member,
-    MembershipChange,
-    MemberState,
-    MemberTable,
-    SuspicionReport,
-)
+from magpieshift.membership.member import KnownMember, Member, MembershipChange, MemberState, SuspicionReport
+from magpieshift.membership.member_table import MemberTable
 from magpieshift.membership.messages import Address, Body, Datagram, SendDatagram
-from magpieshift.membership.update_queue import UpdateKey, UpdateQueue
+from magpieshift.membership.update_queue import Update, UpdateKey, UpdateQueue
 
-# in one datagram, which stays under 1,400 bytes
+# Of one datagram, so that it stays under 1,400 bytes and is not fragmented.
 MAX_MEMBERS_SENT = 8
 MAX_SUSPICIONS_SENT = 12
-MAX_UPDATES_EXAMINED = 32  # rumours, for what goes along with one datagram
-RETRANSMIT_MULTIPLIER = 3  # times the logarithm of the members: how often one rumour is passed on
+MAX_UPDATES_EXAMINED = 32  # for one datagram: bounds its cost where many updates are stale
+RETRANSMIT_MULTIPLIER = 3  # SWIM's lambda: an update is sent this many times the logarithm of the members
 
 
 class Dissemination:
-    """The rumours of one router, and which of them go along with the next datagram."""
+    """The updates of one router, and which of them go along with the next datagram."""
 
     def __init__(self, view: MemberTable) -> None:
         self._view = view
@@ -36,49 +30,57 @@
             self.spread_member(self._view.members[change.name].member)
 
     def spread_member(self, member: Member) -> None:
+        """Pass on a member's record."""
         self._enqueue(("m", member.name), member)
 
-    def spread_suspicion(self, said: SuspicionReport) -> None:
-        self._enqueue(("a", said.suspect, said.reporter), said)
+    def spread_suspicion(self, report: SuspicionReport) -> None:
+        """Pass on a suspicion report."""
+        self._enqueue(("a", report.suspect, report.reporter), report)
 
-    def _enqueue(self, key: UpdateKey, item: Member | SuspicionReport) -> None:
-        self.updates.put(
-            key, item, RETRANSMIT_MULTIPLIER * math.ceil(math.log2(self._view.present_count + 2))
-        )
+    def _enqueue(self, key: UpdateKey, update: Update) -> None:
+        times = RETRANSMIT_MULTIPLIER * math.ceil(math.log2(self._view.present_count + 2))
+        self.updates.put(key, update, times)
 
     def take_updates(self, counts: bool) -> tuple[tuple[Member, ...], tuple[SuspicionReport, ...]]:
-        """What goes along with the next datagram: what has been passed on least. It counts as passed on only
-        where somebody is likely to read it: of many deaths at once most datagrams go to the dead."""
+        """The updates for the next datagram, the least often sent first.
+
+        They count as sent only where ``counts``, so where the receiver is likely to read them: when many
+        members die at once, most datagrams go to the dead, and updates would be used up on them.
+        """
         members: list[Member] = []
-        accusations: list[SuspicionReport] = []
-        for key, item in self.updates.first(MAX_UPDATES_EXAMINED):
-            known = self._view.members.get(item.name if isinstance(item, Member) else item.suspect)
-            if isinstance(item, Member):
+        suspicions: list[SuspicionReport] = []
+        for key, update in self.updates.first(MAX_UPDATES_EXAMINED):
+            if isinstance(update, Member):
+                known = self._view.members.get(update.name)
                 if known is None or len(members) >= MAX_MEMBERS_SENT:
                     continue
-                members.append(known.member)  # the latest of it
+                members.append(known.member)  # the latest record of it
             else:
-                stale = known is None or not (
-                    item.reporter in known.reporters or self._declared_dead_by_own(known, item)
-                )
-                if stale:
+                if not self._is_current(update):
                     self.updates.drop(key)
                     continue
-                if len(accusations) >= MAX_SUSPICIONS_SENT:
+                if len(suspicions) >= MAX_SUSPICIONS_SENT:
                     continue
-                accusations.append(item)
+                suspicions.append(update)
             if counts:
                 self.updates.mark_sent(key)
-        return tuple(members), tuple(accusations)
+        return tuple(members), tuple(suspicions)
+
+    def _is_current(self, report: SuspicionReport) -> bool:
+        """Whether a report still holds in this router's view."""
+        known = self._view.members.get(report.suspect)
+        return known is not None and (
+            report.reporter in known.reporters or self._declared_dead_by_own(known, report)
+        )
 
-    def _declared_dead_by_own(self, known: KnownMember, said: SuspicionReport) -> bool:
-        """Whether this router itself says so and holds the member for gone by it."""
-        own = said.reporter == self._view.own.name and said.incarnation == known.member.incarnation
-        return own and known.state == MemberState.DEAD
+    def _declared_dead_by_own(self, known: KnownMember, report: SuspicionReport) -> bool:
+        """Whether the report is this router's own, about a member that it holds to be dead."""
+        is_own = report.reporter == self._view.own.name and report.incarnation == known.member.incarnation
+        return is_own and known.state == MemberState.DEAD
 
 
 class Outbox:
-    """Datagrams of one router, numbered, until they are sent."""
+    """The datagrams of one router, numbered, until they are flushed."""
 
     def __init__(
         self, fleet: str, view: MemberTable, dissemination: Dissemination, counters: MembershipCounters
@@ -88,18 +90,23 @@
         self._dissemination = dissemination
         self._counters = counters
         self._unsent: list[SendDatagram] = []
-        self._sequence_number = 0
+        self._sequence_number = 0  # of the last datagram
 
     def send_to(self, member: Member, body: Body) -> None:
-        """A datagram for a member, at the address of its record."""
+        """Queue a datagram for a member, at the address of its record."""
         known = self._view.members.get(member.name)
-        well = known is not None and known.is_present and member.name not in self._view.under_suspicion
-        self.send((member.host, member.port), body, counts=well)
+        is_healthy = known is not None and known.is_present and member.name not in self._view.under_suspicion
+        self.send((member.host, member.port), body, counts=is_healthy)
+
+    def send(
+        self, destination: Address, body: Body, records: tuple[Member, ...] = (), counts: bool = True
+    ) -> None:
+        """Queue a datagram for an address.
 
-    def send(self, to: Address, body: Body, more: tuple[Member, ...] = (), counts: bool = True) -> None:
-        """A datagram for an address, with records of members besides what is passed on. ``counts``: somebody
-        is likely to read it."""
-        members, accusations = self._dissemination.take_updates(counts)
+        ``records`` go along in front of what is passed on. ``counts`` says whether the receiver is likely to
+        read the datagram; see ``Dissemination.take_updates``.
+        """
+        members, suspicions = self._dissemination.take_updates(counts)
         self._sequence_number += 1
         datagram = Datagram(
             self._fleet,
@@ -107,14 +114,14 @@
             self._sequence_number,
             self._view.digest,
             body,
-            more + members,
-            accusations,
+            records + members,
+            suspicions,
         )
-        self._unsent.append(SendDatagram(to, datagram))
+        self._unsent.append(SendDatagram(destination, datagram))
         self._counters.sent += 1
 
     def flush(self) -> list[SendDatagram]:
-        """What has come to be sent, which is taken out."""
+        """Take out the queued datagrams."""
         unsent = self._unsent
         self._unsent = []
         return unsent
--- a/magpieshift/membership/driver.py
+++ b/magpieshift/membership/driver.py
@@ -1,4 +1,4 @@
-"""The thin driver: one UDP socket and one timer round the state machines."""
+"""The one driver of membership's I/O: a UDP socket and a timer around the state machines."""
 
 from __future__ import annotations
 
@@ -9,46 +9,50 @@
 from magpieshift import clock
 from magpieshift.log import fields
 from magpieshift.membership.codec import MalformedDatagramError, decode, encode
-from magpieshift.membership.failure_detector import TICK_INTERVAL_US, FailureDetector
-from magpieshift.membership.member_table import Member
+from magpieshift.membership.failure_detector import FailureDetector
+from magpieshift.membership.member import Member
 from magpieshift.membership.messages import Address, LeaseMessage, SendDatagram
+from magpieshift.membership.probing import TICK_INTERVAL_US
 from magpieshift.membership.quota_lease import QuotaLease
 
 log = logging.getLogger(__name__)
 
-MAX_DATAGRAMS_PER_TICK = 512  # datagrams read between two turns; what floods us is dropped unread
+MAX_DATAGRAMS_PER_TICK = 512  # read between two ticks; a flood beyond is dropped undecoded
 
 
 def steady_us() -> int:
-    """A clock that never goes back and runs on while the process is stopped; no wall clock is needed."""
+    """A clock that never goes back and runs on while the process is stopped, in microseconds."""
     return clock.source.steady_us()
 
 
 class MembershipDriver(asyncio.DatagramProtocol):
-    """Owner of the socket and of the timer. ``after`` is called at the end of each turn, ``used`` round all
-    that may change what is held of the whole: what the router uses must have shrunk before anybody is told
-    that it did, and what ran out while the process stood still must not pass for what it was just given."""
+    """Owner of the socket and of the timer.
+
+    ``after_tick`` is called at the end of each tick. ``refresh_quota`` is called around everything that may
+    change the quota: what the router uses has to shrink before others are told that it did, and a lease that
+    expired during a pause must not pass for the one just granted.
+    """
 
     def __init__(
         self,
         detector: FailureDetector,
-        shares: QuotaLease,
+        quota_lease: QuotaLease,
         now_us: Callable[[], int] = steady_us,
-        after: Callable[[], None] = lambda: None,
-        used: Callable[[], None] = lambda: None,
+        after_tick: Callable[[], None] = lambda: None,
+        refresh_quota: Callable[[], None] = lambda: None,
     ) -> None:
         self.detector = detector
-        self.quota_lease = shares
+        self.quota_lease = quota_lease
         self.now_us = now_us
-        self.after_tick = after
-        self.refresh_quota = used
+        self.after_tick = after_tick
+        self.refresh_quota = refresh_quota
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._datagrams_read = 0
+        self._datagrams_read = 0  # since the last tick
         detector.on_lease_message = self._receive_lease_message
 
     async def open(self, address: Address) -> Address:
-        """Bind and begin; the address bound. ``OSError`` where that can't be."""
+        """Bind and begin; the address bound. Raises ``OSError`` where that cannot be."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=address)
         self._transport = transport
@@ -57,7 +61,7 @@
         return bound
 
     def close(self) -> None:
-        """Say goodbye and give back socket and timer."""
+        """Leave the fleet, and release the socket and the timer."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -66,25 +70,28 @@
             self._transport.close()
             self._transport = None
 
-    # --- what comes
+    # --- receiving
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
+        """Decode and take in a datagram."""
         self._datagrams_read += 1
         if self._datagrams_read > MAX_DATAGRAMS_PER_TICK:
             self.detector.counters.flooded += 1
             return
+        source = addr[:2]
         try:
             datagram = decode(data)
         except MalformedDatagramError as err:
             self.detector.counters.malformed += 1
-            log.debug("datagram dropped", extra=fields(source="{}:{}".format(*addr[:2]), reason=err))
+            log.debug("datagram dropped", extra=fields(source="{}:{}".format(*source), reason=err))
             return
         try:
-            self._transmit(self.detector.receive(self.now_us(), addr[:2], datagram))
-        except Exception:  # what one sends must not end the membership of all
-            log.exception("datagram failed", extra=fields(source="{}:{}".format(*addr[:2])))
+            self._transmit(self.detector.receive(self.now_us(), source, datagram))
+        except Exception:  # contains a fault that one datagram sets off: the others' membership goes on
+            log.exception("datagram failed", extra=fields(source="{}:{}".format(*source)))
 
     def error_received(self, exc: Exception) -> None:
+        """The system reports a datagram as undeliverable, as its receiver does not run."""
         log.debug("datagram not delivered", extra=fields(reason=exc))
 
     # --- time
@@ -92,27 +99,27 @@
     def _tick(self) -> None:
         self._timer = asyncio.get_running_loop().call_later(TICK_INTERVAL_US / 1e6, self._tick)
         self._datagrams_read = 0
-        now = self.now_us()
+        now_us = self.now_us()
         try:
             self.refresh_quota()
-            self._transmit(self.detector.tick(now))
-            for to, claim in self.quota_lease.tick(now, self.detector.view):
-                self.detector.send(to, claim)
+            self._transmit(self.detector.tick(now_us))
+            for destination, message in self.quota_lease.tick(now_us, self.detector.view):
+                self.detector.send(destination, message)
             self._transmit(self.detector.flush())
             self.after_tick()
-            self._transmit(self.detector.flush())  # what other parts have to say
-        except Exception:
-            log.exception("turn failed")
+            self._transmit(self.detector.flush())  # the messages of other parts
+        except Exception:  # contains a fault of one tick: the timer goes on, and the next tick may do
+            log.exception("tick failed")
 
-    def _receive_lease_message(self, claim: LeaseMessage, sender: Member, to: Address) -> None:
+    def _receive_lease_message(self, message: LeaseMessage, sender: Member, source: Address) -> None:
         self.refresh_quota()
-        answers = self.quota_lease.receive(self.now_us(), claim, sender, to, self.detector.view)
+        replies = self.quota_lease.receive(self.now_us(), message, sender, source, self.detector.view)
         self.refresh_quota()
-        for where, answer in answers:
-            self.detector.send(where, answer)
+        for destination, reply in replies:
+            self.detector.send(destination, reply)
 
-    def _transmit(self, sends: list[SendDatagram]) -> None:
+    def _transmit(self, actions: list[SendDatagram]) -> None:
         if self._transport is None:
             return
-        for send in sends:
-            self._transport.sendto(encode(send.datagram), send.destination)
+        for action in actions:
+            self._transport.sendto(encode(action.datagram), action.destination)
--- a/magpieshift/membership/failure_detector.py
+++ b/magpieshift/membership/failure_detector.py
@@ -16,13 +16,10 @@
 from magpieshift.membership.admission import DatagramAdmission
 from magpieshift.membership.counters import MembershipCounters
 from magpieshift.membership.dissemination import Dissemination, Outbox
-from magpieshift.membership.member_table import (
-    MAX_TEXT_CHARACTERS,
-    KnownMember,
-    Member,
-    MemberState,
-    MemberTable,
-)
+from magpieshift.membership.indirect_pings import IndirectPings
+from magpieshift.membership.local_health import HEARTBEAT_TIMEOUT_US, LocalHealth
+from magpieshift.membership.member import MAX_TEXT_CHARACTERS, Member, MemberState
+from magpieshift.membership.member_table import MemberTable
 from magpieshift.membership.messages import (
     Ack,
     Address,
@@ -36,28 +33,33 @@
     Sync,
 )
 from magpieshift.membership.name_conflict import NameConflict
-from magpieshift.membership.own_record import RecordMerger
-from magpieshift.membership.pings import PING_TIMEOUT_US, PendingPing, PendingPings
-from magpieshift.membership.probing import TICK_INTERVAL_US, TICKS_PER_ROUND, Probing
-from magpieshift.membership.suspicion import MONITORED_PEERS, SUSPICION_TIMEOUT_US, DetectorTuning, Suspicion
+from magpieshift.membership.pings import PING_TIMEOUT_US, PendingPings
+from magpieshift.membership.probing import TICKS_PER_ROUND, Probing
+from magpieshift.membership.reconnection import Reconnection
+from magpieshift.membership.record_merger import RecordMerger
+from magpieshift.membership.suspicion import (
+    MONITORED_PEERS,
+    SUSPICION_TIMEOUT_US,
+    DetectorTuning,
+    Suspicion,
+)
 from magpieshift.membership.synchronization import Synchronization
-from magpieshift.membership.unknown_peers import MAX_UNKNOWN_PEERS, UnknownPeers
+from magpieshift.membership.unknown_peers import UnknownPeers
 
-__all__ = ("MAX_UNKNOWN_PEERS", "TICK_INTERVAL_US", "DetectorTuning", "FailureDetector")
+GOSSIP_TICKS = 2  # updates are sent every second tick
+GOSSIP_FANOUT = 2  # to so many members at random, while there are updates
+# The fan-out of a router that was lately reported itself: its heartbeat must reach others by more ways.
+REPORTED_FANOUT = 6
+LEAVE_FANOUT = 2 * MONITORED_PEERS  # members at random told of a leave, besides the next on the ring
+BOOT_ID_SUFFIX_CHARACTERS = 9  # of a name taken in a conflict: "~" and eight digits
 
-HEARTBEAT_TIMEOUT_US = 2_400_000
-MIN_PAUSE_US = 1_000_000  # between two ticks: this process did not run, and cannot know who was silent
-# how often they are tried
-SEED_RETRY_INTERVAL_US = 3_000_000
-DEAD_PROBE_INTERVAL_US = 1_000_000
 
+def _ignore_lease_message(message: LeaseMessage, sender: Member, source: Address) -> None:
+    """Receives lease messages where no quotas are leased."""
 
-def _nobody(claim: LeaseMessage, sender: Member, to: Address) -> None:
-    """Who takes claims where there are no shares."""
 
-
-def _deaf(note: ExtensionMessage, sender: Member) -> None:
-    """Who takes notes where no other part listens."""
+def _ignore_extension_message(message: ExtensionMessage, sender: Member) -> None:
+    """Receives extension messages where no other part listens."""
 
 
 class FailureDetector:
@@ -72,276 +74,224 @@
         rand: random.Random,
         tuning: DetectorTuning = DetectorTuning(),  # noqa: B008, it is frozen
     ) -> None:
+        """``own`` is this router's first record, ``seeds`` are addresses to join by."""
         self.view = MemberTable(own, now_us)
-        self.seeds = seeds
-        self.tuning = tuning
         self.counters = MembershipCounters()
-        self.superseded = False  # another process goes on under this name, as it should
-        self.expects_successor = False  # a replacement is under way: it is no conflict
-        self.on_lease_message: Callable[[LeaseMessage, Member, Address], None] = _nobody
-        self.on_extension_message: Callable[[ExtensionMessage, Member], None] = _deaf
-        self.changes = 0  # of what this router says of itself, for its listeners
-        self._now_us = now_us
-        self._random = rand
+        self.superseded = False  # a successor goes on under this name: this process probes nobody
+        self.expects_successor = False  # a replacement is under way: another process is no conflict
+        self.on_lease_message: Callable[[LeaseMessage, Member, Address], None] = _ignore_lease_message
+        self.on_extension_message: Callable[[ExtensionMessage, Member], None] = _ignore_extension_message
+        self._tuning = tuning
+        self._health = LocalHealth(now_us)
         self._dissemination = Dissemination(self.view)
         self._outbox = Outbox(fleet, self.view, self._dissemination, self.counters)
         self._admission = DatagramAdmission(fleet, self.view, self.counters)
         self._pings = PendingPings(rand)
-        self._watching = Probing(self.view, self._outbox, self._pings, rand, tuning.monitored_peers)
-        self._judge = Suspicion(self.view, self._dissemination, tuning)
+        self._probing = Probing(self.view, self._outbox, self._pings, rand, tuning.monitored_peers)
+        self._suspicion = Suspicion(self.view, self._dissemination, tuning)
         self._synchronization = Synchronization(self.view, self._dissemination, self._outbox, rand)
+        self._reconnection = Reconnection(self.view, self._outbox, self._synchronization, seeds, rand)
         self._name_conflict = NameConflict(self.view, self._dissemination)
-        self._records = RecordMerger(self.view, self._dissemination, self._judge, self._name_conflict)
-        self._strangers = UnknownPeers(self._outbox, self._pings)
-        self._turn = 0
-        self._last_tick_us = self._woke_us = self._heard_us = now_us
-        self._late_us = 0  # how late ticks lately came: that much silence is this router's own
-        self._seeds_us = 0
-        self._gone_us = 0
-        self._accused_us = -SUSPICION_TIMEOUT_US
+        self._merger = RecordMerger(self.view, self._dissemination, self._suspicion, self._name_conflict)
+        self._unknown_peers = UnknownPeers(self._outbox, self._pings)
+        self._indirect_pings = IndirectPings(self.view, self._outbox, self._pings)
+        self._tick_count = 0
+        self._last_reported_us = -SUSPICION_TIMEOUT_US  # when a report of this router last arrived
 
-    # --- what can be asked
+    # --- reading
+
+    @property
+    def now_us(self) -> int:
+        """The time of the last tick or datagram."""
+        return self._health.now_us
 
     @property
     def isolated(self) -> bool:
-        """Whether it has lately heard nobody at all."""
-        return self.view.present_count > 1 and self._now_us - self._heard_us >= HEARTBEAT_TIMEOUT_US
+        """Whether it has lately heard nobody, though others are present."""
+        return self._health.is_isolated(self.view.present_count)
 
     @property
     def locally_healthy(self) -> bool:
-        """Whether it may judge others: it runs, and hears."""
-        return not self.isolated and self._now_us - self._woke_us >= HEARTBEAT_TIMEOUT_US
+        """Whether it may report others: it runs, and hears."""
+        return self._health.is_healthy(self.view.present_count)
 
     @property
     def eligible_reporters(self) -> int:
-        """How many could accuse: those nobody suspects and this router does not accuse, itself included."""
-        return self._judge.eligible_reporters
+        """How many could report: alive members that this router does not report, itself included."""
+        return self._suspicion.eligible_reporters
 
     # --- time
 
     def tick(self, now_us: int) -> list[SendDatagram]:
-        """To be called every ``TICK_INTERVAL_US``; what is to be sent."""
-        late = now_us - self._last_tick_us - TICK_INTERVAL_US
-        self._now_us = now_us
-        self._last_tick_us = now_us
-        if late >= MIN_PAUSE_US:
-            self._woke()
-        self._late_us = max(late, int(self._late_us * 0.98), 0)
-        self._turn += 1
-        turn = self._turn % TICKS_PER_ROUND
-        if turn == 0:
+        """Advance by one tick, every ``TICK_INTERVAL_US``; the datagrams to be sent."""
+        if self._health.tick(now_us):
+            self._resume_from_pause()
+        self._tick_count += 1
+        tick_in_round = self._tick_count % TICKS_PER_ROUND
+        if tick_in_round == 0:
             self.view.update_own()
             self.view.forget_departed(now_us)
-            self._clear_old()
+            self._expire()
         if self.superseded:
             return self.flush()
-        self._watching.tick(now_us, turn)
-        if turn == 0:
-            self._round()
-        if self._turn % 2 == 0:
-            self._push()
-        self._judge_all()
+        self._probing.tick(now_us, tick_in_round)
+        if tick_in_round == 0:
+            self._begin_round()
+        if self._tick_count % GOSSIP_TICKS == 0:
+            self._send_updates()
+        self._update_states()
         return self.flush()
 
-    def _woke(self) -> None:
-        """It slept: what it missed is no silence of others. Every suspicion begins anew."""
+    def _resume_from_pause(self) -> None:
+        """What was missed during a pause is no silence of others: every suspicion begins anew."""
         self.counters.slept += 1
-        if not self.tuning.local_health:
+        if not self._tuning.local_health:
             return
-        self._woke_us = self._now_us
+        self._health.resume()
         for known in self.view.members.values():
             if known.state == MemberState.SUSPECT:
-                known.state_since_us = self._now_us
+                known.state_since_us = self.now_us
             self.view.remove_suspicion(known.member.name, self.view.own.name)
 
-    def _round(self) -> None:
-        """Once a round: someone at random, now and then a seed, and one that is gone."""
-        for member in self._watching.random_members(1):
-            self._watching.ping(self._now_us, member)
-        if self.seeds and (
-            self.view.present_count == 1 or self._now_us - self._seeds_us >= SEED_RETRY_INTERVAL_US
-        ):
-            self._seeds_us = self._now_us
-            here = {(k.member.host, k.member.port) for k in self.view.members.values() if k.is_present}
-            missing = [seed for seed in self.seeds if seed not in here]
-            if missing:
-                self._outbox.send(self._random.choice(missing), self._synchronization.request())
-        if self.view.has_absent_members and self._now_us - self._gone_us >= DEAD_PROBE_INTERVAL_US:
-            self._gone_us = self._now_us
-            gone = [k.member for k in self.view.members.values() if k.state == MemberState.DEAD]
-            if gone:
-                self._outbox.send_to(self._random.choice(gone), self._synchronization.request())
-        rival = self._name_conflict.next_ping_target()
-        if rival is not None:
-            self._watching.ping(self._now_us, rival, rival)
-
-    def _clear_old(self) -> None:
-        past = self._now_us - PING_TIMEOUT_US
-        for opened in self._pings.expire(past):
-            self._strangers.forget(opened)
-        self._admission.forget_idle(past)
-
-    # --- judging
-
-    def _judge_all(self) -> None:
-        settled = self.locally_healthy or not self.tuning.local_health
-        if settled:
-            silent_us = HEARTBEAT_TIMEOUT_US + 2 * min(self._late_us, MIN_PAUSE_US)
-            self._judge.report_silent(self._now_us, self._watching.monitored_since, self._woke_us, silent_us)
-        self._judge.update_states(self._now_us, settled)
-
-    # --- spreading
-
-    def _push(self) -> None:
-        """News goes to a few at once; who is accused, or hears little, is heard of by more."""
-        fresh = 2 if self._dissemination.updates else 0
-        if self._now_us - self._accused_us < HEARTBEAT_TIMEOUT_US:
-            fresh = 6
-        for member in self._watching.random_members(fresh):
+    def _begin_round(self) -> None:
+        """Contact a member at random, absent seeds and dead members, and another process of this name."""
+        for member in self._probing.random_members(1):
+            self._probing.ping(self.now_us, member)
+        self._reconnection.contact_absent_seed(self.now_us)
+        self._reconnection.contact_dead_member(self.now_us)
+        other_process = self._name_conflict.next_ping_target()
+        if other_process is not None:
+            self._probing.ping(self.now_us, other_process, other_process)
+
+    def _expire(self) -> None:
+        sent_before_us = self.now_us - PING_TIMEOUT_US
+        for ping in self._pings.expire(sent_before_us):
+            self._unknown_peers.forget(ping)
+        self._admission.forget_idle(sent_before_us)
+
+    def _update_states(self) -> None:
+        may_judge = self.locally_healthy or not self._tuning.local_health
+        if may_judge:
+            self._suspicion.report_silent(
+                self.now_us,
+                self._probing.monitored_since,
+                self._health.resumed_us,
+                self._health.heartbeat_timeout_us,
+            )
+        self._suspicion.update_states(self.now_us, may_judge)
+
+    # --- sending
+
+    def _send_updates(self) -> None:
+        fanout = GOSSIP_FANOUT if self._dissemination.updates else 0
+        if self.now_us - self._last_reported_us < HEARTBEAT_TIMEOUT_US:
+            fanout = REPORTED_FANOUT
+        for member in self._probing.random_members(fanout):
             self._outbox.send_to(member, None)
 
     def leave(self, now_us: int) -> list[SendDatagram]:
-        """It goes on purpose: the others are told at once, a few times over."""
-        self._now_us = now_us
+        """Leave on purpose; the datagrams to be sent, to several members as each may be lost."""
+        self._health.now_us = now_us
         if not self.superseded:
             self.view.update_own(has_left=True)
-            told = {
-                k.member.name: k.member
-                for k, _ in zip(
-                    self.view.ring_successors(self.view.own.name), range(MONITORED_PEERS), strict=False
-                )
-            }
-            for member in (
-                told | {m.name: m for m in self._watching.random_members(2 * MONITORED_PEERS)}
-            ).values():
+            successors = zip(
+                self.view.ring_successors(self.view.own.name), range(MONITORED_PEERS), strict=False
+            )
+            receivers = {known.member.name: known.member for known, _ in successors}
+            receivers |= {member.name: member for member in self._probing.random_members(LEAVE_FANOUT)}
+            for member in receivers.values():
                 self._outbox.send_to(member, None)
         return self.flush()
 
-    def update_own_record(self, **changes: object) -> None:
-        """What this router says of itself has changed: its state, its version, its load."""
+    def update_own_record(self, **fields: object) -> None:
+        """Say new values of fields of this router's ``Member`` record; the load alone is not news."""
         own = self.view.own
-        told = {name: value for name, value in changes.items() if getattr(own, name) != value}
-        if told:
-            self.view.update_own(**told)
-            if set(told) - {"open_requests"}:
+        changes = {name: value for name, value in fields.items() if getattr(own, name) != value}
+        if changes:
+            self.view.update_own(**changes)
+            if set(changes) - {"open_requests"}:
                 self._dissemination.spread_member(self.view.own)
 
-    def send(self, to: Address, body: Body) -> None:
-        """Something of another state machine's, on the next flush."""
-        self._outbox.send(to, body)
+    def send(self, destination: Address, body: Body) -> None:
+        """Queue a message of another state machine for the next flush."""
+        self._outbox.send(destination, body)
 
     def send_extension_message(self, member: Member, topic: str, data: bytes) -> None:
-        """Something of another part's to a member, on the next flush."""
+        """Queue a message of another part of the router for the next flush."""
         self._outbox.send_to(member, ExtensionMessage(topic, data))
 
     def flush(self) -> list[SendDatagram]:
-        """What has come to be sent meanwhile."""
+        """Take out the queued datagrams."""
         return self._outbox.flush()
 
-    # --- what comes in
+    # --- receiving
 
     def receive(self, now_us: int, source: Address, datagram: Datagram) -> list[SendDatagram]:
-        """Take in a datagram; what is to be sent."""
-        self._now_us = max(self._now_us, now_us)
-        if not self._admission.admits(self._now_us, source, datagram):
+        """Take in a datagram; the datagrams to be sent."""
+        self._health.now_us = max(self.now_us, now_us)
+        if not self._admission.admits(self.now_us, source, datagram):
             return []
         sender = datagram.sender
-        member = self._meet(sender, datagram)
-        if member:
-            self._heard_us = self._now_us
-            if self._records.merge_datagram(self._now_us, datagram):
-                self._accused_us = self._now_us
+        is_member = self._admit_sender(sender, datagram)
+        if is_member:
+            self._health.hear()
+            if self._merger.merge_datagram(self.now_us, datagram):
+                self._last_reported_us = self.now_us
             if datagram.view_digest != self.view.digest:
-                self._synchronization.synchronize(self._now_us, sender)
-        self._take_body(datagram, sender, member)
+                self._synchronization.synchronize(self.now_us, sender)
+        self._receive_body(datagram.body, sender, is_member)
         return self.flush()
 
-    def _meet(self, sender: Member, datagram: Datagram) -> bool:
-        """Whether the sender is a member, as far as this router can tell. Who says a new name, a new start or
-        a new address has to answer there once: anybody can write any name."""
+    def _admit_sender(self, sender: Member, datagram: Datagram) -> bool:
+        """Whether the sender is a member; its record is merged if so, and it is challenged if not."""
         if sender.name == self.view.own.name:
             self._name_conflict.observe(sender)
             return False
         known = self.view.members.get(sender.name)
-        same = (
-            known is not None
-            and known.member.generation == sender.generation
-            and ((known.member.host, known.member.port) == (sender.host, sender.port))
-        )
-        if same:
-            self._records.merge_record(self._now_us, sender, "heard")
-            return self.view.members[sender.name].is_present
-        if known is not None and sender.generation < known.member.generation:
-            # an earlier start of it: either it is dead, or it has to hear that its name is another's
-            self._outbox.send((sender.host, sender.port), None, (known.member,))
-            return False
-        if self._strangers.is_answer(datagram.body, sender):
-            self._records.merge_record(self._now_us, sender, "joined")
+        if known is not None:
+            member = known.member
+            is_same_process = member.generation == sender.generation
+            if is_same_process and (member.host, member.port) == (sender.host, sender.port):
+                self._merger.merge_record(self.now_us, sender, "heard")
+                return self.view.members[sender.name].is_present
+            if sender.generation < member.generation:
+                # an earlier start of it: it has to learn that its name is another's
+                self._outbox.send((sender.host, sender.port), None, (member,))
+                return False
+        if self._unknown_peers.is_answer(datagram.body, sender):
+            self._merger.merge_record(self.now_us, sender, "joined")
             return sender.name in self.view.members
         if not sender.has_left:
-            self._strangers.challenge(self._now_us, sender)
+            self._unknown_peers.challenge(self.now_us, sender)
         return False
 
-    def _take_body(self, datagram: Datagram, sender: Member, member: bool) -> None:
-        body = datagram.body
+    def _receive_body(self, body: Body, sender: Member, is_member: bool) -> None:
+        source = sender.host, sender.port
         match body:
-            case Ping(ping_id=number):
-                self._outbox.send((sender.host, sender.port), Ack(number))
-            case Ack(ping_id=number):
-                self._answered(number, sender)
-            case PingRequest(ping_id=number, target=about) if member:
-                known = self.view.members.get(about)
-                if known is not None and known.is_present:
-                    relay = (sender.host, sender.port), number
-                    opened = PendingPing(about, self._now_us, requester=relay)
-                    self._outbox.send_to(known.member, Ping(self._pings.add(opened)))
-            case Sync() if member or not self.view.members.get(sender.name):
+            case Ping():
+                self._outbox.send(source, Ack(body.ping_id))
+            case Ack():
+                name_holder = self._indirect_pings.receive_ack(body.ping_id, sender)
+                if name_holder is not None:
+                    self._yield_name(name_holder)
+            case PingRequest() if is_member:
+                self._indirect_pings.ping_for(self.now_us, body, source)
+            case Sync() if is_member or not self.view.members.get(sender.name):
                 self._synchronization.answer(body, sender)
-            case LeaseMessage() if member:
-                self.on_lease_message(body, sender, (sender.host, sender.port))
-            case ExtensionMessage() if member:
+            case LeaseMessage() if is_member:
+                self.on_lease_message(body, sender, source)
+            case ExtensionMessage() if is_member:
                 self.on_extension_message(body, sender)
 
-    def _answered(self, number: int, sender: Member) -> None:
-        opened = self._pings.get(number)
-        if opened is None or opened.answered:
-            return
-        if opened.name_holder is not None and sender.generation == opened.name_holder.generation:
-            self._rival_lives(opened.name_holder)
-        if opened.requester is not None and sender.name == opened.target:
-            to, theirs = opened.requester
-            known = self.view.members.get(opened.target)
-            if known is not None:
-                self._outbox.send(to, Ack(theirs, opened.target), (known.member,))
-        opened.answered = True
-
-    def _rival_lives(self, rival: Member) -> None:
-        if not self._name_conflict.confirm_alive(rival):
+    def _yield_name(self, holder: Member) -> None:
+        """Leave this router's name to a later process that is alive under it."""
+        if not self._name_conflict.confirm_alive(holder):
             return
         if self.expects_successor:
-            self.superseded = True  # the successor goes on under the name
+            self.superseded = True
             return
         self.counters.conflicts += 1
         own = self.view.own
-        self.view.rename_own(f"{own.name[: MAX_TEXT_CHARACTERS - 9]}~{own.boot_id:08x}", self._now_us)
-        self.view.merge(rival, self._now_us, "holds the name this router was given")
-        self.changes += 1
-
-    def row(self, known: KnownMember) -> dict[str, object]:
-        """A member for people: its standing, why, and since when."""
-        m = known.member
-        return {
-            "name": m.name,
-            "standing": known.state.value,
-            "address": f"{m.host}:{m.port}",
-            "incarnation": m.incarnation,
-            "beat": m.heartbeat,
-            "zone": m.zone,
-            "program": m.program_version,
-            "settings": m.settings_version,
-            "state": m.lifecycle_state,
-            "load": m.open_requests,
-            "for_s": round((self._now_us - known.state_since_us) / 1e6, 1),
-            "why": known.reason,
-            "accusers": sorted(known.reporters),
-        }
+        prefix = own.name[: MAX_TEXT_CHARACTERS - BOOT_ID_SUFFIX_CHARACTERS]
+        self.view.rename_own(f"{prefix}~{own.boot_id:08x}", self.now_us)
+        self.view.merge(holder, self.now_us, "holds the name this router was given")
--- a/magpieshift/membership/name_conflict.py
+++ b/magpieshift/membership/name_conflict.py
@@ -1,11 +1,12 @@
-"""Another process under this router's name: whether it lives, and whether this one outlives it."""
+"""Another process under this router's name: whether it runs, and which of the two keeps the name."""
 
 from __future__ import annotations
 
 from magpieshift.membership.dissemination import Dissemination
-from magpieshift.membership.member_table import Member, MemberTable
+from magpieshift.membership.member import Member
+from magpieshift.membership.member_table import MemberTable
 
-MOST_TRIES = 4  # pings without an answer, after which the other process counts as dead
+MAX_UNANSWERED_PINGS = 4  # one a round; after them the other process counts as dead
 
 
 class NameConflict:
@@ -14,11 +15,11 @@
     def __init__(self, view: MemberTable, dissemination: Dissemination) -> None:
         self._view = view
         self._dissemination = dissemination
-        self._other_process: Member | None = None  # the one that is being tried
-        self._pings_sent = 0
+        self._other_process: Member | None = None  # a later start elsewhere, while it is being pinged
+        self._pings_sent = 0  # to it, without an answer
 
     def observe(self, other: Member) -> None:
-        """A record of this router's name that is not this process's."""
+        """A record of this router's name that is not of this process has arrived."""
         own = self._view.own
         if other.generation < own.generation:
             self._dissemination.spread_member(own)
@@ -29,24 +30,24 @@
             self._pings_sent = 0
 
     def _supersede(self, other: Member) -> None:
+        """Take a later incarnation than the other process."""
         self._other_process = None
         self._view.update_own(incarnation=other.incarnation + 1)
         self._dissemination.spread_member(self._view.own)
 
     def next_ping_target(self) -> Member | None:
-        """Whom to ping this round. Where nobody has answered so often, it has died, and this process is its
-        successor."""
+        """The process to ping this round. One that left too many pings unanswered is superseded instead."""
         if self._other_process is None:
             return None
-        if self._pings_sent >= MOST_TRIES:
+        if self._pings_sent >= MAX_UNANSWERED_PINGS:
             self._supersede(self._other_process)
             return None
         self._pings_sent += 1
         return self._other_process
 
-    def confirm_alive(self, rival: Member) -> bool:
-        """Whether this is the process that was being tried: it lives, and need not be tried again."""
-        if self._other_process is None or self._other_process.generation != rival.generation:
+    def confirm_alive(self, other: Member) -> bool:
+        """A process has answered; whether it is the one being pinged, which need not be pinged again."""
+        if self._other_process is None or self._other_process.generation != other.generation:
             return False
         self._other_process = None
         return True
--- a/magpieshift/membership/pings.py
+++ b/magpieshift/membership/pings.py
@@ -1,4 +1,4 @@
-"""Pings that wait for their answers, by numbers that nobody can guess."""
+"""Pings that wait for their acks, under ids that nobody can guess."""
 
 from __future__ import annotations
 
@@ -6,53 +6,55 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from magpieshift.membership.member_table import Member
+from magpieshift.membership.member import Member
 from magpieshift.membership.messages import Address
 
-MAX_PENDING_PINGS = 1024  # pings without an answer
-PING_TIMEOUT_US = 2_000_000  # for the answer to a ping; later ones still bring a beat
+MAX_PENDING_PINGS = 1024  # far above one round's; bounds the memory that floods of ping requests take
+PING_TIMEOUT_US = 2_000_000  # for an ack; a later one still carries its sender's heartbeat
+RANDOM_ID_BITS = 20  # low bits of an id, so that only a process that received the ping can answer it
 
 
 @dataclass(slots=True)
 class PendingPing:
-    """A ping without an answer yet."""
+    """A ping without an ack yet."""
 
-    target: str
+    target: str  # name of the member pinged
     sent_us: int
-    requester: tuple[Address, int] | None = None  # who asked for it, and by which number
-    unknown_peer: Member | None = None  # a stranger, taken in once it answers
+    requester: tuple[Address, int] | None = None  # of an indirect ping: whose request, and its ping id
+    unknown_peer: Member | None = None  # the record to be admitted once it answers
     name_holder: Member | None = None  # another process of this router's name
     answered: bool = False
 
 
 class PendingPings:
-    """The pings of one router that are out."""
+    """The pings of one router that wait for acks."""
 
     def __init__(self, rand: random.Random) -> None:
         self._random = rand
-        self._open: dict[int, PendingPing] = {}
-        self._count = 0
+        self._pending: dict[int, PendingPing] = {}  # by ping id, the oldest first
+        self._count = 0  # of all pings so far: the high bits of the next id
 
     def __iter__(self) -> Iterator[int]:
-        """Their numbers, the oldest first."""
-        return iter(self._open)
+        """The ids, the oldest first."""
+        return iter(self._pending)
 
-    def add(self, opened: PendingPing) -> int:
-        """The number under which to send a ping; where there are too many, the oldest is forgotten."""
-        if len(self._open) >= MAX_PENDING_PINGS:
-            del self._open[next(iter(self._open))]
+    def add(self, ping: PendingPing) -> int:
+        """The id under which to send a ping; with too many pending the oldest is dropped."""
+        if len(self._pending) >= MAX_PENDING_PINGS:
+            del self._pending[next(iter(self._pending))]
         self._count += 1
-        number = self._count << 20 | self._random.getrandbits(20)  # not to be guessed by who did not see it
-        self._open[number] = opened
-        return number
-
-    def get(self, number: int) -> PendingPing | None:
-        return self._open.get(number)
-
-    def expire(self, past_us: int) -> Iterator[PendingPing]:
-        """Forget those sent before then; each that was forgotten."""
-        for number, opened in list(self._open.items()):
-            if opened.sent_us >= past_us:
+        ping_id = self._count << RANDOM_ID_BITS | self._random.getrandbits(RANDOM_ID_BITS)
+        self._pending[ping_id] = ping
+        return ping_id
+
+    def get(self, ping_id: int) -> PendingPing | None:
+        """The ping of this id, where it still waits or was answered within the timeout."""
+        return self._pending.get(ping_id)
+
+    def expire(self, sent_before_us: int) -> Iterator[PendingPing]:
+        """Drop the pings sent before then; yields each."""
+        for ping_id, ping in list(self._pending.items()):
+            if ping.sent_us >= sent_before_us:
                 break
-            del self._open[number]
-            yield opened
+            del self._pending[ping_id]
+            yield ping
--- a/magpieshift/membership/probing.py
+++ b/magpieshift/membership/probing.py
@@ -1,86 +1,98 @@
-"""Whom a router watches, and the pings by which it does."""
+"""Direct and indirect probes (SWIM): which members a router monitors, and when it pings each."""
 
 from __future__ import annotations
 
 import random
 
 from magpieshift.membership.dissemination import Outbox
-from magpieshift.membership.member_table import Member, MemberState, MemberTable
+from magpieshift.membership.member import Member, MemberState
+from magpieshift.membership.member_table import MemberTable
 from magpieshift.membership.messages import Ping, PingRequest
 from magpieshift.membership.pings import PendingPing, PendingPings
 
-TICK_INTERVAL_US = 100_000  # between two ticks
-TICKS_PER_ROUND = 8  # a round is 0.8 s: who is watched is pinged once in it, and again if need be
-RETRY_AFTER_TICKS = 2
+TICK_INTERVAL_US = 100_000  # of the detector; shorter spreads load more evenly and costs more wake-ups
+TICKS_PER_ROUND = 8  # SWIM's protocol period, 0.8 s: each monitored member is pinged once in it
+RETRY_AFTER_TICKS = 2  # without an ack: longer than a round trip, and well within the round
+DRAWS_PER_MEMBER = 4  # tries to draw one random member that is neither excluded nor under suspicion
 
 
 class Probing:
-    """The members that one router watches: the next on the ring after it."""
+    """The members that one router monitors: the next ones on the ring."""
 
     def __init__(
-        self, view: MemberTable, outbox: Outbox, pings: PendingPings, rand: random.Random, watched: int
+        self,
+        view: MemberTable,
+        outbox: Outbox,
+        pings: PendingPings,
+        rand: random.Random,
+        min_monitored: int,
     ) -> None:
-        """``watched``: how many at least."""
+        """``min_monitored``: healthy members to monitor, where there are so many."""
         self._view = view
         self._outbox = outbox
         self._pings = pings
         self._random = rand
-        self._min_monitored = watched
-        self._chosen_for = (-1, -1)
-        self.monitored_since: dict[str, int] = {}  # by name of whom it watches, since when
+        self._min_monitored = min_monitored
+        self._chosen_for = (-1, -1)  # version of the view and count of suspects that the choice was made for
+        self.monitored_since: dict[str, int] = {}  # by name, since when; in the order of the ring
 
-    def tick(self, now_us: int, turn: int) -> None:
-        """Ping those whose turn in the round it is, and again those who have not answered."""
+    def tick(self, now_us: int, tick_in_round: int) -> None:
+        """Ping the members whose turn it is, and retry those that have not answered."""
         self._choose_monitored(now_us)
         for place, name in enumerate(self.monitored_since):
-            if place % TICKS_PER_ROUND == turn and not self._heard_this_round(now_us, name):
+            tick_of_ping = place % TICKS_PER_ROUND
+            if tick_of_ping == tick_in_round and not self._heard_this_round(now_us, name):
                 self.ping(now_us, self._view.members[name].member)
-            elif place % TICKS_PER_ROUND == (turn - RETRY_AFTER_TICKS) % TICKS_PER_ROUND:
+            elif tick_of_ping == (tick_in_round - RETRY_AFTER_TICKS) % TICKS_PER_ROUND:
                 self._retry(now_us, name)
 
     def _choose_monitored(self, now_us: int) -> None:
-        """Whom it watches: the next on the ring, past those it accuses itself, so that survivors watch more
-        where many have died at once."""
-        at = self._view.version, len(self._view.under_suspicion)
-        if at == self._chosen_for:
+        """Monitor the next members on the ring, in addition to those this router reports itself.
+
+        So the survivors monitor more members where many died at once, and no survivor is left unmonitored.
+        """
+        chosen_for = self._view.version, len(self._view.under_suspicion)
+        if chosen_for == self._chosen_for:
             return
-        self._chosen_for = at
+        self._chosen_for = chosen_for
         own = self._view.own.name
-        found = dict[str, int]()
-        well = 0
+        monitored = dict[str, int]()
+        healthy = 0
         for known in self._view.ring_successors(own):
-            found[known.member.name] = self.monitored_since.get(known.member.name, now_us)
-            well += own not in known.reporters and known.state == MemberState.ALIVE
-            if well >= self._min_monitored:
+            name = known.member.name
+            monitored[name] = self.monitored_since.get(name, now_us)
+            healthy += own not in known.reporters and known.state == MemberState.ALIVE
+            if healthy >= self._min_monitored:
                 break
-        self.monitored_since = found
+        self.monitored_since = monitored
 
     def _heard_this_round(self, now_us: int, name: str) -> bool:
-        """Whether it has spoken this round by itself: then it need not be asked whether it lives."""
+        """Whether its heartbeat rose within half a round: then no ping is needed."""
         return now_us - self._view.members[name].last_heartbeat_us < TICKS_PER_ROUND * TICK_INTERVAL_US // 2
 
-    def ping(self, now_us: int, member: Member, rival: Member | None = None) -> None:
-        """Ask a member whether it lives; ``rival`` where it is another process of this router's name."""
-        number = self._pings.add(PendingPing(member.name, now_us, name_holder=rival))
-        self._outbox.send_to(member, Ping(number))
+    def ping(self, now_us: int, member: Member, name_holder: Member | None = None) -> None:
+        """Ping a member; ``name_holder`` where it is another process of this router's name."""
+        ping_id = self._pings.add(PendingPing(member.name, now_us, name_holder=name_holder))
+        self._outbox.send_to(member, Ping(ping_id))
 
     def _retry(self, now_us: int, name: str) -> None:
-        """The ping of two turns ago has no answer: once more, and by another's way."""
+        """Ping once more, directly and through another member."""
         if self._heard_this_round(now_us, name):
             return
         self.ping(now_us, self._view.members[name].member)
         for helper in self.random_members(1, name):
-            self._outbox.send_to(helper, PingRequest(self._pings.add(PendingPing(name, now_us)), name))
+            ping_id = self._pings.add(PendingPing(name, now_us))
+            self._outbox.send_to(helper, PingRequest(ping_id, name))
 
-    def random_members(self, count: int, but: str = "") -> list[Member]:
-        """So many others at random, who are here and not suspected as far as that can be had."""
-        ring = self._view.ring
+    def random_members(self, count: int, excluded: str = "") -> list[Member]:
+        """Up to ``count`` other present members at random, none of them under suspicion."""
+        positions = self._view.ring.positions
         own = self._view.own.name
-        found = dict[str, Member]()
-        for _ in range(4 * count if len(ring) > 1 else 0):
-            name = ring[int(self._random.random() * len(ring))][1]
-            if name not in (own, but) and name not in self._view.under_suspicion:
-                found[name] = self._view.members[name].member
-                if len(found) == count:
+        chosen = dict[str, Member]()
+        for _ in range(DRAWS_PER_MEMBER * count if len(positions) > 1 else 0):
+            name = positions[int(self._random.random() * len(positions))][1]
+            if name not in (own, excluded) and name not in self._view.under_suspicion:
+                chosen[name] = self._view.members[name].member
+                if len(chosen) == count:
                     break
-        return list(found.values())
+        return list(chosen.values())
--- a/magpieshift/membership/quota_lease.py
+++ b/magpieshift/membership/quota_lease.py
@@ -1,144 +1,146 @@
-"""What part of the whole a router may use, by who is there. A state machine told claims and the time; no I/O.
+"""What part of the whole a router may use, by which members are present. A state machine; no I/O.
 
-The settings name so many routers; each has its slot, of which the part ``alone`` is its own whatever it
-hears. The rest of all slots is a pool that one allocator deals out, by leases, to those who are there. So a
+The settings name a number of routers, and the part ``solo_quota`` of the whole that they divide evenly and
+use whatever happens. The rest is a pool that one leader deals out, by leases, to the members present. So a
 router that hears nobody falls back to what the settings give it, and what others may use beyond theirs has
 been granted to no one else.
 
 Why the parts in use never add up to more than the whole (all clocks run within ``MAX_CLOCK_DRIFT`` of each
-other, and no more processes live than there are slots or, where more are seen, members seen):
-
-- The parts of their own add up to ``alone`` at most.
-- At most one allocator grants: it needs the votes of more than half of the council, each good for a lease
-  from when it was asked for, and who votes promises its vote to nobody else for that time and the drift. Who
-  has just started votes for nobody for as long, since it does not know what its predecessor promised.
-- It enters each grant in its ledger before it says it, and strikes it out only when its holder says that it
-  uses less, or when the lease has run out by the slowest clock. The ledger never exceeds the pool.
-- A new allocator grants nothing until every grant of the one before must have run out.
-- A holder counts its lease from when it asked, by the fastest clock, and reads the clock whenever it uses its
-  share: one that slept has nothing left but its own.
+other, and no more processes run than the settings count or, where more are seen, members seen):
+
+- The parts of their own add up to ``solo_quota`` at most.
+- At most one leader grants: it needs the votes of a majority of the voters. A vote is good for a lease from
+  when it was requested, and the voter promises its vote to nobody else for that time and the drift. A voter
+  that has just started votes for nobody for as long, as it does not know what its predecessor promised.
+- The leader's grants never exceed the pool; see ``quota_grants``.
+- A new leader grants nothing until every grant of its predecessor must have expired.
+- A holder counts its lease from when it requested it, by the fastest clock, and reads the clock whenever it
+  uses its quota: after a pause it has nothing left but its own part.
 """
 
 from __future__ import annotations
 
 import random
 from collections.abc import Mapping
-from dataclasses import dataclass
 
-from magpieshift.membership.member_table import Member, MemberState, MemberTable
+from magpieshift.membership.member import Member, MemberState
+from magpieshift.membership.member_table import MemberTable
 from magpieshift.membership.messages import Address, LeaseMessage, LeaseMessageKind
+from magpieshift.membership.quota_grants import Grant, GrantTable, HolderId
 
-FLEET_SCOPE = "all"  # the scope of what all routers divide; a zone's is its name behind ZONE
-ZONE_SCOPE_PREFIX = "zone "
-LEASE_US = 6_000_000
+FLEET_SCOPE = "all"  # the scope of what all routers divide
+ZONE_SCOPE_PREFIX = "zone "  # before the name of a zone: the scope of what its routers divide
+LEASE_US = 6_000_000  # three renewals: two may be lost. Longer keeps a dead holder's quota unused for longer
 RENEW_INTERVAL_US = 2_000_000
-MAX_CLOCK_DRIFT = 0.02  # by which two clocks may differ in a lease's time, at most
-PEAK_COUNT_MEMORY_US = 600_000_000  # how long it is remembered that more were there
+MAX_CLOCK_DRIFT = 0.02  # relative, between two clocks during a lease; far above that of working clocks
+PEAK_COUNT_MEMORY_US = 600_000_000  # members beyond those of the settings are allowed for this long
+TERM_BITS = 62  # of a random term, so that two leaders' differ
+RANDOM_REQUEST_BITS = 16  # low bits of a request id, so that it is not guessed
 
 OutgoingMessages = list[tuple[Address, LeaseMessage]]
-HolderId = tuple[str, int]
-
-
-@dataclass(slots=True)
-class _Grant:
-    quotas: dict[str, float]
-    expires_us: int
-    request_id: int = 0
-    offered_quotas: dict[str, float] | None = None  # until its holder says that it uses no more than this
+"""Lease messages, each with its destination."""
 
 
 class QuotaLease:
-    """One router's share: as a member of the council, as allocator, and as holder."""
+    """One router's part in the leases: as a voter, as leader, and as holder."""
 
     def __init__(
         self,
         own: Member,
-        council: tuple[str, ...],
-        slots: Mapping[str, int],
-        alone: float,
+        voters: tuple[str, ...],
+        router_counts: Mapping[str, int],
+        solo_quota: float,
         now_us: int,
         rand: random.Random,
     ) -> None:
+        """``router_counts`` are the routers of each scope that the settings count."""
         self.own = own
-        self.voters = council
-        self.router_counts = dict(slots)
-        self.solo_quota = alone
+        self.voters = voters
+        self.router_counts = dict(router_counts)
+        self.solo_quota = solo_quota
         self._random = rand
-        self._peak_counts = dict.fromkeys(slots, (0, now_us))  # the most members there were, and when
-        self._view_version = -1
-        self.no_vote_until_us = now_us + self._longest()  # as a voter
-        self._vote_promise: tuple[HolderId, int] | None = None
-        self._term = 0
+        self._peak_counts = dict.fromkeys(router_counts, (0, now_us))  # most members present, and when
+        self._view_version = -1  # of the view that the peak counts are of
         self._request_count = 0
-        self._requested_at_us: dict[
-            int, int
-        ] = {}  # canvasses and wants without an answer: when they were sent
-        self._votes: dict[str, int] = {}  # until when each is good
-        self._elected_us: int | None = None
-        self._grants: dict[HolderId, _Grant] = {}
-        self._lease = _Grant({}, 0)
-        self._lease_requested_us = now_us  # when what is held was asked for
+        self._requested_at_us: dict[int, int] = {}  # by id, when each unanswered request was sent
         self._last_renewal_us = now_us - RENEW_INTERVAL_US
+        # as a voter
+        self.no_vote_until_us = now_us + self._longest()  # promises of a predecessor may hold until then
+        self._vote_promise: tuple[HolderId, int] | None = None  # the candidate voted for, and until when
+        # as leader
+        self._term = 0  # 0: no candidate
+        self._votes: dict[str, int] = {}  # by voter, until when each is good
+        self._elected_us: int | None = None  # when the majority was reached
+        self._grants = GrantTable()
+        # as holder
+        self._lease = Grant({}, 0)
+        self._lease_requested_us = now_us
 
     @staticmethod
-    def _longest(us: int = LEASE_US) -> int:
-        return int(us * (1 + MAX_CLOCK_DRIFT))
+    def _longest(duration_us: int = LEASE_US) -> int:
+        """The time that a duration may take by the slowest clock."""
+        return int(duration_us * (1 + MAX_CLOCK_DRIFT))
 
     @staticmethod
-    def _shortest(us: int = LEASE_US) -> int:
-        return int(us * (1 - MAX_CLOCK_DRIFT))
+    def _shortest(duration_us: int = LEASE_US) -> int:
+        """The time that a duration takes at least, by the fastest clock."""
+        return int(duration_us * (1 - MAX_CLOCK_DRIFT))
 
     # --- as holder
 
     def quota(self, scope: str, now_us: int) -> float:
-        """The part of the whole that may be used at this instant, of what the scope divides."""
+        """The part of the whole, from 0 to 1, that may be used at this instant of what the scope divides."""
         own = self.solo_quota / max(self.router_counts[scope], self._peak_counts[scope][0], 1)
-        pool = self._lease.quotas.get(scope, 0.0) if now_us < self._lease.expires_us else 0.0
-        return own + (1.0 - self.solo_quota) * pool
+        leased = self._lease.quotas.get(scope, 0.0) if now_us < self._lease.expires_us else 0.0
+        return own + (1.0 - self.solo_quota) * leased
 
     @property
     def lease_expires_us(self) -> int:
-        """When what is held runs out."""
+        """When the lease held runs out."""
         return self._lease.expires_us
 
     # --- time
 
     def tick(self, now_us: int, view: MemberTable) -> OutgoingMessages:
-        """To be called now and then; the claims to be sent."""
+        """Renew votes and lease where that is due; the messages to be sent."""
         if view.version != self._view_version:
             self._view_version = view.version
-            for scope in self.router_counts:
-                there = self._present_count(view, scope)
-                most, at = self._peak_counts[scope]
-                if there >= most or now_us - at > PEAK_COUNT_MEMORY_US:
-                    self._peak_counts[scope] = there, now_us
+            self._update_peak_counts(now_us, view)
         if self.solo_quota >= 1.0 or now_us - self._last_renewal_us < RENEW_INTERVAL_US:
             return []
         self._last_renewal_us = now_us
-        self._requested_at_us = {n: at for n, at in self._requested_at_us.items() if now_us - at < LEASE_US}
-        self._grants = {who: lease for who, lease in self._grants.items() if now_us < lease.expires_us}
-        allocator = self._choose_leader(view)
-        out: OutgoingMessages = []
-        if allocator is not None and allocator.name == self.own.name:
-            out += self._request_votes(now_us, view)
+        self._requested_at_us = {
+            request_id: requested_us
+            for request_id, requested_us in self._requested_at_us.items()
+            if now_us - requested_us < LEASE_US
+        }
+        self._grants.expire(now_us)
+        leader = self._choose_leader(view)
+        outgoing: OutgoingMessages = []
+        if leader is not None and leader.name == self.own.name:
+            outgoing += self._request_votes(now_us, view)
         else:
             self._step_down()
-        if allocator is not None:
-            out += self._send_to(
-                allocator,
-                now_us,
-                view,
-                LeaseMessage(0, LeaseMessageKind.QUOTA_REQUEST, self._new_request(now_us)),
-            )
-        return out
+        if leader is not None:
+            request = LeaseMessage(0, LeaseMessageKind.QUOTA_REQUEST, self._new_request(now_us))
+            outgoing += self._send(leader, (leader.host, leader.port), now_us, view, request)
+        return outgoing
+
+    def _update_peak_counts(self, now_us: int, view: MemberTable) -> None:
+        for scope in self.router_counts:
+            present = self._present_count(view, scope)
+            peak, peak_at_us = self._peak_counts[scope]
+            if present >= peak or now_us - peak_at_us > PEAK_COUNT_MEMORY_US:
+                self._peak_counts[scope] = present, now_us
 
     def _present_count(self, view: MemberTable, scope: str) -> int:
         if scope == FLEET_SCOPE:
             return view.present_count
-        return sum(1 for _, name in view.ring if ZONE_SCOPE_PREFIX + view.members[name].member.zone == scope)
+        zones = (view.members[name].member.zone for _, name in view.ring.positions)
+        return sum(1 for zone in zones if ZONE_SCOPE_PREFIX + zone == scope)
 
     def _choose_leader(self, view: MemberTable) -> Member | None:
-        """Whom this router takes for the allocator: the first of the council that is there."""
+        """The leader as this router sees it: the first voter by name that is alive."""
         for name in sorted(self.voters):
             known = view.members.get(name)
             if known is not None and known.state == MemberState.ALIVE:
@@ -147,132 +149,123 @@
 
     def _new_request(self, now_us: int) -> int:
         self._request_count += 1
-        number = self._request_count << 16 | self._random.getrandbits(16)
-        self._requested_at_us[number] = now_us
-        return number
+        low_bits = self._random.getrandbits(RANDOM_REQUEST_BITS)
+        request_id = self._request_count << RANDOM_REQUEST_BITS | low_bits
+        self._requested_at_us[request_id] = now_us
+        return request_id
 
-    def _send_to(
-        self, member: Member, now_us: int, view: MemberTable, claim: LeaseMessage
+    def _send(
+        self, receiver: Member, destination: Address, now_us: int, view: MemberTable, message: LeaseMessage
     ) -> OutgoingMessages:
-        if member.name == self.own.name:  # what it says to itself needs no way
-            return self.receive(now_us, claim, self.own, (member.host, member.port), view)
-        return [((member.host, member.port), claim)]
+        """A message to a member; one to this router itself is received at once."""
+        if receiver.name == self.own.name:
+            return self.receive(now_us, message, self.own, destination, view)
+        return [(destination, message)]
 
-    # --- the council
+    # --- receiving
+
+    def receive(
+        self, now_us: int, message: LeaseMessage, sender: Member, source: Address, view: MemberTable
+    ) -> OutgoingMessages:
+        """Take in a message of a member; the messages to be sent."""
+        reply: LeaseMessage | None = None
+        match message.kind:
+            case LeaseMessageKind.VOTE_REQUEST:
+                reply = self._receive_vote_request(now_us, message, sender)
+            case LeaseMessageKind.VOTE:
+                self._receive_vote(now_us, message, sender)
+            case LeaseMessageKind.QUOTA_REQUEST:
+                reply = self._receive_quota_request(now_us, message, sender, view)
+            case LeaseMessageKind.GRANT:
+                reply = self._receive_grant(message)
+            case LeaseMessageKind.GRANT_ACCEPTED:
+                self._grants.accept((sender.name, sender.boot_id), message.request_id)
+        return [] if reply is None else self._send(sender, source, now_us, view, reply)
+
+    def _receive_vote_request(
+        self, now_us: int, message: LeaseMessage, sender: Member
+    ) -> LeaseMessage | None:
+        """As a voter: promise the vote, unless it is promised to another."""
+        if self.own.name not in self.voters or sender.name not in self.voters:
+            return None
+        candidate = sender.name, sender.boot_id
+        if now_us < self.no_vote_until_us:
+            return None
+        if self._vote_promise is not None:
+            promised_to, promised_until_us = self._vote_promise
+            if now_us < promised_until_us and promised_to != candidate:
+                return None
+        self._vote_promise = candidate, now_us + self._longest()
+        return LeaseMessage(message.term, LeaseMessageKind.VOTE, message.request_id)
+
+    def _receive_vote(self, now_us: int, message: LeaseMessage, sender: Member) -> None:
+        """As a candidate: count a vote, and begin a term with the majority."""
+        requested_us = self._requested_at_us.get(message.request_id)
+        if message.term != self._term or sender.name not in self.voters or requested_us is None:
+            return
+        had_quorum = self._has_quorum(now_us)
+        good_until_us = requested_us + self._shortest()
+        self._votes[sender.name] = max(self._votes.get(sender.name, 0), good_until_us)
+        if not had_quorum and self._has_quorum(now_us):
+            # The majority may have lapsed unnoticed since a term of its own, and another leader have granted
+            # meanwhile: the grants it knows are not all, so it waits for all of them to expire.
+            self._elected_us = now_us
+            self._grants.clear()
+
+    def _receive_quota_request(
+        self, now_us: int, message: LeaseMessage, sender: Member, view: MemberTable
+    ) -> LeaseMessage | None:
+        """As leader: grant the sender its fair part of the pool, as far as it is free."""
+        if not self._may_grant(now_us):
+            return None
+        fair_quotas = {
+            scope: 1.0 / max(1, self._present_count(view, scope))
+            for scope in (FLEET_SCOPE, ZONE_SCOPE_PREFIX + sender.zone)
+        }
+        holder = sender.name, sender.boot_id
+        expires_us = now_us + self._longest()
+        offered = self._grants.offer(now_us, holder, fair_quotas, expires_us, message.request_id)
+        quotas = tuple(sorted(offered.items()))
+        return LeaseMessage(self._term, LeaseMessageKind.GRANT, message.request_id, quotas)
+
+    def _receive_grant(self, message: LeaseMessage) -> LeaseMessage | None:
+        """As holder: replace the lease, also by a smaller one, and confirm it."""
+        if self._requested_at_us.get(message.request_id, -1) < self._lease_requested_us:
+            # Overtaken on its way by the answer to a later request. The leader has reserved the later one's
+            # quotas only, so holding this one could exceed the whole.
+            return None
+        requested_us = self._lease_requested_us = self._requested_at_us.pop(message.request_id)
+        quotas = {scope: quota for scope, quota in message.quotas if 0.0 <= quota <= 1.0}
+        self._lease = Grant(quotas, requested_us + self._shortest())
+        return LeaseMessage(0, LeaseMessageKind.GRANT_ACCEPTED, message.request_id, message.quotas)
+
+    # --- as candidate and leader
 
     def _request_votes(self, now_us: int, view: MemberTable) -> OutgoingMessages:
         if not self._term:
-            self._term = self._random.getrandbits(62) | 1
-        number = self._new_request(now_us)
-        out = OutgoingMessages()
+            self._term = self._random.getrandbits(TERM_BITS) | 1
+        request = LeaseMessage(self._term, LeaseMessageKind.VOTE_REQUEST, self._new_request(now_us))
+        outgoing = OutgoingMessages()
         for name in self.voters:
             if known := view.members.get(name):
-                out += self._send_to(
-                    known.member,
-                    now_us,
-                    view,
-                    LeaseMessage(self._term, LeaseMessageKind.VOTE_REQUEST, number),
-                )
-        return out
+                voter = known.member
+                outgoing += self._send(voter, (voter.host, voter.port), now_us, view, request)
+        return outgoing
 
     def _step_down(self) -> None:
-        """Another is before it; what it granted runs out by itself, and a new term begins with an empty
-        ledger only after that."""
+        """Another voter is before it. Its grants expire by themselves, and its next term waits for that."""
         self._term = 0
         self._elected_us = None
         self._votes.clear()
 
     def _has_quorum(self, now_us: int) -> bool:
-        good = sorted((until for until in self._votes.values()), reverse=True)
-        enough = len(self.voters) // 2
-        return len(good) > enough and now_us < good[enough]
-
-    # --- what comes in
-
-    def receive(
-        self, now_us: int, claim: LeaseMessage, sender: Member, to: Address, view: MemberTable
-    ) -> OutgoingMessages:
-        """Take in a claim of a member; the claims to be sent."""
-        who = sender.name, sender.boot_id
-        match claim.kind:
-            case LeaseMessageKind.VOTE_REQUEST if self.own.name in self.voters and sender.name in self.voters:
-                held = self._vote_promise if self._vote_promise and now_us < self._vote_promise[1] else None
-                if now_us < self.no_vote_until_us or (held is not None and held[0] != who):
-                    return []
-                self._vote_promise = who, now_us + self._longest()
-                return self._reply(
-                    sender,
-                    to,
-                    now_us,
-                    view,
-                    LeaseMessage(claim.term, LeaseMessageKind.VOTE, claim.request_id),
-                )
-            case LeaseMessageKind.VOTE if claim.term == self._term and sender.name in self.voters:
-                self._record_vote(now_us, claim, sender)
-            case LeaseMessageKind.QUOTA_REQUEST:
-                if (grant := self._grant(now_us, claim, who, sender.zone, view)) is not None:
-                    return self._reply(sender, to, now_us, view, grant)
-            case LeaseMessageKind.GRANT if (
-                self._requested_at_us.get(claim.request_id, -1) >= self._lease_requested_us
-            ):
-                # not one that was overtaken on its way: the ledger has been told of the later one
-                asked = self._lease_requested_us = self._requested_at_us.pop(claim.request_id)
-                parts = {scope: part for scope, part in claim.quotas if 0.0 <= part <= 1.0}
-                self._lease = _Grant(parts, asked + self._shortest())  # a smaller one holds at once, too
-                returned = LeaseMessage(0, LeaseMessageKind.GRANT_ACCEPTED, claim.request_id, claim.quotas)
-                return self._reply(sender, to, now_us, view, returned)
-            case LeaseMessageKind.GRANT_ACCEPTED:
-                lease = self._grants.get(who)
-                if (
-                    lease is not None
-                    and lease.offered_quotas is not None
-                    and lease.request_id == claim.request_id
-                ):
-                    lease.quotas = lease.offered_quotas
-                    lease.offered_quotas = None
-        return []
-
-    def _reply(
-        self, sender: Member, to: Address, now_us: int, view: MemberTable, claim: LeaseMessage
-    ) -> OutgoingMessages:
-        if sender.name == self.own.name:
-            return self.receive(now_us, claim, self.own, to, view)
-        return [(to, claim)]
-
-    def _record_vote(self, now_us: int, claim: LeaseMessage, sender: Member) -> None:
-        asked = self._requested_at_us.get(claim.request_id)
-        if asked is None:
-            return
-        had = self._has_quorum(now_us)
-        until = asked + self._shortest()
-        self._votes[sender.name] = max(self._votes.get(sender.name, 0), until)
-        if not had and self._has_quorum(now_us):
-            # it may have lapsed unnoticed between two terms of its own, and another have granted meanwhile
-            self._elected_us = now_us
-            self._grants = {}
-
-    # --- the allocator
-
-    def _grant(
-        self, now_us: int, claim: LeaseMessage, who: HolderId, zone: str, view: MemberTable
-    ) -> LeaseMessage | None:
-        old_ones_gone = self._elected_us is not None and (
-            now_us - self._elected_us > self._longest(self._longest())
-        )
-        if not (self._has_quorum(now_us) and old_ones_gone):
-            return None
-        before = self._grants.get(who)
-        kept = before.quotas if before is not None and now_us < before.expires_us else {}
-        offer: dict[str, float] = {}
-        for scope in (FLEET_SCOPE, ZONE_SCOPE_PREFIX + zone):
-            taken = sum(
-                lease.quotas.get(scope, 0.0)
-                for other, lease in self._grants.items()
-                if other != who and now_us < lease.expires_us
-            )
-            offer[scope] = max(0.0, min(1.0 / max(1, self._present_count(view, scope)), 1.0 - taken))
-        reserved = {scope: max(kept.get(scope, 0.0), part) for scope, part in offer.items()}
-        self._grants[who] = _Grant(reserved, now_us + self._longest(), claim.request_id, offer)
-        return LeaseMessage(
-            self._term, LeaseMessageKind.GRANT, claim.request_id, tuple(sorted(offer.items()))
-        )
+        """Whether the votes of a majority are good at this instant."""
+        good_until_us = sorted(self._votes.values(), reverse=True)
+        majority = len(self.voters) // 2 + 1
+        return len(good_until_us) >= majority and now_us < good_until_us[majority - 1]
+
+    def _may_grant(self, now_us: int) -> bool:
+        """Whether it leads, and every grant of a predecessor must have expired by the slowest clocks."""
+        if self._elected_us is None or not self._has_quorum(now_us):
+            return False
+        return now_us - self._elected_us > self._longest(self._longest())
--- a/magpieshift/membership/synchronization.py
+++ b/magpieshift/membership/synchronization.py
@@ -1,24 +1,19 @@
-"""Anti-entropy: a view is compared part by part with another's, and what differs is told."""
+"""Anti-entropy: two views are compared bucket by bucket, and members of the buckets that differ are sent."""
 
 from __future__ import annotations
 
 import random
 
 from magpieshift.membership.dissemination import Dissemination, Outbox
-from magpieshift.membership.member_table import (
-    DIGEST_BUCKETS,
-    Member,
-    MemberState,
-    MemberTable,
-    SuspicionReport,
-    ring_position,
-)
+from magpieshift.membership.member import KnownMember, Member, MemberState, SuspicionReport, ring_position
+from magpieshift.membership.member_table import MemberTable
 from magpieshift.membership.messages import Sync
+from magpieshift.membership.ring import DIGEST_BUCKETS
 
-SYNC_INTERVAL_US = 500_000  # between two that go to the same member
-MAX_SYNCED_MEMBERS = 12  # members in one answer to a differing view
-MAX_EXTRA_NAMES = 1024  # names kept beyond those of members
-SUSPICION_RETRANSMITS = 2  # an accusation that another seems to lack is passed on
+SYNC_INTERVAL_US = 500_000  # between two requests to one member: its answer has come by then, or is lost
+MAX_SYNCED_MEMBERS = 12  # in one answer, which is one datagram
+MAX_EXTRA_NAMES = 1024  # kept beyond those of members, before all are dropped
+SUSPICION_RETRANSMITS = 2  # of a report that the other view seems to lack; it is not new to the rest
 
 
 class Synchronization:
@@ -31,11 +26,11 @@
         self._updates = dissemination.updates
         self._outbox = outbox
         self._random = rand
-        self._last_sync_us: dict[str, int] = {}  # by name, when
+        self._last_sync_us: dict[str, int] = {}  # by member's name, when it was last sent a request
 
     def request(self) -> Sync:
-        """What to send to somebody whose view may differ."""
-        return Sync(tuple(self._view.bucket_digests))
+        """The message to a member whose view may differ."""
+        return Sync(tuple(self._view.ring.bucket_digests))
 
     def synchronize(self, now_us: int, member: Member) -> None:
         """Compare with a member whose view differs, unless that was done a moment ago."""
@@ -47,25 +42,39 @@
         self._outbox.send_to(member, self.request())
 
     def answer(self, sync: Sync, sender: Member) -> None:
-        """Tell the sender members out of the parts in which its view differs."""
+        """Send members of the buckets in which the sender's view differs."""
+        own_digests = self._view.ring.bucket_digests
         if len(sync.bucket_digests) != DIGEST_BUCKETS:
             return
-        differ = {at for at, part in enumerate(self._view.bucket_digests) if part != sync.bucket_digests[at]}
-        if not differ:
+        differing = {
+            bucket for bucket, digest in enumerate(own_digests) if digest != sync.bucket_digests[bucket]
+        }
+        if not differing:
             return
-        rows = [k for name, k in self._view.members.items() if ring_position(name) % DIGEST_BUCKETS in differ]
-        rows = self._random.sample(rows, min(len(rows), MAX_SYNCED_MEMBERS))
-        for known in rows:
-            m = known.member
-            if known.state == MemberState.DEAD:
-                # one who lacks an accusation of it would hold it for alive for ever: nobody else has any left
-                said = SuspicionReport(m.name, m.incarnation, m.heartbeat, self._view.own.name)
-                self._updates.put(("a", said.suspect, said.reporter), said, SUSPICION_RETRANSMITS)
-            for who, beat in known.reporters.items():
-                said = SuspicionReport(m.name, m.incarnation, beat, who)
-                if (key := ("a", said.suspect, who)) not in self._updates:
-                    self._updates.put(key, said, SUSPICION_RETRANSMITS)
-        # who is gone is not told as a member: the other's accusers will find it out, or it lives
-        told = tuple(k.member for k in rows if k.state != MemberState.DEAD)
-        body = None if sync.is_reply else Sync(tuple(self._view.bucket_digests), is_reply=True)
-        self._outbox.send((sender.host, sender.port), body, told)
+        candidates = [
+            known
+            for name, known in self._view.members.items()
+            if ring_position(name) % DIGEST_BUCKETS in differing
+        ]
+        chosen = self._random.sample(candidates, min(len(candidates), MAX_SYNCED_MEMBERS))
+        for known in chosen:
+            self._pass_on_suspicions(known)
+        # dead members are not sent: the other's reporters will find them so, or they live
+        records = tuple(known.member for known in chosen if known.state != MemberState.DEAD)
+        body = None if sync.is_reply else Sync(tuple(own_digests), is_reply=True)
+        self._outbox.send((sender.host, sender.port), body, records)
+
+    def _pass_on_suspicions(self, known: KnownMember) -> None:
+        """Pass on again what was reported of a member."""
+        member = known.member
+        if known.state == MemberState.DEAD:
+            # A router that lacks one report would hold the dead member for alive for ever: routers that have
+            # declared it dead keep no reports. So each of them reports it in its own name.
+            own_name = self._view.own.name
+            report = SuspicionReport(member.name, member.incarnation, member.heartbeat, own_name)
+            self._updates.put(("a", report.suspect, report.reporter), report, SUSPICION_RETRANSMITS)
+        for reporter, heartbeat in known.reporters.items():
+            key = ("a", member.name, reporter)
+            if key not in self._updates:
+                report = SuspicionReport(member.name, member.incarnation, heartbeat, reporter)
+                self._updates.put(key, report, SUSPICION_RETRANSMITS)
--- a/magpieshift/membership/unknown_peers.py
+++ b/magpieshift/membership/unknown_peers.py
@@ -1,46 +1,45 @@
-"""Who says a new name, a new start or a new address, and has to answer there once: anybody can write any
-name."""
+"""Peers that are not members yet: each has to answer a ping at the address it claims.
+
+Anybody can write any name into a datagram. A new name, a new process or a new address is therefore admitted
+only once the ack to a ping there returns the ping's id.
+"""
 
 from __future__ import annotations
 
 from magpieshift.membership.dissemination import Outbox
-from magpieshift.membership.member_table import Member
+from magpieshift.membership.member import Member
 from magpieshift.membership.messages import Ack, Body, Ping
 from magpieshift.membership.pings import PendingPing, PendingPings
 
-MAX_UNKNOWN_PEERS = 64  # who said a name and has not yet answered at its address
+MAX_UNKNOWN_PEERS = 64  # challenged at once: bounds what forged names can make this router send
 
 
 class UnknownPeers:
-    """Those whom one router has asked, and who have not answered yet."""
+    """The peers that one router has challenged, and that have not answered yet."""
 
     def __init__(self, outbox: Outbox, pings: PendingPings) -> None:
         self._outbox = outbox
         self._pings = pings
-        self._ping_ids: dict[str, int] = {}  # by name, of the ping that greets it
+        self._ping_ids: dict[str, int] = {}  # by name of the peer
 
     def challenge(self, now_us: int, sender: Member) -> None:
-        """Ask at the address that it says, where it is not asked already."""
+        """Ping a peer at the address it claims, unless its name is challenged already."""
         if sender.name not in self._ping_ids and len(self._ping_ids) < MAX_UNKNOWN_PEERS:
-            number = self._pings.add(PendingPing(sender.name, now_us, unknown_peer=sender))
-            self._ping_ids[sender.name] = number
-            self._outbox.send((sender.host, sender.port), Ping(number))
+            ping_id = self._pings.add(PendingPing(sender.name, now_us, unknown_peer=sender))
+            self._ping_ids[sender.name] = ping_id
+            self._outbox.send((sender.host, sender.port), Ping(ping_id))
 
     def is_answer(self, body: Body, sender: Member) -> bool:
-        """Whether this is the answer of one who was asked; it is no stranger any more."""
+        """Whether this is the ack of a challenged process, which is unknown no more."""
         if not isinstance(body, Ack):
             return False
-        opened = self._pings.get(body.ping_id)
-        if (
-            opened is None
-            or opened.unknown_peer is None
-            or opened.unknown_peer.generation != sender.generation
-        ):
+        ping = self._pings.get(body.ping_id)
+        if ping is None or ping.unknown_peer is None or ping.unknown_peer.generation != sender.generation:
             return False
         self._ping_ids.pop(sender.name, None)
         return True
 
-    def forget(self, opened: PendingPing) -> None:
-        """A ping was not answered in time."""
-        if opened.unknown_peer is not None:
-            self._ping_ids.pop(opened.unknown_peer.name, None)
+    def forget(self, ping: PendingPing) -> None:
+        """A ping has timed out."""
+        if ping.unknown_peer is not None:
+            self._ping_ids.pop(ping.unknown_peer.name, None)
--- a/magpieshift/membership/update_queue.py
+++ b/magpieshift/membership/update_queue.py
@@ -1,27 +1,31 @@
-"""News that waits to be passed on, what has been told least first."""
+"""The queue of updates to pass on, least often sent first, as in SWIM's dissemination."""
 
 from __future__ import annotations
 
 from itertools import islice
 
-from magpieshift.membership.member_table import Member, SuspicionReport
+from magpieshift.membership.member import Member, SuspicionReport
 
-MAX_QUEUED_UPDATES = 4096
+MAX_QUEUED_UPDATES = 4096  # twice the members a view holds; beyond it the most often sent ones give way
 
 UpdateKey = tuple[str, ...]
-"""``("m", name)`` of a member's record, ``("a", about, accuser)`` of an accusation."""
+"""``("m", name)`` of a member's record, ``("a", suspect, reporter)`` of a suspicion report."""
+
+Update = Member | SuspicionReport
 
 
 class UpdateQueue:
-    """News to be passed on so many times each: what has been passed on least goes first. Each step costs the
-    same however much there is; with hundreds that join at once there are thousands."""
+    """Updates to be sent a number of times each; the least often sent goes first.
+
+    Every step costs the same however many there are: with hundreds joining at once there are thousands.
+    """
 
-    def __init__(self, most: int = MAX_QUEUED_UPDATES) -> None:
-        self._max_size = most
-        self._levels: list[
-            dict[UpdateKey, Member | SuspicionReport]
-        ] = []  # by how often each is still to be told
-        self._remaining: dict[UpdateKey, int] = {}
+    def __init__(self, max_size: int = MAX_QUEUED_UPDATES) -> None:
+        self._max_size = max_size
+        self._by_remaining: list[
+            dict[UpdateKey, Update]
+        ] = []  # the index is how often each is to be sent yet
+        self._remaining: dict[UpdateKey, int] = {}  # the same count by key
 
     def __len__(self) -> int:
         return len(self._remaining)
@@ -29,32 +33,32 @@
     def __contains__(self, key: UpdateKey) -> bool:
         return key in self._remaining
 
-    def put(self, key: UpdateKey, item: Member | SuspicionReport, times: int) -> None:
-        """Pass this on so many times, in place of what is known under this key. Where there is no room, what
-        has been told most gives way."""
+    def put(self, key: UpdateKey, update: Update, times: int) -> None:
+        """Queue an update to be sent so many times, in place of the one under this key."""
         self.drop(key)
         if len(self._remaining) >= self._max_size:
-            self.drop(next(key for level in self._levels for key in level))
-        while len(self._levels) <= times:
-            self._levels.append({})
-        self._levels[times][key] = item
+            self.drop(next(key for level in self._by_remaining for key in level))
+        while len(self._by_remaining) <= times:
+            self._by_remaining.append({})
+        self._by_remaining[times][key] = update
         self._remaining[key] = times
 
-    def first(self, count: int) -> list[tuple[UpdateKey, Member | SuspicionReport]]:
-        """So many at the most, what has been told least first."""
-        every = (pair for level in reversed(self._levels) for pair in level.items())
-        return list(islice(every, count))
+    def first(self, count: int) -> list[tuple[UpdateKey, Update]]:
+        """Up to ``count`` updates, the least often sent first."""
+        ordered = (pair for level in reversed(self._by_remaining) for pair in level.items())
+        return list(islice(ordered, count))
 
     def mark_sent(self, key: UpdateKey) -> None:
-        """Once more; the last time it is dropped."""
-        left = self._remaining[key] - 1
-        item = self._levels[self._remaining[key]].pop(key)
-        if left <= 0:
+        """An update was sent once more; after its last time it is dropped."""
+        remaining = self._remaining[key] - 1
+        update = self._by_remaining[self._remaining[key]].pop(key)
+        if remaining <= 0:
             del self._remaining[key]
         else:
-            self._levels[left][key] = item
-            self._remaining[key] = left
+            self._by_remaining[remaining][key] = update
+            self._remaining[key] = remaining
 
     def drop(self, key: UpdateKey) -> None:
-        if (left := self._remaining.pop(key, None)) is not None:
-            del self._levels[left][key]
+        """Send an update no more."""
+        if (remaining := self._remaining.pop(key, None)) is not None:
+            del self._by_remaining[remaining][key]
--- a/tests/membership/test_explored.py
+++ b/tests/membership/test_explored.py
@@ -18,7 +18,8 @@
 from magpieshift.membership import quota_lease as machine
 from magpieshift.membership.driver import MembershipDriver
 from magpieshift.membership.failure_detector import FailureDetector
-from magpieshift.membership.member_table import Member, MemberState, MemberTable
+from magpieshift.membership.member import Member, MemberState
+from magpieshift.membership.member_table import MemberTable
 from magpieshift.membership.messages import Address, LeaseMessage, LeaseMessageKind
 from magpieshift.membership.quota_lease import FLEET_SCOPE, LEASE_US, QuotaLease
 
@@ -68,14 +69,14 @@
                     s._elected_us is not None and min(self.now - s._elected_us, 2 * LEASE_US),
                     sorted(
                         (w, sorted(v.quotas.items()), max(0, v.expires_us - self.now))
-                        for w, v in s._grants.items()
+                        for w, v in s._grants.by_holder.items()
                     ),
                     sorted(s._lease.quotas.items()),
                     max(0, s._lease.expires_us - self.now),
                     tuple(self.views[name].members[o].state.value for o in NAMES),
                 )
             )
-        way = sorted((f, t, c.kind, c.request_id, c.term != 0, c.quotas) for f, t, c in self.under_way)
+        way = sorted((f, t, c.kind.value, c.request_id, c.term != 0, c.quotas) for f, t, c in self.under_way)
         return repr((rows, way)).encode()
 
     def in_use(self) -> float:
@@ -237,7 +238,7 @@
         want = holder.tick(2_000_000, detector.view)[0][1]
         driver = MembershipDriver(detector, holder, lambda: 2_100_000)
         driver.refresh_quota = lambda: done.append(f"uses {holder.quota(FLEET_SCOPE, 2_100_000):.3f}")
-        detector.send = lambda to, body: done.append(repr(body))  # type: ignore[method-assign]
+        detector.send = lambda destination, body: done.append(repr(body))  # type: ignore[method-assign]
         detector.on_lease_message(
             LeaseMessage(1, LeaseMessageKind.GRANT, want.request_id, ((FLEET_SCOPE, 0.25),)), other, at("b")
         )
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -13,8 +13,9 @@
 from magpieshift.lab.experiments import members as lab
 from magpieshift.lab.experiments.members import SECOND, Form, Network, grown
 from magpieshift.membership import codec
-from magpieshift.membership.failure_detector import MAX_UNKNOWN_PEERS, DetectorTuning, FailureDetector
-from magpieshift.membership.member_table import MAX_MEMBERS, Member, MemberState, MemberTable, SuspicionReport
+from magpieshift.membership.failure_detector import FailureDetector
+from magpieshift.membership.member import MAX_MEMBERS, Member, MemberState, SuspicionReport
+from magpieshift.membership.member_table import MemberTable
 from magpieshift.membership.messages import (
     Ack,
     Datagram,
@@ -25,6 +26,8 @@
     Sync,
 )
 from magpieshift.membership.quota_lease import FLEET_SCOPE
+from magpieshift.membership.suspicion import DetectorTuning
+from magpieshift.membership.unknown_peers import MAX_UNKNOWN_PEERS
 
 
 def member(name: str, **more: object) -> Member:
