--- a/magpieshift/extensions/membership.py
+++ b/magpieshift/extensions/membership.py
@@ -63,7 +63,7 @@
         self._quota_logged = -1.0
         self.after_tick: list[Callable[[], None]] = []  # of other parts, called at the end of each tick
         self.message_receivers: dict[str, Callable[[bytes, Member], None]] = {}  # of other parts, by topic
-        router.lifecycle.watchers.append(self._on_lifecycle_state)
+        router.lifecycle.listeners.append(self._on_lifecycle_state)
 
     def _first_record(self, rand: random.Random) -> Member:
         document = self._router.document
@@ -77,7 +77,7 @@
             zone=document.names.zones[document.settings.zone],
             program_version=version("magpieshift"),
             settings_version=self._router.version,
-            lifecycle_state=self._router.lifecycle.word,
+            lifecycle_state=self._router.lifecycle.state_name,
         )
 
     def _configured_router_counts(self, document: Document) -> dict[str, int]:
@@ -157,7 +157,7 @@
 
     def _after_tick(self) -> None:
         lifecycle = self._router.lifecycle
-        self._detector.expects_successor = lifecycle.replaced or lifecycle.state == State.ENDING
+        self._detector.expects_successor = lifecycle.replacement_serves or lifecycle.state == State.ENDING
         self._detector.update_own_record(open_requests=self._router.engine.open_requests)
         conflicts = self._detector.counters.conflicts
         if conflicts != self._conflicts_logged:
@@ -176,7 +176,7 @@
         The engine calls this before each batch as well: a process that resumes from a pause uses nothing of a
         lease that expired, and one that is being replaced leaves its successor its part from the first batch.
         """
-        self._router.look_round()
+        self._router.check_other_process()
         now_us = steady_us()
         fleet_quota = self._quota_lease.quota(FLEET_SCOPE, now_us)
         zone_quota = self._quota_lease.quota(self._zone_scope, now_us)
--- a/magpieshift/extensions/overload_gossip.py
+++ b/magpieshift/extensions/overload_gossip.py
@@ -55,13 +55,13 @@
 
     def start(self) -> None:
         if self._hand_over:
-            self._router.relieve(self._hands_over)
+            self._router.offload_by(self._hands_over)
 
     def commands(self) -> Mapping[str, Callable[[], str]]:
         return {"TALK": self._line}
 
     async def stop(self) -> None:
-        self._router.relieve(None)
+        self._router.offload_by(None)
 
     # --- what goes on
 
@@ -98,8 +98,8 @@
         turn = self._talker.turn(now, seen, names, mates, self._pressure(), self._rate)
         self._router.engine.apply_overrides(turn.acts)
         self._log_acts(
-            [act.number for act in turn.acts if isinstance(act, Eject)],
-            {act.number for act in turn.acts if isinstance(act, Readmit)},
+            [act.endpoint for act in turn.acts if isinstance(act, Eject)],
+            {act.endpoint for act in turn.acts if isinstance(act, Readmit)},
             seen,
         )
         if turn.offloading_changed:
@@ -113,7 +113,7 @@
             self._membership.send_message(by_name[name], TOPIC, encode(digest))
 
     def _pressure(self) -> float:
-        return max(self._router.pressed, self._late_us / LATE_US)
+        return max(self._router.pressure, self._late_us / LATE_US)
 
     def _log_acts(self, left: list[int], tried: set[int], seen: Mapping[str, Seen]) -> None:
         """A line for each store that begins to be left alone, and for each that is taken up again."""
--- a/magpieshift/lab/scale/hollow.py
+++ b/magpieshift/lab/scale/hollow.py
@@ -14,7 +14,7 @@
 
 from magpieshift.clock import LoopClock
 from magpieshift.config import Address, Document
-from magpieshift.config_transaction import Part, Prepared, Running, prepare
+from magpieshift.config_transaction import Part, Prepared, RunningSettings, prepare
 from magpieshift.control.client import ControlClient
 from magpieshift.control.content import Overrides
 from magpieshift.control.schema import Loaded
@@ -46,7 +46,7 @@
 
     def on(self, document: Document) -> Document:
         found = super().on(document)
-        return found if self.changelog is None else replace(found, changelog=self.changelog)
+        return found if self.changelog is None else replace(found, change_log_address=self.changelog)
 
 
 class Feed(Protocol):
@@ -132,7 +132,7 @@
         self.manager = VersionManager(self, VersionHistory(first), loaded.data, overrides=overrides)
         self.lifecycle = Lifecycle(LoopClock().now_us)
         self.changes = ChangeLog(self.document.names, self)
-        self.change_log = ChangeLogClient(self.document.changelog, self.changes, seed)
+        self.change_log = ChangeLogClient(self.document.change_log_address, self.changes, seed)
         self.change_source: ChangeSource = self.change_log  # a feed may put another in its place
         self._feed: Feed | None = None
         self._crashed = False
@@ -153,7 +153,7 @@
         """What takes settings, the engine last, as in a router."""
         return [self.change_log, self.engine]
 
-    def running(self) -> Mapping[str, Running]:
+    def running(self) -> Mapping[str, RunningSettings]:
         return {part.part: dict(part.running()) for part in self.parts}
 
     async def prepare(self, document: Document) -> Prepared:
@@ -173,7 +173,7 @@
         """Take up versions, and be fed. ``known`` is what the change log had told before, as a configuration
         holds it."""
         self._feed = feed
-        self.changes.known(known)
+        self.changes.apply_known(known)
         self.engine.flush()
         self.manager.start()
         feed.start()
@@ -197,7 +197,7 @@
 
     @property
     def connected(self) -> bool:
-        return self._log.answered
+        return self._log.has_answered
 
     def start(self) -> None:
         self._log.start()
--- a/magpieshift/lab/simulated/fanout_message_sizes.py
+++ b/magpieshift/lab/simulated/fanout_message_sizes.py
@@ -17,7 +17,7 @@
         entries = message.purges
         return (
             MESSAGE_BYTES
-            + len(message.stores)
+            + len(message.endpoint_list_json)
             + PURGE_BYTES * len(entries)
             + (len(whole.content) if whole else 0)
         )
--- a/magpieshift/upstream/connection.py
+++ b/magpieshift/upstream/connection.py
@@ -15,7 +15,7 @@
 from magpieshift.engine.model import AttemptResult, ListedEndpoint, UpstreamRequest
 from magpieshift.log import fields
 from magpieshift.policy.outcomes import Outcome
-from magpieshift.sockets import unread
+from magpieshift.sockets import peek_byte
 from magpieshift.upstream.codec import UpstreamProtocolError
 from magpieshift.upstream.exchange_table import ExchangeTable, ResultCallback
 
@@ -113,7 +113,7 @@
         is written to it then is reset, and has to pass for what may have run."""
         if self.is_retired or self._stream.closed() or self.is_silent(now_us):
             return False
-        if self._is_connected and self.load == 0 and unread(self._stream.socket) == b"":
+        if self._is_connected and self.load == 0 and peek_byte(self._stream.socket) == b"":
             return False
         return self.exchanges.can_open(exchange.request_id, exchange.must_not_repeat)
 
--- a/tests/test_public_names.py
+++ b/tests/test_public_names.py
@@ -19,10 +19,10 @@
 import click
 
 import magpieshift
-from magpieshift.app import expected
 from magpieshift.cli.main import cli
 from magpieshift.control.document_form import DocumentForm
 from magpieshift.control.document_writing import to_data
+from magpieshift.expected_settings import expected_settings
 
 ROOT = Path(__file__).resolve().parents[1]
 LISTED = Path(__file__).with_name("public_names.json")
@@ -122,7 +122,7 @@
         "platform settings": {
             ".".join(path): without(data, path) for path in leaves(data) if path[0] not in ("known", "listen")
         },
-        "shown as running": expected(document),
+        "shown as running": expected_settings(document),
         "deploy keys": sorted(deploy),
     }
 
@@ -152,7 +152,11 @@
     else:
         raise AssertionError("a router starts without a configuration")
     document = magpieshift.parse(data, *variables.values()).document
-    assert (document.listen, document.name, document.console) == (("127.0.0.1", 2), "other", ("127.0.0.1", 3))
+    assert (document.listen, document.name, document.admin_address) == (
+        ("127.0.0.1", 2),
+        "other",
+        ("127.0.0.1", 3),
+    )
     try:
         magpieshift.load({"EDGE_CONFIG": str(path)} | variables)
     except magpieshift.ConfigError as err:  # its addresses stand for what a test puts there
