--- a/magpieshift/extensions/relay_subscription.py
+++ b/magpieshift/extensions/relay_subscription.py
@@ -98,7 +98,7 @@
         """A list of stores; what cannot be read is logged in one line and changes nothing, as on the change
         log."""
         try:
-            self._router.changes.take_list(json.loads(fleet), first=False)
+            self._router.changes.apply_list(json.loads(fleet), is_initial=False)
         except Exception as err:
             log.warning("unreadable change", extra=fields(reason=f"{type(err).__name__}: {err}"[:200]))
 
@@ -125,7 +125,7 @@
         self._early: list[ConfigurationChange] | None = []  # until the router serves
         router.change_source = self._changes
         router.engine.copy_age_limit = self._copy_age_limit
-        router.lifecycle.watchers.append(self._went)
+        router.lifecycle.listeners.append(self._went)
         manager.listeners.append(self._answered)
 
     def commands(self) -> Mapping[str, Callable[[], str]]:
--- a/magpieshift/relay/addresses.py
+++ b/magpieshift/relay/addresses.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from magpieshift.config import ConfigError, address
+from magpieshift.config import ConfigError, parse_address
 from magpieshift.relay.selection import RelayAddress
 
 
@@ -20,7 +20,7 @@
     if not host_port or (slash and not given_region):
         raise ConfigError(f"{setting}: found {entry!r}, expected [REGION/]HOST:PORT")
     try:
-        host, port = address(host_port, setting)
+        host, port = parse_address(host_port, setting)
     except ConfigError:
         raise ConfigError(f"{setting}: found {entry!r}, expected [REGION/]HOST:PORT") from None
     return RelayAddress(host_port, given_region or region, f"{host}:{port}")
--- a/magpieshift/relay/change_log_reader.py
+++ b/magpieshift/relay/change_log_reader.py
@@ -11,7 +11,7 @@
 from magpieshift import clock
 from magpieshift.config import NO_NAMES, Address
 from magpieshift.discovery.changes import ChangeLog
-from magpieshift.discovery.client import QUIET_S, ChangeLogClient
+from magpieshift.discovery.client import CAUGHT_UP_AFTER_S, ChangeLogClient
 from magpieshift.engine.model import ListedEndpoint
 from magpieshift.log import fields
 from magpieshift.policy.events import EndpointListKind
@@ -70,9 +70,9 @@
         super().__init__(NO_NAMES, listener)
         self._reader = listener
 
-    def take_list(self, fleet: Mapping[str, Any], first: bool) -> None:
+    def apply_list(self, raw: Mapping[str, Any], is_initial: bool) -> None:
         """Pass a list on as JSON."""
-        self._reader.list_received(json.dumps(fleet, separators=(",", ":")))
+        self._reader.list_received(json.dumps(raw, separators=(",", ":")))
 
 
 class ChangeLogReader:
@@ -161,22 +161,24 @@
 
     def check(self, now_us: int) -> None:
         """Look whether all that has arrived is read."""
-        if self._client.answered and self._answered_us is None:
+        if self._client.has_answered and self._answered_us is None:
             self._answered_us = clock.source.unix_us()
             self._quiet_since_us = now_us
-        if not self._client.all_read():
+        if not self._client.has_read_all():
             return
-        if self._client.chunks != self._last_chunks:
+        if self._client.chunks_read != self._last_chunks:
             if self._last_all_read_us is not None:
                 self._staleness.record_read(self._last_all_read_us)
-            self._last_chunks = self._client.chunks
+            self._last_chunks = self._client.chunks_read
             self._quiet_since_us = now_us
         elif (
-            self._client.answered and not self.history_read and now_us - self._quiet_since_us >= QUIET_S * 1e6
+            self._client.has_answered
+            and not self.history_read
+            and now_us - self._quiet_since_us >= CAUGHT_UP_AFTER_S * 1e6
         ):
             self._mark_history_read()
         self._last_all_read_us = now_us
 
     def _mark_history_read(self) -> None:
         self.history_read = True
-        log.info("change log read", extra=fields(seq=self._client.changes.last))
+        log.info("change log read", extra=fields(seq=self._client.changes.last_sequence))
--- a/magpieshift/rollout/plan_reader.py
+++ b/magpieshift/rollout/plan_reader.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from magpieshift.config import Address, ConfigError, address, read_text
+from magpieshift.config import Address, ConfigError, parse_address, read_text
 from magpieshift.control import sexp
 from magpieshift.control.sexp import Problem, Unusable
 from magpieshift.control.validation import Lines, checked
@@ -81,7 +81,7 @@
         addresses: list[Address] = []
         for text in texts:
             try:
-                found = address(text, "doors")
+                found = parse_address(text, "doors")
             except ConfigError:
                 self.report(path, text, "two of host:port")
                 continue
