--- a/tests/control/test_channel.py
+++ b/tests/control/test_channel.py
@@ -251,7 +251,7 @@
             lost.set()
             return 60.0
 
-        with mock.patch.object(other._backoff, "after", after):
+        with mock.patch.object(other._backoff, "next_delay_s", after):
             other.start()
             await asyncio.wait_for(lost.wait(), PATIENCE_S)
         await other.stop()
