--- a/tests/relay/test_processes.py
+++ b/tests/relay/test_processes.py
@@ -313,8 +313,8 @@
             woken = time.time()
 
             async def is_ordered_after_waking() -> bool:
-                """An attempt that was in flight times out as the router wakes, and its silent cache is ejected
-                for a second or two: what is asked meanwhile goes to the origin."""
+                """An attempt that was in flight times out as the router wakes, and its silent cache is
+                ejected for a second or two: what is asked meanwhile goes to the origin."""
                 await client.ask("00000000000000aa")
                 return any(at >= woken for at, _, _ in self.cache.orders)
 
