--- a/magpieshift/engine/reconfiguration.py
+++ b/magpieshift/engine/reconfiguration.py
@@ -72,5 +72,5 @@
         for number in sorted(in_use):
             if before[number] not in after:
                 raise SettingsRejectedError(
-                    f"{what} {before[number]} is left out, and stores are listed in it"
+                    f"{what} {before[number]} is left out, and endpoints are listed in it"
                 )
--- a/tests/test_change_source.py
+++ b/tests/test_change_source.py
@@ -6,9 +6,9 @@
 from dataclasses import replace
 from unittest import mock
 
-from magpieshift.app import CATCH_UP_TIMEOUT_S, EdgeRouter
 from magpieshift.clock import source as clock
 from magpieshift.discovery.changes import ChangeSource
+from magpieshift.edge_router import CATCH_UP_TIMEOUT_S, EdgeRouter
 from magpieshift.engine.model import endpoint_number
 from magpieshift.policy.events import EndpointListKind, EndpointState
 from magpieshift.process_lock import ProcessLock
@@ -74,7 +74,7 @@
             tempfile.TemporaryDirectory() as folder,
             mock.patch.object(tempfile, "tempdir", folder),
             mock.patch.object(ProcessLock, "other_is_alive", True),
-            mock.patch("magpieshift.app.steer_to_second"),
+            mock.patch("magpieshift.edge_router.steer_to_second"),
         ):
             starting = asyncio.ensure_future(within.__aenter__())
             await within.until(lambda: f"caught up within {CATCH_UP_TIMEOUT_S}" in source.asked)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -29,7 +29,7 @@
         "magpieshift.start_settings",
         "magpieshift.config_reload",
     ),
-    ("magpieshift.expected_settings",),
+    ("magpieshift.expected_settings", "magpieshift.edge_router"),
     ("magpieshift.app", "magpieshift.rollout", "magpieshift.relay"),
     ("magpieshift.extensions",),
     ("magpieshift.lab",),
