--- a/magpieshift/limits.py
+++ b/magpieshift/limits.py
@@ -84,8 +84,8 @@
         if shared != self._shared:
             self._shared = shared
             self._engine.set_sibling_processes(int(shared))
-            event = "limits shared" if shared else "limits not shared"
-            log.info(event, extra=fields(**self._apply().shown()))
+            shown = self._apply().shown()
+            log.info("limits shared" if shared else "limits not shared", extra=fields(**shown))
 
     def running(self) -> dict[str, object]:
         """The limits in force, read from the parts themselves; ``bytes_each`` is -1 where they disagree."""
