--- a/tests/engine/engine_case.py
+++ b/tests/engine/engine_case.py
@@ -35,7 +35,7 @@
 
 
 class FakeClock:
-    """Time that passes only when told to."""
+    """Time that passes only in ``run``."""
 
     def __init__(self) -> None:
         self.now = 1_764_576_000 * SECOND
@@ -62,16 +62,16 @@
 
 
 class FakeUpstream:
-    """Keeps the orders; the test says how they end."""
+    """Records the attempts started; the test decides how they end."""
 
     def __init__(self) -> None:
         self.orders: list[tuple[UpstreamRequest, Callable[[AttemptResult], None]]] = []
-        self.quit: list[UpstreamRequest] = []
+        self.cancelled: list[UpstreamRequest] = []
         self.reached = True
 
     def start(self, order: UpstreamRequest, done: Callable[[AttemptResult], None]) -> Any:
         self.orders.append((order, done))
-        return mock.Mock(cancel=lambda: self.quit.append(order) or self.reached)  # type: ignore[func-returns-value]
+        return mock.Mock(cancel=lambda: self.cancelled.append(order) or self.reached)  # type: ignore[func-returns-value]
 
     def probe(self, member: ListedEndpoint, done: Callable[[AttemptResult], None]) -> None:
         done(AttemptResult(Outcome.OK))
@@ -80,19 +80,21 @@
 
 
 class EngineCase(unittest.TestCase):
+    """An engine with one cache and one origin, both ready."""
+
     def setUp(self) -> None:
         ports = {"cache": "127.0.0.1:1", "origin": "127.0.0.1:2", "log": "127.0.0.1:3"}
-        self.clock, self.back, self.answers = FakeClock(), FakeUpstream(), list[Response]()
+        self.clock, self.upstream, self.answers = FakeClock(), FakeUpstream(), list[Response]()
         self.engine = Engine(
-            parse(config(ports)).document.settings, 7, self.clock, self.back, max_body_bytes=100
+            parse(config(ports)).document.settings, 7, self.clock, self.upstream, max_body_bytes=100
         )
         self.members = [self.member("s-cache", 0, 1, 1), self.member("s-origin", 2, 0, 2)]
         self.engine.list_changed(EndpointListKind.CACHED, 1, self.members)
         self.clock.run()
         self.events: list[Event] = []
-        self.module = self.engine.policy_calls.policy.handle
+        self.policy_handle = self.engine.policy_calls.policy.handle
         self.engine.policy_calls.policy.handle = self.spy  # type: ignore[method-assign, assignment]
-        self.force: list[Action] | Exception | None = None
+        self.forced_actions: list[Action] | Exception | None = None
 
     def member(
         self, ident: str, kind: int, zone: int, port: int, phase: EndpointState = EndpointState.READY
@@ -101,25 +103,25 @@
         return ListedEndpoint(ident, ("127.0.0.1", port), entry)
 
     def spy(self, now_us: int, events: list[Event]) -> list[Action]:
-        """The module, unless the test decides in its place."""
+        """The policy, unless ``forced_actions`` replace its actions: once, or for ever if they are empty."""
         self.events += events
-        force = self.force
-        self.force = None if force else force  # silence lasts, a word is said once
+        force = self.forced_actions
+        self.forced_actions = None if force else force
         if isinstance(force, Exception):
             raise force
-        actions = self.module(now_us, events)
+        actions = self.policy_handle(now_us, events)
         return actions if force is None else force
 
-    def ask(self, call: ClientRequest = CALL) -> int:
-        """A request lands, under an id of its own."""
+    def submit(self, call: ClientRequest = CALL) -> int:
+        """Submit a request under an id of its own; returns its number."""
         call = replace(call, request_id=f"{self.engine.requests_taken + 1:016x}")
-        op = self.engine.submit(call, self.answers.append)
+        number = self.engine.submit(call, self.answers.append)
         self.clock.run()
-        return op
+        return number
 
-    def end(self, result: AttemptResult) -> None:
-        self.back.orders[-1][1](result)
+    def finish_attempt(self, result: AttemptResult) -> None:
+        self.upstream.orders[-1][1](result)
         self.clock.run()
 
-    def ended(self) -> list[tuple[int, Outcome, bool]]:
+    def attempt_ends(self) -> list[tuple[int, Outcome, bool]]:
         return [(e.attempt, e.outcome, e.request_closed) for e in self.events if isinstance(e, AttemptEnded)]
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -27,14 +27,14 @@
 
 class EngineTest(EngineCase):
     def test_served_from_the_cache(self) -> None:
-        self.ask()
-        order = self.back.orders[0][0]
+        self.submit()
+        order = self.upstream.orders[0][0]
         self.assertEqual((order.endpoint.name, order.source), ("s-cache", None))
-        self.end(AttemptResult(Outcome.OK, body=b"copy"))
+        self.finish_attempt(AttemptResult(Outcome.OK, body=b"copy"))
         self.assertEqual(self.answers, [Response(Verdict.SERVED, b"copy")])
-        self.assertEqual(self.ended(), [(0, Outcome.OK, True)])
+        self.assertEqual(self.attempt_ends(), [(0, Outcome.OK, True)])
 
-    def test_what_comes_in_together_goes_to_the_module_as_one_batch(self) -> None:
+    def test_what_comes_in_together_goes_to_the_policy_as_one_batch(self) -> None:
         with mock.patch.object(self.engine.policy_calls.policy, "handle", side_effect=self.spy) as handle:
             for number in range(3):
                 self.engine.submit(replace(CALL, request_id=f"{number:016x}"), self.answers.append)
@@ -42,26 +42,26 @@
         self.assertEqual([len(call.args[1]) for call in handle.call_args_list], [3])
 
     def test_attempts_count_from_zero_and_late_answers_are_passed_over(self) -> None:
-        self.ask()
-        first = self.back.orders[0][1]
-        self.end(AttemptResult(Outcome.MISS))
-        self.assertEqual(self.back.orders[1][0].source, self.members[1])
+        self.submit()
+        first = self.upstream.orders[0][1]
+        self.finish_attempt(AttemptResult(Outcome.MISS))
+        self.assertEqual(self.upstream.orders[1][0].source, self.members[1])
         first(AttemptResult(Outcome.OK, body=b"late"))
-        self.end(AttemptResult(Outcome.OK, body=b"filled"))
+        self.finish_attempt(AttemptResult(Outcome.OK, body=b"filled"))
         self.assertEqual([a.body for a in self.answers], [b"filled"])
-        self.assertEqual(self.ended(), [(0, Outcome.MISS, False), (1, Outcome.OK, True)])
+        self.assertEqual(self.attempt_ends(), [(0, Outcome.MISS, False), (1, Outcome.OK, True)])
 
-    def test_a_second_attempt_waits_for_the_first_to_be_given_up(self) -> None:
-        op = self.ask()
-        self.force = [SendPlainRequest(op, self.members[1].endpoint.number, SECOND)]
+    def test_a_second_attempt_cancels_the_first(self) -> None:
+        number = self.submit()
+        self.forced_actions = [SendPlainRequest(number, self.members[1].endpoint.number, SECOND)]
         self.engine.purged("", 1, self.clock.now)
         self.engine.flush()
-        self.assertEqual(self.back.quit, [self.back.orders[0][0]])
-        self.assertEqual(len(self.back.orders), 2)
+        self.assertEqual(self.upstream.cancelled, [self.upstream.orders[0][0]])
+        self.assertEqual(len(self.upstream.orders), 2)
         self.clock.run()
-        self.assertEqual(self.ended()[0], (0, Outcome.CANCELLED, False))
+        self.assertEqual(self.attempt_ends()[0], (0, Outcome.CANCELLED, False))
 
-    def test_a_second_copy_runs_only_where_settings_and_class_allow_it(self) -> None:
+    def test_a_hedged_request_runs_only_where_settings_and_class_permit_it(self) -> None:
         """The rule on two attempts is a setting (Kayal allows copies), and one answer ends both."""
         cache, origin = (member.endpoint.number for member in self.members)
         for allowed, call, to, copies in (
@@ -76,235 +76,238 @@
                 self.engine.in_force.apply(
                     replace(self.engine.in_force.settings, hedged_requests=allowed), frozenset()
                 )
-                op = self.ask(call)
-                self.force = [SendPlainRequest(op, to, SECOND)]
+                number = self.submit(call)
+                self.forced_actions = [SendPlainRequest(number, to, SECOND)]
                 self.engine.purged("", 1, self.clock.now)
                 self.engine.flush()
-                first, second = self.back.orders
-                self.assertEqual(self.back.quit, [] if copies else [first[0]])
+                first, second = self.upstream.orders
+                self.assertEqual(self.upstream.cancelled, [] if copies else [first[0]])
                 second[1](AttemptResult(Outcome.OK, body=b"copy"))
                 first[1](AttemptResult(Outcome.OK, body=b"late"))
                 self.clock.run()
                 self.assertEqual([a.body for a in self.answers], [b"copy"])
-                self.assertEqual(self.back.quit, [first[0]])
-                self.assertEqual({end[:2] for end in self.ended()}, {(0, Outcome.CANCELLED), (1, Outcome.OK)})
-                self.assertEqual(self.engine.requests.by_number[op].in_flight, [])
+                self.assertEqual(self.upstream.cancelled, [first[0]])
+                self.assertEqual(
+                    {end[:2] for end in self.attempt_ends()}, {(0, Outcome.CANCELLED), (1, Outcome.OK)}
+                )
+                self.assertEqual(self.engine.requests.by_number[number].in_flight, [])
 
-    def test_with_a_copy_out_the_deadline_ends_both(self) -> None:
+    def test_the_deadline_ends_a_request_and_its_hedge(self) -> None:
         self.engine.in_force.apply(replace(self.engine.in_force.settings, hedged_requests=True), frozenset())
-        op = self.ask()
-        self.force = [SendPlainRequest(op, self.members[1].endpoint.number, 0)]
+        number = self.submit()
+        self.forced_actions = [SendPlainRequest(number, self.members[1].endpoint.number, 0)]
         self.engine.purged("", 1, self.clock.now)
         self.engine.flush()
         self.clock.run(4 * SECOND)
         self.assertEqual(
             ([a.verdict for a in self.answers], self.engine.requests.by_number), ([Verdict.REJECTED], {})
         )
-        self.assertEqual(len(self.back.quit), 2)
+        self.assertEqual(len(self.upstream.cancelled), 2)
 
-    def test_the_client_leaves(self) -> None:
-        op = self.ask()
-        self.engine.cancel(op)
+    def test_a_client_disconnects(self) -> None:
+        number = self.submit()
+        self.engine.cancel(number)
         self.clock.run()
-        self.assertEqual((len(self.back.quit), self.answers, self.engine.open_requests), (1, [], 0))
-        self.assertIn(ClientDisconnected(op), self.events)
-        self.assertEqual(self.ended(), [(0, Outcome.CANCELLED, True)])
+        self.assertEqual((len(self.upstream.cancelled), self.answers, self.engine.open_requests), (1, [], 0))
+        self.assertIn(ClientDisconnected(number), self.events)
+        self.assertEqual(self.attempt_ends(), [(0, Outcome.CANCELLED, True)])
 
     def test_silence_ends_in_time_and_the_table_is_empty_after_the_deadline(self) -> None:
         """Also a connection that never came up: then the attempt never ran."""
         for reached, outcome in ((True, Outcome.TIMEOUT), (False, Outcome.CONNECT_FAILED)):
             with self.subTest(reached=reached):
-                self.back.reached, self.answers[:], self.events[:] = reached, [], []
-                self.ask()
+                self.upstream.reached, self.answers[:], self.events[:] = reached, [], []
+                self.submit()
                 self.clock.run(4 * SECOND - 1)
                 self.assertEqual([a.verdict for a in self.answers], [Verdict.REJECTED])
-                self.assertEqual(self.ended()[0][1], outcome)
+                self.assertEqual(self.attempt_ends()[0][1], outcome)
                 self.clock.run(1)
                 self.assertEqual((self.engine.requests.by_number, self.engine.open_requests), ({}, 0))
 
     def test_the_id_of_an_open_request_is_not_taken_twice(self) -> None:
-        """To the stores it was a second attempt of the open request (rude day, rule on second copies)."""
-        self.ask()
+        """A client reused the id of an open request: to endpoints, a second attempt of that request."""
+        self.submit()
         with self.assertLogs("magpieshift.engine.request_table", "WARNING"):
-            self.engine.submit(self.back.orders[0][0].request, self.answers.append)
+            self.engine.submit(self.upstream.orders[0][0].request, self.answers.append)
             self.clock.run()
-        self.assertEqual((self.answers, len(self.back.orders)), ([Response(Verdict.FAILED)], 1))
-        self.end(AttemptResult(Outcome.OK, body=b"copy"))
-        self.engine.submit(self.back.orders[0][0].request, self.answers.append)  # over: a new try may have it
+        self.assertEqual((self.answers, len(self.upstream.orders)), ([Response(Verdict.FAILED)], 1))
+        self.finish_attempt(AttemptResult(Outcome.OK, body=b"copy"))
+        self.engine.submit(self.upstream.orders[0][0].request, self.answers.append)  # closed: its id is free
         self.clock.run()
-        self.assertEqual((self.answers[1].body, len(self.back.orders)), (b"copy", 2))
+        self.assertEqual((self.answers[1].body, len(self.upstream.orders)), (b"copy", 2))
 
-    def test_the_module_does_not_hear_of_what_was_taken_back_at_once(self) -> None:
+    def test_the_policy_does_not_see_what_was_withdrawn_at_once(self) -> None:
         """Each had an attempt that was never sent; a client took back hundreds at a time (rude day)."""
         self.engine.cancel(self.engine.submit(CALL, self.answers.append))
         self.clock.run()
         self.assertEqual([e for e in self.events if isinstance(e, RequestReceived | AttemptEnded)], [])
 
-    def test_nobody_is_waited_for_longer_than_the_class_allows(self) -> None:
+    def test_no_request_stays_open_longer_than_its_class_permits(self) -> None:
         """A client that claims to wait for an hour had its entry and timer kept for as long."""
-        self.ask(replace(CALL, time_left_us=3600 * SECOND))
+        self.submit(replace(CALL, time_left_us=3600 * SECOND))
         self.clock.run(60 * SECOND)
         self.assertEqual((len(self.answers), self.engine.requests.by_number), (1, {}))
 
-    def test_at_the_very_end_all_that_is_open_is_answered(self) -> None:
-        self.ask()
+    def test_at_the_end_of_a_shutdown_all_open_requests_are_answered(self) -> None:
+        self.submit()
         self.engine.answer_all()
         self.assertEqual([a.verdict for a in self.answers], [Verdict.REJECTED])
-        self.assertEqual((len(self.back.quit), self.engine.open_requests), (1, 0))
+        self.assertEqual((len(self.upstream.cancelled), self.engine.open_requests), (1, 0))
 
-    def test_a_module_that_raises_still_owes_nothing(self) -> None:
+    def test_requests_of_a_policy_that_raises_are_answered(self) -> None:
         """An error in the decisions once answered nobody until the deadline."""
-        self.force = IndexError("no such store")
+        self.forced_actions = IndexError("no such endpoint")
         with self.assertLogs("magpieshift.engine.policy_calls", "ERROR"):
-            self.ask()
+            self.submit()
         self.assertEqual([a.verdict for a in self.answers], [Verdict.REJECTED])
-        self.ask()
-        self.assertEqual(len(self.back.orders), 1)
+        self.submit()
+        self.assertEqual(len(self.upstream.orders), 1)
 
-    def test_a_module_that_says_nothing_is_answered_for_at_the_deadline(self) -> None:
-        self.force = []
-        self.ask()
+    def test_requests_of_a_silent_policy_are_answered_at_the_deadline(self) -> None:
+        self.forced_actions = []
+        self.submit()
         with self.assertLogs("magpieshift.engine.request_table", "WARNING"):
             self.clock.run(4 * SECOND)
         self.assertEqual([a.verdict for a in self.answers], [Verdict.REJECTED])
 
-    def test_a_refusal_that_could_repeat_an_effect_becomes_a_failure(self) -> None:
+    def test_a_rejection_that_could_repeat_an_effect_becomes_a_failure(self) -> None:
         unsafe = replace(self.engine.in_force.settings.classes[1], idempotency=Idempotency.NOT_IDEMPOTENT)
         classes = (self.engine.in_force.settings.classes[0], unsafe)
         self.engine.in_force.settings = replace(self.engine.in_force.settings, classes=classes)
-        op = self.ask(WRITE)
-        self.force = [RejectRequest(op, 0)]
+        number = self.submit(WRITE)
+        self.forced_actions = [RejectRequest(number, 0)]
         with self.assertLogs("magpieshift.engine.actions", "ERROR"):
-            self.end(AttemptResult(Outcome.ERROR))
+            self.finish_attempt(AttemptResult(Outcome.ERROR))
         self.assertEqual(self.answers, [Response(Verdict.FAILED)])
 
-    def test_an_order_that_had_to_wait_does_not_go_to_a_store_that_drains(self) -> None:
-        """A connection takes up to 0.4 s to come up, and the rule gives 0.25 s from when we were told."""
-        self.ask()
-        self.end(AttemptResult(Outcome.MISS))
-        barred = self.back.orders[1][0].check_blocked
-        self.assertIsNone(barred())
+    def test_an_attempt_that_had_to_wait_does_not_go_to_a_draining_endpoint(self) -> None:
+        """A connection takes up to 0.4 s to come up. An attempt that waited for one was sent to an endpoint
+        that had begun to drain meanwhile, for which the rules leave 0.25 s from the notification."""
+        self.submit()
+        self.finish_attempt(AttemptResult(Outcome.MISS))
+        check_blocked = self.upstream.orders[1][0].check_blocked
+        self.assertIsNone(check_blocked())
         draining = self.member("s-origin", 2, 0, 2, EndpointState.DRAINING)  # as the source of the fill
         self.engine.list_changed(EndpointListKind.DELTA, 2, [draining])
-        self.assertEqual(barred(), Outcome.CONNECT_FAILED)
+        self.assertEqual(check_blocked(), Outcome.CONNECT_FAILED)
 
     def written(self) -> str:
         """The bound on the copy's age that the newest order would be written with now; empty for none."""
-        return request_fields(self.back.orders[-1][0], self.clock.now).get("fresh", "")
+        return request_fields(self.upstream.orders[-1][0], self.clock.now).get("fresh", "")
 
     def test_a_limit_on_the_age_of_copies_holds_at_the_decision_and_at_the_write(self) -> None:
         limit = mock.Mock(return_value=0)
         self.engine.copy_age_limit = limit
-        self.ask()
+        self.submit()
         self.assertEqual(self.written(), "")
         limit.return_value = 5 * SECOND  # between decision and write
         self.assertEqual(self.written(), "5000")
-        self.ask()
+        self.submit()
         limit.return_value = 0  # what was decided under it stays bounded, what comes after is not
         self.assertEqual(self.written(), "5000")
-        self.ask()
+        self.submit()
         self.assertEqual(self.written(), "")
 
     def test_the_smaller_of_all_bounds_on_the_age_of_copies_holds(self) -> None:
         self.engine.purged(CALL.object_key, 0, self.clock.now - 2 * SECOND)
         for limit_us, wanted in ((5 * SECOND, "1999"), (SECOND, "1000"), (1, "1"), (0, "1999")):
             self.engine.copy_age_limit = mock.Mock(return_value=limit_us)
-            self.ask()
+            self.submit()
             self.assertEqual(self.written(), wanted)
 
     def test_a_limit_does_not_take_the_place_of_a_smaller_bound_that_the_class_has(self) -> None:
         fresh = replace(self.engine.in_force.settings.classes[0], max_age_us=3 * SECOND)
         self.engine.in_force.settings = replace(self.engine.in_force.settings, classes=(fresh, fresh))
         self.engine.copy_age_limit = mock.Mock(return_value=5 * SECOND)
-        op = self.ask()
-        self.force = [
-            SendPlainRequest(op, self.members[1].endpoint.number, SECOND)
+        number = self.submit()
+        self.forced_actions = [
+            SendPlainRequest(number, self.members[1].endpoint.number, SECOND)
         ]  # it carries no bound: the class's holds
-        self.end(AttemptResult(Outcome.MISS))
-        self.assertEqual((len(self.back.orders), self.written()), (2, "3000"))
+        self.finish_attempt(AttemptResult(Outcome.MISS))
+        self.assertEqual((len(self.upstream.orders), self.written()), (2, "3000"))
 
     def test_a_client_has_its_own_copy_confirmed_by_a_bounded_one_only(self) -> None:
         self.engine.copy_age_limit = mock.Mock(return_value=5 * SECOND)
-        self.ask(replace(CALL, known_version="4be0c1927d55a6f3"))
-        fields = request_fields(self.back.orders[0][0], self.clock.now)
+        self.submit(replace(CALL, known_version="4be0c1927d55a6f3"))
+        fields = request_fields(self.upstream.orders[0][0], self.clock.now)
         self.assertEqual((fields["known"], fields["fresh"]), ("4be0c1927d55a6f3", "5000"))
 
     def test_writes_and_routers_without_a_limit_are_as_they_were(self) -> None:
-        self.ask()
-        self.assertIsNone(self.back.orders[0][0].current_max_age)
-        before = request_fields(self.back.orders[0][0], self.clock.now)
+        self.submit()
+        self.assertIsNone(self.upstream.orders[0][0].current_max_age)
+        before = request_fields(self.upstream.orders[0][0], self.clock.now)
         self.engine.copy_age_limit = mock.Mock(return_value=0)
-        self.ask()
-        self.assertEqual(request_fields(self.back.orders[1][0], self.clock.now), before)
+        self.submit()
+        self.assertEqual(request_fields(self.upstream.orders[1][0], self.clock.now), before)
         self.engine.copy_age_limit = mock.Mock(return_value=SECOND)
-        self.ask(WRITE)
-        self.assertEqual(self.back.orders[2][0].request.class_index, WRITE.class_index)
+        self.submit(WRITE)
+        self.assertEqual(self.upstream.orders[2][0].request.class_index, WRITE.class_index)
         self.assertEqual(self.written(), "")
         self.engine.copy_age_limit.assert_not_called()
 
-    def test_an_attempt_at_a_store_that_left_the_list_never_ran(self) -> None:
-        op = self.ask()
-        self.end(AttemptResult(Outcome.MISS))
-        self.force = [SendPlainRequest(op, 12345, SECOND)]
-        self.end(AttemptResult(Outcome.ERROR))
-        self.assertEqual(self.ended()[2], (2, Outcome.CONNECT_FAILED, False))
+    def test_an_attempt_at_an_endpoint_that_left_the_list_never_ran(self) -> None:
+        number = self.submit()
+        self.finish_attempt(AttemptResult(Outcome.MISS))
+        self.forced_actions = [SendPlainRequest(number, 12345, SECOND)]
+        self.finish_attempt(AttemptResult(Outcome.ERROR))
+        self.assertEqual(self.attempt_ends()[2], (2, Outcome.CONNECT_FAILED, False))
 
     def test_bodies_do_not_fill_the_memory(self) -> None:
-        self.ask(replace(WRITE, body=b"x" * 90))
-        self.ask(replace(WRITE, body=b"x" * 90))
+        self.submit(replace(WRITE, body=b"x" * 90))
+        self.submit(replace(WRITE, body=b"x" * 90))
         self.assertEqual([a.verdict for a in self.answers], [Verdict.REJECTED])
-        self.end(AttemptResult(Outcome.OK))
+        self.finish_attempt(AttemptResult(Outcome.OK))
         self.assertEqual(self.engine.held_body_bytes, 0)
-        self.ask(replace(WRITE, body=b"x" * 90))
-        self.assertEqual((len(self.back.orders), len(self.answers)), (2, 2))
+        self.submit(replace(WRITE, body=b"x" * 90))
+        self.assertEqual((len(self.upstream.orders), len(self.answers)), (2, 2))
 
-    def test_a_module_that_raises_hears_of_drains_and_purges_all_the_same(self) -> None:
-        """What was in the batch was lost to it, and it went on sending to a store that drains."""
+    def test_a_policy_that_raises_sees_drains_and_purges_all_the_same(self) -> None:
+        """The policy raised, its batch was lost, and it went on sending to an endpoint that drains."""
         drains = self.member("s-cache", 0, 1, 1, EndpointState.DRAINING)
         self.engine.list_changed(EndpointListKind.DELTA, 2, [drains])
         self.engine.purged("", 17, self.clock.now - SECOND)
-        self.force = IndexError("no such store")
+        self.forced_actions = IndexError("no such endpoint")
         with self.assertLogs("magpieshift.engine.policy_calls", "ERROR"):
             self.clock.run()
-        self.ask()
-        self.assertEqual([o.endpoint.name for o, _ in self.back.orders], ["s-origin"])
+        self.submit()
+        self.assertEqual([o.endpoint.name for o, _ in self.upstream.orders], ["s-origin"])
         self.assertIn((0, 17), self.engine.policy_calls.policy.purges)
 
-    def test_nothing_is_sent_to_a_store_that_drains_even_if_the_module_says_so(self) -> None:
-        op = self.ask()
+    def test_nothing_is_sent_to_a_draining_endpoint_even_if_the_policy_decides_so(self) -> None:
+        number = self.submit()
         self.engine.list_changed(
             EndpointListKind.DELTA, 2, [self.member("s-cache", 0, 1, 1, EndpointState.DRAINING)]
         )
         self.clock.run()
-        self.force = [SendPlainRequest(op, self.members[0].endpoint.number, SECOND)]
+        self.forced_actions = [SendPlainRequest(number, self.members[0].endpoint.number, SECOND)]
         with self.assertLogs("magpieshift.engine.attempts", "ERROR"):
-            self.end(AttemptResult(Outcome.MISS))
-        self.assertEqual(self.ended()[1], (1, Outcome.CONNECT_FAILED, False))
+            self.finish_attempt(AttemptResult(Outcome.MISS))
+        self.assertEqual(self.attempt_ends()[1], (1, Outcome.CONNECT_FAILED, False))
 
-    def test_the_modules_time_is_never_set_back(self) -> None:
+    def test_the_policys_time_is_never_set_back(self) -> None:
         """Its sums decay by the time passed; with a clock set back they grew past what a float holds."""
-        self.ask()
-        self.end(AttemptResult(Outcome.OK, cache_status=1))
+        self.submit()
+        self.finish_attempt(AttemptResult(Outcome.OK, cache_status=1))
         self.clock.now -= 10_000 * SECOND
-        self.ask()
-        self.assertEqual(len(self.back.orders), 2)
+        self.submit()
+        self.assertEqual(len(self.upstream.orders), 2)
 
-    def test_a_front_that_raises_does_not_hurt_the_back(self) -> None:
+    def test_a_reply_that_raises_does_not_end_the_endpoints_connection(self) -> None:
         self.engine.submit(CALL, mock.Mock(side_effect=OSError))
         self.clock.run()
         with self.assertLogs("magpieshift.engine.request_table", "ERROR"):
-            self.end(AttemptResult(Outcome.OK))
-        self.assertEqual((self.engine.open_requests, self.ended()), (0, [(0, Outcome.OK, True)]))
+            self.finish_attempt(AttemptResult(Outcome.OK))
+        self.assertEqual((self.engine.open_requests, self.attempt_ends()), (0, [(0, Outcome.OK, True)]))
 
     def test_a_purge_counts_from_when_it_was_made(self) -> None:
         self.engine.purged("7f3a9c21e0b4d655", 0, self.clock.now - 2 * SECOND)
-        self.ask()
-        self.assertLess(self.back.orders[0][0].max_age_us, 2 * SECOND)
+        self.submit()
+        self.assertLess(self.upstream.orders[0][0].max_age_us, 2 * SECOND)
 
     def test_numbers_come_from_the_text_alone(self) -> None:
         """Every router must agree on them, or an object's fills meet at no one parent."""
         self.assertEqual(endpoint_number("s-00c41f7a"), 16219224708859055907)
-        self.assertNotEqual(object_number("0000000000000000"), 0)  # to the module, 0 means a whole group
+        self.assertNotEqual(object_number("0000000000000000"), 0)  # to the policy, 0 means a whole group
 
 
 if __name__ == "__main__":
--- a/tests/engine/test_reconfiguration.py
+++ b/tests/engine/test_reconfiguration.py
@@ -47,10 +47,10 @@
         self.clock.run()
         self.assertEqual(self.engine.running(), expected_settings(new)["engine"])
 
-    def test_what_is_open_ends_under_the_figures_it_was_taken_under(self) -> None:
+    def test_open_requests_end_under_the_settings_they_were_admitted_under(self) -> None:
         """The class's time becomes shorter than the open request has already waited: it is waited for."""
         picture, basket = DOCUMENT.settings.classes
-        self.ask()
+        self.submit()
         short = replace(
             picture,
             idempotency=Idempotency.NOT_IDEMPOTENT,
@@ -60,21 +60,21 @@
         self.apply(self.to(classes={"picture": short, "basket": basket}))
         self.clock.run(2 * SECOND)
         self.assertEqual(self.answers, [])
-        self.end(AttemptResult(Outcome.OK, body=b"copy"))
+        self.finish_attempt(AttemptResult(Outcome.OK, body=b"copy"))
         self.assertEqual([a.verdict for a in self.answers], [Verdict.SERVED])
-        self.ask()
+        self.submit()
         self.clock.run(SECOND)
         self.assertEqual(len(self.answers), 2)
 
     def test_a_class_goes_and_another_comes_while_its_requests_are_open(self) -> None:
         picture, basket = DOCUMENT.settings.classes
-        self.ask(WRITE)
+        self.submit(WRITE)
         self.apply(self.to(classes={"picture": picture, "film": replace(picture, priority_weight=9.0)}))
         self.assertEqual(self.engine.classes, {"picture": 0, "film": 2})  # 1 is still the basket's
-        self.end(AttemptResult(Outcome.OK, body=b"kept"))
-        self.ask(replace(CALL, class_index=2, class_name="film"))
-        self.assertEqual(self.back.orders[-1][0].request.class_name, "film")
-        self.end(AttemptResult(Outcome.OK, body=b"film"))
+        self.finish_attempt(AttemptResult(Outcome.OK, body=b"kept"))
+        self.submit(replace(CALL, class_index=2, class_name="film"))
+        self.assertEqual(self.upstream.orders[-1][0].request.class_name, "film")
+        self.finish_attempt(AttemptResult(Outcome.OK, body=b"film"))
         self.assertEqual([a.body for a in self.answers], [b"kept", b"film"])
         self.clock.run(60 * SECOND)  # the basket's request has left the table
         self.apply(self.to(classes={"picture": picture, "film": picture, "song": picture}))
@@ -82,7 +82,7 @@
         self.assertEqual(len(self.engine.policy_calls.policy.service_times_us), 3)
 
     def test_zones_and_kinds_may_change_their_order(self) -> None:
-        """Stores are listed by these numbers: the cache must still be the cache."""
+        """Endpoints are listed by these numbers: the cache must still be the cache."""
         names = replace(self.document.names, zones=("sea", "shop", "hub"), kinds=("source", "box", "upper"))
         turned = replace(
             self.document,
@@ -97,10 +97,10 @@
                 origin_kind=0,
             ),
         )
-        self.ask()
+        self.submit()
         self.apply(turned)
-        self.end(AttemptResult(Outcome.MISS))
-        order = self.back.orders[-1][0]
+        self.finish_attempt(AttemptResult(Outcome.MISS))
+        order = self.upstream.orders[-1][0]
         self.assertEqual(order.endpoint.name, "s-cache")
         self.assertEqual(order.source, self.engine.endpoints.by_number[self.members[1].endpoint.number])
         self.assertEqual(
@@ -108,7 +108,7 @@
             {"s-cache": 1, "s-origin": 0},
         )
 
-    def test_a_zone_with_stores_cannot_go(self) -> None:
+    def test_a_zone_with_endpoints_cannot_be_removed(self) -> None:
         new = replace(self.document, names=replace(self.document.names, zones=("hub", "mall")))
         with self.assertRaisesRegex(SettingsRejectedError, "zone shop"):
             self.engine.prepare(self.document, new)
@@ -119,8 +119,8 @@
         kinds = (*self.document.names.kinds, "other")
         new = replace(self.to(parent_kind=3), names=replace(self.document.names, kinds=kinds))
         commit = self.engine.prepare(self.document, new)
-        self.ask()
-        waiting = self.back.orders[-1][0]  # for its connection: asked once more right before it is written
+        self.submit()
+        waiting = self.upstream.orders[-1][0]  # for its connection: checked once more before the write
         self.engine.list_changed(
             EndpointListKind.DELTA, 2, [self.member("s-cache", 0, 1, 1, EndpointState.DRAINING)]
         )
@@ -128,8 +128,8 @@
         self.clock.run()
         self.assertEqual(waiting.check_blocked(), Outcome.CONNECT_FAILED)
         for _ in range(20):
-            self.ask()
-        self.assertEqual({order.endpoint.name for order, _ in self.back.orders[1:]}, {"s-origin"})
+            self.submit()
+        self.assertEqual({order.endpoint.name for order, _ in self.upstream.orders[1:]}, {"s-origin"})
 
     def test_a_purge_between_prepare_and_commit_holds(self) -> None:
         """No copy from before it may serve, under the old document or the new; one made later may."""
@@ -139,9 +139,9 @@
         self.engine.purged(CALL.object_key, 0, made)
         commit()
         self.clock.run(SECOND)
-        self.ask()
-        self.end(AttemptResult(Outcome.MISS))
-        order = self.back.orders[-1][0]
+        self.submit()
+        self.finish_attempt(AttemptResult(Outcome.MISS))
+        order = self.upstream.orders[-1][0]
         self.assertGreater(order.max_age_us, 0)
         self.assertLess(order.max_age_us, self.clock.now - made)
 
--- a/tests/engine/test_settings_in_force.py
+++ b/tests/engine/test_settings_in_force.py
@@ -13,19 +13,19 @@
 
 class SiblingProcesses(EngineCase):
     def test_two_processes_have_the_budgets_of_one_router(self) -> None:
-        """A cold store would have been sent twice this router's part of what it bears."""
+        """A warming endpoint was sent twice this router's part of its slow-start budget."""
         document = parse(config(PORTS)).document
         self.engine.prepare(document, document)()
-        router, told = self.engine.policy_calls.policy, self.engine.running()
-        cold = replace(self.members[0].endpoint, started_us=self.clock.now - SECOND)
-        self.engine.list_changed(EndpointListKind.DELTA, 2, [replace(self.members[0], endpoint=cold)])
+        router, shown = self.engine.policy_calls.policy, self.engine.running()
+        warming = replace(self.members[0].endpoint, started_us=self.clock.now - SECOND)
+        self.engine.list_changed(EndpointListKind.DELTA, 2, [replace(self.members[0], endpoint=warming)])
         self.clock.run()
         (cache,) = router.caches.values()
         alone = permitted_rate(router, cache)
         self.engine.set_sibling_processes(1)
         self.assertLess(2 * permitted_rate(router, cache), 1.001 * alone)
         self.assertEqual((router.settings.router_count, router.settings.zone_router_counts), (4, (0, 4)))
-        self.assertEqual(self.engine.running(), told)  # the document in force is the same
+        self.assertEqual(self.engine.running(), shown)  # the document in force is the same
         self.engine.prepare(document, document)()
         self.assertEqual(router.settings.router_count, 4)  # a reload does not forget the other process
         self.engine.set_sibling_processes(0)
--- a/tests/engine/test_trace.py
+++ b/tests/engine/test_trace.py
@@ -37,29 +37,29 @@
         self.addCleanup(self.log.setLevel, logging.NOTSET)
 
     def router(self, number: int) -> None:
-        """A router whose fill fails at a parent, and whose second try there is refused."""
+        """A router whose fill fails at a parent, and which rejects the request then."""
         handler = logging.FileHandler(self.folder / f"n{number}.log")
         handler.setFormatter(KeyValueFormatter())
         self.log.addHandler(handler)
         self.addCleanup(handler.close)
-        trace, offset = Trace(), 1 << 40  # stores' numbers are hashes, far above requests'
-        for store, ident in NAMES.items():
-            trace.register_name(store + offset, ident)
+        trace, offset = Trace(), 1 << 40  # endpoints' numbers are hashes, far above requests'
+        for endpoint, name in NAMES.items():
+            trace.register_name(endpoint + offset, name)
         listed = EndpointListReceived(
             EndpointListKind.CACHED,
             1,
             tuple(helpers.entry(e.number + offset, e.kind) for e in helpers.whole_list().endpoints),
         )
-        module = RouterPolicy(helpers.settings(), number)
-        asked = RequestReceived(1, 0, 0, 5, 4 * helpers.SECOND, 100.0, 3, 0, False, False)
-        (sent, *_) = trace.handle(module, 1000, [listed, asked])
-        for leg, outcome in enumerate((Outcome.MISS, Outcome.ERROR)):
+        policy = RouterPolicy(helpers.settings(), number)
+        received = RequestReceived(1, 0, 0, 5, 4 * helpers.SECOND, 100.0, 3, 0, False, False)
+        (sent, *_) = trace.handle(policy, 1000, [listed, received])
+        for attempt, outcome in enumerate((Outcome.MISS, Outcome.ERROR)):
             assert isinstance(sent, SendCacheRequest | SendPlainRequest)
-            note = CacheStatus.SOURCE_LOST if leg else CacheStatus.NONE
-            ended = AttemptEnded(1, outcome, 1000, 0, False, note, sent.endpoint, leg, (0.5, 2.0))
-            (sent, *_) = trace.handle(module, 2000 + leg, [ended])
+            status = CacheStatus.SOURCE_LOST if attempt else CacheStatus.NONE
+            ended = AttemptEnded(1, outcome, 1000, 0, False, status, sent.endpoint, attempt, (0.5, 2.0))
+            (sent, *_) = trace.handle(policy, 2000 + attempt, [ended])
         trace.handle(
-            module, 5 * helpers.SECOND, [TimerFired(0), PurgeReceived(5, 0, 10), ClientDisconnected(9)]
+            policy, 5 * helpers.SECOND, [TimerFired(0), PurgeReceived(5, 0, 10), ClientDisconnected(9)]
         )
         self.log.removeHandler(handler)
 
--- a/tests/membership/test_joined.py
+++ b/tests/membership/test_joined.py
@@ -97,7 +97,7 @@
             self.engine.policy_observer = recorder
             for routers in (2, 9, 1, 40):
                 for _ in range(30):
-                    self.ask()
+                    self.submit()
                 self.engine.set_router_counts(routers, routers)
             recorder.stop()
             result = Replay().run(segments.read(Path(folder) / "capture"))
