--- a/tests/admin/test_command.py
+++ b/tests/admin/test_command.py
@@ -7,7 +7,7 @@
 
 
 class AdminCommandTest(unittest.TestCase):
-    def test_lines_cut_anywhere_and_what_is_no_call(self) -> None:
+    def test_lines_cut_anywhere_and_unknown_commands(self) -> None:
         told = mock.Mock(return_value="serving")
         for data, wanted in (
             (b"PING\n", b"OK serving\n"),
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -12,7 +12,7 @@
 
 
 class AdminServerTest(unittest.IsolatedAsyncioTestCase):
-    async def test_mute_callers_do_not_lock_out_who_calls(self) -> None:
+    async def test_silent_clients_do_not_lock_others_out(self) -> None:
         life = Lifecycle(lambda: 0)
         life.start_completed()
         opened = door.AdminServer(life)
--- a/tests/discovery/test_catch_up.py
+++ b/tests/discovery/test_catch_up.py
@@ -8,8 +8,8 @@
 
 
 class CatchUp(unittest.IsolatedAsyncioTestCase):
-    async def test_a_successor_waits_until_the_change_log_has_told_all(self) -> None:
-        """A purge or drain between the two starts stands in the log alone."""
+    async def test_a_replacement_waits_until_the_change_log_is_read(self) -> None:
+        """A purge or drain between the starts of the two processes is in the change log only."""
         feed, loop = ChangeLogClient(("127.0.0.1", 1), mock.Mock()), mock.Mock()
         times = iter(range(0, 1000))
         loop.time.side_effect = lambda: next(times) / 100  # each look at the clock takes 0.01 s
--- a/tests/downstream/test_lame_duck.py
+++ b/tests/downstream/test_lame_duck.py
@@ -22,7 +22,7 @@
         self.server.max_connections = 8
         self.life.start_completed()
 
-    async def test_who_is_told_and_has_nothing_open_is_let_go_and_who_asks_on_is_refused(self) -> None:
+    async def test_notified_idle_clients_are_closed_and_further_requests_rejected(self) -> None:
         idle, busy, asker, half = [await self.join() for _ in range(4)]
         await self.ask(idle, 1)
         self.engine.submit.call_args.args[1](self.refusal())
--- a/tests/downstream/test_replacement.py
+++ b/tests/downstream/test_replacement.py
@@ -10,8 +10,8 @@
 
 
 class Replaced(server_case.ServerCase):
-    async def test_what_waits_in_the_queue_is_taken_before_the_listener_closes(self) -> None:
-        """It was reset: 338 of 33,422 connections over 40 handovers (``magpieshift lab handover``)."""
+    async def test_the_listen_backlog_is_accepted_before_the_listener_closes(self) -> None:
+        """They were reset: 338 of 33,422 connections over 40 handovers (``magpieshift lab handover``)."""
         listener = listen_socket("127.0.0.1", 0)
         self.server.listen_on(listener)
         address = listener.getsockname()
--- a/tests/engine/test_reconfiguration.py
+++ b/tests/engine/test_reconfiguration.py
@@ -114,8 +114,8 @@
             self.engine.prepare(self.document, new)
 
     def test_a_drain_between_prepare_and_commit_stays(self) -> None:
-        """Another kind becomes that of the parents, so the list is told anew: the drained cache must not come
-        back."""
+        """Another kind becomes that of the parents, so the list is passed to the policy again: the drained
+        cache must not come back."""
         kinds = (*self.document.names.kinds, "other")
         new = replace(self.to(parent_kind=3), names=replace(self.document.names, kinds=kinds))
         commit = self.engine.prepare(self.document, new)
--- a/tests/test_change_source.py
+++ b/tests/test_change_source.py
@@ -1,4 +1,4 @@
-"""A router that hears of changes from another source than its change log."""
+"""A router that gets changes from another source than its change log."""
 
 import asyncio
 import tempfile
@@ -13,7 +13,7 @@
 from magpieshift.policy.events import EndpointListKind, EndpointState
 from magpieshift.process_lock import ProcessLock
 from tests.real.exchange import Within, free_port
-from tests.test_shutdown import ASK, CACHE_DATA, READY, READY_ASKED, SERVED
+from tests.test_edge_router import ASK, CACHE_DATA, READY, READY_ASKED, SERVED
 
 KEY = "7f3a9c21e0b4d655"
 BOUNDED = r'cache< "ASK 0000000000000001 class=picture," /[^\r]*/ ",fresh=" /[1-9]\d*/ " 0\r\n\r\n"'
@@ -21,7 +21,7 @@
 
 
 class Source(ChangeSource):
-    """Tells what the test tells it, and notes what it is asked."""
+    """Passes on the test's events, and records its calls."""
 
     def __init__(self) -> None:
         self.asked: list[str] = []
@@ -40,14 +40,14 @@
 
 
 def drain(router: EdgeRouter, ident: str) -> None:
-    """Tell the router that a store drains."""
+    """Have the router see that an endpoint drains."""
     member = router.engine.endpoints.by_number[endpoint_number(ident)]
     draining = replace(member, endpoint=replace(member.endpoint, state=EndpointState.DRAINING))
     router.list_changed(EndpointListKind.DELTA, 2, [draining])
 
 
 class Sources(unittest.IsolatedAsyncioTestCase):
-    async def test_what_it_tells_is_heeded_and_the_change_log_is_not_read(self) -> None:
+    async def test_its_events_are_applied_and_the_change_log_is_not_read(self) -> None:
         within, source = Within(), Source()
         within.router.change_source = source
         within.listeners["log"].setblocking(False)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -34,8 +34,8 @@
 
 
 class NewSettings(unittest.TestCase):
-    def test_nothing_is_taken_from_a_broken_file(self) -> None:
-        """A deadline below zero was taken, with all its file's classes, and every request failed."""
+    def test_nothing_is_taken_from_a_file_with_a_bad_value(self) -> None:
+        """A negative deadline was taken, with all other settings of its file, and every request failed."""
         figures: tuple[Any, ...] = (0, -5, "500", True, float("nan"), float("inf"), None, [])
         for path in ("Classes.0.GiveUpUs", "Classes.1.AimUs", "Caps.MaxAttempts", "Caps.ConnectTimeoutUs"):
             for value in figures:
@@ -53,7 +53,7 @@
             with self.subTest(path, value=value), self.assertRaises(ConfigError):
                 parse(changed(config(PORTS), {path: json.dumps(value)}))
 
-    def test_the_console_is_read_from_the_file_and_the_variable_wins(self) -> None:
+    def test_the_admin_address_is_read_from_the_file_and_the_variable_wins(self) -> None:
         self.assertIsNone(parse(config(PORTS)).document.admin_address)
         data = config(PORTS) | {"console": "127.0.0.1:7"}
         self.assertEqual(parse(data).document.admin_address, ("127.0.0.1", 7))
--- a/tests/test_config_transaction.py
+++ b/tests/test_config_transaction.py
@@ -19,7 +19,7 @@
         self.part, self.how, self.runs_on = part, how, "old"
 
     def prepare(self, old: Document, new: Document) -> Commit | Awaitable[Commit]:
-        if self.how == "turned down":
+        if self.how == "rejects":
             raise SettingsRejectedError("no")
         if self.how == "raises":
             raise ZeroDivisionError
@@ -32,7 +32,7 @@
         return self._commit
 
     def _commit(self) -> None:
-        if self.how == "breaks its word":
+        if self.how == "fails to commit":
             raise ZeroDivisionError
         self.runs_on = "new"
 
@@ -41,8 +41,8 @@
 
 
 class Transactions(unittest.IsolatedAsyncioTestCase):
-    async def test_every_way_in_which_three_parts_can_answer(self) -> None:
-        kinds = {"turned down": "part", "raises": "raised", "never": "late"}
+    async def test_every_combination_of_three_parts_answers(self) -> None:
+        kinds = {"rejects": "part", "raises": "raised", "never": "late"}
         for hows in itertools.product(["at once", "later", *kinds], repeat=3):
             parts = [FakePart(f"p{i}", how) for i, how in enumerate(hows)]
             first = next((how for how in hows if how in kinds), None)
@@ -59,8 +59,8 @@
                 self.assertEqual(caught.exception.kind, kinds[first])
                 self.assertEqual({part.runs_on for part in parts}, {"old"})
 
-    async def test_a_part_that_breaks_its_word_does_not_hold_up_the_others(self) -> None:
-        parts = [FakePart("a", "at once"), FakePart("b", "breaks its word"), FakePart("c", "at once")]
+    async def test_a_part_that_fails_to_commit_does_not_keep_the_others_back(self) -> None:
+        parts = [FakePart("a", "at once"), FakePart("b", "fails to commit"), FakePart("c", "at once")]
         with self.assertLogs("magpieshift.config_transaction", "ERROR"):
             (await prepare(parts, DOCUMENT, DOCUMENT)).commit()
         self.assertEqual([part.runs_on for part in parts], ["new", "old", "new"])
--- a/tests/test_shutdown.py
+++ b/tests/test_edge_router.py
@@ -1,4 +1,4 @@
-"""Endings in which something is still owed, over real connections; each bad order is forced."""
+"""A router in the test's own loop, over real connections; each bad order of events is forced."""
 
 import asyncio
 import json
@@ -38,21 +38,21 @@
 NO_MORE = "05000000 06 00000000"
 
 
-class AtTheEnd(unittest.IsolatedAsyncioTestCase):
+class Shutdown(unittest.IsolatedAsyncioTestCase):
     async def end(self, router: Within, meanwhile: Any) -> None:
-        """End the router, doing this when nothing is open any more and its sockets are about to be closed."""
+        """Shut the router down, doing this when nothing is open and its sockets are about to be closed."""
         with mock.patch.object(router.router.engine, "answer_all", side_effect=meanwhile):
             router.router.stop()
             assert router.ending is not None
             await asyncio.wait_for(asyncio.shield(router.ending), PATIENCE_S)
 
-    async def test_a_request_that_comes_as_sockets_are_closed_is_refused_and_not_reset(self) -> None:
+    async def test_a_request_that_comes_as_sockets_are_closed_is_rejected_and_not_reset(self) -> None:
         async with Within() as router:
             await router.play(f"client+\nclient> {READY_ASKED}\nclient< {READY}")
             await self.end(router, lambda: router.act(f"client> {ASK[1]}"))
             await router.play(f"client< {NO_MORE}\nclient< {REFUSED}\nclient.")
 
-    async def test_who_waits_in_the_listeners_queue_is_answered(self) -> None:
+    async def test_a_client_in_the_listen_backlog_is_answered(self) -> None:
         async with Within() as router:
 
             def come() -> None:
@@ -74,15 +74,15 @@
             await router.play(f"client< {NO_MORE}\nclient.")
             self.assertEqual(router.router.engine.requests_taken, 0)
 
-    async def test_more_than_may_linger_at_other_times_are_closed_gently_at_the_end(self) -> None:
+    async def test_more_connections_than_may_linger_at_other_times_linger_at_the_end(self) -> None:
         async with Within() as router:
             many = range(MAX_LINGERING + 4)
             for i in many:
                 router.act(f"client{i}+")
-            front = router.router._downstream
-            await router.until(lambda: front.connection_count == len(many))
-            ending = asyncio.ensure_future(front.shut_down(PATIENCE_S))
-            await router.until(lambda: not front.connection_count)
+            downstream = router.router._downstream
+            await router.until(lambda: downstream.connection_count == len(many))
+            ending = asyncio.ensure_future(downstream.shut_down(PATIENCE_S))
+            await router.until(lambda: not downstream.connection_count)
             for i in many:
                 for stream in (1, 2):
                     router.act(f"client{i}> {ASK[stream]}")
@@ -91,7 +91,7 @@
                 router.act(f"client{i}-")
             await asyncio.wait_for(ending, PATIENCE_S)
 
-    async def test_an_end_before_the_start_is_over_closes_at_once(self) -> None:
+    async def test_a_shutdown_before_the_start_is_complete_closes_at_once(self) -> None:
         router = Within()
         router.router.stop()
         await asyncio.wait_for(router.router.run(), PATIENCE_S)
@@ -100,21 +100,21 @@
         router.close()
 
 
-class Resting(unittest.IsolatedAsyncioTestCase):
-    async def test_a_request_that_has_come_keeps_a_resting_connection(self) -> None:
-        """At the limit, and in the round that closes what was long idle, in the turn in which it comes."""
+class IdleConnections(unittest.IsolatedAsyncioTestCase):
+    async def test_a_request_that_has_come_keeps_an_idle_connection(self) -> None:
+        """It came in the very turn in which its connection was closed: at the limit, or as long idle."""
         async with Within() as router:
-            front = router.router._downstream
+            downstream = router.router._downstream
             await router.play(f"client+\nclient> {READY_ASKED}\nclient< {READY}")
             router.act(f"client> {ASK[1]}")
             with mock.patch.object(server, "MAX_IDLE_S", -1.0):
-                front.close_expired()
-            front.max_connections = 1
+                downstream.close_expired()
+            downstream.max_connections = 1
             router.act("client2+")
             await router.play(f"cache+\ncache< {CACHE_ASKED}\nclient2.")
             await router.play(f"cache> {CACHE_DATA}\nclient< {SERVED}")
 
-    async def test_half_a_frame_costs_no_answer_to_what_came_before_it(self) -> None:
+    async def test_an_incomplete_frame_costs_no_answer_to_earlier_requests(self) -> None:
         async with Within() as router:
             await router.play(f"client+\nclient> {ASK[1]}\ncache+\ncache< {CACHE_ASKED}")
             router.act(f"client> {ASK[2][:20]}")
@@ -125,9 +125,10 @@
             await router.play(f"client< {reason}\ncache> {CACHE_DATA}\nclient< {SERVED}\nclient.")
 
 
-class Gone(unittest.IsolatedAsyncioTestCase):
-    async def test_a_client_that_takes_nothing_is_heard_when_it_cancels_and_when_it_goes(self) -> None:
-        """It was not read from while its answers stood above the mark: attempts began after it left."""
+class Disconnects(unittest.IsolatedAsyncioTestCase):
+    async def test_a_client_that_reads_nothing_can_cancel_and_disconnect(self) -> None:
+        """Its connection was not read while its answers stood above the high-water mark: attempts were
+        started after it had disconnected."""
         copies = 30
         async with Within() as router:
             engine = router.router.engine
@@ -162,8 +163,8 @@
     def over(self, engine: Engine, taken: int) -> bool:
         return engine.requests_taken == taken and engine.open_requests == 0
 
-    async def test_nothing_is_written_for_who_goes_in_the_instant_before(self) -> None:
-        """Read by a busy loop only behind the write, it was sent on all the same."""
+    async def test_nothing_is_written_for_a_client_that_disconnects_right_before(self) -> None:
+        """A busy loop read the disconnect only after the write, so the request was forwarded all the same."""
         async with Within() as router:
             module = router.router.engine.policy_calls.policy
             decide = module.handle
@@ -183,7 +184,7 @@
             await router.play(f"client2+\nclient2> {ASK[2]}\ncache+")
             await router.play('cache< "ASK 0000000000000002 class=picture," /[^\\r]*\\r\\n\\r\\n/')
 
-    async def test_who_half_closes_or_resets_has_gone(self) -> None:
+    async def test_a_client_that_half_closes_or_resets_has_disconnected(self) -> None:
         async with Within() as router:
             for ending in "~^-":
                 router.act("client+")
@@ -194,9 +195,9 @@
             await router.play('cache< "ASK 0000000000000002 class=picture," /[^\\r]*\\r\\n\\r\\n/')
 
 
-class Stores(unittest.IsolatedAsyncioTestCase):
-    async def test_an_order_that_waited_is_written_with_the_bound_of_the_moment(self) -> None:
-        """As by a router that was paused across the end of what it knew, with a decided request in hand."""
+class Endpoints(unittest.IsolatedAsyncioTestCase):
+    async def test_an_attempt_that_waited_is_written_with_the_max_age_of_the_moment(self) -> None:
+        """A router was paused past the end of its lease, with an attempt already decided."""
         limit = mock.Mock(return_value=0)
         asked = r'cache< "ASK %016x class=picture," /[^\r]*/ ",part=0,wait=" /\d+/ ",tier=1%s 0\r\n\r\n"'
         async with Within(**{"Caps.ConnectTimeoutUs": "10000000"}) as router:
@@ -209,8 +210,8 @@
             await router.play(f"cache+\n{asked % (1, ',fresh=5000')}\n{asked % (2, '')}")
             self.assertEqual(limit.call_count, 4)
 
-    async def test_a_connection_closed_in_the_instant_before_the_write_is_not_written_to(self) -> None:
-        """What runs once only failed: behind a reset it has to pass for run."""
+    async def test_a_connection_closed_right_before_the_write_is_not_written_to(self) -> None:
+        """A request that must not repeat failed: after a reset it has to count as executed."""
         async with Within(**{"Classes.1.Effect": '"single_shot"'}) as router:
             await router.play(f"client+\nclient> {WRITE[1]}\norigin+\norigin< {ORIGIN_ASKED[1]}")
             await router.play(f"origin> {ORIGIN_DATA[1]}\nclient< {SERVED}")
@@ -226,7 +227,7 @@
                 await router.play(f"client> {WRITE[2]}\norigin2+\norigin2< {ORIGIN_ASKED[2]}")
             await router.play(f"origin2> {ORIGIN_DATA[2]}\nclient< {SERVED_2}")
 
-    async def test_a_second_answer_that_comes_late_is_not_that_of_the_repeat(self) -> None:
+    async def test_a_late_second_answer_is_not_that_of_the_retry(self) -> None:
         async with Within() as router:
             await router.play(f"client+\nclient> {WRITE[1]}\norigin+\norigin< {ORIGIN_ASKED[1]}")
             failed = r'"0000000000000001 failed - 0\r\n\r\n"'
@@ -247,7 +248,7 @@
 
 
 class ChangeLogs(unittest.IsolatedAsyncioTestCase):
-    async def test_one_that_answers_and_closes_at_once_is_asked_ever_more_rarely(self) -> None:
+    async def test_a_change_log_that_answers_and_closes_is_polled_with_backoff(self) -> None:
         async with Within() as router:
             feed = router.router._change_log_client
             for _ in range(10):
@@ -285,7 +286,7 @@
             [vars(r)["fields"] for r in logs.records], [{"seq": purges[-1], "count": len(purges)}]
         )
 
-    async def test_an_event_that_does_not_end_is_no_life_though_comments_come(self) -> None:
+    async def test_an_incomplete_event_is_no_sign_of_life_though_comments_come(self) -> None:
         async with Within() as router:
             with mock.patch.object(client, "SILENCE_S", 0.3):
                 await router.play(f"log+\nlog< /.*\\r\\n\\r\\n/\nlog> {STREAM}\nlog> {PURGE}")
@@ -300,8 +301,8 @@
 
 
 class Descriptors(unittest.TestCase):
-    def test_without_descriptors_for_a_store_a_request_is_refused_at_once(self) -> None:
-        """Its attempt stayed out, without a connection, until its time-out."""
+    def test_without_descriptors_for_an_endpoint_a_request_is_rejected_at_once(self) -> None:
+        """Its attempt stayed in flight, without a connection, until its timeout."""
         with Program() as program:
             program.act("client+")
             program.act(f"client> {READY_ASKED}")
@@ -313,8 +314,8 @@
             program.act(f"client> {ASK[1]}")
             program.act(f"client< {REFUSED}")
 
-    def test_without_descriptors_who_rests_makes_room(self) -> None:
-        """The listener stayed readable, and the program did nothing else but fail to accept."""
+    def test_without_descriptors_idle_connections_are_closed(self) -> None:
+        """The listener stayed readable, and the process did nothing else but fail to accept."""
         with Program() as program:
             fds = Path(f"/proc/{program.process.pid}/fd")
             program.act("client+")
@@ -355,7 +356,7 @@
                 starting.terminate()
                 self.assertEqual(starting.wait(PATIENCE_S), 0)
 
-    def test_a_second_sigterm_after_the_loop_has_ended_does_not_kill_what_exits_with_0(self) -> None:
+    def test_a_second_sigterm_after_the_loop_has_ended_does_not_kill_the_process(self) -> None:
         again = "import os, sys; from magpieshift import app; code = app.main(); os.kill(os.getpid(), 15)"
         with Program() as program:
             ending = self.start(program, "-c", f"{again}; sys.exit(code)")
@@ -364,8 +365,8 @@
                 ending.terminate()
             self.assertEqual(ending.wait(PATIENCE_S), 0)
 
-    def test_a_sighup_before_the_router_runs_is_heeded(self) -> None:
-        """What it read may be the old file; and unhandled the signal killed it."""
+    def test_a_sighup_before_the_router_runs_reloads(self) -> None:
+        """The file read may have been the old one; and the unhandled signal killed the process."""
         with Program() as program:
             path = self.pipe(program)
             starting = self.start(program, "-m", "magpieshift", EDGE_CONFIG=str(path))
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -17,8 +17,8 @@
         self.now = 0
         self.life = Lifecycle(lambda: self.now)
 
-    def test_each_call_in_each_state(self) -> None:
-        """What the door answers, and the state behind it; None for ERR."""
+    def test_each_command_in_each_state(self) -> None:
+        """What the admin server answers, and the state after it; None for ERR."""
         calls = ("ping", "lame_duck", "rejoin", "begin_shutdown")
         wanted = {
             State.STARTING: (None, None, None, State.ENDING),
@@ -40,7 +40,7 @@
                         self.assertEqual(life.state, then)
                         self.assertIn(said, (None, life.state_name))
 
-    def test_its_time_begins_with_the_first_call(self) -> None:
+    def test_its_time_begins_with_the_first_command(self) -> None:
         self.life.start_completed()
         self.life.lame_duck()
         self.now = ARRIVALS_SETTLED_US
@@ -55,7 +55,7 @@
         self.now += CUT_INCOMPLETE_US
         self.assertTrue(self.life.cuts_incomplete_requests)
 
-    def test_an_end_before_the_start_is_over_stays_an_end(self) -> None:
+    def test_a_shutdown_before_the_start_is_complete_stays_one(self) -> None:
         self.life.begin_shutdown()
         self.life.start_completed()
         self.assertEqual((self.life.state, self.life.is_ready), (State.ENDING, False))
--- a/tests/test_process_lock.py
+++ b/tests/test_process_lock.py
@@ -12,7 +12,7 @@
 
 
 class ProcessLockTest(unittest.TestCase):
-    def test_a_claim_ends_with_its_process_and_nothing_left_over_counts(self) -> None:
+    def test_a_lock_ends_with_its_process_and_a_stale_file_does_not_count(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             with open(os.path.join(folder, "magpieshift-h-1.lock"), "w") as left:
                 left.write("not ours " * 100)
@@ -41,7 +41,7 @@
             self.assertFalse(mine.other_is_alive or mine.other_is_serving)
             mine.close()
 
-    def test_a_folder_that_cannot_be_written_is_told_and_stops_nothing(self) -> None:
+    def test_a_folder_that_cannot_be_written_is_logged_and_stops_nothing(self) -> None:
         with self.assertLogs("magpieshift.process_lock", "WARNING"):
             claim = ProcessLock(("h", 1), "/nowhere/at/all")
         claim.set_serving(True)
--- a/tests/test_resource_limits.py
+++ b/tests/test_resource_limits.py
@@ -24,8 +24,8 @@
 
 
 class Ended(unittest.IsolatedAsyncioTestCase):
-    async def test_who_has_ended_beside_its_successor_does_not_take_its_whole_part_back(self) -> None:
-        """Membership looks once more after it: both processes then used the whole part, 1.125 of all."""
+    async def test_a_closed_router_beside_its_replacement_keeps_to_its_part(self) -> None:
+        """Membership checks again after the close: both processes then used the whole limits (1.125)."""
         router = EdgeRouter(parse(config(PORTS)))
         with tempfile.TemporaryDirectory() as folder:
             router._process_lock = ProcessLock(("127.0.0.1", 1), folder)
