--- a/magpieshift/capture/recorded_names.py
+++ b/magpieshift/capture/recorded_names.py
@@ -82,7 +82,6 @@
         "endpoints": "entries",
     },
     "EndpointRecord": {
-        "endpoint": "entry",
         "hash_salt": "salt",
         "failure_rate": "bad",
         "ejected_until_us": "shun_until",
@@ -115,13 +114,13 @@
         "failed_endpoints": "failed",
         "suspect": "accused",
         "was_interrupted": "broken",
-        "missed_at": "missed",
-        "queued_at": "held",
+        "missed_cache": "missed",
+        "queued_source": "held",
         "work_kind": "lane",
         "lookup_misses": "looked",
         "queued_until_us": "hold_us",
-        "objective_at_us": "due_us",
-        "ask_again_us": "again_us",
+        "objective_due_us": "due_us",
+        "next_lookup_us": "again_us",
     },
     "PurgeReceived": {
         "object_key": "key",
@@ -167,7 +166,6 @@
         "retry_budget": "again",
         "service_times_us": "work_us",
         "fill_times_us": "fill_us",
-        "handlers": "reactions",
     },
     "SendCacheRequest": {
         "request_id": "id",
--- a/magpieshift/cli/captures.py
+++ b/magpieshift/cli/captures.py
@@ -73,7 +73,7 @@
 def info(file: str, as_json: bool) -> None:
     """What a capture holds, and what it lacks."""
     from magpieshift.capture import segments
-    from magpieshift.capture.explanation import clock
+    from magpieshift.capture.explanation import time_of_day
 
     summary = _Summary()
     for record in _records(file):
@@ -99,7 +99,9 @@
         return
     rows = [(name, value) for name, value in figures.items() if name not in ("missing", "from_us", "to_us")]
     if batches:
-        rows[2:2] = [("from (UTC)", clock(summary.first_us)), ("to (UTC)", clock(summary.last_us))]
+        first = ("from (UTC)", time_of_day(summary.first_us))
+        last = ("to (UTC)", time_of_day(summary.last_us))
+        rows[2:2] = [first, last]
     output.print_table(("what", "value"), rows)
     for line in summary.missing:
         click.echo(f"missing: {line}")
@@ -113,7 +115,7 @@
     from magpieshift.capture import explanation
 
     try:
-        for line in explanation.why(
+        for line in explanation.explain_request(
             lambda: _records(file), explanation.find_request(lambda: _records(file), request)
         ):
             click.echo(line)
@@ -175,12 +177,12 @@
 def replay(file: str, times: int, against: str, as_json: bool) -> None:
     """Feed a capture to the deciding module and compare; exit code 1 on any difference."""
     from magpieshift.capture import explanation, policy
-    from magpieshift.capture.replay import Replay, Result
+    from magpieshift.capture.replay import Replay, ReplayResult
 
     own = policy.own()
     other = policy.load(against) if against else None
     differences = 0
-    result = Result()
+    result = ReplayResult()
     names = explanation.Names({})
     started_s = time.process_time()
     for _ in range(times):
@@ -209,6 +211,6 @@
             )
         for text in result.missing:
             click.echo(f"missing: {text}")
-        for line in explanation.report(result, names, lambda: _records(file)):
+        for line in explanation.difference_report(result, names, lambda: _records(file)):
             click.echo(line)
     raise SystemExit(1 if differences or not result.batches else 0)
--- a/magpieshift/cli/errors.py
+++ b/magpieshift/cli/errors.py
@@ -38,13 +38,9 @@
 
         errors.append(StoreError)
     with suppress(ImportError):
-        from magpieshift.capture.segments import CaptureError
+        from magpieshift.capture.errors import CaptureError
 
         errors.append(CaptureError)
-    with suppress(ImportError):
-        from magpieshift.capture.policy import PolicyError
-
-        errors.append(PolicyError)
     return tuple(errors)
 
 
@@ -60,21 +56,22 @@
 
 def exit_code_of(command: Callable[[], object]) -> int:
     """Run a command; its exit code, after one line for what the caller can mend."""
+    code: int = ExitCode.OK
     try:
         command()
     except click.UsageError as err:
         print(usage_error_line(err), file=sys.stderr)
-        return ExitCode.UNUSABLE_INPUT
+        code = ExitCode.UNUSABLE_INPUT
     except unusable_input_errors() as err:
         print(f"{PROGRAM}: {err}", file=sys.stderr)
-        return ExitCode.UNUSABLE_INPUT
+        code = ExitCode.UNUSABLE_INPUT
     except click.ClickException as err:
         err.show()
-        return ExitCode.FAILED
+        code = ExitCode.FAILED
     except click.exceptions.Exit as err:
-        return err.exit_code
+        code = err.exit_code
     except click.Abort:
-        return ExitCode.INTERRUPTED
+        code = ExitCode.INTERRUPTED
     except SystemExit as err:
-        return int(err.code or ExitCode.OK)
-    return ExitCode.OK
+        code = int(err.code or ExitCode.OK)
+    return code
--- a/magpieshift/cli/membership.py
+++ b/magpieshift/cli/membership.py
@@ -12,7 +12,7 @@
 from magpieshift.cli import output
 from magpieshift.cli.groups import JSON_OPTION
 from magpieshift.cli.parameters import Address
-from magpieshift.config import ConfigError, address
+from magpieshift.config import ConfigError, parse_address
 
 MEMBER_COLUMNS = (
     "name",
@@ -64,7 +64,7 @@
 def _query(console: str, command: str, keys: Sequence[str], hint: str) -> dict[str, Any]:
     """What a router's admin server answers to a command, from JSON, with these keys; ``ConfigError`` where it
     does not."""
-    host, port = address(console, "console")
+    host, port = parse_address(console, "console")
     try:
         line = asyncio.run(_send_command(host, port, command))
     except (OSError, ValueError) as err:  # a line without an end, or no text, is a ValueError
--- a/magpieshift/cli/relays.py
+++ b/magpieshift/cli/relays.py
@@ -14,7 +14,7 @@
 from magpieshift.cli.groups import JSON_OPTION, SuggestingGroup
 from magpieshift.cli.logs import LOG_OPTION, setup
 from magpieshift.cli.parameters import Address
-from magpieshift.config import ConfigError, address
+from magpieshift.config import ConfigError, parse_address
 
 if TYPE_CHECKING:
     from magpieshift.relay.node import RelayNode, SourceNode
@@ -54,7 +54,7 @@
 
     if versions and not Path(versions).is_dir():
         raise ConfigError(f"--versions: found {versions!r}, expected a folder")
-    options = SourceOptions(address(changelog, "--changelog"), listen, versions, name, region)
+    options = SourceOptions(parse_address(changelog, "--changelog"), listen, versions, name, region)
     setup(log_form)
     _run(lambda: SourceNode(options))
 
@@ -70,8 +70,8 @@
 @LOG_OPTION
 def serve(sources: str, listen: str, name: str, region: str, log_form: str) -> None:
     """Follow a source, and serve what it tells to routers."""
+    from magpieshift.relay.addresses import read_relays
     from magpieshift.relay.node import RelayNode, RelayOptions
-    from magpieshift.relay.settings import read_relays
 
     if not name:
         raise click.UsageError("--name: found nothing, expected a name")
@@ -82,7 +82,7 @@
 
 def _run(make_node: Callable[[], SourceNode | RelayNode]) -> None:
     """Run a node until a signal ends it. It is made on the event loop."""
-    from magpieshift.relay.node import SourceSuperseded
+    from magpieshift.relay.errors import SourceSupersededError
 
     async def run_node() -> None:
         """Make the node and run it."""
@@ -94,7 +94,7 @@
 
     try:
         asyncio.run(run_node())
-    except (OSError, SourceSuperseded) as err:
+    except (OSError, SourceSupersededError) as err:
         raise click.ClickException(str(err)) from err
 
 
@@ -104,13 +104,14 @@
 def status_(place: str, as_json: bool) -> None:
     """How far behind is whom, as a source or relay tells it; exit code 1 where it does not."""
     from magpieshift.relay import status
+    from magpieshift.relay.errors import RelayUnreachableError
 
     try:
-        report = asyncio.run(status.ask(place))
-    except status.Unreachable as err:
+        report = asyncio.run(status.fetch_status(place))
+    except RelayUnreachableError as err:
         raise click.ClickException(f"{place}: {err}") from err
     if as_json:
-        output.print_json(status.as_data(report))
+        output.print_json(status.status_as_data(report))
         return
     age = f"{report.age_us / 1e6:.1f} s old" if report.HasField("age_us") else "not current"
     click.echo(
--- a/magpieshift/cli/rollouts.py
+++ b/magpieshift/cli/rollouts.py
@@ -47,10 +47,10 @@
 def _load_plan(path: str) -> Plan:
     """The plan in a file; ``ConfigError`` where it cannot be used."""
     from magpieshift.control.sexp import Unusable
-    from magpieshift.rollout.plan import load_file
+    from magpieshift.rollout.plan_reader import load_plan_file
 
     try:
-        return load_file(path)
+        return load_plan_file(path)
     except Unusable as err:
         raise ConfigError(f"{path}: {err}") from err
 
@@ -71,8 +71,8 @@
                 "stage": stage.name,
                 "new": len(changed),
                 "of": len(loaded.routers),
-                "soak_s": stage.soak_s,
-                "most_s": stage.most_s,
+                "soak_s": stage.bake_s,
+                "most_s": stage.max_bake_s,
                 "changes": " ".join(changes[:MAX_SHOWN_CHANGES]),
             }
         )
@@ -81,8 +81,9 @@
 
 def _carry_out(plan_path: str, state: str, as_json: bool, is_new: bool, put_back: bool = False) -> None:
     """Run a coordinator to its end; exit code 1 where the fleet is not what was wanted then."""
-    from magpieshift.rollout.journal import JournalError, read
-    from magpieshift.rollout.runner import Runner
+    from magpieshift.rollout.errors import JournalError
+    from magpieshift.rollout.journal import read_rows
+    from magpieshift.rollout.runner import RolloutRunner
 
     folder = Path(state)
     plan = _load_plan(plan_path)
@@ -101,9 +102,9 @@
 
     setup("pairs")
     try:
-        if is_new and read(folder):
+        if is_new and read_rows(folder):
             raise ConfigError(f"{state} holds a rollout already: resume it, or name another folder")
-        status = asyncio.run(Runner(plan, folder, told=print_status, back=put_back).run())
+        status = asyncio.run(RolloutRunner(plan, folder, on_status=print_status, roll_back=put_back).run())
     except (JournalError, ValueError) as err:
         raise ConfigError(str(err)) from err
     if as_json:
@@ -149,10 +150,10 @@
 @JSON_OPTION
 def status(state: str, watch: bool, as_json: bool) -> None:
     """Where a rollout stands: stages, routers, both sides' figures, and why it does what it does."""
-    from magpieshift.rollout.runner import STATUS
+    from magpieshift.rollout.state_folder import STATUS_FILE
 
     while True:
-        current = _read_status(Path(state) / STATUS)
+        current = _read_status(Path(state) / STATUS_FILE)
         if as_json:
             output.print_json(current)
         else:
@@ -188,7 +189,7 @@
 def report(state: str) -> None:
     """An HTML report with plots of a rollout, under way or over; needs the laboratory's libraries."""
     from magpieshift.lab.experiments import rollout_report
-    from magpieshift.rollout.journal import JournalError
+    from magpieshift.rollout.errors import JournalError
 
     try:
         click.echo(rollout_report.write(Path(state)))
@@ -198,12 +199,13 @@
 
 def _require_rollout(folder: Path) -> None:
     """``ConfigError`` where no coordinator has ever worked in this folder."""
-    from magpieshift.rollout.journal import JournalError, read
+    from magpieshift.rollout.errors import JournalError
+    from magpieshift.rollout.journal import read_rows
 
     if not folder.is_dir():
         raise ConfigError(f"{folder} is no folder")
     try:
-        records = read(folder)
+        records = read_rows(folder)
     except JournalError as err:
         raise ConfigError(f"{folder}: {err}") from err
     if not records:
@@ -217,10 +219,10 @@
     @STATE_OPTION
     @click.option("--why", default="", help="For the journal.")
     def _control(state: str, why: str) -> None:
-        from magpieshift.rollout.runner import say
+        from magpieshift.rollout.state_folder import request_action
 
         _require_rollout(Path(state))
-        say(Path(state), word, why)
+        request_action(Path(state), word, why)
 
 
 for _word, _help_text in (
--- a/magpieshift/discovery/codec.py
+++ b/magpieshift/discovery/codec.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from magpieshift.config import Names, address
+from magpieshift.config import Names, parse_address
 from magpieshift.engine.model import ListedEndpoint, endpoint_number
 from magpieshift.log import fields
 from magpieshift.policy.events import Endpoint, EndpointListKind, EndpointState
@@ -126,7 +126,7 @@
         weight=weight,
         started_us=max(0, int(raw.get("up_since_ms", 0) * 1000)),
     )
-    return ListedEndpoint(name, address(raw["host_port"], "host_port"), endpoint)
+    return ListedEndpoint(name, parse_address(raw["host_port"], "host_port"), endpoint)
 
 
 def read_purge(content: Any) -> Purge | None:
--- a/magpieshift/lab/scale/hollow.py
+++ b/magpieshift/lab/scale/hollow.py
@@ -14,7 +14,7 @@
 
 from magpieshift.clock import LoopClock
 from magpieshift.config import Address, Document
-from magpieshift.config_transaction import Part, Prepared, Running, prepare
+from magpieshift.config_transaction import Part, Prepared, RunningSettings, prepare
 from magpieshift.control.client import ControlClient
 from magpieshift.control.content import Overrides
 from magpieshift.control.schema import Loaded
@@ -22,9 +22,10 @@
 from magpieshift.control.version_manager import VersionManager, now_us
 from magpieshift.discovery.changes import ChangeLog, ChangeSource
 from magpieshift.discovery.client import ChangeLogClient
-from magpieshift.engine.engine import Engine, UpstreamExchange
+from magpieshift.engine.engine import Engine
+from magpieshift.engine.interfaces import UpstreamExchange
 from magpieshift.engine.model import AttemptResult, ListedEndpoint, UpstreamRequest
-from magpieshift.engine.numbers import aligned
+from magpieshift.engine.name_numbers import align_numbers
 from magpieshift.lifecycle import Lifecycle
 from magpieshift.policy.actions import Action
 from magpieshift.policy.events import EndpointListKind, Event, PurgeReceived
@@ -45,7 +46,7 @@
 
     def on(self, document: Document) -> Document:
         found = super().on(document)
-        return found if self.changelog is None else replace(found, changelog=self.changelog)
+        return found if self.changelog is None else replace(found, change_log_address=self.changelog)
 
 
 class Feed(Protocol):
@@ -131,7 +132,7 @@
         self.manager = VersionManager(self, VersionHistory(first), loaded.data, overrides=overrides)
         self.lifecycle = Lifecycle(LoopClock().now_us)
         self.changes = ChangeLog(self.document.names, self)
-        self.change_log = ChangeLogClient(self.document.changelog, self.changes, seed)
+        self.change_log = ChangeLogClient(self.document.change_log_address, self.changes, seed)
         self.change_source: ChangeSource = self.change_log  # a feed may put another in its place
         self._feed: Feed | None = None
         self._crashed = False
@@ -152,11 +153,11 @@
         """What takes settings, the engine last, as in a router."""
         return [self.change_log, self.engine]
 
-    def running(self) -> Mapping[str, Running]:
+    def running(self) -> Mapping[str, RunningSettings]:
         return {part.part: dict(part.running()) for part in self.parts}
 
     async def prepare(self, document: Document) -> Prepared:
-        return await prepare(self.parts, self.document, aligned(self.document, document))
+        return await prepare(self.parts, self.document, align_numbers(self.document, document))
 
     def commit(self, prepared: Prepared, version: int) -> None:
         self.document = prepared.document
--- a/tests/capture/test_process.py
+++ b/tests/capture/test_process.py
@@ -12,6 +12,7 @@
 from pathlib import Path
 
 from magpieshift.capture import segments
+from magpieshift.capture.errors import CaptureError
 from magpieshift.capture.replay import Replay
 from magpieshift.control import sexp
 from magpieshift.control.sexp import Unusable
@@ -76,10 +77,12 @@
         (altered / "magpieshift").mkdir(parents=True)
         shutil.copy(ROOT / "magpieshift" / "__init__.py", altered / "magpieshift")
         shutil.copytree(ROOT / "magpieshift" / "policy", altered / "magpieshift" / "policy")
-        control = altered / "magpieshift" / "policy" / "router_policy.py"
+        control = altered / "magpieshift" / "policy" / "admission.py"
         text = control.read_text()
         control.write_text(
-            text.replace("return 1 + peak", "return 2 + 2 * peak").replace("LEAST_CAP = 4", "LEAST_CAP = 1")
+            text.replace("return 1 + peak", "return 2 + 2 * peak").replace(
+                "INITIAL_LIMIT = 4", "INITIAL_LIMIT = 1"
+            )
         )
         done = program("replay", self.capture, "--against", str(altered))
         self.assertEqual(done.returncode, 1, done.stderr)
@@ -134,7 +137,7 @@
                 await process.wait()
             world.stop()
         result = Replay().run(segments.read(self.capture))
-        self.assertEqual((result.retunes, result.differences, result.missing), (1, 0, []))
+        self.assertEqual((result.reconfigurations, result.differences, result.missing), (1, 0, []))
         self.assertGreaterEqual(result.requests, 60)
 
     @staticmethod
@@ -152,7 +155,7 @@
     def missing(self) -> list[segments.Missing]:
         try:
             return [record for record in segments.read(self.capture) if isinstance(record, segments.Missing)]
-        except segments.CaptureError:
+        except CaptureError:
             return []
 
 
--- a/tests/membership/test_joined.py
+++ b/tests/membership/test_joined.py
@@ -12,9 +12,10 @@
 from typing import Any
 
 from magpieshift.capture import policy, segments
-from magpieshift.capture.recorder import Limits, Recorder
+from magpieshift.capture.recorder import Recorder
 from magpieshift.capture.replay import Replay
 from magpieshift.capture.wire import capture_pb2 as wire
+from magpieshift.capture.writer import Limits
 from magpieshift.control.schema import load_data, to_data
 from magpieshift.control.sexp import Unusable
 from magpieshift.lab.emulators.world import World
@@ -38,11 +39,11 @@
 
     def test_what_is_written_is_read(self) -> None:
         document = load_data(self.data()).document
-        assert document.members is not None
-        self.assertEqual(document.members.advertise, ("10.0.0.1", 7946))
+        assert document.membership is not None
+        self.assertEqual(document.membership.advertise, ("10.0.0.1", 7946))
         self.assertEqual(load_data(to_data(document)).document, document)
         without = {name: value for name, value in self.data().items() if name != "members"}
-        self.assertIsNone(load_data(without).document.members)
+        self.assertIsNone(load_data(without).document.membership)
 
     def test_mistakes_are_told(self) -> None:
         wrongs: list[dict[str, Any]] = [
@@ -59,27 +60,27 @@
 
 class Divisors(EngineCase):
     def test_the_module_divides_by_them_from_the_next_batch_on(self) -> None:
-        told = self.engine._told
+        told = self.engine.in_force.document_settings
         self.engine.set_router_counts(7, 3)
-        used = self.engine._router.settings
+        used = self.engine.policy_calls.policy.settings
         self.assertEqual((used.router_count, used.zone_router_counts[used.zone]), (7, 3))
         self.engine.set_sibling_processes(1)  # beside another process of this router each has half of that
-        used = self.engine._router.settings
+        used = self.engine.policy_calls.policy.settings
         self.assertEqual((used.router_count, used.zone_router_counts[used.zone]), (14, 6))
-        self.assertIs(self.engine._told, told, "the document's figures stay its own")
+        self.assertIs(self.engine.in_force.document_settings, told, "the document's figures stay its own")
 
     def test_the_lease_is_asked_before_the_module_hears_anything(self) -> None:
         """A process that has just woken must act on nothing that ran out while it slept."""
         seen: list[int] = []
         self.engine.set_router_counts(2, 2)
         self.engine.refresh_quota = lambda: self.engine.set_router_counts(9, 9)
-        handle = self.engine._router.handle
+        handle = self.engine.policy_calls.policy.handle
 
         def watched(now_us: int, events: Any) -> Any:
-            seen.append(self.engine._router.settings.router_count)
+            seen.append(self.engine.policy_calls.policy.settings.router_count)
             return handle(now_us, events)
 
-        self.engine._router.handle = watched  # type: ignore[method-assign]
+        self.engine.policy_calls.policy.handle = watched  # type: ignore[method-assign]
         self.engine.submit(replace(CALL, request_id="00000000000000aa"), lambda answer: None)
         self.engine.flush()
         self.assertEqual(seen, [9])
@@ -92,7 +93,7 @@
             header = wire.Header(format=segments.FORMAT, policy_digest=policy.own().digest)
             recorder = Recorder(str(Path(folder) / "capture"), header, Limits())
             recorder.start()
-            del self.engine._router.handle  # the spy, which is no state
+            del self.engine.policy_calls.policy.handle  # the spy, which is no state
             self.engine.policy_observer = recorder
             for routers in (2, 9, 1, 40):
                 for _ in range(30):
@@ -100,7 +101,7 @@
                 self.engine.set_router_counts(routers, routers)
             recorder.stop()
             result = Replay().run(segments.read(Path(folder) / "capture"))
-            self.assertEqual((result.differences, result.retunes), (0, 4))
+            self.assertEqual((result.differences, result.reconfigurations), (0, 4))
             self.assertGreater(result.decisions, 40)
 
 
--- a/tests/real/test_endings.py
+++ b/tests/real/test_endings.py
@@ -18,7 +18,7 @@
 from magpieshift.downstream.frames import FrameType, frame_head
 from magpieshift.engine.engine import Engine
 from magpieshift.policy.events import PurgeReceived, RequestReceived
-from magpieshift.sockets import MOST_LINGERING
+from magpieshift.sockets import MAX_LINGERING
 from tests.downstream.server_case import request
 from tests.real.exchange import PATIENCE_S, ROOT, Program, Within, config, free_port
 
@@ -65,7 +65,7 @@
     async def test_what_crosses_the_close_does_not_destroy_the_last_answer(self) -> None:
         async with Within() as router:
             await router.play(f"client+\nclient> {READY_ASKED}\nclient< {READY}")
-            (client_connection,) = router.router._front._connections
+            (client_connection,) = router.router._downstream._connections
             client_connection.send_go_away()
             client_connection.close()
             for stream in (1, 2):  # the first alone would be answered by a reset, and the second see it
@@ -76,10 +76,10 @@
 
     async def test_more_than_may_linger_at_other_times_are_closed_gently_at_the_end(self) -> None:
         async with Within() as router:
-            many = range(MOST_LINGERING + 4)
+            many = range(MAX_LINGERING + 4)
             for i in many:
                 router.act(f"client{i}+")
-            front = router.router._front
+            front = router.router._downstream
             await router.until(lambda: front.connection_count == len(many))
             ending = asyncio.ensure_future(front.shut_down(PATIENCE_S))
             await router.until(lambda: not front.connection_count)
@@ -104,7 +104,7 @@
     async def test_a_request_that_has_come_keeps_a_resting_connection(self) -> None:
         """At the limit, and in the round that closes what was long idle, in the turn in which it comes."""
         async with Within() as router:
-            front = router.router._front
+            front = router.router._downstream
             await router.play(f"client+\nclient> {READY_ASKED}\nclient< {READY}")
             router.act(f"client> {ASK[1]}")
             with mock.patch.object(server, "MAX_IDLE_S", -1.0):
@@ -118,9 +118,9 @@
         async with Within() as router:
             await router.play(f"client+\nclient> {ASK[1]}\ncache+\ncache< {CACHE_ASKED}")
             router.act(f"client> {ASK[2][:20]}")
-            await router.until(lambda: router.router._front.held_bytes > 0)
+            await router.until(lambda: router.router._downstream.held_bytes > 0)
             with mock.patch.object(server, "WHOLE_S", -1.0):
-                router.router._front.close_expired()
+                router.router._downstream.close_expired()
             reason = '1e00000002000000004500 "frame not whole in time"'
             await router.play(f"client< {reason}\ncache> {CACHE_DATA}\nclient< {SERVED}\nclient.")
 
@@ -146,7 +146,7 @@
                 await asyncio.to_thread(answer)
             with mock.patch.object(connection, "HIGH_WATER_BYTES", 1 << 16):
                 await router.until(
-                    lambda: engine.open_requests == 0 and router.router._front.held_bytes > 1 << 16
+                    lambda: engine.open_requests == 0 and router.router._downstream.held_bytes > 1 << 16
                 )
                 for stream in (31, 32):
                     router.act(f"client> {ASK[stream]}")
@@ -165,7 +165,7 @@
     async def test_nothing_is_written_for_who_goes_in_the_instant_before(self) -> None:
         """Read by a busy loop only behind the write, it was sent on all the same."""
         async with Within() as router:
-            module = router.router.engine._router
+            module = router.router.engine.policy_calls.policy
             decide = module.handle
             for ending in ("~", "^", "-", f"> {frame_head(FrameType.CANCEL, 1).hex()}"):
                 await router.play(f"client+\nclient> {READY_ASKED}\nclient< {READY}")
@@ -189,7 +189,7 @@
                 router.act("client+")
                 router.act(f"client> {ASK[1]}")
                 router.act(f"client{ending}")  # behind the request, before it was read
-                await router.until(lambda: not router.router._front.connection_count)
+                await router.until(lambda: not router.router._downstream.connection_count)
             await router.play(f"client2+\nclient2> {ASK[2]}\ncache+")
             await router.play('cache< "ASK 0000000000000002 class=picture," /[^\\r]*\\r\\n\\r\\n/')
 
@@ -214,7 +214,7 @@
         async with Within(**{"Classes.1.Effect": '"single_shot"'}) as router:
             await router.play(f"client+\nclient> {WRITE[1]}\norigin+\norigin< {ORIGIN_ASKED[1]}")
             await router.play(f"origin> {ORIGIN_DATA[1]}\nclient< {SERVED}")
-            module = router.router.engine._router
+            module = router.router.engine.policy_calls.policy
             decide = module.handle
 
             def close_first(now_us: int, events: Any) -> Any:
@@ -249,7 +249,7 @@
 class ChangeLogs(unittest.IsolatedAsyncioTestCase):
     async def test_one_that_answers_and_closes_at_once_is_asked_ever_more_rarely(self) -> None:
         async with Within() as router:
-            feed = router.router._feed
+            feed = router.router._change_log_client
             for _ in range(10):
                 await router.play(f"log+\nlog< /.*\\r\\n\\r\\n/\nlog> {STREAM}\nlog-")
             await router.until(lambda: feed.backoff_s == client.MAX_BACKOFF_S)
@@ -263,7 +263,7 @@
         event = r'''"id: %d\ndata: {\"seq\":%d,\"invalidate\":{\"bucket\":17,\"time\":1764576000480}}\n\n"'''
         chunk = " ".join(event % (seq, seq) for seq in purges)
         async with Within() as router:
-            module = router.router.engine._router
+            module = router.router.engine.policy_calls.policy
             decide = module.handle
 
             def count(now_us: int, events: Any) -> Any:
