--- a/magpieshift/upstream/exchange_table.py
+++ b/magpieshift/upstream/exchange_table.py
@@ -125,7 +125,9 @@
                 result = response.result(outcome, self.load_report_columns)
                 yield CompletedExchange(self._release(request_id).callback, result)
             elif request_id not in self._cancelled:
-                log.warning("answer to nothing asked", extra=fields(id=request_id[:MAX_LOGGED_CHARACTERS]))
+                log.warning(
+                    "answer to nothing asked", extra=fields(request_id=request_id[:MAX_LOGGED_CHARACTERS])
+                )
 
     def abort_all(self) -> list[ResultCallback]:
         """Release everything that is open, since the connection is gone; the callbacks to notify."""
--- /dev/null
+++ b/tests/cli/test_rollouts.py
@@ -0,0 +1,25 @@
+"""What the commands on rollouts print."""
+
+import contextlib
+import io
+import json
+import unittest
+
+from magpieshift.cli.main import run
+from tests.real.exchange import ROOT
+
+
+class Check(unittest.TestCase):
+    def test_a_plan_is_shown_stage_by_stage(self) -> None:
+        """The command raised AttributeError once the fields of a stage had been renamed under it."""
+        out = io.StringIO()
+        with contextlib.redirect_stdout(out):
+            self.assertEqual(run(["rollout", "check", str(ROOT / "deploy" / "rollout.sexp"), "--json"]), 0)
+        rows = json.loads(out.getvalue())
+        self.assertTrue(rows)
+        for row in rows:
+            self.assertEqual(list(row), ["stage", "new", "of", "soak_s", "most_s", "changes"])
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/discovery/test_changes.py
+++ b/tests/discovery/test_changes.py
@@ -6,12 +6,53 @@
 
 from magpieshift import parse
 from magpieshift.discovery.changes import ChangeLog
+from magpieshift.discovery.errors import MissingChangesError
 from tests.real.exchange import config
 from tests.test_config import PORTS
 
+PURGE = '{"seq":%d,"invalidate":{"bucket":7,"time":1764576000480}}'
+
+
+class Order(unittest.TestCase):
+    def setUp(self) -> None:
+        self.listener = mock.Mock()
+        self.changes = ChangeLog(parse(config(PORTS)).document.names, self.listener)
+
+    def test_a_change_is_applied_once(self) -> None:
+        for sequence in (1, 1, 2, 1):
+            self.changes.receive(PURGE % sequence)
+        self.assertEqual((self.listener.purged.call_count, self.changes.last_sequence), (2, 2))
+
+    def test_the_log_is_read_again_for_missing_changes_but_once(self) -> None:
+        """A log that no longer has them would be read again without end."""
+        self.changes.receive(PURGE % 1)
+        with self.assertRaises(MissingChangesError):
+            self.changes.receive(PURGE % 4)
+        self.assertEqual(self.changes.last_sequence, 1)
+        self.changes.receive(PURGE % 4)
+        self.assertEqual((self.listener.purged.call_count, self.changes.last_sequence), (2, 4))
+        with self.assertRaises(MissingChangesError):
+            self.changes.receive(PURGE % 6)
+
+    def test_the_id_of_the_event_stands_for_its_number(self) -> None:
+        self.changes.receive('{"invalidate":{"object":"7f3a9c21e0b4d655","time":1764576000480}}', "1")
+        self.listener.purged.assert_called_once_with("7f3a9c21e0b4d655", 0, 1_764_576_000_480_000)
+        self.assertEqual(self.changes.last_sequence, 1)
+
+    def test_an_unreadable_change_takes_its_number_and_changes_nothing(self) -> None:
+        """One that is read again and again would hold up all that come after it."""
+        for sequence, content in enumerate(
+            ('"fleet":null', '"fleet":{}', '"invalidate":null', '"invalidate":{"object":"x","time":1}'), 1
+        ):
+            with self.subTest(content), self.assertLogs("magpieshift.discovery.changes", "WARNING"):
+                self.changes.receive(f'{{"seq":{sequence},{content}}}')
+            self.assertEqual(self.changes.last_sequence, sequence)
+        self.assertEqual(self.listener.mock_calls, [])
+        self.assertFalse(self.changes.log_applied())
+
 
 class Changes(unittest.TestCase):
-    def test_an_unreadable_member_does_not_hide_the_others(self) -> None:
+    def test_an_unreadable_endpoint_does_not_hide_the_others(self) -> None:
         """A size that is no number would have made every comparison of caches false."""
         read, listener = parse(config(PORTS)), mock.Mock()
         (fleet, _) = read.known_changes["results"]
@@ -26,33 +67,29 @@
         listener.purged.assert_called_once_with("", 200, 1_764_576_000_480_000)
 
     def test_purges_are_logged_together_and_a_list_at_once(self) -> None:
-        changes, log = (
-            ChangeLog(parse(config(PORTS)).document.names, mock.Mock()),
-            "magpieshift.discovery.changes",
-        )
-        purge = '{"seq":%d,"invalidate":{"bucket":7,"time":1764576000480}}'
+        changes = ChangeLog(parse(config(PORTS)).document.names, mock.Mock())
         fleet = '{"seq":%d,"fleet":{"revision":2,"complete":false,"members":[]}}'
         batches = [
-            (0.0, [purge % 1, purge % 2, purge % 3]),
+            (0.0, [PURGE % 1, PURGE % 2, PURGE % 3]),
             (0.1, []),
-            (0.2, [purge % 4]),
-            (0.3, [purge % 5, fleet % 6]),
-            (0.4, [purge % 7]),
-            (1.25, [purge % 8]),
+            (0.2, [PURGE % 4]),
+            (0.3, [PURGE % 5, fleet % 6]),
+            (0.4, [PURGE % 7]),
+            (1.25, [PURGE % 8]),
             (1.35, []),
-            (1.4, [purge % 9]),
+            (1.4, [PURGE % 9]),
         ]
-        told = []
-        with self.assertLogs(log, "INFO") as logs:
+        logged = []
+        with self.assertLogs("magpieshift.discovery.changes", "INFO") as logs:
             for now_s, events in batches:
                 before = len(logs.records)
                 for event in events:
                     changes.receive(event)
                 changes.log_if_due(now_s)
-                told += [(now_s, *vars(r)["fields"].values()) for r in logs.records[before:]]
+                logged += [(now_s, *vars(r)["fields"].values()) for r in logs.records[before:]]
             changes.log_applied()
             changes.log_applied()
-        self.assertEqual(told, [(0.0, 3, 3), (0.3, 6, 3), (1.35, 8, 2)])
+        self.assertEqual(logged, [(0.0, 3, 3), (0.3, 6, 3), (1.35, 8, 2)])
         self.assertEqual([vars(r)["fields"] for r in logs.records[3:]], [{"seq": 9, "count": 1}])
 
 
--- a/tests/downstream/test_connection.py
+++ b/tests/downstream/test_connection.py
@@ -15,7 +15,9 @@
 
 
 class Clients(ServerCase):
-    async def test_who_takes_nothing_has_its_requests_wait_and_goes_before_memory_does(self) -> None:
+    async def test_a_slow_client_has_its_requests_paused_and_is_disconnected_before_memory_runs_out(
+        self,
+    ) -> None:
         slow, other = await self.join(), await self.join()
         for stream in (1, 2):
             (await self.ask(slow, stream))(Response(Verdict.SERVED, bytes(HIGH_WATER_BYTES // 2)))
@@ -28,7 +30,7 @@
         self.assertEqual((slow.closed(), other.closed(), self.server.held_bytes), (True, False, 0))
         self.engine.resume.assert_not_called()
 
-    async def test_what_waits_goes_on_in_order_once_answers_are_taken_unless_cancelled(self) -> None:
+    async def test_paused_requests_resume_in_order_once_responses_are_taken_unless_cancelled(self) -> None:
         slow = await self.join()
         (await self.ask(slow, 1))(Response(Verdict.SERVED, bytes(HIGH_WATER_BYTES)))
         for stream in (2, 3, 4):
@@ -40,7 +42,7 @@
         await self.settle()
         self.assertEqual([c.args for c in self.engine.resume.call_args_list], [(2,), (4,)])
 
-    async def test_a_flood_of_one_client_leaves_the_others_their_turns(self) -> None:
+    async def test_a_flood_of_one_client_does_not_starve_the_others(self) -> None:
         """While its bytes were there at once, nobody else was read from."""
         flood, other = await self.join(), await self.join()
         turns, served = 0, asyncio.get_running_loop().create_future()
@@ -64,7 +66,7 @@
             other.input.put_nowait(request(1))
             self.assertLess(await asyncio.wait_for(served, 20), 10_000)
 
-    async def test_what_is_taken_is_counted_off(self) -> None:
+    async def test_bytes_that_were_sent_are_no_longer_counted(self) -> None:
         client = await self.join()
         (await self.ask(client, 1))(Response(Verdict.SERVED, b"copy"))
         self.assertTrue(self.server.has_unsent)
@@ -73,7 +75,7 @@
         await self.settle()
         self.assertEqual((self.server.held_bytes, self.server.has_unsent), (0, False))
 
-    async def test_a_client_found_gone_by_the_first_chunk_does_not_raise(self) -> None:
+    async def test_a_write_that_finds_the_client_gone_does_not_raise(self) -> None:
         """It would have closed the store's connection that brought the answer, with all that was on it."""
         client = await self.join()
         reply = await self.ask(client, 1)
@@ -81,7 +83,7 @@
             reply(Response(Verdict.SERVED, b"copy"))
         self.assertEqual(self.server.held_bytes, 0)
 
-    async def test_a_connection_that_ends_gives_up_what_is_open(self) -> None:
+    async def test_the_end_of_a_connection_cancels_its_requests(self) -> None:
         client = await self.join()
         await self.ask(client, 1)
         client.input.put_nowait(b"")
--- a/tests/downstream/test_frames.py
+++ b/tests/downstream/test_frames.py
@@ -18,7 +18,7 @@
             self.assertEqual(read_fields(frames[0].payload)[0], FIELDS)
             self.assertEqual(parser.partial_bytes, 0)
 
-    def test_bad_lengths_are_told_before_anything_is_kept_for_them(self) -> None:
+    def test_bad_lengths_are_rejected_before_anything_is_stored_for_them(self) -> None:
         for length in (0, 4, 262_145):
             with self.subTest(length), self.assertRaises(FrameError):
                 list(FrameParser().feed(length.to_bytes(4, "little")))
--- a/tests/downstream/test_server.py
+++ b/tests/downstream/test_server.py
@@ -11,7 +11,7 @@
 
 
 class Limits(ServerCase):
-    async def test_who_has_taken_nothing_for_long_is_let_go(self) -> None:
+    async def test_a_stalled_client_is_disconnected(self) -> None:
         client = await self.join()
         (await self.ask(client, 1))(Response(Verdict.SERVED, b"copy"))
         self.server.close_expired()
@@ -20,7 +20,9 @@
             self.server.close_expired()
         self.assertTrue(client.closed())
 
-    async def test_who_owes_a_whole_frame_for_long_is_let_go_and_who_holds_on_is_not(self) -> None:
+    async def test_a_client_that_completes_no_frame_in_time_is_disconnected_and_one_that_waits_is_not(
+        self,
+    ) -> None:
         """Some connect by the hundreds and say nothing, or send messages that never end (rude day)."""
         mute, half = await self.join(), await self.join()
         self.server.max_connections = 3
@@ -34,7 +36,7 @@
             self.server.close_expired()
         self.assertEqual([c.closed() for c in (mute, half, holding)], [True, True, False])
 
-    async def test_at_the_limit_who_has_never_asked_goes_first(self) -> None:
+    async def test_at_the_limit_a_client_that_sent_nothing_is_evicted_first(self) -> None:
         asked, mute = await self.join(), await self.join()
         (await self.ask(asked, 1))(Response(Verdict.REJECTED))
         asked.written[-1][1].set_result(None)
@@ -42,7 +44,7 @@
         await self.join()
         self.assertEqual((asked.closed(), mute.closed()), (False, True))
 
-    async def test_at_the_limit_an_idle_connection_makes_room_and_a_busy_one_does_not(self) -> None:
+    async def test_at_the_limit_an_idle_connection_is_evicted_and_a_busy_one_is_not(self) -> None:
         first, second = await self.join(), await self.join()
         await self.ask(first, 1)
         third = await self.join()
@@ -52,7 +54,7 @@
             fourth = await self.join()
         self.assertEqual([c.closed() for c in (first, third, fourth)], [False, False, True])
 
-    async def test_the_end_is_announced_once_and_to_those_who_come_late(self) -> None:
+    async def test_go_away_is_sent_once_and_to_late_clients_too(self) -> None:
         first = await self.join()
         self.server.send_go_away()
         late = await self.join()
--- a/tests/downstream/test_session.py
+++ b/tests/downstream/test_session.py
@@ -9,12 +9,12 @@
 
 
 class Sessions(unittest.TestCase):
-    def test_the_request_past_the_last_is_refused(self) -> None:
+    def test_a_request_above_the_limit_of_open_streams_is_rejected(self) -> None:
         session = Session({"picture": 0})
         kinds = [type(e).__name__ for s in range(1, MAX_OPEN_STREAMS + 2) for e in session.feed(request(s))]
         self.assertEqual(kinds, ["ClientRequestReceived"] * MAX_OPEN_STREAMS + ["InvalidRequestReceived"])
 
-    def test_who_goes_on_sending_what_cannot_be_used_is_let_go(self) -> None:
+    def test_too_many_invalid_requests_end_the_connection(self) -> None:
         session = Session({"picture": 0})
         for stream in range(1, MAX_INVALID_REQUESTS + 1):
             list(session.feed(request(stream, c="pictures")))
@@ -22,7 +22,7 @@
         with self.assertRaises(FrameError):
             list(session.feed(request(MAX_INVALID_REQUESTS + 1, c="pictures")))
 
-    def test_streams_may_come_in_any_order_but_once(self) -> None:
+    def test_stream_ids_may_come_in_any_order_but_once(self) -> None:
         session = Session({"picture": 0})
         for stream in (3, 1, 2, 7):
             list(session.feed(request(stream)))
@@ -30,7 +30,7 @@
             with self.subTest(stream), self.assertRaises(FrameError):
                 list(session.feed(request(stream)))
 
-    def test_numbers_that_are_none_are_unusable(self) -> None:
+    def test_values_that_are_no_numbers_make_a_request_invalid(self) -> None:
         bad = {"m": "nan", "d": "inf", "slice": "-1", "set": "x", "i": "12"}
         for field, value in [*bad.items(), ("d", ""), ("set", "256")]:
             with self.subTest(field=field):
--- a/tests/upstream/test_codec.py
+++ b/tests/upstream/test_codec.py
@@ -1,9 +1,53 @@
-"""The codec of the upstream wire: responses read from bytes."""
+"""The codec of the upstream wire."""
 
 import unittest
+from dataclasses import replace
 
-from magpieshift.upstream.codec import ResponseParser, UpstreamProtocolError
+from magpieshift.policy.actions import CacheRequestFlag
+from magpieshift.upstream.codec import (
+    ResponseParser,
+    UpstreamProtocolError,
+    encode_cancel,
+    encode_probe,
+    encode_request,
+)
 from tests.real.exchange import spell
+from tests.upstream.test_exchange_table import CLIENT_REQUEST, ENDPOINT, upstream_request
+
+
+class Requests(unittest.TestCase):
+    def test_what_is_absent_or_zero_is_left_out(self) -> None:
+        written = b"".join(encode_request(upstream_request(), 0))
+        self.assertEqual(
+            written, b"ASK 00000000000000a1 class=picture,key=7f3a9c21e0b4d655,part=3,wait=1000 0\r\n\r\n"
+        )
+
+    def test_everything_that_a_request_may_say(self) -> None:
+        client_request = replace(CLIENT_REQUEST, idempotency_key="5c0f", known_version="4be0", body=b"eggs")
+        flags = sum(CacheRequestFlag)
+        request = replace(
+            upstream_request(),
+            request=client_request,
+            source=ENDPOINT,
+            retention_rank=2,
+            max_age_us=5_000_999,
+            flags=flags,
+        )
+        head, body, end = encode_request(request, 0)
+        self.assertEqual(
+            head,
+            b"ASK 00000000000000a1 class=picture,key=7f3a9c21e0b4d655,part=3,wait=1000,once=5c0f,via=s1,"
+            b"tier=2,fresh=5000,opts=share+peek+pass+swr,known=4be0 4\r\n",
+        )
+        self.assertEqual((body, end), (b"eggs", b"\r\n"))
+
+    def test_an_age_below_a_millisecond_does_not_become_no_bound(self) -> None:
+        head = encode_request(replace(upstream_request(), max_age_us=1), 0)[0]
+        self.assertIn(b",fresh=1 ", head)
+
+    def test_cancels_and_health_checks(self) -> None:
+        written = encode_cancel("a1"), encode_probe("p1", True), encode_probe("p2", False)
+        self.assertEqual(written, (b"QUIT a1\r\n", b"INFO p1\r\n", b"NOOP p2\r\n"))
 
 
 class Responses(unittest.TestCase):
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -4,9 +4,11 @@
 from unittest import mock
 
 from magpieshift.clock import LoopClock
-from magpieshift.upstream.connection import ConnectionSettings
+from magpieshift.engine.model import AttemptResult
+from magpieshift.policy.outcomes import Outcome
+from magpieshift.upstream.connection import ConnectionSettings, PendingExchange
 from magpieshift.upstream.endpoint_pool import EndpointPool
-from magpieshift.upstream.pool import ConnectionPool
+from magpieshift.upstream.pool import PROBE_TIMEOUT_US, ConnectionPool
 
 
 class Descriptors(unittest.IsolatedAsyncioTestCase):
@@ -26,5 +28,75 @@
         self.assertEqual(opened, [2, 2, 2, 2])
 
 
+class Choice(unittest.IsolatedAsyncioTestCase):
+    """Which connection carries an exchange."""
+
+    async def asyncSetUp(self) -> None:
+        self.may_open = mock.Mock(return_value=False)
+        self.pool = EndpointPool(mock.Mock(), ConnectionSettings((), 1, 1), LoopClock(), self.may_open)
+        self.exchange = mock.Mock()
+
+    def connections(self, *loads: int, unfit: tuple[int, ...] = ()) -> list[mock.Mock]:
+        """Connections with these loads, of which some may not carry the exchange."""
+        connections = [
+            mock.Mock(load=load, can_carry=mock.Mock(return_value=index not in unfit))
+            for index, load in enumerate(loads)
+        ]
+        self.pool.connections = list(connections)
+        return connections
+
+    async def test_the_least_loaded_that_may_carry_it(self) -> None:
+        connections = self.connections(3, 1, 0, 1, unfit=(2,))
+        self.assertTrue(self.pool.carry(self.exchange, 32, 4))
+        connections[1].carry.assert_called_once_with(self.exchange)
+        self.may_open.assert_not_called()
+
+    async def test_a_new_one_is_wanted_once_all_carry_the_preferred_number(self) -> None:
+        connections = self.connections(5, 4)
+        self.assertTrue(self.pool.carry(self.exchange, 32, 4))
+        self.may_open.assert_called_once_with(self.pool)
+        connections[1].carry.assert_called_once_with(self.exchange)  # none may be opened
+
+    async def test_none_where_all_are_full_and_none_may_be_opened(self) -> None:
+        self.connections(32, 32)
+        self.assertFalse(self.pool.carry(self.exchange, 32, 4))
+
+
+class Idle(unittest.IsolatedAsyncioTestCase):
+    async def test_connections_are_closed_before_the_endpoint_may_close_them(self) -> None:
+        """The endpoint closed first, and the request just written to it was reset."""
+        clock = mock.Mock(now_us=mock.Mock(return_value=0))
+        pool = ConnectionPool(clock, (), 400_000, 1_000_000, 32, max_connections=8)
+        endpoint_pool = EndpointPool(mock.Mock(), ConnectionSettings((), 1, 1), clock, pool.may_open)
+        busy, idle = mock.Mock(idle_since_us=None), mock.Mock(idle_since_us=0)
+        endpoint_pool.connections = [busy, idle]
+        pool._pools = {1: endpoint_pool}
+        for now_us, is_closed in ((799_999, False), (800_000, True)):
+            clock.now_us.return_value = now_us
+            pool.close_expired()
+            self.assertEqual(idle.close.called, is_closed)
+        busy.close.assert_not_called()
+
+
+class HealthChecks(unittest.IsolatedAsyncioTestCase):
+    async def test_one_that_is_not_answered_ends_after_its_timeout(self) -> None:
+        clock = mock.Mock(now_us=mock.Mock(return_value=0))
+        pool = ConnectionPool(clock, (), 400_000, 1_000_000, 32, max_connections=8)
+        for is_written, outcome in ((True, Outcome.TIMEOUT), (False, Outcome.CONNECT_FAILED)):
+            callback = mock.Mock()
+
+            def carry(exchange: PendingExchange, *_: int, is_written: bool = is_written) -> bool:
+                exchange.is_written = is_written
+                return True
+
+            with mock.patch.object(EndpointPool, "carry", side_effect=carry):
+                pool.probe(mock.Mock(), callback)
+            delay_us, timed_out = clock.after.call_args.args
+            self.assertEqual(delay_us, PROBE_TIMEOUT_US)
+            callback.assert_not_called()
+            timed_out()
+            callback.assert_called_once_with(AttemptResult(outcome))
+
+
 if __name__ == "__main__":
     unittest.main()
