--- a/magpieshift/cli/captures.py
+++ b/magpieshift/cli/captures.py
@@ -99,9 +99,10 @@
         return
     rows = [(name, value) for name, value in figures.items() if name not in ("missing", "from_us", "to_us")]
     if batches:
-        first = ("from (UTC)", time_of_day(summary.first_us))
-        last = ("to (UTC)", time_of_day(summary.last_us))
-        rows[2:2] = [first, last]
+        rows[2:2] = [
+            ("from (UTC)", time_of_day(summary.first_us)),
+            ("to (UTC)", time_of_day(summary.last_us)),
+        ]
     output.print_table(("what", "value"), rows)
     for line in summary.missing:
         click.echo(f"missing: {line}")
--- a/magpieshift/cli/errors.py
+++ b/magpieshift/cli/errors.py
@@ -56,22 +56,21 @@
 
 def exit_code_of(command: Callable[[], object]) -> int:
     """Run a command; its exit code, after one line for what the caller can mend."""
-    code: int = ExitCode.OK
     try:
         command()
+    except click.exceptions.Exit as err:
+        return err.exit_code
+    except SystemExit as err:
+        return int(err.code or ExitCode.OK)
+    except click.Abort:
+        return ExitCode.INTERRUPTED
     except click.UsageError as err:
         print(usage_error_line(err), file=sys.stderr)
-        code = ExitCode.UNUSABLE_INPUT
     except unusable_input_errors() as err:
         print(f"{PROGRAM}: {err}", file=sys.stderr)
-        code = ExitCode.UNUSABLE_INPUT
     except click.ClickException as err:
         err.show()
-        code = ExitCode.FAILED
-    except click.exceptions.Exit as err:
-        code = err.exit_code
-    except click.Abort:
-        code = ExitCode.INTERRUPTED
-    except SystemExit as err:
-        code = int(err.code or ExitCode.OK)
-    return code
+        return ExitCode.FAILED
+    else:
+        return ExitCode.OK
+    return ExitCode.UNUSABLE_INPUT
--- a/magpieshift/config/platform_file.py
+++ b/magpieshift/config/platform_file.py
@@ -1,7 +1,7 @@
 """Reads the platform's configuration: environment variables and one JSON file.
 
-The nested settings become the policy's ``Settings`` by way of ``simulator_codec``'s parser, which takes the
-same object as ``path=value`` lines.
+The nested settings become the policy's ``Settings`` by way of ``simulator_settings``'s parser, which takes
+the same object as ``path=value`` lines.
 """
 
 from __future__ import annotations
@@ -17,8 +17,9 @@
 from magpieshift.config.document import MIN_SOCKETS, Config, Document, Limits, Names
 from magpieshift.config.errors import ConfigError
 from magpieshift.config.values import parse_address
+from magpieshift.policy.errors import SettingsError
 from magpieshift.policy.settings import Settings
-from magpieshift.policy.simulator_codec import SettingsError, parse_settings
+from magpieshift.policy.simulator_settings import parse_settings
 
 CLASS_NAME = re.compile(r"[!-+\--~]{1,64}")
 """Printable without spaces and commas, as it goes into a list on an endpoint's request line."""
@@ -82,7 +83,7 @@
 
 
 def flatten(value: object, path: str = "") -> Iterator[str]:
-    """Nested settings as the ``path=value`` lines that ``simulator_codec`` reads."""
+    """Nested settings as the ``path=value`` lines that ``simulator_settings`` reads."""
     if isinstance(value, Mapping):
         for key, inner in value.items():
             yield from flatten(inner, f"{path}.{key}" if path else str(key))
