--- a/magpieshift/cli/captures.py
+++ b/magpieshift/cli/captures.py
@@ -185,14 +185,14 @@
 
 
 def _scenario(file: str, seconds: float, seed: int, rate: float) -> Any:
-    from magpieshift.control.sexp import Unusable
+    from magpieshift.control.errors import UnusableDocumentError
     from magpieshift.lab.experiments import scenario
 
     if not file:
         return scenario.bad_morning(seconds, seed, rate)
     try:
         return scenario.load_file(file)
-    except Unusable as err:
+    except UnusableDocumentError as err:
         raise ConfigError(f"{file}: {err}") from err
 
 
--- a/magpieshift/cli/configuration.py
+++ b/magpieshift/cli/configuration.py
@@ -23,11 +23,11 @@
     """Check a settings file; exit code 1 if it cannot be used."""
     from magpieshift.cli import show
     from magpieshift.control import schema
-    from magpieshift.control.sexp import Unusable
+    from magpieshift.control.errors import UnusableDocumentError
 
     try:
         loaded = schema.load_file(file)
-    except Unusable as err:
+    except UnusableDocumentError as err:
         if as_json:
             show.as_json({"file": file, "usable": False, "problems": [vars(p) for p in err.problems]})
         else:
@@ -50,11 +50,11 @@
 def _data(what: str, state: str) -> dict[str, Any]:
     """A document's data: a file's, or by its number that of a version kept."""
     from magpieshift.control import schema
-    from magpieshift.control import store as stores
+    from magpieshift.control.stored_versions import read_store
     from magpieshift.extensions import runner
 
     if state and what.isdecimal():
-        for kept in reversed(stores.read(state).kept):
+        for kept in reversed(read_store(state).versions):
             if kept.record.number == int(what) and kept.text:
                 return dict(schema.load_text(kept.text).data)
         raise ConfigError(f"{state} has no version {what}")
@@ -71,20 +71,21 @@
     force where WHAT is left out."""
     from magpieshift.cli import show
     from magpieshift.control import sexp
-    from magpieshift.control import store as stores
+    from magpieshift.control.document_changes import document_digest
+    from magpieshift.control.stored_versions import read_store
 
     if not what and not state:
         raise click.UsageError("name a file, or a folder with --state")
     if not what:
-        force = stores.read(state).in_force
+        force = read_store(state).in_force
         if force is None:
             raise ConfigError(f"{state} has no version in force")
         what = str(force.record.number)
     data = _data(what, state)
     if as_json:
-        show.as_json({"digest": sexp.digest(data), "settings": data})
+        show.as_json({"digest": document_digest(data), "settings": data})
     else:
-        click.echo(f"; digest {sexp.digest(data)}\n{sexp.write(data)}", nl=False)
+        click.echo(f"; digest {document_digest(data)}\n{sexp.format_document(data)}", nl=False)
 
 
 @config.command(epilog="\b\nExample:\n  magpieshift config diff old.sexp new.sexp")
@@ -95,9 +96,9 @@
 def diff(a: str, b: str, state: str, as_json: bool) -> None:
     """What makes B of A, each a file or with --state a version's number; exit code 1 if anything does."""
     from magpieshift.cli import show
-    from magpieshift.control import sexp
+    from magpieshift.control.document_changes import differences
 
-    changes = sexp.differences(_data(a, state), _data(b, state))
+    changes = differences(_data(a, state), _data(b, state))
     if as_json:
         show.as_json([{"path": c.path, "gone": c.value is None, "value": c.value} for c in changes])
     for change in [] if as_json else changes:
@@ -113,27 +114,27 @@
     import datetime
 
     from magpieshift.cli import show
-    from magpieshift.control import store as stores
+    from magpieshift.control.stored_versions import read_store, stored_history
 
     if not state:
         raise click.UsageError("name the folder with --state")
-    contents = stores.read(state)
-    records = [kept.record for kept in stores.history(contents)]
+    contents = read_store(state)
+    records = [kept.record for kept in stored_history(contents)]
     if as_json:
         show.as_json(
             {
-                "damaged": contents.damaged,
-                "torn_bytes": contents.torn,
+                "damaged": contents.damaged_stretches,
+                "torn_bytes": contents.torn_bytes,
                 "versions": [
                     {
                         "number": r.number,
                         "state": r.state.value,
-                        "at_us": r.at_us,
+                        "at_us": r.since_us,
                         "digest": r.digest,
                         "source": r.source,
-                        "reason": r.reason.name.lower(),
+                        "reason": r.reason.word,
                         "detail": r.detail,
-                        "skipped": r.skipped,
+                        "skipped": r.skipped_numbers,
                     }
                     for r in records
                 ],
@@ -142,12 +143,14 @@
         return
     rows = []
     for r in records:
-        at = datetime.datetime.fromtimestamp(r.at_us / 1e6, datetime.UTC).strftime("%Y-%m-%d %H:%M:%S")
-        why = f"{r.reason.name.lower()}: {r.detail}" if r.detail else ""
+        at = datetime.datetime.fromtimestamp(r.since_us / 1e6, datetime.UTC).strftime("%Y-%m-%d %H:%M:%S")
+        why = f"{r.reason.word}: {r.detail}" if r.detail else ""
         rows.append((r.number, r.state.value, at, r.source, r.digest[:12], why[:100]))
     show.table(("version", "state", "since (UTC)", "from", "digest", "why"), rows)
-    if contents.damaged or contents.torn:
-        click.echo(f"{contents.damaged} damaged stretches, {contents.torn} bytes torn off", err=True)
+    if contents.damaged_stretches or contents.torn_bytes:
+        click.echo(
+            f"{contents.damaged_stretches} damaged stretches, {contents.torn_bytes} bytes torn off", err=True
+        )
 
 
 @config.command(epilog="\b\nExample:\n  magpieshift config rollback 12 --versions versions/")
@@ -161,21 +164,22 @@
 
     from magpieshift.cli import show
     from magpieshift.control import schema, sexp
-    from magpieshift.control.publisher import read_folder
+    from magpieshift.control.errors import UnusableDocumentError
+    from magpieshift.control.publisher import read_version_folder
 
     if not Path(versions).is_dir():
         raise ConfigError(f"{versions} is no folder")
-    found = {version.number: version for version in read_folder(versions)}
+    found = {version.number: version for version in read_version_folder(versions)}
     if number not in found:
         raise ConfigError(f"{versions} has no version {number}")
     try:
         data = schema.load_text(found[number].text).data
-    except sexp.Unusable as err:
+    except UnusableDocumentError as err:
         raise ConfigError(f"{Path(versions) / f'{number}.sexp'}: {err}") from err
     new = max(found) + 1
     path = Path(versions) / f"{new}.sexp"
     part = path.with_suffix(".new")
-    part.write_text(f"; version {number} again\n{sexp.write(data)}", encoding="utf-8")
+    part.write_text(f"; version {number} again\n{sexp.format_document(data)}", encoding="utf-8")
     os.rename(part, path)  # the service must not read half of it
     if as_json:
         show.as_json({"version": new, "of": number, "digest": found[number].digest})
--- a/magpieshift/cli/errors.py
+++ b/magpieshift/cli/errors.py
@@ -21,8 +21,8 @@
 INTERRUPTED = 130
 # errors of optional parts, which are known only where their libraries are there
 OPTIONAL = (
-    ("magpieshift.control.sexp", "Unusable"),
-    ("magpieshift.control.store", "StoreError"),
+    ("magpieshift.control.errors", "UnusableDocumentError"),
+    ("magpieshift.control.errors", "VersionStoreError"),
     ("magpieshift.capture.segments", "CaptureError"),
     ("magpieshift.capture.policy", "PolicyError"),
 )
--- a/magpieshift/cli/fleet.py
+++ b/magpieshift/cli/fleet.py
@@ -252,7 +252,7 @@
     import tempfile
     from pathlib import Path
 
-    from magpieshift.control.sexp import Unusable
+    from magpieshift.control.errors import UnusableDocumentError
     from magpieshift.lab.fault_injection import run as runs
     from magpieshift.lab.fault_injection import scenario as scenarios
 
@@ -265,7 +265,7 @@
     try:
         plan = scenarios.named(scenario)
         plan = scenarios.altered(plan, routers or plan.routers, seed or plan.seed)
-    except Unusable as err:
+    except UnusableDocumentError as err:
         raise ConfigError(f"{scenario}: {err}") from err
     where = Path(folder) if folder else Path(tempfile.mkdtemp(prefix="fleet-run-"))
     verdict = asyncio.run(runs.play(plan, where, (lambda line: None) if as_json else click.echo))
--- a/magpieshift/cli/rollouts.py
+++ b/magpieshift/cli/rollouts.py
@@ -41,12 +41,12 @@
 
 
 def _plan(path: str) -> Any:
-    from magpieshift.control.sexp import Unusable
+    from magpieshift.control.errors import UnusableDocumentError
     from magpieshift.rollout.plan_reader import load_plan_file
 
     try:
         return load_plan_file(path)
-    except Unusable as err:
+    except UnusableDocumentError as err:
         raise ConfigError(f"{path}: {err}") from err
 
 
--- /dev/null
+++ b/magpieshift/control/document_changes.py
@@ -0,0 +1,82 @@
+"""What differs between two documents, as data: digests, and changes that make one of the other."""
+
+from __future__ import annotations
+
+import copy
+import hashlib
+import json
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
+from typing import Any
+
+from magpieshift.control.errors import Problem, UnusableDocumentError
+from magpieshift.control.sexp import EntryPath, format_rows
+
+DIGEST_BYTES = 16
+"""Of a document: enough that no two are ever taken for each other."""
+
+
+def document_digest(data: Mapping[str, Any]) -> str:
+    """A digest of what a document holds, whatever its spacing, comments and order of entries."""
+    canonical = json.dumps(data, sort_keys=True, separators=(",", ":"))
+    return hashlib.blake2b(canonical.encode(), digest_size=DIGEST_BYTES).hexdigest()
+
+
+@dataclass(frozen=True)
+class Change:
+    """One difference: an entry has a value, or is gone."""
+
+    path: EntryPath
+    """Of the entry."""
+    value: Any
+    """Its value; None: it is gone."""
+
+    def __str__(self) -> str:
+        if self.value is None:
+            text = "gone"
+        else:
+            text = " ".join(row.strip() for row in format_rows(self.path[-1], self.value, 0))
+        return f"{' '.join(self.path)}: {text}"
+
+
+def differences(old: Mapping[str, Any], new: Mapping[str, Any], above: EntryPath = ()) -> list[Change]:
+    """The changes that make ``new`` of ``old``, each as deep in the tree as it goes; their paths begin with
+    ``above``."""
+    changes = [Change((*above, name), None) for name in old if name not in new]
+    for name, value in new.items():
+        path = (*above, name)
+        before = old.get(name)
+        if isinstance(value, Mapping) and isinstance(before, Mapping) and value and before:
+            changes += differences(before, value, path)
+        elif name not in old or not is_identical(before, value):
+            changes.append(Change(path, value))
+    return changes
+
+
+def is_identical(one: object, other: object) -> bool:
+    """Equal, and written alike: ``true`` is not 1, and 1 is not 1.0."""
+    return json.dumps(one, sort_keys=True) == json.dumps(other, sort_keys=True)
+
+
+def apply_changes(old: Mapping[str, Any], changes: Iterable[Change]) -> dict[str, Any]:
+    """A new tree with the changes; ``UnusableDocumentError`` if one leads through what is not there."""
+    data: dict[str, Any] = copy.deepcopy(dict(old))
+    for change in changes:
+        parent = _parent_of(data, change)
+        if change.value is None:
+            del parent[change.path[-1]]
+        else:
+            parent[change.path[-1]] = copy.deepcopy(change.value)
+    return data
+
+
+def _parent_of(data: dict[str, Any], change: Change) -> dict[str, Any]:
+    """The mapping that holds, or is to hold, the changed entry."""
+    parent: Any = data
+    for name in change.path[:-1]:
+        parent = parent.get(name) if isinstance(parent, dict) else None
+    is_gone = change.value is None
+    if not change.path or not isinstance(parent, dict) or (is_gone and change.path[-1] not in parent):
+        expected = "one in the version it builds on"
+        raise UnusableDocumentError([Problem(" ".join(change.path), 0, "no such entry", expected)])
+    return parent
--- a/magpieshift/control/document_form.py
+++ b/magpieshift/control/document_form.py
@@ -1,26 +1,30 @@
 """What may stand in a settings file: its entries, their types, bounds and defaults.
 
-Times are milliseconds. The checks are pydantic's: it finds all that is wrong at once, where msgspec stops at
-the first (docs/design/versioned-configuration.md has the figures).
+The file's words stand here, in ``document_reading`` and in ``document_writing`` alone. Times are
+milliseconds. The checks are pydantic's: it finds all that is wrong at once, where msgspec stops at the first
+(docs/design/versioned-configuration.md has the figures).
 """
 
 from __future__ import annotations
 
 from typing import Annotated, Any, Literal
 
-from pydantic import BaseModel, BeforeValidator, ConfigDict, Field, StringConstraints
+from pydantic import BeforeValidator, Field, StringConstraints
 
 from magpieshift.config import MIN_SOCKETS
-
-MOST_CLASSES = 256  # each costs every store a record of its answers
-MOST_ZONES = 4096
-HOUR_MS = 3_600_000.0
-
-Word = Annotated[
-    str, StringConstraints(pattern=r"^[!-+\--~]{1,64}$", strict=True)
-]  # it goes on a store's line
-Ms = Annotated[float, Field(ge=0, le=24 * HOUR_MS, allow_inf_nan=False, strict=True)]
-SomeMs = Annotated[float, Field(ge=1, le=24 * HOUR_MS, allow_inf_nan=False, strict=True)]
+from magpieshift.control.validation import Form
+
+MAX_CLASSES = 256
+"""Each costs every endpoint a record of its answers."""
+MAX_ZONES = 4096
+"""Four times the product's."""
+MAX_MS = 24 * 3_600_000.0
+"""A day: nothing in a settings file is longer."""
+
+# words go on an endpoint's line, where comma and space separate
+Word = Annotated[str, StringConstraints(pattern=r"^[!-+\--~]{1,64}$", strict=True)]
+Ms = Annotated[float, Field(ge=0, le=MAX_MS, allow_inf_nan=False, strict=True)]
+SomeMs = Annotated[float, Field(ge=1, le=MAX_MS, allow_inf_nan=False, strict=True)]
 Share = Annotated[float, Field(ge=0, le=1, allow_inf_nan=False, strict=True)]
 Amount = Annotated[float, Field(ge=0, le=1e12, allow_inf_nan=False, strict=True)]
 Count = Annotated[int, Field(ge=0, le=1_000_000, strict=True)]
@@ -29,24 +33,24 @@
 Words = Annotated[list[Word], BeforeValidator(lambda value: value if isinstance(value, list) else [value])]
 
 
-class _Form(BaseModel):
-    model_config = ConfigDict(
-        extra="forbid", populate_by_name=True, alias_generator=lambda name: name.replace("_", "-")
-    )
-
+class LimitsForm(Form):
+    """What the process may use."""
 
-class LimitsForm(_Form):
     memory_mb: Annotated[float, Field(ge=8, le=1 << 20, allow_inf_nan=False, strict=True)]
     sockets: Annotated[int, Field(ge=MIN_SOCKETS, le=1 << 20, strict=True)]
 
 
-class ZoneForm(_Form):
+class ZoneForm(Form):
+    """A zone: its routers and its link."""
+
     routers: Count = 0
     link_kb_per_s: Amount = 0.0
-    attached_to: Word | None = None  # itself where it is not given
+    attached_to: Word | None = None  # itself if it is not given
+
 
+class ClassForm(Form):
+    """A class of requests."""
 
-class ClassForm(_Form):
     aim_ms: SomeMs
     aim_stretch: Amount = 0.0
     deadline_ms: SomeMs
@@ -63,7 +67,9 @@
     stale_worth: Amount = 0.0
 
 
-class StoresForm(_Form):
+class StoresForm(Form):
+    """How caches are chosen, warmed and judged."""
+
     weights: Literal["sizes", "live"] = "sizes"
     cold_from: Share = 0.2
     cold_ms: Ms = 18_000.0
@@ -77,18 +83,24 @@
     report: Words = []
 
 
-class ParentsForm(_Form):
+class ParentsForm(Form):
+    """How parents are."""
+
     cold_from: Share = 0.1
     cold_ms: Ms = 19_000.0
     fall_multiple: Amount = 2.0
 
 
-class PurgesForm(_Form):
+class PurgesForm(Form):
+    """How long purges take."""
+
     grace_ms: Ms = 500.0
     done_ms: Ms = 6_000.0
 
 
-class AttemptsForm(_Form):
+class AttemptsForm(Form):
+    """Which attempts are made, and what the platform allows."""
+
     most: Annotated[int, Field(ge=1, le=64, strict=True)] = 8
     connect_timeout_ms: SomeMs = 400.0
     cancel: Flag = True
@@ -98,12 +110,16 @@
     second_copies: Flag = False
 
 
-class ConnectionsForm(_Form):
+class ConnectionsForm(Form):
+    """Connections to endpoints."""
+
     idle_ms: SomeMs = 15_000.0
     streams: Annotated[int, Field(ge=1, le=4096, strict=True)] = 32
 
 
-class MembersForm(_Form):
+class MembersForm(Form):
+    """The gossip between routers."""
+
     fleet: Word
     listen: Word
     advertise: Word | None = None
@@ -114,7 +130,7 @@
     hand_over: Flag = False
 
 
-class DocumentForm(_Form):
+class DocumentForm(Form):
     """A whole settings file."""
 
     version: Annotated[int, Field(ge=0, lt=1 << 63, strict=True)] = 0
@@ -126,11 +142,11 @@
     routers: Some = 1
     router_index: Count = 0
     limits: LimitsForm
-    zones: Annotated[dict[Word, ZoneForm | list[Any]], Field(min_length=1, max_length=MOST_ZONES)]
+    zones: Annotated[dict[Word, ZoneForm | list[Any]], Field(min_length=1, max_length=MAX_ZONES)]
     kinds: Annotated[Words, Field(min_length=1, max_length=64)]
     parent_kind: Word
     origin_kind: Word
-    classes: Annotated[dict[Word, ClassForm], Field(min_length=1, max_length=MOST_CLASSES)]
+    classes: Annotated[dict[Word, ClassForm], Field(min_length=1, max_length=MAX_CLASSES)]
     stores: StoresForm = StoresForm()
     parents: ParentsForm = ParentsForm()
     purges: PurgesForm = PurgesForm()
@@ -145,7 +161,7 @@
 
 def known_entries(path: tuple[str, ...]) -> list[str]:
     """The names of the entries that a place may have."""
-    forms: dict[str, type[_Form]] = {
+    forms: dict[str, type[Form]] = {
         "limits": LimitsForm,
         "stores": StoresForm,
         "parents": ParentsForm,
--- a/magpieshift/control/document_reading.py
+++ b/magpieshift/control/document_reading.py
@@ -7,6 +7,7 @@
 from magpieshift.control.document_form import ClassForm, DocumentForm, MembersForm, ZoneForm
 from magpieshift.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
+# the file's words
 EFFECTS = {
     "free": Idempotency.IDEMPOTENT,
     "keyed": Idempotency.WITH_KEY,
@@ -20,12 +21,13 @@
 
 
 def document_of(form: DocumentForm) -> Document:
+    """The document of a form."""
     zones = {name: zone if isinstance(zone, ZoneForm) else ZoneForm() for name, zone in form.zones.items()}
     order = list(zones)
     stores = form.stores
-    tries = form.attempts
+    attempts = form.attempts
     settings = Settings(
-        classes=tuple(_class(cls) for cls in form.classes.values()),
+        classes=tuple(_class(row) for row in form.classes.values()),
         zone=order.index(form.zone),
         router_count=form.routers,
         router_index=form.router_index,
@@ -48,14 +50,14 @@
         parent_overload_multiple=float(form.parents.fall_multiple),
         purge_grace_us=_us(form.purges.grace_ms),
         purge_propagation_us=_us(form.purges.done_ms),
-        connect_timeout_us=_us(tries.connect_timeout_ms),
-        max_attempts=tries.most,
+        connect_timeout_us=_us(attempts.connect_timeout_ms),
+        max_attempts=attempts.most,
         max_retry_after_us=_us(form.retry_after_ms),
-        can_cancel_attempts=tries.cancel,
-        can_check_health=tries.probe,
-        can_message_peers=tries.message,
-        may_bypass_caches=tries.pass_by,
-        hedged_requests=tries.second_copies,
+        can_cancel_attempts=attempts.cancel,
+        can_check_health=attempts.probe,
+        can_message_peers=attempts.message,
+        may_bypass_caches=attempts.pass_by,
+        hedged_requests=attempts.second_copies,
         coalesces_fills=stores.share_fills,
         siblings=stores.siblings,
         reports_cache_status=stores.notes,
--- a/magpieshift/control/document_writing.py
+++ b/magpieshift/control/document_writing.py
@@ -16,7 +16,7 @@
 
 def to_data(document: Document) -> dict[str, Any]:
     """The data of a document, whichever reader it came through; read again it gives an equal document."""
-    s = document.settings
+    settings = document.settings
     names = document.names
     return {
         "name": document.name,
@@ -25,84 +25,84 @@
         **({"members": _members(document.members)} if document.members else {}),
         "change-log": _host_port(document.changelog),
         "limits": {"memory-mb": _number(document.limits.memory_mb), "sockets": document.limits.sockets},
-        "zone": names.zones[s.zone],
-        "routers": s.router_count,
-        "router-index": s.router_index,
-        "zones": {name: _zone(s, names.zones, i) for i, name in enumerate(names.zones)},
+        "zone": names.zones[settings.zone],
+        "routers": settings.router_count,
+        "router-index": settings.router_index,
+        "zones": {name: _zone(settings, names.zones, index) for index, name in enumerate(names.zones)},
         "kinds": _words(names.kinds),
-        "parent-kind": names.kinds[s.parent_kind],
-        "origin-kind": names.kinds[s.origin_kind],
-        "classes": {name: _class(c) for name, c in zip(names.classes, s.classes, strict=True)},
-        "stores": _stores(s) | {"report": _words(names.report)},
+        "parent-kind": names.kinds[settings.parent_kind],
+        "origin-kind": names.kinds[settings.origin_kind],
+        "classes": {name: _class(row) for name, row in zip(names.classes, settings.classes, strict=True)},
+        "stores": _stores(settings) | {"report": _words(names.report)},
         "parents": {
-            "cold-from": _number(s.parent_slow_start_fraction),
-            "cold-ms": _ms(s.parent_slow_start_us),
-            "fall-multiple": _number(s.parent_overload_multiple),
+            "cold-from": _number(settings.parent_slow_start_fraction),
+            "cold-ms": _ms(settings.parent_slow_start_us),
+            "fall-multiple": _number(settings.parent_overload_multiple),
         },
-        "purges": {"grace-ms": _ms(s.purge_grace_us), "done-ms": _ms(s.purge_propagation_us)},
-        "attempts": _attempts(s),
+        "purges": {"grace-ms": _ms(settings.purge_grace_us), "done-ms": _ms(settings.purge_propagation_us)},
+        "attempts": _attempts(settings),
         "connections": {
             "idle-ms": _ms(document.idle_us),
             "streams": document.streams_per_connection,
         },
-        "retry-after-ms": _ms(s.max_retry_after_us),
-        "tick-ms": _ms(s.tick_us),
-        "client-kb-per-s": _number(s.client_kb_per_s),
-        "must-subscribe": s.must_subscribe,
+        "retry-after-ms": _ms(settings.max_retry_after_us),
+        "tick-ms": _ms(settings.tick_us),
+        "client-kb-per-s": _number(settings.client_kb_per_s),
+        "must-subscribe": settings.must_subscribe,
     }
 
 
-def _zone(s: Settings, zones: Sequence[str], i: int) -> dict[str, Any]:
+def _zone(settings: Settings, zones: Sequence[str], index: int) -> dict[str, Any]:
     return {
-        "routers": s.zone_router_counts[i],
-        "link-kb-per-s": _number(s.zone_link_kb_per_s[i]),
-        "attached-to": zones[s.zone_hub[i]],
+        "routers": settings.zone_router_counts[index],
+        "link-kb-per-s": _number(settings.zone_link_kb_per_s[index]),
+        "attached-to": zones[settings.zone_hub[index]],
     }
 
 
-def _class(c: RequestClass) -> dict[str, Any]:
+def _class(request_class: RequestClass) -> dict[str, Any]:
     return {
-        "aim-ms": _ms(c.latency_objective_us),
-        "aim-stretch": _number(c.latency_objective_stretch),
-        "deadline-ms": _ms(c.deadline_us),
-        "effect": EFFECT_WORDS[c.idempotency],
-        "scope": SCOPE_WORDS[c.deduplication_scope],
-        "dedup-ms": _ms(c.deduplication_us),
-        "worth": _number(c.priority_weight),
-        "late-worth": _number(c.late_priority_weight),
-        "stream": c.is_stream,
-        "write": c.is_write,
-        "in-parts": c.in_parts,
-        "fresh-ms": _ms(c.max_age_us),
-        "grace-ms": _ms(c.stale_grace_us),
-        "stale-worth": _number(c.stale_priority_weight),
+        "aim-ms": _ms(request_class.latency_objective_us),
+        "aim-stretch": _number(request_class.latency_objective_stretch),
+        "deadline-ms": _ms(request_class.deadline_us),
+        "effect": EFFECT_WORDS[request_class.idempotency],
+        "scope": SCOPE_WORDS[request_class.deduplication_scope],
+        "dedup-ms": _ms(request_class.deduplication_us),
+        "worth": _number(request_class.priority_weight),
+        "late-worth": _number(request_class.late_priority_weight),
+        "stream": request_class.is_stream,
+        "write": request_class.is_write,
+        "in-parts": request_class.in_parts,
+        "fresh-ms": _ms(request_class.max_age_us),
+        "grace-ms": _ms(request_class.stale_grace_us),
+        "stale-worth": _number(request_class.stale_priority_weight),
     }
 
 
-def _stores(s: Settings) -> dict[str, Any]:
+def _stores(settings: Settings) -> dict[str, Any]:
     return {
-        "weights": "sizes" if s.weights_are_sizes else "live",
-        "cold-from": _number(s.slow_start_fraction),
-        "cold-ms": _ms(s.slow_start_us),
-        "fall-multiple": _number(s.overload_multiple),
-        "fall-ms": _ms(s.overload_window_us),
-        "drain-ms": _ms(s.drain_grace_us),
-        "answer-slack-ms": _ms(s.answer_slack_us),
-        "notes": s.reports_cache_status,
-        "siblings": s.siblings,
-        "share-fills": s.coalesces_fills,
+        "weights": "sizes" if settings.weights_are_sizes else "live",
+        "cold-from": _number(settings.slow_start_fraction),
+        "cold-ms": _ms(settings.slow_start_us),
+        "fall-multiple": _number(settings.overload_multiple),
+        "fall-ms": _ms(settings.overload_window_us),
+        "drain-ms": _ms(settings.drain_grace_us),
+        "answer-slack-ms": _ms(settings.answer_slack_us),
+        "notes": settings.reports_cache_status,
+        "siblings": settings.siblings,
+        "share-fills": settings.coalesces_fills,
     }
 
 
-def _attempts(s: Settings) -> dict[str, Any]:
+def _attempts(settings: Settings) -> dict[str, Any]:
     return {
-        "most": s.max_attempts,
-        "connect-timeout-ms": _ms(s.connect_timeout_us),
-        "cancel": s.can_cancel_attempts,
-        "probe": s.can_check_health,
-        "message": s.can_message_peers,
-        "pass-by": s.may_bypass_caches,
-        "second-copies": s.hedged_requests,
+        "most": settings.max_attempts,
+        "connect-timeout-ms": _ms(settings.connect_timeout_us),
+        "cancel": settings.can_cancel_attempts,
+        "probe": settings.can_check_health,
+        "message": settings.can_message_peers,
+        "pass-by": settings.may_bypass_caches,
+        "second-copies": settings.hedged_requests,
     }
 
 
@@ -129,8 +129,8 @@
     return values[0] if len(values) == 1 else list(values)
 
 
-def _ms(us: int) -> float | int:
-    return us // 1000 if us % 1000 == 0 else us / 1000
+def _ms(duration_us: int) -> float | int:
+    return duration_us // 1000 if duration_us % 1000 == 0 else duration_us / 1000
 
 
 def _number(value: float) -> float | int:
--- a/magpieshift/control/service.py
+++ b/magpieshift/control/service.py
@@ -1,5 +1,4 @@
-"""The stand-in control service: the driver round ``Publisher``, serving versions from a folder or a
-program."""
+"""A control service: the driver round ``Publisher``, serving versions from a folder or a program."""
 
 from __future__ import annotations
 
@@ -13,41 +12,50 @@
 import grpc
 import grpc.aio
 
-from magpieshift.control.publisher import Published, Publisher, Subscriber, read_folder
+from magpieshift.control.errors import VersionNumberError
+from magpieshift.control.grpc_server import start_server
+from magpieshift.control.publisher import (
+    PublishedVersion,
+    Publisher,
+    RouterSubscription,
+    read_version_folder,
+)
 from magpieshift.log import fields
 
 log = logging.getLogger(__name__)
 
-POLL_S = 0.3
-MOST_UNSENT = 64  # messages to one router; older ones make room, as only the newest version counts
-SERVER_OPTIONS: list[tuple[str, Any]] = [
-    ("grpc.http2.min_recv_ping_interval_without_data_ms", 500),
-    ("grpc.keepalive_permit_without_calls", 1),
-    ("grpc.max_send_message_length", -1),
-    ("grpc.so_reuseport", 0),
-]
+POLL_INTERVAL_S = 0.3
+"""Between two looks into the folder: a small part of the seconds in which a version is in force."""
+MAX_UNSENT_MESSAGES = 64
+"""To one router; older ones make room, as only the newest version counts."""
 
 
-class Stream:
+class RouterStream:
     """One router's stream: what it is still to be sent."""
 
     def __init__(self, publisher: Publisher) -> None:
-        self.subscriber = Subscriber()
+        """``publisher`` holds the versions."""
+        self.subscriber = RouterSubscription()
+        """The router."""
         self.publisher = publisher
-        self._unsent: deque[bytes] = deque(maxlen=MOST_UNSENT)
+        """The versions it is sent."""
+        self._unsent: deque[bytes] = deque(maxlen=MAX_UNSENT_MESSAGES)
         self._changed = asyncio.Event()
         self._ended = False
 
     def send(self, data: bytes | None) -> None:
+        """Queue a message, if there is one."""
         if data is not None:
             self._unsent.append(data)
             self._changed.set()
 
     def end(self) -> None:
+        """Send nothing more."""
         self._ended = True
         self._changed.set()
 
     async def messages(self) -> AsyncIterator[bytes]:
+        """What is queued, until the end."""
         while not self._ended:
             while self._unsent and not self._ended:
                 yield self._unsent.popleft()
@@ -60,26 +68,26 @@
     """Owner of the server and of all routers' streams."""
 
     def __init__(self, publisher: Publisher | None = None) -> None:
+        """``publisher`` may hold versions already."""
         self.publisher = publisher or Publisher()
-        self.streams: set[Stream] = set()
-        self.heard: Callable[[Stream, bytes], None] = lambda stream, data: None  # for who watches
-        self._server: Any = None
+        """The versions."""
+        self.streams: set[RouterStream] = set()
+        """All that are open."""
+        self.on_message: Callable[[RouterStream, bytes], None] = lambda stream, data: None
+        """Called with each message of a router, after it was taken in."""
         self.port = 0
+        """On which it listens, once started."""
+        self._server: Any = None
 
     def service(self, details: Any) -> Any:
+        """The handler of a method, for gRPC."""
         if details.method.endswith("/Follow"):
             return grpc.stream_stream_rpc_method_handler(self._follow)
         return None
 
     async def start(self, listen: str) -> None:
-        """Listen on ``host:port``; port 0 picks a free one. ``OSError`` where that cannot be."""
-        self._server = grpc.aio.server(options=SERVER_OPTIONS)
-        self._server.add_generic_rpc_handlers((self,))
-        try:
-            self.port = self._server.add_insecure_port(listen)
-        except RuntimeError as err:
-            raise OSError(f"cannot listen on {listen}") from err
-        await self._server.start()
+        """Listen on ``host:port``; port 0 picks a free one. ``OSError`` if that cannot be."""
+        self._server, self.port = await start_server(self, listen)
 
     async def stop(self) -> None:
         """End all streams, at once."""
@@ -87,74 +95,90 @@
             stream.end()
         await self._server.stop(0)
 
-    def publish(self, version: Published) -> None:
-        """Add a version and send it to all routers."""
+    def publish(self, version: PublishedVersion) -> None:
+        """Add a version and send it to all routers; ``VersionNumberError`` if its number is not above all
+        others."""
         self.publisher.publish(version)
         for stream in list(self.streams):
             if stream.subscriber.router:
-                stream.send(self.publisher.next_for(stream.subscriber))
+                stream.send(self.publisher.next_message(stream.subscriber))
 
     async def _follow(self, requests: AsyncIterator[bytes], context: Any) -> None:
-        stream = Stream(self.publisher)
+        stream = RouterStream(self.publisher)
         self.streams.add(stream)
         reading = asyncio.ensure_future(self._read(stream, requests))
         try:
             async for message in stream.messages():
                 await context.write(message)
-        except grpc.aio.BaseError:  # the router left under a message
+        except grpc.aio.BaseError:  # the router has gone under a message
             pass
         finally:
             reading.cancel()
             self.streams.discard(stream)
 
-    async def _read(self, stream: Stream, requests: AsyncIterator[bytes]) -> None:
+    async def _read(self, stream: RouterStream, requests: AsyncIterator[bytes]) -> None:
         try:
             async for data in requests:
-                answer = self.publisher.heard(stream.subscriber, data)
-                self.heard(stream, data)
-                stream.send(answer)
-        except ValueError as err:
+                reply = self.publisher.receive(stream.subscriber, data)
+                self.on_message(stream, data)
+                stream.send(reply)
+        except ValueError as err:  # an unreadable message, or a reason that this version does not know
             log.warning("unreadable router", extra=fields(reason=err))
         finally:
             stream.end()
 
 
 async def serve_folder(folder: str, listen: str, ready: Callable[[int], None] = lambda port: None) -> None:
-    """Serve a folder's versions, and those that are added to it, until cancelled."""
+    """Serve a folder's versions, and those that are added to it, until cancelled; ``ready`` is called with
+    the port."""
     service = ControlService()
-
-    def heard(stream: Stream, data: bytes) -> None:
-        who = stream.subscriber
-        pairs: dict[str, object] = {"router": who.router, "version": who.in_force, "digest": who.digest}
-        if who.refused is not None and who.refused[0] > who.in_force:
-            number, reason, detail = who.refused
-            pairs |= {"turned_down": number, "reason": reason.name.lower(), "detail": detail}
-        if who.trouble:
-            pairs["trouble"] = who.trouble
-        log.info("router", extra=fields(**pairs))
-
-    service.heard = heard
+    service.on_message = _log_router
     await service.start(listen)
     log.info("control service ready", extra=fields(port=service.port, folder=folder))
     ready(service.port)
-    told: set[int] = set()
+    known: set[int] = set()
     try:
         while True:
-            for version in await asyncio.get_running_loop().run_in_executor(None, _unread, folder, told):
-                told.add(version.number)
-                try:
-                    service.publish(version)
-                except ValueError as err:
-                    log.warning("version not published", extra=fields(version=version.number, reason=err))
-                else:
-                    state = "document" if version.data is not None else "no document"
-                    log.info("version published", extra=fields(version=version.number, content=state))
-            await asyncio.sleep(POLL_S)
+            versions = await asyncio.get_running_loop().run_in_executor(None, _read_new, folder, known)
+            for version in versions:
+                known.add(version.number)
+                _publish(service, version)
+            await asyncio.sleep(POLL_INTERVAL_S)
     finally:
         await service.stop()
 
 
-def _unread(folder: str, told: set[int]) -> list[Published]:
+def _publish(service: ControlService, version: PublishedVersion) -> None:
+    try:
+        service.publish(version)
+    except VersionNumberError as err:
+        log.warning("version not published", extra=fields(version=version.number, reason=err))
+        return
+    content = "document" if version.data is not None else "no document"
+    log.info("version published", extra=fields(version=version.number, content=content))
+
+
+def _log_router(stream: RouterStream, data: bytes) -> None:
+    """One line of what a router has in force, and of what it rejected."""
+    router = stream.subscriber
+    pairs: dict[str, object] = {
+        "router": router.router,
+        "version": router.in_force,
+        "digest": router.digest,
+    }
+    rejection = router.rejection
+    if rejection is not None and rejection.number > router.in_force:
+        pairs |= {
+            "turned_down": rejection.number,
+            "reason": rejection.reason.word,
+            "detail": rejection.detail,
+        }
+    if router.last_failure:
+        pairs["trouble"] = router.last_failure
+    log.info("router", extra=fields(**pairs))
+
+
+def _read_new(folder: str, known: set[int]) -> list[PublishedVersion]:
     if not Path(folder).is_dir():
         return []
-    return read_folder(folder, known=told)
+    return read_version_folder(folder, known=known)
--- a/magpieshift/control/session.py
+++ b/magpieshift/control/session.py
@@ -1,5 +1,7 @@
-"""The router's end of one control stream as a state machine: messages in, offers out, answers to send
-back."""
+"""The router's end of one control stream as a state machine: messages in, offers out, answers to send back.
+
+The wire's field names of the control channel stand here and in ``publisher`` alone.
+"""
 
 from __future__ import annotations
 
@@ -11,14 +13,24 @@
 
 from magpieshift.config_transaction import RunningSettings
 from magpieshift.control import sexp
-from magpieshift.control.content import Delta, Full
-from magpieshift.control.sexp import Change, Unusable
-from magpieshift.control.version_history import Answer, Offer, Reason, Record
+from magpieshift.control.content import DeltaContent, FullContent
+from magpieshift.control.document_changes import Change
+from magpieshift.control.errors import Problem, UnusableDocumentError
+from magpieshift.control.version_records import OfferOutcome, RejectionReason, VersionOffer, VersionRecord
 from magpieshift.control.wire import control_pb2 as wire
 
-MAX_MESSAGE_BYTES = 1 << 20  # of one message; a document of a thousand zones takes a tenth
+MAX_MESSAGE_BYTES = 1 << 20
+"""Of one message; a document of a thousand zones takes a tenth."""
 MAX_CHANGES = 10_000
+"""In one delta; a document of a thousand zones has half as many entries."""
+MAX_UINT32 = (1 << 32) - 1
+"""What the wire's durations hold."""
+MAX_DETAIL_LENGTH = 500
+"""Characters of the reason for which a delta is rejected."""
+MAX_ERROR_LENGTH = 200
+"""Characters of protobuf's own errors."""
 OFFER_SOURCE = "control"
+"""The source of offers, in the history of versions."""
 
 
 def running_digests(running: Mapping[str, RunningSettings]) -> dict[str, str]:
@@ -30,105 +42,122 @@
 
 
 class RouterSession:
-    """One stream. It says hello first, and answers every message exactly once."""
+    """One stream. It sends a hello first, and answers every message exactly once."""
 
     def __init__(self) -> None:
         self.received = 0
+        """Messages so far."""
         self.answered = 0
+        """Answers so far."""
 
-    def hello(
+    def encode_hello(
         self,
         router: str,
         boot: str,
-        in_force: Record,
+        in_force: VersionRecord,
         running: Mapping[str, RunningSettings],
-        trouble: str = "",
+        last_failure: str = "",
     ) -> bytes:
+        """The first message: the router, what it runs on, and why the stream before ended."""
         hello = wire.Hello(
             router=router,
             boot=boot,
             in_force=in_force.number,
             digest=in_force.digest,
             most_bytes=MAX_MESSAGE_BYTES,
-            trouble=trouble,
+            trouble=last_failure,
             running=running_digests(running),
         )
         return bytes(wire.FromRouter(hello=hello).SerializeToString())
 
-    def feed(self, data: bytes) -> Offer | Answer:
+    def receive(self, data: bytes) -> VersionOffer | OfferOutcome:
         """A message: a version that is offered, or the answer to what is none."""
         self.received += 1
-        nothing = Offer(0, hashlib.blake2b(data, digest_size=16).hexdigest(), OFFER_SOURCE)
+        unknown = VersionOffer(0, hashlib.blake2b(data, digest_size=16).hexdigest(), OFFER_SOURCE)
         try:
             message = wire.FromControl.FromString(data)
         except DecodeError as err:
-            return Answer(nothing, False, Reason.MALFORMED, f"no message: {err}"[:200])
+            return _malformed(unknown, f"no message: {err}"[:MAX_ERROR_LENGTH])
         if message.WhichOneof("said") != "version":
-            return Answer(nothing, False, Reason.MALFORMED, "found an empty message, expected a version")
-        version = message.version
-        base: str | None = None
-        payload: Full | Delta | None = None
-        if version.WhichOneof("content") == "full":
-            payload = Full(version.full)
-        elif version.WhichOneof("content") == "delta":
-            base = version.delta.base_digest
-            try:
-                payload = Delta(base, read_changes(version.delta))
-            except Unusable as err:
-                offer = Offer(version.number, version.digest, OFFER_SOURCE, version.nonce, base)
-                return Answer(offer, False, Reason.MALFORMED, str(err)[:500])
-        return Offer(version.number, version.digest, OFFER_SOURCE, version.nonce, base, payload)
-
-    def answer(
+            return _malformed(unknown, "found an empty message, expected a version")
+        return _read_version(message.version)
+
+    def encode_answer(
         self,
-        answer: Answer,
-        in_force: Record,
+        outcome: OfferOutcome,
+        in_force: VersionRecord,
         running: Mapping[str, RunningSettings],
         apply_us: int = 0,
         pause_us: int = 0,
     ) -> bytes:
+        """The answer to an offer. ``apply_us``: from its arrival until it was in force; ``pause_us``: for how
+        long the event loop was held up."""
         self.answered += 1
-        offer = answer.offer
-        said = wire.Answer(
+        offer = outcome.offer
+        answer = wire.Answer(
             number=offer.number,
             digest=offer.digest,
             nonce=offer.nonce,
-            accepted=answer.accepted,
-            reason=int(answer.reason),
-            detail=answer.detail,
-            want_full=answer.want_full,
+            accepted=outcome.accepted,
+            reason=int(outcome.reason),
+            detail=outcome.detail,
+            want_full=outcome.wants_full,
             in_force=in_force.number,
             in_force_digest=in_force.digest,
             running=running_digests(running),
-            apply_us=min(apply_us, (1 << 32) - 1),
-            pause_us=min(pause_us, (1 << 32) - 1),
+            apply_us=min(apply_us, MAX_UINT32),
+            pause_us=min(pause_us, MAX_UINT32),
         )
-        return bytes(wire.FromRouter(answer=said).SerializeToString())
+        return bytes(wire.FromRouter(answer=answer).SerializeToString())
+
+
+def _read_version(version: wire.Version) -> VersionOffer | OfferOutcome:
+    base: str | None = None
+    payload: FullContent | DeltaContent | None = None
+    if version.WhichOneof("content") == "full":
+        payload = FullContent(version.full)
+    elif version.WhichOneof("content") == "delta":
+        base = version.delta.base_digest
+        try:
+            payload = DeltaContent(base, read_changes(version.delta))
+        except UnusableDocumentError as err:
+            offer = VersionOffer(version.number, version.digest, OFFER_SOURCE, version.nonce, base)
+            return _malformed(offer, str(err)[:MAX_DETAIL_LENGTH])
+    return VersionOffer(version.number, version.digest, OFFER_SOURCE, version.nonce, base, payload)
+
+
+def _malformed(offer: VersionOffer, detail: str) -> OfferOutcome:
+    return OfferOutcome(offer, False, RejectionReason.MALFORMED, detail)
 
 
 def read_changes(delta: wire.Delta) -> tuple[Change, ...]:
-    """A delta's changes; ``Unusable`` where one cannot be read."""
+    """A delta's changes; ``UnusableDocumentError`` if one cannot be read."""
     if len(delta.changes) > MAX_CHANGES:
-        raise Unusable([sexp.Problem("delta", 0, f"{len(delta.changes)} changes", f"at most {MAX_CHANGES}")])
-    found = []
+        raise _unusable("delta", f"{len(delta.changes)} changes", f"at most {MAX_CHANGES}")
+    changes = []
     for change in delta.changes:
         path = tuple(change.path)
         if not path:
-            raise Unusable([sexp.Problem("delta", 0, "a change without a path", "one")])
+            raise _unusable("delta", "a change without a path", "one")
         value = None
         if change.HasField("value"):
-            data = sexp.read(change.value, "change").data
+            data = sexp.parse(change.value, "change").data
             if list(data) != [path[-1]]:
-                raise Unusable([sexp.Problem(" ".join(path), 0, sexp.shown(data), f"one entry, {path[-1]}")])
+                raise _unusable(" ".join(path), sexp.shorten(data), f"one entry, {path[-1]}")
             value = data[path[-1]]
-        found.append(Change(path, value))
-    return tuple(found)
+        changes.append(Change(path, value))
+    return tuple(changes)
+
+
+def _unusable(where: str, found: str, expected: str) -> UnusableDocumentError:
+    return UnusableDocumentError([Problem(where, 0, found, expected)])
 
 
 def write_changes(changes: list[Change]) -> list[wire.Change]:
+    """Changes as a delta holds them."""
     return [
-        wire.Change(path=c.path)
-        if c.value is None
-        else wire.Change(path=c.path, value=sexp.write({c.path[-1]: c.value}))
-        for c in changes
+        wire.Change(path=change.path)
+        if change.value is None
+        else wire.Change(path=change.path, value=sexp.format_document({change.path[-1]: change.value}))
+        for change in changes
     ]
--- a/magpieshift/control/validation.py
+++ b/magpieshift/control/validation.py
@@ -1,4 +1,4 @@
-"""What files for people have in common: forms that tell all that is wrong with them at once."""
+"""What files for people have in common: forms that report all that is wrong with them at once."""
 
 from __future__ import annotations
 
@@ -8,36 +8,43 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from magpieshift.control import sexp
-from magpieshift.control.sexp import Problem, Unusable
+from magpieshift.control.errors import Problem, UnusableDocumentError
 
 Seconds = Annotated[float, Field(ge=0, le=86_400, allow_inf_nan=False)]
-Lines = Mapping[sexp.Path, int]  # where in its file each entry stands
+Lines = Mapping[sexp.EntryPath, int]
+"""On which line of its file each entry stands."""
+
+
+def nearest_line(path: sexp.EntryPath, lines: Lines) -> int:
+    """The line of an entry, or of the nearest one round it that has one; 0 if none has."""
+    return next((lines[path[:end]] for end in range(len(path), 0, -1) if path[:end] in lines), 0)
 
 
 class Form(BaseModel):
-    """Entries in words with hyphens; what is not known is a mistake."""
+    """Entries in words with hyphens; an unknown one is a mistake."""
 
     model_config = ConfigDict(
-        extra="forbid", alias_generator=lambda n: n.replace("_", "-"), populate_by_name=True
+        extra="forbid", alias_generator=lambda name: name.replace("_", "-"), populate_by_name=True
     )
 
 
-F = TypeVar("F", bound=Form)
+AnyForm = TypeVar("AnyForm", bound=Form)
 
 
-def checked(form: type[F], data: Mapping[str, Any], lines: Lines) -> F:
-    """The data as a form; ``Unusable`` with every mistake, its place, what was found and what expected."""
+def validate_form(form: type[AnyForm], data: Mapping[str, Any], lines: Lines) -> AnyForm:
+    """The data as a form; ``UnusableDocumentError`` with every mistake, its place, what was found and what
+    expected."""
     try:
         return form.model_validate(data)
     except ValidationError as err:
-        raise Unusable(
+        raise UnusableDocumentError(
             [
                 Problem(
-                    " ".join(map(str, e["loc"])),
-                    lines.get(tuple(map(str, e["loc"])), 0),
-                    sexp.shown(e["input"]),
-                    str(e["msg"]).removeprefix("Input should be "),
+                    " ".join(map(str, error["loc"])),
+                    lines.get(tuple(map(str, error["loc"])), 0),
+                    sexp.shorten(error["input"]),
+                    str(error["msg"]).removeprefix("Input should be "),
                 )
-                for e in err.errors(include_url=False)
+                for error in err.errors(include_url=False)
             ]
         ) from None
--- a/magpieshift/control/version_manager.py
+++ b/magpieshift/control/version_manager.py
@@ -1,5 +1,5 @@
-"""The manager of a running router's versions: takes offers in, carries one after the other out, tells the
-outcome.
+"""The manager of a running router's versions: takes offers in, applies one after the other, reports the
+outcomes.
 
 The order of a version's steps is what its promises rest on: it is read and checked (in a thread), every part
 of the router prepares it, it is written through to the disk, it is put in force, and only then acknowledged.
@@ -12,42 +12,62 @@
 import logging
 import time
 from collections.abc import Callable, Mapping
-from dataclasses import replace
 from functools import partial
-from typing import Any, Protocol
+from typing import Any, NamedTuple
 
-from magpieshift.config import Document
-from magpieshift.config_transaction import PreparationFailed, Prepared, RunningSettings
+from magpieshift.config_transaction import FailureKind, PreparationFailed, Prepared, RunningSettings
 from magpieshift.control import sexp
-from magpieshift.control.content import Full, Overrides, Refused, resolve
-from magpieshift.control.schema import Loaded, to_data
-from magpieshift.control.store import Kept, Store, StoreError
-from magpieshift.control.version_history import Answer, Offer, Reason, Record, State, VersionHistory
+from magpieshift.control.content import ContentRejectedError, FullContent, Overrides, resolve_offer
+from magpieshift.control.errors import VersionStoreError
+from magpieshift.control.schema import LoadedDocument
+from magpieshift.control.stored_versions import StoredVersion
+from magpieshift.control.version_history import VersionHistory
+from magpieshift.control.version_host import OutcomeListener, PauseTimer, VersionHost
+from magpieshift.control.version_records import (
+    OfferOutcome,
+    RejectionReason,
+    VersionOffer,
+    VersionRecord,
+    VersionState,
+)
+from magpieshift.control.version_store import VersionStore
 from magpieshift.log import fields
 
 log = logging.getLogger(__name__)
 
-KINDS = {"start": Reason.AT_START, "part": Reason.PART, "late": Reason.LATE, "raised": Reason.RAISED}
-Clock = Callable[[], int]
-
+PREPARATION_REASONS = {
+    FailureKind.NEEDS_RESTART: RejectionReason.NEEDS_RESTART,
+    FailureKind.REJECTED: RejectionReason.PART_UNABLE,
+    FailureKind.TIMED_OUT: RejectionReason.PART_TIMED_OUT,
+    FailureKind.RAISED: RejectionReason.PART_FAILED,
+}
+"""By the kind of a failed preparation."""
+MAX_ERROR_LENGTH = 200
+"""Characters of an unexpected error that are reported."""
 
-class Host(Protocol):
-    """The router that versions are for."""
+Clock = Callable[[], int]
+"""Gives the Unix time in microseconds."""
 
-    def running(self) -> Mapping[str, RunningSettings]: ...
 
-    async def prepare(self, document: Document) -> Prepared: ...
+class _RejectionError(Exception):
+    """The version being applied cannot be used."""
 
-    def commit(self, prepared: Prepared, version: int) -> None: ...
+    def __init__(self, reason: RejectionReason, detail: str) -> None:
+        super().__init__(detail)
+        self.reason = reason
 
 
-class Listener(Protocol):
-    """Who wants to hear of outcomes."""
+class _Document(NamedTuple):
+    """The document of an offer."""
 
-    def __call__(self, answer: Answer, apply_us: int, pause_us: int) -> None: ...
+    loaded: LoadedDocument
+    """Checked."""
+    text: str
+    """As it is stored."""
 
 
-def now_us() -> int:
+def unix_now_us() -> int:
+    """The Unix time."""
     return time.time_ns() // 1000
 
 
@@ -56,223 +76,221 @@
 
     def __init__(
         self,
-        host: Host,
+        host: VersionHost,
         versions: VersionHistory,
         data: Mapping[str, Any],
-        store: Store | None = None,
-        store_trouble: str = "",
+        store: VersionStore | None = None,
+        store_failure: str = "",
         overrides: Overrides | None = None,
-        clock: Clock = now_us,
+        clock: Clock = unix_now_us,
     ) -> None:
-        self._host = host
+        """``data`` is the document in force. ``store_failure``: a store was wanted and is not to be had, so
+        that no version can be promised."""
         self.versions = versions
+        """The history."""
+        self.listeners: list[OutcomeListener] = []
+        """Called with each outcome."""
+        self.on_step: Callable[[str], None] = lambda name: None
+        """For tests that end the process at each step of a version."""
+        self._host = host
         self._data = data
         self._store = store
-        self._store_trouble = (
-            store_trouble  # a store was wanted and is not to be had: nothing can be promised
-        )
+        self._store_failure = store_failure
         self._overrides = overrides or Overrides()
         self._clock = clock
-        self._wanted = asyncio.Event()
+        self._offered = asyncio.Event()
         self._worker: asyncio.Task[None] | None = None
-        self._arrived: dict[tuple[int, str], int] = {}  # of what waits or is prepared: when it came
-        self.listeners: list[Listener] = []
-        self.step: Callable[[str], None] = lambda name: None  # for tests that end the process at each
+        # when the versions that wait or are prepared arrived, by number and digest
+        self._arrivals_us: dict[tuple[int, str], int] = {}
 
     def start(self) -> None:
+        """Take up versions, until ``stop``."""
         self._worker = asyncio.ensure_future(self._work())
 
     async def stop(self) -> None:
-        """Take up nothing more. A version not yet on its way to the disk is turned down; one that is comes to
+        """Take up nothing more. A version not yet on its way to the disk is rejected; one that is comes to
         its end first."""
         worker = self._worker
         self._worker = None
         if worker is not None:
-            self._wanted.set()
+            self._offered.set()
             await worker
         if (waiting := self.versions.waiting) is not None:
             self.versions.waiting = None
-            self._tell(Answer(waiting, False, Reason.STOPPING, "the router ends"))
+            self._report(OfferOutcome(waiting, False, RejectionReason.STOPPING, "the router ends"))
         if self._store is not None:
             self._store.close()
 
     @property
-    def in_force(self) -> Record:
+    def in_force(self) -> VersionRecord:
+        """The version that the router runs on."""
         return self.versions.in_force
 
     def running(self) -> Mapping[str, RunningSettings]:
+        """What each part of the router runs on."""
         return self._host.running()
 
-    def offer(self, offer: Offer) -> None:
+    # --- offers
+
+    def offer(self, offer: VersionOffer) -> None:
         """Take in a version; the outcome goes to the listeners."""
-        self.step("received")
-        self._arrived.setdefault((offer.number, offer.digest), self._clock())
-        for answer in self.versions.offer(offer, self._clock()):
-            self._tell(answer)
+        self.on_step("received")
+        self._arrivals_us.setdefault((offer.number, offer.digest), self._clock())
+        for outcome in self.versions.offer(offer, self._clock()):
+            self._report(outcome)
         self._forget_arrivals()
-        self._wanted.set()
+        self._offered.set()
 
-    def offer_file(self, loaded: Loaded, source: str) -> None:
-        """Settings that a person has changed: a version of its own, the next one where the file gives
-        none."""
+    def offer_file(self, loaded: LoadedDocument, source: str) -> None:
+        """Settings that a person has changed: a version of its own, the next one if the file gives none."""
         if loaded.digest == self.in_force.digest and loaded.version in (0, self.in_force.number):
             log.info("configuration unchanged", extra=fields(version=self.in_force.number, source=source))
             return
-        number = loaded.version or max(self.in_force.number, self._taken_up()) + 1
-        self.offer(Offer(number, loaded.digest, source, payload=Full(sexp.write(loaded.data))))
+        number = loaded.version or max(self.in_force.number, self._highest_offered()) + 1
+        payload = FullContent(sexp.format_document(loaded.data))
+        self.offer(VersionOffer(number, loaded.digest, source, payload=payload))
 
-    def _taken_up(self) -> int:
+    def _open_offers(self) -> list[VersionOffer]:
+        """What waits or is prepared."""
         offers = (self.versions.preparing, self.versions.waiting)
-        return max((offer.number for offer in offers if offer is not None), default=0)
+        return [offer for offer in offers if offer is not None]
+
+    def _highest_offered(self) -> int:
+        return max((offer.number for offer in self._open_offers()), default=0)
 
     def _forget_arrivals(self) -> None:
         """Only what waits or is prepared has a time of arrival."""
-        held = (self.versions.preparing, self.versions.waiting)
-        kept = {(offer.number, offer.digest) for offer in held if offer is not None}
-        self._arrived = {key: at for key, at in self._arrived.items() if key in kept}
+        open_keys = {(offer.number, offer.digest) for offer in self._open_offers()}
+        self._arrivals_us = {key: us for key, us in self._arrivals_us.items() if key in open_keys}
+
+    # --- one version after the other
 
     async def _work(self) -> None:
         while self._worker is not None:
-            if (offer := self.versions.take()) is None:
-                self._wanted.clear()
-                await self._wanted.wait()
+            if (offer := self.versions.take_next()) is None:
+                self._offered.clear()
+                await self._offered.wait()
                 continue
             try:
-                await self._carry_out(offer)
+                await self._apply_or_reject(offer)
             except Exception as err:  # a fault of ours must not end all changes until the next start
                 log.exception("version failed", extra=fields(version=offer.number))
                 if self.versions.preparing is not None:
-                    await self._turn_down(Reason.RAISED, f"{type(err).__name__}: {err}"[:200])
+                    detail = f"{type(err).__name__}: {err}"[:MAX_ERROR_LENGTH]
+                    await self._reject(RejectionReason.PART_FAILED, detail)
 
-    async def _carry_out(self, offer: Offer) -> None:
-        loop = asyncio.get_running_loop()
-        self.step("taken")
-        call = partial(_read, offer, self._data, self.in_force.digest)
-        try:
-            loaded, text = await loop.run_in_executor(None, call)
-        except Refused as err:
-            return await self._turn_down(err.reason, str(err))
-        self.step("read")
-        held = time.perf_counter()
+    async def _apply_or_reject(self, offer: VersionOffer) -> None:
         try:
-            prepared = await self._host.prepare(self._overrides.on(loaded.document))
-        except PreparationFailed as err:
-            return await self._turn_down(KINDS[err.kind], str(err))
-        pause_us = int(1e6 * (time.perf_counter() - held))
-        self.step("prepared")
-        if self._worker is None:
-            return await self._turn_down(Reason.STOPPING, "the router ends")
-        if self._store_trouble:
-            return await self._turn_down(Reason.NOT_KEPT, self._store_trouble)
-        if self._store is not None:
-            record = Record(offer.number, offer.digest, offer.source, State.IN_FORCE, self._clock())
-            kept = Kept(
-                replace(record, skipped=offer.number - self.in_force.number - 1), sexp.write(loaded.data)
-            )
-            try:
-                await loop.run_in_executor(None, self._store.append, kept)
-            except StoreError as err:
-                return await self._turn_down(Reason.NOT_KEPT, str(err))
-        self.step("kept")
-        held = time.perf_counter()
-        record, answer = self.versions.accept(self._clock())
-        self._host.commit(prepared, record.number)
-        self._data = loaded.data
-        pause_us = max(pause_us, int(1e6 * (time.perf_counter() - held)))
-        self.step("committed")
+            await self._apply(offer)
+        except _RejectionError as err:
+            await self._reject(err.reason, str(err))
+
+    async def _apply(self, offer: VersionOffer) -> None:
+        """Take one version through its steps; ``_RejectionError`` if one of them fails."""
+        self.on_step("taken")
+        document = await self._read(offer)
+        self.on_step("read")
+        pause = PauseTimer()
+        with pause:
+            prepared = await self._prepare(document.loaded)
+        self.on_step("prepared")
+        await self._write(offer, document.text)
+        self.on_step("kept")
+        with pause:
+            record, outcome = self.versions.accept(self._clock())
+            self._host.commit(prepared, record.number)
+            self._data = document.loaded.data
+        self.on_step("committed")
         log.info(
             "version in force",
             extra=fields(
                 version=record.number,
                 digest=record.digest,
                 source=record.source,
-                skipped=record.skipped,
-                pause_us=pause_us,
+                skipped=record.skipped_numbers,
+                pause_us=pause.pause_us,
             ),
         )
-        self._tell(answer, pause_us)
-        self.step("answered")
-        return None
-
-    async def _turn_down(self, reason: Reason, detail: str) -> None:
-        answer = self.versions.turn_down(reason, detail, self._clock())
-        self._tell(answer)
-        offer = answer.offer
-        if self._store is not None and reason is not Reason.NOT_KEPT:
-            record = Record(
-                offer.number, offer.digest, offer.source, State.TURNED_DOWN, self._clock(), reason, detail
+        self._report(outcome, pause.pause_us)
+        self.on_step("answered")
+
+    async def _read(self, offer: VersionOffer) -> _Document:
+        call = partial(_read_offer, offer, self._data, self.in_force.digest)
+        try:
+            return await asyncio.get_running_loop().run_in_executor(None, call)
+        except ContentRejectedError as err:
+            raise _RejectionError(err.reason, str(err)) from None
+
+    async def _prepare(self, loaded: LoadedDocument) -> Prepared:
+        try:
+            return await self._host.prepare(self._overrides.apply_to(loaded.document))
+        except PreparationFailed as err:
+            raise _RejectionError(PREPARATION_REASONS[err.kind], str(err)) from None
+
+    async def _write(self, offer: VersionOffer, text: str) -> None:
+        """Write the version through to the disk, unless the router ends."""
+        if self._worker is None:
+            raise _RejectionError(RejectionReason.STOPPING, "the router ends")
+        if self._store_failure:
+            raise _RejectionError(RejectionReason.NOT_STORED, self._store_failure)
+        if self._store is None:
+            return
+        record = VersionRecord(
+            offer.number,
+            offer.digest,
+            offer.source,
+            VersionState.IN_FORCE,
+            self._clock(),
+            skipped_numbers=offer.number - self.in_force.number - 1,
+        )
+        try:
+            await self._append(StoredVersion(record, text))
+        except VersionStoreError as err:
+            raise _RejectionError(RejectionReason.NOT_STORED, str(err)) from None
+
+    async def _append(self, version: StoredVersion) -> None:
+        assert self._store is not None
+        await asyncio.get_running_loop().run_in_executor(None, self._store.append, version)
+
+    async def _reject(self, reason: RejectionReason, detail: str) -> None:
+        outcome = self.versions.reject(reason, detail, self._clock())
+        self._report(outcome)
+        offer = outcome.offer
+        if self._store is not None and reason is not RejectionReason.NOT_STORED:
+            record = VersionRecord(
+                offer.number,
+                offer.digest,
+                offer.source,
+                VersionState.REJECTED,
+                self._clock(),
+                reason,
+                detail,
             )
             try:
-                await asyncio.get_running_loop().run_in_executor(None, self._store.append, Kept(record))
-            except StoreError as err:  # it is told and logged; only the history lacks it
-                log.warning("refusal not kept", extra=fields(version=offer.number, reason=err))
-
-    def _tell(self, answer: Answer, pause_us: int = 0) -> None:
-        offer = answer.offer
-        arrived = self._arrived.pop((offer.number, offer.digest), None)
-        apply_us = self._clock() - arrived if arrived is not None and answer.accepted else 0
-        if not answer.accepted:
+                await self._append(StoredVersion(record))
+            except VersionStoreError as err:  # it is reported and logged; only the history lacks it
+                log.warning("rejection not stored", extra=fields(version=offer.number, reason=err))
+
+    def _report(self, outcome: OfferOutcome, pause_us: int = 0) -> None:
+        offer = outcome.offer
+        arrived_us = self._arrivals_us.pop((offer.number, offer.digest), None)
+        apply_us = self._clock() - arrived_us if arrived_us is not None and outcome.accepted else 0
+        if not outcome.accepted:
             log.warning(
-                "version turned down",
+                "version rejected",
                 extra=fields(
                     version=offer.number,
-                    reason=answer.reason.name.lower(),
-                    detail=answer.detail,
+                    reason=outcome.reason.word,
+                    detail=outcome.detail,
                     source=offer.source,
                     in_force=self.in_force.number,
                 ),
             )
         for listener in self.listeners:
-            listener(answer, apply_us, pause_us)
-
-
-def _read(offer: Offer, data: Mapping[str, Any], digest: str) -> tuple[Loaded, str]:
-    """The document of an offer, and its text as it is kept; both take too long for the event loop."""
-    loaded = resolve(offer, data, digest)
-    return loaded, sexp.write(loaded.data)
-
+            listener(outcome, apply_us, pause_us)
 
-def opened(folder: str) -> tuple[Store | None, str]:
-    """The store of a folder, or why it is not to be had; a router serves all the same."""
-    try:
-        return Store(folder), ""
-    except StoreError as err:
-        log.error("versions cannot be kept", extra=fields(reason=err))
-        return None, str(err)
 
-
-def first_version(start: Loaded | None, store: Store | None, source: str) -> tuple[VersionHistory, Loaded]:
-    """What to start with: the newest of the start file's version and the last good one kept. One that was
-    kept and cannot be used any more, by a newer program say, is passed over in one line; ``LookupError``
-    where nothing is left."""
-    usable: tuple[Kept, Loaded] | None = None
-    for kept in reversed(store.kept if store is not None else []):
-        if kept.record.state is State.IN_FORCE:
-            offer = Offer(kept.record.number, kept.record.digest, "store", payload=Full(kept.text))
-            try:
-                usable = kept, resolve(offer, {}, "")
-            except Refused as err:
-                log.error("kept version cannot be used", extra=fields(version=offer.number, reason=err))
-                continue
-            break
-    if start is not None and (usable is None or start.version > usable[0].record.number):
-        record = Record(start.version, start.digest, source, State.IN_FORCE, now_us())
-        records = [
-            kept.record for kept in (store.kept if store else []) if kept.record.number < start.version
-        ]
-        return VersionHistory.restored([*records, record], record), start
-    if usable is None:
-        raise LookupError("no settings: neither a file nor a kept version")
-    upto = usable[0].record
-    log.info("kept version taken up", extra=fields(version=upto.number, digest=upto.digest))
-    records = [
-        kept.record
-        for kept in (store.kept if store else [])
-        if kept.record.state is State.TURNED_DOWN or kept.record.number <= upto.number
-    ]
-    return VersionHistory.restored(records, upto), usable[1]
-
-
-def as_loaded(document: Document) -> Loaded:
-    """The platform's configuration as a version without a number."""
-    return Loaded(to_data(document), 0, document)
+def _read_offer(offer: VersionOffer, data: Mapping[str, Any], digest: str) -> _Document:
+    """The document of an offer; takes too long for the event loop."""
+    loaded = resolve_offer(offer, data, digest)
+    return _Document(loaded, sexp.format_document(loaded.data))
--- a/magpieshift/extensions/relay_subscription.py
+++ b/magpieshift/extensions/relay_subscription.py
@@ -11,9 +11,9 @@
 
 from magpieshift import clock
 from magpieshift.app import EdgeRouter
-from magpieshift.control.sexp import Unusable
-from magpieshift.control.version_history import Answer, Reason
+from magpieshift.control.errors import UnusableDocumentError
 from magpieshift.control.version_manager import VersionManager
+from magpieshift.control.version_records import OfferOutcome, RejectionReason
 from magpieshift.extensions.extension import BaseExtension
 from magpieshift.lifecycle import State
 from magpieshift.log import fields
@@ -170,11 +170,11 @@
             return
         try:
             self._manager.offer(configuration.version_offer(change))
-        except Unusable as err:
+        except UnusableDocumentError as err:
             log.warning("version turned down", extra=fields(version=change.number, reason=err))
             self._refuse(change.number, str(err), want_whole=bool(change.base_digest))
 
-    def _answered(self, answer: Answer, apply_us: int, pause_us: int) -> None:
+    def _answered(self, answer: OfferOutcome, apply_us: int, pause_us: int) -> None:
         """What became of a version, whoever offered it."""
         follower = self._follower
         follower.configuration_digest = self._manager.in_force.digest
@@ -184,9 +184,9 @@
             if answer.offer.number >= follower.rejected_version:
                 follower.rejected_version = 0
                 follower.rejection_reason = ""
-        elif answer.reason is not Reason.SUPERSEDED:
-            why = f"{answer.reason.name.lower()}: {answer.detail}"
-            self._refuse(answer.offer.number, why, answer.want_full)
+        elif answer.reason is not RejectionReason.SUPERSEDED:
+            why = f"{answer.reason.word}: {answer.detail}"
+            self._refuse(answer.offer.number, why, answer.wants_full)
 
     def _refuse(self, number: int, why: str, want_whole: bool) -> None:
         follower = self._follower
--- a/magpieshift/extensions/runner.py
+++ b/magpieshift/extensions/runner.py
@@ -14,9 +14,10 @@
 from magpieshift.app import EdgeRouter, serve
 from magpieshift.config import Config, ConfigError, parse, parse_address
 from magpieshift.control.content import Overrides
-from magpieshift.control.schema import Loaded, load_text
-from magpieshift.control.sexp import Unusable
-from magpieshift.control.version_manager import VersionManager, as_loaded, first_version, opened
+from magpieshift.control.errors import UnusableDocumentError
+from magpieshift.control.schema import LoadedDocument, load_text
+from magpieshift.control.version_manager import VersionManager
+from magpieshift.control.version_startup import first_version, loaded_without_version, open_store
 from magpieshift.extensions.extension import Extension
 from magpieshift.log import fields
 
@@ -49,7 +50,7 @@
         return Overrides(self.name, listen, parse_address(self.console, "console") if self.console else None)
 
 
-def load_any(path: str) -> tuple[Loaded, Config | None]:
+def load_any(path: str) -> tuple[LoadedDocument, Config | None]:
     """A settings file of either kind; with the whole of the platform's, what it tells of this start.
     ``ConfigError`` in one line where it cannot be used."""
     try:
@@ -59,13 +60,13 @@
     if not text.lstrip().startswith("{"):
         try:
             return load_text(text, path), None
-        except Unusable as err:
+        except UnusableDocumentError as err:
             raise ConfigError(f"{path}: {err}") from err
     try:
         config = parse(json.loads(text))
     except (ValueError, RecursionError) as err:
         raise ConfigError(f"{path} cannot be read: {err}") from err
-    return as_loaded(config.document), config
+    return loaded_without_version(config.document), config
 
 
 class Installation:
@@ -76,12 +77,12 @@
         self._options = options
         overrides = options.overrides
         start, platform = load_any(options.config) if options.config else (None, None)
-        store, trouble = opened(options.state) if options.state else (None, "")
+        store, trouble = open_store(options.state) if options.state else (None, "")
         try:
             versions, loaded = first_version(start, store, options.config)
         except LookupError as err:
             raise ConfigError(str(err)) from None
-        document = overrides.on(loaded.document)
+        document = overrides.apply_to(loaded.document)
         seed = platform.seed if platform is not None else secrets.randbits(64)
         known = platform.known if platform is not None else {}
         self.router = EdgeRouter(Config(document, seed, known, versions.in_force.number))
--- a/magpieshift/lab/capacity/roles/commands.py
+++ b/magpieshift/lab/capacity/roles/commands.py
@@ -30,7 +30,7 @@
     )
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
-        text = sexp.write(settings(int(size)))
+        text = sexp.format_document(settings(int(size)))
         with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as folder:
             path = Path(folder) / "settings.sexp"
             path.write_text(text)
--- a/magpieshift/lab/capacity/roles/control.py
+++ b/magpieshift/lab/capacity/roles/control.py
@@ -17,9 +17,9 @@
 from magpieshift.control import sexp
 from magpieshift.control.grpc_channel import CHANNEL_OPTIONS as CLIENT_OPTIONS
 from magpieshift.control.grpc_channel import FOLLOW_METHOD
-from magpieshift.control.publisher import Published, read_folder
+from magpieshift.control.publisher import PublishedVersion, read_version_folder
 from magpieshift.control.session import RouterSession
-from magpieshift.control.version_history import Answer, Offer, Record, State
+from magpieshift.control.version_records import OfferOutcome, VersionOffer, VersionRecord, VersionState
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.documents import changed, settings
 from magpieshift.lab.capacity.processor import processor_s, resident_mb, spending
@@ -38,7 +38,7 @@
     def __init__(self, name: str) -> None:
         self.name = name
         self.received = 0  # bytes, of messages
-        self.in_force = Record(0, "", "lab", State.IN_FORCE, 0)
+        self.in_force = VersionRecord(0, "", "lab", VersionState.IN_FORCE, 0)
         self.changed = asyncio.Event()
 
     async def follow(self, port: int) -> None:
@@ -46,14 +46,14 @@
         session = RouterSession()
         async with grpc.aio.insecure_channel(f"127.0.0.1:{port}", options=CLIENT_OPTIONS) as channel:
             call = channel.stream_stream(FOLLOW_METHOD)()
-            await call.write(session.hello(self.name, "lab", self.in_force, {}))
+            await call.write(session.encode_hello(self.name, "lab", self.in_force, {}))
             while (data := await call.read()) is not grpc.aio.EOF:
                 self.received += len(data)
-                offer = session.feed(data)
-                if not isinstance(offer, Offer):
+                offer = session.receive(data)
+                if not isinstance(offer, VersionOffer):
                     raise RuntimeError(f"found {offer.detail}, expected a version")
-                self.in_force = Record(offer.number, offer.digest, "lab", State.IN_FORCE, 0)
-                await call.write(session.answer(Answer(offer, True), self.in_force, {}))
+                self.in_force = VersionRecord(offer.number, offer.digest, "lab", VersionState.IN_FORCE, 0)
+                await call.write(session.encode_answer(OfferOutcome(offer, True), self.in_force, {}))
                 self.changed.set()
 
     async def has(self, number: int) -> None:
@@ -67,7 +67,7 @@
 def write_version(folder: Path, number: int, zones: int = fleet.ZONES) -> None:
     """A version for the service to find, complete at once under its name."""
     part = folder / f"{number}.part"
-    part.write_text(sexp.write(changed(settings(zones), number)))
+    part.write_text(sexp.format_document(changed(settings(zones), number)))
     part.rename(folder / f"{number}.sexp")
 
 
@@ -187,11 +187,11 @@
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
         with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as name:
-            text = sexp.write(settings(fleet.ZONES))
+            text = sexp.format_document(settings(fleet.ZONES))
             for number in range(int(size)):
                 (Path(name) / f"{number}.sexp").write_text(text)
             with spending() as spent:
-                read_folder(name)
+                read_version_folder(name)
         return Sample(size, {"processor": 1e3 * spent.seconds})
 
 
@@ -209,7 +209,9 @@
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
         numbers = set(range(int(size)))
-        return Sample(size, {"processor": 1e3 * _look_s(numbers, partial(read_folder, known=numbers))})
+        return Sample(
+            size, {"processor": 1e3 * _look_s(numbers, partial(read_version_folder, known=numbers))}
+        )
 
 
 class SourceLook:
@@ -226,10 +228,12 @@
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
         numbers = set(range(int(size)))
-        return Sample(size, {"processor": 1e3 * _look_s(numbers, partial(read_folder, above=max(numbers)))})
+        return Sample(
+            size, {"processor": 1e3 * _look_s(numbers, partial(read_version_folder, above=max(numbers)))}
+        )
 
 
-def _look_s(numbers: Iterable[int], look: Callable[[str], Sequence[Published]]) -> float:
+def _look_s(numbers: Iterable[int], look: Callable[[str], Sequence[PublishedVersion]]) -> float:
     """Processor seconds of a look that reads none of a folder's versions."""
     with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as name:
         for number in numbers:
--- a/magpieshift/lab/capacity/roles/snapshots.py
+++ b/magpieshift/lab/capacity/roles/snapshots.py
@@ -38,7 +38,7 @@
         }
         for number in range(fleet.CACHES)
     ]
-    text = sexp.write(settings(fleet.ZONES))
+    text = sexp.format_document(settings(fleet.ZONES))
     return Snapshot(
         Epoch(NOW_US // 1000, 1),
         purges,
--- a/magpieshift/lab/capacity/roles/versions.py
+++ b/magpieshift/lab/capacity/roles/versions.py
@@ -8,8 +8,9 @@
 from pathlib import Path
 
 from magpieshift.control import sexp
-from magpieshift.control.content import Full
-from magpieshift.control.version_history import Answer, Offer
+from magpieshift.control.content import FullContent
+from magpieshift.control.document_changes import document_digest
+from magpieshift.control.version_records import OfferOutcome, VersionOffer
 from magpieshift.extensions.runner import Installation, Options
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.documents import changed, settings
@@ -68,12 +69,19 @@
     @staticmethod
     async def _put_in_force(installation: Installation, data: dict[str, object]) -> float:
         """Processor seconds of all versions, one after another."""
-        done: asyncio.Queue[Answer] = asyncio.Queue()
+        done: asyncio.Queue[OfferOutcome] = asyncio.Queue()
         installation.manager.listeners.append(lambda answer, apply_us, pause_us: done.put_nowait(answer))
         offers = []
         for number in range(1, VERSIONS + 1):
             document = changed(data, number)
-            offers.append(Offer(number, sexp.digest(document), "lab", payload=Full(sexp.write(document))))
+            offers.append(
+                VersionOffer(
+                    number,
+                    document_digest(document),
+                    "lab",
+                    payload=FullContent(sexp.format_document(document)),
+                )
+            )
         with spending() as spent:
             for offer in offers:
                 installation.manager.offer(offer)
--- a/magpieshift/lab/emulators/world.py
+++ b/magpieshift/lab/emulators/world.py
@@ -56,5 +56,5 @@
 
     def write_settings(self, folder: Path) -> Path:
         path = folder / "start.sexp"
-        path.write_text(sexp.write(self.settings()))
+        path.write_text(sexp.format_document(self.settings()))
         return path
--- a/magpieshift/lab/experiments/apply.py
+++ b/magpieshift/lab/experiments/apply.py
@@ -22,8 +22,9 @@
 from hdrh.histogram import HdrHistogram
 
 from magpieshift.control import sexp
-from magpieshift.control.content import Full
-from magpieshift.control.version_history import Answer, Offer
+from magpieshift.control.content import FullContent
+from magpieshift.control.document_changes import document_digest
+from magpieshift.control.version_records import OfferOutcome, VersionOffer
 from magpieshift.extensions.runner import SWITCH_S, Installation, Options
 from magpieshift.lab.emulators.world import World
 
@@ -91,7 +92,7 @@
         async with asyncio.timeout(30):
             while engine.endpoint_count < members + 1:
                 await asyncio.sleep(0.01)
-        done: asyncio.Queue[tuple[Answer, int, int]] = asyncio.Queue()
+        done: asyncio.Queue[tuple[OfferOutcome, int, int]] = asyncio.Queue()
         manager.listeners.append(lambda *told: done.put_nowait(told))
         kind = QUIET
 
@@ -103,13 +104,20 @@
 
         sys.setswitchinterval(SWITCH_S)
         data = world.settings()
-        offers = list[tuple[str, Offer]]()
+        offers = list[tuple[str, VersionOffer]]()
         for number in range(
             1, rounds * len(KINDS) + 1
         ):  # all made before: only the router's work is measured
             change = KINDS[number % len(KINDS)]
             data = _next(data, change, number)
-            offers.append((change, Offer(number, sexp.digest(data), "lab", payload=Full(sexp.write(data)))))
+            offers.append(
+                (
+                    change,
+                    VersionOffer(
+                        number, document_digest(data), "lab", payload=FullContent(sexp.format_document(data))
+                    ),
+                )
+            )
         gc.collect()
         gc.freeze()  # as a router does once it serves
         ticking = asyncio.ensure_future(tick())
--- a/magpieshift/lab/experiments/episode.py
+++ b/magpieshift/lab/experiments/episode.py
@@ -77,7 +77,7 @@
         self._stores.tell_on()
         start = folder / "start.sexp"
         log = folder / "router.log"
-        start.write_text(sexp.write(settings("lab", self._port, self._log.port)))
+        start.write_text(sexp.format_document(settings("lab", self._port, self._log.port)))
         load = Load(self._port, scenario.rate, scenario.objects, scenario.seed, self._rules.served)
         outcome = Outcome(scenario)
         failing: list[asyncio.Task[None]] = []
--- a/magpieshift/lab/experiments/scenario.py
+++ b/magpieshift/lab/experiments/scenario.py
@@ -11,8 +11,8 @@
 
 from magpieshift.config import read_text
 from magpieshift.control import sexp
-from magpieshift.control.sexp import Problem, Unusable
-from magpieshift.control.validation import Form, Seconds, checked
+from magpieshift.control.errors import Problem, UnusableDocumentError
+from magpieshift.control.validation import Form, Seconds, validate_form
 from magpieshift.lab.emulators.emulated import places
 
 HEAD = "scenario"
@@ -70,9 +70,9 @@
         return places(self.boxes, self.hubs)
 
 
-def load(data: Mapping[str, Any], lines: Mapping[sexp.Path, int] | None = None) -> Scenario:
-    """A checked scenario; ``Unusable`` with all that is wrong."""
-    form = checked(ScenarioForm, data, lines or {})
+def load(data: Mapping[str, Any], lines: Mapping[sexp.EntryPath, int] | None = None) -> Scenario:
+    """A checked scenario; ``UnusableDocumentError`` with all that is wrong."""
+    form = validate_form(ScenarioForm, data, lines or {})
     failures = [Failure(name, f.what, f.who, f.at_s, f.for_s, f.by) for name, f in form.failures.items()]
     found = Scenario(
         form.seconds,
@@ -84,18 +84,18 @@
         tuple(sorted(failures, key=lambda f: f.at_s)),
     )
     problems = [
-        Problem(f"failures {f.name} who", 0, sexp.shown(f.who), "one of " + ", ".join(found.places))
+        Problem(f"failures {f.name} who", 0, sexp.shorten(f.who), "one of " + ", ".join(found.places))
         for f in failures
         if f.what not in ("late-list", "purge") and f.who not in found.places
     ]
     if problems:
-        raise Unusable(problems)
+        raise UnusableDocumentError(problems)
     return found
 
 
 def load_file(path: str) -> Scenario:
-    """A file's; ``ConfigError`` where it cannot be read, ``Unusable`` where it cannot be used."""
-    tree = sexp.read(read_text(path), path, HEAD)
+    """A file's; ``ConfigError`` if it cannot be read, ``UnusableDocumentError`` if it cannot be used."""
+    tree = sexp.parse(read_text(path), path, HEAD)
     return load(tree.data, tree.lines)
 
 
--- a/magpieshift/lab/experiments/version_checks.py
+++ b/magpieshift/lab/experiments/version_checks.py
@@ -4,17 +4,21 @@
 
 import asyncio
 
-from magpieshift.control.publisher import Subscriber
-from magpieshift.control.schema import Loaded
+from magpieshift.control.publisher import RouterSubscription
+from magpieshift.control.schema import LoadedDocument
 from magpieshift.control.session import running_digests
-from magpieshift.control.version_history import PASSING, Reason
+from magpieshift.control.version_records import TRANSIENT_REASONS, RejectionReason
 from magpieshift.control.wire import control_pb2 as wire
 from magpieshift.expected_settings import expected_settings
 from magpieshift.lab.experiments.version_report import Report
 
 MOST_DOCUMENTS = 400  # nothing older can be in force any more
 # reasons that say nothing against what cannot be used: it must be turned down for what it is
-WRONG_REASONS = PASSING - {Reason.PART, Reason.WRONG_BASE, Reason.SUPERSEDED}
+WRONG_REASONS = TRANSIENT_REASONS - {
+    RejectionReason.PART_UNABLE,
+    RejectionReason.WRONG_BASE,
+    RejectionReason.SUPERSEDED,
+}
 
 
 class VersionChecks:
@@ -26,7 +30,7 @@
         self.open: dict[str, tuple[int, bool]] = {}  # nonce: number, and whether it is usable
         self.malformed_open = 0  # messages without a nonce that are still to be answered
         self.answered = asyncio.Event()  # something was answered, or will not be any more
-        self._documents: dict[int, Loaded] = {}  # every usable version sent, and the start as 0
+        self._documents: dict[int, LoadedDocument] = {}  # every usable version sent, and the start as 0
 
     @property
     def all_answered(self) -> bool:
@@ -34,21 +38,21 @@
 
     # --- what it is sent
 
-    def know(self, number: int, document: Loaded) -> None:
+    def know(self, number: int, document: LoadedDocument) -> None:
         """A version that may come into force."""
         self._documents[number] = document
         for old in sorted(self._documents)[:-MOST_DOCUMENTS]:
             if old < self.acknowledged:
                 del self._documents[old]
 
-    def await_answer(self, to: Subscriber, number: int, usable: bool) -> None:
+    def await_answer(self, to: RouterSubscription, number: int, usable: bool) -> None:
         """The version last sent to it, if any, is to be answered."""
         if to.nonce:
             self.open[to.nonce] = (number, usable)
 
     # --- what it says
 
-    def hello(self, hello: wire.Hello, subscriber: Subscriber, newest: int) -> None:
+    def hello(self, hello: wire.Hello, subscriber: RouterSubscription, newest: int) -> None:
         """A new stream: what was open on the old one will not be answered any more."""
         self._report.unanswered += len(self.open) + self.malformed_open
         self.open.clear()
@@ -56,9 +60,9 @@
         self.answered.set()
         self._check(hello.in_force, hello.digest, dict(hello.running), "hello")
         if hello.in_force != newest:
-            self.await_answer(subscriber, subscriber.sent, True)
+            self.await_answer(subscriber, subscriber.sent_number, True)
 
-    def answer(self, answer: wire.Answer, subscriber: Subscriber | None) -> None:
+    def answer(self, answer: wire.Answer, subscriber: RouterSubscription | None) -> None:
         """An answer; ``subscriber`` is the router where its stream stands."""
         where = f"answer to {answer.number}"
         self._check(answer.in_force, answer.in_force_digest, dict(answer.running), where)
@@ -70,7 +74,7 @@
         else:
             self._turned_down(answer, where)
         if answer.want_full and subscriber is not None:
-            self.await_answer(subscriber, subscriber.sent, True)
+            self.await_answer(subscriber, subscriber.sent_number, True)
         self.answered.set()
 
     def _accepted(self, answer: wire.Answer, where: str) -> None:
@@ -85,9 +89,9 @@
 
     def _turned_down(self, answer: wire.Answer, where: str) -> None:
         _, usable = self.open.pop(answer.nonce, (0, None))
-        reason = Reason(answer.reason)
+        reason = RejectionReason(answer.reason)
         self._report.rejected += 1
-        if usable and reason not in PASSING:
+        if usable and reason not in TRANSIENT_REASONS:
             self.mismatch(f"{where}: a usable version was turned down: {reason.name} {answer.detail}")
         if usable is False and reason in WRONG_REASONS:
             self.mismatch(f"{where}: turned down for another reason: {reason.name} {answer.detail}")
--- a/magpieshift/lab/experiments/version_maker.py
+++ b/magpieshift/lab/experiments/version_maker.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from magpieshift.control import sexp
-from magpieshift.control.publisher import Published
+from magpieshift.control.publisher import PublishedVersion
 
 
 class VersionMaker:
@@ -19,7 +19,7 @@
         self._random = rand
         self.number = 0
 
-    def usable(self) -> Published:
+    def usable(self) -> PublishedVersion:
         """The next version: some figures differ; classes, zones and load reports come and go."""
         rand = self._random
         data = copy.deepcopy(self.data)
@@ -52,9 +52,9 @@
         data["stores"]["answer-slack-ms"] = rand.randint(1, 10_000) / 1000  # no two versions alike
         self.number += 1 if rand.random() > 0.1 else rand.randint(2, 5)  # some leave numbers out
         self.data = data
-        return Published.of(self.number, sexp.write(data))
+        return PublishedVersion.parse(self.number, sexp.format_document(data))
 
-    def unusable(self) -> tuple[str, Published]:
+    def unusable(self) -> tuple[str, PublishedVersion]:
         """A version that must be turned down, and in what way."""
         ways: dict[str, Callable[[dict[str, Any]], None]] = {
             "unknown entry": lambda d: d.update(colour="red"),
@@ -72,7 +72,7 @@
         way = self._random.choice([*ways, *texts])
         self.number += 1
         if way in texts:
-            return way, Published.of(self.number, texts[way])
+            return way, PublishedVersion.parse(self.number, texts[way])
         data = copy.deepcopy(self.data)
         ways[way](data)
-        return way, Published.of(self.number, sexp.write(data))
+        return way, PublishedVersion.parse(self.number, sexp.format_document(data))
--- a/magpieshift/lab/experiments/versions.py
+++ b/magpieshift/lab/experiments/versions.py
@@ -24,9 +24,9 @@
 import click
 
 from magpieshift.control import sexp
-from magpieshift.control.publisher import Published, Subscriber
+from magpieshift.control.publisher import PublishedVersion, RouterSubscription
 from magpieshift.control.schema import load_data
-from magpieshift.control.service import ControlService, Stream
+from magpieshift.control.service import ControlService, RouterStream
 from magpieshift.control.wire import control_pb2 as wire
 from magpieshift.lab.emulators import peers
 from magpieshift.lab.emulators.world import World
@@ -71,16 +71,16 @@
         self._random = random.Random(plan.seed)
         self.report = Report()
         self._service = ControlService()
-        self._service.heard = self._heard
+        self._service.on_message = self._heard
         self._checks = VersionChecks(self.report)
         self._process: asyncio.subprocess.Process | None = None
         self._killing = False
-        self._stream: Stream | None = None  # the router's, once it has said hello
+        self._stream: RouterStream | None = None  # the router's, once it has said hello
         self._hello = asyncio.Event()
 
     # --- what the router says
 
-    def _heard(self, stream: Stream, data: bytes) -> None:
+    def _heard(self, stream: RouterStream, data: bytes) -> None:
         message = wire.FromRouter.FromString(data)
         if message.WhichOneof("said") == "hello":
             newest = self._service.publisher.newest
@@ -128,13 +128,13 @@
             self._checks.answered.clear()
             await self._wait(self._checks.answered, "an answer")
 
-    def _send_usable(self, version: Published) -> None:
+    def _send_usable(self, version: PublishedVersion) -> None:
         self._know(version)
         self._service.publish(version)
         if self._stream is not None:
             self._checks.await_answer(self._stream.subscriber, version.number, True)
 
-    def _know(self, version: Published) -> None:
+    def _know(self, version: PublishedVersion) -> None:
         loaded = load_data(version.data or {})
         self._checks.know(version.number, replace(loaded, version=version.number))
 
@@ -147,7 +147,7 @@
         if newest is None:
             way = "version"
         if way in ("noise", "truncated", "empty"):
-            self._send_malformed(way, newest or Published.of(1, "x"))
+            self._send_malformed(way, newest or PublishedVersion.parse(1, "x"))
             return way
         if way == "unknown base":
             self._send_unknown_base(versions.usable())
@@ -156,36 +156,42 @@
             way, version = versions.unusable()
         elif way == "digest":
             versions.number += 1
-            version = replace(Published.of(versions.number, sexp.write(versions.data)), digest="0" * 32)
+            version = replace(
+                PublishedVersion.parse(versions.number, sexp.format_document(versions.data)), digest="0" * 32
+            )
         elif way == "step back":
-            version = Published.of(max(1, versions.number - 3), sexp.write(versions.data | {"tick-ms": 9}))
+            version = PublishedVersion.parse(
+                max(1, versions.number - 3), sexp.format_document(versions.data | {"tick-ms": 9})
+            )
         else:
             assert newest is not None
-            version = Published.of(newest.number, sexp.write(versions.data | {"tick-ms": 8}))
+            version = PublishedVersion.parse(
+                newest.number, sexp.format_document(versions.data | {"tick-ms": 8})
+            )
         # a delta would repair the digest or fail otherwise; the way is meant to be the reason
-        sender = Subscriber(digest="")
-        self._stream.send(publisher.send(sender, version, whole=True))
+        sender = RouterSubscription(digest="")
+        self._stream.send(publisher.encode_version(sender, version, full=True))
         self._checks.await_answer(sender, version.number, False)
         return way
 
-    def _send_malformed(self, way: str, version: Published) -> None:
+    def _send_malformed(self, way: str, version: PublishedVersion) -> None:
         """Bytes that are no message, or a part of one."""
         assert self._stream is not None
         stream = self._stream
         rand = self._random
-        whole = self._service.publisher.send(replace(stream.subscriber), version, whole=True)
+        whole = self._service.publisher.encode_version(replace(stream.subscriber), version, full=True)
         cut = whole[: rand.randrange(1, len(whole) - 1)]
         stream.send({"noise": b"\xff" + rand.randbytes(40), "truncated": cut, "empty": b"\x12\x00"}[way])
         self._checks.malformed_open += 1
 
-    def _send_unknown_base(self, version: Published) -> None:
+    def _send_unknown_base(self, version: PublishedVersion) -> None:
         """A delta against what the router never had: turned down, and then sent whole."""
         assert self._stream is not None
         who = self._stream.subscriber
         publisher = self._service.publisher
         self._know(version)
         publisher.publish(version)
-        message = wire.FromControl.FromString(publisher.send(who, version))
+        message = wire.FromControl.FromString(publisher.encode_version(who, version))
         message.version.ClearField("full")
         message.version.delta.base_digest = "f" * 32
         self._checks.await_answer(who, version.number, True)
@@ -200,8 +206,8 @@
         self._stream = None
         stream.send(message.SerializeToString())
         await self._wait(self._hello, "the router's return")
-        if (found := self._stream) is not None and "RESOURCE_EXHAUSTED" not in found.subscriber.trouble:
-            self.report.findings.append(f"a message of 64 MB: {found.subscriber.trouble!r}")
+        if (found := self._stream) is not None and "RESOURCE_EXHAUSTED" not in found.subscriber.last_failure:
+            self.report.findings.append(f"a message of 64 MB: {found.subscriber.last_failure!r}")
 
     async def run(self, folder: Path, progress: bool) -> Report:
         plan = self._plan
--- a/magpieshift/lab/fault_injection/cluster.py
+++ b/magpieshift/lab/fault_injection/cluster.py
@@ -131,7 +131,7 @@
         path = self.folder / f"{place.name}.sexp"
         document = load_data(data).document
         self.rules.copies = emulated.may_copy(document)
-        path.write_text(sexp.write(to_data(document)))
+        path.write_text(sexp.format_document(to_data(document)))
         if place.name in self._clocks:
             skewed.write(self.folder / f"{place.name}.clock")
 
--- a/magpieshift/lab/fault_injection/random_runs.py
+++ b/magpieshift/lab/fault_injection/random_runs.py
@@ -81,7 +81,7 @@
 
 
 def _data(run: Run) -> dict[str, object]:
-    tree = sexp.read(scenario.written(run), "history", scenario.HEAD)
+    tree = sexp.parse(scenario.written(run), "history", scenario.HEAD)
     return dict(tree.data)
 
 
--- a/magpieshift/lab/fault_injection/scenario.py
+++ b/magpieshift/lab/fault_injection/scenario.py
@@ -11,8 +11,8 @@
 
 from magpieshift.config import ConfigError, read_text
 from magpieshift.control import sexp
-from magpieshift.control.sexp import Problem, Unusable
-from magpieshift.control.validation import Form, Seconds, checked
+from magpieshift.control.errors import Problem, UnusableDocumentError
+from magpieshift.control.validation import Form, Seconds, validate_form
 from magpieshift.lab.emulators.emulated import places
 from magpieshift.lab.fault_injection.network import ANY, CLIENTS, LOG, ROUTERS
 
@@ -98,10 +98,10 @@
         return sorted({fault.who for fault in self.faults if fault.what in ("step", "rate")})
 
 
-def load(data: Mapping[str, Any], lines: Mapping[sexp.Path, int] | None = None) -> Run:
-    """A checked run; ``Unusable`` with all that is wrong."""
+def load(data: Mapping[str, Any], lines: Mapping[sexp.EntryPath, int] | None = None) -> Run:
+    """A checked run; ``UnusableDocumentError`` with all that is wrong."""
     lines = lines or {}
-    form = checked(RunForm, data, lines)
+    form = validate_form(RunForm, data, lines)
     names = [f"r{number}" for number in range(form.routers)]
     stores = places(form.boxes, form.hubs)
     problems: list[Problem] = []
@@ -110,7 +110,7 @@
         if found not in wanted:
             at = lines.get(("faults", name, key), 0)
             problems.append(
-                Problem(f"faults {name} {key}", at, sexp.shown(found), "one of " + ", ".join(wanted))
+                Problem(f"faults {name} {key}", at, sexp.shorten(found), "one of " + ", ".join(wanted))
             )
 
     for name, fault in form.faults.items():
@@ -122,7 +122,7 @@
         elif fault.what in AT_STORES:
             must(name, "who", fault.who, stores)
     if problems:
-        raise Unusable(problems)
+        raise UnusableDocumentError(problems)
     faults = [
         Fault(n, f.what, f.at_s, f.for_s, f.who, f.source, f.target, f.by) for n, f in form.faults.items()
     ]
@@ -147,18 +147,18 @@
         "boxes": run.boxes,
         "hubs": run.hubs,
     }
-    return sexp.write(data | ({"faults": faults} if faults else {}), HEAD)
+    return sexp.format_document(data | ({"faults": faults} if faults else {}), HEAD)
 
 
 def load_file(path: str) -> Run:
-    """A file's; ``ConfigError`` where it cannot be read, ``Unusable`` where it cannot be used."""
-    tree = sexp.read(read_text(path), path, HEAD)
+    """A file's; ``ConfigError`` if it cannot be read, ``UnusableDocumentError`` if it cannot be used."""
+    tree = sexp.parse(read_text(path), path, HEAD)
     return load(tree.data, tree.lines)
 
 
 def named(name: str) -> Run:
-    """One of ``KNOWN`` or else a file's; ``ConfigError`` where it is neither, ``Unusable`` where it cannot be
-    used."""
+    """One of ``KNOWN`` or else a file's; ``ConfigError`` if it is neither, ``UnusableDocumentError`` if it
+    cannot be used."""
     if name in KNOWN:
         return load(KNOWN[name])
     if not Path(name).exists():
@@ -167,9 +167,9 @@
 
 
 def altered(run: Run, routers: int, seed: int) -> Run:
-    """The run with another size and seed; ``Unusable`` where its faults do not fit that size."""
+    """The run with another size and seed; ``UnusableDocumentError`` where its faults do not fit that size."""
     changed = replace(run, routers=routers, seed=seed)
-    load(sexp.read(written(changed), HEAD, HEAD).data)
+    load(sexp.parse(written(changed), HEAD, HEAD).data)
     return changed
 
 
--- a/magpieshift/lab/scale/calibration.py
+++ b/magpieshift/lab/scale/calibration.py
@@ -93,7 +93,7 @@
     async def start(self) -> None:
         """Start them all; returns once all follow."""
         path = self._folder / "settings.sexp"
-        path.write_text(sexp.write(self._fleet.settings), encoding="utf-8")
+        path.write_text(sexp.format_document(self._fleet.settings), encoding="utf-8")
         control = f"127.0.0.1:{self._tier.control.ports[CONTROL]}"
         environ = {name: value for name, value in os.environ.items() if not name.startswith("EDGE_")}
         for number in range(self._count):
--- a/magpieshift/lab/scale/controller.py
+++ b/magpieshift/lab/scale/controller.py
@@ -4,7 +4,7 @@
 
 import time
 
-from magpieshift.control.publisher import Published
+from magpieshift.control.publisher import PublishedVersion
 from magpieshift.control.service import ControlService
 from magpieshift.lab.scale import child
 from magpieshift.lab.scale.messages import (
@@ -29,7 +29,7 @@
                 return Ready(ports={"control": service.port})
             case Publish(number=number, text=text):
                 at_s = time.monotonic()
-                service.publish(Published.of(number, text))
+                service.publish(PublishedVersion.parse(number, text))
                 return PublishedAt(at_s=at_s)
             case AskFollowers():
                 return Count(count=sum(bool(stream.subscriber.router) for stream in service.streams))
--- a/magpieshift/lab/scale/fleet.py
+++ b/magpieshift/lab/scale/fleet.py
@@ -78,7 +78,9 @@
 
     async def _start_workers(self) -> None:
         first = m.StartWorker(
-            caches=self._size.caches, settings=sexp.write(self.settings), drop_every=self._size.drop_every
+            caches=self._size.caches,
+            settings=sexp.format_document(self.settings),
+            drop_every=self._size.drop_every,
         )
         starting = (Child.start(f"worker {i}", "worker", first) for i in range(self._size.workers))
         self.workers = list(await asyncio.gather(*starting))
--- a/magpieshift/lab/scale/hollow.py
+++ b/magpieshift/lab/scale/hollow.py
@@ -17,9 +17,10 @@
 from magpieshift.config_transaction import Part, Prepared, RunningSettings, prepare
 from magpieshift.control.client import ControlClient
 from magpieshift.control.content import Overrides
-from magpieshift.control.schema import Loaded
-from magpieshift.control.version_history import Answer, Record, State, VersionHistory
-from magpieshift.control.version_manager import VersionManager, now_us
+from magpieshift.control.schema import LoadedDocument
+from magpieshift.control.version_history import VersionHistory
+from magpieshift.control.version_manager import VersionManager, unix_now_us
+from magpieshift.control.version_records import OfferOutcome, VersionRecord, VersionState
 from magpieshift.discovery.changes import ChangeLog, ChangeSource
 from magpieshift.discovery.client import ChangeLogClient
 from magpieshift.engine.engine import Engine
@@ -44,8 +45,8 @@
 
     changelog: Address | None = None
 
-    def on(self, document: Document) -> Document:
-        found = super().on(document)
+    def apply_to(self, document: Document) -> Document:
+        found = super().apply_to(document)
         return found if self.changelog is None else replace(found, changelog=self.changelog)
 
 
@@ -95,10 +96,10 @@
         self._drop_every = drop_every
         self._seen = 0
 
-    def handle(self, module: RouterPolicy, now_us: int, events: Sequence[Event]) -> list[Action]:
+    def handle(self, module: RouterPolicy, unix_now_us: int, events: Sequence[Event]) -> list[Action]:
         if self._drop_every:
             events = [event for event in events if not self._dropped(event)]
-        actions = module.handle(now_us, events)
+        actions = module.handle(unix_now_us, events)
         if purges := [event for event in events if isinstance(event, PurgeReceived) and event.object_key]:
             self._told(purges)
         return actions
@@ -114,21 +115,23 @@
 
     def reconfigured(self, settings: Settings, fresh: Collection[int]) -> None: ...
 
-    def overrides_applied(self, now_us: int, acts: Sequence[HealthOverride]) -> None: ...
+    def overrides_applied(self, unix_now_us: int, acts: Sequence[HealthOverride]) -> None: ...
 
 
 class HollowRouter:
     """Owner of one router's control side."""
 
-    def __init__(self, name: str, loaded: Loaded, overrides: Overrides, seed: int, tap: PurgeWatch) -> None:
+    def __init__(
+        self, name: str, loaded: LoadedDocument, overrides: Overrides, seed: int, tap: PurgeWatch
+    ) -> None:
         self.name = name
         self.seed = seed
-        self.document = overrides.on(loaded.document)
+        self.document = overrides.apply_to(loaded.document)
         self.engine = Engine(
             self.document.settings, seed, LoopClock(), EmptyBack(), names=self.document.names
         )
         self.engine.policy_observer = tap
-        first = Record(0, loaded.digest, "start", State.IN_FORCE, now_us())
+        first = VersionRecord(0, loaded.digest, "start", VersionState.IN_FORCE, unix_now_us())
         self.manager = VersionManager(self, VersionHistory(first), loaded.data, overrides=overrides)
         self.lifecycle = Lifecycle(LoopClock().now_us)
         self.changes = ChangeLog(self.document.names, self)
@@ -211,7 +214,7 @@
 def on_version(manager: VersionManager, told: Callable[[int], None]) -> None:
     """Call ``told`` with the number of each version that comes into force."""
 
-    def heard(answer: Answer, apply_us: int, pause_us: int) -> None:
+    def heard(answer: OfferOutcome, apply_us: int, pause_us: int) -> None:
         if answer.accepted:
             told(answer.offer.number)
 
--- a/magpieshift/lab/scale/installation.py
+++ b/magpieshift/lab/scale/installation.py
@@ -27,7 +27,7 @@
     """The text of a version: the settings with one figure that no other version has."""
     changed = copy.deepcopy(dict(data))
     changed["stores"] = dict(changed.get("stores", {})) | {"answer-slack-ms": 1 + number / 1000}
-    return sexp.write(changed)
+    return sexp.format_document(changed)
 
 
 def cache(place: int, phase: str = "SERVING", births: int = 0) -> dict[str, Any]:
--- a/magpieshift/lab/scale/topology.py
+++ b/magpieshift/lab/scale/topology.py
@@ -26,8 +26,8 @@
 
 from magpieshift.config import ConfigError
 from magpieshift.control import sexp
-from magpieshift.control.sexp import Problem, Unusable
-from magpieshift.control.validation import Form, Seconds, checked
+from magpieshift.control.errors import Problem, UnusableDocumentError
+from magpieshift.control.validation import Form, Seconds, validate_form
 
 HEAD = "topology"
 TARGET_SITES = 370
@@ -127,9 +127,9 @@
 
 
 def read(text: str, source: str = "topology") -> Topology:
-    """The topology of a text; ``Unusable`` with all that is wrong with it."""
-    tree = sexp.read(text, source, HEAD)
-    form = checked(TopologyForm, tree.data, tree.lines)
+    """The topology of a text; ``UnusableDocumentError`` with all that is wrong with it."""
+    tree = sexp.parse(text, source, HEAD)
+    form = validate_form(TopologyForm, tree.data, tree.lines)
     problems = []
 
     def known(where: tuple[str, ...], name: str, names: object, what: str) -> None:
@@ -142,7 +142,7 @@
     for site, (zone, _) in form.sites.items():
         known(("sites", site), zone, form.zones, "a zone of zones")
     if problems:
-        raise Unusable(problems)
+        raise UnusableDocumentError(problems)
     topology = Topology(form)
     for name, cut in form.cuts.items():
         chosen = [each for each in (cut.region, cut.zone, cut.rack) if each is not None]
@@ -153,11 +153,11 @@
         elif cut.to_s <= cut.from_s:
             problems.append(_wrong_cut(tree, name, f"to-s {cut.to_s}", f"a time after from-s {cut.from_s}"))
     if problems:
-        raise Unusable(problems)
+        raise UnusableDocumentError(problems)
     return topology
 
 
-def _wrong_cut(tree: sexp.Tree, name: str, found: str, expected: str) -> Problem:
+def _wrong_cut(tree: sexp.ParsedDocument, name: str, found: str, expected: str) -> Problem:
     return Problem(f"cuts {name}", tree.lines.get(("cuts", name), 0), found, expected)
 
 
@@ -169,7 +169,7 @@
         raise ConfigError(f"{path} cannot be read: {err}") from err
     try:
         return read(text, path)
-    except Unusable as err:
+    except UnusableDocumentError as err:
         raise ConfigError(f"{path}: {err}") from err
 
 
@@ -217,4 +217,4 @@
     data = form.model_dump(mode="json", by_alias=True, exclude_none=True, exclude_defaults=True)
     for name in ("region-km", "sites"):
         data[name] = {key: list(value) for key, value in data[name].items()}
-    return sexp.write(data, HEAD)
+    return sexp.format_document(data, HEAD)
--- a/magpieshift/lab/scale/worker.py
+++ b/magpieshift/lab/scale/worker.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from magpieshift.control.schema import Loaded, load_text
+from magpieshift.control.schema import LoadedDocument, load_text
 from magpieshift.lab.scale import child
 from magpieshift.lab.scale.hollow import At, DirectFeed, Feed, HollowRouter, PurgeWatch, on_version
 from magpieshift.lab.scale.messages import (
@@ -54,7 +54,7 @@
     """Owner of the hollow routers of this process."""
 
     def __init__(self, start: StartWorker) -> None:
-        self._loaded: Loaded = load_text(start.settings)
+        self._loaded: LoadedDocument = load_text(start.settings)
         self._drop_every = start.drop_every
         self.shared = Shared()
         self._live: dict[str, Live] = {}
--- a/magpieshift/relay/configuration.py
+++ b/magpieshift/relay/configuration.py
@@ -2,17 +2,15 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
-from typing import Any
-
 from google.protobuf.message import DecodeError
 
 from magpieshift.control import sexp
-from magpieshift.control.content import Delta, Full
-from magpieshift.control.publisher import Published
+from magpieshift.control.content import DeltaContent, FullContent, without_version
+from magpieshift.control.document_changes import Change, apply_changes, differences, document_digest
+from magpieshift.control.errors import Problem, UnusableDocumentError
+from magpieshift.control.publisher import PublishedVersion
 from magpieshift.control.session import read_changes, write_changes
-from magpieshift.control.sexp import Problem, Unusable
-from magpieshift.control.version_history import Offer
+from magpieshift.control.version_records import VersionOffer
 from magpieshift.control.wire import control_pb2 as wire
 from magpieshift.relay.messages import ConfigurationChange
 
@@ -20,13 +18,13 @@
 """The source of offers, in the history of versions."""
 
 
-def log_entry(previous: Published | None, version: Published) -> ConfigurationChange:
+def log_entry(previous: PublishedVersion | None, version: PublishedVersion) -> ConfigurationChange:
     """A version as the log's next entry: the delta to the one before it, or the complete text if one of them
     is no document."""
     if previous is None or previous.data is None or version.data is None:
         return ConfigurationChange(version.number, version.digest, "", version.text.encode())
     delta = wire.Delta(base=previous.number, base_digest=previous.digest)
-    delta.changes.extend(write_changes(sexp.differences(previous.data, version.data)))
+    delta.changes.extend(write_changes(differences(previous.data, version.data)))
     content = bytes(delta.SerializeToString())
     return ConfigurationChange(version.number, version.digest, previous.digest, content)
 
@@ -36,31 +34,28 @@
     if base is None or base.digest != change.base_digest:
         return None
     try:
-        data = sexp.apply(_without_version(sexp.read(base.content.decode()).data), _changes(change.content))
-    except Unusable:
+        data = apply_changes(
+            without_version(sexp.parse(base.content.decode()).data), _changes(change.content)
+        )
+    except UnusableDocumentError:
         return None
-    if sexp.digest(_without_version(data)) != change.digest:
+    if document_digest(without_version(data)) != change.digest:
         return None
-    return ConfigurationChange(change.number, change.digest, "", sexp.write(data).encode())
+    return ConfigurationChange(change.number, change.digest, "", sexp.format_document(data).encode())
 
 
-def version_offer(change: ConfigurationChange) -> Offer:
-    """What is offered to a router's versions; ``Unusable`` if the content cannot be read."""
+def version_offer(change: ConfigurationChange) -> VersionOffer:
+    """What is offered to a router's versions; ``UnusableDocumentError`` if the content cannot be read."""
     if not change.base_digest:
         text = change.content.decode(errors="replace")
-        return Offer(change.number, change.digest, OFFER_SOURCE, payload=Full(text))
+        return VersionOffer(change.number, change.digest, OFFER_SOURCE, payload=FullContent(text))
     base = change.base_digest
-    payload = Delta(base, _changes(change.content))
-    return Offer(change.number, change.digest, OFFER_SOURCE, base=base, payload=payload)
-
-
-def _without_version(data: Mapping[str, Any]) -> dict[str, Any]:
-    """Without the number, which is no part of the digest."""
-    return {name: value for name, value in data.items() if name != "version"}
+    payload = DeltaContent(base, _changes(change.content))
+    return VersionOffer(change.number, change.digest, OFFER_SOURCE, base=base, payload=payload)
 
 
-def _changes(content: bytes) -> tuple[sexp.Change, ...]:
+def _changes(content: bytes) -> tuple[Change, ...]:
     try:
         return read_changes(wire.Delta.FromString(content))
     except DecodeError as err:
-        raise Unusable([Problem("delta", 0, f"no delta ({err})", "one")]) from None
+        raise UnusableDocumentError([Problem("delta", 0, f"no delta ({err})", "one")]) from None
--- a/magpieshift/relay/version_reader.py
+++ b/magpieshift/relay/version_reader.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from magpieshift.control.publisher import Published, read_folder
+from magpieshift.control.publisher import PublishedVersion, read_version_folder
 from magpieshift.log import fields
 from magpieshift.relay.configuration import log_entry
 from magpieshift.relay.message_cache import fits_message
@@ -29,7 +29,7 @@
         # number of the last version that was read
         self._newest_number = -1
         # the last version that was passed on
-        self._previous: Published | None = None
+        self._previous: PublishedVersion | None = None
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
@@ -54,11 +54,11 @@
                 self._pass_on(version, entry)
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    def _read_new(self) -> list[Published]:
-        versions = read_folder(self._folder, self._newest_number)
+    def _read_new(self) -> list[PublishedVersion]:
+        versions = read_version_folder(self._folder, self._newest_number)
         return versions if self._newest_number >= 0 else versions[-1:]
 
-    def _pass_on(self, version: Published, entry: ConfigurationChange) -> None:
+    def _pass_on(self, version: PublishedVersion, entry: ConfigurationChange) -> None:
         self._newest_number = version.number
         if not version.number or not fits_message(entry):
             reason = "it has no number" if not version.number else "too large"
--- a/magpieshift/rollout/plan_reader.py
+++ b/magpieshift/rollout/plan_reader.py
@@ -10,16 +10,18 @@
 
 from magpieshift.config import Address, ConfigError, parse_address, read_text
 from magpieshift.control import sexp
-from magpieshift.control.sexp import Problem, Unusable
-from magpieshift.control.validation import Lines, checked
+from magpieshift.control.document_changes import document_digest
+from magpieshift.control.errors import Problem, UnusableDocumentError
+from magpieshift.control.validation import Lines, nearest_line, validate_form
 from magpieshift.rollout.plan import Build, OnFailure, Plan, RouterPlace, Stage, Tolerances
 from magpieshift.rollout.plan_form import PLACEHOLDERS, PLAN_HEAD, PlanForm, SideForm, StageForm
 
 
 def load_plan(data: Mapping[str, Any], lines: Lines | None = None) -> Plan:
-    """A checked plan; ``Unusable`` with all that is wrong in it. ``lines`` says where entries stand."""
+    """A checked plan; ``UnusableDocumentError`` with all that is wrong in it. ``lines`` says where entries
+    stand."""
     lines = lines or {}
-    form = checked(PlanForm, data, lines)
+    form = validate_form(PlanForm, data, lines)
     checker = _PlanChecker(form, lines)
     routers = checker.routers()
     checker.check_builds()
@@ -27,7 +29,7 @@
     if form.most_away >= len(form.routers):
         checker.report(("most-away",), form.most_away, f"less than the {len(form.routers)} routers")
     if checker.problems:
-        raise Unusable(checker.problems)
+        raise UnusableDocumentError(checker.problems)
     worse_by = form.worse_by
     return Plan(
         name=form.name,
@@ -41,13 +43,13 @@
         max_unreachable=form.most_away,
         step_timeout_s=form.step_s,
         on_failure=OnFailure(form.on_stop),
-        digest=sexp.digest(data),
+        digest=document_digest(data),
     )
 
 
 def load_plan_file(path: str | Path) -> Plan:
-    """Read a plan; ``ConfigError`` if it cannot be read, ``Unusable`` if it cannot be used."""
-    tree = sexp.read(read_text(path), str(path), PLAN_HEAD)
+    """Read a plan; ``ConfigError`` if it cannot be read, ``UnusableDocumentError`` if it cannot be used."""
+    tree = sexp.parse(read_text(path), str(path), PLAN_HEAD)
     return load_plan(tree.data, tree.lines)
 
 
@@ -62,9 +64,8 @@
 
     def report(self, path: tuple[str, ...], found: object, expected: str) -> None:
         """An entry that cannot be used; its line is that of the nearest entry round it that has one."""
-        lines = self._lines
-        line = next((lines[path[:end]] for end in range(len(path), 0, -1) if path[:end] in lines), 0)
-        self.problems.append(Problem(" ".join(path), line, sexp.shown(found), expected))
+        line = nearest_line(path, self._lines)
+        self.problems.append(Problem(" ".join(path), line, sexp.shorten(found), expected))
 
     def routers(self) -> dict[str, RouterPlace]:
         """The routers; no two have an address in common."""
--- a/tests/capture/test_process.py
+++ b/tests/capture/test_process.py
@@ -14,7 +14,7 @@
 from magpieshift.capture import segments
 from magpieshift.capture.replay import Replay
 from magpieshift.control import sexp
-from magpieshift.control.sexp import Unusable
+from magpieshift.control.errors import UnusableDocumentError
 from magpieshift.lab.emulators import peers
 from magpieshift.lab.emulators.emulator import Rules
 from magpieshift.lab.emulators.world import World
@@ -122,7 +122,7 @@
             data = world.settings()
             del data["classes"]["basket"]
             data["classes"] = {"film": data["classes"]["picture"]} | data["classes"]
-            start.write_text(sexp.write(data))
+            start.write_text(sexp.format_document(data))
             process.send_signal(signal.SIGHUP)
             await self.says(log, "version in force")
             await self.served(client, client.served + 30)
@@ -175,7 +175,7 @@
             ),
             ({"seconds": -1, "colour": 3}, "seconds: found -1"),
         ):
-            with self.assertRaises(Unusable) as caught:
+            with self.assertRaises(UnusableDocumentError) as caught:
                 scenario.load(data)
             self.assertIn(said, str(caught.exception))
 
--- a/tests/control/test_channel.py
+++ b/tests/control/test_channel.py
@@ -16,15 +16,24 @@
 
 from magpieshift.config import Document
 from magpieshift.config_transaction import Prepared, RunningSettings, prepare
-from magpieshift.control import sexp, store
+from magpieshift.control import sexp
 from magpieshift.control.backoff import INITIAL_BACKOFF_S, MAX_BACKOFF_S, STABLE_CONNECTION_S, Backoff
 from magpieshift.control.client import ControlClient
-from magpieshift.control.publisher import Published, Publisher
+from magpieshift.control.publisher import PublishedVersion, Publisher
 from magpieshift.control.schema import load_text
-from magpieshift.control.service import ControlService, Stream
+from magpieshift.control.service import ControlService, RouterStream
 from magpieshift.control.session import RouterSession
-from magpieshift.control.version_history import Answer, Offer, Reason, Record, State
-from magpieshift.control.version_manager import VersionManager, first_version
+from magpieshift.control.stored_versions import StoredVersion, read_store
+from magpieshift.control.version_manager import VersionManager
+from magpieshift.control.version_records import (
+    OfferOutcome,
+    RejectionReason,
+    VersionOffer,
+    VersionRecord,
+    VersionState,
+)
+from magpieshift.control.version_startup import first_version
+from magpieshift.control.version_store import VersionStore
 from magpieshift.control.wire import control_pb2 as wire
 from tests.real.exchange import PATIENCE_S, ROOT
 
@@ -32,8 +41,10 @@
 START = load_text(TEXT)
 
 
-def version(number: int, **more: Any) -> Published:
-    return Published.of(number, sexp.write(dict(START.data) | {"retry-after-ms": 100 + number} | more))
+def version(number: int, **more: Any) -> PublishedVersion:
+    return PublishedVersion.parse(
+        number, sexp.format_document(dict(START.data) | {"retry-after-ms": 100 + number} | more)
+    )
 
 
 class FakeRouter:
@@ -65,12 +76,12 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder, self.router, self.service = Path(folder.name), FakeRouter(), ControlService()
-        self.answers: list[Answer] = []
+        self.answers: list[OfferOutcome] = []
         self.heard: list[wire.FromRouter] = []
         self.manager = self.new_manager()
         await self.service.start("127.0.0.1:0")
         self.port = self.service.port
-        self.service.heard = lambda stream, data: self.heard.append(wire.FromRouter.FromString(data))
+        self.service.on_message = lambda stream, data: self.heard.append(wire.FromRouter.FromString(data))
         self.client = ControlClient(f"127.0.0.1:{self.port}", self.manager, "r1", "b1", random.Random(1))
         self.quiet = (
             mock.patch("magpieshift.control.version_manager.log"),
@@ -89,7 +100,7 @@
         await self.service.stop()
 
     def new_manager(self) -> VersionManager:
-        kept = store.Store(self.folder)
+        kept = VersionStore(self.folder)
         versions, loaded = first_version(START, kept, "test")
         manager = VersionManager(self.router, versions, loaded.data, kept)
         manager.listeners.append(lambda answer, apply_us, pause_us: self.answers.append(answer))
@@ -113,13 +124,13 @@
         """The service dies and another comes up in its place."""
         await self.service.stop()
         self.service = ControlService(publisher)
-        self.service.heard = lambda stream, data: self.heard.append(wire.FromRouter.FromString(data))
+        self.service.on_message = lambda stream, data: self.heard.append(wire.FromRouter.FromString(data))
         self.heard.clear()
         await self.service.start(f"127.0.0.1:{self.port}")
         await self.until(lambda: bool(self.heard))
 
     @property
-    def stream(self) -> Stream:
+    def stream(self) -> RouterStream:
         return next(iter(self.service.streams))
 
 
@@ -130,13 +141,13 @@
         self.assertTrue(answer.accepted)
         self.assertEqual((answer.in_force, answer.in_force_digest), (1, version(1).digest))
         self.assertEqual(self.router.version, 1)
-        kept = store.read(self.folder).in_force
+        kept = read_store(self.folder).in_force
         assert kept is not None
         self.assertEqual((kept.record.number, kept.record.digest), (1, version(1).digest))
 
     async def test_the_second_goes_as_a_delta_and_one_on_a_wrong_base_is_sent_whole(self) -> None:
         sent = mock.Mock(side_effect=self.stream.send)
-        with mock.patch.object(Stream, "send", lambda _, data: data and sent(data)):
+        with mock.patch.object(RouterStream, "send", lambda _, data: data and sent(data)):
             self.service.publish(version(1))
             await self.answer_to(1)
             self.service.publish(version(2))
@@ -147,11 +158,11 @@
         self.assertEqual(kinds, ["full", "delta"])
         who, publisher = self.stream.subscriber, self.service.publisher
         publisher.publish(version(3))
-        message = wire.FromControl.FromString(publisher.send(who, version(3)))
+        message = wire.FromControl.FromString(publisher.encode_version(who, version(3)))
         message.version.delta.base_digest = "f" * 32
         self.stream.send(message.SerializeToString())
         await self.until(lambda: self.router.version == 3)
-        self.assertEqual([a.reason for a in self.answers if not a.accepted], [Reason.WRONG_BASE])
+        self.assertEqual([a.reason for a in self.answers if not a.accepted], [RejectionReason.WRONG_BASE])
 
     async def test_the_service_dies_before_the_acknowledgement(self) -> None:
         self.router.hold = asyncio.Event()
@@ -164,7 +175,7 @@
         await self.again(publisher)
         self.assertEqual((self.heard[0].hello.in_force, self.heard[0].hello.digest), (1, version(1).digest))
         publisher.publish(version(2))
-        self.stream.send(publisher.next_for(self.stream.subscriber))
+        self.stream.send(publisher.next_message(self.stream.subscriber))
         self.assertTrue((await self.answer_to(2)).accepted)
 
     async def test_the_service_comes_back_having_forgotten_everything_or_with_an_older_version(self) -> None:
@@ -175,9 +186,9 @@
         older = Publisher()
         older.publish(version(4))
         await self.again(older)
-        self.stream.send(older.send(self.stream.subscriber, version(4), whole=True))  # it insists
+        self.stream.send(older.encode_version(self.stream.subscriber, version(4), full=True))  # it insists
         answer = await self.answer_to(4)
-        self.assertEqual((Reason(answer.reason), answer.in_force), (Reason.BACKWARD, 5))
+        self.assertEqual((RejectionReason(answer.reason), answer.in_force), (RejectionReason.OUT_OF_ORDER, 5))
         self.service.publish(version(6))
         self.assertTrue((await self.answer_to(6)).accepted)
 
@@ -187,7 +198,7 @@
         await self.until(lambda: self.manager.versions.preparing is not None)
         self.service.publish(version(2))
         self.service.publish(version(3))
-        self.assertEqual(Reason((await self.answer_to(2)).reason), Reason.SUPERSEDED)
+        self.assertEqual(RejectionReason((await self.answer_to(2)).reason), RejectionReason.SUPERSEDED)
         self.router.hold.set()
         self.assertTrue((await self.answer_to(3)).accepted)
         self.assertEqual([a.offer.number for a in self.answers if a.accepted], [1, 3])
@@ -200,7 +211,7 @@
         self.router.hold.set()
         await self.answer_to(2)
         who = self.stream.subscriber
-        self.assertEqual((who.in_force, who.stale, who.nonce), (2, 1, ""))
+        self.assertEqual((who.in_force, who.stale_answers, who.nonce), (2, 1, ""))
 
     async def test_a_part_that_raises_leaves_all_as_it_was_and_may_be_asked_again(self) -> None:
         self.service.publish(version(1))
@@ -208,26 +219,28 @@
         self.router.says = ZeroDivisionError("on purpose")
         self.service.publish(version(2))
         answer = await self.answer_to(2)
-        self.assertEqual((Reason(answer.reason), answer.in_force), (Reason.RAISED, 1))
+        self.assertEqual((RejectionReason(answer.reason), answer.in_force), (RejectionReason.PART_FAILED, 1))
         self.router.says = None
-        self.stream.send(self.service.publisher.send(self.stream.subscriber, version(2), whole=True))
+        self.stream.send(self.service.publisher.encode_version(self.stream.subscriber, version(2), full=True))
         await self.until(lambda: self.router.version == 2)
 
     async def test_a_disk_that_takes_nothing_turns_versions_down(self) -> None:
         with mock.patch("os.fsync", side_effect=OSError(28, "No space left on device")):
             self.service.publish(version(1))
             answer = await self.answer_to(1)
-        self.assertEqual((Reason(answer.reason), self.router.version), (Reason.NOT_KEPT, 0))
-        self.assertIsNone(store.read(self.folder).in_force)
+        self.assertEqual(
+            (RejectionReason(answer.reason), self.router.version), (RejectionReason.NOT_STORED, 0)
+        )
+        self.assertIsNone(read_store(self.folder).in_force)
 
     async def test_what_is_no_version_is_answered_and_the_stream_goes_on(self) -> None:
-        whole = self.service.publisher.send(self.stream.subscriber, version(1), whole=True)
+        whole = self.service.publisher.encode_version(self.stream.subscriber, version(1), full=True)
         for data in (whole[:-7], b"\xff" * 9, b""):
             self.heard.clear()
             self.stream.send(data)
-            self.assertEqual(Reason((await self.answer_to(0)).reason), Reason.MALFORMED)
-        deep = Published.of(2, "(magpieshift " + "(a " * 9999 + ")" * 10000)
-        self.stream.send(self.service.publisher.send(self.stream.subscriber, deep, whole=True))
+            self.assertEqual(RejectionReason((await self.answer_to(0)).reason), RejectionReason.MALFORMED)
+        deep = PublishedVersion.parse(2, "(magpieshift " + "(a " * 9999 + ")" * 10000)
+        self.stream.send(self.service.publisher.encode_version(self.stream.subscriber, deep, full=True))
         self.assertIn("deep nesting", (await self.answer_to(2)).detail)
         self.service.publish(version(3))
         self.assertTrue((await self.answer_to(3)).accepted)
@@ -275,24 +288,24 @@
 
     @given(st.binary(max_size=200), st.integers(0, 400))
     def test_any_bytes_are_an_offer_or_an_answer(self, noise: bytes, at: int) -> None:
-        whole = Publisher().send(mock.Mock(digest=""), version(1))
+        whole = Publisher().encode_version(mock.Mock(digest=""), version(1))
         for data in (noise, whole[: at % len(whole)] + noise, noise + whole):
-            found = RouterSession().feed(data)
-            self.assertIsInstance(found, Offer | Answer)
+            found = RouterSession().receive(data)
+            self.assertIsInstance(found, VersionOffer | OfferOutcome)
 
     def test_a_kept_version_that_cannot_be_used_any_more_is_passed_over(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            kept = store.Store(folder)
+            kept = VersionStore(folder)
             for number, text in ((1, version(1).text), (2, "(magpieshift (of another age))")):
-                record = Record(number, version(1).digest, "t", State.IN_FORCE, 1)
-                kept.append(store.Kept(record, text))
-            with self.assertLogs("magpieshift.control.version_manager", "ERROR"):
+                record = VersionRecord(number, version(1).digest, "t", VersionState.IN_FORCE, 1)
+                kept.append(StoredVersion(record, text))
+            with self.assertLogs("magpieshift.control.version_startup", "ERROR"):
                 versions, loaded = first_version(None, kept, "")
             self.assertEqual((versions.in_force.number, loaded.digest), (1, version(1).digest))
             higher = load_text(TEXT.replace("(magpieshift", "(magpieshift (version 9)", 1))
             with (
                 self.assertNoLogs(level=logging.ERROR),
-                mock.patch("magpieshift.control.version_manager.log"),
+                mock.patch("magpieshift.control.version_startup.log"),
             ):
                 self.assertEqual(first_version(higher, kept, "file")[0].in_force.number, 9)
             kept.close()
--- a/tests/control/test_documents.py
+++ b/tests/control/test_documents.py
@@ -10,7 +10,8 @@
 
 from magpieshift.config import ConfigError, parse
 from magpieshift.control import schema, sexp
-from magpieshift.control.sexp import Unusable
+from magpieshift.control.document_changes import apply_changes, differences, document_digest, is_identical
+from magpieshift.control.errors import UnusableDocumentError
 from tests.real.exchange import ROOT, config
 
 PORTS = {"cache": "127.0.0.1:1", "origin": "127.0.0.1:2", "log": "127.0.0.1:3"}
@@ -31,7 +32,7 @@
 def problems(text: str) -> list[str]:
     try:
         schema.load_text(text)
-    except Unusable as err:
+    except UnusableDocumentError as err:
         return [str(problem) for problem in err.problems]
     return []
 
@@ -40,7 +41,7 @@
     def test_both_readers_give_one_document(self) -> None:
         """The platform's JSON, written as a settings file and read again, is the same to the last figure."""
         document = parse(config(PORTS)).document
-        text = sexp.write(schema.to_data(document))
+        text = sexp.format_document(schema.to_data(document))
         self.assertEqual(schema.load_text(text).document, document)
 
     def test_the_example_can_be_used(self) -> None:
@@ -97,7 +98,7 @@
             ("(magpieshift (a 'b))", "a word"),
             ("(magpieshift (7 8))", "a name as the first word"),
             ("(magpieshift x)", "entries"),
-            ("(magpieshift " + "x" * sexp.MOST_TEXT + ")", "at most"),
+            ("(magpieshift " + "x" * sexp.MAX_TEXT_LENGTH + ")", "at most"),
         ):
             with self.subTest(text[:30]):
                 self.assertIn(said, "\n".join(problems(text)))
@@ -105,15 +106,15 @@
     @given(trees)
     @settings(max_examples=60, deadline=None)
     def test_what_is_written_is_read_again(self, data: dict[str, Any]) -> None:
-        read = sexp.read(sexp.write(data)).data
-        self.assertTrue(sexp.same(read, data), (read, data))
+        read = sexp.parse(sexp.format_document(data)).data
+        self.assertTrue(is_identical(read, data), (read, data))
 
     @given(trees, trees)
     @settings(max_examples=60, deadline=None)
     def test_differences_make_the_one_of_the_other(self, old: dict[str, Any], new: dict[str, Any]) -> None:
-        changes = sexp.differences(old, new)
-        self.assertEqual(sexp.digest(sexp.apply(old, changes)), sexp.digest(new))
-        self.assertEqual(bool(changes), sexp.digest(old) != sexp.digest(new))
+        changes = differences(old, new)
+        self.assertEqual(document_digest(apply_changes(old, changes)), document_digest(new))
+        self.assertEqual(bool(changes), document_digest(old) != document_digest(new))
 
     @given(st.one_of(st.text(), st.binary().map(lambda data: data.decode("latin-1"))))
     @settings(max_examples=200, deadline=None)
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -12,11 +12,14 @@
 from pathlib import Path
 from typing import Any
 
-from magpieshift.control import sexp, store
-from magpieshift.control.publisher import Published
+from magpieshift.control import sexp
+from magpieshift.control.document_changes import document_digest
+from magpieshift.control.publisher import PublishedVersion
 from magpieshift.control.schema import load_data, to_data
 from magpieshift.control.service import ControlService
-from magpieshift.control.version_history import Record, State
+from magpieshift.control.stored_versions import StoredVersion, read_store
+from magpieshift.control.version_records import VersionRecord, VersionState
+from magpieshift.control.version_store import VersionStore
 from magpieshift.lab.emulators import peers
 from magpieshift.lab.experiments.versions import Plan, play
 from tests.control.test_documents import EXAMPLE
@@ -32,7 +35,7 @@
     if name == sys.argv[1] and installation.router.version == 1 + (name in ("committed", "answered")):
         os.kill(os.getpid(), signal.SIGKILL)
 def prepared(installation):
-    installation.manager.step = lambda name: at(name, installation)
+    installation.manager.on_step = lambda name: at(name, installation)
 runner.run = lambda options: plain(options, prepared)
 main.run(sys.argv[2:])
 """
@@ -98,9 +101,9 @@
         service, first = ControlService(), self.settings()
         await service.start("127.0.0.1:0")
         acknowledged: list[int] = []
-        service.heard = lambda stream, data: acknowledged.append(stream.subscriber.in_force)
+        service.on_message = lambda stream, data: acknowledged.append(stream.subscriber.in_force)
         start, state = folder / "start.sexp", folder / "state"
-        start.write_text(sexp.write(first))
+        start.write_text(sexp.format_document(first))
         words = [
             "run",
             "--config",
@@ -111,7 +114,7 @@
             f"127.0.0.1:{service.port}",
         ]
         documents = {n: first | {"retry-after-ms": 100 + n} for n in (1, 2)}
-        service.publish(Published.of(1, sexp.write(documents[1])))
+        service.publish(PublishedVersion.parse(1, sexp.format_document(documents[1])))
         with (folder / "log").open("wb") as log:
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-c", KILLED_AT, step, *words, stderr=log, cwd=ROOT
@@ -120,17 +123,17 @@
                 async with asyncio.timeout(PATIENCE_S):
                     while 1 not in acknowledged:
                         await asyncio.sleep(0.005)
-                    service.publish(Published.of(2, sexp.write(documents[2])))
+                    service.publish(PublishedVersion.parse(2, sexp.format_document(documents[2])))
                     self.assertEqual(await process.wait(), -9, (folder / "log").read_text())
             finally:
                 if process.returncode is None:
                     process.kill()
                 await service.stop()
-        kept = store.read(state).in_force
+        kept = read_store(state).in_force
         assert kept is not None
         self.assertEqual(kept.record.number, 2 if step in ("kept", "committed", "answered") else 1)
         self.assertGreaterEqual(kept.record.number, max(acknowledged))
-        self.assertEqual(sexp.read(kept.text).data, documents[kept.record.number])
+        self.assertEqual(sexp.parse(kept.text).data, documents[kept.record.number])
         # the control service is gone: the router starts from what it has kept, and says so
         text = await self.until_ready(words)
         self.assertRegex(text, rf"event=ready name=n1 seq=0 version={kept.record.number}\b")
@@ -211,19 +214,19 @@
 
     def test_history_show_diff_and_rollback(self) -> None:
         first = self.settings()
-        texts = {n: sexp.write(first | {"retry-after-ms": 100 + n}) for n in (1, 2)}
-        kept = store.Store(self.folder / "state")
+        texts = {n: sexp.format_document(first | {"retry-after-ms": 100 + n}) for n in (1, 2)}
+        kept = VersionStore(self.folder / "state")
         for number, text in texts.items():
-            digest = sexp.digest(sexp.read(text).data)
-            record = Record(number, digest, "control", State.IN_FORCE, 1_764_576_000_000_000)
-            kept.append(store.Kept(record, text))
+            digest = document_digest(sexp.parse(text).data)
+            record = VersionRecord(number, digest, "control", VersionState.IN_FORCE, 1_764_576_000_000_000)
+            kept.append(StoredVersion(record, text))
         kept.close()
         state = ["--state", str(self.folder / "state")]
         table = program("config", "history", *state).stdout.splitlines()
         self.assertRegex(table[1], r"^1 +replaced +2025-12-01 08:00:00 +control")
         self.assertRegex(table[2], r"^2 +in force")
         shown = json.loads(program("config", "show", *state, "--json").stdout)
-        self.assertEqual(load_data(shown["settings"]), load_data(sexp.read(texts[2]).data))
+        self.assertEqual(load_data(shown["settings"]), load_data(sexp.parse(texts[2]).data))
         done = program("config", "diff", "1", "2", *state)
         self.assertEqual((done.returncode, done.stdout), (1, "retry-after-ms: (retry-after-ms 102)\n"))
         folder = self.folder / "versions"
@@ -240,10 +243,10 @@
         bad = str(self.folder / "none" / "x")
         (self.folder / "none").write_text("")
         start = self.folder / "start.sexp"
-        start.write_text(sexp.write(self.settings()))
+        start.write_text(sexp.format_document(self.settings()))
         for form, found in (
-            ("pairs", r"event=\"versions cannot be kept\""),
-            ("json", r'"event": "versions cannot'),
+            ("pairs", r"event=\"versions not stored\""),
+            ("json", r'"event": "versions not stored"'),
         ):
             process = subprocess.Popen(
                 [
--- a/tests/control/test_folder.py
+++ b/tests/control/test_publisher.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from magpieshift.control import publisher
-from magpieshift.control.publisher import read_folder
+from magpieshift.control.publisher import read_version_folder
 
 
 class Folders(unittest.TestCase):
@@ -20,8 +20,10 @@
 
     def read(self, known: set[int]) -> tuple[list[int], int]:
         """The numbers that were found, and how many files were read for them."""
-        with mock.patch.object(publisher.Published, "of", wraps=publisher.Published.of) as reading:
-            found = [version.number for version in read_folder(self.home, known=known)]
+        with mock.patch.object(
+            publisher.PublishedVersion, "parse", wraps=publisher.PublishedVersion.parse
+        ) as reading:
+            found = [version.number for version in read_version_folder(self.home, known=known)]
         return found, reading.call_count
 
     def test_versions_come_in_order_of_their_numbers(self) -> None:
--- a/tests/membership/test_joined.py
+++ b/tests/membership/test_joined.py
@@ -15,8 +15,8 @@
 from magpieshift.capture.recorder import Limits, Recorder
 from magpieshift.capture.replay import Replay
 from magpieshift.capture.wire import capture_pb2 as wire
+from magpieshift.control.errors import UnusableDocumentError
 from magpieshift.control.schema import load_data, to_data
-from magpieshift.control.sexp import Unusable
 from magpieshift.lab.emulators.world import World
 from tests.real.test_engine import CALL, EngineCase
 
@@ -52,7 +52,7 @@
             {"alone": 1.5},
         ]
         for wrong in wrongs:
-            with self.subTest(wrong), self.assertRaises(Unusable) as caught:
+            with self.subTest(wrong), self.assertRaises(UnusableDocumentError) as caught:
                 load_data(self.data(**wrong))
             self.assertEqual([p.where for p in caught.exception.problems], [f"members {next(iter(wrong))}"])
 
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -11,7 +11,7 @@
 import unittest
 from pathlib import Path
 
-from magpieshift.control.sexp import Unusable
+from magpieshift.control.errors import UnusableDocumentError
 from magpieshift.lab.fault_injection import scenario
 from magpieshift.lab.fault_injection.cluster import Cluster
 from magpieshift.lab.fault_injection.network import ROUTERS as ALL
@@ -254,7 +254,7 @@
                     self.assertEqual(scenario.load_file(str(path)), run)
 
     def test_a_scenario_with_mistakes_is_told_all_of_them(self) -> None:
-        with self.assertRaises(Unusable) as caught:
+        with self.assertRaises(UnusableDocumentError) as caught:
             scenario.load(
                 {
                     "seconds": 5,
@@ -266,7 +266,7 @@
                 }
             )
         self.assertEqual(len(caught.exception.problems), 2)
-        with self.assertRaises(Unusable):
+        with self.assertRaises(UnusableDocumentError):
             scenario.load({"seconds": 5, "faults": {"a": {"what": "burn", "at-s": 1}}})
 
 
--- a/tests/relay/test_drivers.py
+++ b/tests/relay/test_drivers.py
@@ -19,6 +19,7 @@
 
 from magpieshift import clock
 from magpieshift.control import sexp
+from magpieshift.control.document_changes import document_digest
 from magpieshift.control.grpc_channel import FOLLOW_METHOD
 from magpieshift.control.wire import control_pb2 as wire
 from magpieshift.lab.emulators import peers
@@ -464,12 +465,12 @@
         routers[0].follower.wants_full = True
         await self.until(lambda: bool(routers[0].full_versions), "the whole version")
         found = routers[0].full_versions[0]
-        data = sexp.read(found.content.decode()).data
-        self.assertEqual((found.number, found.digest, data["a"]), (2, sexp.digest(data), {"b": 2}))
+        data = sexp.parse(found.content.decode()).data
+        self.assertEqual((found.number, found.digest, data["a"]), (2, document_digest(data), {"b": 2}))
 
     def publish(self, folder: str, number: int, data: dict[str, Any]) -> None:
         part = Path(folder) / f"{number}.new"
-        part.write_text(sexp.write(data))
+        part.write_text(sexp.format_document(data))
         part.rename(Path(folder) / f"{number}.sexp")
 
 
--- a/tests/relay/test_processes.py
+++ b/tests/relay/test_processes.py
@@ -344,18 +344,18 @@
         """Versions come into force by delta; who refuses one is known, and gets the next one whole."""
         data = self.world.settings()
         for number in (1, 2):
-            self.publish(number, sexp.write(data | {"retry-after-ms": 111 * number}))
+            self.publish(number, sexp.format_document(data | {"retry-after-ms": 111 * number}))
             await self.in_force(number)
         self.assertNotIn("wrong_base", self.log_of("router"))
 
-        self.publish(3, sexp.write(data | {"retry-after-ms": -1}))
+        self.publish(3, sexp.format_document(data | {"retry-after-ms": -1}))
         relay = await self.followed()
         await self.until(lambda: self.refuses(relay, 3), "the refusal is known")
         source = await self.told_status("source")
         self.assertEqual((source["version"], source["behind"]), (3, ["lab"]))
 
         # its delta builds on the refused one: the whole is asked for
-        self.publish(4, sexp.write(data | {"retry-after-ms": 444}))
+        self.publish(4, sexp.format_document(data | {"retry-after-ms": 444}))
         await self.in_force(4)
         await self.until(self.nobody_behind, "nobody is behind")
 
--- a/tests/rollout/pieces.py
+++ b/tests/rollout/pieces.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from magpieshift.control.sexp import read
+from magpieshift.control.sexp import parse
 from magpieshift.rollout.coordinator import Coordinator
 from magpieshift.rollout.instructions import BeginStage, Instruction, RecordDecision, ReplaceProcess
 from magpieshift.rollout.plan import Plan
@@ -32,7 +32,7 @@
 
 
 def a_plan(**changes: Any) -> Plan:
-    tree = read(TEXT, "plan", PLAN_HEAD)
+    tree = parse(TEXT, "plan", PLAN_HEAD)
     return load_plan(tree.data | changes, tree.lines)
 
 
--- a/tests/rollout/test_plan_reader.py
+++ b/tests/rollout/test_plan_reader.py
@@ -6,7 +6,8 @@
 from pathlib import Path
 from typing import Any
 
-from magpieshift.control.sexp import Unusable, read
+from magpieshift.control.errors import UnusableDocumentError
+from magpieshift.control.sexp import parse
 from magpieshift.rollout.plan import Tolerances
 from magpieshift.rollout.plan_form import PLAN_HEAD
 from magpieshift.rollout.plan_reader import load_plan, load_plan_file
@@ -29,8 +30,8 @@
     def test_all_mistakes_are_told_with_their_place(self) -> None:
         wrong = TEXT.replace("v7", "v6").replace("{console}", "{door}").replace("7007", "7000")
         wrong = wrong.replace("(share 0.5)", "(routers 9)").replace("(share 1)", "(zone c)")
-        with self.assertRaises(Unusable) as caught:
-            tree = read(wrong, "plan", PLAN_HEAD)
+        with self.assertRaises(UnusableDocumentError) as caught:
+            tree = parse(wrong, "plan", PLAN_HEAD)
             load_plan(tree.data, tree.lines)
         places = {problem.where for problem in caught.exception.problems}
         wanted = {"routers r3 doors", "new label", "new start", "old start", "stages all"}
@@ -39,7 +40,7 @@
         self.assertTrue(all(problem.line for problem in caught.exception.problems))
         odd: list[dict[str, Any]] = [{"most-away": 4}, {"stages": {}}, {"new": {"label": "x"}}, {"odd": 1}]
         for changes in odd:
-            with self.subTest(changes), self.assertRaises(Unusable):
+            with self.subTest(changes), self.assertRaises(UnusableDocumentError):
                 a_plan(**changes)
 
 
--- a/tests/scale/test_topology.py
+++ b/tests/scale/test_topology.py
@@ -6,7 +6,7 @@
 from collections import Counter
 
 from magpieshift.config import ConfigError
-from magpieshift.control.sexp import Unusable
+from magpieshift.control.errors import UnusableDocumentError
 from magpieshift.lab.scale.topology import RETRANSMIT_MS, Topology, generate, read, read_file, write
 
 SMALL = """
@@ -47,7 +47,7 @@
         for right, (wrong, told) in cases.items():
             with self.subTest(wrong):
                 self.assertIn(right, SMALL)
-                with self.assertRaises(Unusable) as caught:
+                with self.assertRaises(UnusableDocumentError) as caught:
                     read(SMALL.replace(right, wrong))
                 self.assertIn(told, str(caught.exception))
 
