--- a/magpieshift/cli/captures.py
+++ b/magpieshift/cli/captures.py
@@ -25,7 +25,7 @@
 
 @click.group(cls=SuggestingGroup)
 def capture() -> None:
-    """Captures of what the deciding module was told (recorded by run --capture)."""
+    """Captures of the events that the policy was given (recorded by run --capture)."""
 
 
 @dataclass
@@ -112,7 +112,7 @@
 @click.argument("file")
 @click.argument("request")
 def why(file: str, request: str) -> None:
-    """Explain what happened to REQUEST, given as its id in the log or as the module's number."""
+    """Explain what happened to REQUEST, given as its id in the log or as the policy's number."""
     from magpieshift.capture import explanation
 
     try:
@@ -157,7 +157,7 @@
 @click.argument("file")
 @JSON_OPTION
 def verify(file: str, as_json: bool) -> None:
-    """Whether a capture is whole and this checkout's module decides as recorded; exit code 1 if not."""
+    """Whether a capture is complete and this checkout's policy decides as recorded; exit code 1 if not."""
     from magpieshift.capture.replay import Replay
 
     result = Replay().run(_records(file))
@@ -173,10 +173,10 @@
 @click.command(epilog="\b\nExample:\n  magpieshift replay capture/ --against ../altered")
 @click.argument("file")
 @click.option("--times", default=1, show_default=True, type=WholeNumber(1, 10_000))
-@click.option("--against", default="", help="Folder of a checkout whose module is run beside this one's.")
+@click.option("--against", default="", help="Folder of a checkout whose policy is run beside this one's.")
 @JSON_OPTION
 def replay(file: str, times: int, against: str, as_json: bool) -> None:
-    """Feed a capture to the deciding module and compare; exit code 1 on any difference."""
+    """Feed a capture to the policy and compare; exit code 1 on any difference."""
     from magpieshift.capture import explanation, policy
     from magpieshift.capture.replay import Replay, ReplayResult
 
--- a/magpieshift/cli/lab_capacity.py
+++ b/magpieshift/cli/lab_capacity.py
@@ -72,7 +72,7 @@
     help="A trial, not a result: fewer sizes, once each, without sources and relays.",
 )
 @click.option(
-    "--seed", default=1, show_default=True, type=SEED_TYPE, help="Of the order of turns and of what is told."
+    "--seed", default=1, show_default=True, type=SEED_TYPE, help="Of the order of turns and of the changes."
 )
 @click.option("--router", "folder", default="", help="Folder of another checkout, whose router is started.")
 @click.option("--save", default="", type=WritableFile(), help="File for the result.")
--- a/magpieshift/cli/lab_episode.py
+++ b/magpieshift/cli/lab_episode.py
@@ -64,8 +64,8 @@
 def episode(
     seconds: float, seed: int, rate: float, file: str, folder: str, report: str, save: str, as_json: bool
 ) -> None:
-    """A real router amid stand-ins that fail: boxes and hubs die, the list runs late, the origin slows. Exit
-    code 1 if a rule was broken."""
+    """A real router amid emulated endpoints that fail: caches and parents die, the list runs late, the origin
+    slows. Exit code 1 if a rule was broken."""
     outcome = _play(_scenario(file, seconds, seed, rate), folder, report, save, not as_json)
     if as_json:
         output.print_json(outcome.as_json())
@@ -127,7 +127,7 @@
     help="Folder for the report and the capture.",
 )
 def demo(seconds: float, out: str) -> None:
-    """All at once for a first look: stand-ins, a router and load come up, stores die and return."""
+    """A first look at all of it: emulated endpoints, a router and load come up, endpoints die and return."""
     import shutil
     from pathlib import Path
 
--- a/magpieshift/cli/lab_fleet.py
+++ b/magpieshift/cli/lab_fleet.py
@@ -132,20 +132,20 @@
     type=FiniteNumber(0, 1000, above_minimum=True),
     help="Times what the installation was made for.",
 )
-@click.option("--without", is_flag=True, help="Routers do not talk to each other.")
+@click.option("--without", is_flag=True, help="Routers do not gossip.")
 @click.option(
     "--digests-lost",
     default=0.0,
     show_default=True,
     type=FRACTION_TYPE,
-    help="Share of what they say that is lost.",
+    help="Share of their digests that is lost.",
 )
 @click.option(
     "--liars",
     default=0,
     show_default=True,
     type=WholeNumber(0),
-    help="Routers that say that all stores fail.",
+    help="Routers that report that all endpoints fail.",
 )
 @click.option("--map", "show_map", is_flag=True, help="Instead: loads, triggers and clients, one by one.")
 @JSON_OPTION
@@ -160,7 +160,7 @@
     show_map: bool,
     as_json: bool,
 ) -> None:
-    """Overload on a simulated fleet of real engines and modules: what all routers do together."""
+    """Overload on a simulated fleet of real engines and policies: what all routers do together."""
     import os
 
     from magpieshift.lab.experiments.overload import SCENARIOS, Talking, map_of, play
--- a/magpieshift/cli/lab_router.py
+++ b/magpieshift/cli/lab_router.py
@@ -62,7 +62,7 @@
 
 @click.command("apply", epilog="\b\nExample:\n  magpieshift lab apply --members 1000")
 @click.option(
-    "--members", default=1000, show_default=True, type=WholeNumber(1, 100_000), help="Stores in the list."
+    "--members", default=1000, show_default=True, type=WholeNumber(1, 100_000), help="Endpoints in the list."
 )
 @click.option("--rounds", default=100, show_default=True, type=WholeNumber(), help="Versions of each kind.")
 @JSON_OPTION
@@ -128,7 +128,7 @@
 )
 @JSON_OPTION
 def door(calls: int, rate: float, as_json: bool) -> None:
-    """Measure how long the operators' door takes to answer under load, with mute callers crowding it."""
+    """Measure how long the admin server takes to answer under load, with mute callers crowding it."""
     from magpieshift.lab.experiments.admin_client import measure
 
     output.print_rows([asyncio.run(measure(calls, rate))], as_json)
@@ -157,7 +157,7 @@
 
 @click.command(epilog="\b\nExample:\n  magpieshift lab fleet logs/")
 @click.argument("folder")
-@click.option("--stores", is_flag=True, help="A row a store in place of a row a second.")
+@click.option("--stores", is_flag=True, help="A row an endpoint in place of a row a second.")
 @JSON_OPTION
 def fleet(folder: str, stores: bool, as_json: bool) -> None:
     """Count what all routers of a fleet did together, from their logs (one file a router, run with
--- a/magpieshift/cli/membership.py
+++ b/magpieshift/cli/membership.py
@@ -47,7 +47,11 @@
 """Largest answer that is read. Chosen by trial: smaller cuts off the view of a large fleet."""
 
 CONSOLE_OPTION = click.option(
-    "--console", envvar="EDGE_CONSOLE", required=True, type=Address(), help="host:port of a router's door."
+    "--console",
+    envvar="EDGE_CONSOLE",
+    required=True,
+    type=Address(),
+    help="host:port of a router's admin server.",
 )
 
 
@@ -84,7 +88,7 @@
 @CONSOLE_OPTION
 @JSON_OPTION
 def talk(console: str, as_json: bool) -> None:
-    """What one router says and hears of failing stores, and whether it hands clients over."""
+    """What one router reports and hears of failing endpoints, and whether it hands clients over."""
     answer = _query(console, "TALK", TALK_KEYS, "is (members (digests yes) ...) set?")
     if as_json:
         output.print_json(answer)
@@ -105,7 +109,7 @@
 @click.option("--history", is_flag=True, help="The last changes of its view.")
 @JSON_OPTION
 def members(console: str, history: bool, as_json: bool) -> None:
-    """Who is there, as one router sees it, and why it suspects whom."""
+    """The members as one router sees them, and why it suspects any."""
     answer = _query(console, "MEMBERS", MEMBERS_KEYS, "is (members ...) set?")
     if as_json:
         output.print_json(answer)
--- a/magpieshift/cli/relays.py
+++ b/magpieshift/cli/relays.py
@@ -1,4 +1,4 @@
-"""Commands of the fan-out tier: run a source or a relay, and see how far behind is whom."""
+"""Commands of the fan-out tier: run a source or a relay, and see how far behind its followers are."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 @click.option("--region", default="", help="Where it stands.")
 @LOG_OPTION
 def source(changelog: str, versions: str, listen: str, name: str, region: str, log_form: str) -> None:
-    """Number what the change log and a folder of versions tell, and serve it to relays."""
+    """Number the changes of the change log and of a folder of versions, and serve them to relays."""
     from magpieshift.relay.node import SourceNode, SourceOptions
 
     if versions and not Path(versions).is_dir():
@@ -69,7 +69,7 @@
 @click.option("--region", required=True, help="Where it stands.")
 @LOG_OPTION
 def serve(sources: str, listen: str, name: str, region: str, log_form: str) -> None:
-    """Follow a source, and serve what it tells to routers."""
+    """Follow a source, and serve its changes to routers."""
     from magpieshift.relay.addresses import read_relays
     from magpieshift.relay.node import RelayNode, RelayOptions
 
@@ -102,7 +102,8 @@
 @click.argument("place", metavar="HOST:PORT", type=Address())
 @JSON_OPTION
 def status_(place: str, as_json: bool) -> None:
-    """How far behind is whom, as a source or relay tells it; exit code 1 where it does not."""
+    """How far behind each follower is, as a source or relay reports it; exit code 1 where it does not
+    answer."""
     from magpieshift.relay import status
     from magpieshift.relay.errors import RelayUnreachableError
 
--- a/magpieshift/cli/router.py
+++ b/magpieshift/cli/router.py
@@ -12,7 +12,7 @@
     "run", epilog="\b\nExample:\n  magpieshift run --config router.sexp --state /var/lib/magpieshift"
 )
 @click.option("--config", envvar="EDGE_CONFIG", default="", help="Settings file.")
-@click.option("--state", envvar="EDGE_STATE", default="", help="Folder where versions are kept.")
+@click.option("--state", envvar="EDGE_STATE", default="", help="Folder where versions are stored.")
 @click.option(
     "--control", envvar="EDGE_CONTROL", default="", type=Address(), help="host:port of the control service."
 )
@@ -59,7 +59,7 @@
     region: str,
     log_form: str,
 ) -> None:
-    """Run an edge router, with versions kept and followed where it is told to."""
+    """Run an edge router, with versions stored and followed where the options say so."""
     from magpieshift.extensions.runner import Options, run
 
     setup(log_form)
--- a/magpieshift/downstream/connection.py
+++ b/magpieshift/downstream/connection.py
@@ -4,12 +4,10 @@
 
 import asyncio
 import logging
-from collections.abc import Mapping
-from typing import Protocol
+from collections.abc import Callable
 
 from tornado.iostream import StreamClosedError
 
-from magpieshift.clock import LoopClock
 from magpieshift.downstream.errors import FrameError
 from magpieshift.downstream.events import (
     ClientRequestCancelled,
@@ -19,11 +17,10 @@
     SessionEvent,
 )
 from magpieshift.downstream.frames import MAX_LENGTH_BYTES
+from magpieshift.downstream.host import ConnectionHost
 from magpieshift.downstream.messages import Chunks, write_error, write_readiness
 from magpieshift.downstream.session import MAX_OPEN_STREAMS, Session
-from magpieshift.engine.engine import Engine
 from magpieshift.engine.model import ClientRequest, Response
-from magpieshift.lifecycle import Lifecycle
 from magpieshift.log import fields
 from magpieshift.sockets import READ_CHUNK_BYTES, LingeringStream
 
@@ -38,38 +35,16 @@
 """Unsent bytes at which a connection is closed: a client that keeps to the protocol is never owed more."""
 
 
-class ConnectionHost(Protocol):
-    """What a connection needs of the server that owns it."""
-
-    engine: Engine
-    clock: LoopClock
-    lifecycle: Lifecycle
-    class_numbers: Mapping[str, int]
-
-    @property
-    def rejects_requests(self) -> bool:
-        """Whether new requests are rejected at once."""
-        ...
-
-    def offloads(self, request: ClientRequest) -> bool:
-        """Whether a request is a neighbour's to take, and is rejected here."""
-        ...
-
-    def account_held_bytes(self, change: int) -> None:
-        """Count bytes that are held for clients; may close connections."""
-        ...
-
-    def forget(self, connection: Connection) -> None:
-        """A connection is closed."""
-        ...
-
-
 class Connection:
     """One client: owner of its socket, of its session and of the bytes held for it."""
 
-    def __init__(self, host: ConnectionHost, stream: LingeringStream) -> None:
+    def __init__(
+        self, host: ConnectionHost, stream: LingeringStream, on_closed: Callable[[Connection], None]
+    ) -> None:
+        """``on_closed`` is called once with this connection, after its requests were cancelled."""
         self._host = host
         self._stream = stream
+        self._on_closed = on_closed
         self._session = Session(host.class_numbers)
         self._request_numbers: dict[int, int] = {}
         """The engine's number of each open request, by stream id."""
@@ -312,5 +287,5 @@
             self._release(stream_id)
             self._host.engine.cancel(request_number)
         self._account()
-        self._host.forget(self)
+        self._on_closed(self)
         self._stream.close()
--- a/magpieshift/downstream/server.py
+++ b/magpieshift/downstream/server.py
@@ -113,16 +113,12 @@
             log.warning("client rejected", extra=fields(reason="too many", open=len(self._connections)))
             stream.close()
             return
-        connection = Connection(self, stream)
+        connection = Connection(self, stream, self._forget)
         self._connections.add(connection)
         task = asyncio.ensure_future(connection.serve())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def forget(self, connection: Connection) -> None:
-        """The one place where a connection leaves the server."""
-        self._connections.discard(connection)
-
     def account_held_bytes(self, change: int) -> None:
         """Count bytes held for clients. Memory is bounded: the client for which most is held is disconnected,
         and can tell that its responses broke off."""
@@ -191,6 +187,10 @@
     def _accepted(self, sock: socket.socket) -> None:
         self.serve(LingeringStream(sock, self._closing, MAX_UNPARSED_BYTES))
 
+    def _forget(self, connection: Connection) -> None:
+        """The one place where a connection leaves the server."""
+        self._connections.discard(connection)
+
     def _close_one_idle(self) -> bool:
         """Close an idle connection, the lowest in eviction rank first; whether there was one."""
         candidates = (connection for connection in self._connections if not connection.is_busy)
