--- a/magpieshift/cli/errors.py
+++ b/magpieshift/cli/errors.py
@@ -30,13 +30,13 @@
     only where their libraries are installed."""
     errors: list[type[Exception]] = [ConfigError]
     with suppress(ImportError):
-        from magpieshift.control.sexp import Unusable
+        from magpieshift.control.errors import UnusableDocumentError
 
-        errors.append(Unusable)
+        errors.append(UnusableDocumentError)
     with suppress(ImportError):
-        from magpieshift.control.store import StoreError
+        from magpieshift.control.errors import VersionStoreError
 
-        errors.append(StoreError)
+        errors.append(VersionStoreError)
     with suppress(ImportError):
         from magpieshift.capture.errors import CaptureError
 
--- a/magpieshift/cli/lab_episode.py
+++ b/magpieshift/cli/lab_episode.py
@@ -21,14 +21,14 @@
 
 def _scenario(file: str, seconds: float, seed: int, rate: float) -> Scenario:
     """The scenario of a file; without one, a bad morning from the seed."""
-    from magpieshift.control.sexp import Unusable
+    from magpieshift.control.errors import UnusableDocumentError
     from magpieshift.lab.experiments import scenario
 
     if not file:
         return scenario.bad_morning(seconds, seed, rate)
     try:
         return scenario.load_file(file)
-    except Unusable as err:
+    except UnusableDocumentError as err:
         raise ConfigError(f"{file}: {err}") from err
 
 
--- a/magpieshift/cli/rollouts.py
+++ b/magpieshift/cli/rollouts.py
@@ -46,12 +46,12 @@
 
 def _load_plan(path: str) -> Plan:
     """The plan in a file; ``ConfigError`` where it cannot be used."""
-    from magpieshift.control.sexp import Unusable
+    from magpieshift.control.errors import UnusableDocumentError
     from magpieshift.rollout.plan_reader import load_plan_file
 
     try:
         return load_plan_file(path)
-    except Unusable as err:
+    except UnusableDocumentError as err:
         raise ConfigError(f"{path}: {err}") from err
 
 
