--- a/magpieshift/extensions/__init__.py
+++ b/magpieshift/extensions/__init__.py
@@ -1,1 +1,1 @@
-"""What joins optional parts to a router; the platform's run imports none of it."""
+"""The optional parts of a router; the platform's run imports none of them."""
--- a/magpieshift/extensions/capture_recording.py
+++ b/magpieshift/extensions/capture_recording.py
@@ -1,4 +1,4 @@
-"""Recording, as a fitting of a router."""
+"""The capture extension: records all that goes into and comes out of a router's policy."""
 
 from __future__ import annotations
 
@@ -16,27 +16,33 @@
 from magpieshift.config import ConfigError
 from magpieshift.extensions.extension import BaseExtension
 
-LEAST_KEY = 16
+MIN_KEY_BYTES = 16  # shorter keys can be searched
+MAX_KEY_BYTES = hashlib.blake2b.MAX_KEY_SIZE
+OBJECT_NUMBER_BYTES = 8
 
 
 class CaptureRecording(BaseExtension):
-    """Records all that a router's module is told and says; owner of the recorder."""
+    """Owner of the recorder."""
 
     name = "capture"
 
-    def __init__(self, router: EdgeRouter, folder: str, limits: Limits | None = None, hashed: bool = False):
+    def __init__(
+        self, router: EdgeRouter, folder: str, limits: Limits | None = None, hashed: bool = False
+    ) -> None:
+        """``hashed``: object numbers are hashes under a key."""
         self.recorder = attach(router, folder, limits, hashed)
 
     def start(self) -> None:
+        """Begin to record."""
         self.recorder.start()
 
     async def stop(self) -> None:
+        """Write what is pending and close the files."""
         self.recorder.stop()
 
 
 def attach(router: EdgeRouter, folder: str, limits: Limits | None = None, hashed: bool = False) -> Recorder:
-    """A recorder of all that this router's module is told and says; ``start`` and ``stop`` are the
-    caller's."""
+    """A recorder of this router's policy; the caller starts and stops it."""
     header = wire.Header(
         format=FORMAT,
         program=version("magpieshift"),
@@ -53,18 +59,21 @@
 
 
 def keyed_hash(key_file: str) -> Callable[[str], int]:
-    """A router's number for an object as a keyed hash of its id, so that a capture does not tell which
-    objects were wanted. Placement goes by these numbers: all routers of a network need the same key, or the
-    same object has a home of its own at each. ``ConfigError`` where the file holds no key."""
+    """A function from an object's id to its number, so that a capture does not show the objects requested.
+
+    Placement goes by these numbers: all routers of a network need the same key, or an object has another
+    place at each. Raises ``ConfigError`` where the file holds no key.
+    """
     try:
         key = Path(key_file).read_bytes().strip()
     except OSError as err:
         raise ConfigError(f"{key_file} cannot be read: {err.strerror or err}") from err
-    if not LEAST_KEY <= len(key) <= hashlib.blake2b.MAX_KEY_SIZE:
-        raise ConfigError(f"{key_file}: found {len(key)} bytes, expected a key of {LEAST_KEY} to 64")
+    if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
+        raise ConfigError(f"{key_file}: found {len(key)} bytes, expected a key of {MIN_KEY_BYTES} to 64")
 
-    def number(hexadecimal: str) -> int:
+    def object_number(hexadecimal: str) -> int:
         text = hexadecimal.lower().encode()
-        return int.from_bytes(hashlib.blake2b(text, digest_size=8, key=key).digest(), "big") or 1 << 64
+        digest = hashlib.blake2b(text, digest_size=OBJECT_NUMBER_BYTES, key=key).digest()
+        return int.from_bytes(digest, "big") or 1 << 64  # so that no object has the number 0
 
-    return number
+    return object_number
--- a/magpieshift/extensions/counters.py
+++ b/magpieshift/extensions/counters.py
@@ -1,7 +1,8 @@
-"""A router's own figures, for who compares versions: counters since its start, by class, as a fitting.
+"""The counters extension: requests by class and attempts since the start, for comparing versions.
 
-They are counted where requests and attempts end (``Engine.watch``) and read at the door. A process has an
-incarnation, so that a restart is never read as a gain: who takes differences compares that first.
+They are counted where the engine ends requests and attempts, and read by the admin command FIGURES. The
+incarnation tells processes apart: a reader compares it before it takes differences, so that a restart is
+never read as a gain.
 """
 
 from __future__ import annotations
@@ -10,6 +11,7 @@
 import os
 import time
 from collections.abc import Callable, Mapping
+from dataclasses import dataclass, field
 from importlib.metadata import version
 from pathlib import Path
 
@@ -22,95 +24,115 @@
 from magpieshift.policy.outcomes import NEVER_RAN, Outcome
 from magpieshift.policy.settings import RequestClass
 
-MOST_CLASSES = 64  # counted by themselves; settings may name more over time
-MOST_US = 60_000_000
-PAGE = os.sysconf("SC_PAGE_SIZE")
+MAX_CLASSES = 64  # counted by themselves; settings may name more over time
+MAX_LATENCY_US = 60_000_000  # longer ones count as this
+LATENCY_DIGITS = 2  # significant digits of the histogram
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
-class ClassCounters:
-    """What became of one class's requests. ``served`` are those within the wanted time."""
-
-    __slots__ = ("asked", "failed", "late", "latency", "left", "refused", "served")
+def _latency_histogram() -> HdrHistogram:
+    return HdrHistogram(1, MAX_LATENCY_US, LATENCY_DIGITS)
 
-    def __init__(self) -> None:
-        self.asked = 0
-        self.served = 0
-        self.late = 0
-        self.refused = 0
-        self.failed = 0
-        self.left = 0
-        self.latency = HdrHistogram(1, MOST_US, 2)  # microseconds of answers served; mergeable
 
-    def plain(self) -> dict[str, object]:
-        counts = {name: getattr(self, name) for name in self.__slots__ if name != "latency"}
-        return counts | {"latency": self.latency.encode().decode()}
+@dataclass(slots=True)
+class ClassCounters:
+    """What became of the requests of one class."""
+
+    received: int = 0
+    served_in_time: int = 0  # within the latency objective
+    served_late: int = 0
+    rejected: int = 0
+    failed: int = 0
+    disconnected: int = 0  # the client went away before the answer
+    latency_us: HdrHistogram = field(default_factory=_latency_histogram)  # of answers served; mergeable
+
+    def as_json(self) -> dict[str, object]:
+        """Under the keys of the answer to FIGURES."""
+        return {
+            "asked": self.received,
+            "failed": self.failed,
+            "late": self.served_late,
+            "left": self.disconnected,
+            "refused": self.rejected,
+            "served": self.served_in_time,
+            "latency": self.latency_us.encode().decode(),
+        }
+
+
+@dataclass(slots=True)
+class AttemptCounters:
+    """What became of attempts at upstreams."""
+
+    total: int = 0
+    fills: int = 0  # that filled a cache
+    origin: int = 0  # that went to an origin
+    errors: int = 0  # that ran and did not succeed
 
 
 class RequestCounters(BaseExtension):
-    """Counts, and answers ``FIGURES`` at the door with one line of JSON."""
+    """Counts, and answers FIGURES with one line of JSON."""
 
     name = "figures"
 
     def __init__(self, router: EdgeRouter, label: str) -> None:
+        """``label`` is the rollout's name of what this process runs."""
         self._router = router
         self._label = label
-        self._classes: dict[str, ClassCounters] = {}
-        self._attempts = 0
-        self._fills = 0
-        self._origin = 0
-        self._errors = 0
+        self._classes: dict[str, ClassCounters] = {}  # by the name of the class
+        self._attempts = AttemptCounters()
         self._incarnation = f"{time.time_ns() // 1_000_000}.{os.getpid()}"
-        self._began_us = clock.source.steady_us()
+        self._started_us = clock.source.steady_us()
         router.engine.request_observer = self
 
     def commands(self) -> Mapping[str, Callable[[], str]]:
-        return {"FIGURES": self._line}
+        """FIGURES shows the counters."""
+        return {"FIGURES": self._status}
 
     async def stop(self) -> None:
+        """Count no more."""
         self._router.engine.request_observer = None
 
-    # --- as the engine's watch
+    # --- as the engine's observer
 
     def request_ended(
         self, call: ClientRequest, cls: RequestClass, verdict: Verdict | None, took_us: int
     ) -> None:
-        name = call.class_name
-        counts = self._classes.get(name)
-        if counts is None:
-            if len(self._classes) >= MOST_CLASSES:
+        """Count a request; ``verdict`` None: the client went away."""
+        counters = self._classes.get(call.class_name)
+        if counters is None:
+            if len(self._classes) >= MAX_CLASSES:
                 return
-            counts = self._classes[name] = ClassCounters()
-        counts.asked += 1
+            counters = self._classes[call.class_name] = ClassCounters()
+        counters.received += 1
         if verdict is None:
-            counts.left += 1
+            counters.disconnected += 1
         elif verdict == Verdict.SERVED:
-            flow = self._router.document.settings.client_kb_per_s
-            sending_us = 1e6 * call.size_kb / flow if flow else 0.0
-            within = took_us <= cls.latency_objective_us + cls.latency_objective_stretch * sending_us
-            counts.served += within
-            counts.late += not within
-            counts.latency.record_value(max(1, min(took_us, MOST_US)))
+            is_in_time = took_us <= self._latency_objective_us(call, cls)
+            counters.served_in_time += is_in_time
+            counters.served_late += not is_in_time
+            counters.latency_us.record_value(max(1, min(took_us, MAX_LATENCY_US)))
         elif verdict == Verdict.REJECTED:
-            counts.refused += 1
+            counters.rejected += 1
         else:
-            counts.failed += 1
+            counters.failed += 1
+
+    def _latency_objective_us(self, call: ClientRequest, cls: RequestClass) -> float:
+        """The objective of the class, extended by the time that sending the body to the client takes."""
+        client_kb_per_s = self._router.document.settings.client_kb_per_s
+        sending_us = 1e6 * call.size_kb / client_kb_per_s if client_kb_per_s else 0.0
+        return cls.latency_objective_us + cls.latency_objective_stretch * sending_us
 
     def attempt_ended(self, outcome: Outcome, filled: bool, origin: bool) -> None:
-        self._attempts += 1
-        self._fills += filled
-        self._origin += origin
-        self._errors += outcome not in NEVER_RAN and outcome != Outcome.OK
-
-    # --- at the door
-
-    def _line(self) -> str:
-        try:
-            pages = int(Path("/proc/self/statm").read_text().split()[1])
-            descriptors = len(os.listdir("/proc/self/fd"))
-        except (OSError, IndexError, ValueError):
-            # not this system's way of telling: such figures are not compared
-            pages = 0
-            descriptors = 0
+        """Count an attempt at an upstream."""
+        self._attempts.total += 1
+        self._attempts.fills += filled
+        self._attempts.origin += origin
+        self._attempts.errors += outcome not in NEVER_RAN and outcome != Outcome.OK
+
+    # --- for operators
+
+    def _status(self) -> str:
+        resident_kb, descriptors = _process_usage()
         return json.dumps(
             {
                 "name": self._router.document.name,
@@ -119,16 +141,26 @@
                 "settings": self._router.version,
                 "incarnation": self._incarnation,
                 "state": self._router.lifecycle.state_name,
-                "up_us": clock.source.steady_us() - self._began_us,
-                "classes": {name: counts.plain() for name, counts in self._classes.items()},
-                "attempts": self._attempts,
-                "fills": self._fills,
-                "origin": self._origin,
-                "errors": self._errors,
+                "up_us": clock.source.steady_us() - self._started_us,
+                "classes": {name: counters.as_json() for name, counters in self._classes.items()},
+                "attempts": self._attempts.total,
+                "fills": self._attempts.fills,
+                "origin": self._attempts.origin,
+                "errors": self._attempts.errors,
                 "cpu_us": time.process_time_ns() // 1000,
-                "rss_kb": pages * PAGE // 1024,
+                "rss_kb": resident_kb,
                 "descriptors": descriptors,
                 "open": self._router.engine.open_requests,
             },
             separators=(",", ":"),
         )
+
+
+def _process_usage() -> tuple[int, int]:
+    """Resident memory in kB and open descriptors; zeros where the system has no /proc."""
+    try:
+        pages = int(Path("/proc/self/statm").read_text().split()[1])
+        descriptors = len(os.listdir("/proc/self/fd"))
+    except (OSError, IndexError, ValueError):
+        return 0, 0
+    return pages * PAGE_BYTES // 1024, descriptors
--- a/magpieshift/extensions/extension.py
+++ b/magpieshift/extensions/extension.py
@@ -1,4 +1,4 @@
-"""The one interface by which optional parts join a router: what is told to each, and what each may say."""
+"""The interface by which optional parts join a router."""
 
 from __future__ import annotations
 
@@ -9,8 +9,10 @@
 
 
 class Extension(Protocol):
-    """An optional part of an installation's router. Its owner is the ``Installation``, which starts it before
-    clients come and ends it after the last answer."""
+    """An optional part of a router.
+
+    Its owner is the ``Installation``, which starts it before clients come and stops it after the last answer.
+    """
 
     @property
     def name(self) -> str:
@@ -22,39 +24,43 @@
         ...
 
     def configuration_changed(self, document: Document, version: int) -> None:
-        """A document has come into force. Called in the turn of the event loop in which it does: must not
-        wait, and must not fail."""
+        """A document has come into force.
+
+        Called in the turn of the event loop in which it does; must neither block nor fail.
+        """
         ...
 
     def commands(self) -> Mapping[str, Callable[[], str]]:
-        """What operators may ask of it at the door: one line each, or ``lifecycle.NotNow``."""
+        """Its admin commands; each returns one line or raises ``lifecycle.InvalidStateError``."""
         ...
 
     def commands_with_argument(self) -> Mapping[str, Callable[[str], str]]:
-        """The same, of calls that take the rest of the line."""
+        """Its admin commands that take the rest of the line."""
         ...
 
     async def stop(self) -> None:
-        """Give back all it holds."""
+        """Release all that it holds."""
         ...
 
 
 class BaseExtension:
-    """A fitting that heeds nothing; others take from it what they do not need."""
+    """An extension that does nothing; others inherit what they do not need."""
 
     name = "plain"
 
     def start(self) -> None:
-        pass
+        """Nothing to start."""
 
     def configuration_changed(self, document: Document, version: int) -> None:
-        pass
+        """Nothing depends on the configuration."""
 
     def commands(self) -> Mapping[str, Callable[[], str]]:
+        """No admin commands."""
         return {}
 
     def commands_with_argument(self) -> Mapping[str, Callable[[str], str]]:
+        """No admin commands."""
         return {}
 
     async def stop(self) -> None:
-        pass
+        """Nothing to release."""
--- a/magpieshift/extensions/overload_gossip.py
+++ b/magpieshift/extensions/overload_gossip.py
@@ -1,11 +1,11 @@
-"""What routers tell each other of failing stores and of themselves, as a fitting of a router."""
+"""The overload extension: gossip of failing endpoints and of load, carried by membership's datagrams."""
 
 from __future__ import annotations
 
 import json
 import logging
 import random
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Collection, Mapping
 
 from magpieshift import clock
 from magpieshift.app import EdgeRouter
@@ -15,156 +15,187 @@
 from magpieshift.log import fields
 from magpieshift.membership.driver import steady_us
 from magpieshift.membership.member import Member
-from magpieshift.membership.probing import TICK_INTERVAL_US as MEMBERS_TURN_US
-from magpieshift.overload.codec import Malformed, decode, encode
-from magpieshift.overload.gossip import TURN_US, Gossip
-from magpieshift.overload.offloading import FRESH_US
-from magpieshift.overload.probe_election import Seen
-from magpieshift.policy.health_override import Eject, Readmit
+from magpieshift.membership.probing import TICK_INTERVAL_US
+from magpieshift.overload.codec import MalformedDigestError, decode, encode
+from magpieshift.overload.gossip import GOSSIP_INTERVAL_US, Gossip, GossipActions
+from magpieshift.overload.offloading import LOAD_LIFETIME_US
+from magpieshift.overload.probe_election import EndpointHealth
+from magpieshift.policy.health_override import Eject, HealthOverride, Readmit
 
 log = logging.getLogger(__name__)
 
-TOPIC = "overload"
-LATE_US = 100_000  # turns that come so late on the mean are all that a processor can bear
-LATE_SMOOTH = 0.2
-RATE_SMOOTH = 0.2
+TOPIC = "overload"  # of membership's extension messages
+# Ticks that come so late on the mean show a processor at its capacity, so a pressure of 1. Chosen by trial:
+# smaller makes offloading begin at shorter queues in the event loop.
+FULL_LATENESS_US = 100_000
+LATENESS_WEIGHT = 0.2  # of the latest tick in the moving average; larger follows load sooner and swings more
+RATE_WEIGHT = 0.2  # of the latest interval in the moving average of the request rate
+SEED_SALT = 1  # so that gossip draws other numbers than membership from the same seed
 
 
 class OverloadGossip(BaseExtension):
-    """One router's talk, by way of the members' datagrams. It holds nothing to be given back: its turns are
-    membership's, and end with it."""
+    """Runs the gossip at the ticks of membership, and applies what it decides."""
 
     name = "talk"
 
-    def __init__(self, router: EdgeRouter, membership: Membership, seed: int, hand_over: bool) -> None:
+    def __init__(self, router: EdgeRouter, membership: Membership, seed: int, may_offload: bool) -> None:
+        """``may_offload``: whether clients may be sent to neighbours."""
         self._router = router
         self._membership = membership
-        rand = random.Random(seed ^ clock.source.unix_us() ^ 1)
-        self._talker = Gossip(router.document.name, rand, steady_us())
-        self._hand_over = hand_over
-        self._called_us = self._turned_us = steady_us()
-        self._late_us = 0.0
-        self._rate = 0.0
-        self._taken = 0
-        self._left: set[int] = set()
-        self.malformed = 0
-        membership.after_tick.append(self._turn)
-        membership.message_receivers[TOPIC] = self._heard
-
-    # --- as a fitting
+        rand = random.Random(seed ^ clock.source.unix_us() ^ SEED_SALT)
+        self._gossip = Gossip(router.document.name, rand, steady_us())
+        self._may_offload = may_offload
+        self._last_call_us = self._last_tick_us = steady_us()  # of membership's tick, and of the gossip's
+        self._lateness_us = 0.0  # of membership's ticks, moving average
+        self._request_rate = 0.0  # requests a second, moving average
+        self._requests_counted = 0  # of the engine, up to the last tick
+        self._ejected: set[int] = set()  # numbers of endpoints ejected by gossip
+        self._malformed_digests = 0
+        membership.after_tick.append(self._after_membership_tick)
+        membership.message_receivers[TOPIC] = self._receive
+
+    # --- as an extension
 
     def start(self) -> None:
-        if self._hand_over:
-            self._router.offload_by(self._hands_over)
+        """Let the router offload, where the settings allow it."""
+        if self._may_offload:
+            self._router.offload_by(self._should_offload)
 
     def commands(self) -> Mapping[str, Callable[[], str]]:
-        return {"TALK": self._line}
+        """TALK shows what is reported and done."""
+        return {"TALK": self._status}
 
     async def stop(self) -> None:
+        """Offload no more. The ticks end with those of membership."""
         self._router.offload_by(None)
 
-    # --- what goes on
+    # --- events
 
-    def _heard(self, data: bytes, sender: Member) -> None:
+    def _receive(self, data: bytes, sender: Member) -> None:
         try:
             digest = decode(data)
-        except Malformed as err:
-            self.malformed += 1
+        except MalformedDigestError as err:
+            self._malformed_digests += 1
             log.debug("digest dropped", extra=fields(source=sender.name, reason=err))
             return
-        mate = sender.zone == self._membership.zone
-        self._talker.receive(steady_us(), sender.name, digest, mate)
-
-    def _turn(self) -> None:
-        """Called at the end of each of membership's turns."""
-        now = steady_us()
-        late = max(0, now - self._called_us - MEMBERS_TURN_US)
-        self._called_us = now
-        self._late_us += LATE_SMOOTH * (late - self._late_us)
-        since = now - self._turned_us
-        if since < TURN_US:
-            return
-        self._turned_us = now
-        taken = self._router.engine.requests_taken
-        self._rate += RATE_SMOOTH * (1e6 * (taken - self._taken) / since - self._rate)
-        self._taken = taken
-        seen = {
-            m.name: Seen(m.endpoint.number, (m.endpoint.kind, m.endpoint.zone), shunned, failed, good)
-            for m, shunned, failed, good in self._router.engine.endpoint_health()
-        }
-        here = self._membership.alive_members()
-        names = sorted(member.name for member in here)
-        mates = [member.name for member in here if member.zone == self._membership.zone]
-        turn = self._talker.turn(now, seen, names, mates, self._pressure(), self._rate)
-        self._router.engine.apply_overrides(turn.acts)
-        self._log_acts(
-            [act.endpoint for act in turn.acts if isinstance(act, Eject)],
-            {act.endpoint for act in turn.acts if isinstance(act, Readmit)},
-            seen,
-        )
-        if turn.offloading_changed:
-            offloading = self._talker.offloading
-            log.warning(
-                "handing over" if offloading.over else "no longer handing over",
-                extra=fields(why=offloading.why, handed=offloading.handed),
+        is_neighbour = sender.zone == self._membership.zone
+        self._gossip.receive(steady_us(), sender.name, digest, is_neighbour)
+
+    def _after_membership_tick(self) -> None:
+        now_us = steady_us()
+        lateness_us = max(0, now_us - self._last_call_us - TICK_INTERVAL_US)
+        self._last_call_us = now_us
+        self._lateness_us += LATENESS_WEIGHT * (lateness_us - self._lateness_us)
+        elapsed_us = now_us - self._last_tick_us
+        if elapsed_us >= GOSSIP_INTERVAL_US:
+            self._last_tick_us = now_us
+            self._tick(now_us, elapsed_us)
+
+    def _tick(self, now_us: int, elapsed_us: int) -> None:
+        self._update_request_rate(elapsed_us)
+        health = self._endpoint_health()
+        alive = self._membership.alive_members()
+        present = sorted(member.name for member in alive)
+        neighbours = [member.name for member in alive if member.zone == self._membership.zone]
+        actions = self._gossip.tick(now_us, health, present, neighbours, self._pressure(), self._request_rate)
+        self._router.engine.apply_overrides(actions.overrides)
+        self._log_overrides(actions.overrides, health)
+        self._log_offloading(actions)
+        by_name = {member.name: member for member in alive}
+        for receiver, digest in actions.sends:
+            self._membership.send_message(by_name[receiver], TOPIC, encode(digest))
+
+    def _update_request_rate(self, elapsed_us: int) -> None:
+        requests = self._router.engine.requests_taken
+        rate = 1e6 * (requests - self._requests_counted) / elapsed_us
+        self._request_rate += RATE_WEIGHT * (rate - self._request_rate)
+        self._requests_counted = requests
+
+    def _endpoint_health(self) -> dict[str, EndpointHealth]:
+        return {
+            listed.name: EndpointHealth(
+                listed.endpoint.number,
+                (listed.endpoint.kind, listed.endpoint.zone),
+                is_ejected,
+                failure_age_us,
+                success_age_us,
             )
-        by_name = {member.name: member for member in here}
-        for name, digest in turn.sends:
-            self._membership.send_message(by_name[name], TOPIC, encode(digest))
+            for listed, is_ejected, failure_age_us, success_age_us in self._router.engine.endpoint_health()
+        }
 
     def _pressure(self) -> float:
-        return max(self._router.pressure, self._late_us / LATE_US)
-
-    def _log_acts(self, left: list[int], tried: set[int], seen: Mapping[str, Seen]) -> None:
-        """A line for each store that begins to be left alone, and for each that is taken up again."""
-        names = {its.number: store for store, its in seen.items()}
-        for number in left:
-            if number not in self._left:
-                store = names[number]
-                said = self._talker.reports.failing(store, steady_us())
-                log.warning("store left to others", extra=fields(store=store, said_by=",".join(sorted(said))))
-        for number in self._left - set(left):
-            why = "tried here" if number in tried else "well again, or no news"
-            log.info("store no longer left", extra=fields(store=names.get(number, "-"), why=why))
-        self._left = set(left)
-
-    def _hands_over(self, call: ClientRequest) -> bool:
+        """This router's load by its capacity: of its limits, or of its processor."""
+        return max(self._router.pressure, self._lateness_us / FULL_LATENESS_US)
+
+    def _should_offload(self, request: ClientRequest) -> bool:
         engine = self._router.engine
-        number = engine.object_number(call.object_key)
-        return self._talker.offloading.hands_over(
-            number, call.is_repeat, engine.is_write_class(call.class_index)
-        )
+        object_number = engine.object_number(request.object_key)
+        is_write = engine.is_write_class(request.class_index)
+        return self._gossip.offloading.should_offload(object_number, request.is_repeat, is_write)
+
+    # --- for operators
+
+    def _log_overrides(
+        self, overrides: Collection[HealthOverride], health: Mapping[str, EndpointHealth]
+    ) -> None:
+        """A line for each endpoint that begins to be ejected by gossip, and for each that is no more."""
+        names = {own_view.number: endpoint for endpoint, own_view in health.items()}
+        ejected = [override.endpoint for override in overrides if isinstance(override, Eject)]
+        readmitted = {override.endpoint for override in overrides if isinstance(override, Readmit)}
+        for number in ejected:
+            if number not in self._ejected:
+                endpoint = names[number]
+                witnesses = sorted(self._gossip.reports.failing_witnesses(endpoint, steady_us()))
+                log.warning(
+                    "endpoint ejected by gossip",
+                    extra=fields(endpoint=endpoint, witnesses=",".join(witnesses)),
+                )
+        for number in self._ejected - set(ejected):
+            reason = "probed by this router" if number in readmitted else "recovered, or no reports"
+            log.info(
+                "endpoint readmitted by gossip", extra=fields(endpoint=names.get(number, "-"), reason=reason)
+            )
+        self._ejected = set(ejected)
+
+    def _log_offloading(self, actions: GossipActions) -> None:
+        if actions.offloading_changed:
+            offloading = self._gossip.offloading
+            log.warning(
+                "offloading started" if offloading.is_active else "offloading stopped",
+                extra=fields(reason=offloading.reason, offloaded=offloading.offloaded_requests),
+            )
 
-    def _line(self) -> str:
-        """What is said and done, as one line of JSON."""
-        now = steady_us()
-        talker = self._talker
+    def _status(self) -> str:
+        """What is reported and done, as one line of JSON."""
+        now_us = steady_us()
+        gossip = self._gossip
+        offloading = gossip.offloading
         return json.dumps(
             {
                 "pressure": round(self._pressure(), 3),
-                "rate": round(self._rate, 1),
-                "over": talker.offloading.over,
-                "share": round(talker.offloading.share, 3),
-                "handed": talker.offloading.handed,
-                "why": talker.offloading.why,
-                "changes": talker.offloading.changes,
+                "rate": round(self._request_rate, 1),
+                "over": offloading.is_active,
+                "share": round(offloading.fraction, 3),
+                "handed": offloading.offloaded_requests,
+                "why": offloading.reason,
+                "changes": offloading.changes,
                 "failing": {
-                    store: sorted(said)
-                    for store in sorted(talker.reports.stores())
-                    if (said := talker.reports.failing(store, now))
+                    endpoint: sorted(witnesses)
+                    for endpoint in sorted(gossip.reports.endpoints())
+                    if (witnesses := gossip.reports.failing_witnesses(endpoint, now_us))
                 },
                 "left": sorted(
-                    m.name
-                    for m, *_ in self._router.engine.endpoint_health()
-                    if m.endpoint.number in self._left
+                    listed.name
+                    for listed, *_ in self._router.engine.endpoint_health()
+                    if listed.endpoint.number in self._ejected
                 ),
-                "neighbours_fresh_s": FRESH_US / 1e6,
-                "sent": talker.sent,
-                "taken": talker.taken,
+                "neighbours_fresh_s": LOAD_LIFETIME_US / 1e6,
+                "sent": gossip.sent_digests,
+                "taken": gossip.received_digests,
                 "dropped": {
-                    "malformed": self.malformed,
-                    "flooded": talker.flooded,
-                    "no_room": talker.reports.dropped,
+                    "malformed": self._malformed_digests,
+                    "flooded": gossip.dropped_digests,
+                    "no_room": gossip.reports.rejected,
                 },
             },
             separators=(",", ":"),
--- a/magpieshift/extensions/relay_subscription.py
+++ b/magpieshift/extensions/relay_subscription.py
@@ -1,4 +1,4 @@
-"""Following the fan-out tier's relays in place of the change log, as a fitting of a router."""
+"""The relay extension: a router follows the fan-out tier's relays in place of the change log."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 log = logging.getLogger(__name__)
 
-MOST_REFUSAL = 200  # characters of the reason that the relay is told
+MAX_REASON_CHARACTERS = 200  # of a rejection, in a log line and in the report to the relay
+INSTANCE_ID_BYTES = 4  # drawn at each start, so that relays tell two processes of one name apart
 
 
-class Changes:
-    """A router's source of changes (``feed.changes.ChangeSource``): what the relay tells, put into the
-    router."""
+class RelayChangeSource:
+    """A source of changes (``discovery.changes.ChangeSource``) that puts in force what a relay sends."""
 
     def __init__(
         self,
@@ -40,6 +40,7 @@
         selection: RelaySelection,
         offer: Callable[[ConfigurationChange], None],
     ) -> None:
+        """``offer`` receives the versions of the configuration."""
         self._router = router
         self._offer = offer
         self.client = RelayClient(follower, selection, self)
@@ -47,15 +48,15 @@
     # --- as the router's source of changes
 
     def start(self) -> None:
-        """Follow."""
+        """Begin to follow."""
         self.client.start()
 
     def stop(self) -> None:
-        """Tell the router nothing more. The fitting's end closes the stream."""
+        """Put nothing more in force. The extension closes the stream when it stops."""
         self.client.stop_receiving()
 
     async def caught_up(self, within_s: float) -> bool:
-        """Wait, so many seconds at most, for a first lease; whether there is one."""
+        """Wait for a first lease, so many seconds at most; whether there is one."""
         try:
             async with asyncio.timeout(within_s):
                 await self.client.caught_up.wait()
@@ -68,43 +69,43 @@
     def apply_entries(self, batch: ApplyEntries) -> None:
         """Put a batch in force; the router decides by it from here on."""
         for entry in batch.entries:
-            self._take(entry)
+            self._apply(entry)
         self._router.engine.flush()
 
     def restore_snapshot(self, snapshot: Snapshot) -> None:
-        """Put in force what a snapshot says."""
+        """Put in force what a snapshot holds."""
         if snapshot.endpoint_list_json:
-            self._take(EndpointListChange(snapshot.endpoint_list_json))
+            self._apply(EndpointListChange(snapshot.endpoint_list_json))
         for purge in snapshot.purges:
-            self._take(purge)
+            self._apply(purge)
         if snapshot.configuration is not None:
-            self._take(snapshot.configuration)
+            self._apply(snapshot.configuration)
         self._router.engine.flush()
 
     def apply_configuration(self, change: ConfigurationChange) -> None:
-        """A whole version, which was asked for."""
+        """Offer a full version, which was requested."""
         self._offer(change)
 
-    def _take(self, entry: Entry) -> None:
+    def _apply(self, entry: Entry) -> None:
         match entry:
             case Purge(key, group, made_us):
                 self._router.purged(key, group, made_us)
-            case EndpointListChange(fleet):
-                self._take_stores(fleet)
+            case EndpointListChange(endpoint_list_json):
+                self._apply_endpoint_list(endpoint_list_json)
             case ConfigurationChange():
                 self._offer(entry)
 
-    def _take_stores(self, fleet: str) -> None:
-        """A list of stores; what cannot be read is logged in one line and changes nothing, as on the change
-        log."""
+    def _apply_endpoint_list(self, endpoint_list_json: str) -> None:
+        """Put a list of endpoints in force; one that cannot be read is logged and changes nothing."""
         try:
-            self._router.changes.apply_list(json.loads(fleet), is_initial=False)
-        except Exception as err:
-            log.warning("unreadable change", extra=fields(reason=f"{type(err).__name__}: {err}"[:200]))
+            self._router.changes.apply_list(json.loads(endpoint_list_json), is_initial=False)
+        except Exception as err:  # contains a list of a form that the router does not know
+            reason = f"{type(err).__name__}: {err}"[:MAX_REASON_CHARACTERS]
+            log.warning("unreadable change", extra=fields(reason=reason))
 
 
 class RelaySubscription(BaseExtension):
-    """Owner of a router's place in the fan-out tier, and of the versions that it brings."""
+    """Owner of a router's subscription to a relay, and of the versions that it brings."""
 
     name = "relays"
 
@@ -116,30 +117,32 @@
         region: str,
         name: str,
     ) -> None:
+        """``region`` and ``name`` are the router's; relays of its region are preferred."""
         self._manager = manager
-        self._lifecycle = router.lifecycle
-        self._follower = Follower(name, secrets.token_hex(4))
+        self._follower = Follower(name, secrets.token_hex(INSTANCE_ID_BYTES))
         self._follower.configuration_digest = manager.in_force.digest
         selection = RelaySelection(rank_relays(name, region, relays), random.Random())
-        self._changes = Changes(router, self._follower, selection, self._offer)
-        self._early: list[ConfigurationChange] | None = []  # until the router serves
+        self._changes = RelayChangeSource(router, self._follower, selection, self._offer)
+        # versions that arrived before the router serves, to be offered then; None from then on
+        self._deferred: list[ConfigurationChange] | None = []
         router.change_source = self._changes
-        router.engine.copy_age_limit = self._copy_age_limit
-        router.lifecycle.listeners.append(self._went)
-        manager.listeners.append(self._answered)
+        router.engine.copy_age_limit = self._copy_age_limit_us
+        router.lifecycle.listeners.append(self._on_lifecycle_state)
+        manager.listeners.append(self._on_answer)
 
     def commands(self) -> Mapping[str, Callable[[], str]]:
-        return {"RELAY": self._line}
+        """RELAY shows how far the router follows."""
+        return {"RELAY": self._status}
 
     async def stop(self) -> None:
-        self._manager.listeners.remove(self._answered)
+        """Close the stream."""
+        self._manager.listeners.remove(self._on_answer)
         await self._changes.client.stop()
 
-    def _copy_age_limit(self) -> int:
+    def _copy_age_limit_us(self) -> int:
         return self._follower.staleness.copy_age_limit_us(clock.source.steady_us())
 
-    def _line(self) -> str:
-        """Where the router stands, for operators."""
+    def _status(self) -> str:
         follower = self._follower
         now_us = clock.source.steady_us()
         return json.dumps(
@@ -155,27 +158,27 @@
 
     # --- versions
 
-    def _went(self, state: State) -> None:
-        """Versions come into force once the router serves."""
-        if state == State.SERVING and self._early is not None:
-            early = self._early
-            self._early = None
-            for change in early:
+    def _on_lifecycle_state(self, state: State) -> None:
+        """Offer the deferred versions once the router serves."""
+        if state == State.SERVING and self._deferred is not None:
+            deferred = self._deferred
+            self._deferred = None
+            for change in deferred:
                 self._offer(change)
 
     def _offer(self, change: ConfigurationChange) -> None:
-        if self._early is not None:
-            # a whole version makes those before it needless
-            self._early = [*(self._early if change.base_digest else []), change]
+        if self._deferred is not None:
+            is_full = not change.base_digest
+            self._deferred = [change] if is_full else [*self._deferred, change]
             return
         try:
             self._manager.offer(configuration.version_offer(change))
         except Unusable as err:
             log.warning("version turned down", extra=fields(version=change.number, reason=err))
-            self._refuse(change.number, str(err), want_whole=bool(change.base_digest))
+            self._report_rejection(change.number, str(err), wants_full=bool(change.base_digest))
 
-    def _answered(self, answer: Answer, apply_us: int, pause_us: int) -> None:
-        """What became of a version, whoever offered it."""
+    def _on_answer(self, answer: Answer, apply_us: int, pause_us: int) -> None:
+        """The manager has accepted or rejected a version, of this or of another source."""
         follower = self._follower
         follower.configuration_digest = self._manager.in_force.digest
         if answer.offer.source != configuration.OFFER_SOURCE:
@@ -185,11 +188,12 @@
                 follower.rejected_version = 0
                 follower.rejection_reason = ""
         elif answer.reason is not Reason.SUPERSEDED:
-            why = f"{answer.reason.name.lower()}: {answer.detail}"
-            self._refuse(answer.offer.number, why, answer.want_full)
+            reason = f"{answer.reason.name.lower()}: {answer.detail}"
+            self._report_rejection(answer.offer.number, reason, answer.want_full)
 
-    def _refuse(self, number: int, why: str, want_whole: bool) -> None:
+    def _report_rejection(self, version: int, reason: str, wants_full: bool) -> None:
+        """Have the follower tell the relay of a rejected version."""
         follower = self._follower
-        follower.rejected_version = number
-        follower.rejection_reason = why[:MOST_REFUSAL]
-        follower.wants_full = follower.wants_full or want_whole
+        follower.rejected_version = version
+        follower.rejection_reason = reason[:MAX_REASON_CHARACTERS]
+        follower.wants_full = follower.wants_full or wants_full
--- a/magpieshift/lab/capacity/roles/digests.py
+++ b/magpieshift/lab/capacity/roles/digests.py
@@ -8,13 +8,13 @@
 from magpieshift.lab.capacity.processor import spending
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.overload.codec import decode, encode
-from magpieshift.overload.gossip import TURN_US, Gossip
-from magpieshift.overload.probe_election import Seen
+from magpieshift.overload.gossip import GOSSIP_INTERVAL_US, Gossip
+from magpieshift.overload.probe_election import EndpointHealth
 
 FAILING = 8  # stores of a zone at once: a rack of them
 TALKERS = 8  # of the routers; what goes to the others comes to one of these, as each hears what it says
 TURNS = 25
-FOR_S = TURNS * TURN_US / 1e6
+FOR_S = TURNS * GOSSIP_INTERVAL_US / 1e6
 ALL_CONTROL = "all of control on a router"
 
 
@@ -46,12 +46,12 @@
             for turn in range(1, TURNS + 1):
                 for talker in talkers.values():
                     seen = self._seen(draw)
-                    for name, digest in talker.turn(turn * TURN_US, seen, here).sends:
+                    for name, digest in talker.tick(turn * GOSSIP_INTERVAL_US, seen, here).sends:
                         data = encode(digest)
                         sent = sent + 1
                         sent_bytes = sent_bytes + len(data)
                         hears = talkers.get(name) or draw.choice(list(talkers.values()))
-                        hears.receive(turn * TURN_US, talker.own, decode(data), mate=True)
+                        hears.receive(turn * GOSSIP_INTERVAL_US, talker.own, decode(data), is_neighbour=True)
         return Sample(
             size,
             {
@@ -62,11 +62,13 @@
         )
 
     @staticmethod
-    def _seen(draw: random.Random) -> dict[str, Seen]:
+    def _seen(draw: random.Random) -> dict[str, EndpointHealth]:
         """What a router sees of its zone's stores: some failed within the last second."""
         stores = {}
         for number in range(fleet.CACHES_PER_ZONE):
             failing = number < FAILING
             failed_us = draw.randrange(1_000_000) if failing else None
-            stores[f"store-{number}"] = Seen(number, (0, 1), failing, failed_us, None if failing else 0)
+            stores[f"store-{number}"] = EndpointHealth(
+                number, (0, 1), failing, failed_us, None if failing else 0
+            )
         return stores
--- a/magpieshift/lab/scale/relayed.py
+++ b/magpieshift/lab/scale/relayed.py
@@ -7,7 +7,7 @@
 from typing import cast
 
 from magpieshift.app import EdgeRouter
-from magpieshift.extensions.relay_subscription import Changes, RelaySubscription
+from magpieshift.extensions.relay_subscription import RelayChangeSource, RelaySubscription
 from magpieshift.lab.scale.hollow import HollowRouter
 from magpieshift.relay.selection import RelayAddress
 
@@ -21,7 +21,7 @@
         self._relayed = RelaySubscription(
             cast(EdgeRouter, router), router.manager, relays, region, router.name
         )
-        self._client = cast(Changes, router.change_source).client
+        self._client = cast(RelayChangeSource, router.change_source).client
 
     @property
     def connected(self) -> bool:
--- a/magpieshift/lab/simulated/gossip.py
+++ b/magpieshift/lab/simulated/gossip.py
@@ -6,10 +6,10 @@
 from functools import partial
 
 from magpieshift.lab.simulated.fleet import SECOND, Fleet, Router
-from magpieshift.overload.codec import Digest, decode, encode
-from magpieshift.overload.failure_reports import FailureReport
-from magpieshift.overload.gossip import TURN_US, Gossip
-from magpieshift.overload.probe_election import Seen
+from magpieshift.overload.codec import decode, encode
+from magpieshift.overload.digest import Digest, FailureReport
+from magpieshift.overload.gossip import GOSSIP_INTERVAL_US, Gossip
+from magpieshift.overload.probe_election import EndpointHealth
 
 NOTICED_US = 2_400_000  # by the others, that a router does not answer
 
@@ -36,7 +36,9 @@
             if id(router.engine) not in self._talkers:
                 talker = Gossip(name, random.Random(self._rand.getrandbits(64)), fleet.time.now_us)
                 self._talkers[id(router.engine)] = (router, talker)
-                router.clock.after(self._rand.randrange(TURN_US), partial(self._turn, router, talker))
+                router.clock.after(
+                    self._rand.randrange(GOSSIP_INTERVAL_US), partial(self._turn, router, talker)
+                )
             if router.clock.dead:
                 self._died.setdefault(name, fleet.time.now_us)
             else:
@@ -50,12 +52,14 @@
     def _turn(self, router: Router, talker: Gossip) -> None:
         now = self._fleet.time.now_us
         seen = {
-            m.name: Seen(m.endpoint.number, (m.endpoint.kind, m.endpoint.zone), shunned, failed, good)
+            m.name: EndpointHealth(
+                m.endpoint.number, (m.endpoint.kind, m.endpoint.zone), shunned, failed, good
+            )
             for m, shunned, failed, good in router.engine.endpoint_health()
         }
         here = self._here()
-        turn = talker.turn(now, seen, here)
-        router.engine.apply_overrides(turn.acts)
+        turn = talker.tick(now, seen, here)
+        router.engine.apply_overrides(turn.overrides)
         sends = turn.sends
         if router.name in self._liars:
             reports = tuple(
@@ -69,7 +73,7 @@
             if self._rand.random() >= self.loss:
                 delay = self._rand.randrange(300, 3_000)
                 self._fleet.time.after(delay, partial(self._arrive, name, router.name, data))
-        router.clock.after(TURN_US, partial(self._turn, router, talker))
+        router.clock.after(GOSSIP_INTERVAL_US, partial(self._turn, router, talker))
 
     def _arrive(self, name: str, sender: str, data: bytes) -> None:
         router = self._fleet.routers[name]
@@ -77,7 +81,7 @@
         now = self._fleet.time.now_us
         if clock.dead or now < clock.asleep_until_us or id(router.engine) not in self._talkers:
             return
-        self._talkers[id(router.engine)][1].receive(now, sender, decode(data), mate=False)
+        self._talkers[id(router.engine)][1].receive(now, sender, decode(data), is_neighbour=False)
 
     def cost(self) -> tuple[float, float]:
         """Datagrams and bytes that a router sent a second, over the whole run."""
--- a/magpieshift/membership/codec.py
+++ b/magpieshift/membership/codec.py
@@ -190,24 +190,25 @@
 
 
 def _decode_body(raw: wire.Datagram) -> Body:
+    body: Body = None  # where there is none, or one of a later version
     match raw.WhichOneof("body"):
         case "ping":
-            return Ping(raw.ping.number)
+            body = Ping(raw.ping.number)
         case "ack":
-            return Ack(raw.ack.number, _text(raw.ack.about, "ack", required=False))
+            body = Ack(raw.ack.number, _text(raw.ack.about, "ack", required=False))
         case "ask":
-            return PingRequest(raw.ask.number, _text(raw.ask.about, "ask"))
+            body = PingRequest(raw.ask.number, _text(raw.ask.about, "ask"))
         case "sync":
             if len(raw.sync.parts) != DIGEST_BUCKETS:
                 raise MalformedDatagramError(
                     f"sync: found {len(raw.sync.parts)} parts, expected {DIGEST_BUCKETS}"
                 )
-            return Sync(tuple(raw.sync.parts), raw.sync.answer)
+            body = Sync(tuple(raw.sync.parts), raw.sync.answer)
         case "claim":
-            return _decode_lease_message(raw.claim)
+            body = _decode_lease_message(raw.claim)
         case "note":
-            return ExtensionMessage(_text(raw.note.topic, "note"), raw.note.data)
-    return None  # none, or of a later version
+            body = ExtensionMessage(_text(raw.note.topic, "note"), raw.note.data)
+    return body
 
 
 def _decode_lease_message(claim: wire.Claim) -> LeaseMessage:
--- a/magpieshift/overload/__init__.py
+++ b/magpieshift/overload/__init__.py
@@ -1,3 +1,4 @@
-"""What routers that may talk do together where stores or routers have too much: pure state machines, told
-the time and what others say. Off unless the settings ask for it; without reports each router does what it
-would do alone."""
+"""What routers do together where endpoints or routers are overloaded. State machines; no I/O.
+
+Off unless the settings ask for it. A router that receives no reports does what it would do alone.
+"""
--- a/magpieshift/overload/codec.py
+++ b/magpieshift/overload/codec.py
@@ -1,62 +1,60 @@
-"""Digests as bytes and back, by protobuf; what cannot be used is ``Malformed``."""
+"""Digests to protobuf bytes and back, and the one place of the protobuf's names."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 from google.protobuf.message import DecodeError
 
-from magpieshift.overload.failure_reports import MOST_TOLD, FailureReport
+from magpieshift.errors import MagpieshiftError
+from magpieshift.overload.digest import Digest, FailureReport
+from magpieshift.overload.failure_reports import MAX_REPORTS_SENT
 from magpieshift.overload.wire import overload_pb2 as wire
 
-MOST_BYTES = 1_100  # beside what else a datagram carries
-
-
-class Malformed(Exception):
-    """No digest; the text says what was found and what expected."""
+MAX_DIGEST_BYTES = 1_100  # leaves room for membership's own fields in a datagram of 1,400
+MAX_REPORTS_READ = 2 * MAX_REPORTS_SENT  # of one digest; a later version may send more than this one
+PRESSURE_UNITS = 1000  # pressure goes in thousandths
+MAX_WIRE_PRESSURE = 100_000  # in thousandths; beyond a hundred times capacity more says nothing
+MAX_WIRE_RATE = 1 << 31  # requests a second; bound of the wire's field
+US_PER_MS = 1000
 
 
-@dataclass(frozen=True, slots=True)
-class Digest:
-    """What one router says: reports it has seen or heard, and its own pressure, rate, and whether it hands
-    over."""
-
-    reports: tuple[FailureReport, ...] = ()
-    pressure: float = 0.0
-    rate: float = 0.0
-    over: bool = False
+class MalformedDigestError(MagpieshiftError):
+    """Bytes are no digest; the text says what was found and what was expected."""
 
 
 def encode(digest: Digest) -> bytes:
-    """As bytes, of ``MOST_BYTES`` at most: the oldest reports give way."""
+    """A digest as at most ``MAX_DIGEST_BYTES``: the oldest half of the reports gives way until it fits."""
     reports = digest.reports
     while True:
-        out = wire.Digest(
-            pressure=min(int(digest.pressure * 1000), 100_000),
-            rate=min(int(digest.rate), 1 << 31),
-            over=digest.over,
+        raw = wire.Digest(
+            pressure=min(int(digest.pressure * PRESSURE_UNITS), MAX_WIRE_PRESSURE),
+            rate=min(int(digest.request_rate), MAX_WIRE_RATE),
+            over=digest.is_offloading,
         )
         for report in reports:
-            out.words.add(
-                store=report.store,
+            raw.words.add(
+                store=report.endpoint,
                 witness=report.witness,
                 failing=report.failing,
-                age_ms=report.age_us // 1000,
+                age_ms=report.age_us // US_PER_MS,
             )
-        data = out.SerializeToString()
-        if len(data) <= MOST_BYTES or not reports:
+        data = raw.SerializeToString()
+        if len(data) <= MAX_DIGEST_BYTES or not reports:
             return data
         reports = reports[: len(reports) // 2]
 
 
 def decode(data: bytes) -> Digest:
-    """Bytes from anybody; ``Malformed`` where they are none."""
+    """Bytes from anybody as a digest; ``MalformedDigestError`` where they are none."""
     raw = wire.Digest()
     try:
         raw.ParseFromString(data)
     except DecodeError as err:
-        raise Malformed(f"digest: {err}") from err
-    if len(raw.words) > 2 * MOST_TOLD:
-        raise Malformed(f"digest: found {len(raw.words)} reports, expected at most {2 * MOST_TOLD}")
-    reports = tuple(FailureReport(w.store, w.witness, w.failing, w.age_ms * 1000) for w in raw.words)
-    return Digest(reports, raw.pressure / 1000, float(raw.rate), raw.over)
+        raise MalformedDigestError(f"digest: {err}") from err
+    if len(raw.words) > MAX_REPORTS_READ:
+        raise MalformedDigestError(
+            f"digest: found {len(raw.words)} reports, expected at most {MAX_REPORTS_READ}"
+        )
+    reports = tuple(
+        FailureReport(word.store, word.witness, word.failing, word.age_ms * US_PER_MS) for word in raw.words
+    )
+    return Digest(reports, raw.pressure / PRESSURE_UNITS, float(raw.rate), raw.over)
--- a/magpieshift/overload/failure_reports.py
+++ b/magpieshift/overload/failure_reports.py
@@ -1,136 +1,146 @@
-"""Reports of failing stores: who saw it, and how long ago. A state machine told reports and the time; no I/O.
+"""Reports of failing endpoints, as one router holds them. A state machine of reports and time; no I/O.
 
-Ages go along in place of times, so no clocks are compared; each router counts on from where it was told.
-Only a witness renews its own report, and reports that nobody renews are forgotten."""
+Each router counts a report's age on from when it arrived. Only its witness renews a report, and reports that
+nobody renews expire.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-HOLDS_US = 3_000_000  # after its witness saw it, a report counts for so long
-RENEW_US = 1_000_000  # a witness says again what still is so
-MOST_STORES = 64  # of which anything is kept: names from the network must not fill the memory
-MOST_WITNESSES = 8  # of one store; the latest
-MOST_TOLD = 24  # reports in one digest, which goes along in one datagram
-MOST_NAME = 64  # characters
+from magpieshift.overload.digest import FailureReport
 
-
-@dataclass(frozen=True, slots=True)
-class FailureReport:
-    """That a router saw a store fail, or be well again, so long ago."""
-
-    store: str
-    witness: str
-    failing: bool
-    age_us: int
+REPORT_LIFETIME_US = 3_000_000  # from when the witness saw it: two renewals may be lost
+RENEW_INTERVAL_US = 1_000_000  # in which a witness reports again what still is so
+# A report that was passed on arrives older or younger by the ways it took, which differ by less than this.
+MIN_AGE_CHANGE_US = RENEW_INTERVAL_US // 2
+MAX_ENDPOINTS = 64  # with reports: names from the network must not fill the memory
+MAX_WITNESSES = 8  # of one endpoint, the latest
+MAX_REPORTS_SENT = 24  # in one digest, which goes along in one datagram
+MAX_NAME_CHARACTERS = 64  # of an endpoint or a witness
 
 
 @dataclass(frozen=True, slots=True)
-class Sighting:
-    """A report as it is kept: when it was seen, on the clock of who keeps it."""
+class Observation:
+    """A report as it is kept."""
 
     failing: bool
-    seen_us: int
+    seen_us: int  # on the clock of the router that keeps it
 
 
 class FailureReports:
-    """All that one router has seen and heard of failing stores."""
+    """All that one router has seen and been told of failing endpoints."""
 
     def __init__(self, own: str) -> None:
+        """``own`` is this router's name, as a witness."""
         self.own = own
-        self.dropped = 0  # reports for which there was no room, or that make no sense
-        self._by_store: dict[str, dict[str, Sighting]] = {}
-
-    # --- what becomes known
-
-    def saw(self, store: str, failing: bool, ago_us: int | None, now_us: int) -> bool:
-        """What this router saw of a store last, and how long ago (None: nothing); whether that is new. That
-        a store is well is not, where nobody says otherwise."""
-        held = self._by_store.get(store, {})
-        told_of = any(each.failing and now_us - each.seen_us < HOLDS_US for each in held.values())
-        if ago_us is None or ago_us >= HOLDS_US or not (failing or told_of):
-            return False  # that it is well is told while some say otherwise, or it would be told for ever
-        before = held.get(self.own)
-        seen_us = now_us - ago_us
-        if before is not None and before.failing == failing and seen_us - before.seen_us < RENEW_US:
+        self.rejected = 0  # reports for which there was no room, or that make no sense
+        self._by_endpoint: dict[str, dict[str, Observation]] = {}  # by endpoint and witness
+
+    # --- recording
+
+    def record_own(self, endpoint: str, failing: bool, age_us: int | None, now_us: int) -> bool:
+        """Record what this router saw last of an endpoint, so long ago; whether that is news.
+
+        ``age_us`` None: it saw nothing. That an endpoint works is news only while some report otherwise, or
+        it would be passed on for ever.
+        """
+        observations = self._by_endpoint.get(endpoint, {})
+        is_reported = any(each.failing for each in observations.values() if self._counts(each, now_us))
+        if age_us is None or age_us >= REPORT_LIFETIME_US or not (failing or is_reported):
             return False
-        return self._keep(store, self.own, Sighting(failing, seen_us))
-
-    def take(self, reports: Iterable[FailureReport], now_us: int) -> bool:
-        """What another says; whether any of it was new. What is said in this router's own name it knows
-        better."""
-        new = False
-        for report in list(reports)[: 2 * MOST_TOLD]:
-            sound = 0 < len(report.store) <= MOST_NAME and 0 < len(report.witness) <= MOST_NAME
-            if not sound or not report.age_us >= 0:
-                self.dropped += 1
+        before = observations.get(self.own)
+        seen_us = now_us - age_us
+        if before is not None and before.failing == failing and seen_us - before.seen_us < RENEW_INTERVAL_US:
+            return False
+        return self._keep(endpoint, self.own, Observation(failing, seen_us))
+
+    def merge(self, reports: Iterable[FailureReport], now_us: int) -> bool:
+        """Take in another router's reports; whether any was news.
+
+        Reports in this router's own name do not count: it knows better.
+        """
+        any_new = False
+        for report in list(reports)[: 2 * MAX_REPORTS_SENT]:
+            if not self._is_valid(report):
+                self.rejected += 1
                 continue
-            if report.witness == self.own or report.age_us >= HOLDS_US:
+            if report.witness == self.own or report.age_us >= REPORT_LIFETIME_US:
                 continue
-            sighting = Sighting(report.failing, now_us - report.age_us)
-            before = self._by_store.get(report.store, {}).get(report.witness)
-            # by what it counts as new: the ways between two routers differ by less than a renewal
-            if (
-                before is None
-                or sighting.seen_us >= before.seen_us + RENEW_US // 2
-                or (before.failing != sighting.failing and sighting.seen_us > before.seen_us)
-            ):
-                new = self._keep(report.store, report.witness, sighting) or new
-        return new
-
-    def _keep(self, store: str, witness: str, sighting: Sighting) -> bool:
-        sightings = self._by_store.get(store)
-        if sightings is None:
-            if len(self._by_store) >= MOST_STORES:
-                self.dropped += 1
+            observation = Observation(report.failing, now_us - report.age_us)
+            before = self._by_endpoint.get(report.endpoint, {}).get(report.witness)
+            if before is None or self._is_newer(observation, before):
+                any_new = self._keep(report.endpoint, report.witness, observation) or any_new
+        return any_new
+
+    @staticmethod
+    def _is_valid(report: FailureReport) -> bool:
+        names = (report.endpoint, report.witness)
+        return report.age_us >= 0 and all(0 < len(name) <= MAX_NAME_CHARACTERS for name in names)
+
+    @staticmethod
+    def _is_newer(observation: Observation, before: Observation) -> bool:
+        if before.failing != observation.failing and observation.seen_us > before.seen_us:
+            return True
+        return observation.seen_us >= before.seen_us + MIN_AGE_CHANGE_US
+
+    def _keep(self, endpoint: str, witness: str, observation: Observation) -> bool:
+        """Keep an observation; whether there was room for it."""
+        observations = self._by_endpoint.get(endpoint)
+        if observations is None:
+            if len(self._by_endpoint) >= MAX_ENDPOINTS:
+                self.rejected += 1
                 return False
-            sightings = self._by_store[store] = {}
-        sightings[witness] = sighting
-        if len(sightings) > MOST_WITNESSES:
-            others = [who for who in sightings if who != self.own]
-            del sightings[min(others, key=lambda who: sightings[who].seen_us)]
-        return witness in sightings
-
-    def forget(self, now_us: int) -> None:
-        """Drop what counts no more."""
-        for store, sightings in list(self._by_store.items()):
-            for witness in [
-                who for who, sighting in sightings.items() if now_us - sighting.seen_us >= HOLDS_US
-            ]:
-                del sightings[witness]
-            if not sightings:
-                del self._by_store[store]
-
-    # --- what can be asked
-
-    def stores(self) -> Iterable[str]:
-        """Of which anything is known."""
-        return self._by_store.keys()
-
-    def failing(self, store: str, now_us: int) -> frozenset[str]:
-        """Who says that this store fails, and has seen so since anybody saw it well."""
-        sightings = self._fresh(store, now_us)
-        well = max((sighting.seen_us for sighting in sightings.values() if not sighting.failing), default=-1)
+            observations = self._by_endpoint[endpoint] = {}
+        observations[witness] = observation
+        if len(observations) > MAX_WITNESSES:
+            others = [name for name in observations if name != self.own]
+            del observations[min(others, key=lambda name: observations[name].seen_us)]
+        return witness in observations
+
+    def expire(self, now_us: int) -> None:
+        """Drop the observations that count no more."""
+        for endpoint in list(self._by_endpoint):
+            current = self._current(endpoint, now_us)
+            if current:
+                self._by_endpoint[endpoint] = current
+            else:
+                del self._by_endpoint[endpoint]
+
+    # --- reading
+
+    def endpoints(self) -> Iterable[str]:
+        """The endpoints of which there is any report."""
+        return self._by_endpoint.keys()
+
+    def failing_witnesses(self, endpoint: str, now_us: int) -> frozenset[str]:
+        """The routers that saw an endpoint fail later than anybody saw it work."""
+        observations = self._current(endpoint, now_us)
+        recovered_us = max((each.seen_us for each in observations.values() if not each.failing), default=-1)
         return frozenset(
-            who for who, sighting in sightings.items() if sighting.failing and sighting.seen_us > well
+            witness for witness, each in observations.items() if each.failing and each.seen_us > recovered_us
         )
 
-    def well(self, store: str, now_us: int) -> bool:
-        """Whether the last that was seen of it, by anybody, is that it is well."""
-        return bool(self._fresh(store, now_us)) and not self.failing(store, now_us)
-
-    def _fresh(self, store: str, now_us: int) -> Mapping[str, Sighting]:
-        sightings = self._by_store.get(store, {})
-        return {who: sighting for who, sighting in sightings.items() if now_us - sighting.seen_us < HOLDS_US}
+    def is_recovered(self, endpoint: str, now_us: int) -> bool:
+        """Whether the last that anybody saw of an endpoint is that it works."""
+        return bool(self._current(endpoint, now_us)) and not self.failing_witnesses(endpoint, now_us)
 
-    def told(self, now_us: int) -> tuple[FailureReport, ...]:
-        """What to tell another: the youngest reports."""
-        every = [
-            FailureReport(store, who, sighting.failing, max(0, now_us - sighting.seen_us))
-            for store in self._by_store
-            for who, sighting in self._fresh(store, now_us).items()
+    def youngest(self, now_us: int) -> tuple[FailureReport, ...]:
+        """The reports to send: the youngest ones."""
+        reports = [
+            FailureReport(endpoint, witness, each.failing, max(0, now_us - each.seen_us))
+            for endpoint in self._by_endpoint
+            for witness, each in self._current(endpoint, now_us).items()
         ]
-        return tuple(
-            sorted(every, key=lambda report: (report.age_us, report.store, report.witness))[:MOST_TOLD]
-        )
+        reports.sort(key=lambda report: (report.age_us, report.endpoint, report.witness))
+        return tuple(reports[:MAX_REPORTS_SENT])
+
+    def _current(self, endpoint: str, now_us: int) -> dict[str, Observation]:
+        """The observations of an endpoint that still count, by witness."""
+        observations: Mapping[str, Observation] = self._by_endpoint.get(endpoint, {})
+        return {witness: each for witness, each in observations.items() if self._counts(each, now_us)}
+
+    @staticmethod
+    def _counts(observation: Observation, now_us: int) -> bool:
+        return now_us - observation.seen_us < REPORT_LIFETIME_US
--- a/magpieshift/overload/gossip.py
+++ b/magpieshift/overload/gossip.py
@@ -1,9 +1,9 @@
-"""What one router says to others of failing stores and of itself, and what it makes of what they say. A
-state machine told digests and the time; no I/O.
+"""Gossip of failing endpoints and of routers' load. A state machine of digests and time; no I/O.
 
-Nothing is said while nothing fails and nobody is pressed. What is new of a store goes to a few at random at
-once and for some turns, and from them on; what is merely renewed goes to one a turn. A router that is
-pressed tells its neighbours, and they tell it how they are."""
+Nothing is sent while no endpoint fails and no router is overloaded. News of an endpoint goes to a few members
+at random for some ticks, and from them on; mere renewals go to one a tick. An overloaded router tells its
+neighbours, the members of its zone, and they answer with their own load.
+"""
 
 from __future__ import annotations
 
@@ -11,99 +11,131 @@
 from collections.abc import Collection, Mapping, Sequence
 from dataclasses import dataclass
 
-from magpieshift.overload.codec import Digest
+from magpieshift.overload.digest import Digest
 from magpieshift.overload.failure_reports import FailureReports
-from magpieshift.overload.offloading import FRESH_US, LOW, Neighbour, Offloading
-from magpieshift.overload.probe_election import ProbeElection, Seen
+from magpieshift.overload.offloading import LOAD_LIFETIME_US, LOW_PRESSURE, NeighbourLoad, Offloading
+from magpieshift.overload.probe_election import EndpointHealth, ProbeElection
 from magpieshift.policy.health_override import HealthOverride
 
-TURN_US = 200_000  # between two turns
-# others told of what is new in a turn, and for how many turns
-FANOUT = 4
-URGENT_TURNS = 4
-# neighbours told by a pressed router, and every how many turns
-MATES = 8
-MATES_TURNS = 2
-MOST_A_TURN = 64  # digests taken between two turns, over all senders; more are dropped
+GOSSIP_INTERVAL_US = 200_000  # between two ticks; shorter spreads news sooner and sends more
+FANOUT = 4  # members told of news in a tick
+URGENT_TICKS = 4  # in which news is told to so many; with the fan-out it has then reached hundreds
+NEIGHBOUR_FANOUT = 8  # neighbours told of this router's load
+NEIGHBOUR_INTERVAL_TICKS = 2  # between two reports of the load
+MAX_DIGESTS_PER_TICK = 64  # taken from all senders; a flood beyond is dropped
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
-    """What came of a turn: what the module is to heed, and who is to be told what."""
+class GossipActions:
+    """What a tick asks for."""
 
-    acts: list[HealthOverride]
-    sends: list[tuple[str, Digest]]
-    offloading_changed: bool = False
+    overrides: list[HealthOverride]  # for the policy to apply
+    sends: list[tuple[str, Digest]]  # receiver's name and digest
+    offloading_changed: bool = False  # it has begun or ended
 
 
 class Gossip:
-    """One router's talk."""
+    """One router's part in the gossip."""
 
     def __init__(self, own: str, rand: random.Random, now_us: int = 0) -> None:
-        self.own = own
+        self.own = own  # this router's name
         self._random = rand
         self.reports = FailureReports(own)
-        self.trials = ProbeElection(own, rand)
+        self.probe_election = ProbeElection(own, rand)
         self.offloading = Offloading(now_us)
-        self.sent = 0
-        self.taken = 0
-        self.flooded = 0
-        self._urgent = 0
-        self._turns = 0
-        self._taken_now = 0
-        self._verdicts: dict[str, tuple[bool, bool]] = {}
-        self._pressed_us: int | None = None  # when a neighbour last said that it is
-
-    def receive(self, now_us: int, sender: str, digest: Digest, mate: bool) -> None:
-        """Take in what a member says; ``mate`` where it stands in this router's own place."""
-        self._taken_now += 1
-        if self._taken_now > MOST_A_TURN:
-            self.flooded += 1
+        self.sent_digests = 0
+        self.received_digests = 0
+        self.dropped_digests = 0  # beyond MAX_DIGESTS_PER_TICK
+        self._urgent_ticks_left = 0  # in which news goes to FANOUT members
+        self._tick_count = 0
+        self._received_this_tick = 0
+        # by endpoint, whether others see it fail and whether it has recovered: a change is news
+        self._findings: dict[str, tuple[bool, bool]] = {}
+        self._neighbour_overloaded_us: int | None = None  # when a neighbour last reported to be overloaded
+
+    def receive(self, now_us: int, sender: str, digest: Digest, is_neighbour: bool) -> None:
+        """Take in a member's digest; ``is_neighbour`` where it is in this router's zone."""
+        self._received_this_tick += 1
+        if self._received_this_tick > MAX_DIGESTS_PER_TICK:
+            self.dropped_digests += 1
             return
-        self.taken += 1
-        self.reports.take(digest.reports, now_us)
-        if mate and (digest.pressure or digest.rate):
-            self.offloading.heard(sender, Neighbour(digest.pressure, digest.rate, digest.over, now_us))
-            if digest.pressure >= LOW or digest.over:
-                self._pressed_us = now_us
-
-    def turn(
+        self.received_digests += 1
+        self.reports.merge(digest.reports, now_us)
+        if is_neighbour and (digest.pressure or digest.request_rate):
+            load = NeighbourLoad(digest.pressure, digest.request_rate, digest.is_offloading, now_us)
+            self.offloading.update_neighbour(sender, load)
+            if digest.pressure >= LOW_PRESSURE or digest.is_offloading:
+                self._neighbour_overloaded_us = now_us
+
+    def tick(
         self,
         now_us: int,
-        seen: Mapping[str, Seen],
-        here: Sequence[str],
-        mates: Collection[str] = (),
+        health: Mapping[str, EndpointHealth],
+        present: Sequence[str],
+        neighbours: Collection[str] = (),
         pressure: float = 0.0,
-        rate: float = 0.0,
-    ) -> Turn:
-        """To be called every ``TURN_US``: ``here`` are all who are there and not suspected, this router
-        included,
-        ``mates`` those of its own place."""
-        self._turns += 1
-        self._taken_now = 0
-        self.reports.forget(now_us)
-        for store, its in seen.items():
-            self.reports.saw(store, its.failing, its.failed_us if its.failing else its.good_us, now_us)
-        verdicts = {
-            store: (bool(self.reports.failing(store, now_us) - {self.own}), self.reports.well(store, now_us))
-            for store in self.reports.stores()
-        }
-        if verdicts != self._verdicts:
-            self._verdicts = verdicts
-            self._urgent = URGENT_TURNS
-        acts = self.trials.judge(now_us, self.reports, here, seen)
-        changed = self.offloading.turn(now_us, pressure, rate, dict.fromkeys(mates))
+        request_rate: float = 0.0,
+    ) -> GossipActions:
+        """Advance by one tick, every ``GOSSIP_INTERVAL_US``.
+
+        ``health`` is what this router knows of its endpoints, by name; ``present`` are the members present
+        and not suspect, this router included, and ``neighbours`` those of its zone; ``pressure`` and
+        ``request_rate`` are its own load.
+        """
+        self._tick_count += 1
+        self._received_this_tick = 0
+        self._record_own_health(now_us, health)
+        has_reports = self._update_findings(now_us)
+        overrides = self.probe_election.decide(now_us, self.reports, present, health)
+        changed = self.offloading.tick(now_us, pressure, request_rate, neighbours)
         sends: list[tuple[str, Digest]] = []
-        others = [name for name in here if name != self.own]
-        if verdicts and others:
-            digest = Digest(self.reports.told(now_us))
-            many = min(len(others), FANOUT if self._urgent > 0 else 1)
-            sends += [(name, digest) for name in self._random.sample(others, many)]
-        self._urgent = max(0, self._urgent - 1)
-        asked = self._pressed_us is not None and now_us - self._pressed_us < FRESH_US
-        if (pressure >= LOW or self.offloading.over or asked) and self._turns % MATES_TURNS == 0:
-            own = Digest((), pressure, rate, self.offloading.over)
-            near = sorted(name for name in mates if name != self.own)
-            sends += [(name, own) for name in self._random.sample(near, min(len(near), MATES))]
-        self.sent += len(sends)
-        return Turn(acts, sends, changed)
+        if has_reports:
+            sends += self._report_digests(now_us, present)
+        self._urgent_ticks_left = max(0, self._urgent_ticks_left - 1)
+        if self._should_report_load(now_us, pressure):
+            sends += self._load_digests(neighbours, pressure, request_rate)
+        self.sent_digests += len(sends)
+        return GossipActions(overrides, sends, changed)
+
+    def _record_own_health(self, now_us: int, health: Mapping[str, EndpointHealth]) -> None:
+        self.reports.expire(now_us)
+        for endpoint, own_view in health.items():
+            age_us = own_view.failure_age_us if own_view.is_failing else own_view.success_age_us
+            self.reports.record_own(endpoint, own_view.is_failing, age_us, now_us)
+
+    def _update_findings(self, now_us: int) -> bool:
+        """Make a change of what the reports say urgent; whether there are any reports."""
+        findings = {
+            endpoint: (
+                bool(self.reports.failing_witnesses(endpoint, now_us) - {self.own}),
+                self.reports.is_recovered(endpoint, now_us),
+            )
+            for endpoint in self.reports.endpoints()
+        }
+        if findings != self._findings:
+            self._findings = findings
+            self._urgent_ticks_left = URGENT_TICKS
+        return bool(findings)
+
+    def _report_digests(self, now_us: int, present: Sequence[str]) -> list[tuple[str, Digest]]:
+        others = [name for name in present if name != self.own]
+        if not others:
+            return []
+        digest = Digest(self.reports.youngest(now_us))
+        fanout = min(len(others), FANOUT if self._urgent_ticks_left > 0 else 1)
+        return [(name, digest) for name in self._random.sample(others, fanout)]
+
+    def _should_report_load(self, now_us: int, pressure: float) -> bool:
+        if self._tick_count % NEIGHBOUR_INTERVAL_TICKS != 0:
+            return False
+        heard_us = self._neighbour_overloaded_us
+        is_asked = heard_us is not None and now_us - heard_us < LOAD_LIFETIME_US
+        return pressure >= LOW_PRESSURE or self.offloading.is_active or is_asked
+
+    def _load_digests(
+        self, neighbours: Collection[str], pressure: float, request_rate: float
+    ) -> list[tuple[str, Digest]]:
+        digest = Digest((), pressure, request_rate, self.offloading.is_active)
+        others = sorted(name for name in neighbours if name != self.own)
+        chosen = self._random.sample(others, min(len(others), NEIGHBOUR_FANOUT))
+        return [(name, digest) for name in chosen]
--- a/magpieshift/overload/probe_election.py
+++ b/magpieshift/overload/probe_election.py
@@ -1,11 +1,11 @@
-"""Who tries a store that fails: a few of all the routers that could, and the others go by what those find.
-A state machine told reports and the time; no I/O.
+"""Which routers probe a failing endpoint: a few, and the others go by what those find.
 
-The order is a hash of store and router, the same everywhere, over those who are there. A router that is not
-among the first leaves the store alone as long as it hears that it fails, and comes back at its own moment
-once it is said to be well. Reports alone are bounded in what they can do: it takes two witnesses, they are
-not heeded by who has just had a good answer, and they never take away more than half of the stores of one
-kind and place. Where nothing is heard, nothing is heeded: each router then goes by what it sees itself."""
+A state machine of reports and time; no I/O. The probers are the first by a hash of endpoint and router, the
+same everywhere, of the members present. The others eject the endpoint while they are told that it fails, and
+readmit it at a random moment once it has recovered. Reports alone are bounded in what they can do: it takes
+two witnesses, a router with a recent success of its own ignores them, and they eject at most half of the
+endpoints of a group. Where no reports arrive, each router goes by what it sees itself.
+"""
 
 from __future__ import annotations
 
@@ -14,101 +14,115 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
-from magpieshift.overload.failure_reports import HOLDS_US, FailureReports
+from magpieshift.overload.failure_reports import REPORT_LIFETIME_US, FailureReports
 from magpieshift.policy.health_override import Eject, HealthOverride, Readmit
 
-TRIERS = 2  # of all routers that could, at a time
-TRY_US = 1_000_000  # a trier's pause after a failure, however long its own has grown
-LEAVE_US = 1_500_000  # left alone for so long by each report; renewed while it lasts
-RAMP_US = 1_000_000  # within which all others come back to a store that is well
-WITNESSES = 2  # without own evidence
-OWN_US = 1_000_000  # a good answer so short ago counts for more than any report
+PROBERS = 2  # of one endpoint at a time: one may be slow or cut off
+PROBE_INTERVAL_US = 1_000_000  # of a prober after a failure, in place of its own growing backoff
+EJECTION_US = 1_500_000  # of one decision; renewed while the endpoint fails
+READMISSION_RAMP_US = 1_000_000  # within which all others readmit it: together they would overload it again
+MIN_WITNESSES = 2  # of a router that has not seen the failure itself: one alone may be at fault
+OWN_SUCCESS_LIFETIME_US = 1_000_000  # a success of this router's own counts for more than any report
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """What this router itself holds of a store: its number in the module, of what kind and place it is,
-    whether it is passed over here for its failures, and how long ago it failed and was of use (None:
-    never)."""
+class EndpointHealth:
+    """What this router itself knows of an endpoint."""
 
-    number: int
-    group: tuple[int, int]
-    shunned: bool
-    failed_us: int | None
-    good_us: int | None
+    number: int  # by which the policy knows it
+    group: tuple[int, int]  # its kind and zone
+    is_ejected: bool  # here, for its failures
+    failure_age_us: int | None  # since its last failure; None: never
+    success_age_us: int | None  # since it last was of use; None: never
 
     @property
-    def failing(self) -> bool:
-        """Whether it fails by what was seen here lately, and nothing good came since."""
-        failed = self.failed_us
-        good = self.good_us
-        return self.shunned and failed is not None and failed < HOLDS_US and (good is None or good > failed)
+    def is_failing(self) -> bool:
+        """Whether it failed here lately, and has not succeeded since."""
+        failure_age_us = self.failure_age_us
+        if not self.is_ejected or failure_age_us is None or failure_age_us >= REPORT_LIFETIME_US:
+            return False
+        return self.success_age_us is None or self.success_age_us > failure_age_us
 
 
-def place(store: str, router: str) -> int:
-    """Where a router stands in a store's order, the same everywhere."""
-    return int.from_bytes(hashlib.blake2b(f"{store} {router}".encode(), digest_size=8).digest(), "big")
+def election_rank(endpoint: str, router: str) -> int:
+    """The rank of a router in the election for an endpoint; the highest are the probers."""
+    digest = hashlib.blake2b(f"{endpoint} {router}".encode(), digest_size=8).digest()
+    return int.from_bytes(digest, "big")
 
 
 class ProbeElection:
-    """One router's part in trying failing stores."""
+    """One router's part in probing failing endpoints."""
 
     def __init__(self, own: str, rand: random.Random) -> None:
-        self.own = own
+        self.own = own  # this router's name
         self._random = rand
-        self._left: set[str] = set()  # stores left alone by report
-        # how often each was judged, for people
-        self.tries = 0
-        self.leaves = 0
-
-    def among_first(self, store: str, here: Collection[str]) -> bool:
-        """Whether this router is one of the store's triers, of those who are there."""
-        mine = place(store, self.own)
-        return sum(place(store, name) > mine for name in here if name != self.own) < TRIERS
-
-    def judge(
-        self, now_us: int, reports: FailureReports, here: Collection[str], seen: Mapping[str, Seen]
+        self._ejected: set[str] = set()  # endpoints ejected here as others report them
+        self.probe_decisions = 0  # totals, for people
+        self.ejection_decisions = 0
+
+    def is_prober(self, endpoint: str, present: Collection[str]) -> bool:
+        """Whether this router is one of the probers, of the members present."""
+        own_rank = election_rank(endpoint, self.own)
+        return sum(election_rank(endpoint, name) > own_rank for name in present if name != self.own) < PROBERS
+
+    def decide(
+        self,
+        now_us: int,
+        reports: FailureReports,
+        present: Collection[str],
+        health: Mapping[str, EndpointHealth],
     ) -> list[HealthOverride]:
-        """What to do about each store that anybody has reported; ``here`` are the routers that are there and
-        not suspected, this one included, ``seen`` the stores this router may ask."""
-        out: list[HealthOverride] = []
-        room = self._room(seen)
-        for store in sorted(reports.stores()):
-            its = seen.get(store)
-            if its is None:
+        """What to do about each endpoint that is reported.
+
+        ``present`` are the members present and not suspect, this router included; ``health`` is of the
+        endpoints that this router may use.
+        """
+        overrides: list[HealthOverride] = []
+        ejectable = self._ejectable_counts(health)
+        for endpoint in sorted(reports.endpoints()):
+            own_view = health.get(endpoint)
+            if own_view is None:
                 continue
-            said = reports.failing(store, now_us)
-            if not said:
-                if store in self._left and reports.well(store, now_us):
-                    out.append(Readmit(its.number, int(self._random.random() * RAMP_US), 0))
-                self._left.discard(store)
-                continue
-            others = len(said - {self.own})
-            by_report = not its.failing
-            answered = its.good_us is not None and its.good_us < OWN_US
-            if by_report and (others < WITNESSES or answered):
-                continue
-            if not by_report and others == 0:
-                continue  # nobody else has seen it: its own pauses will do
-            if self.among_first(store, here):
-                self.tries += 1
-                out.append(Readmit(its.number, 0, TRY_US))
-                self._left.discard(store)
-            elif not by_report or room.get(its.group, 0) > 0:
-                room[its.group] = room.get(its.group, 0) - by_report
-                self.leaves += 1
-                self._left.add(store)
-                out.append(Eject(its.number, LEAVE_US))
-        self._left.intersection_update(seen)
-        return out
+            witnesses = reports.failing_witnesses(endpoint, now_us)
+            if not witnesses:
+                if endpoint in self._ejected and reports.is_recovered(endpoint, now_us):
+                    overrides.append(self._readmission(own_view))
+                self._ejected.discard(endpoint)
+            elif self._is_credible(len(witnesses - {self.own}), own_view):
+                if self.is_prober(endpoint, present):
+                    self.probe_decisions += 1
+                    overrides.append(Readmit(own_view.number, 0, PROBE_INTERVAL_US))
+                    self._ejected.discard(endpoint)
+                elif own_view.is_failing or ejectable.get(own_view.group, 0) > 0:
+                    if not own_view.is_failing:
+                        ejectable[own_view.group] -= 1
+                    self.ejection_decisions += 1
+                    self._ejected.add(endpoint)
+                    overrides.append(Eject(own_view.number, EJECTION_US))
+        self._ejected.intersection_update(health)
+        return overrides
+
+    def _readmission(self, own_view: EndpointHealth) -> Readmit:
+        return Readmit(own_view.number, int(self._random.random() * READMISSION_RAMP_US), 0)
 
     @staticmethod
-    def _room(seen: Mapping[str, Seen]) -> dict[tuple[int, int], int]:
-        """How many stores of each kind and place may be left alone by report: half of them, less those that
-        fail by what this router has seen."""
-        count: dict[tuple[int, int], int] = {}
+    def _is_credible(other_witnesses: int, own_view: EndpointHealth) -> bool:
+        """Whether reports by so many others are acted on."""
+        if own_view.is_failing:
+            return other_witnesses > 0  # with none this router's own backoff will do
+        success_age_us = own_view.success_age_us
+        has_own_success = success_age_us is not None and success_age_us < OWN_SUCCESS_LIFETIME_US
+        return other_witnesses >= MIN_WITNESSES and not has_own_success
+
+    @staticmethod
+    def _ejectable_counts(health: Mapping[str, EndpointHealth]) -> dict[tuple[int, int], int]:
+        """How many endpoints of each group may be ejected by report.
+
+        That is half of the group, less those that fail by what this router has seen.
+        """
+        total: dict[tuple[int, int], int] = {}
         failing: dict[tuple[int, int], int] = {}
-        for its in seen.values():
-            count[its.group] = count.get(its.group, 0) + 1
-            failing[its.group] = failing.get(its.group, 0) + its.failing
-        return {group: many // 2 - failing[group] for group, many in count.items()}
+        for own_view in health.values():
+            total[own_view.group] = total.get(own_view.group, 0) + 1
+            failing[own_view.group] = failing.get(own_view.group, 0) + own_view.is_failing
+        return {group: count // 2 - failing[group] for group, count in total.items()}
