--- a/tests/membership/test_joined.py
+++ b/tests/extensions/test_membership.py
@@ -1,5 +1,5 @@
-"""How membership joins a router: its settings, the engine's divisors, and that nothing of it is there where
-it is off."""
+"""How membership joins a router: its settings, the counts that the engine divides by, and that a router
+without it loads none of it."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 }
 
 
-class Settings(unittest.TestCase):
+class SettingsTest(unittest.TestCase):
     def data(self, **members: Any) -> dict[str, Any]:
         world = World()
         world.log.port = 9  # nothing is started here
         return world.settings() | {"members": MEMBERS | members}
 
-    def test_what_is_written_is_read(self) -> None:
+    def test_written_settings_are_read_as_the_same(self) -> None:
         document = load_data(self.data()).document
         assert document.membership is not None
         self.assertEqual(document.membership.advertise, ("10.0.0.1", 7946))
@@ -45,7 +45,7 @@
         without = {name: value for name, value in self.data().items() if name != "members"}
         self.assertIsNone(load_data(without).document.membership)
 
-    def test_mistakes_are_told(self) -> None:
+    def test_mistakes_are_reported(self) -> None:
         wrongs: list[dict[str, Any]] = [
             {"listen": "nowhere"},
             {"seeds": ["127.0.0.1"]},
@@ -58,8 +58,8 @@
             self.assertEqual([p.where for p in caught.exception.problems], [f"members {next(iter(wrong))}"])
 
 
-class Divisors(EngineCase):
-    def test_the_module_divides_by_them_from_the_next_batch_on(self) -> None:
+class RouterCountsTest(EngineCase):
+    def test_the_policy_divides_by_them_from_the_next_batch_on(self) -> None:
         told = self.engine.in_force.document_settings
         self.engine.set_router_counts(7, 3)
         used = self.engine.policy_calls.policy.settings
@@ -69,8 +69,8 @@
         self.assertEqual((used.router_count, used.zone_router_counts[used.zone]), (14, 6))
         self.assertIs(self.engine.in_force.document_settings, told, "the document's figures stay its own")
 
-    def test_the_lease_is_asked_before_the_module_hears_anything(self) -> None:
-        """A process that has just woken must act on nothing that ran out while it slept."""
+    def test_the_quota_is_refreshed_before_the_policy_handles_a_batch(self) -> None:
+        """A process that resumes from a pause must not use a lease that expired meanwhile."""
         seen: list[int] = []
         self.engine.set_router_counts(2, 2)
         self.engine.refresh_quota = lambda: self.engine.set_router_counts(9, 9)
@@ -86,9 +86,9 @@
         self.assertEqual(seen, [9])
 
 
-class Recorded(EngineCase):
+class CaptureTest(EngineCase):
     def test_a_capture_with_changes_of_the_view_replays_the_same(self) -> None:
-        """What a router divides by is part of what its module decides on, so it has to be in the capture."""
+        """The router counts are part of what the policy decides on, so they have to be in the capture."""
         with tempfile.TemporaryDirectory() as folder:
             header = wire.Header(format=segments.FORMAT, policy_digest=policy.own().digest)
             recorder = Recorder(str(Path(folder) / "capture"), header, Limits())
@@ -105,9 +105,11 @@
             self.assertGreater(result.decisions, 40)
 
 
-class Off(unittest.TestCase):
-    def test_the_platforms_run_loads_nothing_of_it(self) -> None:
-        optional = "('members' in m or 'installation' in m)"
+class WithoutMembershipTest(unittest.TestCase):
+    def test_the_platforms_run_loads_no_optional_part(self) -> None:
+        optional = (
+            "m.startswith(('magpieshift.membership', 'magpieshift.overload', 'magpieshift.extensions'))"
+        )
         code = f"import sys, magpieshift.app; print([m for m in sys.modules if {optional}])"
         done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
         self.assertEqual(done.stdout.strip(), "[]", done.stderr)
--- /dev/null
+++ b/tests/membership/pieces.py
@@ -0,0 +1,17 @@
+"""What the tests of membership share."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from magpieshift.lab.experiments import members as lab
+from magpieshift.membership.member import Member
+
+
+def member(name: str, **more: object) -> Member:
+    return replace(Member(name, "10.0.0." + name, 1, 5, 7, zone="z"), **more)  # type: ignore[arg-type]
+
+
+def moved_address(name: str) -> tuple[str, int]:
+    """The addresses of a fleet, but for r2, which now starts on another machine."""
+    return ("10.9.9." if name == "r2" else "10.0.0.") + name, lab.PORT
--- a/tests/membership/test_explored.py
+++ b/tests/membership/test_explored.py
@@ -1,8 +1,8 @@
-"""All orders of delivery, loss, pause and restart, to a depth, for three members: not drawn, but every one.
+"""Exhaustive exploration of three members: all orders of delivery, loss, pause and restart, to a depth.
 
-The shares' machine is small enough for it. Time goes in steps of a fifth of a lease; in each step any message
-on its way may be delivered or lost, and any process may sleep through the step or start anew. A state seen
-before is not gone through again.
+The quota lease's state machine is small enough for it. Time goes in steps of a fifth of a lease; in each
+step any message on its way may be delivered or lost, and any process may sleep through the step or start
+anew. A state seen before is not gone through again.
 """
 
 from __future__ import annotations
@@ -38,15 +38,15 @@
     def __init__(self) -> None:
         self.now = 0
         self.boots = dict.fromkeys(NAMES, 1)
-        self.shares: dict[str, QuotaLease] = {}
+        self.leases: dict[str, QuotaLease] = {}
         self.views: dict[str, MemberTable] = {}
-        self.under_way: list[Message] = []
+        self.in_transit: list[Message] = []
         for name in NAMES:
             self.start(name)
 
     def start(self, name: str) -> None:
         own = Member(name, *at(name), 1, self.boots[name])
-        self.shares[name] = QuotaLease(
+        self.leases[name] = QuotaLease(
             own, NAMES, {FLEET_SCOPE: 3}, 0.4, self.now, random.Random(self.boots[name])
         )
         view = MemberTable(own, self.now)
@@ -59,7 +59,7 @@
         """Equal for states that go on alike: times count from now, numbers do not."""
         rows = []
         for name in NAMES:
-            s = self.shares[name]
+            s = self.leases[name]
             rows.append(
                 (
                     s.no_vote_until_us - self.now if s.no_vote_until_us > self.now else 0,
@@ -76,26 +76,26 @@
                     tuple(self.views[name].members[o].state.value for o in NAMES),
                 )
             )
-        way = sorted((f, t, c.kind.value, c.request_id, c.term != 0, c.quotas) for f, t, c in self.under_way)
+        way = sorted((f, t, c.kind.value, c.request_id, c.term != 0, c.quotas) for f, t, c in self.in_transit)
         return repr((rows, way)).encode()
 
     def in_use(self) -> float:
-        return sum(self.shares[name].quota(FLEET_SCOPE, self.now) for name in NAMES)
+        return sum(self.leases[name].quota(FLEET_SCOPE, self.now) for name in NAMES)
 
     def send(self, name: str, claims: list[tuple[Address, LeaseMessage]]) -> None:
-        self.under_way += [(name, to[0], claim) for to, claim in claims]
+        self.in_transit += [(name, to[0], claim) for to, claim in claims]
 
     def deliver(self, index: int) -> None:
-        source, target, claim = self.under_way.pop(index)
-        own = self.shares[source].own
-        self.send(target, self.shares[target].receive(self.now, claim, own, at(source), self.views[target]))
+        source, target, claim = self.in_transit.pop(index)
+        own = self.leases[source].own
+        self.send(target, self.leases[target].receive(self.now, claim, own, at(source), self.views[target]))
 
     def deliver_all(self, index: int = 0) -> None:
-        while self.under_way:
+        while self.in_transit:
             self.deliver(index)
 
 
-def nexts(state: State) -> list[State]:
+def successors(state: State) -> list[State]:
     """Every way in which a step can go."""
     found: list[State] = []
     packed = pickle.dumps(state, pickle.HIGHEST_PROTOCOL)
@@ -109,7 +109,7 @@
     def tick(new: State, asleep: tuple[str, ...] = ()) -> None:
         for name in NAMES:
             if name not in asleep:
-                new.send(name, new.shares[name].tick(new.now, new.views[name]))
+                new.send(name, new.leases[name].tick(new.now, new.views[name]))
 
     def all_well(new: State) -> None:
         tick(new)
@@ -124,16 +124,16 @@
 
         def sleeps(new: State, name: str = name) -> None:
             tick(new, (name,))
-            kept = [m for m in new.under_way if m[1] == name]
-            new.under_way = [m for m in new.under_way if m[1] != name]
+            kept = [m for m in new.in_transit if m[1] == name]
+            new.in_transit = [m for m in new.in_transit if m[1] != name]
             new.deliver_all()
-            new.under_way += kept  # it reads them when it wakes
+            new.in_transit += kept  # it reads them when it wakes
 
         def unheard(new: State, name: str = name) -> None:
             tick(new)
-            while left := [m for m in new.under_way if m[0] != name]:
-                new.deliver(new.under_way.index(left[0]))
-            new.under_way = []
+            while left := [m for m in new.in_transit if m[0] != name]:
+                new.deliver(new.in_transit.index(left[0]))
+            new.in_transit = []
 
         def starts(new: State, name: str = name) -> None:
             new.boots[name] += 1
@@ -151,23 +151,23 @@
         def held_up(new: State, name: str = name) -> None:
             """What goes to it stays on its way for a step; what was on its way is overtaken."""
             tick(new)
-            kept = [m for m in new.under_way if m[1] == name]
-            new.under_way = [m for m in new.under_way if m[1] != name]
+            kept = [m for m in new.in_transit if m[1] == name]
+            new.in_transit = [m for m in new.in_transit if m[1] != name]
             new.deliver_all(-1)
-            new.under_way += kept
+            new.in_transit += kept
 
         found += [go(sleeps), go(unheard), go(starts), go(taken_for_dead), go(held_up)]
     return found
 
 
-def unread(self: QuotaLease, scope: str, now_us: int) -> float:
+def quota_without_clock(self: QuotaLease, scope: str, now_us: int) -> float:
     """``QuotaLease.quota`` without the time."""
     return self.solo_quota / self.router_counts[scope] + (1.0 - self.solo_quota) * self._lease.quotas.get(
         scope, 0.0
     )
 
 
-class Views(unittest.TestCase):
+class DetectorExplorationTest(unittest.TestCase):
     """The whole of it, 4,616 states by 101,574 steps, takes minutes: ``lab members --explore``."""
 
     def test_quiet_brings_agreement_after_every_history(self) -> None:
@@ -185,7 +185,7 @@
             self.assertIn("a restarted", explored.explore(20).disagreements)
 
 
-class Explored(unittest.TestCase):
+class QuotaLeaseExplorationTest(unittest.TestCase):
     def setUp(self) -> None:
         self.random = random.Random(1)
 
@@ -196,7 +196,7 @@
         for _ in range(24):  # until shares are dealt out: before that there is nothing to get wrong
             first.now += STEP_US
             for name in NAMES:
-                first.send(name, first.shares[name].tick(first.now, first.views[name]))
+                first.send(name, first.leases[name].tick(first.now, first.views[name]))
             first.deliver_all()
         self.assertAlmostEqual(first.in_use(), 1.0)
         order = itertools.count()
@@ -204,7 +204,7 @@
         edge = [(0.0, next(order), 0, first)]
         while edge and len(seen) < most:
             _, _, depth, state = heapq.heappop(edge)
-            for new in nexts(state):
+            for new in successors(state):
                 worst = max(worst, new.in_use())
                 if (key := new.key()) not in seen:
                     seen.add(key)
@@ -212,13 +212,13 @@
                     heapq.heappush(edge, (rank, next(order), depth + 1, new))
         return len(seen), worst
 
-    def test_shares_never_come_to_more_than_the_whole(self) -> None:
+    def test_quotas_never_exceed_the_whole(self) -> None:
         for greedy in (False, True):
             states, worst = self.explore(8_000, greedy)
             self.assertGreaterEqual(states, 8_000)
             self.assertLessEqual(worst, 1.0 + 1e-9)
 
-    def test_a_grant_that_was_overtaken_by_a_smaller_one_is_not_held(self) -> None:
+    def test_a_grant_overtaken_by_a_smaller_one_is_not_held(self) -> None:
         own, other = Member("a", *at("a"), 1, 1), Member("b", *at("b"), 1, 1)
         view = MemberTable(own, 0)
         view.merge(other, 0, "")
@@ -229,7 +229,7 @@
             holder.receive(4_100_000, grant, other, at("b"), view)
         self.assertAlmostEqual(holder.quota(FLEET_SCOPE, 4_200_000), 0.4 / 3 + 0.6 * 0.25)
 
-    def test_a_router_uses_less_before_it_says_so(self) -> None:
+    def test_a_router_uses_less_before_it_accepts_a_smaller_grant(self) -> None:
         done: list[str] = []
         own, other = Member("a", *at("a"), 1, 1), Member("b", *at("b"), 1, 1)
         detector = FailureDetector(own, "f", (), 0, random.Random(1))
@@ -245,11 +245,11 @@
         said = repr(LeaseMessage(0, LeaseMessageKind.GRANT_ACCEPTED, want.request_id, ((FLEET_SCOPE, 0.25),)))
         self.assertEqual(done, ["uses 0.133", "uses 0.283", said])
 
-    def test_a_rule_left_out_is_found(self) -> None:
+    def test_a_missing_rule_is_found(self) -> None:
         """The check can fail: each of these was left out once on purpose."""
         for what, broken in (
-            ("a new allocator grants at once", {"_longest": staticmethod(lambda us=LEASE_US: 0)}),
-            ("a holder reads no clock", {"quota": unread}),
+            ("a new leader grants at once", {"_longest": staticmethod(lambda us=LEASE_US: 0)}),
+            ("a holder reads no clock", {"quota": quota_without_clock}),
         ):
             with self.subTest(what):
                 kept = {name: machine.QuotaLease.__dict__[name] for name in broken}
