--- a/magpieshift/policy/adaptive_timeout.py
+++ b/magpieshift/policy/adaptive_timeout.py
@@ -9,7 +9,7 @@
 
 import math
 
-from magpieshift.policy import latency
+from magpieshift.policy.latency import slowdown
 from magpieshift.policy.settings import Idempotency
 from magpieshift.policy.state import (
     MAX_RETRY_BUDGET,
@@ -38,6 +38,9 @@
 nothing is lost."""
 LOSS_SAMPLE_WEIGHT = 0.01
 """Weight of a new sample in the loss rate: a share this small needs some hundred answers."""
+MAX_LOSS_SLOWDOWN = 0.2
+"""Times the service time; an answer that did not come from a cache slower than this is late, not lost. Chosen
+by trial; larger repeats requests at caches that are busy."""
 DEDUPLICATION_WINDOW_FRACTION = 0.5
 """With an idempotency key the timer ends within this part of the deduplication window, so that the repeat
 lies within it too."""
@@ -92,11 +95,7 @@
         state.retry_budget = min(MAX_RETRY_BUDGET, state.retry_budget + BUDGET_PER_ANSWER)
     else:
         state.retry_budget = state.retry_budget - 1
-    is_lost = (
-        not is_ok
-        and latency.slowdown(attempt.endpoint) < latency.MAX_LOSS_SLOWDOWN
-        and have_others_answered(attempt)
-    )
+    is_lost = not is_ok and slowdown(attempt.endpoint) < MAX_LOSS_SLOWDOWN and have_others_answered(attempt)
     if not is_lost:  # an answer that never came says nothing of how long answers take
         record(attempt.answer_times, fraction)
     if is_ok or is_lost:
--- a/magpieshift/policy/admission.py
+++ b/magpieshift/policy/admission.py
@@ -29,8 +29,8 @@
 )
 
 INITIAL_LIMIT = 4
-"""Attempts in flight that a source is good for, from each of as many routers, until it has shown more (the
-design page); more routers share the square of it."""
+"""Attempts in flight that a source is good for from each router until it has shown more (the design page);
+more routers than this share its square."""
 PEAK_MEMORY_US = 10_000_000
 """How long a source's peak counts after it was last reached (the design page)."""
 ON_TIME_FRACTION = 0.7
--- a/magpieshift/policy/latency.py
+++ b/magpieshift/policy/latency.py
@@ -29,9 +29,6 @@
 """Where sizes are not known, a hit that takes longer than the service time moves it by this part of what a
 faster one does, so that it stays near the least that hits take. Chosen by trial; smaller takes a cache's
 slowness for its objects' size."""
-MAX_LOSS_SLOWDOWN = 0.2
-"""Times the service time; an answer that did not come from a cache slower than this is late, not lost. Chosen
-by trial; larger repeats requests at caches that are busy."""
 
 
 def objective_us(request_class: RequestClass, service_time_us: float) -> float:
