--- a/magpieshift/control/version_manager.py
+++ b/magpieshift/control/version_manager.py
@@ -15,7 +15,7 @@
 from functools import partial
 from typing import Any, NamedTuple
 
-from magpieshift.config_transaction import FailureKind, PreparationFailed, Prepared, RunningSettings
+from magpieshift.config_transaction import FailureKind, PreparationError, Prepared, RunningSettings
 from magpieshift.control import sexp
 from magpieshift.control.content import ContentRejectedError, FullContent, Overrides, resolve_offer
 from magpieshift.control.errors import VersionStoreError
@@ -224,7 +224,7 @@
     async def _prepare(self, loaded: LoadedDocument) -> Prepared:
         try:
             return await self._host.prepare(self._overrides.apply_to(loaded.document))
-        except PreparationFailed as err:
+        except PreparationError as err:
             raise _RejectionError(PREPARATION_REASONS[err.kind], str(err)) from None
 
     async def _write(self, offer: VersionOffer, text: str) -> None:
--- a/tests/real/test_change_source.py
+++ b/tests/test_change_source.py
@@ -13,7 +13,7 @@
 from magpieshift.policy.events import EndpointListKind, EndpointState
 from magpieshift.process_lock import ProcessLock
 from tests.real.exchange import Within, free_port
-from tests.real.test_endings import ASK, CACHE_DATA, READY, READY_ASKED, SERVED
+from tests.test_shutdown import ASK, CACHE_DATA, READY, READY_ASKED, SERVED
 
 KEY = "7f3a9c21e0b4d655"
 BOUNDED = r'cache< "ASK 0000000000000001 class=picture," /[^\r]*/ ",fresh=" /[1-9]\d*/ " 0\r\n\r\n"'
@@ -69,7 +69,7 @@
     async def test_a_router_that_replaces_another_waits_for_it(self) -> None:
         within, source = Within(), Source()
         within.router.change_source = source
-        within.router.document = replace(within.router.document, console=("127.0.0.1", free_port()))
+        within.router.document = replace(within.router.document, admin_address=("127.0.0.1", free_port()))
         with (
             tempfile.TemporaryDirectory() as folder,
             mock.patch.object(tempfile, "tempdir", folder),
