--- a/magpieshift/control/client.py
+++ b/magpieshift/control/client.py
@@ -95,9 +95,9 @@
             await asyncio.sleep(delay_s)
 
     def _log_lost(self) -> None:
-        write_line = log.debug if self._loss_logged else log.warning
         version = self._manager.in_force.number
-        write_line(
+        log.log(
+            logging.DEBUG if self._loss_logged else logging.WARNING,
             "control service lost",
             extra=fields(address=self._address, reason=self._last_failure, version=version),
         )
--- a/magpieshift/relay/client.py
+++ b/magpieshift/relay/client.py
@@ -131,8 +131,8 @@
             await asyncio.sleep(delay_s)
 
     def _log_lost(self, relay: RelayAddress, reason: str) -> None:
-        write_line = log.debug if self._loss_logged else log.warning
-        write_line(
+        log.log(
+            logging.DEBUG if self._loss_logged else logging.WARNING,
             "relay lost",
             extra=fields(
                 relay=relay.name,
