--- a/magpieshift/relay/client.py
+++ b/magpieshift/relay/client.py
@@ -121,10 +121,10 @@
             try:
                 reason = await self._follow(relay)
             except RelayChangedError as err:
-                log.info("relay changed", extra=fields(relay=relay.name, reason=err))
+                log.info("relay changed", extra=fields(peer=relay.name, reason=err))
                 continue
             except Exception as err:  # a fault in applying one message must not end all following
-                log.exception("relay stream failed", extra=fields(relay=relay.name))
+                log.exception("relay stream failed", extra=fields(peer=relay.name))
                 reason = f"{type(err).__name__}: {err}"
             delay_s = self._selection.record_failure(loop.time() - began_s)
             self._log_lost(relay, reason)
@@ -135,7 +135,7 @@
             logging.DEBUG if self._loss_logged else logging.WARNING,
             "relay lost",
             extra=fields(
-                relay=relay.name,
+                peer=relay.name,
                 address=relay.address,
                 reason=reason[:MAX_REASON_LENGTH],
                 applied=self._follower.applied,
@@ -170,7 +170,7 @@
                 must_close = False
             raise
         except MalformedMessageError as err:
-            log.warning("malformed message", extra=fields(relay=relay.name, reason=err))
+            log.warning("malformed message", extra=fields(peer=relay.name, reason=err))
             self._loss_logged = True
             return str(err)
         except (*STREAM_FAILURES, StreamEndedError) as err:
@@ -201,7 +201,7 @@
     def _record_found(self, relay: RelayAddress, now_us: int) -> None:
         self._selection.record_connected(now_us)
         self._loss_logged = False
-        log.info("relay found", extra=fields(relay=relay.name, address=relay.address))
+        log.info("relay found", extra=fields(peer=relay.name, address=relay.address))
 
     def _execute(self, instruction: Instruction) -> None:
         follower = self._follower
--- a/magpieshift/relay/node.py
+++ b/magpieshift/relay/node.py
@@ -129,7 +129,7 @@
             followers = self.fanout.status(now_us)
             slowest = max(followers, key=lambda each: each.lag_entries, default=None)
             log.info(
-                "counters",
+                "counters reported",
                 extra=fields(
                     **self.service.counters.as_data(),
                     followers=len(followers),
@@ -168,7 +168,7 @@
         """Serve until ``stop``; ``SourceSupersededError`` if another source is newer, ``OSError`` if it
         cannot listen."""
         epoch = self.log.epoch
-        log.info("epoch new", extra=fields(epoch=epoch.term, instance=f"{epoch.instance:016x}"))
+        log.info("epoch begun", extra=fields(epoch=epoch.term, instance=f"{epoch.instance:016x}"))
         self._change_log_reader.start()
         if self._version_reader is not None:
             self._version_reader.start()
@@ -203,7 +203,7 @@
         self.state.apply_entry(entry, clock.source.steady_us())
 
     def _on_superseded(self, epoch: Epoch) -> None:
-        log.error("superseded", extra=fields(epoch=self.log.epoch.term, by=epoch.term))
+        log.error("epoch superseded", extra=fields(epoch=self.log.epoch.term, by=epoch.term))
         self._newer_epoch = epoch
         self.stop()
 
@@ -251,7 +251,7 @@
         return self.follower.staleness.epoch_age_us(now_us)
 
     def _on_superseded(self, epoch: Epoch) -> None:
-        log.warning("superseded", extra=fields(epoch=self.log.epoch.term, by=epoch.term))
+        log.warning("epoch superseded", extra=fields(epoch=self.log.epoch.term, by=epoch.term))
         self.follower.learn_epoch(epoch)
 
     # --- what it receives
@@ -267,7 +267,7 @@
     def restore_snapshot(self, snapshot: Snapshot) -> None:
         """Go on from a snapshot."""
         if snapshot.epoch != self.log.epoch:
-            log.info("epoch new", extra=fields(epoch=snapshot.epoch.term, applied=snapshot.applied))
+            log.info("epoch begun", extra=fields(epoch=snapshot.epoch.term, applied=snapshot.applied))
         self.state.restore(snapshot, clock.source.steady_us())
         self.log.restart(snapshot.epoch, snapshot.applied)
         self._publish_configuration()
--- a/magpieshift/relay/service.py
+++ b/magpieshift/relay/service.py
@@ -151,7 +151,7 @@
         """End streams that did not join in time; all, if this process is not fresh itself."""
         is_fresh = self._fanout.is_fresh(now_us)
         if self._was_fresh and not is_fresh and self._streams:
-            log.warning("not current", extra=fields(followers=len(self._streams)))
+            log.warning("source contact lost", extra=fields(followers=len(self._streams)))
         self._was_fresh = is_fresh
         for stream in list(self._streams.values()):
             if stream.name and not is_fresh:
@@ -163,7 +163,7 @@
         stream = self._streams.get(number)
         if stream is not None and stream.end_status is None:
             self.counters.silent_streams += 1
-            log.warning("follower lapsed", extra=fields(name=stream.name))
+            log.warning("follower lapsed", extra=fields(peer=stream.name))
             stream.end(Code.DEADLINE_EXCEEDED, "nothing was heard")
 
     # --- one stream
@@ -193,7 +193,7 @@
         if stream.name:
             self._fanout.close_stream(stream.number, clock.source.steady_us())
             _, reason = stream.end_status or (None, "")
-            log.info("follower left", extra=fields(name=stream.name, reason=reason or "its stream ended"))
+            log.info("follower left", extra=fields(peer=stream.name, reason=reason or "its stream ended"))
 
     async def _write(self, stream: StreamDriver, context: Any) -> None:
         while stream.end_status is None:
@@ -234,7 +234,7 @@
         """The status with which a stream ends whose message could not be taken in, and why."""
         match error:
             case MalformedMessageError():
-                log.warning("malformed message", extra=fields(name=stream.name, reason=error))
+                log.warning("malformed message", extra=fields(peer=stream.name, reason=error))
                 return Code.INVALID_ARGUMENT, str(error)
             case EpochSupersededError():
                 self._on_superseded(error.epoch)
@@ -245,7 +245,7 @@
                 return Code.UNAVAILABLE, str(error)
             case UnknownStreamError():
                 return Code.ABORTED, "replaced by a later stream"
-        log.error("follower's stream failed", exc_info=error, extra=fields(name=stream.name))
+        log.error("follower's stream failed", exc_info=error, extra=fields(peer=stream.name))
         return Code.INTERNAL, f"{type(error).__name__}: {error}"[:MAX_REASON_LENGTH]
 
     def _receive(self, stream: StreamDriver, data: bytes) -> None:
@@ -267,4 +267,4 @@
             other.end(Code.ABORTED, "replaced by a later stream")
         stream.name = join.name
         self.counters.joins += 1
-        log.info("follower joined", extra=fields(name=join.name, applied=join.applied))
+        log.info("follower joined", extra=fields(peer=join.name, applied=join.applied))
--- a/magpieshift/rollout/runner.py
+++ b/magpieshift/rollout/runner.py
@@ -102,7 +102,7 @@
             # an older coordinator that wakes from now on is rejected wherever it goes
             await self._executor.announce_term()
         except StepFailedError as err:
-            log.warning("term not held yet", extra=fields(reason=err))
+            log.warning("term not announced", extra=fields(reason=err))
         except TermSupersededError as err:
             coordinator.supersede(str(err))
             return self._publish(Verdict.UNDECIDED)
