--- a/tests/policy/test_deployments.py
+++ b/tests/policy/test_deployments.py
@@ -164,10 +164,10 @@
 
     def test_a_hot_part_is_passed_on(self) -> None:
         for world in self.each():
-            stores = {
+            endpoints = {
                 a.endpoint for _ in range(12) for a in world.request(key=9) if isinstance(a, SendCacheRequest)
             }
-            self.assertGreater(len(stores), 1)
+            self.assertGreater(len(endpoints), 1)
 
     def test_no_second_attempt_goes_out_while_one_is(self) -> None:
         """Not even where the settings allow it: copies earned nothing (findings)."""
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -189,8 +189,8 @@
 def test_an_endpoint_that_stays_silent_is_ejected_for_a_bounded_time() -> None:
     """Its share of failures comes to be exactly one, which nothing may be divided by."""
     world = World()
-    store = world.router.parents[PARENTS[0]]
+    endpoint = world.router.parents[PARENTS[0]]
     for _ in range(100):
-        world.now = world.router.now_us = max(world.now, store.ejected_until_us)
-        record_failure(world.router, store, SILENCE_WEIGHT)
-    assert store.failure_rate == 1.0 and store.ejected_until_us - world.now <= 8 * SECOND
+        world.now = world.router.now_us = max(world.now, endpoint.ejected_until_us)
+        record_failure(world.router, endpoint, SILENCE_WEIGHT)
+    assert endpoint.failure_rate == 1.0 and endpoint.ejected_until_us - world.now <= 8 * SECOND
--- a/tests/policy/test_path.py
+++ b/tests/policy/test_path.py
@@ -94,8 +94,10 @@
 def test_a_cache_with_far_more_than_its_part_passes_the_excess_on() -> None:
     """A hot part jammed its one cache while its neighbours idled (incident i8e715a)."""
     world = World()
-    stores = {a.endpoint for _ in range(12) for a in world.request(key=9) if isinstance(a, SendCacheRequest)}
-    assert len(stores) > 1
+    endpoints = {
+        a.endpoint for _ in range(12) for a in world.request(key=9) if isinstance(a, SendCacheRequest)
+    }
+    assert len(endpoints) > 1
 
 
 def test_a_late_fill_does_not_raise_the_limit() -> None:
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -69,15 +69,18 @@
         self.log.append(actions)
         for action in actions:
             self.check(action)
-        for store in self.router.endpoints.values():
+        for endpoint in self.router.endpoints.values():
             for lane, (peak, _) in enumerate(
-                store.concurrency_peaks
+                endpoint.concurrency_peaks
             ):  # each waits apart, within a bound of its own
                 bound = max(INITIAL_LIMIT, 1 + peak)
-                waiting, at = sum(j.work_kind == lane for j in store.queue.values()), (store.hash_salt, lane)
+                waiting, at = (
+                    sum(j.work_kind == lane for j in endpoint.queue.values()),
+                    (endpoint.hash_salt, lane),
+                )
                 assert waiting <= max(bound, self.bounds.get(at, 0))
                 self.bounds[at] = max(bound, waiting)
-            assert min(store.in_flight_by_kind) >= 0 and store.in_flight >= 0
+            assert min(endpoint.in_flight_by_kind) >= 0 and endpoint.in_flight >= 0
 
     def check(self, action: Action) -> None:
         if isinstance(action, SetTimer):
@@ -132,10 +135,10 @@
         self.feed(AttemptEnded(ident, outcome, 1000, 0, closed, pick % 11, sent.endpoint, leg, ()))
 
     def list(self, pick: int) -> None:
-        store, phase = (CACHES + PARENTS)[pick % 6], EndpointState(pick % 3)
-        (self.unwelcome.discard if phase == EndpointState.READY else self.unwelcome.add)(store)
-        kind = CACHE if store in CACHES else PARENT
-        item = entry(store, kind, state=phase, started_us=self.now if pick % 5 == 0 else 0)
+        endpoint, phase = (CACHES + PARENTS)[pick % 6], EndpointState(pick % 3)
+        (self.unwelcome.discard if phase == EndpointState.READY else self.unwelcome.add)(endpoint)
+        kind = CACHE if endpoint in CACHES else PARENT
+        item = entry(endpoint, kind, state=phase, started_us=self.now if pick % 5 == 0 else 0)
         self.feed(EndpointListReceived(EndpointListKind.DELTA, 2, (item,)))
 
     def purge(self, pick: int) -> None:
@@ -174,8 +177,8 @@
     referee = play(script)
     assert not referee.open, "a request was lost"
     assert not referee.router.requests and not referee.router.attempts
-    for store in referee.router.endpoints.values():
-        assert not any(store.in_flight_by_kind) and store.in_flight == 0 and not store.queue
+    for endpoint in referee.router.endpoints.values():
+        assert not any(endpoint.in_flight_by_kind) and endpoint.in_flight == 0 and not endpoint.queue
     assert referee.router.fills_in_flight == 0
 
 
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -132,7 +132,7 @@
             return
         assert isinstance(actions[0], SendCacheRequest)
         if scope == DeduplicationScope.CELL:
-            assert actions[0].endpoint == first.endpoint  # each store of this world is a cell of its own
+            assert actions[0].endpoint == first.endpoint  # each endpoint of this world is a cell of its own
         first = actions[0]
     pytest.fail("no final answer")
 
@@ -178,7 +178,7 @@
     assert isinstance(moved, SendCacheRequest) and moved.source != fills[0].source
 
 
-# rule 4: no cold store pushed over
+# rule 4: no warming endpoint pushed over
 
 
 def test_a_warming_parent_is_sent_less_than_its_budget() -> None:
--- a/tests/policy/test_scale.py
+++ b/tests/policy/test_scale.py
@@ -52,11 +52,11 @@
     world = World()
     fill = world.fill()
     assert isinstance(fill, SendCacheRequest)
-    store = world.router.endpoints[fill.source]
+    endpoint = world.router.endpoints[fill.source]
     world.receive(delta(entry(fill.source, PARENT, state=EndpointState.REMOVED)))
     assert fill.source not in world.router.endpoints
     world.end_attempt(fill, Outcome.RESET, 1)
-    assert store.in_flight_by_kind[FILL] == store.in_flight == 0
+    assert endpoint.in_flight_by_kind[FILL] == endpoint.in_flight == 0
 
 
 def test_an_endpoint_that_changes_its_role_does_not_raise() -> None:
@@ -68,11 +68,11 @@
     world.request()
 
 
-def sends_to_cold(routers: int, config: Settings, kind: int, store: int) -> list[int]:
-    """When ``routers`` side by side, each kept busy, send to one store they all hear of at once."""
+def sends_while_warming(routers: int, config: Settings, kind: int, endpoint: int) -> list[int]:
+    """When ``routers`` side by side, each kept busy, send to one endpoint they all hear of at once."""
     now, ident, sent = 100 * SECOND, 0, []
     fleet = [RouterPolicy(config, seed) for seed in range(routers)]
-    new = entry(store, kind, started_us=now)
+    new = entry(endpoint, kind, started_us=now)
     only = [entry(s, CACHE) for s in CACHES[:1]] + [entry(31, ORIGIN)]
     for router in fleet:
         router.handle(now, [EndpointListReceived(EndpointListKind.CACHED, 1, tuple(only)), delta(new)])
@@ -84,7 +84,7 @@
                 now, [RequestReceived(ident, 0, 0, ident, 4 * SECOND, 0.0, 3, 0, False, False)]
             ):
                 if isinstance(action, SendPlainRequest | SendCacheRequest):
-                    sent += [now] if store in (action.endpoint, getattr(action, "source", 0)) else []
+                    sent += [now] if endpoint in (action.endpoint, getattr(action, "source", 0)) else []
                     ended = AttemptEnded(ident, Outcome.OK, 150_000, 0, True, 1, action.endpoint, 0, ())
                     router.handle(now, [ended])
     return sent
@@ -94,7 +94,7 @@
     """All are told of it at once and none sees the others: the sum in any window stays under the rule."""
     for routers in (2, 20, 120):
         config = settings(router_count=routers, zone_router_counts=(0, routers))
-        sent = sends_to_cold(routers, config, CACHE, 99)
+        sent = sends_while_warming(routers, config, CACHE, 99)
         work = max(RouterPolicy(config, 0).service_times_us)
         budget = config.overload_multiple * config.slow_start_fraction * 10.0 * config.overload_window_us
         for start in sent:
@@ -106,11 +106,11 @@
                 / config.slow_start_fraction
             )
             assert window * work <= budget * grown
-    assert sent, "a cold store must still get something"
+    assert sent, "a warming endpoint must still get something"
 
 
 def burst(count: int, config: Settings, kind: int, weight: float, seed: int) -> list[int]:
-    """When routers, of which some start anew meanwhile, send to a cold store that lay idle for 8 s and is
+    """When routers, of which some start anew meanwhile, send to a warming endpoint that lay idle for 8 s and is
     then wanted by all at once, over and over."""
     start, sent, ident = 100 * SECOND, list[int](), 0
     new = entry(99, kind, started_us=start, weight=weight)
@@ -158,12 +158,12 @@
             bears = weight * 2.5 * (0.2 + 0.8 * (begun - 100 * SECOND) / (20 * SECOND))
             budget = bears * fall_us / max(RouterPolicy(config, 0).service_times_us)
             assert calls <= budget + 2 * budget**0.5 + 2, (routers, kind, weight, fall_us, seed)
-    assert sent > 1000, "a cold store must still get something"
+    assert sent > 1000, "a warming endpoint must still get something"
 
 
 def test_a_warming_parent_is_shared_by_all_routers() -> None:
     config = settings(router_count=120, zone_router_counts=(0, 4))
-    assert len(sends_to_cold(4, config, PARENT, 99)) <= 4
+    assert len(sends_while_warming(4, config, PARENT, 99)) <= 4
 
 
 def test_sizes_unknown_a_warming_endpoint_gets_its_part_of_what_warm_ones_answer() -> None:
@@ -291,20 +291,20 @@
     world = World()
     (first,) = world.request(5)
     assert isinstance(first, SendCacheRequest)
-    store = world.router.endpoints[first.endpoint]
+    endpoint = world.router.endpoints[first.endpoint]
     world.end_attempt(first, Outcome.TIMEOUT, 0, after=SECOND)
-    assert not is_available(world.router, store)
+    assert not is_available(world.router, endpoint)
     (other,) = world.request(5)
     assert isinstance(other, SendCacheRequest) and other.endpoint != first.endpoint
     world.now += 2 * SECOND
     (back,) = world.request(5)
     assert isinstance(back, SendCacheRequest) and back.endpoint == first.endpoint
     world.end_attempt(back, Outcome.OK, 0, cache_status=CacheStatus.HIT)
-    assert is_available(world.router, store) and store.failure_rate < 0.41
+    assert is_available(world.router, endpoint) and endpoint.failure_rate < 0.41
 
 
 def test_a_request_that_two_endpoints_cannot_use_speaks_against_neither() -> None:
-    """Bad clients' requests had all stores passed over, one after the other (rude day)."""
+    """Bad clients' requests had all endpoints passed over, one after the other (rude day)."""
     world = World()
     for key in range(20):
         (first,) = world.request(key)
@@ -315,7 +315,7 @@
             and second.endpoint != first.endpoint
         )
         assert isinstance(world.end_attempt(second, Outcome.ERROR, 1)[0], RejectRequest)
-    assert all(store.failure_rate == 0 for store in world.router.endpoints.values())
+    assert all(endpoint.failure_rate == 0 for endpoint in world.router.endpoints.values())
 
 
 def test_a_request_that_the_next_endpoint_serves_speaks_against_the_first() -> None:
@@ -324,7 +324,7 @@
     (second,) = world.end_attempt(first, Outcome.ERROR, 0)
     assert isinstance(second, SendCacheRequest) and isinstance(first, SendCacheRequest)
     world.end_attempt(second, Outcome.OK, 1)
-    bad = {number for number, store in world.router.endpoints.items() if store.failure_rate > 0}
+    bad = {number for number, endpoint in world.router.endpoints.items() if endpoint.failure_rate > 0}
     assert bad == {first.endpoint}
 
 
@@ -332,11 +332,11 @@
     """One unreadable answer took four requests along, and a healthy cache was shut for it (garbled day)."""
     world = World()
     asked = [a for _ in range(4) for a in world.request(5) if isinstance(a, SendCacheRequest)]
-    (store,) = {a.endpoint for a in asked}
-    ends = [AttemptEnded(a.request_id, Outcome.RESET, 1000, 0, False, 0, store, 0, ()) for a in asked]
+    (endpoint,) = {a.endpoint for a in asked}
+    ends = [AttemptEnded(a.request_id, Outcome.RESET, 1000, 0, False, 0, endpoint, 0, ()) for a in asked]
     again = world.receive(*ends, after=1000)
-    assert [a.endpoint for a in again if isinstance(a, SendCacheRequest)] == [store] * 4
-    assert is_available(world.router, world.router.endpoints[store])
+    assert [a.endpoint for a in again if isinstance(a, SendCacheRequest)] == [endpoint] * 4
+    assert is_available(world.router, world.router.endpoints[endpoint])
 
 
 def test_a_write_that_broke_off_goes_out_once_more() -> None:
@@ -442,17 +442,17 @@
     for other in CACHES[1:]:
         world.router.endpoints[other].in_flight = 30
     world.router.endpoints[CACHES[0]].in_flight = 42
-    stores = set()
+    endpoints = set()
     for key in range(60):
         (sent,) = world.request(key)
         assert isinstance(sent, SendCacheRequest)
-        stores.add(sent.endpoint)
+        endpoints.add(sent.endpoint)
         world.end_attempt(sent, Outcome.OK, 0)
-    assert stores == set(CACHES)
+    assert endpoints == set(CACHES)
 
 
 def test_once_answers_get_lost_late_ones_are_retried_in_time_within_a_budget() -> None:
-    """They never came, from stores that answered all others, and their clients waited in vain (re32f6e)."""
+    """They never came, from endpoints that answered all others, and their clients waited (re32f6e)."""
     world = World(
         listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
     )
