--- a/magpieshift/control/version_host.py
+++ b/magpieshift/control/version_host.py
@@ -19,7 +19,7 @@
         ...
 
     async def prepare(self, document: Document) -> Prepared:
-        """Have every part prepare a document; ``PreparationFailed`` if one cannot."""
+        """Have every part prepare a document; ``PreparationError`` if one cannot."""
         ...
 
     def commit(self, prepared: Prepared, version: int) -> None:
