--- a/magpieshift/extensions/relay_subscription.py
+++ b/magpieshift/extensions/relay_subscription.py
@@ -11,9 +11,9 @@
 
 from magpieshift import clock
 from magpieshift.app import EdgeRouter
-from magpieshift.control.sexp import Unusable
-from magpieshift.control.version_history import Answer, Reason
+from magpieshift.control.errors import UnusableDocumentError
 from magpieshift.control.version_manager import VersionManager
+from magpieshift.control.version_records import OfferOutcome, RejectionReason
 from magpieshift.extensions.extension import BaseExtension
 from magpieshift.lifecycle import State
 from magpieshift.log import fields
@@ -173,11 +173,11 @@
             return
         try:
             self._manager.offer(configuration.version_offer(change))
-        except Unusable as err:
+        except UnusableDocumentError as err:
             log.warning("version turned down", extra=fields(version=change.number, reason=err))
             self._report_rejection(change.number, str(err), wants_full=bool(change.base_digest))
 
-    def _on_answer(self, answer: Answer, apply_us: int, pause_us: int) -> None:
+    def _on_answer(self, answer: OfferOutcome, apply_us: int, pause_us: int) -> None:
         """The manager has accepted or rejected a version, of this or of another source."""
         follower = self._follower
         follower.configuration_digest = self._manager.in_force.digest
@@ -187,9 +187,9 @@
             if answer.offer.number >= follower.rejected_version:
                 follower.rejected_version = 0
                 follower.rejection_reason = ""
-        elif answer.reason is not Reason.SUPERSEDED:
-            reason = f"{answer.reason.name.lower()}: {answer.detail}"
-            self._report_rejection(answer.offer.number, reason, answer.want_full)
+        elif answer.reason is not RejectionReason.SUPERSEDED:
+            reason = f"{answer.reason.word}: {answer.detail}"
+            self._report_rejection(answer.offer.number, reason, answer.wants_full)
 
     def _report_rejection(self, version: int, reason: str, wants_full: bool) -> None:
         """Have the follower tell the relay of a rejected version."""
--- a/magpieshift/extensions/runner.py
+++ b/magpieshift/extensions/runner.py
@@ -10,7 +10,8 @@
 
 from magpieshift.app import EdgeRouter, serve
 from magpieshift.config import Config, ConfigError
-from magpieshift.control.version_manager import VersionManager, first_version, opened
+from magpieshift.control.version_manager import VersionManager
+from magpieshift.control.version_startup import first_version, open_store
 from magpieshift.extensions.assembly import assemble
 from magpieshift.extensions.options import Options
 from magpieshift.extensions.settings_file import load_any
@@ -34,12 +35,12 @@
         self._options = options
         overrides = options.overrides
         start, platform = load_any(options.config) if options.config else (None, None)
-        store, store_failure = opened(options.state) if options.state else (None, "")
+        store, store_failure = open_store(options.state) if options.state else (None, "")
         try:
             versions, loaded = first_version(start, store, options.config)
         except LookupError as err:
             raise ConfigError(str(err)) from None
-        document = overrides.on(loaded.document)
+        document = overrides.apply_to(loaded.document)
         seed = platform.seed if platform is not None else secrets.randbits(SEED_BITS)
         known = platform.known_changes if platform is not None else {}
         self.router = EdgeRouter(Config(document, seed, known, versions.in_force.number))
--- a/magpieshift/extensions/settings_file.py
+++ b/magpieshift/extensions/settings_file.py
@@ -6,12 +6,12 @@
 from pathlib import Path
 
 from magpieshift.config import Config, ConfigError, parse
-from magpieshift.control.schema import Loaded, load_text
-from magpieshift.control.sexp import Unusable
-from magpieshift.control.version_manager import as_loaded
+from magpieshift.control.errors import UnusableDocumentError
+from magpieshift.control.schema import LoadedDocument, load_text
+from magpieshift.control.version_startup import loaded_without_version
 
 
-def load_any(path: str) -> tuple[Loaded, Config | None]:
+def load_any(path: str) -> tuple[LoadedDocument, Config | None]:
     """The settings of a file, with the platform's whole configuration where the file is the platform's.
 
     Raises ``ConfigError`` with one line where the file cannot be used.
@@ -23,10 +23,10 @@
     if not text.lstrip().startswith("{"):
         try:
             return load_text(text, path), None
-        except Unusable as err:
+        except UnusableDocumentError as err:
             raise ConfigError(f"{path}: {err}") from err
     try:
         config = parse(json.loads(text))
     except (ValueError, RecursionError) as err:
         raise ConfigError(f"{path} cannot be read: {err}") from err
-    return as_loaded(config.document), config
+    return loaded_without_version(config.document), config
--- /dev/null
+++ b/tests/engine/test_reconfiguration.py
@@ -0,0 +1,150 @@
+"""What a running engine makes of a new document, with requests open."""
+
+import unittest
+from dataclasses import replace
+from typing import Any
+
+from magpieshift import Document, parse
+from magpieshift.config_transaction import SettingsRejectedError
+from magpieshift.engine.class_numbers import initial_class_numbers
+from magpieshift.engine.model import AttemptResult, Verdict
+from magpieshift.engine.name_numbers import align_numbers
+from magpieshift.expected_settings import expected_settings
+from magpieshift.policy.events import EndpointListKind, EndpointState
+from magpieshift.policy.outcomes import Outcome
+from magpieshift.policy.settings import Idempotency
+from tests.engine.engine_case import CALL, SECOND, WRITE, EngineCase
+from tests.real.exchange import config
+
+PORTS = {"cache": "127.0.0.1:1", "origin": "127.0.0.1:2", "log": "127.0.0.1:3"}
+DOCUMENT = parse(config(PORTS)).document
+
+
+class ReconfigurationTest(EngineCase):
+    """A new document on a running engine, with requests open."""
+
+    def setUp(self) -> None:
+        super().setUp()
+        self.document = DOCUMENT
+        self.engine.in_force.names = DOCUMENT.names
+        numbering = initial_class_numbers(DOCUMENT.names.classes, DOCUMENT.settings.classes)
+        self.engine.in_force.numbering = numbering
+        self.engine.in_force.class_numbers = dict(numbering.by_name)
+
+    def to(self, **changes: Any) -> Document:
+        """A document with other classes (by name), or other settings."""
+        by_name = changes.pop("classes", None)
+        names = self.document.names
+        if by_name is not None:
+            names = replace(names, classes=tuple(by_name))
+            changes["classes"] = tuple(by_name.values())
+        return replace(self.document, names=names, settings=replace(self.document.settings, **changes))
+
+    def apply(self, new: Document) -> None:
+        new = align_numbers(self.document, new)
+        self.engine.prepare(self.document, new)()
+        self.document = new
+        self.clock.run()
+        self.assertEqual(self.engine.running(), expected_settings(new)["engine"])
+
+    def test_open_requests_end_under_the_settings_they_were_admitted_under(self) -> None:
+        """The class's time becomes shorter than the open request has already waited: it is waited for."""
+        picture, basket = DOCUMENT.settings.classes
+        self.submit()
+        short = replace(
+            picture,
+            idempotency=Idempotency.NOT_IDEMPOTENT,
+            deadline_us=SECOND,
+            latency_objective_us=SECOND // 2,
+        )
+        self.apply(self.to(classes={"picture": short, "basket": basket}))
+        self.clock.run(2 * SECOND)
+        self.assertEqual(self.answers, [])
+        self.finish_attempt(AttemptResult(Outcome.OK, body=b"copy"))
+        self.assertEqual([a.verdict for a in self.answers], [Verdict.SERVED])
+        self.submit()
+        self.clock.run(SECOND)
+        self.assertEqual(len(self.answers), 2)
+
+    def test_a_class_goes_and_another_comes_while_its_requests_are_open(self) -> None:
+        picture, basket = DOCUMENT.settings.classes
+        self.submit(WRITE)
+        self.apply(self.to(classes={"picture": picture, "film": replace(picture, priority_weight=9.0)}))
+        self.assertEqual(self.engine.classes, {"picture": 0, "film": 2})  # 1 is still the basket's
+        self.finish_attempt(AttemptResult(Outcome.OK, body=b"kept"))
+        self.submit(replace(CALL, class_index=2, class_name="film"))
+        self.assertEqual(self.upstream.orders[-1][0].request.class_name, "film")
+        self.finish_attempt(AttemptResult(Outcome.OK, body=b"film"))
+        self.assertEqual([a.body for a in self.answers], [b"kept", b"film"])
+        self.clock.run(60 * SECOND)  # the basket's request has left the table
+        self.apply(self.to(classes={"picture": picture, "film": picture, "song": picture}))
+        self.assertEqual(self.engine.classes["song"], 1)
+        self.assertEqual(len(self.engine.policy_calls.policy.service_times_us), 3)
+
+    def test_zones_and_kinds_may_change_their_order(self) -> None:
+        """Endpoints are listed by these numbers: the cache must still be the cache."""
+        names = replace(self.document.names, zones=("sea", "shop", "hub"), kinds=("source", "box", "upper"))
+        turned = replace(
+            self.document,
+            names=names,
+            settings=replace(
+                self.document.settings,
+                zone=1,
+                zone_hub=(0, 2, 2),
+                zone_router_counts=(1, 2, 0),
+                zone_link_kb_per_s=(0.0, 90000.0, 0.0),
+                parent_kind=2,
+                origin_kind=0,
+            ),
+        )
+        self.submit()
+        self.apply(turned)
+        self.finish_attempt(AttemptResult(Outcome.MISS))
+        order = self.upstream.orders[-1][0]
+        self.assertEqual(order.endpoint.name, "s-cache")
+        self.assertEqual(order.source, self.engine.endpoints.by_number[self.members[1].endpoint.number])
+        self.assertEqual(
+            {m.name: m.endpoint.zone for m in self.engine.endpoints.by_number.values()},
+            {"s-cache": 1, "s-origin": 0},
+        )
+
+    def test_a_zone_with_endpoints_cannot_be_removed(self) -> None:
+        new = replace(self.document, names=replace(self.document.names, zones=("hub", "mall")))
+        with self.assertRaisesRegex(SettingsRejectedError, "zone shop"):
+            self.engine.prepare(self.document, new)
+
+    def test_a_drain_between_prepare_and_commit_stays(self) -> None:
+        """Another kind becomes that of the parents, so the list is passed to the policy again: the drained
+        cache must not come back."""
+        kinds = (*self.document.names.kinds, "other")
+        new = replace(self.to(parent_kind=3), names=replace(self.document.names, kinds=kinds))
+        commit = self.engine.prepare(self.document, new)
+        self.submit()
+        waiting = self.upstream.orders[-1][0]  # for its connection: checked once more before the write
+        self.engine.list_changed(
+            EndpointListKind.DELTA, 2, [self.member("s-cache", 0, 1, 1, EndpointState.DRAINING)]
+        )
+        commit()
+        self.clock.run()
+        self.assertEqual(waiting.check_blocked(), Outcome.CONNECT_FAILED)
+        for _ in range(20):
+            self.submit()
+        self.assertEqual({order.endpoint.name for order, _ in self.upstream.orders[1:]}, {"s-origin"})
+
+    def test_a_purge_between_prepare_and_commit_holds(self) -> None:
+        """No copy from before it may serve, under the old document or the new; one made later may."""
+        new = self.to(tick_us=3000)
+        commit = self.engine.prepare(self.document, new)
+        made = self.clock.now
+        self.engine.purged(CALL.object_key, 0, made)
+        commit()
+        self.clock.run(SECOND)
+        self.submit()
+        self.finish_attempt(AttemptResult(Outcome.MISS))
+        order = self.upstream.orders[-1][0]
+        self.assertGreater(order.max_age_us, 0)
+        self.assertLess(order.max_age_us, self.clock.now - made)
+
+
+if __name__ == "__main__":
+    unittest.main()
