--- a/magpieshift/discovery/client.py
+++ b/magpieshift/discovery/client.py
@@ -20,7 +20,7 @@
 
 log = logging.getLogger(__name__)
 
-SILENCE_S = 2.5
+SILENCE_TIMEOUT_S = 2.5
 """Silence after which the log's machine may be gone: it sends a comment each second, and two may be missing.
 Longer serves from older knowledge, shorter reconnects for nothing."""
 CONNECT_TIMEOUT_S = 1.0
@@ -81,7 +81,7 @@
             self._event_began_s = None
             return
         self._event_began_s = self._event_began_s or now_s
-        if now_s - self._event_began_s > SILENCE_S:
+        if now_s - self._event_began_s > SILENCE_TIMEOUT_S:
             raise EventStreamError("an event does not end")
 
 
@@ -229,7 +229,7 @@
     async def _close_when_silent(self, stream: IOStream) -> None:
         """Take missing comments for the log's end: a machine that vanished sends nothing at all."""
         loop = asyncio.get_running_loop()
-        while (remaining_s := self._last_received_s + SILENCE_S - loop.time()) > 0:
+        while (remaining_s := self._last_received_s + SILENCE_TIMEOUT_S - loop.time()) > 0:
             await asyncio.sleep(remaining_s)
-        log.warning("change log silent", extra=fields(after_s=SILENCE_S))
+        log.warning("change log silent", extra=fields(after_s=SILENCE_TIMEOUT_S))
         stream.close()
--- a/magpieshift/downstream/server.py
+++ b/magpieshift/downstream/server.py
@@ -20,7 +20,7 @@
 
 MAX_UNPARSED_BYTES = 1 << 20
 """Bytes of one connection that its stream holds unparsed; four of the largest frames."""
-WHOLE_S = 2.0
+INCOMPLETE_FRAME_TIMEOUT_S = 2.0
 """Time for a client to send a complete frame, from its connecting or from the frame's first byte. Chosen by
 trial: shorter disconnects slow clients, longer lets mute ones hold descriptors."""
 MAX_IDLE_S = 60.0
@@ -143,7 +143,7 @@
             return now_us - int(1e6 * duration_s)
 
         is_lame_duck = self.lifecycle.state == State.LAME_DUCK
-        is_overdue = connection.is_frame_overdue(since_us(WHOLE_S))
+        is_overdue = connection.is_frame_overdue(since_us(INCOMPLETE_FRAME_TIMEOUT_S))
         is_unused = (
             is_overdue
             or connection.last_received_us < since_us(MAX_IDLE_S)
--- a/magpieshift/lab/capacity/arithmetic.py
+++ b/magpieshift/lab/capacity/arithmetic.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-from magpieshift.discovery.client import MAX_BACKOFF_S, SILENCE_S
+from magpieshift.discovery.client import MAX_BACKOFF_S, SILENCE_TIMEOUT_S
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.measure import Row
 from magpieshift.lab.capacity.results import Result
@@ -148,7 +148,8 @@
             "the change log's machine",
             f"{fleet.ROUTERS:,} watches",
             f"purges wait; all watches come back within {MAX_BACKOFF_S:g} s of its return",
-            f"after {SILENCE_S:g} s of silence each router asks again; copies are not bounded meanwhile",
+            f"after {SILENCE_TIMEOUT_S:g} s of silence each router asks again; "
+            "copies are not bounded meanwhile",
             "assumed, from the constants in discovery/client",
         ),
         Failure(
--- a/magpieshift/upstream/pool.py
+++ b/magpieshift/upstream/pool.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-SILENT_US = 600_000
+SILENCE_TIMEOUT_US = 600_000
 """Silence with responses due after which an endpoint's machine may be gone. Chosen by trial: shorter takes
 slow endpoints for dead, longer forwards more requests to dead ones."""
 PROBE_TIMEOUT_US = 250_000
@@ -52,7 +52,7 @@
         """``max_streams`` bounds the exchanges on one connection, ``max_connections`` all connections.
         Connections are closed before they have been idle for ``idle_us``."""
         self._clock = clock
-        self._settings = ConnectionSettings(load_report_columns, connect_timeout_us, SILENT_US)
+        self._settings = ConnectionSettings(load_report_columns, connect_timeout_us, SILENCE_TIMEOUT_US)
         self._idle_us = idle_us
         self._max_streams = max_streams
         self._preferred_streams = preferred_streams
--- a/tests/real/exchange.py
+++ b/tests/real/exchange.py
@@ -53,11 +53,14 @@
 PATIENCE_S = 20.0
 PATIENT = """
 import sys
-from magpieshift import app
+from magpieshift import app, shutdown
 from magpieshift.upstream import pool
 from magpieshift.discovery import client
 from magpieshift.downstream import server
-pool.SILENT_US, client.SILENCE_S, server.WHOLE_S, app.LONGEST_WAIT_S = 60_000_000, 60.0, 60.0, 60.0
+pool.SILENCE_TIMEOUT_US = 60_000_000
+client.SILENCE_TIMEOUT_S = 60.0
+server.INCOMPLETE_FRAME_TIMEOUT_S = 60.0
+shutdown.MAX_CLIENT_WAIT_S = 60.0
 sys.exit(app.main())
 """
 TOKEN = re.compile(
--- a/tests/test_edge_router.py
+++ b/tests/test_edge_router.py
@@ -119,7 +119,7 @@
             await router.play(f"client+\nclient> {ASK[1]}\ncache+\ncache< {CACHE_ASKED}")
             router.act(f"client> {ASK[2][:20]}")
             await router.until(lambda: router.router._downstream.held_bytes > 0)
-            with mock.patch.object(server, "WHOLE_S", -1.0):
+            with mock.patch.object(server, "INCOMPLETE_FRAME_TIMEOUT_S", -1.0):
                 router.router._downstream.close_expired()
             reason = '1e00000002000000004500 "frame not whole in time"'
             await router.play(f"client< {reason}\ncache> {CACHE_DATA}\nclient< {SERVED}\nclient.")
@@ -288,7 +288,7 @@
 
     async def test_an_incomplete_event_is_no_sign_of_life_though_comments_come(self) -> None:
         async with Within() as router:
-            with mock.patch.object(client, "SILENCE_S", 0.3):
+            with mock.patch.object(client, "SILENCE_TIMEOUT_S", 0.3):
                 await router.play(f"log+\nlog< /.*\\r\\n\\r\\n/\nlog> {STREAM}\nlog> {PURGE}")
                 log = router.peers["log"].sock
                 log.setblocking(False)
