--- a/tests/policy/test_scale.py
+++ b/tests/policy/test_scale.py
@@ -110,8 +110,8 @@
 
 
 def burst(count: int, config: Settings, kind: int, weight: float, seed: int) -> list[int]:
-    """When routers, of which some start anew meanwhile, send to a warming endpoint that lay idle for 8 s and is
-    then wanted by all at once, over and over."""
+    """When routers, of which some start anew meanwhile, send to a warming endpoint that lay idle for 8 s
+    and is then wanted by all at once, over and over."""
     start, sent, ident = 100 * SECOND, list[int](), 0
     new = entry(99, kind, started_us=start, weight=weight)
     listed = (entry(CACHES[0], CACHE), entry(31, ORIGIN), new)
