--- a/magpieshift/policy/simulator.py
+++ b/magpieshift/policy/simulator.py
@@ -13,7 +13,8 @@
 from magpieshift.policy.errors import SettingsError, WireError
 from magpieshift.policy.events import Event
 from magpieshift.policy.router_policy import RouterPolicy
-from magpieshift.policy.simulator_codec import FRAME_HEADER, Boot, EventFrame, ReplyFrame, Stop
+from magpieshift.policy.simulator_codec import FRAME_HEADER, Boot, EventFrame, Stop
+from magpieshift.policy.simulator_reply import ReplyFrame
 from magpieshift.policy.simulator_settings import parse_settings
 
 
--- a/tests/policy/differential/test_former_decisions.py
+++ b/tests/policy/differential/test_former_decisions.py
@@ -28,7 +28,8 @@
 from magpieshift.policy.reconfigure import reconfigure
 from magpieshift.policy.router_policy import RouterPolicy
 from magpieshift.policy.simulator import Simulator
-from magpieshift.policy.simulator_codec import EVENT_BYTES, EventFrame, ReplyFrame
+from magpieshift.policy.simulator_codec import EVENT_BYTES, EventFrame
+from magpieshift.policy.simulator_reply import ReplyFrame
 from magpieshift.policy.simulator_settings import parse_settings
 
 FIXTURE = Path(__file__).with_name("decisions.jsonl.xz")
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -16,6 +16,7 @@
     "__init__.py",
     "simulator.py",
     "simulator_codec.py",
+    "simulator_reply.py",
     "simulator_settings.py",
     "errors.py",
     "settings.py",
