--- a/magpieshift/extensions/relay_subscription.py
+++ b/magpieshift/extensions/relay_subscription.py
@@ -174,7 +174,7 @@
         try:
             self._manager.offer(configuration.version_offer(change))
         except UnusableDocumentError as err:
-            log.warning("version turned down", extra=fields(version=change.number, reason=err))
+            log.warning("version rejected", extra=fields(version=change.number, reason=err))
             self._report_rejection(change.number, str(err), wants_full=bool(change.base_digest))
 
     def _on_answer(self, answer: OfferOutcome, apply_us: int, pause_us: int) -> None:
