--- a/magpieshift/control/client.py
+++ b/magpieshift/control/client.py
@@ -120,7 +120,7 @@
                 writing.add_done_callback(lambda _: self._queue_changed.set())
                 while (data := await call.read()) is not grpc.aio.EOF:
                     self._receive(session, data)
-                    await self._wait_for_room(writing)
+                    await self._wait_for_capacity(writing)
             finally:
                 # what was not sent belongs to this stream; the next hello says what is in force
                 self._session = None
@@ -147,7 +147,7 @@
                 )
                 self._queue_answer(outcome, 0, 0)
 
-    async def _wait_for_room(self, writing: asyncio.Task[None]) -> None:
+    async def _wait_for_capacity(self, writing: asyncio.Task[None]) -> None:
         """Wait until the service has taken answers, if too many are queued."""
         while len(self._unsent) >= MAX_UNSENT_ANSWERS and not writing.done():
             self._queue_changed.clear()
--- a/magpieshift/control/document_reading.py
+++ b/magpieshift/control/document_reading.py
@@ -22,11 +22,29 @@
 
 def document_of(form: DocumentForm) -> Document:
     """The document of a form."""
+    settings = _settings(form)
+    names = Names(tuple(form.classes), tuple(form.zones), tuple(form.kinds), settings.load_report_columns)
+    return Document(
+        name=form.name,
+        listen=parse_address(form.listen, "listen"),
+        limits=Limits(form.limits.memory_mb, form.limits.sockets),
+        change_log_address=parse_address(form.change_log, "change-log"),
+        settings=settings,
+        names=names,
+        idle_timeout_us=_us(form.connections.idle_ms),
+        streams_per_connection=form.connections.streams,
+        admin_address=parse_address(form.console, "console") if form.console is not None else None,
+        membership=_members(form.members) if form.members is not None else None,
+    )
+
+
+def _settings(form: DocumentForm) -> Settings:
+    """The policy's settings."""
     zones = {name: zone if isinstance(zone, ZoneForm) else ZoneForm() for name, zone in form.zones.items()}
     order = list(zones)
     stores = form.stores
     attempts = form.attempts
-    settings = Settings(
+    return Settings(
         classes=tuple(_class(row) for row in form.classes.values()),
         zone=order.index(form.zone),
         router_count=form.routers,
@@ -64,19 +82,6 @@
         must_subscribe=form.must_subscribe,
         load_report_columns=tuple(stores.report),
     )
-    names = Names(tuple(form.classes), tuple(order), tuple(form.kinds), settings.load_report_columns)
-    return Document(
-        name=form.name,
-        listen=parse_address(form.listen, "listen"),
-        limits=Limits(form.limits.memory_mb, form.limits.sockets),
-        change_log_address=parse_address(form.change_log, "change-log"),
-        settings=settings,
-        names=names,
-        idle_timeout_us=_us(form.connections.idle_ms),
-        streams_per_connection=form.connections.streams,
-        admin_address=parse_address(form.console, "console") if form.console is not None else None,
-        membership=_members(form.members) if form.members is not None else None,
-    )
 
 
 def _members(form: MembersForm) -> MembershipSettings:
--- a/magpieshift/control/grpc_channel.py
+++ b/magpieshift/control/grpc_channel.py
@@ -13,8 +13,8 @@
 FOLLOW_METHOD = "/magpieshift.control.v1.Control/Follow"
 """The stream of configuration versions, and of a relay's entries."""
 
-# long enough for a handshake across regions; the caller's backoff spaces what comes after
 CONNECT_TIMEOUT_S = 3.0
+"""Long enough for a handshake across regions; the caller's backoff spaces what comes after."""
 
 CHANNEL_OPTIONS: list[tuple[str, Any]] = [
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
--- a/magpieshift/relay/selection.py
+++ b/magpieshift/relay/selection.py
@@ -33,6 +33,7 @@
     of both names."""
 
     def sort_key(relay: RelayAddress) -> tuple[bool, bytes, str]:
+        """Other regions last, then by hash, then by name."""
         # with the length, so that no two pairs of names are hashed alike
         pair = f"{len(follower)} {follower} {relay.name}".encode()
         return relay.region != region, hashlib.blake2b(pair, digest_size=8).digest(), relay.name
--- a/magpieshift/rollout/canary_analysis.py
+++ b/magpieshift/rollout/canary_analysis.py
@@ -24,11 +24,11 @@
 from magpieshift.rollout.verdict import Verdict
 from magpieshift.rollout.weighted_difference import WeightedDifference
 
-RARE_CLASS_SHARE = 0.05
+RARE_CLASS_FRACTION = 0.05
 """Of all requests: a class below that delays nothing, but stops what is clearly worse."""
 SLOPE_SIGMAS = 4.0
 """Standard errors by which a process's slope must exceed the bound."""
-COMMON_FAULT_SHARE = 0.8
+COMMON_FAULT_FRACTION = 0.8
 """Of what the old side usually serves: below it something strikes both sides."""
 MIN_RATE_REQUESTS = 10
 """On the old side in one round, for its rate to be learned from."""
@@ -145,7 +145,7 @@
         if reason:
             self.reason = reason
             return Verdict.WORSE
-        if self._usual_rate and self._recent_rate < COMMON_FAULT_SHARE * self._usual_rate:
+        if self._usual_rate and self._recent_rate < COMMON_FAULT_FRACTION * self._usual_rate:
             self.reason = (
                 f"the old side itself serves {self._recent_rate:.3f}, usually {self._usual_rate:.3f}"
             )
@@ -190,7 +190,7 @@
         if not total:
             return "nothing was asked"
         for name, difference in sorted(self.differences.items()):
-            if difference.requests_new + difference.requests_old < RARE_CLASS_SHARE * total:
+            if difference.requests_new + difference.requests_old < RARE_CLASS_FRACTION * total:
                 continue
             lowest, _ = difference.confidence_interval(self._error_rate())
             if difference.requests_new < MIN_REQUESTS:
--- a/magpieshift/rollout/executor.py
+++ b/magpieshift/rollout/executor.py
@@ -120,6 +120,7 @@
         ``StepFailedError`` if too few answer."""
 
         async def announce(router: RouterPlace) -> bool:
+            """Whether a process of the router has taken the term."""
             answers = await asyncio.gather(
                 *(self._send_in_term(server, "PING") for server in router.admin_addresses)
             )
--- a/magpieshift/rollout/process_losses.py
+++ b/magpieshift/rollout/process_losses.py
@@ -12,13 +12,13 @@
 """A router without an answer for so long has gone: five times an admin command's timeout."""
 ALL_LOST_AFTER_US = 60_000_000
 """A side without any process for so long does not come back: twice a step's usual timeout."""
-LOSS_ERROR_SHARE = 0.1
+LOSS_ERROR_FRACTION = 0.1
 """Of the rate of false stops that losses may take: they are judged anew with each process that goes."""
 MIN_COMPARED_US = 10_000_000
 """Of all processes of a side together, before its rate of requests is compared."""
 MIN_REQUESTS = 200
 """Of one side, before anything is known of it: with fewer, chance alone moves a rate by percents."""
-IDLE_SHARE = 0.1
+IDLE_FRACTION = 0.1
 """A side that takes less of the other's requests a process is idle."""
 MIN_EXPECTED_REQUESTS = 50
 """That an idle side should have had, for its idleness to be no chance."""
@@ -75,13 +75,14 @@
         router.is_lost and now_us - router.last_heard_us >= ALL_LOST_AFTER_US for router in new_routers
     ):
         return f"all {len(new_routers)} new processes have gone, and none came back"
-    share = new.time_us / max(1, new.time_us + old.time_us)
+    new_fraction = new.time_us / max(1, new.time_us + old.time_us)
     total = new.losses + old.losses
     # the chance that so many or more of all losses fall on the new side
     tail = sum(
-        math.comb(total, k) * share**k * (1 - share) ** (total - k) for k in range(new.losses, total + 1)
+        math.comb(total, k) * new_fraction**k * (1 - new_fraction) ** (total - k)
+        for k in range(new.losses, total + 1)
     )
-    if tail < false_positive_rate * LOSS_ERROR_SHARE and new.losses > 1:
+    if tail < false_positive_rate * LOSS_ERROR_FRACTION and new.losses > 1:
         return f"{new.losses} new processes have gone by themselves, {old.losses} old ones"
     return ""
 
@@ -92,6 +93,6 @@
         return ""
     new_rate = new.requests / new.compared_s
     old_rate = old.requests / old.compared_s
-    if new_rate < IDLE_SHARE * old_rate and old_rate * new.compared_s >= MIN_EXPECTED_REQUESTS:
+    if new_rate < IDLE_FRACTION * old_rate and old_rate * new.compared_s >= MIN_EXPECTED_REQUESTS:
         return f"new processes end {new_rate:.1f} requests a second each, old ones {old_rate:.1f}"
     return ""
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -25,7 +25,7 @@
 from magpieshift.cli import parameters
 from magpieshift.cli.main import cli, run
 from magpieshift.rollout import journal
-from tests.control.test_documents import EXAMPLE
+from tests.control.test_schema import EXAMPLE
 from tests.real.exchange import ROOT
 
 REFUSED_WITHIN_S = 30  # a command that takes longer was not refused but begun
--- a/tests/control/test_channel.py
+++ b/tests/control/test_channel.py
@@ -135,7 +135,7 @@
 
 
 class Channel(ChannelCase):
-    async def test_versions_are_acknowledged_once_they_are_kept_and_in_force(self) -> None:
+    async def test_versions_are_acknowledged_once_they_are_stored_and_in_force(self) -> None:
         self.service.publish(version(1))
         answer = await self.answer_to(1)
         self.assertTrue(answer.accepted)
@@ -145,7 +145,7 @@
         assert kept is not None
         self.assertEqual((kept.record.number, kept.record.digest), (1, version(1).digest))
 
-    async def test_the_second_goes_as_a_delta_and_one_on_a_wrong_base_is_sent_whole(self) -> None:
+    async def test_the_second_is_sent_as_a_delta_and_one_on_a_wrong_base_in_full(self) -> None:
         sent = mock.Mock(side_effect=self.stream.send)
         with mock.patch.object(RouterStream, "send", lambda _, data: data and sent(data)):
             self.service.publish(version(1))
@@ -252,7 +252,7 @@
         await self.until(lambda: bool(self.heard))
         self.assertIn("RESOURCE_EXHAUSTED", self.heard[0].hello.trouble)
 
-    async def test_a_service_that_falls_silent_is_left(self) -> None:
+    async def test_a_silent_service_is_given_up(self) -> None:
         """Its machine has vanished: connections stay open, and nothing comes. Keep-alive finds out."""
         silent = await asyncio.start_server(self._swallow, "127.0.0.1", 0)
         other = ControlClient(
@@ -293,7 +293,7 @@
             found = RouterSession().receive(data)
             self.assertIsInstance(found, VersionOffer | OfferOutcome)
 
-    def test_a_kept_version_that_cannot_be_used_any_more_is_passed_over(self) -> None:
+    def test_a_stored_version_that_cannot_be_used_any_more_is_passed_over(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             kept = VersionStore(folder)
             for number, text in ((1, version(1).text), (2, "(magpieshift (of another age))")):
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -22,7 +22,7 @@
 from magpieshift.control.version_store import VersionStore
 from magpieshift.lab.emulators import peers
 from magpieshift.lab.experiments.versions import Plan, play
-from tests.control.test_documents import EXAMPLE
+from tests.control.test_schema import EXAMPLE
 from tests.real.exchange import PATIENCE_S, ROOT, config
 
 STEPS = ("received", "taken", "read", "prepared", "kept", "committed", "answered")
@@ -89,7 +89,7 @@
 
 
 class Killed(FolderCase):
-    async def test_at_every_step_what_is_in_force_afterwards_is_whole(self) -> None:
+    async def test_after_a_kill_at_any_step_the_version_in_force_is_complete(self) -> None:
         """What was acknowledged, or the version after it; and the router serves from it with nobody to
         ask."""
         for step in STEPS:
--- a/tests/control/test_documents.py
+++ b/tests/control/test_schema.py
@@ -48,7 +48,7 @@
         loaded = schema.load_file(EXAMPLE)
         self.assertEqual(schema.load_data(schema.to_data(loaded.document)).document, loaded.document)
 
-    def test_all_errors_are_told_at_once_each_with_its_line(self) -> None:
+    def test_all_errors_are_reported_at_once_each_with_its_line(self) -> None:
         text = EXAMPLE.read_text()
         for old, new in (
             ("(sockets 512)", "(sockets many)"),
@@ -118,7 +118,7 @@
 
     @given(st.one_of(st.text(), st.binary().map(lambda data: data.decode("latin-1"))))
     @settings(max_examples=200, deadline=None)
-    def test_any_text_is_read_or_turned_down(self, text: str) -> None:
+    def test_any_text_is_read_or_rejected(self, text: str) -> None:
         problems(text)
         problems(f"(magpieshift {text})")
 
--- a/tests/control/test_version_history.py
+++ b/tests/control/test_version_history.py
@@ -53,7 +53,7 @@
         self.assertEqual(self.accept(offer(9)).skipped_numbers, 4)  # a gap is noted
         self.assertEqual([r.state for r in self.versions.records if r.number == 4], [VersionState.REPLACED])
 
-    def test_a_version_turned_down_stays_so_unless_the_reason_has_passed(self) -> None:
+    def test_a_rejected_version_stays_rejected_unless_the_reason_was_transient(self) -> None:
         for number, reason, again in (
             (5, RejectionReason.INVALID, False),
             (6, RejectionReason.PART_TIMED_OUT, True),
--- a/tests/control/test_version_store.py
+++ b/tests/control/test_version_store.py
@@ -104,14 +104,14 @@
                 continue
             self.assertLessEqual(set(found), {force(1), force(2)})
 
-    def test_a_file_of_another_kind_is_left_alone(self) -> None:
+    def test_a_file_of_another_kind_is_not_touched(self) -> None:
         for text in (b"#!/bin/sh\n", b"magpieshift versions 9\n"):
             self.file.write_bytes(text)
             with self.assertRaisesRegex(VersionStoreError, "expected"):
                 VersionStore(self.folder)
             self.assertEqual(self.file.read_bytes(), text)
 
-    def test_a_full_disk_keeps_what_was_kept_and_takes_back_what_was_not(self) -> None:
+    def test_a_full_disk_loses_no_stored_version_and_stores_no_other(self) -> None:
         opened = VersionStore(self.folder)
         opened.append(force(1))
         real = os.pwrite
@@ -208,7 +208,7 @@
         data = FILE_HEADER + b"".join(map(encode_version, contents.versions))
         self.assertEqual(data, OLD_FILE.read_bytes()[:-400])
 
-    def test_it_is_taken_up_with_its_history(self) -> None:
+    def test_its_newest_version_and_history_are_used(self) -> None:
         with self.assertLogs("magpieshift.control.version_store", "WARNING") as logged:
             opened = VersionStore(self.folder)
         self.addCleanup(opened.close)
--- a/tests/relay/test_drivers.py
+++ b/tests/relay/test_drivers.py
@@ -442,7 +442,7 @@
 
 
 class Versions(RelayCase):
-    async def test_versions_pass_as_deltas_encoded_once_and_whole_on_request(self) -> None:
+    async def test_versions_pass_as_deltas_encoded_once_and_in_full_on_request(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             self.publish(folder, 1, {"a": {"b": 1}, "c": [1, 2]})
             source, source_port = await self.source(folder)
--- a/tests/relay/test_codec.py
+++ b/tests/relay/test_encoding.py
@@ -126,7 +126,7 @@
 
 class Malformations(unittest.TestCase):
     @given(st.one_of(batches, snapshots), st.data())
-    def test_a_truncated_message_is_refused_or_proves_less(
+    def test_a_truncated_message_is_rejected_or_proves_less(
         self, message: Batch | Snapshot, data: st.DataObject
     ) -> None:
         complete = encoding.encode_downstream(message)
@@ -162,7 +162,7 @@
             err = refused(data)
             self.assertEqual((err.place, err.expected), (place, f"at most {most}"))
 
-    def test_each_is_told_by_its_place(self) -> None:
+    def test_each_is_reported_with_its_place(self) -> None:
         for data, place in (
             (b"", "message"),
             (b"\xff\xff\xff", "message"),
--- a/tests/relay/test_fanout.py
+++ b/tests/relay/test_fanout.py
@@ -158,7 +158,7 @@
         self.assertEqual(proof.head, 4)
         self.assertGreaterEqual(proof.age_us, 200 * MS)
 
-    def test_a_whole_configuration_is_sent_on_request_once_it_is_known(self) -> None:
+    def test_a_full_configuration_is_sent_on_request_once_it_is_known(self) -> None:
         now_us = run(self.server, {1: self.client}, 0, SECOND)
         self.server.put(ConfigurationChange(2, "d2", "d1", b"delta"))
         self.client.follower.wants_full = True
@@ -249,7 +249,9 @@
         ]
         self.assertLessEqual(sum(1 for message in sent if isinstance(message, Snapshot)), 1)
 
-    def test_who_took_a_snapshot_without_the_newest_configuration_gets_it_once_it_is_known(self) -> None:
+    def test_a_follower_with_a_snapshot_without_the_newest_configuration_gets_it_once_it_is_known(
+        self,
+    ) -> None:
         server, client = Server(), Client()
         server.put(ConfigurationChange(2, "d2", "d1", b"delta"))
         client.join(server, 1, 0)
@@ -308,7 +310,9 @@
             (3, 5, True, 1),
         )
 
-    def test_a_new_life_takes_a_new_place_and_the_old_one_counts_until_it_has_lapsed(self) -> None:
+    def test_a_restarted_follower_has_a_new_record_and_the_old_one_counts_until_its_lease_has_lapsed(
+        self,
+    ) -> None:
         self.server.fanout.close_stream(1, self.now_us)
         self.server.add()
         twin = Client(boot="b2")
@@ -318,14 +322,16 @@
         self.assertTrue(self.client.leased(self.now_us + 2 * SECOND), "it may be paused and not killed")
         self.assertEqual(self.done(lease_lapse_us()), 4)
 
-    def test_a_follower_that_acknowledged_and_was_killed_counts_by_what_its_new_life_has(self) -> None:
+    def test_a_follower_that_acknowledged_and_was_killed_counts_by_what_it_has_after_its_restart(
+        self,
+    ) -> None:
         self.server.fanout.close_stream(1, self.now_us)
         twin = Client(boot="b2")
         twin.join(self.server, 2, self.now_us)
         exchange(self.server, 2, twin, self.now_us, down=False)
         self.assertEqual(self.server.fanout.status(self.now_us)[1].applied, 0)
 
-    def test_who_comes_is_proven_nothing_and_holds_up_nobody_before_it_acknowledged_what_was_there(
+    def test_a_new_follower_gets_no_proof_and_holds_back_nothing_before_it_acknowledged_the_head(
         self,
     ) -> None:
         self.server.add(100)
@@ -360,7 +366,9 @@
         self.assertEqual(proof.head, 2)
         self.assertLessEqual(done, proof.head)
 
-    def test_who_hears_nothing_and_joins_again_and_again_holds_up_nobody_without_end(self) -> None:
+    def test_a_deaf_follower_that_joins_again_and_again_does_not_hold_back_the_watermark_for_good(
+        self,
+    ) -> None:
         for second in range(12):
             self.server.add(100)
             now_us = run(self.server, {1: self.client}, self.now_us + second * SECOND, SECOND, down=False)
@@ -380,7 +388,7 @@
         self.server.fanout.receive_progress(1, acknowledged(4, 10**9), self.now_us + 4 * SECOND)
         self.assertEqual(len(proofs(self.server.fanout.messages_to_send(1, self.now_us + 5 * SECOND))), 1)
 
-    def test_the_same_life_on_another_stream_takes_its_place_over(self) -> None:
+    def test_the_same_process_on_another_stream_keeps_its_record(self) -> None:
         self.server.add()
         join = self.client.follower.connect(self.now_us)
         self.assertEqual(self.server.fanout.join(2, join, self.now_us), 1, "the stream to be ended")
@@ -390,7 +398,7 @@
         run(self.server, {2: self.client}, self.now_us, SECOND)
         self.assertEqual((self.done(SECOND), len(self.server.fanout.status(self.now_us))), (4, 1))
 
-    def test_who_gives_up_its_lease_counts_no_more_and_is_proven_nothing(self) -> None:
+    def test_a_follower_that_released_its_lease_counts_no_more_and_gets_no_proof(self) -> None:
         self.server.add()
         self.server.fanout.receive_progress(1, self.client.follower.release_lease(self.now_us), self.now_us)
         self.assertEqual(self.done(), 4)
@@ -487,7 +495,7 @@
 
 
 class Reports(unittest.TestCase):
-    def test_who_is_behind_is_listed_by_name_over_all_relays(self) -> None:
+    def test_lagging_followers_are_listed_by_name_over_all_relays(self) -> None:
         source = Server()
         source.put(ConfigurationChange(1, "d1", "", b"whole"))
         for stream, (name, digest) in enumerate([("a", "d1"), ("b", "d0"), ("c", "")]):
--- a/tests/relay/test_follower.py
+++ b/tests/relay/test_follower.py
@@ -93,7 +93,7 @@
         self.assertTrue(staleness.lease_held(0))
         self.assertEqual(self.follower.watermark, 9)
 
-    def test_an_epoch_that_is_over_is_refused_on_every_later_stream(self) -> None:
+    def test_an_epoch_that_is_over_is_rejected_on_every_later_stream(self) -> None:
         self.assertEqual(self.follower.receive(Batch(LATER, 7, (), None, snapshot_pending=True), 0), [])
         self.assertEqual(self.ended(batch(11, 1)), EndReason.STALE_EPOCH)
         self.assertEqual(self.follower.connect(0).highest_epoch, LATER, "so that its source learns of it")
@@ -112,7 +112,7 @@
         self.assertEqual((self.follower.epoch, self.follower.applied), (LATER, 4))
         self.assertEqual(self.follower.receive(batch(5, 1, LATER), 0), [ApplyEntries(LATER, 5, (purge(5),))])
 
-    def test_a_snapshot_is_taken_only_if_it_leads_on(self) -> None:
+    def test_a_snapshot_is_restored_only_if_it_leads_on(self) -> None:
         self.assertEqual(self.follower.receive(snapshot(10), 0), [])
         self.assertEqual(self.follower.receive(snapshot(12), 0), [RestoreSnapshot(snapshot(12))])
         self.assertEqual(self.follower.receive(snapshot(11), 0), [])
@@ -129,7 +129,7 @@
         ):
             self.assertEqual(self.ended(message), EndReason.IMPOSSIBLE)
 
-    def test_a_whole_configuration_is_wanted_until_it_comes(self) -> None:
+    def test_a_full_configuration_is_wanted_until_it_comes(self) -> None:
         self.follower.wants_full = True
         full = ConfigurationChange(2, "d2", "", b"text")
         progress = self.follower.progress(SECOND)
@@ -191,12 +191,12 @@
         self.assertIsNone(self.follower.check(10 * SECOND))
         self.assertIsNone(self.follower.check(10 * SECOND + RELAY_SILENCE_TIMEOUT_US // 2 - 1))
 
-    def test_a_relay_that_talks_but_proves_nothing_is_left(self) -> None:
+    def test_a_relay_that_sends_but_proves_nothing_is_given_up(self) -> None:
         self.follower.receive(snapshot(0), 0)
         ended = self.checked(2 * RELAY_STALE_TIMEOUT_US, batch(1, 0))
         self.assertEqual(getattr(ended, "reason", None), EndReason.STALE)
 
-    def test_who_waits_for_its_snapshot_stays(self) -> None:
+    def test_a_follower_that_waits_for_its_snapshot_stays(self) -> None:
         self.assertIsNone(
             self.checked(10 * RELAY_STALE_TIMEOUT_US, Batch(EPOCH, 1, (), None, snapshot_pending=True))
         )
--- a/tests/relay/test_log.py
+++ b/tests/relay/test_log.py
@@ -28,7 +28,7 @@
             log.entries_after(5)
         self.assertEqual(log.entries_after(10), ())
 
-    def test_a_copy_skips_what_it_has_and_refuses_a_gap_whole(self) -> None:
+    def test_a_copy_skips_what_it_has_and_takes_nothing_after_a_gap(self) -> None:
         log = filled(5)
         self.assertEqual(log.extend(4, [purge(4), purge(5), purge(6)]), 1)
         self.assertEqual(log.extend(2, [purge(2), purge(3)]), 0, "it jumps back")
--- a/tests/relay/test_log_state.py
+++ b/tests/relay/test_log_state.py
@@ -41,7 +41,7 @@
         state.apply_entry(fleet(("d", "SERVING"), complete=True), 0)
         self.assertEqual(listed(state), (True, {"d": "SERVING"}))
 
-    def test_without_a_complete_list_it_tells_who_is_gone_and_claims_no_more(self) -> None:
+    def test_without_a_complete_list_it_names_deleted_endpoints_and_claims_no_more(self) -> None:
         state = LogState(full_versions_only)
         state.apply_entry(fleet(("a", "DELETED"), ("b", "SERVING")), 0)
         self.assertEqual(listed(state), (False, {"a": "DELETED", "b": "SERVING"}))
@@ -64,7 +64,7 @@
         self.assertEqual(recent.retained(2 * SECOND), ())
         self.assertLess(time.process_time() - begin, 10.0)  # 0.2 s; half a minute if each looks at all gaps
 
-    def test_each_is_kept_for_its_time_once_and_with_its_latest_moment(self) -> None:
+    def test_each_is_retained_for_its_time_once_and_with_its_latest_moment(self) -> None:
         state = LogState(full_versions_only, retention_us=10 * SECOND)
         state.apply_entry(purge(1, made_us=70), 0)
         state.apply_entry(purge(2), 4 * SECOND)
@@ -90,13 +90,13 @@
 
 
 class Configurations(unittest.TestCase):
-    def test_deltas_are_put_together_and_handed_out_whole(self) -> None:
+    def test_deltas_are_put_together_and_handed_out_in_full(self) -> None:
         state = LogState(joined)
         state.apply_entry(version(1), 0)
         state.apply_entry(version(2, base=1), 0)
         self.assertEqual((state.snapshot(EPOCH, 2, 0).configuration, state.needs_full), (version(2), False))
 
-    def test_one_that_does_not_fit_is_wanted_whole_until_it_comes(self) -> None:
+    def test_one_that_does_not_fit_is_wanted_in_full_until_it_comes(self) -> None:
         state = LogState(joined)
         state.apply_entry(version(1), 0)
         state.apply_entry(version(3, base=2), 0)
--- a/tests/relay/test_selection.py
+++ b/tests/relay/test_selection.py
@@ -51,7 +51,7 @@
         self.assertLessEqual(max(waits), MAX_FAILOVER_BACKOFF_S)
         self.assertGreater(max(waits), 4 * FAILOVER_INITIAL_BACKOFF_S)
 
-    def test_after_a_stream_that_held_it_begins_with_the_best_and_a_short_pause(self) -> None:
+    def test_after_a_stable_stream_it_begins_with_the_best_and_a_short_delay(self) -> None:
         for _ in range(5):
             self.selection.record_failure(0.0)
         self.assertLessEqual(self.selection.record_failure(60.0), FAILOVER_INITIAL_BACKOFF_S)
--- a/tests/relay/test_staleness_bound.py
+++ b/tests/relay/test_staleness_bound.py
@@ -91,7 +91,7 @@
         self.assertIsNone(self.prove(3), "its probe is forgotten")
         self.assertIsNotNone(self.prove(10 * MAX_PROBES - 1))
 
-    def test_who_gave_up_the_lease_holds_none_again(self) -> None:
+    def test_a_released_lease_is_not_held_again(self) -> None:
         self.prove(3)
         self.staleness.release_lease()
         self.prove(3)
--- a/tests/rollout/test_canary_analysis.py
+++ b/tests/rollout/test_canary_analysis.py
@@ -86,7 +86,7 @@
         self.assertEqual(self.looks(150, 0.97, 0.97, leak=1.5), Verdict.WORSE)
         self.assertIn("memory", self.analysis.reason)
 
-    def test_one_that_went_may_be_chance_two_are_not_and_none_left_is_waited_for(self) -> None:
+    def test_one_lost_process_may_be_chance_two_are_not_and_a_side_without_any_is_waited_for(self) -> None:
         self.looks(40, 0.97, 0.97)
         self.lives["n0"] = "2"  # began anew by itself
         self.assertNotEqual(self.looks(1, 0.97, 0.97), Verdict.WORSE)
--- a/tests/rollout/test_coordinator.py
+++ b/tests/rollout/test_coordinator.py
@@ -26,7 +26,7 @@
         self.assertEqual(passed, ["one", "half", "all"])
         self.assertEqual(self.bench.most_away, 1)
 
-    def test_a_worse_one_is_put_back_and_one_that_is_not_known_is_held(self) -> None:
+    def test_a_worse_one_is_rolled_back_and_an_undecided_one_is_held(self) -> None:
         self.bench.start()
         for _ in range(5):
             self.bench.step(Verdict.UNDECIDED)
@@ -61,7 +61,7 @@
                     self.assertEqual(set(bench.labels.values()), {label})
                     self.assertLessEqual(bench.most_away, 1)
 
-    def test_who_is_away_counts_and_joins_the_right_side_when_it_returns(self) -> None:
+    def test_an_unreachable_router_counts_and_gets_the_right_build_when_it_returns(self) -> None:
         self.bench = Bench(a_plan(**{"most-away": 2}))
         self.bench.start()
         first = self.bench.plan.stages[0].targets[0]
--- a/tests/rollout/test_journal.py
+++ b/tests/rollout/test_journal.py
@@ -34,7 +34,7 @@
         kept.close()
         return (self.folder / journal.JOURNAL_FILE).read_bytes()
 
-    def test_torn_at_every_byte_it_holds_what_was_whole_and_goes_on(self) -> None:
+    def test_torn_at_every_byte_it_holds_the_complete_records_and_goes_on(self) -> None:
         data = self.filled()
         for cut in range(len(data)):
             (self.folder / journal.JOURNAL_FILE).write_bytes(data[:cut])
@@ -45,14 +45,14 @@
             kept.close()
             self.assertEqual(journal.read_rows(self.folder), [*self.rows[:had], {"what": "more"}])
 
-    def test_damage_in_the_middle_is_told(self) -> None:
+    def test_damage_in_the_middle_is_reported(self) -> None:
         data = bytearray(self.filled())
         data[len(journal.JOURNAL_HEADER) + 20] ^= 1
         (self.folder / journal.JOURNAL_FILE).write_bytes(data)
         with self.assertRaisesRegex(JournalError, "damaged"):
             Journal(self.folder)
 
-    def test_one_at_a_time_and_what_cannot_be_written_is_told(self) -> None:
+    def test_one_at_a_time_and_what_cannot_be_written_is_reported(self) -> None:
         first = Journal(self.folder)
         with self.assertRaisesRegex(JournalError, "in use"):
             Journal(self.folder)
@@ -63,7 +63,7 @@
 
     @settings(max_examples=50, deadline=None)
     @given(st.binary(max_size=300))
-    def test_any_bytes_behind_are_cut_or_told(self, junk: bytes) -> None:
+    def test_any_bytes_behind_are_cut_or_reported(self, junk: bytes) -> None:
         data = journal.JOURNAL_HEADER + journal.encode_row({"what": "begin"})
         try:
             records, whole = journal.parse_journal(data + junk)
--- a/tests/rollout/test_plan_reader.py
+++ b/tests/rollout/test_plan_reader.py
@@ -27,7 +27,7 @@
         found = load_plan_file(Path(__file__).resolve().parents[2] / "deploy" / "rollout.sexp")
         self.assertEqual(found.tolerances, Tolerances())
 
-    def test_all_mistakes_are_told_with_their_place(self) -> None:
+    def test_all_mistakes_are_reported_with_their_place(self) -> None:
         wrong = TEXT.replace("v7", "v6").replace("{console}", "{door}").replace("7007", "7000")
         wrong = wrong.replace("(share 0.5)", "(routers 9)").replace("(share 1)", "(zone c)")
         with self.assertRaises(UnusableDocumentError) as caught:
