--- a/magpieshift/edge_router.py
+++ b/magpieshift/edge_router.py
@@ -117,7 +117,7 @@
     # --- settings
 
     async def prepare(self, document: Document) -> Prepared:
-        """Have all parts make ready for a document; ``PreparationFailed`` where one rejects it.
+        """Have all parts make ready for a document; ``PreparationError`` where one rejects it.
 
         What it returns is for ``commit``, before any other document is prepared.
         """
--- a/magpieshift/policy/simulator_settings.py
+++ b/magpieshift/policy/simulator_settings.py
@@ -60,15 +60,14 @@
     """The settings of a boot event; unknown keys are skipped. ``SettingsError`` names what is wrong."""
     settings = _SettingsText(text)
     read = settings.read
-    read_list = settings.read_list
     return Settings(
         classes=tuple(_request_class(settings, index) for index in range(read("Classes.count", int))),
         zone=read("Locality", int),
         router_count=read("Balancers", int),
         router_index=read("SelfIndex", int),
-        zone_hub=read_list("Specifics.AttachedTo", int),
-        zone_router_counts=read_list("Specifics.ZoneBalancers", int),
-        zone_link_kb_per_s=read_list("Specifics.LinkInKbPerS", float),
+        zone_hub=settings.read_list("Specifics.AttachedTo", int),
+        zone_router_counts=settings.read_list("Specifics.ZoneBalancers", int),
+        zone_link_kb_per_s=settings.read_list("Specifics.LinkInKbPerS", float),
         parent_kind=read("Specifics.ShieldKind", int),
         origin_kind=read("Specifics.MasterKind", int),
         tick_us=read("QuantumUs", _integer),
@@ -97,7 +96,7 @@
         siblings=read("Specifics.Siblings", str) != "silent",
         reports_cache_status=read("Specifics.Says", str) == "all",
         must_subscribe=read("Discovery", str) == "on_request",
-        load_report_columns=read_list("LoadInfo.Columns", str),
+        load_report_columns=settings.read_list("LoadInfo.Columns", str),
     )
 
 
