--- a/magpieshift/control/document_reading.py
+++ b/magpieshift/control/document_reading.py
@@ -38,49 +38,52 @@
     )
 
 
+def _zones(form: DocumentForm) -> dict[str, ZoneForm]:
+    """Zones by name; one that is named alone has the defaults."""
+    return {name: zone if isinstance(zone, ZoneForm) else ZoneForm() for name, zone in form.zones.items()}
+
+
 def _settings(form: DocumentForm) -> Settings:
     """The policy's settings."""
-    zones = {name: zone if isinstance(zone, ZoneForm) else ZoneForm() for name, zone in form.zones.items()}
-    order = list(zones)
-    stores = form.stores
-    attempts = form.attempts
+    zones = _zones(form)
+    zone_number = list(zones).index
     return Settings(
         classes=tuple(_class(row) for row in form.classes.values()),
-        zone=order.index(form.zone),
+        zone=zone_number(form.zone),
         router_count=form.routers,
         router_index=form.router_index,
-        zone_hub=tuple(order.index(zone.attached_to or name) for name, zone in zones.items()),
+        zone_hub=tuple(zone_number(zone.attached_to or name) for name, zone in zones.items()),
         zone_router_counts=tuple(zone.routers for zone in zones.values()),
         zone_link_kb_per_s=tuple(float(zone.link_kb_per_s) for zone in zones.values()),
         parent_kind=form.kinds.index(form.parent_kind),
         origin_kind=form.kinds.index(form.origin_kind),
         tick_us=_us(form.tick_ms),
         client_kb_per_s=float(form.client_kb_per_s),
-        weights_are_sizes=stores.weights == "sizes",
-        answer_slack_us=_us(stores.answer_slack_ms),
-        drain_grace_us=_us(stores.drain_ms),
-        slow_start_fraction=float(stores.cold_from),
-        slow_start_us=_us(stores.cold_ms),
-        overload_multiple=float(stores.fall_multiple),
-        overload_window_us=_us(stores.fall_ms),
+        weights_are_sizes=form.stores.weights == "sizes",
+        answer_slack_us=_us(form.stores.answer_slack_ms),
+        drain_grace_us=_us(form.stores.drain_ms),
+        slow_start_fraction=float(form.stores.cold_from),
+        slow_start_us=_us(form.stores.cold_ms),
+        overload_multiple=float(form.stores.fall_multiple),
+        overload_window_us=_us(form.stores.fall_ms),
         parent_slow_start_fraction=float(form.parents.cold_from),
         parent_slow_start_us=_us(form.parents.cold_ms),
         parent_overload_multiple=float(form.parents.fall_multiple),
         purge_grace_us=_us(form.purges.grace_ms),
         purge_propagation_us=_us(form.purges.done_ms),
-        connect_timeout_us=_us(attempts.connect_timeout_ms),
-        max_attempts=attempts.most,
+        connect_timeout_us=_us(form.attempts.connect_timeout_ms),
+        max_attempts=form.attempts.most,
         max_retry_after_us=_us(form.retry_after_ms),
-        can_cancel_attempts=attempts.cancel,
-        can_check_health=attempts.probe,
-        can_message_peers=attempts.message,
-        may_bypass_caches=attempts.pass_by,
-        hedged_requests=attempts.second_copies,
-        coalesces_fills=stores.share_fills,
-        siblings=stores.siblings,
-        reports_cache_status=stores.notes,
+        can_cancel_attempts=form.attempts.cancel,
+        can_check_health=form.attempts.probe,
+        can_message_peers=form.attempts.message,
+        may_bypass_caches=form.attempts.pass_by,
+        hedged_requests=form.attempts.second_copies,
+        coalesces_fills=form.stores.share_fills,
+        siblings=form.stores.siblings,
+        reports_cache_status=form.stores.notes,
         must_subscribe=form.must_subscribe,
-        load_report_columns=tuple(stores.report),
+        load_report_columns=tuple(form.stores.report),
     )
 
 
