--- a/magpieshift/capture/codec.py
+++ b/magpieshift/capture/codec.py
@@ -3,9 +3,10 @@
 from __future__ import annotations
 
 import dataclasses
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from dataclasses import field as dataclass_field
+from operator import attrgetter
 from typing import Any
 
 from magpieshift.capture.policy import Policy
@@ -16,6 +17,18 @@
 """The part of an object's number that one protobuf field holds; the field ``key_high`` has the rest."""
 
 
+FieldReader = Callable[[Any], Any]
+"""Reads one field of a protobuf message."""
+
+
+def _object_key(found: Any) -> int:
+    return int(found.key | found.key_high << 64)
+
+
+def _load(found: Any) -> tuple[float, ...]:
+    return tuple(found.load)
+
+
 @dataclass(frozen=True, slots=True)
 class RecordedAction:
     """An action by its recorded names, so that equal actions of any two versions are equal."""
@@ -39,6 +52,8 @@
         """The policy's classes, by recorded name."""
         self._fields: dict[str, list[tuple[str, str]]] = {}
         """By recorded name of a class, its fields: the recorded name and the policy's own."""
+        self._readers: dict[str, list[FieldReader]] = {}
+        """By recorded name of a class, one function a field, chosen once: a replay reads many events."""
         self._recorded_names: dict[type, str] = {}
         for name in sorted(_RECORDED):
             cls = policy.class_named(name)
@@ -47,6 +62,7 @@
                 recorded = policy.names.recorded_fields(cls.__name__, own_names)
                 self._classes[name] = cls
                 self._fields[name] = list(zip(recorded, own_names, strict=True))
+                self._readers[name] = [self._reader(each) for each in recorded]
                 self._recorded_names[cls] = name
 
     def event(self, message: wire.Event) -> Any:
@@ -55,7 +71,7 @@
         found = getattr(message, name)
         if name == "StoreList":
             return self._endpoint_list(found)
-        return self._classes[name](*(self._value(found, recorded) for recorded, _ in self._fields[name]))
+        return self._classes[name](*[read(found) for read in self._readers[name]])
 
     def _endpoint_list(self, found: wire.StoreList) -> Any:
         class_named = self._policy.class_named
@@ -67,14 +83,16 @@
         )
         return self._classes["StoreList"](class_named("ListKind")(found.kind), found.version, endpoints)
 
-    def _value(self, found: Any, recorded_field: str) -> Any:
-        """One field of a recorded event, in the policy's type."""
-        value = getattr(found, recorded_field)
+    def _reader(self, recorded_field: str) -> FieldReader:
+        """What reads one field of a recorded event, in the policy's type."""
         if recorded_field == "key":
-            return value | found.key_high << 64
+            return _object_key
+        if recorded_field == "load":
+            return _load
         if recorded_field == "outcome":
-            return self._policy.class_named("Outcome")(value)
-        return tuple(value) if recorded_field == "load" else value
+            outcome = self._policy.class_named("Outcome")
+            return lambda found: outcome(found.outcome)
+        return attrgetter(recorded_field)
 
     def decided(self, action: Any) -> RecordedAction:
         """An action of this policy, for comparison."""
