--- a/magpieshift/downstream/frames.py
+++ b/magpieshift/downstream/frames.py
@@ -12,7 +12,7 @@
 MIN_LENGTH_BYTES = 5
 """Smallest value of a frame's length: its type and its stream id."""
 MAX_LENGTH_BYTES = 262_144
-"""Largest value of a frame's length, from the protocol page."""
+"""Largest value of a frame's length, as the platform's protocol has it."""
 HEADER = struct.Struct("<IBI")
 """Length of what follows the length itself, type, stream id."""
 LENGTH = struct.Struct("<I")
--- a/magpieshift/downstream/messages.py
+++ b/magpieshift/downstream/messages.py
@@ -26,7 +26,7 @@
 MAX_PART = 2**31
 """Largest number of an object's part; what is beyond it is garbage."""
 MAX_GROUP = 255
-"""Largest number of an object's purge group, from the protocol page."""
+"""Largest number of an object's purge group, as the platform's protocol has it."""
 MAX_SIZE_KB = 1e9
 """Largest size of an object that a client may name; what is beyond it is garbage."""
 
--- a/magpieshift/downstream/session.py
+++ b/magpieshift/downstream/session.py
@@ -20,7 +20,7 @@
 from magpieshift.engine.model import Response, Verdict
 
 MAX_OPEN_STREAMS = 32
-"""Requests open at once on one connection, from the protocol page; those beyond are rejected."""
+"""Requests open at once on one connection, as the platform's protocol has it; those beyond are rejected."""
 MAX_INVALID_REQUESTS = 64
 """Requests that cannot be used, on one connection; a client that goes on sending them is disconnected. Chosen
 by trial: smaller is hard on a client with one bad class, larger lets one keep us busy."""
--- a/magpieshift/engine/engine.py
+++ b/magpieshift/engine/engine.py
@@ -42,8 +42,9 @@
     """What the policy has learned of one endpoint."""
 
     endpoint: ListedEndpoint
-    is_ejected: bool
-    """Whether it is passed over for its failures."""
+    is_failing: bool
+    """Whether its failure rate is above that at which it is ejected: it is ejected, or gets one attempt at a
+    time."""
     since_failure_us: int | None
     """Microseconds since its last failure; None for never."""
     since_success_us: int | None
@@ -212,9 +213,9 @@
         def since_us(event_us: int) -> int | None:
             return None if event_us < 0 else max(0, now_us - event_us)
 
-        for number, is_ejected, failed_us, good_us in endpoint_health(self.policy_calls.policy):
+        for number, is_failing, failed_us, good_us in endpoint_health(self.policy_calls.policy):
             if (listed := self.endpoints.get(number)) is not None:
-                yield EndpointHealth(listed, is_ejected, since_us(failed_us), since_us(good_us))
+                yield EndpointHealth(listed, is_failing, since_us(failed_us), since_us(good_us))
 
     def apply_overrides(self, overrides: Sequence[HealthOverride]) -> None:
         """Have the policy eject or readmit endpoints by what other routers have seen."""
--- a/magpieshift/engine/request_table.py
+++ b/magpieshift/engine/request_table.py
@@ -84,7 +84,11 @@
         if self.held_body_bytes > self.max_body_bytes:  # memory is bounded, whatever clients write
             log.warning(
                 "request rejected",
-                extra=fields(reason="body memory exhausted", held_bytes=self.held_body_bytes),
+                extra=fields(
+                    request_id=request.request_id,
+                    reason="body memory exhausted",
+                    held_bytes=self.held_body_bytes,
+                ),
             )
             retry_after_us = self._in_force.settings.max_retry_after_us
             self._answer_soon(entry, Response(Verdict.REJECTED, retry_after_us=retry_after_us))
--- a/magpieshift/engine/trace.py
+++ b/magpieshift/engine/trace.py
@@ -50,10 +50,16 @@
     def __init__(self) -> None:
         self._names: dict[int, str] = {}
         self._order: deque[int] = deque()  # of the names' numbers, oldest first
+        self._request_ids: dict[int, str] = {}  # by number, until the policy is told of the request
 
     def register_name(self, number: int, name: str) -> None:
-        """Remember the name of an endpoint."""
-        if number in self._names or number < MIN_ENDPOINT_NUMBER:
+        """Remember the name of an endpoint, or the client's id of a request."""
+        if number < MIN_ENDPOINT_NUMBER:
+            self._request_ids[number] = name
+            if len(self._request_ids) > MAX_NAMES:
+                del self._request_ids[next(iter(self._request_ids))]
+            return
+        if number in self._names:
             return
         self._order.append(number)
         if len(self._order) > MAX_NAMES:
@@ -105,6 +111,7 @@
             "request received",
             extra=fields(
                 request_number=event.request_id,
+                request_id=self._request_ids.pop(event.request_id, UNKNOWN),
                 class_number=event.class_index,
                 object=event.object_key,
                 part=event.part,
--- a/magpieshift/extensions/overload_gossip.py
+++ b/magpieshift/extensions/overload_gossip.py
@@ -116,11 +116,11 @@
             listed.name: EndpointHealth(
                 listed.endpoint.number,
                 (listed.endpoint.kind, listed.endpoint.zone),
-                is_ejected,
+                is_failing,
                 failure_age_us,
                 success_age_us,
             )
-            for listed, is_ejected, failure_age_us, success_age_us in self._router.engine.endpoint_health()
+            for listed, is_failing, failure_age_us, success_age_us in self._router.engine.endpoint_health()
         }
 
     def _pressure(self) -> float:
--- a/magpieshift/lab/capacity/arithmetic.py
+++ b/magpieshift/lab/capacity/arithmetic.py
@@ -10,7 +10,7 @@
 from magpieshift.lab.capacity.measure import Row
 from magpieshift.lab.capacity.results import Result
 from magpieshift.lab.capacity.tables import NOT_TOLD, Results, growth, number, table
-from magpieshift.relay.limits import LEASE_US, MAX_SNAPSHOTS_PER_S, RELAY_SILENCE_TIMEOUT_US
+from magpieshift.relay.limits import FRESHNESS_LEASE_US, MAX_SNAPSHOTS_PER_S, RELAY_SILENCE_TIMEOUT_US
 
 LARGEST_ANSWER = 240_000  # bytes: the largest object part that stores send, and the largest measured
 HOUR_S = 3_600
@@ -169,7 +169,7 @@
     read = _newest(results, "fan-out: snapshot", "read")
     if relay is None or whole is None or read is None:
         return []
-    lease_s = LEASE_US / 1e6
+    lease_s = FRESHNESS_LEASE_US / 1e6
     silence_s = RELAY_SILENCE_TIMEOUT_US / 1e6
     region = fleet.ROUTERS // fleet.REGIONS
     others = fleet.CONTROL_MACHINES - 2
--- a/magpieshift/lab/scale/run.py
+++ b/magpieshift/lab/scale/run.py
@@ -28,7 +28,7 @@
 from magpieshift.lab.scale.scenario import Scenario
 from magpieshift.lab.scale.tier import DirectTier, Tier
 from magpieshift.lab.scale.topology import TARGET_REGIONS, Topology, generate
-from magpieshift.relay.limits import LEASE_US
+from magpieshift.relay.limits import FRESHNESS_LEASE_US
 
 TIERS: Mapping[str, Callable[[Topology], Tier]] = {
     "direct": lambda topology: DirectTier(),
@@ -259,7 +259,7 @@
         missing = {index for report in reports for index in report.missing}
         late = [each for report in reports for each in report.late]
         applied = [report.purges for report in reports]
-        times = purge_times(log.accepted, applied, missing, late, LEASE_US / 1e6)[first:]
+        times = purge_times(log.accepted, applied, missing, late, FRESHNESS_LEASE_US / 1e6)[first:]
         result.purges_by_lease = len({index for index, *_ in late if index >= first})
         result.purges_forgotten = sum(report.forgotten for report in reports)
         judge_purges(result, times)
--- a/magpieshift/lab/simulated/fanout.py
+++ b/magpieshift/lab/simulated/fanout.py
@@ -276,7 +276,7 @@
         now_us = host.now_us()
         if router.copy_age_limit(now_us) == 0:
             age_us = router.follower.staleness.epoch_age_us(now_us)
-            by_its_epoch = age_us is not None and age_us < limits.LEASE_US
+            by_its_epoch = age_us is not None and age_us < limits.FRESHNESS_LEASE_US
             self.judge.holds_lease(host.name, by_its_epoch, self.time.now_us)
 
     # --- messages
--- a/magpieshift/lab/simulated/fanout_judge.py
+++ b/magpieshift/lab/simulated/fanout_judge.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from magpieshift.relay.instructions import ApplyEntries, RestoreSnapshot
-from magpieshift.relay.limits import CLOCK_DRIFT, LEASE_US, MAX_PURGE_US, PURGE_RETENTION_US
+from magpieshift.relay.limits import CLOCK_DRIFT, FRESHNESS_LEASE_US, MAX_PURGE_US, PURGE_RETENTION_US
 from magpieshift.relay.messages import (
     NO_EPOCH,
     ConfigurationChange,
@@ -18,7 +18,7 @@
 )
 
 REMEMBERED_US = PURGE_RETENTION_US - 3_000_000  # older purges matter no more: snapshots may leave them out
-OVERLAP_US = LEASE_US + 100_000  # how long the leases of a source that has ended may hold
+OVERLAP_US = FRESHNESS_LEASE_US + 100_000  # how long the leases of a source that has ended may hold
 
 
 class RuleBroken(AssertionError):
--- a/magpieshift/membership/quota_lease.py
+++ b/magpieshift/membership/quota_lease.py
@@ -30,7 +30,9 @@
 
 FLEET_SCOPE = "all"  # the scope of what all routers divide
 ZONE_SCOPE_PREFIX = "zone "  # before the name of a zone: the scope of what its routers divide
-LEASE_US = 6_000_000  # three renewals: two may be lost. Longer keeps a dead holder's quota unused for longer
+QUOTA_LEASE_US = (
+    6_000_000  # three renewals: two may be lost. Longer keeps a dead holder's quota unused for longer
+)
 RENEW_INTERVAL_US = 2_000_000
 MAX_CLOCK_DRIFT = 0.02  # relative, between two clocks during a lease; far above that of working clocks
 PEAK_COUNT_MEMORY_US = 600_000_000  # members beyond those of the settings are allowed for this long
@@ -77,12 +79,12 @@
         self._lease_requested_us = now_us
 
     @staticmethod
-    def _longest(duration_us: int = LEASE_US) -> int:
+    def _longest(duration_us: int = QUOTA_LEASE_US) -> int:
         """The time that a duration may take by the slowest clock."""
         return int(duration_us * (1 + MAX_CLOCK_DRIFT))
 
     @staticmethod
-    def _shortest(duration_us: int = LEASE_US) -> int:
+    def _shortest(duration_us: int = QUOTA_LEASE_US) -> int:
         """The time that a duration takes at least, by the fastest clock."""
         return int(duration_us * (1 - MAX_CLOCK_DRIFT))
 
@@ -112,7 +114,7 @@
         self._requested_at_us = {
             request_id: requested_us
             for request_id, requested_us in self._requested_at_us.items()
-            if now_us - requested_us < LEASE_US
+            if now_us - requested_us < QUOTA_LEASE_US
         }
         self._grants.expire(now_us)
         leader = self._choose_leader(view)
--- a/magpieshift/overload/probe_election.py
+++ b/magpieshift/overload/probe_election.py
@@ -31,7 +31,7 @@
 
     number: int  # by which the policy knows it
     group: tuple[int, int]  # its kind and zone
-    is_ejected: bool  # here, for its failures
+    has_high_failure_rate: bool  # above the rate at which this router ejects
     failure_age_us: int | None  # since its last failure; None: never
     success_age_us: int | None  # since it last was of use; None: never
 
@@ -39,7 +39,7 @@
     def is_failing(self) -> bool:
         """Whether it failed here lately, and has not succeeded since."""
         failure_age_us = self.failure_age_us
-        if not self.is_ejected or failure_age_us is None or failure_age_us >= REPORT_LIFETIME_US:
+        if not self.has_high_failure_rate or failure_age_us is None or failure_age_us >= REPORT_LIFETIME_US:
             return False
         return self.success_age_us is None or self.success_age_us > failure_age_us
 
--- a/magpieshift/policy/admission.py
+++ b/magpieshift/policy/admission.py
@@ -29,10 +29,10 @@
 )
 
 INITIAL_LIMIT = 4
-"""Attempts in flight that a source is good for from each router until it has shown more (the design page);
-more routers than this share its square."""
+"""Attempts in flight that a source is good for from each router until it has shown more (the operators'
+design); more routers than this share its square."""
 PEAK_MEMORY_US = 10_000_000
-"""How long a source's peak counts after it was last reached (the design page)."""
+"""How long a source's peak counts after it was last reached (the operators' design)."""
 ON_TIME_FRACTION = 0.7
 """Of the latency objective: fills that took less raise the limit. Chosen by trial; larger raises it until
 answers are late, which all routers see only a fill's time afterwards."""
--- a/magpieshift/policy/health_override.py
+++ b/magpieshift/policy/health_override.py
@@ -36,8 +36,8 @@
 
 
 def endpoint_health(router: RouterState) -> Iterator[tuple[int, bool, int, int]]:
-    """Of each listed endpoint: its number, whether this router ejects it for its failures, and when it last
-    failed and last was of use (microseconds on the policy's clock; -1: never).
+    """Of each listed endpoint: its number, whether its failure rate is above the ejection threshold, and when
+    it last failed and last was of use (microseconds on the policy's clock; -1: never).
 
     A cache that answers with errors is heard, and of no use; a source is heard in good answers alone.
     """
--- a/magpieshift/policy/outlier_detection.py
+++ b/magpieshift/policy/outlier_detection.py
@@ -1,7 +1,7 @@
 """Endpoints that fail: whose fault a failure is, when they are ejected, and how they come back.
 
 Each failure moves an endpoint's running failure rate; above a threshold it is ejected for a random time, and
-then gets one attempt at a time until an answer brings the rate down again.
+then gets one attempt at a time until good answers have brought the rate down to the threshold again.
 """
 
 from __future__ import annotations
@@ -16,10 +16,11 @@
 """Running share of failures above which an endpoint is ejected. Chosen by trial; smaller ejects for
 chance."""
 EJECTION_US = 1_000_000
-"""The shortest ejection; a random part of as much again is added, so that routers do not all come back at
-once. Chosen by trial; smaller sends more attempts to what is down."""
+"""Base of an ejection's length: it is multiplied by 0.67 just above the threshold to 4 where all fails, and
+by a random 1 to 2, so that routers do not all come back at once: 0.67 to 8 s. Chosen by trial;
+smaller sends more attempts to what is down."""
 MAX_EJECTION_MULTIPLE = 4
-"""The longest ejection, in multiples of the shortest: it grows while what is then tried fails."""
+"""Bound of the first of those factors, which grows while what is then tried fails."""
 FAILURE_WEIGHT = 2 * SAMPLE_WEIGHT
 """How far one failure moves the failure rate towards 1, and one good answer towards 0: three failures in a
 row eject a healthy endpoint."""
@@ -30,7 +31,8 @@
 
 
 def is_available(state: RouterState, endpoint: EndpointRecord) -> bool:
-    """Whether the endpoint may be sent an attempt: one that failed gets one at a time until it succeeds."""
+    """Whether the endpoint may be sent an attempt: one whose failure rate is above
+    the threshold gets one at a time."""
     is_on_trial = endpoint.failure_rate > EJECTION_FAILURE_RATE and endpoint.in_flight > 0
     return (
         endpoint.entry.state == EndpointState.READY
@@ -50,7 +52,7 @@
     endpoint.failure_rate += weight * (1 - endpoint.failure_rate)
     if endpoint.failure_rate <= EJECTION_FAILURE_RATE or state.now_us < endpoint.ejected_until_us:
         return False
-    least_good_rate = EJECTION_FAILURE_RATE / MAX_EJECTION_MULTIPLE  # a rate of 1 would divide by 0
+    least_good_rate = EJECTION_FAILURE_RATE / MAX_EJECTION_MULTIPLE  # caps the multiple, also at a rate of 1
     multiple = EJECTION_FAILURE_RATE / max(least_good_rate, 1 - endpoint.failure_rate)
     spread = 1 + state.random.random()  # many routers must not try it all at once
     endpoint.ejected_until_us = state.now_us + int(EJECTION_US * (multiple * spread))
@@ -71,7 +73,8 @@
 def endpoint_at_fault(state: RouterState, attempt: Attempt, event: AttemptEnded) -> EndpointRecord:
     """The endpoint that a failure counts against.
 
-    A fill follows a cache's prompt miss, so its source is at fault unless the cache says otherwise.
+    A fill is sent after the cache itself answered with a miss, so a failure is its source's, unless the cache
+    says otherwise.
     """
     is_cache_itself = (
         state.settings.reports_cache_status
--- a/magpieshift/policy/placement.py
+++ b/magpieshift/policy/placement.py
@@ -23,7 +23,7 @@
 MIN_SPILL_IN_FLIGHT = 4
 """Attempts; below this a cache passes nothing on, whatever its part. Chosen by trial; as above."""
 PARENTS_TRIED = 2
-"""The first parent of an object, and the second when the first is full or down (the design page)."""
+"""The first parent of an object, and the second when the first is full or down (the operators' design)."""
 MIN_WEIGHT = 1e-6
 """Listed weight; an endpoint listed with none is chosen last, and divides nothing by 0."""
 
--- a/magpieshift/policy/rejection.py
+++ b/magpieshift/policy/rejection.py
@@ -10,8 +10,8 @@
 from magpieshift.policy.settings import DeduplicationScope, Idempotency, RequestClass
 
 MAX_SPARE_FRACTION = 0.5
-"""Of the time until the objective is missed, a retry comes after this part at most, so that its own attempt
-still fits behind it. Chosen by trial; larger values spread retries more and miss the objective more often."""
+"""A retry is placed at random in this first part of the time in which it could still meet the objective.
+Chosen by trial; larger values spread retries more and miss the objective more often."""
 
 
 def may_reject(request_class: RequestClass, may_have_run: bool) -> bool:
--- a/magpieshift/policy/settings.py
+++ b/magpieshift/policy/settings.py
@@ -42,19 +42,19 @@
     deadline_us: int
     """After so long the client has given up."""
     priority_weight: float
-    """What an answer within the objective earns."""
+    """What an answer within the objective earns; this and its kin below are used by no rule."""
     late_priority_weight: float
     """What an answer between objective and deadline earns, as a fraction of the weight."""
     is_stream: bool
-    """Whether its answers may be streamed: they begin long before they end."""
+    """Whether its answers may be streamed: they begin long before they end. No rule uses it."""
     is_write: bool
     """Whether it changes the object; it goes to the origin."""
     in_parts: bool
-    """Whether the class's objects have several parts."""
+    """Whether the class's objects have several parts; no rule uses it."""
     max_age_us: int
     """How long a copy is fresh; 0: until it is purged."""
     stale_grace_us: int
-    """How long past that a copy may still be served."""
+    """How long past that a copy may still be served; caches apply it, no rule here does."""
     stale_priority_weight: float
     """What a stale copy earns, as a fraction of the weight."""
 
@@ -70,6 +70,7 @@
     router_count: int
     """Routers in all zones; what all share is divided by it."""
     router_index: int
+    """Which of all routers this one is; no rule uses it."""
     """Of this router, from 0, among those of all zones."""
     zone_hub: tuple[int, ...]
     """By zone, the hub zone to which it is attached."""
@@ -88,9 +89,10 @@
     weights_are_sizes: bool
     """Whether an endpoint's listed weight is its capacity in requests at once; else it is a live weight."""
     answer_slack_us: int
-    """How late a final answer may be."""
+    """How late a final answer may be; no rule uses it: answers come before the deadline."""
     drain_grace_us: int
-    """After the notice of a drain nothing new may go to the endpoint beyond this."""
+    """After the notice of a drain nothing new may go to the endpoint beyond this; no rule uses it: a drain is
+    obeyed at once."""
     slow_start_fraction: float
     """Part of its capacity that a cache bears right after its start."""
     slow_start_us: int
@@ -106,7 +108,7 @@
     parent_overload_multiple: float
     """As ``overload_multiple``, of a parent."""
     purge_grace_us: int
-    """From its notice a purge must be obeyed within this."""
+    """From its notice a purge must be obeyed within this; no rule uses it: ages count from the purge."""
     purge_propagation_us: int
     """Within this caches and parents have dropped purged copies by themselves."""
     connect_timeout_us: int
@@ -128,7 +130,7 @@
     coalesces_fills: bool
     """Whether caches let a request wait for a fill of the same part that is running."""
     siblings: bool
-    """Whether caches can fill from each other."""
+    """Whether caches can fill from each other; no rule uses it, sources are parents and the origin."""
     reports_cache_status: bool
     """Whether every answer carries a cache status."""
     must_subscribe: bool
--- a/magpieshift/relay/client.py
+++ b/magpieshift/relay/client.py
@@ -28,7 +28,7 @@
     Instruction,
     RestoreSnapshot,
 )
-from magpieshift.relay.limits import LEASE_US
+from magpieshift.relay.limits import FRESHNESS_LEASE_US
 from magpieshift.relay.messages import ConfigurationChange, Snapshot
 from magpieshift.relay.report import DownstreamReport
 from magpieshift.relay.selection import RelayAddress, RelaySelection
@@ -283,4 +283,4 @@
         report = await status.fetch_status(relay.address)
     except RelayUnreachableError:
         return False
-    return report.HasField("age_us") and report.age_us < LEASE_US // 2
+    return report.HasField("age_us") and report.age_us < FRESHNESS_LEASE_US // 2
--- a/magpieshift/relay/limits.py
+++ b/magpieshift/relay/limits.py
@@ -9,7 +9,7 @@
 
 # --- the lease
 
-LEASE_US = 8_000_000
+FRESHNESS_LEASE_US = 8_000_000
 """How old a follower's knowledge may be while it serves copies without a bound on their age; without a lease
 it serves no copy older than this."""
 
@@ -114,7 +114,7 @@
 """The same for a relay before the next source: its followers wait for it as well."""
 
 
-def lease_lapse_us(lease_us: int = LEASE_US) -> int:
+def lease_lapse_us(lease_us: int = FRESHNESS_LEASE_US) -> int:
     """How long (us of this clock) a holder's lease may still hold, as its clock may run slower."""
     return int(lease_us * (1 + CLOCK_DRIFT)) + LEASE_LAPSE_MARGIN_US
 
--- a/magpieshift/relay/staleness_bound.py
+++ b/magpieshift/relay/staleness_bound.py
@@ -12,7 +12,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from magpieshift.relay.limits import LEASE_US, MAX_PROBES, max_elapsed_us
+from magpieshift.relay.limits import FRESHNESS_LEASE_US, MAX_PROBES, max_elapsed_us
 from magpieshift.relay.messages import NO_EPOCH, Epoch, FreshnessProof
 
 
@@ -106,14 +106,14 @@
         return None if self._released else _age_us(self._epoch_synced_to_us, now_us)
 
     def lease_held(self, now_us: int) -> bool:
-        """Whether the process is current to less than ``LEASE_US`` ago."""
+        """Whether the process is current to less than ``FRESHNESS_LEASE_US`` ago."""
         age_us = self.age_us(now_us)
-        return age_us is not None and age_us < LEASE_US
+        return age_us is not None and age_us < FRESHNESS_LEASE_US
 
     def copy_age_limit_us(self, now_us: int) -> int:
         """The greatest age of a copy that may be accepted now; 0 for no bound. To be called when an attempt
         is made and again when its request is written."""
-        return 0 if self.lease_held(now_us) else LEASE_US
+        return 0 if self.lease_held(now_us) else FRESHNESS_LEASE_US
 
     def _settle_proofs(self) -> None:
         """Count the proofs whose heads are reached; drop those of epochs that are over."""
--- a/magpieshift/rollout/state_folder.py
+++ b/magpieshift/rollout/state_folder.py
@@ -71,7 +71,7 @@
         try:
             request = Request(word)
         except ValueError:
-            log.warning("request rejected", extra=fields(found=word[:MAX_SHOWN_LENGTH]))
+            log.warning("requested action not known", extra=fields(found=word[:MAX_SHOWN_LENGTH]))
             return None
         log.info("action requested", extra=fields(action=word, reason=reason))
         return RequestedAction(request, reason)
--- a/tests/membership/test_explored.py
+++ b/tests/membership/test_explored.py
@@ -21,10 +21,10 @@
 from magpieshift.membership.member import Member, MemberState
 from magpieshift.membership.member_table import MemberTable
 from magpieshift.membership.messages import Address, LeaseMessage, LeaseMessageKind
-from magpieshift.membership.quota_lease import FLEET_SCOPE, LEASE_US, QuotaLease
+from magpieshift.membership.quota_lease import FLEET_SCOPE, QUOTA_LEASE_US, QuotaLease
 
 NAMES = ("a", "b", "c")
-STEP_US = LEASE_US // 5
+STEP_US = QUOTA_LEASE_US // 5
 Message = tuple[str, str, LeaseMessage]
 
 
@@ -66,7 +66,7 @@
                     (s._vote_promise[0], max(0, s._vote_promise[1] - self.now)) if s._vote_promise else None,
                     bool(s._term),
                     sorted((n, max(0, u - self.now)) for n, u in s._votes.items()),
-                    s._elected_us is not None and min(self.now - s._elected_us, 2 * LEASE_US),
+                    s._elected_us is not None and min(self.now - s._elected_us, 2 * QUOTA_LEASE_US),
                     sorted(
                         (w, sorted(v.quotas.items()), max(0, v.expires_us - self.now))
                         for w, v in s._grants.by_holder.items()
@@ -248,7 +248,7 @@
     def test_a_missing_rule_is_found(self) -> None:
         """The check can fail: each of these was left out once on purpose."""
         for what, broken in (
-            ("a new leader grants at once", {"_longest": staticmethod(lambda us=LEASE_US: 0)}),
+            ("a new leader grants at once", {"_longest": staticmethod(lambda us=QUOTA_LEASE_US: 0)}),
             ("a holder reads no clock", {"quota": quota_without_clock}),
         ):
             with self.subTest(what):
--- a/tests/relay/test_fanout.py
+++ b/tests/relay/test_fanout.py
@@ -9,8 +9,8 @@
 from magpieshift.relay.instructions import EndReason
 from magpieshift.relay.limits import (
     BATCH_INTERVAL_US,
+    FRESHNESS_LEASE_US,
     HEARTBEAT_INTERVAL_US,
-    LEASE_US,
     MAX_ACKNOWLEDGE_DELAY_US,
     MAX_BATCH_ENTRIES,
     MAX_SERVING_SYNC_AGE_US,
@@ -130,7 +130,7 @@
 
     def test_a_source_that_lost_its_change_log_is_followed_on_without_a_lease(self) -> None:
         end_us = 0
-        for self.server.age_us in (None, LEASE_US):
+        for self.server.age_us in (None, FRESHNESS_LEASE_US):
             client = Client()
             client.join(self.server, 2, end_us)
             end_us = run(self.server, {2: client}, end_us, 4 * RELAY_STALE_TIMEOUT_US)
@@ -447,7 +447,9 @@
         now_us = run(self.server, {1: self.client}, self.now_us, SECOND)
         self.assertEqual((self.client.follower.epoch, self.client.follower.applied), (LATER, 1))
         self.assertEqual(self.server.fanout.watermark(now_us), 1)
-        self.assertTrue(self.client.leased(run(self.server, {1: self.client}, now_us, 2 * LEASE_US)))
+        self.assertTrue(
+            self.client.leased(run(self.server, {1: self.client}, now_us, 2 * FRESHNESS_LEASE_US))
+        )
 
     def test_many_lives_leave_nothing_behind(self) -> None:
         for life in range(200):
--- a/tests/relay/test_histories.py
+++ b/tests/relay/test_histories.py
@@ -85,11 +85,11 @@
     def test_one_paused_across_its_lease_bounds_the_attempt_in_hand(self) -> None:
         world = began(regions=1)
         host, router = world.routers()[0]
-        world.pause(host.name, limits.LEASE_US + 3 * SECOND)
+        world.pause(host.name, limits.FRESHNESS_LEASE_US + 3 * SECOND)
         load(world, 1)
         self.assertEqual(router.copy_age_limit(host.now_us()), 0)
         load(world, 1)
-        self.assertEqual(router.copy_age_limit(host.now_us()), limits.LEASE_US)
+        self.assertEqual(router.copy_age_limit(host.now_us()), limits.FRESHNESS_LEASE_US)
         settles(world, 10)
 
     def test_one_way_cuts(self) -> None:
@@ -99,7 +99,7 @@
                 host, router = next(found for found in world.routers() if found[0].name == "E0.1")
                 world.network.cut(*ends)
                 load(world, 11)
-                self.assertEqual(router.copy_age_limit(host.now_us()), limits.LEASE_US)
+                self.assertEqual(router.copy_age_limit(host.now_us()), limits.FRESHNESS_LEASE_US)
                 source, process = world.sources()[0]
                 self.assertEqual(process.fanout.watermark(source.now_us()), process.log.head)  # without it
                 world.network.heal()
--- a/tests/relay/test_planted.py
+++ b/tests/relay/test_planted.py
@@ -18,7 +18,7 @@
 from magpieshift.relay.follower import Follower
 from magpieshift.relay.follower_stream import FollowerStream
 from magpieshift.relay.instructions import ApplyEntries, EndStream
-from magpieshift.relay.limits import CLOCK_DRIFT, LEASE_US
+from magpieshift.relay.limits import CLOCK_DRIFT, FRESHNESS_LEASE_US
 from magpieshift.relay.log import SequencedLog
 from magpieshift.relay.log_state import LogState
 from magpieshift.relay.messages import DownstreamMessage, Epoch, Progress
@@ -162,7 +162,9 @@
 
 
 def let_a_stale_relay_extend_leases() -> Plant:
-    return mock.patch.object(StalenessBound, "epoch_age_us", lambda self, now_us: min(LEASE_US // 2, 10**6))
+    return mock.patch.object(
+        StalenessBound, "epoch_age_us", lambda self, now_us: min(FRESHNESS_LEASE_US // 2, 10**6)
+    )
 
 
 def skip_a_gap() -> Plant:
@@ -193,7 +195,7 @@
     with (
         mock.patch.object(staleness_bound, "max_elapsed_us", lambda duration_us: duration_us),
         mock.patch.object(fanout, "max_elapsed_us", lambda duration_us: duration_us),
-        mock.patch.object(fanout, "lease_lapse_us", lambda: LEASE_US),
+        mock.patch.object(fanout, "lease_lapse_us", lambda: FRESHNESS_LEASE_US),
     ):
         yield
 
@@ -229,7 +231,7 @@
 
 
 def count_half_as_long() -> Plant:
-    return mock.patch.object(fanout, "lease_lapse_us", lambda: LEASE_US // 2)
+    return mock.patch.object(fanout, "lease_lapse_us", lambda: FRESHNESS_LEASE_US // 2)
 
 
 def say_farewell_before_the_lease_rests_on_the_new_stream() -> Plant:
@@ -309,7 +311,7 @@
     def test_whoever_holds_a_lease_is_counted(self) -> None:
         for rates in RATES:
             with self.subTest(rates):
-                self.assertGreater(leased_for_us(*rates), LEASE_US // 2)
+                self.assertGreater(leased_for_us(*rates), FRESHNESS_LEASE_US // 2)
 
     def test_forgetting_the_drift_is_found(self) -> None:
         with forget_the_drift(), self.assertRaises(RuleBroken):
--- a/tests/relay/test_processes.py
+++ b/tests/relay/test_processes.py
@@ -23,11 +23,11 @@
 from magpieshift.lab.emulators import peers
 from magpieshift.lab.emulators.world import World
 from magpieshift.relay import status
-from magpieshift.relay.limits import LEASE_US
+from magpieshift.relay.limits import FRESHNESS_LEASE_US
 
 ROOT = Path(__file__).parents[2]
 PATIENCE_S = 40.0
-LEASE_S = LEASE_US / 1e6
+LEASE_S = FRESHNESS_LEASE_US / 1e6
 
 
 class NotingStore(peers.Store):
@@ -321,7 +321,9 @@
             await self.until(is_ordered_after_waking, "an order after waking")
             late = [order for order in self.cache.orders if order[0] >= woken]
             self.check_orders(late)
-            self.assertLessEqual({bound for _, _, bound in late}, set(range(1, LEASE_US // 1000 + 1)))
+            self.assertLessEqual(
+                {bound for _, _, bound in late}, set(range(1, FRESHNESS_LEASE_US // 1000 + 1))
+            )
             self.signal(first, signal.SIGCONT)
             await self.until(self.leased, "a lease again")
             await self.until(self.has_all, "the purge")
--- a/tests/relay/test_staleness_bound.py
+++ b/tests/relay/test_staleness_bound.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from magpieshift.relay.limits import CLOCK_DRIFT, LEASE_US, MAX_PROBES
+from magpieshift.relay.limits import CLOCK_DRIFT, FRESHNESS_LEASE_US, MAX_PROBES
 from magpieshift.relay.messages import FreshnessProof
 from magpieshift.relay.staleness_bound import SourceStalenessBound, StalenessBound
 from tests.relay.pieces import EPOCH, LATER, SECOND
@@ -23,7 +23,7 @@
 
     def test_it_was_never_current_before_the_first_proof(self) -> None:
         self.assertIsNone(self.staleness.age_us(0))
-        self.assertEqual(self.staleness.copy_age_limit_us(0), LEASE_US)
+        self.assertEqual(self.staleness.copy_age_limit_us(0), FRESHNESS_LEASE_US)
 
     def test_it_is_current_to_when_the_probe_was_sent_less_the_senders_age(self) -> None:
         self.assertEqual(self.prove(2, age_us=SECOND // 2), 3 * SECOND // 2)
@@ -33,12 +33,12 @@
 
     def test_the_lease_lapses_with_age_and_copies_are_bounded_from_then_on(self) -> None:
         self.prove(1)
-        lapse_us = SECOND + int(LEASE_US / (1 + CLOCK_DRIFT))
+        lapse_us = SECOND + int(FRESHNESS_LEASE_US / (1 + CLOCK_DRIFT))
         self.assertTrue(self.staleness.lease_held(lapse_us - 2))
         self.assertEqual(self.staleness.copy_age_limit_us(lapse_us - 2), 0)
         self.assertFalse(self.staleness.lease_held(lapse_us + 2), "whoever was paused finds out on waking")
-        self.assertEqual(self.staleness.copy_age_limit_us(lapse_us + 2), LEASE_US)
-        self.assertEqual(self.staleness.copy_age_limit_us(10**12), LEASE_US)
+        self.assertEqual(self.staleness.copy_age_limit_us(lapse_us + 2), FRESHNESS_LEASE_US)
+        self.assertEqual(self.staleness.copy_age_limit_us(10**12), FRESHNESS_LEASE_US)
 
     def test_a_proof_counts_once_everything_up_to_its_head_is_applied(self) -> None:
         self.assertIsNone(self.prove(1, head=12))
@@ -95,7 +95,7 @@
         self.prove(3)
         self.staleness.release_lease()
         self.prove(3)
-        self.assertEqual(self.staleness.copy_age_limit_us(3 * SECOND), LEASE_US)
+        self.assertEqual(self.staleness.copy_age_limit_us(3 * SECOND), FRESHNESS_LEASE_US)
 
 
 class Source(unittest.TestCase):
