--- a/magpieshift/discovery/changes.py
+++ b/magpieshift/discovery/changes.py
@@ -23,11 +23,11 @@
 class ChangeListener(Protocol):
     """Is notified of changes."""
 
-    def list_changed(self, kind: EndpointListKind, version: int, members: Sequence[ListedEndpoint]) -> None:
+    def list_changed(self, kind: EndpointListKind, version: int, endpoints: Sequence[ListedEndpoint]) -> None:
         """Endpoints have come, changed or gone; all but a ``DELTA`` is the complete list."""
         ...
 
-    def purged(self, key: str, group: int, made_us: int) -> None:
+    def purged(self, key: str, group: int, purged_us: int) -> None:
         """An object, or a group where the key is empty, was purged at this Unix time."""
         ...
 
--- a/magpieshift/downstream/connection.py
+++ b/magpieshift/downstream/connection.py
@@ -106,13 +106,13 @@
         only asks for readiness may go on asking."""
         if self.is_busy or not self._session.go_away_sent:
             return False
-        turning_away = self._host.lifecycle.rejects_requests
-        cutting = self._host.lifecycle.cuts_incomplete_requests
+        rejects_requests = self._host.lifecycle.rejects_requests
+        cuts_incomplete = self._host.lifecycle.cuts_incomplete_requests
         asks_readiness_only = self._session.requests_received == 0
         is_quiet = self.last_received_us < quiet_since_us
         if self._session.partial_frame_bytes:
-            return cutting
-        return is_quiet or (turning_away and not asks_readiness_only)
+            return cuts_incomplete
+        return is_quiet or (rejects_requests and not asks_readiness_only)
 
     async def serve(self) -> None:
         """Read until the client closes or is disconnected; then cancel what it has open. It is always read
--- a/magpieshift/edge_router.py
+++ b/magpieshift/edge_router.py
@@ -105,14 +105,14 @@
 
     # --- what the change log says
 
-    def list_changed(self, kind: EndpointListKind, version: int, members: Sequence[ListedEndpoint]) -> None:
+    def list_changed(self, kind: EndpointListKind, version: int, endpoints: Sequence[ListedEndpoint]) -> None:
         """Endpoints have come, changed or gone; all but a ``DELTA`` is the complete list."""
-        self.engine.list_changed(kind, version, members)
-        self._pool.list_changed(members, is_complete=kind != EndpointListKind.DELTA)
+        self.engine.list_changed(kind, version, endpoints)
+        self._pool.list_changed(endpoints, is_complete=kind != EndpointListKind.DELTA)
 
-    def purged(self, key: str, group: int, made_us: int) -> None:
+    def purged(self, key: str, group: int, purged_us: int) -> None:
         """An object (16 hex digits), or with no key a group, was purged at this Unix microsecond."""
-        self.engine.purged(key, group, made_us)
+        self.engine.purged(key, group, purged_us)
 
     # --- settings
 
@@ -137,9 +137,9 @@
 
     # --- load
 
-    def offload_by(self, hands_over: Callable[[ClientRequest], bool] | None) -> None:
+    def offload_by(self, should_offload: Callable[[ClientRequest], bool] | None) -> None:
         """Reject at once the requests that a neighbour is to take, as this function says; None for none."""
-        self._downstream.should_offload = hands_over
+        self._downstream.should_offload = should_offload
 
     @property
     def pressure(self) -> float:
--- a/magpieshift/engine/attempts.py
+++ b/magpieshift/engine/attempts.py
@@ -88,8 +88,10 @@
             log.error("attempt blocked", extra=fields(request_id=request_id, reason=outcome.name.lower()))
             return self._settle(attempt, AttemptResult(outcome))
         attempt.timer = self._clock.after(timeout_us, lambda: self._cancel(attempt, Outcome.TIMEOUT))
-        order = self._upstream_request(attempt, send, now_us + timeout_us)
-        attempt.exchange = self._upstream.start(order, lambda result: self._settle(attempt, result))
+        upstream_request = self._upstream_request(attempt, send, now_us + timeout_us)
+        attempt.exchange = self._upstream.start(
+            upstream_request, lambda result: self._settle(attempt, result)
+        )
         return None
 
     def cancel(self, request_number: int, attempt_number: int) -> None:
--- a/magpieshift/extensions/counters.py
+++ b/magpieshift/extensions/counters.py
@@ -95,32 +95,32 @@
     # --- as the engine's observer
 
     def request_ended(
-        self, call: ClientRequest, cls: RequestClass, verdict: Verdict | None, took_us: int
+        self, request: ClientRequest, request_class: RequestClass, verdict: Verdict | None, duration_us: int
     ) -> None:
         """Count a request; ``verdict`` None: the client went away."""
-        counters = self._classes.get(call.class_name)
+        counters = self._classes.get(request.class_name)
         if counters is None:
             if len(self._classes) >= MAX_CLASSES:
                 return
-            counters = self._classes[call.class_name] = ClassCounters()
+            counters = self._classes[request.class_name] = ClassCounters()
         counters.received += 1
         if verdict is None:
             counters.disconnected += 1
         elif verdict == Verdict.SERVED:
-            is_in_time = took_us <= self._latency_objective_us(call, cls)
+            is_in_time = duration_us <= self._latency_objective_us(request, request_class)
             counters.served_in_time += is_in_time
             counters.served_late += not is_in_time
-            counters.latency_us.record_value(max(1, min(took_us, MAX_LATENCY_US)))
+            counters.latency_us.record_value(max(1, min(duration_us, MAX_LATENCY_US)))
         elif verdict == Verdict.REJECTED:
             counters.rejected += 1
         else:
             counters.failed += 1
 
-    def _latency_objective_us(self, call: ClientRequest, cls: RequestClass) -> float:
+    def _latency_objective_us(self, request: ClientRequest, request_class: RequestClass) -> float:
         """The objective of the class, extended by the time that sending the body to the client takes."""
         client_kb_per_s = self._router.document.settings.client_kb_per_s
-        sending_us = 1e6 * call.size_kb / client_kb_per_s if client_kb_per_s else 0.0
-        return cls.latency_objective_us + cls.latency_objective_stretch * sending_us
+        sending_us = 1e6 * request.size_kb / client_kb_per_s if client_kb_per_s else 0.0
+        return request_class.latency_objective_us + request_class.latency_objective_stretch * sending_us
 
     def attempt_ended(self, outcome: Outcome, filled: bool, origin: bool) -> None:
         """Count an attempt at an upstream."""
--- a/magpieshift/extensions/relay_subscription.py
+++ b/magpieshift/extensions/relay_subscription.py
@@ -88,8 +88,8 @@
 
     def _apply(self, entry: Entry) -> None:
         match entry:
-            case Purge(key, group, made_us):
-                self._router.purged(key, group, made_us)
+            case Purge(key, group, purged_us):
+                self._router.purged(key, group, purged_us)
             case EndpointListChange(endpoint_list_json):
                 self._apply_endpoint_list(endpoint_list_json)
             case ConfigurationChange():
--- a/magpieshift/policy/invalidation.py
+++ b/magpieshift/policy/invalidation.py
@@ -24,10 +24,10 @@
 """Before any time at which a purge is made."""
 
 
-def record_purge(purges: Purges, object_key: int, group: int, made_us: int) -> None:
+def record_purge(purges: Purges, object_key: int, group: int, purged_us: int) -> None:
     """Take in a purge of an object or, with ``object_key`` 0, of a group."""
     purged = (OBJECT, object_key) if object_key else (GROUP, group)
-    purges[purged] = max(made_us, purges.get(purged, 0))
+    purges[purged] = max(purged_us, purges.get(purged, 0))
 
 
 def sweep(purges: Purges, sweep_size: int, now_us: int, propagation_us: int) -> int:
@@ -35,7 +35,7 @@
     if len(purges) < sweep_size:
         return sweep_size
     expired_us = now_us - RETENTION_MULTIPLE * propagation_us
-    for purged in [purged for purged, made_us in purges.items() if made_us < expired_us]:
+    for purged in [purged for purged, purged_us in purges.items() if purged_us < expired_us]:
         del purges[purged]
     return max(MIN_SWEEP_ENTRIES, 2 * len(purges))
 
@@ -45,10 +45,10 @@
 ) -> int:
     """The largest age of a copy that will do: the class's own (0 for no bound) unless the object or its group
     was purged lately; then at least 1, as 0 would mean the class's own."""
-    made_us = max(
+    purged_us = max(
         purges.get((OBJECT, request.object_key), NEVER_US), purges.get((GROUP, request.group), NEVER_US)
     )
-    if made_us < max(0, now_us - RETENTION_MULTIPLE * propagation_us):
+    if purged_us < max(0, now_us - RETENTION_MULTIPLE * propagation_us):
         return class_max_age_us
-    since_us = max(1, now_us - made_us - 1)
+    since_us = max(1, now_us - purged_us - 1)
     return min(since_us, class_max_age_us) if class_max_age_us else since_us
--- a/magpieshift/relay/decoding.py
+++ b/magpieshift/relay/decoding.py
@@ -110,12 +110,12 @@
             f"{place} before", f"{len(times)} times", f"{len(what)}, one for each purge"
         )
     if given[0] == "objects":
-        return [Purge(f"{key:016x}", 0, made_us) for key, made_us in zip(what, times, strict=True)]
+        return [Purge(f"{key:016x}", 0, purged_us) for key, purged_us in zip(what, times, strict=True)]
     if given[0] == "groups":
-        return [Purge("", group, made_us) for group, made_us in zip(what, times, strict=True)]
+        return [Purge("", group, purged_us) for group, purged_us in zip(what, times, strict=True)]
     for key in what:
         _check_key(key, f"{place} keys")
-    return [Purge(key, 0, made_us) for key, made_us in zip(what, times, strict=True)]
+    return [Purge(key, 0, purged_us) for key, purged_us in zip(what, times, strict=True)]
 
 
 def _decode_times(purges: wire.Purges, base_ms: int, place: str) -> list[int]:
