--- a/magpieshift/lab/capacity/log_process.py
+++ b/magpieshift/lab/capacity/log_process.py
@@ -16,7 +16,7 @@
 SEED = 1
 
 
-async def tell_purges(log: peers.Log, rate: float) -> None:
+async def tell_purges(log: peers.ChangeLog, rate: float) -> None:
     """Tell purges of objects drawn from all ids at an even rate, for ever."""
     draw = random.Random(SEED)
     begun = time.monotonic()
@@ -24,12 +24,12 @@
     while True:
         told += 1
         await asyncio.sleep(max(0.0, begun + told / rate - time.monotonic()))
-        log.tell(invalidate={"object": f"{draw.getrandbits(64):016x}", "time": int(time.time() * 1000)})
+        log.publish(invalidate={"object": f"{draw.getrandbits(64):016x}", "time": int(time.time() * 1000)})
 
 
 async def serve(rate: float) -> None:
     """Serve a log until standard input ends."""
-    log = peers.Log()
+    log = peers.ChangeLog()
     await log.start()
     print(log.port, flush=True)
     telling = asyncio.ensure_future(tell_purges(log, rate))
--- a/magpieshift/lab/capacity/roles/lists.py
+++ b/magpieshift/lab/capacity/roles/lists.py
@@ -58,17 +58,17 @@
 
     @staticmethod
     def _tell_whole(world: CountedWorld, caches: int) -> None:
-        cache = peers.member(world.cache, "shop", "box", 1)
+        cache = peers.list_entry(world.cache, "shop", "box", 1)
         members = [
             {**cache, "id": f"s-{number}", "locality": "shop" if number < caches / fleet.ZONES else "hub"}
             for number in range(caches)
         ]
-        members.append(peers.member(world.origin, "hub", "source", 0))
-        world.log.tell(fleet={"revision": 2, "complete": True, "members": members})
+        members.append(peers.list_entry(world.origin, "hub", "source", 0))
+        world.change_log.publish(fleet={"revision": 2, "complete": True, "members": members})
 
     @staticmethod
     def _tell_change(world: CountedWorld, number: int) -> None:
         phase = "DRAINING" if number % 2 else "SERVING"
-        cache = peers.member(world.cache, "shop", "box", 1, phase)
+        cache = peers.list_entry(world.cache, "shop", "box", 1, phase)
         changed = {**cache, "id": f"s-{number}"}
-        world.log.tell(fleet={"revision": 3 + number, "complete": False, "members": [changed]})
+        world.change_log.publish(fleet={"revision": 3 + number, "complete": False, "members": [changed]})
--- a/magpieshift/lab/capacity/roles/relays.py
+++ b/magpieshift/lab/capacity/roles/relays.py
@@ -299,6 +299,6 @@
 
 async def _behind_relay(stack: contextlib.AsyncExitStack, world: CountedWorld) -> Sequence[str]:
     """A source and a relay of this world's change log, and the words that make a router follow them."""
-    source = await stack.enter_async_context(node(*source_words(world.log.port)))
+    source = await stack.enter_async_context(node(*source_words(world.change_log.port)))
     relay = await stack.enter_async_context(node(*relay_words(source)))
     return "run", "--relays", f"127.0.0.1:{relay.port}", "--region", REGION
--- a/magpieshift/lab/capacity/roles/requests.py
+++ b/magpieshift/lab/capacity/roles/requests.py
@@ -18,7 +18,10 @@
 
 async def percent_of_core(router: Ready, rate: float, seed: int, for_s: float) -> tuple[float, float]:
     """Percent of a core under requests at this rate, and the requests that were sent a second meanwhile."""
-    clients = [peers.Client(router.world.port, random.Random(seed + n), lambda: True) for n in range(CLIENTS)]
+    clients = [
+        peers.RequestGenerator(router.world.router_port, random.Random(seed + n), lambda: True)
+        for n in range(CLIENTS)
+    ]
     loads = [asyncio.ensure_future(client.run(rate / CLIENTS, lambda: ["picture"])) for client in clients]
     await asyncio.sleep(SETTLE_S)
     begun = router.read()
@@ -27,7 +30,7 @@
     ended = router.read()
     sent = sum(client.sent for client in clients) - sent
     for client in clients:
-        client.settle()
+        client.stop_sending()
     await asyncio.gather(*loads)
     if lost := sum(client.lost for client in clients):
         raise RuntimeError(f"{lost} of {sum(client.sent for client in clients)} requests had no answer")
--- a/magpieshift/lab/capacity/roles/versions.py
+++ b/magpieshift/lab/capacity/roles/versions.py
@@ -16,7 +16,7 @@
 from magpieshift.lab.capacity.documents import changed, settings
 from magpieshift.lab.capacity.processor import spending
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
-from magpieshift.lab.emulators.world import World
+from magpieshift.lab.emulators.world import LoopbackInstallation
 
 VERSIONS = 15
 MILLISECONDS = 10 * fleet.CONTROL_CPU_PERCENT / 2 / fleet.VERSIONS_PER_S
@@ -25,11 +25,11 @@
 )
 
 
-class ZonedWorld(World):
+class ZonedWorld(LoopbackInstallation):
     """Stand-ins, and settings with as many zones as the target has."""
 
     def settings(self) -> dict[str, object]:
-        return settings(fleet.ZONES, f"127.0.0.1:{self.log.port}", f"127.0.0.1:{self.port}")
+        return settings(fleet.ZONES, f"127.0.0.1:{self.change_log.port}", f"127.0.0.1:{self.router_port}")
 
 
 class RouterVersions:
--- a/magpieshift/lab/capacity/routers.py
+++ b/magpieshift/lab/capacity/routers.py
@@ -12,7 +12,7 @@
 
 from magpieshift.lab.capacity.processor import processor_s, resident_mb
 from magpieshift.lab.emulators import peers
-from magpieshift.lab.emulators.world import World
+from magpieshift.lab.emulators.world import LoopbackInstallation
 from magpieshift.lab.experiments.cost import Variant, started
 
 HERE = str(Path(__file__).resolve().parents[3])
@@ -22,7 +22,7 @@
 PORT_TAKEN = "Address already in use"
 
 
-class CountingLog(peers.Log):
+class CountingLog(peers.ChangeLog):
     """The stand-in change log, which counts the bytes it writes."""
 
     def __init__(self) -> None:
@@ -30,8 +30,8 @@
         self.written = 0
         self.told = 0
 
-    def tell(self, **event: object) -> None:
-        super().tell(**event)
+    def publish(self, **event: object) -> None:
+        super().publish(**event)
         self.told += 1
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -56,18 +56,20 @@
         self._writer.close()
 
 
-class CountedWorld(World):
+class CountedWorld(LoopbackInstallation):
     """Stand-ins round a router, with a change log that counts."""
 
-    log: CountingLog
+    change_log: CountingLog
 
     def __init__(self) -> None:
         super().__init__()
-        self.log = CountingLog()
+        self.change_log = CountingLog()
 
     def purge(self, draw: random.Random, made_s: float) -> None:
         """Tell one purge of an object drawn from all 64-bit ids, made at this Unix time."""
-        self.log.tell(invalidate={"object": f"{draw.getrandbits(64):016x}", "time": int(made_s * 1000)})
+        self.change_log.publish(
+            invalidate={"object": f"{draw.getrandbits(64):016x}", "time": int(made_s * 1000)}
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,12 +92,14 @@
 
     def read(self) -> Reading:
         """The counts now."""
-        return Reading(processor_s(self.pid), resident_mb(self.pid), self.world.log.written, time.monotonic())
+        return Reading(
+            processor_s(self.pid), resident_mb(self.pid), self.world.change_log.written, time.monotonic()
+        )
 
     async def caught_up(self) -> None:
         """Wait until the router has applied all that its change log told; ``TimeoutError`` where it does
         not."""
-        last = f"seq={self.world.log.told}"
+        last = f"seq={self.world.change_log.told}"
         async with asyncio.timeout(CAUGHT_UP_S):
             while last not in self._log.read_text().split():
                 await asyncio.sleep(POLL_S)
--- a/magpieshift/lab/emulators/load.py
+++ b/magpieshift/lab/emulators/load.py
@@ -17,28 +17,28 @@
 from magpieshift.downstream import frames
 from magpieshift.downstream.frames import FrameType, ResponseCode
 
-PATIENCE_MS = {"picture": 1500, "basket": 2000, "order": 2000}
+TIME_LIMITS_MS = {"picture": 1500, "basket": 2000, "order": 2000}
 
 
 @dataclass
-class Second:
+class RequestCounts:
     """What came in one slice of time."""
 
     sent: int = 0
     served: int = 0
-    refused: int = 0
+    rejected: int = 0
     failed: int = 0
     lost: int = 0
-    cut: int = 0  # without an answer, where none could come
+    interrupted: int = 0  # without an answer, where none could come
     latency_us: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000_000, 2))
 
 
 Answer = tuple[int, dict[str, str], bytes]  # its code, fields and body
-CROSSED_S = 0.05  # what was written so long before an idle connection's end may be sent once more
-MOST_EXAMPLES = 20
+RESEND_WINDOW_S = 0.05  # what was written so long before an idle connection's end may be sent once more
+MAX_EXAMPLES = 20
 
 
-class Missed(Enum):
+class NoAnswer(Enum):
     """Why a request has no answer, in the words of a verdict."""
 
     UNREACHED = "no connection came up"
@@ -48,35 +48,35 @@
 
 
 @dataclass
-class _Pending:
-    written: float  # on the steady clock
-    done: asyncio.Future[Answer]
+class _PendingAnswer:
+    written_s: float  # on the steady clock
+    answer: asyncio.Future[Answer]
 
 
 class _Link:
     """One connection of a client, until either end closes it; ``leaving`` once nothing new may go on it."""
 
     def __init__(self, crossed_s: float) -> None:
-        self._crossed_s = crossed_s
+        self._resend_window_s = crossed_s
         self._writer: asyncio.StreamWriter | None = None
         self._reading: asyncio.Task[None] | None = None
-        self._open: dict[int, _Pending] = {}
+        self._pending: dict[int, _PendingAnswer] = {}
         self._streams = 0
-        self._given_up: set[int] = set()  # streams whose answer nobody waits for any more: it may yet come
-        self.leaving = False
-        self.doubles = 0
+        self._abandoned: set[int] = set()  # streams whose answer nobody waits for any more: it may yet come
+        self.is_draining = False
+        self.duplicate_answers = 0
 
     async def connect(self, port: int) -> None:
         reader, self._writer = await asyncio.open_connection("127.0.0.1", port)
         self._reading = asyncio.ensure_future(self._read(reader))
 
-    async def ask(self, fields: dict[str, str], body: bytes, patience_s: float) -> Answer | Missed:
+    async def request(self, fields: dict[str, str], body: bytes, patience_s: float) -> Answer | NoAnswer:
         if self._writer is None:  # it ended since it was chosen; nothing was written
-            return Missed.CROSSED
+            return NoAnswer.CROSSED
         self._streams += 1
         stream = self._streams
         done: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        pending = self._open[stream] = _Pending(time.monotonic(), done)
+        pending = self._pending[stream] = _PendingAnswer(time.monotonic(), done)
         self._writer.write(
             frames.frame_head(FrameType.REQUEST, stream, frames.write_fields(fields), len(body)) + body
         )
@@ -84,14 +84,14 @@
             async with asyncio.timeout(patience_s + 1.0):
                 return await done
         except TimeoutError:
-            self._given_up.add(stream)
-            return Missed.SILENT
+            self._abandoned.add(stream)
+            return NoAnswer.SILENT
         except ConnectionError:
-            lately = time.monotonic() - pending.written <= self._crossed_s
-            return Missed.CROSSED if lately else Missed.ENDED
+            lately = time.monotonic() - pending.written_s <= self._resend_window_s
+            return NoAnswer.CROSSED if lately else NoAnswer.ENDED
         finally:
-            self._open.pop(stream, None)
-            self._part()
+            self._pending.pop(stream, None)
+            self._close_if_drained()
 
     async def _read(self, reader: asyncio.StreamReader) -> None:
         parser = frames.FrameParser()
@@ -99,80 +99,80 @@
             while data := await reader.read(65536):
                 for frame in parser.feed(data):
                     if frame.type == FrameType.GO_AWAY:
-                        self.leaving = True
-                        self._part()
+                        self.is_draining = True
+                        self._close_if_drained()
                     elif frame.type == FrameType.RESPONSE:
-                        self._answered(frame)
+                        self._answer_received(frame)
         self.close()
 
-    def _answered(self, frame: frames.Frame) -> None:
-        pending = self._open.pop(frame.stream_id, None)
-        if pending is None and frame.stream_id in self._given_up:
-            self._given_up.discard(frame.stream_id)
+    def _answer_received(self, frame: frames.Frame) -> None:
+        pending = self._pending.pop(frame.stream_id, None)
+        if pending is None and frame.stream_id in self._abandoned:
+            self._abandoned.discard(frame.stream_id)
         elif pending is None:
-            self.doubles += 1
-        elif not pending.done.done():
+            self.duplicate_answers += 1
+        elif not pending.answer.done():
             fields, at = frames.read_fields(frame.payload[1:])
-            pending.done.set_result((frame.payload[0], fields, frame.payload[1 + at :]))
+            pending.answer.set_result((frame.payload[0], fields, frame.payload[1 + at :]))
 
-    def _part(self) -> None:
+    def _close_if_drained(self) -> None:
         """Who was told to send no more leaves once nothing is open."""
-        if self.leaving and not self._open and not self._given_up:
+        if self.is_draining and not self._pending and not self._abandoned:
             self.close()
 
     @property
-    def over(self) -> bool:
+    def is_closed(self) -> bool:
         return self._writer is None
 
     def close(self) -> None:
-        self.leaving = True
+        self.is_draining = True
         if self._writer is not None:
             self._writer.close()
             self._writer = None
-        for pending in self._open.values():
-            if not pending.done.done():
-                pending.done.set_exception(ConnectionError())
+        for pending in self._pending.values():
+            if not pending.answer.done():
+                pending.answer.set_exception(ConnectionError())
 
 
-class Connection:
+class ClientConnection:
     """One client, as the protocol page has it: it goes on over a new connection once it is told to send no
     more on the one it has, and sends a request that crossed a connection's end once more. The loss of
     what a router had read is not hidden by that: stores judge what then comes to them twice.
 
     ``crossed_s``: how long before its connection's end a request was written at most to be sent again."""
 
-    def __init__(self, port: int, crossed_s: float = CROSSED_S) -> None:
+    def __init__(self, port: int, crossed_s: float = RESEND_WINDOW_S) -> None:
         self._port = port
-        self._crossed_s = crossed_s
+        self._resend_window_s = crossed_s
         self._link: _Link | None = None
         self._links: list[_Link] = []  # all that are not over
         self._connecting = asyncio.Lock()
-        self._doubles = 0  # on connections that are over
+        self._closed_duplicate_answers = 0  # on connections that are over
 
     @property
-    def doubles(self) -> int:
-        return self._doubles + sum(link.doubles for link in self._links)
+    def duplicate_answers(self) -> int:
+        return self._closed_duplicate_answers + sum(link.duplicate_answers for link in self._links)
 
-    async def ask(self, fields: dict[str, str], body: bytes, patience_s: float) -> Answer | Missed:
+    async def request(self, fields: dict[str, str], body: bytes, patience_s: float) -> Answer | NoAnswer:
         """The answer, or why there is none."""
         for _ in range(2):
             try:
                 async with self._connecting:
-                    if self._link is None or self._link.leaving:
+                    if self._link is None or self._link.is_draining:
                         self._link = await self._connect()
                     link = self._link
             except OSError:
-                return Missed.UNREACHED
-            answer = await link.ask(fields, body, patience_s)
-            if answer is not Missed.CROSSED:
+                return NoAnswer.UNREACHED
+            answer = await link.request(fields, body, patience_s)
+            if answer is not NoAnswer.CROSSED:
                 break
         return answer
 
     async def _connect(self) -> _Link:
-        for over in [link for link in self._links if link.over]:
-            self._doubles += over.doubles
+        for over in [link for link in self._links if link.is_closed]:
+            self._closed_duplicate_answers += over.duplicate_answers
             self._links.remove(over)
-        link = _Link(self._crossed_s)
+        link = _Link(self._resend_window_s)
         await link.connect(self._port)
         self._links.append(link)
         return link
@@ -182,7 +182,7 @@
             link.close()
 
 
-class Load:
+class LoadGenerator:
     """All clients of one router; ``served`` is told each copy: object, when it was minted, when it was asked
     for, and the request's id, which begins with ``mark``. ``excused`` tells whether a request of that moment
     (on the steady clock) may have gone without an answer. A refused request comes back at one of the ports
@@ -197,57 +197,59 @@
         served: Callable[[str, int, float, str], None],
         mark: str = "",
         excused: Callable[[float], bool] = lambda began: False,
-        crossed_s: float = CROSSED_S,
+        crossed_s: float = RESEND_WINDOW_S,
         elsewhere: Sequence[int] = (),
     ) -> None:
         self._rate = rate
         self._objects = objects
-        self._served = served
-        self._mark = mark
-        self._excused = excused
-        self._settled = False
-        self._draw = np.random.default_rng(seed)
+        self._copy_served = served
+        self._request_id_prefix = mark
+        self._may_go_unanswered = excused
+        self._stopping = False
+        self._arrivals = np.random.default_rng(seed)
         self._random = random.Random(seed)
-        self._connections = [Connection(port, crossed_s) for _ in range(8)]
-        self._elsewhere = [Connection(other, crossed_s) for other in elsewhere]
+        self._connections = [ClientConnection(port, crossed_s) for _ in range(8)]
+        self._retry_connections = [ClientConnection(other, crossed_s) for other in elsewhere]
         self._sessions: set[asyncio.Task[None]] = set()
-        self.slices: list[Second] = []
-        self.total = Second()
+        self.counts_by_second: list[RequestCounts] = []
+        self.total = RequestCounts()
         self.retries = 0
-        self.missed: list[str] = []  # some of those lost, each with what is known of it
-        self._began = time.monotonic()
+        self.unanswered_examples: list[str] = []  # some of those lost, each with what is known of it
+        self._started_s = time.monotonic()
 
     @property
-    def doubles(self) -> int:
-        return sum(connection.doubles for connection in [*self._connections, *self._elsewhere])
+    def duplicate_answers(self) -> int:
+        return sum(
+            connection.duplicate_answers for connection in [*self._connections, *self._retry_connections]
+        )
 
-    def _slice(self) -> list[Second]:
-        number = int(time.monotonic() - self._began)
-        while len(self.slices) <= number:
-            self.slices.append(Second())
-        return [self.slices[number], self.total]
+    def _current_counts(self) -> list[RequestCounts]:
+        number = int(time.monotonic() - self._started_s)
+        while len(self.counts_by_second) <= number:
+            self.counts_by_second.append(RequestCounts())
+        return [self.counts_by_second[number], self.total]
 
     async def run(self, seconds: float) -> None:
         """Sessions begin at random for so long; returns once all are over."""
-        self._began = time.monotonic()
+        self._started_s = time.monotonic()
         parts = 2.0  # mean of a session
-        while time.monotonic() - self._began < seconds and not self._settled:
-            await asyncio.sleep(float(self._draw.exponential(parts / self._rate)))
+        while time.monotonic() - self._started_s < seconds and not self._stopping:
+            await asyncio.sleep(float(self._arrivals.exponential(parts / self._rate)))
             task = asyncio.ensure_future(self._session())
             self._sessions.add(task)
             task.add_done_callback(self._sessions.discard)
         while self._sessions:
             await asyncio.wait(list(self._sessions))
-        for connection in [*self._connections, *self._elsewhere]:
+        for connection in [*self._connections, *self._retry_connections]:
             connection.close()
 
-    def settle(self) -> None:
+    def stop_sending(self) -> None:
         """Begin nothing more; ``run`` returns once all that is open is over."""
-        self._settled = True
+        self._stopping = True
 
     async def _session(self) -> None:
         connection = self._random.choice(self._connections)
-        key = f"{int(self._draw.zipf(1.2)) % self._objects + 1:016x}"
+        key = f"{int(self._arrivals.zipf(1.2)) % self._objects + 1:016x}"
         write = self._random.random()
         if write < 0.1:
             await self._request(connection, "order" if write < 0.04 else "basket", key, 0)
@@ -256,14 +258,17 @@
             if not await self._request(connection, "picture", key, part):
                 return
 
-    async def _request(self, connection: Connection, name: str, key: str, part: int) -> bool:
+    async def _request(self, connection: ClientConnection, name: str, key: str, part: int) -> bool:
         once = f"{self._random.getrandbits(64):016x}"
         for attempt in range(2):
-            ident = self._mark + f"{self._random.getrandbits(64):016x}"[len(self._mark) :]
+            ident = (
+                self._request_id_prefix
+                + f"{self._random.getrandbits(64):016x}"[len(self._request_id_prefix) :]
+            )
             fields = {
                 "c": name,
                 "i": ident,
-                "d": str(PATIENCE_MS[name]),
+                "d": str(TIME_LIMITS_MS[name]),
                 "o": key,
                 "slice": str(part),
                 "set": str(int(key, 16) % 256),
@@ -274,35 +279,35 @@
             if attempt:
                 fields["r"] = "1"
                 self.retries += 1
-                if self._elsewhere:  # as a front does
-                    connection = self._random.choice(self._elsewhere)
+                if self._retry_connections:  # as a front does
+                    connection = self._random.choice(self._retry_connections)
             began = time.monotonic()
             sent = time.time()
-            for counts in self._slice():
+            for counts in self._current_counts():
                 counts.sent += 1
             body = b"" if name == "picture" else b"eggs"
-            answer = await connection.ask(fields, body, PATIENCE_MS[name] / 1000)
+            answer = await connection.request(fields, body, TIME_LIMITS_MS[name] / 1000)
             took = max(1, int(1e6 * (time.monotonic() - began)))
-            excused = isinstance(answer, Missed) and self._excused(began)
-            if isinstance(answer, Missed) and not excused and len(self.missed) < MOST_EXAMPLES:
+            excused = isinstance(answer, NoAnswer) and self._may_go_unanswered(began)
+            if isinstance(answer, NoAnswer) and not excused and len(self.unanswered_examples) < MAX_EXAMPLES:
                 after = f"{name} at {began:.3f}, after {took / 1e6:.3f} s"
-                self.missed.append(f"{ident} ({after}): {answer.value}")
-            for counts in self._slice():
-                if isinstance(answer, Missed):
+                self.unanswered_examples.append(f"{ident} ({after}): {answer.value}")
+            for counts in self._current_counts():
+                if isinstance(answer, NoAnswer):
                     counts.lost += not excused
-                    counts.cut += excused
+                    counts.interrupted += excused
                 else:
                     counts.served += answer[0] == ResponseCode.OK
-                    counts.refused += answer[0] == ResponseCode.REJECTED
+                    counts.rejected += answer[0] == ResponseCode.REJECTED
                     counts.failed += answer[0] == ResponseCode.FAILED
                     if answer[0] == ResponseCode.OK:
                         counts.latency_us.record_value(min(took, 59_000_000))
-            if isinstance(answer, Missed):
+            if isinstance(answer, NoAnswer):
                 return False
             if answer[0] != ResponseCode.REJECTED:
                 if answer[0] == ResponseCode.OK and name == "picture":
                     words = answer[2].split(b" ", 3)
-                    self._served(key, int(words[2]), sent, ident)
+                    self._copy_served(key, int(words[2]), sent, ident)
                 return answer[0] == ResponseCode.OK
             await asyncio.sleep(int(answer[1].get("w", "100")) / 1000)
         return False
--- a/magpieshift/lab/emulators/peers.py
+++ b/magpieshift/lab/emulators/peers.py
@@ -15,7 +15,7 @@
 from magpieshift.downstream.frames import FrameType, ResponseCode
 from magpieshift.upstream import codec
 
-BODY = b"x" * 600
+ANSWER_BODY = b"x" * 600
 
 
 def free_port() -> int:
@@ -24,38 +24,40 @@
         return int(sock.getsockname()[1])
 
 
-class Watch:
+class OverlapDetector:
     """What the stores see together: the rules that need more than one of them to judge."""
 
     def __init__(self) -> None:
-        self._out: dict[str, int] = {}
-        self.twice: list[str] = []  # requests of which a second attempt came while one was out
-        self.asks = 0
+        self._in_flight: dict[str, int] = {}
+        self.overlapping: list[str] = []  # requests of which a second attempt came while one was out
+        self.attempts = 0
 
-    def began(self, ident: str) -> None:
-        self.asks += 1
-        self._out[ident] = self._out.get(ident, 0) + 1
-        if self._out[ident] > 1:
-            self.twice.append(ident)
+    def attempt_started(self, ident: str) -> None:
+        self.attempts += 1
+        self._in_flight[ident] = self._in_flight.get(ident, 0) + 1
+        if self._in_flight[ident] > 1:
+            self.overlapping.append(ident)
 
-    def ended(self, ident: str) -> None:
-        self._out[ident] -= 1
-        if not self._out[ident]:
-            del self._out[ident]
+    def attempt_ended(self, ident: str) -> None:
+        self._in_flight[ident] -= 1
+        if not self._in_flight[ident]:
+            del self._in_flight[ident]
 
 
-class Store:
+class StubEndpoint:
     """A cache or an origin: it answers what it holds, and keeps what it was asked to fill."""
 
-    def __init__(self, ident: str, watch: Watch, delay_s: float = 0.004, holds_all: bool = False) -> None:
-        self.ident = ident
-        self._watch = watch
+    def __init__(
+        self, ident: str, watch: OverlapDetector, delay_s: float = 0.004, holds_all: bool = False
+    ) -> None:
+        self.name = ident
+        self._overlaps = watch
         self.delay_s = delay_s
-        self._holds_all = holds_all
-        self._held: set[tuple[str, str]] = set()
-        self.body = BODY  # of every answer
+        self._is_origin = holds_all
+        self._stored_parts: set[tuple[str, str]] = set()
+        self.body = ANSWER_BODY  # of every answer
         self._server: asyncio.Server | None = None
-        self.asked: list[tuple[float, str]] = []  # when, and what for
+        self.received: list[tuple[float, str]] = []  # when, and what for
         self.port = 0
 
     async def start(self, port: int = 0) -> None:
@@ -94,28 +96,28 @@
         self, ident: str, fields: Mapping[str, str], writer: asyncio.StreamWriter, open_: dict[str, Any]
     ) -> None:
         part = fields["key"], fields["part"]
-        self.asked.append((time.time(), ident))
-        self._watch.began(ident)
+        self.received.append((time.time(), ident))
+        self._overlaps.attempt_started(ident)
         try:
             await asyncio.sleep(self.delay_s)
         finally:
-            self._watch.ended(ident)
-        if not (self._holds_all or part in self._held or "via" in fields):
+            self._overlaps.attempt_ended(ident)
+        if not (self._is_origin or part in self._stored_parts or "via" in fields):
             writer.write(f"{ident} absent - 0\r\n\r\n".encode())
         else:
-            self._held.add(part)
+            self._stored_parts.add(part)
             minted = int(time.time() * 1000)
             head = f"{ident} data tag=t1,minted={minted} {len(self.body)}\r\n"
             writer.write(head.encode() + self.body + codec.LINE_END)
         open_.pop(ident, None)
 
 
-class Log:
+class ChangeLog:
     """The change log: what was told is told again from where a router left off."""
 
     def __init__(self) -> None:
         self._events: list[dict[str, Any]] = []
-        self._news = asyncio.Event()
+        self._published = asyncio.Event()
         self._server: asyncio.Server | None = None
         self.port = 0
 
@@ -127,9 +129,9 @@
         if self._server is not None:
             self._server.close()
 
-    def tell(self, **event: Any) -> None:
+    def publish(self, **event: Any) -> None:
         self._events.append({"seq": len(self._events) + 1} | event)
-        self._news.set()
+        self._published.set()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         # at the end of the program the server's tasks are cancelled, which asyncio's streams would report
@@ -144,16 +146,18 @@
                 at = len(self._events)
                 writer.write(b": alive\n\n")
                 await writer.drain()
-                self._news.clear()
+                self._published.clear()
                 with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(self._news.wait(), 0.5)
+                    await asyncio.wait_for(self._published.wait(), 0.5)
         writer.close()
 
 
-def member(store: Store, zone: str, kind: str, cell: int, phase: str = "SERVING") -> dict[str, Any]:
+def list_entry(
+    store: StubEndpoint, zone: str, kind: str, cell: int, phase: str = "SERVING"
+) -> dict[str, Any]:
     """A store as the change log lists it."""
     return {
-        "id": store.ident,
+        "id": store.name,
         "host_port": f"127.0.0.1:{store.port}",
         "locality": zone,
         "flavor": kind,
@@ -164,7 +168,7 @@
     }
 
 
-class Client:
+class RequestGenerator:
     """One client connection at a time, made anew when it ends; every request must get one answer.
 
     ``alive`` tells whether the router may be expected to answer: what is open when it is killed is
@@ -173,27 +177,27 @@
     def __init__(self, port: int, rand: random.Random, alive: Callable[[], bool]) -> None:
         self._port = port
         self._random = rand
-        self._alive = alive
-        self._open: dict[int, float] = {}  # stream: when its time is over
+        self._router_runs = alive
+        self._deadlines_s: dict[int, float] = {}  # stream: when its time is over
         self._writer: asyncio.StreamWriter | None = None
         self.sent = 0
         self.served = 0
-        self.refused = 0
+        self.rejected = 0
         self.failed = 0
         self.lost = 0
-        self.cut = 0
-        self.doubles = 0
-        self._settled = asyncio.Event()
+        self.interrupted = 0
+        self.duplicate_answers = 0
+        self._stopping = asyncio.Event()
 
     async def run(self, rate: float, classes: Callable[[], list[str]]) -> None:
         """Send open arrivals until ``settle``."""
         reading: asyncio.Task[None] | None = None
         stream = 0
         try:
-            while not self._settled.is_set():
+            while not self._stopping.is_set():
                 with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(self._settled.wait(), self._random.expovariate(rate))
-                if self._settled.is_set():
+                    await asyncio.wait_for(self._stopping.wait(), self._random.expovariate(rate))
+                if self._stopping.is_set():
                     break
                 self._expire()
                 if self._writer is None or reading is None or reading.done():
@@ -205,7 +209,7 @@
                     reading = asyncio.ensure_future(self._read(reader))
                 stream += 1
                 self._send(stream, self._random.choice(classes()))
-            while self._open:  # each has a time at which it counts as lost
+            while self._deadlines_s:  # each has a time at which it counts as lost
                 await asyncio.sleep(0.01)
                 self._expire()
         finally:
@@ -214,9 +218,9 @@
             if self._writer is not None:
                 self._writer.close()
 
-    def settle(self) -> None:
+    def stop_sending(self) -> None:
         """Send no more; ``run`` ends once all is answered or lost."""
-        self._settled.set()
+        self._stopping.set()
 
     def _send(self, stream: int, name: str) -> None:
         assert self._writer is not None
@@ -232,7 +236,7 @@
         if name.startswith("basket"):
             fields["k"] = fields["i"]
         self._writer.write(frames.frame_head(FrameType.REQUEST, stream, frames.write_fields(fields)))
-        self._open[stream] = time.monotonic() + 2.5
+        self._deadlines_s[stream] = time.monotonic() + 2.5
         self.sent += 1
 
     async def _read(self, reader: asyncio.StreamReader) -> None:
@@ -241,37 +245,37 @@
             while data := await reader.read(65536):
                 for frame in parser.feed(data):
                     if frame.type == FrameType.RESPONSE:
-                        self._answered(frame)
+                        self._answer_received(frame)
         except ConnectionError:
             pass
         # at once: by the next request a router that was killed may be up again
-        self._ended()
+        self._connection_ended()
 
-    def _answered(self, frame: frames.Frame) -> None:
-        if self._open.pop(frame.stream_id, None) is None:
-            self.doubles += 1
+    def _answer_received(self, frame: frames.Frame) -> None:
+        if self._deadlines_s.pop(frame.stream_id, None) is None:
+            self.duplicate_answers += 1
             return
         code = frame.payload[0]
         self.served += code == ResponseCode.OK
-        self.refused += code == ResponseCode.REJECTED
+        self.rejected += code == ResponseCode.REJECTED
         self.failed += code == ResponseCode.FAILED
 
     def _expire(self) -> None:
         now = time.monotonic()
-        for stream in [stream for stream, end in self._open.items() if end < now]:
-            del self._open[stream]
+        for stream in [stream for stream, end in self._deadlines_s.items() if end < now]:
+            del self._deadlines_s[stream]
             self._count_lost(1)
 
-    def _ended(self) -> None:
+    def _connection_ended(self) -> None:
         """The connection has ended with requests open."""
-        self._count_lost(len(self._open))
-        self._open.clear()
+        self._count_lost(len(self._deadlines_s))
+        self._deadlines_s.clear()
         if self._writer is not None:
             self._writer.close()
             self._writer = None
 
     def _count_lost(self, count: int) -> None:
-        if self._alive():
+        if self._router_runs():
             self.lost += count
         else:
-            self.cut += count
+            self.interrupted += count
--- a/magpieshift/lab/experiments/apply.py
+++ b/magpieshift/lab/experiments/apply.py
@@ -26,7 +26,7 @@
 from magpieshift.control.document_changes import document_digest
 from magpieshift.control.version_records import OfferOutcome, VersionOffer
 from magpieshift.extensions.runner import SWITCH_S, Installation, Options
-from magpieshift.lab.emulators.world import World
+from magpieshift.lab.emulators.world import LoopbackInstallation
 
 KINDS = ("a figure", "classes", "zones anew")
 TICK_S = 0.001
@@ -79,7 +79,7 @@
 async def measure(members: int, rounds: int) -> Figures:
     """Apply ``rounds`` versions of each kind beside a list of ``members`` stores."""
     figures = Figures()
-    world = World()
+    world = LoopbackInstallation()
     await world.start(members)
     with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as folder:
         start = world.write_settings(Path(folder))
--- a/magpieshift/lab/experiments/cost.py
+++ b/magpieshift/lab/experiments/cost.py
@@ -1,8 +1,8 @@
 """What a router costs: processor time a request and memory, of this program and another, in alternating runs.
 
-Each run starts the bare program as the platform does, on the platform's JSON, with the stand-ins of
-``World``, and sends it requests at a steady rate. The processor time is that of the whole process from its
-being ready to the end of the load, the memory its peak, both as the kernel counts them.
+Each run starts the bare program as the platform does, on the platform's JSON, with the emulators of
+``LoopbackInstallation``, and sends it requests at a steady rate. The processor time is that of the whole
+process from its being ready to the end of the load, the memory its peak, both as the kernel counts them.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from typing import Any
 
 from magpieshift.lab.emulators import peers
-from magpieshift.lab.emulators.world import World
+from magpieshift.lab.emulators.world import LoopbackInstallation
 
 TICKS = os.sysconf("SC_CLK_TCK")
 
@@ -94,7 +94,7 @@
     late_ms: float | None  # p99.9 of how late the event loop was, where a ticker is on it
 
 
-def platform_json(world: World) -> dict[str, Any]:
+def platform_json(world: LoopbackInstallation) -> dict[str, Any]:
     """The platform's configuration for a router in this world."""
     settings = {
         "Balancers": 1,
@@ -164,9 +164,9 @@
     }
     return {
         "name": "lab",
-        "listen": f"127.0.0.1:{world.port}",
+        "listen": f"127.0.0.1:{world.router_port}",
         "seed": "a7",
-        "changelog": f"127.0.0.1:{world.log.port}",
+        "changelog": f"127.0.0.1:{world.change_log.port}",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512},
         "known": {"seq": 0, "results": []},
         "settings": settings,
@@ -180,7 +180,9 @@
 
 
 @contextlib.asynccontextmanager
-async def started(variant: Variant, world: World) -> AsyncIterator[tuple[asyncio.subprocess.Process, Path]]:
+async def started(
+    variant: Variant, world: LoopbackInstallation
+) -> AsyncIterator[tuple[asyncio.subprocess.Process, Path]]:
     """A router's process that serves, and its log; ``RuntimeError`` where it does not come up."""
     with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as folder:
         config = Path(folder) / "config.json"
@@ -212,11 +214,14 @@
 
 async def run_once(variant: Variant, requests: int, rate: float, seed: int) -> Cost:
     """One run."""
-    world = World()
+    world = LoopbackInstallation()
     await world.start()
     try:
         async with started(variant, world) as (process, log):
-            clients = [peers.Client(world.port, random.Random(seed + i), lambda: True) for i in range(4)]
+            clients = [
+                peers.RequestGenerator(world.router_port, random.Random(seed + i), lambda: True)
+                for i in range(4)
+            ]
             loads = [asyncio.ensure_future(c.run(rate / len(clients), lambda: ["picture"])) for c in clients]
             await asyncio.sleep(0.5)
             before = _spent(process.pid)
@@ -226,7 +231,7 @@
             spent = _spent(process.pid) - before
             done = sum(c.sent for c in clients) - sent
             for client in clients:
-                client.settle()
+                client.stop_sending()
             await asyncio.gather(*loads)
             status = Path(f"/proc/{process.pid}/status").read_text()
             peak = re.search(r"VmHWM:\s+(\d+) kB", status)
--- a/magpieshift/lab/experiments/episode.py
+++ b/magpieshift/lab/experiments/episode.py
@@ -17,9 +17,9 @@
 
 from magpieshift.control import sexp
 from magpieshift.lab.emulators import peers
-from magpieshift.lab.emulators.emulated import Emulated, settings
-from magpieshift.lab.emulators.emulator import Rules
-from magpieshift.lab.emulators.load import Load
+from magpieshift.lab.emulators.emulated import EmulatedInstallation, router_settings
+from magpieshift.lab.emulators.emulator import ProtocolChecker
+from magpieshift.lab.emulators.load import LoadGenerator
 from magpieshift.lab.experiments.scenario import Failure, Scenario
 
 ROUTER = (sys.executable, "-m", "magpieshift")
@@ -59,26 +59,28 @@
         self._words = words
         self._program = program
         self._random = random.Random(scenario.seed)
-        self._rules, self._log = Rules(), peers.Log()
-        self._stores = Emulated(
-            scenario.boxes, scenario.hubs, self._rules, self._random, lambda event: self._log.tell(**event)
+        self._rules, self._log = ProtocolChecker(), peers.ChangeLog()
+        self._stores = EmulatedInstallation(
+            scenario.boxes, scenario.hubs, self._rules, self._random, lambda event: self._log.publish(**event)
         )
         self._port = peers.free_port()
 
     async def _fail(self, failure: Failure) -> None:
         what = "hang" if failure.what == "pause" else failure.what
-        await self._stores.fail(what, failure.who, failure.for_s, failure.by)
+        await self._stores.inject_fault(what, failure.who, failure.for_s, failure.by)
 
     async def run(self, folder: Path, progress: Callable[[float], None] = lambda seconds: None) -> Outcome:
         """The whole episode; ``RuntimeError`` where the router does not come up."""
         scenario = self._scenario
         await self._stores.start()
         await self._log.start()
-        self._stores.tell_on()
+        self._stores.start_publishing()
         start = folder / "start.sexp"
         log = folder / "router.log"
-        start.write_text(sexp.format_document(settings("lab", self._port, self._log.port)))
-        load = Load(self._port, scenario.rate, scenario.objects, scenario.seed, self._rules.served)
+        start.write_text(sexp.format_document(router_settings("lab", self._port, self._log.port)))
+        load = LoadGenerator(
+            self._port, scenario.rate, scenario.objects, scenario.seed, self._rules.copy_served
+        )
         outcome = Outcome(scenario)
         failing: list[asyncio.Task[None]] = []
         with log.open("wb") as file:
@@ -97,7 +99,7 @@
             process.terminate()
             code = await asyncio.wait_for(process.wait(), UP_S)
             if code != 0:
-                self._rules.broke("planned end", f"the router ended with {code}")
+                self._rules.record_violation("planned end", f"the router ended with {code}")
         finally:
             for task in failing:
                 task.cancel()
@@ -108,7 +110,7 @@
             self._log.stop()
         outcome.log = log.read_text(errors="replace")
         if "Traceback" in outcome.log:
-            self._rules.broke("traceback", outcome.log[outcome.log.index("Traceback") :][:600])
+            self._rules.record_violation("traceback", outcome.log[outcome.log.index("Traceback") :][:600])
         self._sum_up(outcome, load, spent)
         return outcome
 
@@ -136,28 +138,28 @@
             await asyncio.sleep(1.0)
             for place, store in self._stores.places.items():
                 ident, asked = before.get(place, ("", 0))
-                since = store.asked - (asked if ident == store.ident else 0)
-                outcome.stores.setdefault(place, []).append(since if store.up else -1)
-                before[place] = store.ident, store.asked
+                since = store.received - (asked if ident == store.name else 0)
+                outcome.stores.setdefault(place, []).append(since if store.is_up else -1)
+                before[place] = store.name, store.received
             progress(time.monotonic() - began)
 
-    def _sum_up(self, outcome: Outcome, load: Load, spent: float) -> None:
+    def _sum_up(self, outcome: Outcome, load: LoadGenerator, spent: float) -> None:
         total = load.total
         rules = self._rules
-        if load.doubles:
-            rules.broke("one final answer", f"{load.doubles} second answers")
+        if load.duplicate_answers:
+            rules.record_violation("one final answer", f"{load.duplicate_answers} second answers")
         if total.lost:
-            rules.broke("one final answer", f"{total.lost} requests without an answer")
-        outcome.broken = dict(rules.broken)
+            rules.record_violation("one final answer", f"{total.lost} requests without an answer")
+        outcome.broken = dict(rules.violations)
         outcome.examples = rules.examples
-        for number, slice_ in enumerate(load.slices):
+        for number, slice_ in enumerate(load.counts_by_second):
             histogram = slice_.latency_us
             outcome.slices.append(
                 {
                     "second": number,
                     "sent": slice_.sent,
                     "served": slice_.served,
-                    "refused": slice_.refused,
+                    "refused": slice_.rejected,
                     "failed": slice_.failed,
                     "lost": slice_.lost,
                     "p50_ms": histogram.get_value_at_percentile(50) / 1000,
@@ -169,14 +171,14 @@
             "seed": outcome.scenario.seed,
             "requests": total.sent,
             "served": total.served,
-            "refused": total.refused,
+            "refused": total.rejected,
             "failed": total.failed,
             "lost": total.lost,
             "retries": load.retries,
             "attempts": rules.attempts,
             "p50_ms": total.latency_us.get_value_at_percentile(50) / 1000,
             "p99_ms": total.latency_us.get_value_at_percentile(99) / 1000,
-            "origin_fetches": sum(rules.fetches.values()),
+            "origin_fetches": sum(rules.origin_fetches.values()),
             "failures": len(outcome.scenario.failures),
             "cpu_us_a_request": round(1e6 * spent / max(1, total.sent)),
         }
--- a/magpieshift/lab/experiments/scenario.py
+++ b/magpieshift/lab/experiments/scenario.py
@@ -13,7 +13,7 @@
 from magpieshift.control import sexp
 from magpieshift.control.errors import Problem, UnusableDocumentError
 from magpieshift.control.validation import Form, Seconds, validate_form
-from magpieshift.lab.emulators.emulated import places
+from magpieshift.lab.emulators.emulated import place_names
 
 HEAD = "scenario"
 What = Literal["die", "pause", "late-list", "slow", "lose", "reset", "drain", "purge"]
@@ -66,8 +66,8 @@
     failures: tuple[Failure, ...]
 
     @property
-    def places(self) -> list[str]:
-        return places(self.boxes, self.hubs)
+    def place_names(self) -> list[str]:
+        return place_names(self.boxes, self.hubs)
 
 
 def load(data: Mapping[str, Any], lines: Mapping[sexp.EntryPath, int] | None = None) -> Scenario:
@@ -84,9 +84,9 @@
         tuple(sorted(failures, key=lambda f: f.at_s)),
     )
     problems = [
-        Problem(f"failures {f.name} who", 0, sexp.shorten(f.who), "one of " + ", ".join(found.places))
+        Problem(f"failures {f.name} who", 0, sexp.shorten(f.who), "one of " + ", ".join(found.place_names))
         for f in failures
-        if f.what not in ("late-list", "purge") and f.who not in found.places
+        if f.what not in ("late-list", "purge") and f.who not in found.place_names
     ]
     if problems:
         raise UnusableDocumentError(problems)
--- a/magpieshift/lab/experiments/versions.py
+++ b/magpieshift/lab/experiments/versions.py
@@ -29,7 +29,7 @@
 from magpieshift.control.service import ControlService, RouterStream
 from magpieshift.control.wire import control_pb2 as wire
 from magpieshift.lab.emulators import peers
-from magpieshift.lab.emulators.world import World
+from magpieshift.lab.emulators.world import LoopbackInstallation
 from magpieshift.lab.experiments.version_checks import VersionChecks
 from magpieshift.lab.experiments.version_maker import VersionMaker
 from magpieshift.lab.experiments.version_report import Report
@@ -213,7 +213,7 @@
         plan = self._plan
         rand = self._random
         began = time.monotonic()
-        world = World()
+        world = LoopbackInstallation()
         await world.start(plan.members)
         versions = VersionMaker(world.settings(), rand)
         start = world.write_settings(folder)
@@ -229,7 +229,9 @@
             "--control",
             f"127.0.0.1:{self._service.port}",
         ]
-        client = peers.Client(world.port, random.Random(plan.seed), lambda: not self._killing)
+        client = peers.RequestGenerator(
+            world.router_port, random.Random(plan.seed), lambda: not self._killing
+        )
         loading: asyncio.Task[None] | None = None
         events = self._schedule()
         with (folder / "router.log").open("wb") as self._log, _bar(plan.count, progress) as bar:
@@ -240,7 +242,7 @@
                     await self._one(versions, events.get(number, ""), command)
                     bar.update(1)
                 await self._all_answered()
-                client.settle()
+                client.stop_sending()
                 await loading
                 await self._end()
             except RuntimeError as err:
@@ -261,9 +263,9 @@
             )
         report.requests = client.sent
         report.lost_requests = client.lost
-        report.cut_requests = client.cut
-        report.double_answers = client.doubles
-        report.second_attempts = len(world.watch.twice)
+        report.cut_requests = client.interrupted
+        report.double_answers = client.duplicate_answers
+        report.second_attempts = len(world.overlaps.overlapping)
         report.seconds = round(time.monotonic() - began, 1)
         return report
 
--- a/magpieshift/lab/fault_injection/cluster.py
+++ b/magpieshift/lab/fault_injection/cluster.py
@@ -17,8 +17,8 @@
 from magpieshift.control import sexp
 from magpieshift.control.schema import load_data, to_data
 from magpieshift.lab.emulators import emulated
-from magpieshift.lab.emulators.emulator import Rules
-from magpieshift.lab.emulators.load import CROSSED_S, Load
+from magpieshift.lab.emulators.emulator import ProtocolChecker
+from magpieshift.lab.emulators.load import RESEND_WINDOW_S, LoadGenerator
 from magpieshift.lab.fault_injection import checks, skewed
 from magpieshift.lab.fault_injection.admin_clients import UP_S
 from magpieshift.lab.fault_injection.network import CLIENTS, LOG, Network
@@ -32,7 +32,15 @@
 OBJECTS = 400
 SLACK_S = 0.05
 WATCH_S = 0.2  # between two looks of the checks
-KINDS = ("sent", "served", "refused", "failed", "lost", "cut")  # of requests
+# What is counted of requests, by its name in reports: the field of ``RequestCounts``.
+COUNTED_FIELDS = {
+    "sent": "sent",
+    "served": "served",
+    "refused": "rejected",
+    "failed": "failed",
+    "lost": "lost",
+    "cut": "interrupted",
+}
 
 
 class Cluster(Processes):
@@ -64,9 +72,9 @@
         self.alone = alone
         self.network = Network()
         self.switch = Switch(seed, self.network)
-        self.rules = Rules(slack_s, self._knew)
+        self.rules = ProtocolChecker(slack_s, self._knew)
         self.checks: list[checks.Check] = checks.standard()
-        self.loads: dict[str, Load] = {}
+        self.loads: dict[str, LoadGenerator] = {}
         self.broken: list[str] = []
         self._surroundings = Surroundings(self.network, self.rules, boxes, hubs, random.Random(seed))
         self._rate = rate
@@ -77,7 +85,7 @@
         self._watching: asyncio.Task[None] | None = None
 
     @property
-    def stores(self) -> emulated.Emulated:
+    def stores(self) -> emulated.EmulatedInstallation:
         return self._surroundings.stores
 
     # --- beginning and end
@@ -106,7 +114,7 @@
         for place in self.places.values():
             await self._surroundings.relay_to(place)
             self._write(place)
-        self.stores.tell_on()
+        self.stores.start_publishing()
         self._watching = asyncio.ensure_future(self._watch())
 
     def _write(self, place: Place) -> None:
@@ -123,14 +131,14 @@
             "hand-over": self._hand_over,
         }
         log_port = self._surroundings.log_port(place.name)
-        data = emulated.settings(place.name, place.port, log_port, self.count) | {
+        data = emulated.router_settings(place.name, place.port, log_port, self.count) | {
             "console": f"127.0.0.1:{place.console}",
             "router-index": int(place.name[1:]),
             "members": members,
         }
         path = self.folder / f"{place.name}.sexp"
         document = load_data(data).document
-        self.rules.copies = emulated.may_copy(document)
+        self.rules.hedged_classes = emulated.hedged_classes(document)
         path.write_text(sexp.format_document(to_data(document)))
         if place.name in self._clocks:
             skewed.write(self.folder / f"{place.name}.clock")
@@ -160,12 +168,15 @@
         return self.outages.idle
 
     def counted(self) -> dict[str, int]:
-        found = {kind: sum(getattr(load.total, kind) for load in self.loads.values()) for kind in KINDS}
-        return found | {"doubles": sum(load.doubles for load in self.loads.values())}
+        found = {
+            name: sum(getattr(load.total, field) for load in self.loads.values())
+            for name, field in COUNTED_FIELDS.items()
+        }
+        return found | {"doubles": sum(load.duplicate_answers for load in self.loads.values())}
 
     def missed(self) -> list[str]:
         """Some of the requests that were lost, each with what its client saw."""
-        return [example for load in self.loads.values() for example in load.missed]
+        return [example for load in self.loads.values() for example in load.unanswered_examples]
 
     def most_shared(self) -> tuple[float, float]:
         """The most that all shares in use came to at any instant, and when."""
@@ -189,15 +200,15 @@
         for number, place in enumerate(self.places.values()):
             name = place.name
             mark = f"{number:02x}"
-            load = Load(
+            load = LoadGenerator(
                 place.clients,
                 self._rate,
                 OBJECTS,
                 self.seed * 1000 + number,
-                self.rules.served,
+                self.rules.copy_served,
                 mark,
                 lambda began, name=name: self._excused(name, began),  # type: ignore[misc]
-                CROSSED_S + self.rules.slack_s - SLACK_S,
+                RESEND_WINDOW_S + self.rules.slack_s - SLACK_S,
                 [other.clients for other in self.places.values() if roam and other is not place],
             )
             self.loads[name] = load
@@ -209,7 +220,7 @@
         sent = 0
         served = 0
         for load in self.loads.values():
-            for second in load.slices[-seconds - 3 : -3]:
+            for second in load.counts_by_second[-seconds - 3 : -3]:
                 sent = sent + second.sent
                 served = served + second.served
         return served / sent if sent else 1.0
@@ -218,11 +229,11 @@
         """Stop the load, wait for the last answers, count, and ask all checks; what they found is in
         ``broken``."""
         for load in self.loads.values():
-            load.settle()
+            load.stop_sending()
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.wait_for(asyncio.gather(*self._clients, return_exceptions=True), UP_S)
         for check in self.checks:
             self.broken += check.broken(self)
-        self.broken += [f"{count} times: {rule}" for rule, count in self.rules.broken.items()]
-        self.broken += self.rules.examples[:5] if self.rules.broken else []
+        self.broken += [f"{count} times: {rule}" for rule, count in self.rules.violations.items()]
+        self.broken += self.rules.examples[:5] if self.rules.violations else []
         return self.counted()
--- a/magpieshift/lab/fault_injection/rollouts.py
+++ b/magpieshift/lab/fault_injection/rollouts.py
@@ -88,7 +88,7 @@
         runner = RolloutRunner(plan_for(cluster), folder / "rollout", starter(cluster, defect, by), told)
         outage = None
         if name == "same-with-outage":
-            outage = asyncio.ensure_future(cluster.stores.fail("slow", "origin", 8.0, by=400))
+            outage = asyncio.ensure_future(cluster.stores.inject_fault("slow", "origin", 8.0, by=400))
         status = await runner.run()
         if outage is not None:
             await outage
--- a/magpieshift/lab/fault_injection/run.py
+++ b/magpieshift/lab/fault_injection/run.py
@@ -38,7 +38,7 @@
         await asyncio.sleep(fault.for_s)
         return cluster.set_clock(fault.who)
     if fault.what not in ON_ROUTERS:
-        return await cluster.stores.fail(fault.what, fault.who, fault.for_s, fault.by)
+        return await cluster.stores.inject_fault(fault.what, fault.who, fault.for_s, fault.by)
     if fault.what == "pause":
         cluster.pause(fault.who)
         await asyncio.sleep(fault.for_s)
--- a/magpieshift/lab/fault_injection/scenario.py
+++ b/magpieshift/lab/fault_injection/scenario.py
@@ -13,7 +13,7 @@
 from magpieshift.control import sexp
 from magpieshift.control.errors import Problem, UnusableDocumentError
 from magpieshift.control.validation import Form, Seconds, validate_form
-from magpieshift.lab.emulators.emulated import places
+from magpieshift.lab.emulators.emulated import place_names
 from magpieshift.lab.fault_injection.network import ANY, CLIENTS, LOG, ROUTERS
 
 HEAD = "fleet-run"
@@ -103,7 +103,7 @@
     lines = lines or {}
     form = validate_form(RunForm, data, lines)
     names = [f"r{number}" for number in range(form.routers)]
-    stores = places(form.boxes, form.hubs)
+    stores = place_names(form.boxes, form.hubs)
     problems: list[Problem] = []
 
     def must(name: str, key: str, found: str, wanted: list[str]) -> None:
--- a/magpieshift/lab/fault_injection/surroundings.py
+++ b/magpieshift/lab/fault_injection/surroundings.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from magpieshift.lab.emulators import emulated, peers
-from magpieshift.lab.emulators.emulator import Rules
+from magpieshift.lab.emulators.emulator import ProtocolChecker
 from magpieshift.lab.fault_injection.network import CLIENTS, LOG, Network
 from magpieshift.lab.fault_injection.places import Place
 from magpieshift.lab.fault_injection.relay import Relay
@@ -16,15 +16,17 @@
 class Surroundings:
     """Owner of the emulated stores, of a change log for each router, and of all relays."""
 
-    def __init__(self, network: Network, rules: Rules, boxes: int, hubs: int, rand: random.Random) -> None:
+    def __init__(
+        self, network: Network, rules: ProtocolChecker, boxes: int, hubs: int, rand: random.Random
+    ) -> None:
         self._network = network
-        self.stores = emulated.Emulated(boxes, hubs, rules, rand, self._tell)
-        self._logs: dict[str, peers.Log] = {}
+        self.stores = emulated.EmulatedInstallation(boxes, hubs, rules, rand, self._tell)
+        self._logs: dict[str, peers.ChangeLog] = {}
         self._relays: dict[tuple[str, str], Relay] = {}
 
     async def start_log(self, name: str) -> None:
         """A change log for one router."""
-        self._logs[name] = peers.Log()
+        self._logs[name] = peers.ChangeLog()
         await self._logs[name].start()
 
     async def relay_to(self, place: Place) -> None:
@@ -53,7 +55,7 @@
                     for member in event["fleet"]["members"]
                 ]
                 told = event | {"fleet": event["fleet"] | {"members": members}}
-            log.tell(**told)
+            log.publish(**told)
 
     async def close(self) -> None:
         for relay in self._relays.values():
--- a/magpieshift/lab/scale/installation.py
+++ b/magpieshift/lab/scale/installation.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from magpieshift.control import sexp
-from magpieshift.lab.emulators.emulated import settings
+from magpieshift.lab.emulators.emulated import router_settings
 
 # of all caches; the settings are those of the emulated installation
 ZONE = "shop"
@@ -18,7 +18,7 @@
 
 def base_settings(routers: int, log_port: int, zones: Mapping[str, int]) -> dict[str, Any]:
     """Settings for a fleet of so many routers, with the routers of each zone."""
-    data = settings("hollow", NOWHERE, log_port, routers)
+    data = router_settings("hollow", NOWHERE, log_port, routers)
     data["zones"] |= {name: {"routers": count, "attached-to": "hub"} for name, count in zones.items()}
     return data
 
--- a/tests/capture/test_process.py
+++ b/tests/capture/test_process.py
@@ -17,8 +17,8 @@
 from magpieshift.control import sexp
 from magpieshift.control.errors import UnusableDocumentError
 from magpieshift.lab.emulators import peers
-from magpieshift.lab.emulators.emulator import Rules
-from magpieshift.lab.emulators.world import World
+from magpieshift.lab.emulators.emulator import ProtocolChecker
+from magpieshift.lab.emulators.world import LoopbackInstallation
 from magpieshift.lab.experiments import episode, episode_report, scenario
 from tests.control.test_program import program
 from tests.real.exchange import PATIENCE_S, ROOT
@@ -107,7 +107,7 @@
 
     async def test_a_version_that_comes_into_force_in_the_middle(self) -> None:
         """With requests before and after, and a class that goes while others stay."""
-        world = World()
+        world = LoopbackInstallation()
         await world.start()
         start, log = world.write_settings(self.folder), self.folder / "log"
         words = ["run", "--config", str(start), "--capture", self.capture]
@@ -115,7 +115,7 @@
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "magpieshift", *words, stderr=file, cwd=ROOT
             )
-        client = peers.Client(world.port, random.Random(1), lambda: True)
+        client = peers.RequestGenerator(world.router_port, random.Random(1), lambda: True)
         try:
             await self.says(log, "change applied")
             load = asyncio.ensure_future(client.run(200, lambda: ["picture"]))
@@ -127,7 +127,7 @@
             process.send_signal(signal.SIGHUP)
             await self.says(log, "version in force")
             await self.served(client, client.served + 30)
-            client.settle()
+            client.stop_sending()
             await load
             process.terminate()
             self.assertEqual(await process.wait(), 0)
@@ -147,7 +147,7 @@
                 await asyncio.sleep(0.01)
 
     @staticmethod
-    async def served(client: peers.Client, count: int) -> None:
+    async def served(client: peers.RequestGenerator, count: int) -> None:
         async with asyncio.timeout(PATIENCE_S):
             while client.served < count:
                 await asyncio.sleep(0.01)
@@ -181,22 +181,22 @@
             self.assertIn(said, str(caught.exception))
 
     def test_the_checker_sees_what_breaks_a_rule(self) -> None:
-        rules = Rules()
-        rules.began("a", "s1")
-        rules.began("a", "s2")
-        rules.told_drain["s1"] = 0.0
-        rules.began("b", "s1")
-        rules.purged["7"] = 1000.0, 1000.0
-        rules.served("7", 999_000, 1000.4)  # asked for before the rule holds
-        rules.served("7", 1_000_500, 1002.0)  # a newer copy
-        rules.served("7", 999_000, 1002.0)
+        rules = ProtocolChecker()
+        rules.attempt_started("a", "s1")
+        rules.attempt_started("a", "s2")
+        rules.drains_published_s["s1"] = 0.0
+        rules.attempt_started("b", "s1")
+        rules.purges_s["7"] = 1000.0, 1000.0
+        rules.copy_served("7", 999_000, 1000.4)  # asked for before the rule holds
+        rules.copy_served("7", 1_000_500, 1002.0)  # a newer copy
+        rules.copy_served("7", 999_000, 1002.0)
         for ident in ("c", "d", "d"):
-            rules.ran(ident, "order", "s1")
-        rules.ran("c", "basket", "s1")  # whose repeats stores know by their key
-        rules.cold("s1", 0.4, 0.5)
-        rules.cold("s1", 0.6, 0.5)
+            rules.request_executed(ident, "order", "s1")
+        rules.request_executed("c", "basket", "s1")  # whose repeats stores know by their key
+        rules.check_slow_start("s1", 0.4, 0.5)
+        rules.check_slow_start("s1", 0.6, 0.5)
         wanted = ("second attempt", "drain", "purge", "repeat", "cold store")
-        self.assertEqual(rules.broken, dict.fromkeys(wanted, 1))
+        self.assertEqual(rules.violations, dict.fromkeys(wanted, 1))
 
     def test_the_command_line_says_what_cannot_be_read(self) -> None:
         for words in (
--- a/tests/extensions/test_membership.py
+++ b/tests/extensions/test_membership.py
@@ -18,7 +18,7 @@
 from magpieshift.capture.writer import Limits
 from magpieshift.control.errors import UnusableDocumentError
 from magpieshift.control.schema import load_data, to_data
-from magpieshift.lab.emulators.world import World
+from magpieshift.lab.emulators.world import LoopbackInstallation
 from tests.engine.engine_case import CALL, EngineCase
 
 MEMBERS = {
@@ -33,8 +33,8 @@
 
 class SettingsTest(unittest.TestCase):
     def data(self, **members: Any) -> dict[str, Any]:
-        world = World()
-        world.log.port = 9  # nothing is started here
+        world = LoopbackInstallation()
+        world.change_log.port = 9  # nothing is started here
         return world.settings() | {"members": MEMBERS | members}
 
     def test_written_settings_are_read_as_the_same(self) -> None:
--- a/tests/membership/test_ground.py
+++ b/tests/membership/test_ground.py
@@ -18,8 +18,8 @@
 from magpieshift.downstream import frames
 from magpieshift.downstream.frames import FrameType, ResponseCode
 from magpieshift.lab.emulators import emulated
-from magpieshift.lab.emulators.emulator import Rules
-from magpieshift.lab.emulators.load import Connection, Missed
+from magpieshift.lab.emulators.emulator import ProtocolChecker
+from magpieshift.lab.emulators.load import ClientConnection, NoAnswer
 from magpieshift.lab.fault_injection import checks, skewed
 from magpieshift.lab.fault_injection.network import ROUTERS, Network
 from magpieshift.lab.fault_injection.relay import Relay
@@ -102,11 +102,11 @@
     def test_drains_count_from_when_the_router_could_know(self) -> None:
         told = time.time() - 1.0
         for knew, broken in ((told, 2), (time.time(), 0)):
-            rules = Rules(0.05, lambda ident, told, knew=knew: knew)  # type: ignore[misc]
-            rules.told_drain["s-box1-1"] = told
-            rules.began("00ab", "s-box1-1")
-            rules.named("00ac", "s-box1-1", "named as its source")
-            self.assertEqual(rules.broken.get("drain", 0), broken)
+            rules = ProtocolChecker(0.05, lambda ident, told, knew=knew: knew)  # type: ignore[misc]
+            rules.drains_published_s["s-box1-1"] = told
+            rules.attempt_started("00ab", "s-box1-1")
+            rules.endpoint_used("00ac", "s-box1-1", "named as its source")
+            self.assertEqual(rules.violations.get("drain", 0), broken)
 
     def test_a_second_attempt_is_one_unless_the_settings_allow_that_copy(self) -> None:
         for copies, stores, broken in (
@@ -117,29 +117,29 @@
             (("order",), ("a", "b"), 1),
         ):
             with self.subTest(copies=copies, stores=stores):
-                rules = Rules(copies=copies)
+                rules = ProtocolChecker(copies=copies)
                 for store in stores:
-                    rules.began("00ab", store, "picture")
+                    rules.attempt_started("00ab", store, "picture")
                 for store in stores:
-                    rules.ended("00ab", store)
-                rules.began("00ab", "d", "picture")  # all have ended
-                self.assertEqual(rules.broken.get("second attempt", 0), broken)
+                    rules.attempt_ended("00ab", store)
+                rules.attempt_started("00ab", "d", "picture")  # all have ended
+                self.assertEqual(rules.violations.get("second attempt", 0), broken)
 
     def test_which_classes_may_be_copied_is_read_from_the_settings(self) -> None:
-        data = emulated.settings("r0", 1, 2)
+        data = emulated.router_settings("r0", 1, 2)
         for allowed, wanted in ((False, set()), (True, {"picture"})):
             attempts = {**data.get("attempts", {}), "second-copies": allowed}
             document = load_data(data | {"attempts": attempts}).document
-            self.assertEqual(emulated.may_copy(document), wanted)
+            self.assertEqual(emulated.hedged_classes(document), wanted)
 
     def test_a_copy_from_before_a_purge(self) -> None:
-        rules = Rules(0.05)
+        rules = ProtocolChecker(0.05)
         now = time.time()
-        rules.purged["k"] = now - 2.0, now - 1.0
-        rules.served("k", int((now - 3.0) * 1000), now - 0.9)  # asked before the rule binds
-        self.assertEqual(rules.broken, {})
-        rules.served("k", int((now - 3.0) * 1000), now - 0.1)
-        self.assertEqual(rules.broken, {"purge": 1})
+        rules.purges_s["k"] = now - 2.0, now - 1.0
+        rules.copy_served("k", int((now - 3.0) * 1000), now - 0.9)  # asked before the rule binds
+        self.assertEqual(rules.violations, {})
+        rules.copy_served("k", int((now - 3.0) * 1000), now - 0.1)
+        self.assertEqual(rules.violations, {"purge": 1})
 
 
 class Streams(unittest.IsolatedAsyncioTestCase):
@@ -247,7 +247,7 @@
         self.ways_out = ["tell", "drop"]  # what the router does on its first connections
         self.server = await asyncio.start_server(self.router, "127.0.0.1", 0)
         self.addCleanup(self.server.close)
-        self.client = Connection(self.server.sockets[0].getsockname()[1], crossed_s=GENEROUS_S)
+        self.client = ClientConnection(self.server.sockets[0].getsockname()[1], crossed_s=GENEROUS_S)
         self.addCleanup(self.client.close)
 
     async def router(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -265,8 +265,8 @@
         writer.close()
 
     async def ask(self) -> object:
-        answer = await self.client.ask({"i": "0" * 16, "o": "1" * 16}, b"", GENEROUS_S)
-        return answer if isinstance(answer, Missed) else answer[0]
+        answer = await self.client.request({"i": "0" * 16, "o": "1" * 16}, b"", GENEROUS_S)
+        return answer if isinstance(answer, NoAnswer) else answer[0]
 
     async def test_who_is_told_to_send_no_more_goes_on_elsewhere_and_sends_again_what_crossed(self) -> None:
         self.assertEqual(await self.ask(), ResponseCode.OK)  # and is told to send no more
@@ -278,14 +278,14 @@
 
     async def test_what_is_dropped_twice_or_long_after_it_was_sent_is_lost(self) -> None:
         self.ways_out = ["drop", "drop", "drop"]
-        self.assertEqual(await self.ask(), Missed.CROSSED)
-        self.client = Connection(self.server.sockets[0].getsockname()[1], crossed_s=0.0)
-        self.assertEqual(await self.ask(), Missed.ENDED)
+        self.assertEqual(await self.ask(), NoAnswer.CROSSED)
+        self.client = ClientConnection(self.server.sockets[0].getsockname()[1], crossed_s=0.0)
+        self.assertEqual(await self.ask(), NoAnswer.ENDED)
         self.assertEqual(self.asked, [[1]] * 3)
 
     async def test_where_nobody_listens_nothing_was_sent(self) -> None:
         self.server.close()
-        self.assertEqual(await self.ask(), Missed.UNREACHED)
+        self.assertEqual(await self.ask(), NoAnswer.UNREACHED)
 
 
 class Clocks(unittest.TestCase):
--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -52,13 +52,13 @@
         hub = cluster.stores.places["hub1"]
 
         with self.subTest("it dies, and the list says so late"):
-            late = asyncio.ensure_future(cluster.stores.fail("late-list", for_s=20.0))
-            death = asyncio.ensure_future(cluster.stores.fail("die", "hub1", 15.0))
-            await self.until_left(hub.ident, 2, "routers leave it to others")
+            late = asyncio.ensure_future(cluster.stores.inject_fault("late-list", for_s=20.0))
+            death = asyncio.ensure_future(cluster.stores.inject_fault("die", "hub1", 15.0))
+            await self.until_left(hub.name, 2, "routers leave it to others")
             most = 0
             for _ in range(10):
                 left = await self.left()
-                most = max(most, sum(hub.ident in stores for stores in left.values()))
+                most = max(most, sum(hub.name in stores for stores in left.values()))
                 await asyncio.sleep(0.2)
             self.assertLessEqual(most, ROUTERS - TRIERS)
 
@@ -73,7 +73,7 @@
             await self.until_none("all are well")
 
             async def asked() -> bool:
-                return cluster.stores.places["hub1"].ident != hub.ident and cluster.service() > 0.5
+                return cluster.stores.places["hub1"].name != hub.name and cluster.service() > 0.5
 
             await cluster.until(asked, "it is back and clients are served", 60.0)
 
--- a/tests/relay/rig.py
+++ b/tests/relay/rig.py
@@ -110,7 +110,7 @@
 
     async def asyncSetUp(self) -> None:
         asyncio.get_running_loop().set_debug(False)
-        self.changes = peers.Log()
+        self.changes = peers.ChangeLog()
         await self.changes.start()
         self.addCleanup(self.changes.stop)
         self.keys: list[str] = []
@@ -119,7 +119,7 @@
         """Tell so many purges; their keys."""
         keys = [f"{len(self.keys) + n + 1:016x}" for n in range(count)]
         for key in keys:
-            self.changes.tell(invalidate={"object": key, "time": int(time.time() * 1000)})
+            self.changes.publish(invalidate={"object": key, "time": int(time.time() * 1000)})
         self.keys += keys
         return keys
 
--- a/tests/relay/test_drivers.py
+++ b/tests/relay/test_drivers.py
@@ -148,7 +148,7 @@
         self.assertEqual(router.purged, self.keys)
 
     def large_change(self) -> None:
-        self.changes.tell(fleet={"revision": 1, "members": [], "padding": "x" * 200_000})
+        self.changes.publish(fleet={"revision": 1, "members": [], "padding": "x" * 200_000})
 
     async def stream(self, source: SourceNode, name: str) -> StreamDriver:
         streams = source.service._streams
@@ -497,7 +497,7 @@
     async def test_an_event_that_comes_late_makes_it_older_for_a_while(self) -> None:
         source, _ = await self.source()
         late_ms = int(time.time() * 1000) - 60_000
-        self.changes.tell(invalidate={"object": "0" * 15 + "1", "time": late_ms})
+        self.changes.publish(invalidate={"object": "0" * 15 + "1", "time": late_ms})
         await self.until(lambda: source.log.head == 1, "the purge")
         self.assertGreaterEqual(source.age_us(clock.source.steady_us()) or 0, 60_000_000)
 
@@ -522,7 +522,7 @@
         ]
         with self.assertLogs("magpieshift.discovery", logging.WARNING) as logged:
             for event in bad:
-                self.changes.tell(**event)
+                self.changes.publish(**event)
             self.purge(1)
             await self.until(lambda: source.log.head >= 1, "the purge")
         self.assertEqual(len(logged.records), len(bad))
--- a/tests/relay/test_processes.py
+++ b/tests/relay/test_processes.py
@@ -21,7 +21,7 @@
 from magpieshift.downstream import frames
 from magpieshift.downstream.frames import FrameType
 from magpieshift.lab.emulators import peers
-from magpieshift.lab.emulators.world import World
+from magpieshift.lab.emulators.world import LoopbackInstallation
 from magpieshift.relay import status
 from magpieshift.relay.limits import LEASE_US
 
@@ -30,10 +30,10 @@
 LEASE_S = LEASE_US / 1e6
 
 
-class NotingStore(peers.Store):
+class NotingStore(peers.StubEndpoint):
     """A store that notes which ages of copies it was asked for, and when."""
 
-    def __init__(self, ident: str, watch: peers.Watch) -> None:
+    def __init__(self, ident: str, watch: peers.OverlapDetector) -> None:
         super().__init__(ident, watch, holds_all=True)
         self.orders: list[tuple[float, str, int | None]] = []  # Unix time, key, bound in ms
 
@@ -99,8 +99,8 @@
         self.versions.mkdir()
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.addAsyncCleanup(self.kill_all)
-        self.world = World()
-        self.cache = NotingStore("s-cache", self.world.watch)
+        self.world = LoopbackInstallation()
+        self.cache = NotingStore("s-cache", self.world.overlaps)
         self.world.cache = self.cache
         await self.world.start()
         self.addCleanup(self.world.stop)
@@ -131,7 +131,7 @@
 
     async def start_all(self) -> None:
         place = {name: f"127.0.0.1:{port}" for name, port in self.ports.items()}
-        changelog = f"127.0.0.1:{self.world.log.port}"
+        changelog = f"127.0.0.1:{self.world.change_log.port}"
         await self.start(
             "source",
             "relay",
@@ -217,7 +217,7 @@
     def purge(self, count: int = 1) -> None:
         for _ in range(count):
             key, now = f"{len(self.purged) + 1:016x}", time.time()
-            self.world.log.tell(invalidate={"object": key, "time": int(now * 1000)})
+            self.world.change_log.publish(invalidate={"object": key, "time": int(now * 1000)})
             self.purged[key] = now
 
     async def has_all(self) -> bool:
@@ -232,7 +232,7 @@
         self.processes[name].send_signal(number)
 
     def client(self) -> Client:
-        client = Client(self.world.port)
+        client = Client(self.world.router_port)
         self.clients.append(client)
         return client
 
@@ -306,7 +306,7 @@
             # whom it could hear from on waking stands still as well
             self.signal(first, signal.SIGSTOP)
             now_ms = int(stopped * 1000)
-            self.world.log.tell(invalidate={"object": "00000000000000aa", "time": now_ms})
+            self.world.change_log.publish(invalidate={"object": "00000000000000aa", "time": now_ms})
             await asyncio.sleep(LEASE_S + 0.5)
             await client.ask("00000000000000aa")
             self.signal("router", signal.SIGCONT)
--- a/tests/test_overload_processes.py
+++ b/tests/test_overload_processes.py
@@ -39,15 +39,15 @@
         self.assertGreater(usual, 0.5)
 
         with self.subTest("the origin is slow for all"):
-            await cluster.stores.fail("slow", "origin", 5.0, by=400)
+            await cluster.stores.inject_fault("slow", "origin", 5.0, by=400)
             await self.back(usual, "a slow origin")
 
         with self.subTest("a parent dies and returns cold"):
-            await cluster.stores.fail("die", "hub1", 3.0)
+            await cluster.stores.inject_fault("die", "hub1", 3.0)
             await self.back(usual, "a dead parent")
 
         with self.subTest("a cache answers every second request with an error"):
-            await cluster.stores.fail("err", "box1", 4.0, by=0.5)
+            await cluster.stores.inject_fault("err", "box1", 4.0, by=0.5)
             await self.back(usual, "errors")
 
         with self.subTest("four of six are killed under load, and another stands still with full queues"):
