--- a/magpieshift/lab/emulators/emulated.py
+++ b/magpieshift/lab/emulators/emulated.py
@@ -1,4 +1,4 @@
-"""An emulated installation: stores by place, their list and purges told by the change log, their failures.
+"""An emulated installation: endpoints by place, their list and purges in the change log, their faults.
 
 One ``ProtocolChecker`` judges all its endpoints and all routers that send to them. A place keeps its name and
 its address while processes come and go there; each process has an id of its own.
@@ -9,22 +9,24 @@
 import asyncio
 import random
 import time
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from typing import Any
 
 from magpieshift.config import Document
 from magpieshift.control.schema import load_data, to_data
-from magpieshift.lab.emulators.emulator import EmulatedEndpoint, EndpointProfile, ProtocolChecker
+from magpieshift.lab.emulators.emulator import EmulatedEndpoint
+from magpieshift.lab.emulators.endpoint_profile import CACHE_KIND, ORIGIN_KIND, PARENT_KIND, role_of
+from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
 from magpieshift.policy.settings import Idempotency
 
-PROFILES = {
-    "box": ("shop", "box", EndpointProfile()),
-    "hub": ("hub", "upper", EndpointProfile(slots=24, fetch_ms=10, overload_multiple=2.0)),
-    "origin": ("hub", "source", EndpointProfile(slots=16, serve_ms=14, fetch_ms=25)),
-}
-PURGE_DELAY_S = 0.2  # after a purge, when stores have dropped what it voids
+PURGE_DELAY_S = 0.2  # endpoints drop copies this long after a purge; chosen by trial, below PURGE_NOTICE_S
+MIN_DRAIN_S = 1.0  # a router is to see the drain before the process ends
+DELAY_POLL_S = 0.02  # how often a delayed change log looks whether the delay is over; chosen by trial
+POPULAR_OBJECTS = 8  # of which a purge takes one: the most requested, so that copies are about
 
-Publish = Callable[[dict[str, Any]], None]
+Event = dict[str, Any]
+"""One event of the change log, under the wire's field names."""
+Publish = Callable[[Event], None]
 
 
 def place_names(boxes: int, hubs: int) -> list[str]:
@@ -33,7 +35,7 @@
 
 
 def router_settings(name: str, port: int, log_port: int, routers: int = 1) -> dict[str, Any]:
-    """The settings of a router in front of it."""
+    """The settings of a router in front of the installation, as their document's data."""
     picture = {"aim-ms": 300, "deadline-ms": 1500, "in-parts": True, "worth": 2, "late-worth": 0.3}
     basket = {
         "aim-ms": 500,
@@ -52,9 +54,9 @@
         "zone": "shop",
         "routers": routers,
         "zones": {"hub": {"routers": 0}, "shop": {"routers": routers, "attached-to": "hub"}},
-        "kinds": ["box", "upper", "source"],
-        "parent-kind": "upper",
-        "origin-kind": "source",
+        "kinds": [CACHE_KIND, PARENT_KIND, ORIGIN_KIND],
+        "parent-kind": PARENT_KIND,
+        "origin-kind": ORIGIN_KIND,
         "classes": {"picture": picture, "basket": basket, "order": order},
         "client-kb-per-s": 300,
         "stores": {"cold-ms": 4000, "cold-from": 0.3},
@@ -64,152 +66,155 @@
 
 
 def hedged_classes(document: Document) -> frozenset[str]:
-    """The classes of which this document lets a second copy run beside the first."""
+    """The classes of which this document permits hedged requests."""
+    if not document.settings.hedged_requests:
+        return frozenset()
     classes = zip(document.names.classes, document.settings.classes, strict=True)
-    may = document.settings.hedged_requests
-    return frozenset(name for name, cls in classes if may and cls.idempotency == Idempotency.IDEMPOTENT)
+    return frozenset(name for name, cls in classes if cls.idempotency == Idempotency.IDEMPOTENT)
 
 
 class EmulatedInstallation:
-    """Owner of the stores of one installation. ``tell`` is given each event of the change log, in order."""
+    """Owner of the endpoints of one installation."""
 
     def __init__(
-        self, boxes: int, hubs: int, rules: ProtocolChecker, rand: random.Random, tell: Publish
+        self, boxes: int, hubs: int, checker: ProtocolChecker, rand: random.Random, publish: Publish
     ) -> None:
-        self.checker = rules
+        """``publish`` is called with each event of the change log, in order."""
+        self.checker = checker
         self._random = rand
-        self._publish = tell
+        self._publish = publish
         self.places: dict[str, EmulatedEndpoint] = {}
+        """The last process of each place, by the place's name."""
         self._place_names = place_names(boxes, hubs)
-        self._pending_events: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
+        self._pending_events: asyncio.Queue[Event] = asyncio.Queue()
+        """Events that have happened and are not yet published."""
         self._publishing: asyncio.Task[None] | None = None
         self._delayed_until_s = 0.0
+        """Steady time until which the change log publishes nothing."""
         self._revision = 0
+        """Of the endpoint list."""
         self._processes_started = 0
 
     # --- beginning and end
 
     async def start(self) -> None:
-        """All stores up; nothing is told before ``tell_on``, when whoever reads the log can be told."""
+        """Start all endpoints; nothing is published before ``start_publishing``, when readers are there."""
         for place in self._place_names:
-            self.places[place] = self._new_process(place, late=False)
+            self.places[place] = self._new_process(place, up_since_ms=0)
             await self.places[place].start()
         self._link_sources()
-        self.publish_list(whole=True)
+        self._publish_list([endpoint.list_entry() for endpoint in self.places.values()], complete=True)
 
     def start_publishing(self) -> None:
-        """Tell the whole list, and from now on what changes."""
+        """Publish the complete list, and from now on what changes."""
         self._publishing = asyncio.ensure_future(self._publish_events())
 
     def stop(self) -> None:
+        """Publish no more, and kill all endpoints."""
         if self._publishing is not None:
             self._publishing.cancel()
-        for store in self.places.values():
-            store.kill()
+        for endpoint in self.places.values():
+            endpoint.kill()
 
-    def _new_process(self, place: str, late: bool) -> EmulatedEndpoint:
-        """A process for a place: new ids for all but the origin, whose restart the list does not show."""
+    def _new_process(self, place: str, up_since_ms: int) -> EmulatedEndpoint:
         self._processes_started += 1
-        zone, kind, figures = PROFILES.get(place[:3], PROFILES["origin"])
-        store = EmulatedEndpoint(
-            f"s-{place}-{self._processes_started}",
-            zone,
-            kind,
-            self._processes_started,
-            figures,
-            self.checker,
-            self._random,
+        number = self._processes_started
+        role = role_of(place)
+        endpoint = EmulatedEndpoint(
+            f"s-{place}-{number}", role.zone, role.kind, number, role.profile, self.checker, self._random
         )
-        store.up_since_ms = int(time.time() * 1000) if late else 0
-        return store
+        endpoint.up_since_ms = up_since_ms
+        return endpoint
 
     def _link_sources(self) -> None:
-        """Whoever may be named in a fill, by the ids of now."""
-        by_id = {store.name: store for store in self.places.values()}
-        for store in self.places.values():
-            store.sources = by_id
+        """Let each endpoint fill from any other, by the ids of now."""
+        by_id = {endpoint.name: endpoint for endpoint in self.places.values()}
+        for endpoint in self.places.values():
+            endpoint.sources = by_id
 
     # --- the change log
 
-    def publish_list(self, whole: bool = False, **left: EmulatedEndpoint) -> None:
-        """Tell the list's changes: these have gone, or come, or all."""
+    def _publish_list(self, members: list[dict[str, object]], complete: bool = False) -> None:
+        """Queue the complete list, or its changes."""
         self._revision += 1
-        members = [store.list_entry() for store in self.places.values()] if whole else []
-        members += [store.list_entry(phase) for phase, store in left.items()]
-        self._pending_events.put_nowait(
-            {"fleet": {"revision": self._revision, "complete": whole, "members": members}}
-        )
+        fleet = {"revision": self._revision, "complete": complete, "members": members}
+        self._pending_events.put_nowait({"fleet": fleet})
 
     async def _publish_events(self) -> None:
-        """The change log runs late at times; what it tells then comes all at once, in order."""
+        """Publish events as they happen; after a delay all that have queued come at once, in order."""
         while True:
             event = await self._pending_events.get()
             while time.monotonic() < self._delayed_until_s:
-                await asyncio.sleep(0.02)
+                await asyncio.sleep(DELAY_POLL_S)
             for member in event.get("fleet", {}).get("members", []):
                 if member["phase"] != "SERVING":
                     self.checker.drains_published_s[member["id"]] = time.time()
-            if "invalidate" in event:  # the rule counts from when it was told, copies from when it was made
+            if "invalidate" in event:  # routers have time from when it was published, copies from when made
                 purge = event["invalidate"]
                 self.checker.purges_s[purge["object"]] = purge["time"] / 1000, time.time()
             self._publish(event)
 
-    # --- what may happen to it
+    # --- faults
+
+    async def inject_fault(self, what: str, place: str = "", for_s: float = 0.0, by: float = 0.0) -> None:
+        """Carry one fault out, from its beginning to its end.
+
+        ``what`` is a scenario's word; ``by`` is milliseconds of delay or a share of answers. A fault at a
+        place that isn't there does nothing.
+        """
+        endpoint = self.places.get(place)
+        if what == "late-list":
+            self._delayed_until_s = time.monotonic() + for_s
+        elif what == "purge":
+            await self.purge(f"{self._random.randrange(POPULAR_OBJECTS) + 1:016x}")
+        elif endpoint is not None:
+            await self._inject_endpoint_fault(what, place, endpoint, for_s, by)
 
-    async def inject_fault(self, what: str, who: str = "", for_s: float = 0.0, by: float = 0.0) -> None:
-        """Carry one failure out, from its beginning to its end."""
-        store = self.places.get(who)
+    async def _inject_endpoint_fault(
+        self, what: str, place: str, endpoint: EmulatedEndpoint, for_s: float, by: float
+    ) -> None:
         match what:
-            case "late-list":
-                self._delayed_until_s = time.monotonic() + for_s
-            case "purge":
-                key = f"{self._random.randrange(8) + 1:016x}"  # what is wanted most
-                await self.purge(key)
-            case "slow" if store is not None:
-                store.added_delay_ms = by
+            case "slow":
+                endpoint.added_delay_ms = by
                 await asyncio.sleep(for_s)
-                store.added_delay_ms = 0.0
-            case "lose" if store is not None:
-                store.lost_answer_fraction = by
+                endpoint.added_delay_ms = 0.0
+            case "lose":
+                endpoint.lost_answer_fraction = by
                 await asyncio.sleep(for_s)
-                store.lost_answer_fraction = 0.0
-            case "err" if store is not None:
-                store.failed_answer_fraction = by
+                endpoint.lost_answer_fraction = 0.0
+            case "err":
+                endpoint.failed_answer_fraction = by
                 await asyncio.sleep(for_s)
-                store.failed_answer_fraction = 0.0
-            case "hang" if store is not None:
-                store.running.clear()
+                endpoint.failed_answer_fraction = 0.0
+            case "hang":
+                endpoint.running.clear()
                 await asyncio.sleep(for_s)
-                store.running.set()
-            case "reset" if store is not None:
-                store.reset_connections()
-            case "drain" | "die" if store is not None and store.is_up and who != "origin":
-                await self._replace(who, store, what == "drain", for_s)
+                endpoint.running.set()
+            case "reset":
+                endpoint.reset_connections()
+            case "drain" | "die" if endpoint.is_up and place != "origin":
+                if what == "drain":
+                    self._publish_list([endpoint.list_entry("DRAINING")])
+                    await asyncio.sleep(max(MIN_DRAIN_S, for_s))
+                await self._replace(place, endpoint, for_s)
 
     async def purge(self, key: str) -> None:
-        """Void an object: told, and a moment later dropped by all stores."""
-        made_ms = int(time.time() * 1000)  # copies are dropped soon after, however late the log tells
+        """Void an object: published at once, and after a moment dropped by all endpoints."""
+        made_ms = int(time.time() * 1000)  # copies are dropped soon after, however late the log is
         self._pending_events.put_nowait({"invalidate": {"object": key, "time": made_ms}})
         await asyncio.sleep(PURGE_DELAY_S)
-        for holder in self.places.values():
-            holder.invalidate(key)
-
-    async def _replace(self, place: str, store: EmulatedEndpoint, drained: bool, for_s: float) -> None:
-        """A process goes, drained first or at once, and a new one, cold and empty, comes at its address."""
-        if drained:
-            self.publish_list(DRAINING=store)
-            await asyncio.sleep(max(1.0, for_s))
-        store.kill()
-        self.publish_list(DELETED=store)
-        await asyncio.sleep(for_s)
-        if self.places[place] is not store:
+        for endpoint in self.places.values():
+            endpoint.invalidate(key)
+
+    async def _replace(self, place: str, endpoint: EmulatedEndpoint, down_s: float) -> None:
+        """End a process, and start a new one, in slow start and empty, at its address after a while."""
+        endpoint.kill()
+        self._publish_list([endpoint.list_entry("DELETED")])
+        await asyncio.sleep(down_s)
+        if self.places[place] is not endpoint:
             return
-        new = self._new_process(place, late=True)
-        await new.start(store.port)
-        self.places[place] = new
+        successor = self._new_process(place, up_since_ms=int(time.time() * 1000))
+        await successor.start(endpoint.port)
+        self.places[place] = successor
         self._link_sources()
-        self.publish_list(SERVING=new)
-
-    def running_endpoints(self) -> Iterable[EmulatedEndpoint]:
-        """Who runs."""
-        return (store for store in self.places.values() if store.is_up)
+        self._publish_list([successor.list_entry("SERVING")])
--- a/magpieshift/lab/experiments/episode.py
+++ b/magpieshift/lab/experiments/episode.py
@@ -18,8 +18,8 @@
 from magpieshift.control import sexp
 from magpieshift.lab.emulators import peers
 from magpieshift.lab.emulators.emulated import EmulatedInstallation, router_settings
-from magpieshift.lab.emulators.emulator import ProtocolChecker
 from magpieshift.lab.emulators.load import LoadGenerator
+from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
 from magpieshift.lab.experiments.scenario import Failure, Scenario
 
 ROUTER = (sys.executable, "-m", "magpieshift")
--- a/magpieshift/lab/fault_injection/cluster.py
+++ b/magpieshift/lab/fault_injection/cluster.py
@@ -17,8 +17,8 @@
 from magpieshift.control import sexp
 from magpieshift.control.schema import load_data, to_data
 from magpieshift.lab.emulators import emulated
-from magpieshift.lab.emulators.emulator import ProtocolChecker
 from magpieshift.lab.emulators.load import RESEND_WINDOW_S, LoadGenerator
+from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
 from magpieshift.lab.fault_injection import checks, skewed
 from magpieshift.lab.fault_injection.admin_clients import UP_S
 from magpieshift.lab.fault_injection.network import CLIENTS, LOG, Network
--- a/magpieshift/lab/fault_injection/surroundings.py
+++ b/magpieshift/lab/fault_injection/surroundings.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from magpieshift.lab.emulators import emulated, peers
-from magpieshift.lab.emulators.emulator import ProtocolChecker
+from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
 from magpieshift.lab.fault_injection.network import CLIENTS, LOG, Network
 from magpieshift.lab.fault_injection.places import Place
 from magpieshift.lab.fault_injection.relay import Relay
--- a/tests/capture/test_process.py
+++ b/tests/capture/test_process.py
@@ -17,7 +17,7 @@
 from magpieshift.control import sexp
 from magpieshift.control.errors import UnusableDocumentError
 from magpieshift.lab.emulators import peers
-from magpieshift.lab.emulators.emulator import ProtocolChecker
+from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
 from magpieshift.lab.emulators.world import LoopbackInstallation
 from magpieshift.lab.experiments import episode, episode_report, scenario
 from tests.control.test_program import program
--- a/tests/membership/test_ground.py
+++ b/tests/membership/test_ground.py
@@ -18,8 +18,8 @@
 from magpieshift.downstream import frames
 from magpieshift.downstream.frames import FrameType, ResponseCode
 from magpieshift.lab.emulators import emulated
-from magpieshift.lab.emulators.emulator import ProtocolChecker
 from magpieshift.lab.emulators.load import ClientConnection, NoAnswer
+from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
 from magpieshift.lab.fault_injection import checks, skewed
 from magpieshift.lab.fault_injection.network import ROUTERS, Network
 from magpieshift.lab.fault_injection.relay import Relay
@@ -117,7 +117,7 @@
             (("order",), ("a", "b"), 1),
         ):
             with self.subTest(copies=copies, stores=stores):
-                rules = ProtocolChecker(copies=copies)
+                rules = ProtocolChecker(hedged_classes=copies)
                 for store in stores:
                     rules.attempt_started("00ab", store, "picture")
                 for store in stores:
