--- a/magpieshift/lab/emulators/load.py
+++ b/magpieshift/lab/emulators/load.py
@@ -1,192 +1,69 @@
-"""Clients with open arrivals: each fetches the parts of an object one after another, a refused request is
-tried once more after the time it was told, marked as a repeat, and a write keeps its key."""
+"""Emulated clients with open arrivals: each session fetches the parts of an object one after another.
+
+A rejected request is retried once after its Retry-After, marked as a retry, and a write keeps its idempotency
+key. The draws depend on the seed only, so that two routers see the same sessions.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import random
 import time
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
-from enum import Enum
 
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from magpieshift.downstream import frames
-from magpieshift.downstream.frames import FrameType, ResponseCode
+from magpieshift.downstream.frames import ResponseCode
+from magpieshift.lab.emulators.client_connection import RESEND_WINDOW_S, Answer, ClientConnection, NoAnswer
+
+TIME_LIMITS_MS = {"picture": 1500, "basket": 2000, "order": 2000}  # the settings' deadlines, by class
+CONNECTIONS = 8  # of the clients of one router; chosen by trial, more spread a connection's end thinner
+MEAN_SESSION_PARTS = 2.0  # of 1 to 3 parts, evenly drawn
+ORDER_FRACTION = 0.04  # of sessions; chosen by trial
+WRITE_FRACTION = 0.1  # of sessions, orders included; chosen by trial
+POPULARITY_EXPONENT = 1.2  # of the Zipf distribution of objects; chosen by trial, higher has more hits
+DEFAULT_RETRY_AFTER_MS = "100"  # where a rejection names none
+MAX_LATENCY_US = 60_000_000  # of the histogram
+MAX_EXAMPLES = 20  # enough to see what went wrong; all are counted
+WRITE_BODY = b"eggs"  # any few bytes
 
-TIME_LIMITS_MS = {"picture": 1500, "basket": 2000, "order": 2000}
+CopyServed = Callable[[str, int, float, str], None]
+"""Called with an object's key, the Unix time in ms at which its copy was made, the Unix time in seconds at
+which the request was sent, and the request's id."""
 
 
 @dataclass
-class RequestCounts:
-    """What came in one slice of time."""
+class TrafficCounts:
+    """What came of the requests of one slice of time."""
 
     sent: int = 0
     served: int = 0
     rejected: int = 0
     failed: int = 0
     lost: int = 0
-    interrupted: int = 0  # without an answer, where none could come
-    latency_us: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000_000, 2))
-
-
-Answer = tuple[int, dict[str, str], bytes]  # its code, fields and body
-RESEND_WINDOW_S = 0.05  # what was written so long before an idle connection's end may be sent once more
-MAX_EXAMPLES = 20
-
-
-class NoAnswer(Enum):
-    """Why a request has no answer, in the words of a verdict."""
-
-    UNREACHED = "no connection came up"
-    ENDED = "its connection ended"
-    CROSSED = "it crossed the end of its connection, twice"
-    SILENT = "nothing came in time"
-
-
-@dataclass
-class _PendingAnswer:
-    written_s: float  # on the steady clock
-    answer: asyncio.Future[Answer]
-
-
-class _Link:
-    """One connection of a client, until either end closes it; ``leaving`` once nothing new may go on it."""
-
-    def __init__(self, crossed_s: float) -> None:
-        self._resend_window_s = crossed_s
-        self._writer: asyncio.StreamWriter | None = None
-        self._reading: asyncio.Task[None] | None = None
-        self._pending: dict[int, _PendingAnswer] = {}
-        self._streams = 0
-        self._abandoned: set[int] = set()  # streams whose answer nobody waits for any more: it may yet come
-        self.is_draining = False
-        self.duplicate_answers = 0
-
-    async def connect(self, port: int) -> None:
-        reader, self._writer = await asyncio.open_connection("127.0.0.1", port)
-        self._reading = asyncio.ensure_future(self._read(reader))
-
-    async def request(self, fields: dict[str, str], body: bytes, patience_s: float) -> Answer | NoAnswer:
-        if self._writer is None:  # it ended since it was chosen; nothing was written
-            return NoAnswer.CROSSED
-        self._streams += 1
-        stream = self._streams
-        done: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        pending = self._pending[stream] = _PendingAnswer(time.monotonic(), done)
-        self._writer.write(
-            frames.frame_head(FrameType.REQUEST, stream, frames.write_fields(fields), len(body)) + body
-        )
-        try:
-            async with asyncio.timeout(patience_s + 1.0):
-                return await done
-        except TimeoutError:
-            self._abandoned.add(stream)
-            return NoAnswer.SILENT
-        except ConnectionError:
-            lately = time.monotonic() - pending.written_s <= self._resend_window_s
-            return NoAnswer.CROSSED if lately else NoAnswer.ENDED
-        finally:
-            self._pending.pop(stream, None)
-            self._close_if_drained()
-
-    async def _read(self, reader: asyncio.StreamReader) -> None:
-        parser = frames.FrameParser()
-        with contextlib.suppress(ConnectionError):
-            while data := await reader.read(65536):
-                for frame in parser.feed(data):
-                    if frame.type == FrameType.GO_AWAY:
-                        self.is_draining = True
-                        self._close_if_drained()
-                    elif frame.type == FrameType.RESPONSE:
-                        self._answer_received(frame)
-        self.close()
-
-    def _answer_received(self, frame: frames.Frame) -> None:
-        pending = self._pending.pop(frame.stream_id, None)
-        if pending is None and frame.stream_id in self._abandoned:
-            self._abandoned.discard(frame.stream_id)
-        elif pending is None:
-            self.duplicate_answers += 1
-        elif not pending.answer.done():
-            fields, at = frames.read_fields(frame.payload[1:])
-            pending.answer.set_result((frame.payload[0], fields, frame.payload[1 + at :]))
-
-    def _close_if_drained(self) -> None:
-        """Who was told to send no more leaves once nothing is open."""
-        if self.is_draining and not self._pending and not self._abandoned:
-            self.close()
-
-    @property
-    def is_closed(self) -> bool:
-        return self._writer is None
-
-    def close(self) -> None:
-        self.is_draining = True
-        if self._writer is not None:
-            self._writer.close()
-            self._writer = None
-        for pending in self._pending.values():
-            if not pending.answer.done():
-                pending.answer.set_exception(ConnectionError())
-
-
-class ClientConnection:
-    """One client, as the protocol page has it: it goes on over a new connection once it is told to send no
-    more on the one it has, and sends a request that crossed a connection's end once more. The loss of
-    what a router had read is not hidden by that: stores judge what then comes to them twice.
-
-    ``crossed_s``: how long before its connection's end a request was written at most to be sent again."""
-
-    def __init__(self, port: int, crossed_s: float = RESEND_WINDOW_S) -> None:
-        self._port = port
-        self._resend_window_s = crossed_s
-        self._link: _Link | None = None
-        self._links: list[_Link] = []  # all that are not over
-        self._connecting = asyncio.Lock()
-        self._closed_duplicate_answers = 0  # on connections that are over
-
-    @property
-    def duplicate_answers(self) -> int:
-        return self._closed_duplicate_answers + sum(link.duplicate_answers for link in self._links)
-
-    async def request(self, fields: dict[str, str], body: bytes, patience_s: float) -> Answer | NoAnswer:
-        """The answer, or why there is none."""
-        for _ in range(2):
-            try:
-                async with self._connecting:
-                    if self._link is None or self._link.is_draining:
-                        self._link = await self._connect()
-                    link = self._link
-            except OSError:
-                return NoAnswer.UNREACHED
-            answer = await link.request(fields, body, patience_s)
-            if answer is not NoAnswer.CROSSED:
-                break
-        return answer
-
-    async def _connect(self) -> _Link:
-        for over in [link for link in self._links if link.is_closed]:
-            self._closed_duplicate_answers += over.duplicate_answers
-            self._links.remove(over)
-        link = _Link(self._resend_window_s)
-        await link.connect(self._port)
-        self._links.append(link)
-        return link
-
-    def close(self) -> None:
-        for link in self._links:
-            link.close()
+    """Without an answer, where one was due."""
+    interrupted: int = 0
+    """Without an answer, where none could come."""
+    latency_us: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, 2))
+    """Of served requests."""
+
+    def record(self, answer: Answer | NoAnswer, latency_us: int, is_excused: bool) -> None:
+        """Count the end of a request."""
+        if isinstance(answer, NoAnswer):
+            self.lost += not is_excused
+            self.interrupted += is_excused
+            return
+        self.served += answer.code == ResponseCode.OK
+        self.rejected += answer.code == ResponseCode.REJECTED
+        self.failed += answer.code == ResponseCode.FAILED
+        if answer.code == ResponseCode.OK:
+            self.latency_us.record_value(min(latency_us, MAX_LATENCY_US - 1_000_000))
 
 
 class LoadGenerator:
-    """All clients of one router; ``served`` is told each copy: object, when it was minted, when it was asked
-    for, and the request's id, which begins with ``mark``. ``excused`` tells whether a request of that moment
-    (on the steady clock) may have gone without an answer. A refused request comes back at one of the ports
-    ``elsewhere``, where there are any."""
+    """All clients of one router."""
 
     def __init__(
         self,
@@ -194,120 +71,136 @@
         rate: float,
         objects: int,
         seed: int,
-        served: Callable[[str, int, float, str], None],
-        mark: str = "",
-        excused: Callable[[float], bool] = lambda began: False,
-        crossed_s: float = RESEND_WINDOW_S,
-        elsewhere: Sequence[int] = (),
+        copy_served: CopyServed,
+        request_id_prefix: str = "",
+        may_go_unanswered: Callable[[float], bool] = lambda sent_s: False,
+        resend_window_s: float = RESEND_WINDOW_S,
+        retry_ports: Sequence[int] = (),
     ) -> None:
+        """``rate`` is parts a second. ``may_go_unanswered`` gives whether a request sent at a steady time
+        could have had no answer. A rejected request is retried at one of the ``retry_ports``, where there
+        are any, else at the same router."""
         self._rate = rate
         self._objects = objects
-        self._copy_served = served
-        self._request_id_prefix = mark
-        self._may_go_unanswered = excused
+        self._copy_served = copy_served
+        self._request_id_prefix = request_id_prefix
+        self._may_go_unanswered = may_go_unanswered
         self._stopping = False
         self._arrivals = np.random.default_rng(seed)
+        """Draws the times of sessions, and their objects."""
         self._random = random.Random(seed)
-        self._connections = [ClientConnection(port, crossed_s) for _ in range(8)]
-        self._retry_connections = [ClientConnection(other, crossed_s) for other in elsewhere]
+        """Draws all else."""
+        self._connections = [ClientConnection(port, resend_window_s) for _ in range(CONNECTIONS)]
+        self._retry_connections = [ClientConnection(other, resend_window_s) for other in retry_ports]
         self._sessions: set[asyncio.Task[None]] = set()
-        self.counts_by_second: list[RequestCounts] = []
-        self.total = RequestCounts()
+        self.counts_by_second: list[TrafficCounts] = []
+        """Counts of each second since ``run``."""
+        self.total = TrafficCounts()
         self.retries = 0
-        self.unanswered_examples: list[str] = []  # some of those lost, each with what is known of it
+        self.unanswered_examples: list[str] = []
+        """The first lost requests, each with what is known of it."""
         self._started_s = time.monotonic()
 
     @property
     def duplicate_answers(self) -> int:
-        return sum(
-            connection.duplicate_answers for connection in [*self._connections, *self._retry_connections]
-        )
+        """Answers beyond the first of their request."""
+        return sum(connection.duplicate_answers for connection in self._all_connections())
+
+    def _all_connections(self) -> list[ClientConnection]:
+        return [*self._connections, *self._retry_connections]
 
-    def _current_counts(self) -> list[RequestCounts]:
-        number = int(time.monotonic() - self._started_s)
-        while len(self.counts_by_second) <= number:
-            self.counts_by_second.append(RequestCounts())
-        return [self.counts_by_second[number], self.total]
+    def _current_counts(self) -> tuple[TrafficCounts, TrafficCounts]:
+        """The counts of this second, and the total."""
+        second = int(time.monotonic() - self._started_s)
+        while len(self.counts_by_second) <= second:
+            self.counts_by_second.append(TrafficCounts())
+        return self.counts_by_second[second], self.total
 
     async def run(self, seconds: float) -> None:
-        """Sessions begin at random for so long; returns once all are over."""
+        """Begin sessions at random for so long; returns once all are over."""
         self._started_s = time.monotonic()
-        parts = 2.0  # mean of a session
         while time.monotonic() - self._started_s < seconds and not self._stopping:
-            await asyncio.sleep(float(self._arrivals.exponential(parts / self._rate)))
+            await asyncio.sleep(float(self._arrivals.exponential(MEAN_SESSION_PARTS / self._rate)))
             task = asyncio.ensure_future(self._session())
             self._sessions.add(task)
             task.add_done_callback(self._sessions.discard)
         while self._sessions:
             await asyncio.wait(list(self._sessions))
-        for connection in [*self._connections, *self._retry_connections]:
+        for connection in self._all_connections():
             connection.close()
 
     def stop_sending(self) -> None:
-        """Begin nothing more; ``run`` returns once all that is open is over."""
+        """Begin no more sessions; ``run`` returns once all that is open is over."""
         self._stopping = True
 
     async def _session(self) -> None:
         connection = self._random.choice(self._connections)
-        key = f"{int(self._arrivals.zipf(1.2)) % self._objects + 1:016x}"
-        write = self._random.random()
-        if write < 0.1:
-            await self._request(connection, "order" if write < 0.04 else "basket", key, 0)
+        key = f"{int(self._arrivals.zipf(POPULARITY_EXPONENT)) % self._objects + 1:016x}"
+        draw = self._random.random()
+        if draw < WRITE_FRACTION:
+            await self._request(connection, "order" if draw < ORDER_FRACTION else "basket", key, 0)
             return
         for part in range(self._random.randint(1, 3)):
             if not await self._request(connection, "picture", key, part):
                 return
 
-    async def _request(self, connection: ClientConnection, name: str, key: str, part: int) -> bool:
-        once = f"{self._random.getrandbits(64):016x}"
+    async def _request(self, connection: ClientConnection, class_name: str, key: str, part: int) -> bool:
+        """Send a request, and once more if it is rejected: whether it was served."""
+        idempotency_key = f"{self._random.getrandbits(64):016x}"
         for attempt in range(2):
-            ident = (
-                self._request_id_prefix
-                + f"{self._random.getrandbits(64):016x}"[len(self._request_id_prefix) :]
-            )
-            fields = {
-                "c": name,
-                "i": ident,
-                "d": str(TIME_LIMITS_MS[name]),
-                "o": key,
-                "slice": str(part),
-                "set": str(int(key, 16) % 256),
-                "m": "0.9",
-            }
-            if name == "basket":
-                fields["k"] = once
+            request_id = self._draw_request_id()
+            fields = self._request_fields(class_name, request_id, key, part)
+            if class_name == "basket":
+                fields["k"] = idempotency_key
             if attempt:
                 fields["r"] = "1"
                 self.retries += 1
-                if self._retry_connections:  # as a front does
+                if self._retry_connections:  # as the platform's balancer does
                     connection = self._random.choice(self._retry_connections)
-            began = time.monotonic()
-            sent = time.time()
-            for counts in self._current_counts():
-                counts.sent += 1
-            body = b"" if name == "picture" else b"eggs"
-            answer = await connection.request(fields, body, TIME_LIMITS_MS[name] / 1000)
-            took = max(1, int(1e6 * (time.monotonic() - began)))
-            excused = isinstance(answer, NoAnswer) and self._may_go_unanswered(began)
-            if isinstance(answer, NoAnswer) and not excused and len(self.unanswered_examples) < MAX_EXAMPLES:
-                after = f"{name} at {began:.3f}, after {took / 1e6:.3f} s"
-                self.unanswered_examples.append(f"{ident} ({after}): {answer.value}")
-            for counts in self._current_counts():
-                if isinstance(answer, NoAnswer):
-                    counts.lost += not excused
-                    counts.interrupted += excused
-                else:
-                    counts.served += answer[0] == ResponseCode.OK
-                    counts.rejected += answer[0] == ResponseCode.REJECTED
-                    counts.failed += answer[0] == ResponseCode.FAILED
-                    if answer[0] == ResponseCode.OK:
-                        counts.latency_us.record_value(min(took, 59_000_000))
+            sent_s = time.time()
+            answer = await self._send(connection, class_name, fields)
             if isinstance(answer, NoAnswer):
                 return False
-            if answer[0] != ResponseCode.REJECTED:
-                if answer[0] == ResponseCode.OK and name == "picture":
-                    words = answer[2].split(b" ", 3)
-                    self._copy_served(key, int(words[2]), sent, ident)
-                return answer[0] == ResponseCode.OK
-            await asyncio.sleep(int(answer[1].get("w", "100")) / 1000)
+            if answer.code != ResponseCode.REJECTED:
+                is_served = answer.code == ResponseCode.OK
+                if is_served and class_name == "picture":
+                    minted_ms = int(answer.body.split(b" ", 3)[2])
+                    self._copy_served(key, minted_ms, sent_s, request_id)
+                return is_served
+            await asyncio.sleep(int(answer.fields.get("w", DEFAULT_RETRY_AFTER_MS)) / 1000)
         return False
+
+    def _draw_request_id(self) -> str:
+        drawn = f"{self._random.getrandbits(64):016x}"
+        return self._request_id_prefix + drawn[len(self._request_id_prefix) :]
+
+    @staticmethod
+    def _request_fields(class_name: str, request_id: str, key: str, part: int) -> dict[str, str]:
+        """A request's fields under the wire's names."""
+        return {
+            "c": class_name,
+            "i": request_id,
+            "d": str(TIME_LIMITS_MS[class_name]),
+            "o": key,
+            "slice": str(part),
+            "set": str(int(key, 16) % 256),
+            "m": "0.9",
+        }
+
+    async def _send(
+        self, connection: ClientConnection, class_name: str, fields: dict[str, str]
+    ) -> Answer | NoAnswer:
+        """Send one attempt and count what comes of it."""
+        sent_s = time.monotonic()
+        for counts in self._current_counts():
+            counts.sent += 1
+        body = b"" if class_name == "picture" else WRITE_BODY
+        answer = await connection.request(fields, body, TIME_LIMITS_MS[class_name] / 1000)
+        latency_us = max(1, int(1e6 * (time.monotonic() - sent_s)))
+        is_excused = isinstance(answer, NoAnswer) and self._may_go_unanswered(sent_s)
+        if isinstance(answer, NoAnswer) and not is_excused and len(self.unanswered_examples) < MAX_EXAMPLES:
+            when = f"{class_name} at {sent_s:.3f}, after {latency_us / 1e6:.3f} s"
+            self.unanswered_examples.append(f"{fields['i']} ({when}): {answer.value}")
+        for counts in self._current_counts():
+            counts.record(answer, latency_us, is_excused)
+        return answer
--- a/magpieshift/lab/fault_injection/cluster.py
+++ b/magpieshift/lab/fault_injection/cluster.py
@@ -17,7 +17,8 @@
 from magpieshift.control import sexp
 from magpieshift.control.schema import load_data, to_data
 from magpieshift.lab.emulators import emulated
-from magpieshift.lab.emulators.load import RESEND_WINDOW_S, LoadGenerator
+from magpieshift.lab.emulators.client_connection import RESEND_WINDOW_S
+from magpieshift.lab.emulators.load import LoadGenerator
 from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
 from magpieshift.lab.fault_injection import checks, skewed
 from magpieshift.lab.fault_injection.admin_clients import UP_S
@@ -32,7 +33,7 @@
 OBJECTS = 400
 SLACK_S = 0.05
 WATCH_S = 0.2  # between two looks of the checks
-# What is counted of requests, by its name in reports: the field of ``RequestCounts``.
+# What is counted of requests, by its name in reports: the field of ``TrafficCounts``.
 COUNTED_FIELDS = {
     "sent": "sent",
     "served": "served",
--- a/tests/membership/test_ground.py
+++ b/tests/membership/test_ground.py
@@ -18,7 +18,7 @@
 from magpieshift.downstream import frames
 from magpieshift.downstream.frames import FrameType, ResponseCode
 from magpieshift.lab.emulators import emulated
-from magpieshift.lab.emulators.load import ClientConnection, NoAnswer
+from magpieshift.lab.emulators.client_connection import ClientConnection, NoAnswer
 from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
 from magpieshift.lab.fault_injection import checks, skewed
 from magpieshift.lab.fault_injection.network import ROUTERS, Network
@@ -247,7 +247,7 @@
         self.ways_out = ["tell", "drop"]  # what the router does on its first connections
         self.server = await asyncio.start_server(self.router, "127.0.0.1", 0)
         self.addCleanup(self.server.close)
-        self.client = ClientConnection(self.server.sockets[0].getsockname()[1], crossed_s=GENEROUS_S)
+        self.client = ClientConnection(self.server.sockets[0].getsockname()[1], resend_window_s=GENEROUS_S)
         self.addCleanup(self.client.close)
 
     async def router(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -266,7 +266,7 @@
 
     async def ask(self) -> object:
         answer = await self.client.request({"i": "0" * 16, "o": "1" * 16}, b"", GENEROUS_S)
-        return answer if isinstance(answer, NoAnswer) else answer[0]
+        return answer if isinstance(answer, NoAnswer) else answer.code
 
     async def test_who_is_told_to_send_no_more_goes_on_elsewhere_and_sends_again_what_crossed(self) -> None:
         self.assertEqual(await self.ask(), ResponseCode.OK)  # and is told to send no more
@@ -279,7 +279,7 @@
     async def test_what_is_dropped_twice_or_long_after_it_was_sent_is_lost(self) -> None:
         self.ways_out = ["drop", "drop", "drop"]
         self.assertEqual(await self.ask(), NoAnswer.CROSSED)
-        self.client = ClientConnection(self.server.sockets[0].getsockname()[1], crossed_s=0.0)
+        self.client = ClientConnection(self.server.sockets[0].getsockname()[1], resend_window_s=0.0)
         self.assertEqual(await self.ask(), NoAnswer.ENDED)
         self.assertEqual(self.asked, [[1]] * 3)
 
