--- a/magpieshift/lab/emulators/emulated.py
+++ b/magpieshift/lab/emulators/emulated.py
@@ -1,7 +1,7 @@
-"""An emulated installation: stores by place, their list and purges told by the change log, their failures.
+"""An emulated installation: endpoints by place, their list and purges in the change log, their faults.
 
-One ``Rules`` judges all its stores and all routers that ask them. A place keeps its name and its address
-while processes come and go there; each process has an id of its own.
+One ``ProtocolChecker`` judges all its endpoints and all routers that send to them. A place keeps its name and
+its address while processes come and go there; each process has an id of its own.
 """
 
 from __future__ import annotations
@@ -9,31 +9,33 @@
 import asyncio
 import random
 import time
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from typing import Any
 
 from magpieshift.config import Document
 from magpieshift.control.schema import load_data, to_data
-from magpieshift.lab.emulators.emulator import Figures, Rules, Store
+from magpieshift.lab.emulators.emulator import EmulatedEndpoint
+from magpieshift.lab.emulators.endpoint_profile import CACHE_KIND, ORIGIN_KIND, PARENT_KIND, role_of
+from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
 from magpieshift.policy.settings import Idempotency
 
-KINDS = {
-    "box": ("shop", "box", Figures()),
-    "hub": ("hub", "upper", Figures(slots=24, fetch_ms=10, fall_multiple=2.0)),
-    "origin": ("hub", "source", Figures(slots=16, serve_ms=14, fetch_ms=25)),
-}
-DROPPED_S = 0.2  # after a purge, when stores have dropped what it voids
+PURGE_DELAY_S = 0.2  # endpoints drop copies this long after a purge; chosen by trial, below PURGE_NOTICE_S
+MIN_DRAIN_S = 1.0  # a router is to see the drain before the process ends
+DELAY_POLL_S = 0.02  # how often a delayed change log looks whether the delay is over; chosen by trial
+POPULAR_OBJECTS = 8  # of which a purge takes one: the most requested, so that copies are about
 
-Tell = Callable[[dict[str, Any]], None]
+Event = dict[str, Any]
+"""One event of the change log, under the wire's field names."""
+Publish = Callable[[Event], None]
 
 
-def places(boxes: int, hubs: int) -> list[str]:
+def place_names(boxes: int, hubs: int) -> list[str]:
     """The names of all places of an installation of this size."""
     return [*(f"box{i + 1}" for i in range(boxes)), *(f"hub{i + 1}" for i in range(hubs)), "origin"]
 
 
-def settings(name: str, port: int, log_port: int, routers: int = 1) -> dict[str, Any]:
-    """The settings of a router in front of it."""
+def router_settings(name: str, port: int, log_port: int, routers: int = 1) -> dict[str, Any]:
+    """The settings of a router in front of the installation, as their document's data."""
     picture = {"aim-ms": 300, "deadline-ms": 1500, "in-parts": True, "worth": 2, "late-worth": 0.3}
     basket = {
         "aim-ms": 500,
@@ -52,9 +54,9 @@
         "zone": "shop",
         "routers": routers,
         "zones": {"hub": {"routers": 0}, "shop": {"routers": routers, "attached-to": "hub"}},
-        "kinds": ["box", "upper", "source"],
-        "parent-kind": "upper",
-        "origin-kind": "source",
+        "kinds": [CACHE_KIND, PARENT_KIND, ORIGIN_KIND],
+        "parent-kind": PARENT_KIND,
+        "origin-kind": ORIGIN_KIND,
         "classes": {"picture": picture, "basket": basket, "order": order},
         "client-kb-per-s": 300,
         "stores": {"cold-ms": 4000, "cold-from": 0.3},
@@ -63,143 +65,156 @@
     return to_data(load_data(data).document)
 
 
-def may_copy(document: Document) -> frozenset[str]:
-    """The classes of which this document lets a second copy run beside the first."""
+def hedged_classes(document: Document) -> frozenset[str]:
+    """The classes of which this document permits hedged requests."""
+    if not document.settings.hedged_requests:
+        return frozenset()
     classes = zip(document.names.classes, document.settings.classes, strict=True)
-    may = document.settings.hedged_requests
-    return frozenset(name for name, cls in classes if may and cls.idempotency == Idempotency.IDEMPOTENT)
+    return frozenset(name for name, cls in classes if cls.idempotency == Idempotency.IDEMPOTENT)
 
 
-class Emulated:
-    """Owner of the stores of one installation. ``tell`` is given each event of the change log, in order."""
+class EmulatedInstallation:
+    """Owner of the endpoints of one installation."""
 
-    def __init__(self, boxes: int, hubs: int, rules: Rules, rand: random.Random, tell: Tell) -> None:
-        self.rules = rules
+    def __init__(
+        self, boxes: int, hubs: int, checker: ProtocolChecker, rand: random.Random, publish: Publish
+    ) -> None:
+        """``publish`` is called with each event of the change log, in order."""
+        self.checker = checker
         self._random = rand
-        self._tell = tell
-        self.places: dict[str, Store] = {}
-        self._wanted = places(boxes, hubs)
-        self._told: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
-        self._telling: asyncio.Task[None] | None = None
-        self._late_until = 0.0
+        self._publish = publish
+        self.places: dict[str, EmulatedEndpoint] = {}
+        """The last process of each place, by the place's name."""
+        self._place_names = place_names(boxes, hubs)
+        self._pending_events: asyncio.Queue[Event] = asyncio.Queue()
+        """Events that have happened and are not yet published."""
+        self._publishing: asyncio.Task[None] | None = None
+        self._delayed_until_s = 0.0
+        """Steady time until which the change log publishes nothing."""
         self._revision = 0
-        self._births = 0
+        """Of the endpoint list."""
+        self._processes_started = 0
 
     # --- beginning and end
 
     async def start(self) -> None:
-        """All stores up; nothing is told before ``tell_on``, when whoever reads the log can be told."""
-        for place in self._wanted:
-            self.places[place] = self._new(place, late=False)
+        """Start all endpoints; nothing is published before ``start_publishing``, when readers are there."""
+        for place in self._place_names:
+            self.places[place] = self._new_process(place, up_since_ms=0)
             await self.places[place].start()
-        self._sources()
-        self.tell_list(whole=True)
+        self._link_sources()
+        self._publish_list([endpoint.list_entry() for endpoint in self.places.values()], complete=True)
 
-    def tell_on(self) -> None:
-        """Tell the whole list, and from now on what changes."""
-        self._telling = asyncio.ensure_future(self._tell_on())
+    def start_publishing(self) -> None:
+        """Publish the complete list, and from now on what changes."""
+        self._publishing = asyncio.ensure_future(self._publish_events())
 
     def stop(self) -> None:
-        if self._telling is not None:
-            self._telling.cancel()
-        for store in self.places.values():
-            store.die()
-
-    def _new(self, place: str, late: bool) -> Store:
-        """A process for a place: new ids for all but the origin, whose restart the list does not show."""
-        self._births += 1
-        zone, kind, figures = KINDS.get(place[:3], KINDS["origin"])
-        store = Store(
-            f"s-{place}-{self._births}", zone, kind, self._births, figures, self.rules, self._random
+        """Publish no more, and kill all endpoints."""
+        if self._publishing is not None:
+            self._publishing.cancel()
+        for endpoint in self.places.values():
+            endpoint.kill()
+
+    def _new_process(self, place: str, up_since_ms: int) -> EmulatedEndpoint:
+        self._processes_started += 1
+        number = self._processes_started
+        role = role_of(place)
+        endpoint = EmulatedEndpoint(
+            f"s-{place}-{number}", role.zone, role.kind, number, role.profile, self.checker, self._random
         )
-        store.up_since_ms = int(time.time() * 1000) if late else 0
-        return store
+        endpoint.up_since_ms = up_since_ms
+        return endpoint
 
-    def _sources(self) -> None:
-        """Whoever may be named in a fill, by the ids of now."""
-        by_id = {store.ident: store for store in self.places.values()}
-        for store in self.places.values():
-            store.sources = by_id
+    def _link_sources(self) -> None:
+        """Let each endpoint fill from any other, by the ids of now."""
+        by_id = {endpoint.name: endpoint for endpoint in self.places.values()}
+        for endpoint in self.places.values():
+            endpoint.sources = by_id
 
     # --- the change log
 
-    def tell_list(self, whole: bool = False, **left: Store) -> None:
-        """Tell the list's changes: these have gone, or come, or all."""
+    def _publish_list(self, members: list[dict[str, object]], complete: bool = False) -> None:
+        """Queue the complete list, or its changes."""
         self._revision += 1
-        members = [store.listing() for store in self.places.values()] if whole else []
-        members += [store.listing(phase) for phase, store in left.items()]
-        self._told.put_nowait({"fleet": {"revision": self._revision, "complete": whole, "members": members}})
+        fleet = {"revision": self._revision, "complete": complete, "members": members}
+        self._pending_events.put_nowait({"fleet": fleet})
 
-    async def _tell_on(self) -> None:
-        """The change log runs late at times; what it tells then comes all at once, in order."""
+    async def _publish_events(self) -> None:
+        """Publish events as they happen; after a delay all that have queued come at once, in order."""
         while True:
-            event = await self._told.get()
-            while time.monotonic() < self._late_until:
-                await asyncio.sleep(0.02)
+            event = await self._pending_events.get()
+            while time.monotonic() < self._delayed_until_s:
+                await asyncio.sleep(DELAY_POLL_S)
             for member in event.get("fleet", {}).get("members", []):
                 if member["phase"] != "SERVING":
-                    self.rules.told_drain[member["id"]] = time.time()
-            if "invalidate" in event:  # the rule counts from when it was told, copies from when it was made
+                    self.checker.drains_published_s[member["id"]] = time.time()
+            if "invalidate" in event:  # routers have time from when it was published, copies from when made
                 purge = event["invalidate"]
-                self.rules.purged[purge["object"]] = purge["time"] / 1000, time.time()
-            self._tell(event)
-
-    # --- what may happen to it
-
-    async def fail(self, what: str, who: str = "", for_s: float = 0.0, by: float = 0.0) -> None:
-        """Carry one failure out, from its beginning to its end."""
-        store = self.places.get(who)
+                self.checker.purges_s[purge["object"]] = purge["time"] / 1000, time.time()
+            self._publish(event)
+
+    # --- faults
+
+    async def inject_fault(self, what: str, place: str = "", for_s: float = 0.0, by: float = 0.0) -> None:
+        """Carry one fault out, from its beginning to its end.
+
+        ``what`` is a scenario's word; ``by`` is milliseconds of delay or a share of answers. A fault at a
+        place that isn't there does nothing.
+        """
+        endpoint = self.places.get(place)
+        if what == "late-list":
+            self._delayed_until_s = time.monotonic() + for_s
+        elif what == "purge":
+            await self.purge(f"{self._random.randrange(POPULAR_OBJECTS) + 1:016x}")
+        elif endpoint is not None:
+            await self._inject_endpoint_fault(what, place, endpoint, for_s, by)
+
+    async def _inject_endpoint_fault(
+        self, what: str, place: str, endpoint: EmulatedEndpoint, for_s: float, by: float
+    ) -> None:
         match what:
-            case "late-list":
-                self._late_until = time.monotonic() + for_s
-            case "purge":
-                key = f"{self._random.randrange(8) + 1:016x}"  # what is wanted most
-                await self.purge(key)
-            case "slow" if store is not None:
-                store.slow_ms = by
+            case "slow":
+                endpoint.added_delay_ms = by
                 await asyncio.sleep(for_s)
-                store.slow_ms = 0.0
-            case "lose" if store is not None:
-                store.lose = by
+                endpoint.added_delay_ms = 0.0
+            case "lose":
+                endpoint.lost_answer_fraction = by
                 await asyncio.sleep(for_s)
-                store.lose = 0.0
-            case "err" if store is not None:
-                store.errs = by
+                endpoint.lost_answer_fraction = 0.0
+            case "err":
+                endpoint.failed_answer_fraction = by
                 await asyncio.sleep(for_s)
-                store.errs = 0.0
-            case "hang" if store is not None:
-                store.paused.clear()
+                endpoint.failed_answer_fraction = 0.0
+            case "hang":
+                endpoint.running.clear()
                 await asyncio.sleep(for_s)
-                store.paused.set()
-            case "reset" if store is not None:
-                store.reset()
-            case "drain" | "die" if store is not None and store.up and who != "origin":
-                await self._replace(who, store, what == "drain", for_s)
+                endpoint.running.set()
+            case "reset":
+                endpoint.reset_connections()
+            case "drain" | "die" if endpoint.is_up and place != "origin":
+                if what == "drain":
+                    self._publish_list([endpoint.list_entry("DRAINING")])
+                    await asyncio.sleep(max(MIN_DRAIN_S, for_s))
+                await self._replace(place, endpoint, for_s)
 
     async def purge(self, key: str) -> None:
-        """Void an object: told, and a moment later dropped by all stores."""
-        made_ms = int(time.time() * 1000)  # copies are dropped soon after, however late the log tells
-        self._told.put_nowait({"invalidate": {"object": key, "time": made_ms}})
-        await asyncio.sleep(DROPPED_S)
-        for holder in self.places.values():
-            holder.drop(key)
-
-    async def _replace(self, place: str, store: Store, drained: bool, for_s: float) -> None:
-        """A process goes, drained first or at once, and a new one, cold and empty, comes at its address."""
-        if drained:
-            self.tell_list(DRAINING=store)
-            await asyncio.sleep(max(1.0, for_s))
-        store.die()
-        self.tell_list(DELETED=store)
-        await asyncio.sleep(for_s)
-        if self.places[place] is not store:
+        """Void an object: published at once, and after a moment dropped by all endpoints."""
+        made_ms = int(time.time() * 1000)  # copies are dropped soon after, however late the log is
+        self._pending_events.put_nowait({"invalidate": {"object": key, "time": made_ms}})
+        await asyncio.sleep(PURGE_DELAY_S)
+        for endpoint in self.places.values():
+            endpoint.invalidate(key)
+
+    async def _replace(self, place: str, endpoint: EmulatedEndpoint, down_s: float) -> None:
+        """End a process, and start a new one, in slow start and empty, at its address after a while."""
+        endpoint.kill()
+        self._publish_list([endpoint.list_entry("DELETED")])
+        await asyncio.sleep(down_s)
+        if self.places[place] is not endpoint:
             return
-        new = self._new(place, late=True)
-        await new.start(store.port)
-        self.places[place] = new
-        self._sources()
-        self.tell_list(SERVING=new)
-
-    def up(self) -> Iterable[Store]:
-        """Who runs."""
-        return (store for store in self.places.values() if store.up)
+        successor = self._new_process(place, up_since_ms=int(time.time() * 1000))
+        await successor.start(endpoint.port)
+        self.places[place] = successor
+        self._link_sources()
+        self._publish_list([successor.list_entry("SERVING")])
