--- a/magpieshift/lab/simulated/fanout_explored.py
+++ b/magpieshift/lab/simulated/fanout_explored.py
@@ -1,8 +1,8 @@
 """Exhaustive exploration of a small fan-out tier: a source, two relays and two routers.
 
-Breadth first from a given state, every order of deliveries, sends, losses, crashes and passing time is tried
-to a depth. What is not scheduled stands still, so pauses of any length are among them. Rules are checked in
-each state. Time goes on in large steps, and the machines' clocks run at rates that differ by the drift.
+Breadth first from a given state, every order of deliveries, sends, disconnects, crashes and passing time is
+tried up to a depth. A process that is not scheduled stands still, so pauses of any length are covered. The
+rules are checked in each state. Time advances in large steps, and the machines' clocks drift apart.
 """
 
 from __future__ import annotations
@@ -12,186 +12,232 @@
 from functools import partial
 
 from magpieshift.lab.simulated.fanout_judge import RuleBroken
-from magpieshift.lab.simulated.fanout_tier import (
-    BEGIN_US,
+from magpieshift.lab.simulated.fanout_tier import MutableTier
+from magpieshift.lab.simulated.fanout_tier_processes import ProcessTable
+from magpieshift.lab.simulated.fanout_tier_state import (
     FOLLOWERS,
-    NAMES,
+    PROCESS_NAMES,
     RELAYS,
     ROUTERS,
     SOURCE,
-    Budget,
-    Draft,
-    Known,
-    Memory,
-    Tier,
+    START_US,
+    AppliedState,
+    EventBudget,
+    StreamState,
+    TierState,
 )
 
-MOST_UNDER_WAY = 2  # messages in one direction of a stream
-ENDLESS = Budget(*(1 << 30,) * len(Budget._fields))
+MAX_IN_FLIGHT_MESSAGES = 2  # in one direction of a stream; more of them multiply the states, chosen by trial
+UNLIMITED_BUDGET = EventBudget(*(1 << 30,) * len(EventBudget._fields))  # more than any script of events uses
+MAX_STATES = 1_000_000  # an exploration stops there: a guard for memory, far above what the scenarios reach
+START_UP_ROUNDS = 25  # rounds after which a purge is done everywhere in a tier that has just started
 
 
 @dataclass(frozen=True, slots=True)
-class Count:
+class ExplorationSize:
     """How much was explored."""
 
-    states: int
-    transitions: int
-    depth: int
+    states: int  # different states of the whole tier
+    transitions: int  # events tried, including those that lead to a known state
+    depth: int  # events from the start to the last states
     processes: int  # different states of single processes
 
 
-Move = tuple[str, Callable[[Draft], None]]
-Moves = Callable[[Tier], Iterator[Move]]
+Event = Callable[[MutableTier], None]
+Move = tuple[str, Event]  # an event with its label
+Moves = Callable[[TierState], Iterator[Move]]  # what may happen in a state
+Predecessors = dict[TierState, tuple[TierState, str] | None]  # the state and event that each was found by
 
 
-def single_messages(tier: Tier, actors: Collection[str] = NAMES) -> Iterator[Move]:
+def single_messages(tier: TierState, actors: Collection[str] = PROCESS_NAMES) -> Iterator[Move]:
     """What may happen, message by message. Of the followers only ``actors`` do anything."""
     yield from _faults(tier, actors)
-    for name, way, left in zip(FOLLOWERS, tier.ways, tier.left, strict=True):
-        if name not in actors:
+    for follower, stream, abandoned in zip(FOLLOWERS, tier.streams, tier.abandoned_streams, strict=True):
+        if follower not in actors:
             continue
-        if left is not None and left.up:
-            yield f"up left {name}", partial(Draft.up_left, follower=name)
-        if name in ROUTERS:
-            yield f"apply {name}", partial(Draft.apply, name=name)
-        if way is None:
-            continue
-        if way.up:
-            yield f"up {name}", partial(Draft.up, follower=name, answer=False)
-        if way.down:
-            yield f"down {name}", partial(Draft.down, follower=name)
-        if len(way.up) < MOST_UNDER_WAY and way.server:
-            yield f"acknowledge {name}", partial(Draft.acknowledge, name=name)
-        if len(way.down) < MOST_UNDER_WAY and way.server:
-            yield f"send {name}", partial(Draft.send, follower=name)
-
-
-def whole_directions(tier: Tier, actors: Collection[str] = NAMES) -> Iterator[Move]:
-    """What may happen, where all that is to be said in one direction of a stream arrives at once: fewer steps
-    lead further."""
+        yield from _abandoned_deliveries(follower, abandoned)
+        if follower in ROUTERS:
+            yield f"apply {follower}", partial(MutableTier.apply, router=follower)
+        if stream is not None:
+            yield from _single_steps(follower, stream)
+
+
+def _single_steps(follower: str, stream: StreamState) -> Iterator[Move]:
+    """One message arrives or is sent on a stream."""
+    if stream.to_server:
+        yield (
+            f"deliver to server {follower}",
+            partial(MutableTier.deliver_to_server, follower=follower, sends_answer=False),
+        )
+    if stream.to_follower:
+        yield f"deliver to {follower}", partial(MutableTier.deliver_to_follower, follower=follower)
+    if len(stream.to_server) < MAX_IN_FLIGHT_MESSAGES and stream.server:
+        yield f"acknowledge {follower}", partial(MutableTier.acknowledge, follower=follower)
+    if len(stream.to_follower) < MAX_IN_FLIGHT_MESSAGES and stream.server:
+        yield f"send {follower}", partial(MutableTier.send, follower=follower)
+
+
+def _abandoned_deliveries(follower: str, abandoned: StreamState | None) -> Iterator[Move]:
+    """A message arrives on the stream that a follower has left."""
+    if abandoned is not None and abandoned.to_server:
+        yield f"deliver abandoned {follower}", partial(MutableTier.deliver_abandoned, follower=follower)
+
+
+def whole_directions(tier: TierState, actors: Collection[str] = PROCESS_NAMES) -> Iterator[Move]:
+    """What may happen, where all messages of one direction of a stream arrive at once, so that fewer steps
+    reach further."""
     yield from _faults(tier, actors)
-    for name, way, left in zip(FOLLOWERS, tier.ways, tier.left, strict=True):
-        if name in actors and (way is not None or left is not None):
-            yield f"report {name}", partial(Draft.report, follower=name)
-        if name in actors and way is not None:
-            yield f"tell {name}", partial(Draft.tell, follower=name)
+    for follower, stream, abandoned in zip(FOLLOWERS, tier.streams, tier.abandoned_streams, strict=True):
+        if follower in actors and (stream is not None or abandoned is not None):
+            yield f"flush to server {follower}", partial(MutableTier.flush_to_server, follower=follower)
+        if follower in actors and stream is not None:
+            yield f"flush to {follower}", partial(MutableTier.flush_to_follower, follower=follower)
 
 
-def rounds(tier: Tier, actors: Collection[str] = NAMES) -> Iterator[Move]:
-    """What may happen, where all, or all but one of ``actors``, go about their business for a while."""
+def rounds(tier: TierState, actors: Collection[str] = PROCESS_NAMES) -> Iterator[Move]:
+    """What may happen, where all processes, or all but one of ``actors``, exchange what is due."""
     yield from _faults(tier, actors)
     if tier.budget.rounds:
-        yield "round", Draft.round
-        for name in NAMES:
+        yield "round", MutableTier.run_round
+        for name in PROCESS_NAMES:
             if name in actors:
-                yield f"round without {name}", partial(Draft.round, without=name)
-    for name, left in zip(FOLLOWERS, tier.left, strict=True):
-        if left is not None and left.up:
-            yield f"up left {name}", partial(Draft.up_left, follower=name)
-        if name in actors and name in ROUTERS:
-            yield f"report {name}", partial(Draft.report, follower=name)
+                yield f"round without {name}", partial(MutableTier.run_round, excluded=name)
+    for follower, abandoned in zip(FOLLOWERS, tier.abandoned_streams, strict=True):
+        yield from _abandoned_deliveries(follower, abandoned)
+        if follower in actors and follower in ROUTERS:
+            yield f"flush to server {follower}", partial(MutableTier.flush_to_server, follower=follower)
 
 
-def _faults(tier: Tier, actors: Collection[str]) -> Iterator[Move]:
-    """Time, purges, and what goes wrong."""
+def _faults(tier: TierState, actors: Collection[str]) -> Iterator[Move]:
+    """Time passes, purges are made, and processes and streams fail, as far as the budget goes."""
     budget = tier.budget
     if budget.ticks:
-        yield "tick", Draft.tick
+        yield "tick", MutableTier.tick
     if budget.purges:
-        yield "purge", Draft.purge
+        yield "purge", MutableTier.accept_purge
     if SOURCE in actors:
-        yield "read", Draft.read_log
-    for name, way in zip(FOLLOWERS, tier.ways, strict=True):
-        if name not in actors:
+        yield "read change log", MutableTier.read_change_log
+    for follower, stream in zip(FOLLOWERS, tier.streams, strict=True):
+        if follower not in actors:
             continue
-        servers = (SOURCE,) if name in RELAYS else RELAYS
-        if way is None:
-            for to in servers:
-                yield f"connect {name} {to}", partial(Draft.connect, name=name, to=to)
-        elif way.server:
-            if budget.losses:
-                yield f"lose {name}", partial(Draft.lose, follower=name)
-            if budget.moves and name in ROUTERS:
-                other = RELAYS[1 - RELAYS.index(way.server)]
-                yield f"move {name}", partial(Draft.connect, name=name, to=other, moving=True)
+        if stream is None:
+            for server in (SOURCE,) if follower in RELAYS else RELAYS:
+                yield (
+                    f"connect {follower} {server}",
+                    partial(MutableTier.connect, follower=follower, server=server),
+                )
+        elif stream.server:
+            yield from _stream_faults(follower, stream, budget)
         if budget.crashes:
-            yield f"crash {name}", partial(Draft.crash, name=name)
-    if budget.sources:
-        yield "crash S", partial(Draft.crash, name=SOURCE)
-
-
-class Explorer(Memory):
-    """Explores from given states; what was worked out is remembered from one to the next."""
-
-    def fair(self, budget: Budget, rounds: int = 25) -> Tier:
-        """A state in which all have come up by a fair schedule, ``E1`` at ``R1`` and ``E2`` at ``R2``, with
-        one purge that is done."""
-        coming_up = budget._replace(rounds=rounds)
-        empty = Tier(BEGIN_US, (0,) * 5, (None,) * 4, (None,) * 4, (Known(),) * 2, (), 0, (), 0, coming_up)
-        draft = Draft(self, empty)
-        for name in NAMES:
-            draft.start(name)
-        draft.made_us = (BEGIN_US,)
+            yield f"crash {follower}", partial(MutableTier.crash, name=follower)
+    if budget.source_crashes:
+        yield "crash S", partial(MutableTier.crash, name=SOURCE)
+
+
+def _stream_faults(follower: str, stream: StreamState, budget: EventBudget) -> Iterator[Move]:
+    """A stream breaks, or is left for one to the other relay."""
+    if budget.disconnects:
+        yield f"disconnect {follower}", partial(MutableTier.disconnect, follower=follower)
+    if budget.relay_switches and follower in ROUTERS:
+        other = RELAYS[1 - RELAYS.index(stream.server)]
+        yield (
+            f"switch relay {follower}",
+            partial(MutableTier.switch_relay, follower=follower, server=other),
+        )
+
+
+class Explorer(ProcessTable):
+    """Explores from given states; what a process did upon an event is remembered from one to the next."""
+
+    def started(self, budget: EventBudget) -> TierState:
+        """A state after a start-up without faults, with ``E1`` at ``R1``, ``E2`` at ``R2``, and one purge
+        that is applied everywhere."""
+        tier = MutableTier(self, _empty_tier(budget._replace(rounds=START_UP_ROUNDS)))
+        for name in PROCESS_NAMES:
+            tier.start(name)
+        tier.purges_accepted_us = (START_US,)
         servers = {"R1": SOURCE, "R2": SOURCE, "E1": "R1", "E2": "R2"}
-        for _ in range(rounds):
-            for name in FOLLOWERS:
-                if draft.ways[name] is None:
-                    draft.connect(name, servers[name])
-            draft.round()
-            draft.judge()
-        if draft.logs[-1].done != 1 or any(known.sequence != 1 for known in draft.known.values()):
-            raise ValueError(f"it did not come up: {draft.tier()}")
-        draft.budget = budget
-        return draft.tier()
-
-    def after(self, tier: Tier, events: Iterable[Callable[[Draft], None]]) -> Tier:
+        for _ in range(START_UP_ROUNDS):
+            for follower in FOLLOWERS:
+                if tier.streams.current[follower] is None:
+                    tier.connect(follower, servers[follower])
+            tier.run_round()
+            tier.check_rules()
+        if tier.source_logs[-1].watermark != 1 or any(
+            applied.sequence != 1 for applied in tier.applied.values()
+        ):
+            raise ValueError(f"the tier did not start: found {tier.state()}, expected one purge everywhere")
+        tier.budget = budget
+        return tier.state()
+
+    def after(self, state: TierState, events: Iterable[Event]) -> TierState:
         """The state after some events, whatever the budget."""
-        draft = Draft(self, tier)
+        tier = MutableTier(self, state)
         for event in events:
-            draft.budget = ENDLESS
-            event(draft)
-            draft.judge()
-        draft.budget = tier.budget
-        return draft.tier()
-
-    def explore(self, start: Tier, depth: int, moves: Moves, most_states: int = 1_000_000) -> Count:
-        """Everything that may come of a state in so many steps. ``RuleBroken``, with the way there in its
-        notes."""
-        came_by: dict[Tier, tuple[Tier, str] | None] = {start: None}
+            tier.budget = UNLIMITED_BUDGET
+            event(tier)
+            tier.check_rules()
+        tier.budget = state.budget
+        return tier.state()
+
+    def explore(
+        self, start: TierState, depth: int, moves: Moves, max_states: int = MAX_STATES
+    ) -> ExplorationSize:
+        """Visit every state within ``depth`` events of ``start``. Raises ``RuleBroken`` with the events that
+        led there as its note."""
+        predecessors: Predecessors = {start: None}
         frontier = [start]
         transitions = 0
         reached = 0
         for reached in range(1, depth + 1):  # noqa: B007
-            found: list[Tier] = []
-            for tier in frontier:
-                for label, move in moves(tier):
+            found: list[TierState] = []
+            for state in frontier:
+                for label, event in moves(state):
                     transitions += 1
-                    after = self._after(tier, label, move, came_by)
-                    if after not in came_by:
-                        came_by[after] = tier, label
+                    after = self._after_move(state, label, event, predecessors)
+                    if after not in predecessors:
+                        predecessors[after] = state, label
                         found.append(after)
-                if len(came_by) >= most_states:
-                    return Count(len(came_by), transitions, reached - 1, len(self.frozen))
+                if len(predecessors) >= max_states:
+                    return ExplorationSize(len(predecessors), transitions, reached - 1, len(self.frozen))
             frontier = found
-        return Count(len(came_by), transitions, reached, len(self.frozen))
-
-    def _after(
-        self,
-        tier: Tier,
-        label: str,
-        move: Callable[[Draft], None],
-        came_by: dict[Tier, tuple[Tier, str] | None],
-    ) -> Tier:
-        draft = Draft(self, tier)
+        return ExplorationSize(len(predecessors), transitions, reached, len(self.frozen))
+
+    def _after_move(
+        self, state: TierState, label: str, event: Event, predecessors: Predecessors
+    ) -> TierState:
+        tier = MutableTier(self, state)
         try:
-            move(draft)
-            draft.judge()
+            event(tier)
+            tier.check_rules()
         except RuleBroken as broken:
-            trail = [label]
-            step = came_by[tier]
-            while step is not None:
-                trail.append(step[1])
-                step = came_by[step[0]]
-            broken.add_note(", ".join(reversed(trail)))
+            broken.add_note(", ".join([*_path_to(state, predecessors), label]))
             raise
-        return draft.tier()
+        return tier.state()
+
+
+def _empty_tier(budget: EventBudget) -> TierState:
+    """A tier before any of its processes has started."""
+    return TierState(
+        now_us=START_US,
+        processes=(0,) * len(PROCESS_NAMES),
+        streams=(None,) * len(FOLLOWERS),
+        abandoned_streams=(None,) * len(FOLLOWERS),
+        applied=(AppliedState(),) * len(ROUTERS),
+        purges_accepted_us=(),
+        purges_read=0,
+        source_logs=(),
+        last_incarnation=0,
+        budget=budget,
+    )
+
+
+def _path_to(state: TierState, predecessors: Predecessors) -> list[str]:
+    """The labels of the events that led from the start to a state."""
+    labels = []
+    step = predecessors[state]
+    while step is not None:
+        before, label = step
+        labels.append(label)
+        step = predecessors[before]
+    return labels[::-1]
