--- a/magpieshift/lab/simulated/fanout_frozen.py
+++ b/magpieshift/lab/simulated/fanout_frozen.py
@@ -9,7 +9,8 @@
 from enum import Enum
 from typing import Any
 
-from magpieshift.lab.simulated.fanout_processes import Output, Process
+from magpieshift.lab.simulated.fanout_outputs import Output
+from magpieshift.lab.simulated.fanout_processes import Process
 from magpieshift.relay.messages import (
     Batch,
     ConfigurationChange,
--- a/magpieshift/lab/simulated/fanout_histories.py
+++ b/magpieshift/lab/simulated/fanout_histories.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from magpieshift.lab.simulated.fanout import SECOND, Form, World
+from magpieshift.lab.simulated.fanout import SECOND_US, FanoutSize, SimulatedFanout
 from magpieshift.lab.simulated.fanout_judge import RuleBroken
 from magpieshift.lab.simulated.fanout_measures import check_bounds, settled
 
@@ -38,9 +38,10 @@
 class History:
     """One history: faults at random times, several at once now and then, and quiet at its end."""
 
-    def __init__(self, seed: int, form: Form | None = None) -> None:
+    def __init__(self, seed: int, size: FanoutSize | None = None) -> None:
         self.rand = random.Random(f"history {seed}")
-        self.world = World(form or Form(seed=seed, log_entries=self.rand.choice((16, 64, 1000))))
+        size = size or FanoutSize(seed=seed, log_entries=self.rand.choice((16, 64, 1000)))
+        self.world = SimulatedFanout(size)
         self.faults = 0
         self.trail: list[str] = []  # what happened, for whoever looks into a broken rule
         self._rate = PURGES_PER_S
@@ -64,11 +65,11 @@
         try:
             world.time.after(0, self._load)
             world.time.after(0, self._supervise)
-            world.run(self.rand.randrange(5, 12) * SECOND)
+            world.run(self.rand.randrange(5, 12) * SECOND_US)
             gap_s = self.rand.choice((1.0, 3.0, 8.0))
             world.time.after(0, lambda: self._strike(gap_s))
             for _ in range(LASTS_S):
-                world.run(SECOND)
+                world.run(SECOND_US)
                 check_bounds(world)
             settled_s = self._settle()
         except RuleBroken as broken:
@@ -81,7 +82,7 @@
             unbounded_attempts=judge.unbounded_attempts,
             faults=self.faults,
             epochs=len(judge.logs),
-            snapshots=sum(world.snapshots.values()),
+            snapshots=sum(world.snapshots_sent.values()),
             settled_s=settled_s,
         )
 
@@ -89,18 +90,18 @@
         """End all faults and wait until all is as it should be; returns how long it took (s)."""
         world = self.world
         self._over = True
-        world.mend()
+        world.repair_all()
         self._note("mended")
         quiet_s = QUIET_S if len(world.sources()) == 1 else TWO_SOURCES_QUIET_S
         began_us = world.time.now_us
-        while (missing := settled(world)) and world.time.now_us < began_us + quiet_s * SECOND:
-            world.run(SECOND // 2)
+        while (missing := settled(world)) and world.time.now_us < began_us + quiet_s * SECOND_US:
+            world.run(SECOND_US // 2)
         if missing:
             raise RuleBroken(f"quiet: after {quiet_s} s {missing}")
-        return (world.time.now_us - began_us) / SECOND
+        return (world.time.now_us - began_us) / SECOND_US
 
     def _note(self, what: str) -> None:
-        self.trail.append(f"{(self.world.time.now_us - self.world.time.began_us) / SECOND:.2f} {what}")
+        self.trail.append(f"{(self.world.time.now_us - self.world.time.began_us) / SECOND_US:.2f} {what}")
 
     # --- load
 
@@ -111,14 +112,14 @@
         rand = self.rand
         what = rand.random()
         if what < 0.03:
-            world.log.change_stores()
+            world.change_log.change_stores()
         elif what < 0.08:
-            world.log.configure()
+            world.change_log.configure()
         elif what < 0.2:
             world.purge(f"often{rand.randrange(3)}")
         else:
             world.purge()
-        world.time.after(rand.expovariate(self._rate) * SECOND, self._load)
+        world.time.after(rand.expovariate(self._rate) * SECOND_US, self._load)
 
     def _supervise(self) -> None:
         """A source is started where none lives."""
@@ -126,7 +127,7 @@
             name = self.rand.choice(("S1", "S2"))
             self._note(f"start {name}")
             self.world.start(name)
-        self.world.time.after(self.rand.uniform(0.5, 4.0) * SECOND, self._supervise)
+        self.world.time.after(self.rand.uniform(0.5, 4.0) * SECOND_US, self._supervise)
 
     # --- faults
 
@@ -136,16 +137,16 @@
         fault = self.rand.choices(list(self._kinds), list(self._kinds.values()))[0]
         self.faults += 1
         self._note(fault())
-        self.world.time.after(self.rand.expovariate(1 / gap_s) * SECOND, lambda: self._strike(gap_s))
+        self.world.time.after(self.rand.expovariate(1 / gap_s) * SECOND_US, lambda: self._strike(gap_s))
 
     def _later(self, most_s: float, call: Callable[[], object]) -> None:
         """In some time, unless all faults have ended by then."""
         self.world.time.after(
-            self.rand.uniform(0.05, most_s) * SECOND, lambda: None if self._over else call()
+            self.rand.uniform(0.05, most_s) * SECOND_US, lambda: None if self._over else call()
         )
 
     def _any(self, kinds: str = "SRE") -> str:
-        living = [name for kind in kinds for name in self.world.living(kind)]
+        living = [name for kind in kinds for name in self.world.running(kind)]
         return self.rand.choice(living) if living else "R0.1"
 
     def _kill(self) -> str:
@@ -169,7 +170,7 @@
     def _pause(self) -> str:
         name = self._any()
         for_s = self.rand.choice((0.5, PAUSE_S, 9.0, 12.0))
-        self.world.pause(name, int(for_s * SECOND))
+        self.world.pause(name, int(for_s * SECOND_US))
         return f"pause {name} {for_s} s"
 
     def _one_way_cut(self) -> str:
@@ -194,24 +195,24 @@
     def _slow_reader(self) -> str:
         name = self._any("RE")
         every_s = self.rand.choice((0.3, 1.5))
-        self.world.read_slowly(name, int(every_s * SECOND))
+        self.world.read_slowly(name, int(every_s * SECOND_US))
         self._later(20.0, lambda: self.world.read_slowly(name, 0))
         return f"{name} reads each {every_s} s"
 
     def _cut_log(self) -> str:
-        for reading in self.world.readings.values():
+        for reading in self.world.change_log_readers.values():
             reading.cut = True
         self._later(15.0, self._heal_log)
         return "cut the change log"
 
     def _heal_log(self) -> None:
-        for reading in self.world.readings.values():
+        for reading in self.world.change_log_readers.values():
             reading.cut = False
 
     def _burst(self) -> str:
         self._rate = PURGES_PER_S * BURST_TIMES
-        self.world.time.after(BURST_S * SECOND, self._end_burst)
-        routers = self.world.living("E")
+        self.world.time.after(BURST_S * SECOND_US, self._end_burst)
+        routers = self.world.running("E")
         restarted = math.ceil(len(routers) * SHARE_RESTARTED)
         for name in self.rand.sample(routers, restarted):
             self.world.kill(name)
--- a/magpieshift/lab/simulated/fanout_measures.py
+++ b/magpieshift/lab/simulated/fanout_measures.py
@@ -3,28 +3,28 @@
 
 from __future__ import annotations
 
-from magpieshift.lab.simulated.fanout import World
+from magpieshift.lab.simulated.fanout import SimulatedFanout
 from magpieshift.lab.simulated.fanout_judge import RuleBroken
 from magpieshift.lab.simulated.fanout_network import Host
-from magpieshift.lab.simulated.fanout_processes import Following, Relay, Source
+from magpieshift.lab.simulated.fanout_processes import FollowingProcess, Relay, Source
 from magpieshift.relay import limits
 
 MOST_UNREAD = 3 * limits.MAX_UNACKNOWLEDGED_BATCHES
 """Messages on their way to a follower: its window, and heartbeats."""
 
 
-def settled(world: World) -> str:
+def settled(world: SimulatedFanout) -> str:
     """What is not yet as it should be once all is quiet; empty if all is. A source that nobody follows,
     as another has them all, may be left over."""
     missing = [_settled_at(world, host, source) for host, source in world.sources()]
     return "" if "" in missing else missing[-1] if missing else "no source lives"
 
 
-def _settled_at(world: World, host: Host, source: Source) -> str:
+def _settled_at(world: SimulatedFanout, host: Host, source: Source) -> str:
     head = source.log.head
     epoch = source.log.epoch
     for other in world.network.hosts.values():
-        if isinstance(other.process, Following):
+        if isinstance(other.process, FollowingProcess):
             follower = other.process.follower
             if (follower.epoch, follower.applied) != (epoch, head):
                 return f"{other.name} is at {follower.applied} of {follower.epoch}, not {head} of {epoch}"
@@ -34,13 +34,13 @@
     return "" if done == head else f"{done} of {head} entries are done"
 
 
-def check_bounds(world: World) -> None:
+def check_bounds(world: SimulatedFanout) -> None:
     """Nothing has grown beyond its bound."""
-    followers = len(world.ranked)
+    followers = len(world.ranked_relays)
     for host in world.network.hosts.values():
         process = host.process
         if isinstance(process, Source | Relay):
-            if process.log.head - process.log.first + 1 > world.form.log_entries:
+            if process.log.head - process.log.first + 1 > world.size.log_entries:
                 raise RuleBroken(f"bounds: the log of {host.name}")
             statuses = process.fanout.status(host.now_us())
             # who holds no lease keeps a place only as long as its stream, or until the next look
--- a/magpieshift/lab/simulated/fanout_message_sizes.py
+++ b/magpieshift/lab/simulated/fanout_message_sizes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from magpieshift.lab.simulated.fanout_processes import Message
+from magpieshift.lab.simulated.fanout_outputs import Message
 from magpieshift.relay.messages import Batch, Purge, Snapshot
 
 PURGE_BYTES = 28  # a key or group and a time, as protobuf fields
--- a/magpieshift/lab/simulated/fanout_network.py
+++ b/magpieshift/lab/simulated/fanout_network.py
@@ -11,7 +11,8 @@
 from collections.abc import Callable
 from functools import partial
 
-from magpieshift.lab.simulated.fanout_processes import Message, Relay, Router, Source
+from magpieshift.lab.simulated.fanout_outputs import Message
+from magpieshift.lab.simulated.fanout_processes import Relay, Router, Source
 from magpieshift.lab.simulated.time import Time
 
 # delays within a region and between two
--- a/magpieshift/lab/simulated/fanout_processes.py
+++ b/magpieshift/lab/simulated/fanout_processes.py
@@ -1,15 +1,22 @@
 """Sources, relays and routers made of the fan-out tier's real state machines, without I/O.
 
-Each takes an event and the process's own clock (microseconds) and returns what is to be done about it, so
-that the same processes run in a simulated world with a network of its own and under exhaustive exploration.
+Each method takes an event and the process's own clock (microseconds) and returns the outputs to carry out, so
+that the same processes run in a simulated world with a network and under exhaustive exploration.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Iterable
-from dataclasses import dataclass
 
+from magpieshift.lab.simulated.fanout_outputs import (
+    CloseStream,
+    EffectApplied,
+    OpenStream,
+    Output,
+    SendMessage,
+    SourceSuperseded,
+)
 from magpieshift.relay.errors import (
     EpochSupersededError,
     TooManyFollowersError,
@@ -28,271 +35,239 @@
     DownstreamMessage,
     Entry,
     Epoch,
-    Join,
     Progress,
     UpstreamMessage,
 )
 from magpieshift.relay.staleness_bound import SourceStalenessBound
 
-Message = DownstreamMessage | UpstreamMessage
-
-
-@dataclass(frozen=True, slots=True)
-class Connect:
-    """Open a stream to a relay or source; ``join`` is its first message."""
-
-    stream: int
-    to: str
-    join: Join
-
-
-@dataclass(frozen=True, slots=True)
-class Send:
-    """Write a message to a stream."""
-
-    stream: int
-    message: Message
-
-
-@dataclass(frozen=True, slots=True)
-class End:
-    """End a stream."""
-
-    stream: int
-
-
-@dataclass(frozen=True, slots=True)
-class Took:
-    """For the judge: entries or a snapshot were applied."""
-
-    effect: ApplyEntries | RestoreSnapshot
 
-
-@dataclass(frozen=True, slots=True)
-class Ended:
-    """A source ends, as there is a newer one."""
-
-    newer: Epoch
-
-
-Output = Connect | Send | End | Took | Ended
-
-
-def whole_configuration(
+def full_configuration(
     before: ConfigurationChange | None, change: ConfigurationChange
 ) -> ConfigurationChange | None:
-    """A stand-in for the forming of whole versions: a delta's content is taken for that of its version."""
+    """Emulates the building of full versions: the content of a delta is taken for that of its version. None
+    where the delta's base is not the version ``before``."""
     if change.base_digest and (before is None or before.digest != change.base_digest):
         return None
     return ConfigurationChange(change.number, change.digest, "", change.content)
 
 
-def no_age(now_us: int) -> int:
-    """How long ago a source heard of itself."""
+def own_age_us(now_us: int) -> int:
+    """How old a source's knowledge of itself is: it never ages."""
     return 0
 
 
-class Server:
+class ServingProcess:
     """The serving side of a source or relay."""
 
     def __init__(self, name: str, boot: str) -> None:
         self.name = name
-        self.boot = boot
-        self.state = LogState(whole_configuration)
-        self._streams: set[int] = set()  # of followers
-        self.fanout: Fanout
+        self.boot = boot  # different in each incarnation
+        self.state = LogState(full_configuration)  # what a snapshot for a follower is made of
+        self._streams: set[int] = set()  # open streams of followers
+        self.fanout: Fanout  # set by the subclass
 
-    def heard_from_follower(self, stream: int, message: UpstreamMessage, now_us: int) -> list[Output]:
-        """A message of a follower."""
+    def receive_from_follower(self, stream_id: int, message: UpstreamMessage, now_us: int) -> list[Output]:
+        """A message of a follower; a stream whose message can't be accepted is closed."""
         try:
             if isinstance(message, Progress):
-                self.fanout.receive_progress(stream, message, now_us)
+                self.fanout.receive_progress(stream_id, message, now_us)
                 return []
-            earlier = self.fanout.join(stream, message, now_us)
-            self._streams.add(stream)
-            return [] if earlier is None else [End(earlier)]
-        except EpochSupersededError as newer:
-            self.follower_lost(stream, now_us)
-            return [*self.superseded(newer.epoch, now_us), End(stream)]
+            replaced = self.fanout.join(stream_id, message, now_us)
+            self._streams.add(stream_id)
+            return [] if replaced is None else [CloseStream(replaced)]
+        except EpochSupersededError as error:
+            self.follower_stream_lost(stream_id, now_us)
+            return [*self.epoch_superseded(error.epoch, now_us), CloseStream(stream_id)]
         except (TooManyFollowersError, UpstreamStaleError, UnknownStreamError):
-            return [End(stream)]
+            return [CloseStream(stream_id)]
 
-    def superseded(self, epoch: Epoch, now_us: int) -> list[Output]:
+    def epoch_superseded(self, epoch: Epoch, now_us: int) -> list[Output]:
         """A follower knows of a higher epoch."""
         raise NotImplementedError
 
-    def follower_lost(self, stream: int, now_us: int) -> None:
+    def follower_stream_lost(self, stream_id: int, now_us: int) -> None:
         """The stream of a follower has ended."""
-        self._streams.discard(stream)
-        self.fanout.close_stream(stream, now_us)
-
-    def end_streams(self, now_us: int) -> list[Output]:
-        """End the streams of silent followers, and all of them where this process is not current itself."""
-        ending = self.fanout.silent_streams(now_us) if self.fanout.is_fresh(now_us) else sorted(self._streams)
-        for stream in ending:
-            self.follower_lost(stream, now_us)
-        return [End(stream) for stream in ending]
-
-    def send_to(self, stream: int, now_us: int) -> list[Output]:
-        """What a follower's stream is to be sent now."""
+        self._streams.discard(stream_id)
+        self.fanout.close_stream(stream_id, now_us)
+
+    def close_silent_streams(self, now_us: int) -> list[Output]:
+        """Close the streams of silent followers, and all of them where this process is stale itself."""
+        if self.fanout.is_fresh(now_us):
+            closing = self.fanout.silent_streams(now_us)
+        else:
+            closing = sorted(self._streams)
+        for stream_id in closing:
+            self.follower_stream_lost(stream_id, now_us)
+        return [CloseStream(stream_id) for stream_id in closing]
+
+    def send_due(self, stream_id: int, now_us: int) -> list[Output]:
+        """The messages that a follower's stream is to be sent now; none for an unknown stream."""
         try:
-            return [Send(stream, message) for message in self.fanout.messages_to_send(stream, now_us)]
+            messages = self.fanout.messages_to_send(stream_id, now_us)
         except UnknownStreamError:
             return []
+        return [SendMessage(stream_id, message) for message in messages]
 
 
-class Source(Server):
-    """A source: reads the change log, numbers what it reads."""
+class Source(ServingProcess):
+    """A source: reads the change log and numbers what it reads."""
 
     def __init__(
-        self, name: str, boot: str, epoch: Epoch, now_us: int, most_entries: int = MAX_LOG_ENTRIES
+        self, name: str, boot: str, epoch: Epoch, now_us: int, max_entries: int = MAX_LOG_ENTRIES
     ) -> None:
         super().__init__(name, boot)
-        self.currency = SourceStalenessBound()
-        self.log = SequencedLog(epoch, max_entries=most_entries)
+        self.staleness = SourceStalenessBound()
+        self.log = SequencedLog(epoch, max_entries=max_entries)
         self.fanout = Fanout(
             self.log,
             self.state,
-            self.currency.age_us,
+            self.staleness.age_us,
             watermark_from_us=now_us + lease_lapse_us(),
-            sync_age_us=no_age,
+            sync_age_us=own_age_us,
         )
 
     def read(self, entries: Iterable[Entry], current_to_us: int, now_us: int) -> None:
-        """Everything in the change log's socket was read; ``current_to_us`` is when it was empty before."""
+        """All that was in the change log's socket; ``current_to_us`` is when it was last seen empty."""
         for entry in entries:
             self.log.append(entry)
             self.state.apply_entry(entry, now_us)
-        self.currency.record_read(current_to_us)
+        self.staleness.record_read(current_to_us)
 
-    def superseded(self, epoch: Epoch, now_us: int) -> list[Output]:
-        return [Ended(epoch)]
+    def epoch_superseded(self, epoch: Epoch, now_us: int) -> list[Output]:
+        """A newer source has taken over, so this one stops."""
+        return [SourceSuperseded(epoch)]
 
 
-class Following:
+class FollowingProcess:
     """The following side of a relay or router: one stream at a time."""
 
-    def __init__(self, name: str, boot: str, first_stream: int) -> None:
+    def __init__(self, name: str, boot: str, first_stream_id: int) -> None:
         self.follower = Follower(name, boot)
-        self.stream: int | None = None
-        self._earlier: int | None = None  # a stream that was left, but not yet with a farewell
-        self._next_stream = first_stream
-
-    def connect(self, to: str, now_us: int) -> list[Output]:
-        """Leave the present stream, if any, and begin another."""
-        outputs = self._end_earlier()
-        self._earlier = self.stream
+        self.stream_id: int | None = None  # the current stream
+        self._previous_stream_id: int | None = None  # left, but not yet closed with a farewell
+        self._next_stream_id = first_stream_id
+
+    def connect(self, server: str, now_us: int) -> list[Output]:
+        """Leave the current stream, if any, and open another. A router closes the one it left only when its
+        lease rests on the new one."""
+        outputs = self._close_previous()
+        self._previous_stream_id = self.stream_id
         if not isinstance(self, Router):
-            outputs += self._end_earlier()
-        self.stream = self._next_stream
-        self._next_stream += 1
-        return [*outputs, Connect(self.stream, to, self.follower.connect(now_us))]
-
-    def heard_from_relay(self, stream: int, message: DownstreamMessage, now_us: int) -> list[Output]:
-        """A message of the relay or source that is followed."""
-        if stream != self.stream:
+            outputs += self._close_previous()
+        self.stream_id = self._next_stream_id
+        self._next_stream_id += 1
+        return [*outputs, OpenStream(self.stream_id, server, self.follower.connect(now_us))]
+
+    def receive_from_server(self, stream_id: int, message: DownstreamMessage, now_us: int) -> list[Output]:
+        """A message of the relay or source that is followed; one on another stream is ignored."""
+        if stream_id != self.stream_id:
             return []
         outputs: list[Output] = []
-        for effect in self.follower.receive(message, now_us):
-            if isinstance(effect, EndStream):
-                self.stream = None
-                outputs.append(End(stream))
-            elif isinstance(effect, ApplyConfiguration):
-                self.took_configuration(effect.configuration)
+        for instruction in self.follower.receive(message, now_us):
+            if isinstance(instruction, EndStream):
+                self.stream_id = None
+                outputs.append(CloseStream(stream_id))
+            elif isinstance(instruction, ApplyConfiguration):
+                self.store_configuration(instruction.configuration)
             else:
-                outputs += self.carry_out(effect, now_us)
+                outputs += self.apply_effect(instruction, now_us)
         return outputs
 
-    def carry_out(self, effect: ApplyEntries | RestoreSnapshot, now_us: int) -> list[Output]:
-        """Apply entries or a snapshot, as a whole."""
+    def apply_effect(self, effect: ApplyEntries | RestoreSnapshot, now_us: int) -> list[Output]:
+        """Apply all of a batch of entries, or a snapshot."""
         if isinstance(effect, ApplyEntries):
             self.follower.acknowledge_applied(effect.epoch, effect.last)
         else:
             self.follower.acknowledge_applied(effect.snapshot.epoch, effect.snapshot.applied)
-        return [Took(effect)]
+        return [EffectApplied(effect)]
 
-    def took_configuration(self, whole: ConfigurationChange) -> None:
-        """A whole configuration was sent on request."""
-        self.follower.configuration_digest = whole.digest
+    def store_configuration(self, full: ConfigurationChange) -> None:
+        """Keep a full configuration that was sent on request."""
+        self.follower.configuration_digest = full.digest
         self.follower.wants_full = False
 
-    def _end_earlier(self) -> list[Output]:
-        ended = self._earlier
-        self._earlier = None
-        return [] if ended is None else [End(ended)]
-
-    def relay_lost(self, stream: int) -> None:
-        """A stream to a relay has ended."""
-        if stream == self.stream:
-            self.stream = None
-        elif stream == self._earlier:
-            self._earlier = None
+    def server_stream_lost(self, stream_id: int) -> None:
+        """A stream to a relay or source has ended."""
+        if stream_id == self.stream_id:
+            self.stream_id = None
+        elif stream_id == self._previous_stream_id:
+            self._previous_stream_id = None
 
     def acknowledge(self, now_us: int) -> list[Output]:
         """The progress that is due, if any, and a farewell to the relay that was followed before."""
         outputs: list[Output] = []
-        if self._earlier is not None and self.follower.lease_from_stream:
-            outputs = [Send(self._earlier, self.follower.farewell()), *self._end_earlier()]
-        if self.stream is not None and (progress := self.follower.progress(now_us)) is not None:
-            outputs.append(Send(self.stream, progress))
+        if self._previous_stream_id is not None and self.follower.lease_from_stream:
+            farewell = SendMessage(self._previous_stream_id, self.follower.farewell())
+            outputs = [farewell, *self._close_previous()]
+        if self.stream_id is not None and (progress := self.follower.progress(now_us)) is not None:
+            outputs.append(SendMessage(self.stream_id, progress))
         return outputs
 
-    def check(self, now_us: int) -> list[Output]:
-        """End a stream that has been silent for too long."""
-        if self.stream is None or self.follower.check(now_us) is None:
+    def check_timeout(self, now_us: int) -> list[Output]:
+        """Close the current stream if it has been silent for too long."""
+        if self.stream_id is None or self.follower.check(now_us) is None:
             return []
-        ended = self.stream
-        self.stream = None
-        return [End(ended)]
+        closed = self.stream_id
+        self.stream_id = None
+        return [CloseStream(closed)]
 
+    def _close_previous(self) -> list[Output]:
+        closed = self._previous_stream_id
+        self._previous_stream_id = None
+        return [] if closed is None else [CloseStream(closed)]
 
-class Router(Following):
+
+class Router(FollowingProcess):
     """The control side of a router. It may apply what it has received in a later turn."""
 
-    def __init__(self, name: str, boot: str, first_stream: int, applies_later: bool = False) -> None:
-        super().__init__(name, boot, first_stream)
+    def __init__(self, name: str, boot: str, first_stream_id: int, applies_later: bool = False) -> None:
+        super().__init__(name, boot, first_stream_id)
         self._applies_later = applies_later
-        self._to_apply: deque[ApplyEntries | RestoreSnapshot] = deque()
+        self._unapplied: deque[ApplyEntries | RestoreSnapshot] = deque()  # oldest first
 
-    def carry_out(self, effect: ApplyEntries | RestoreSnapshot, now_us: int) -> list[Output]:
+    def apply_effect(self, effect: ApplyEntries | RestoreSnapshot, now_us: int) -> list[Output]:
+        """Apply entries or a snapshot, or queue them for ``apply``."""
         if self._applies_later:
-            self._to_apply.append(effect)
+            self._unapplied.append(effect)
             return []
-        return super().carry_out(effect, now_us)
+        return super().apply_effect(effect, now_us)
 
     def apply(self, now_us: int) -> list[Output]:
-        """Apply what was received and waits."""
+        """Apply all that was queued."""
         outputs: list[Output] = []
-        while self._to_apply:
-            outputs += super().carry_out(self._to_apply.popleft(), now_us)
+        while self._unapplied:
+            outputs += super().apply_effect(self._unapplied.popleft(), now_us)
         return outputs
 
     def copy_age_limit(self, now_us: int) -> int:
-        """The bound of an attempt that is made now; 0 for none."""
+        """The highest age (us) of a cached object that an attempt made now may accept; 0 for any age."""
         return self.follower.staleness.copy_age_limit_us(now_us)
 
 
-class Relay(Following, Server):
-    """A relay: follows a source, serves routers."""
+class Relay(FollowingProcess, ServingProcess):
+    """A relay: follows a source and serves routers."""
 
-    def __init__(self, name: str, boot: str, first_stream: int, most_entries: int = MAX_LOG_ENTRIES) -> None:
-        Following.__init__(self, name, boot, first_stream)
-        Server.__init__(self, name, boot)
-        self.log = SequencedLog(NO_EPOCH, max_entries=most_entries)
-        currency = self.follower.staleness
+    def __init__(
+        self, name: str, boot: str, first_stream_id: int, max_entries: int = MAX_LOG_ENTRIES
+    ) -> None:
+        FollowingProcess.__init__(self, name, boot, first_stream_id)
+        ServingProcess.__init__(self, name, boot)
+        self.log = SequencedLog(NO_EPOCH, max_entries=max_entries)
+        staleness = self.follower.staleness
         self.fanout = Fanout(
             self.log,
             self.state,
-            currency.epoch_age_us,
-            self.done_everywhere,
-            sync_age_us=currency.epoch_sync_age_us,
+            staleness.epoch_age_us,
+            self.source_watermark,
+            sync_age_us=staleness.epoch_sync_age_us,
         )
 
-    def done_everywhere(self) -> int:
-        """What the source has called done."""
+    def source_watermark(self) -> int:
+        """The watermark that the source has announced."""
         return self.follower.watermark
 
-    def carry_out(self, effect: ApplyEntries | RestoreSnapshot, now_us: int) -> list[Output]:
+    def apply_effect(self, effect: ApplyEntries | RestoreSnapshot, now_us: int) -> list[Output]:
+        """Apply entries or a snapshot to the log and state that routers are served from."""
         if isinstance(effect, ApplyEntries):
             self.log.extend(effect.first, effect.entries)
             for entry in effect.entries:
@@ -300,19 +275,22 @@
         else:
             self.state.restore(effect.snapshot, now_us)
             self.log.restart(effect.snapshot.epoch, effect.snapshot.applied)
-        return super().carry_out(effect, now_us)
+        return super().apply_effect(effect, now_us)
 
-    def took_configuration(self, whole: ConfigurationChange) -> None:
-        self.state.apply_full_configuration(whole)
-        super().took_configuration(whole)
+    def store_configuration(self, full: ConfigurationChange) -> None:
+        """Keep a full configuration, also for snapshots."""
+        self.state.apply_full_configuration(full)
+        super().store_configuration(full)
 
     def acknowledge(self, now_us: int) -> list[Output]:
-        if self.stream is None:
+        """The progress that is due, if any, with a report on the relay's own followers."""
+        if self.stream_id is None:
             return []
         progress = self.follower.progress(now_us, self.fanout.report(now_us))
-        return [] if progress is None else [Send(self.stream, progress)]
+        return [] if progress is None else [SendMessage(self.stream_id, progress)]
 
-    def superseded(self, epoch: Epoch, now_us: int) -> list[Output]:
+    def epoch_superseded(self, epoch: Epoch, now_us: int) -> list[Output]:
+        """Follow the newer epoch from the next join on."""
         self.follower.learn_epoch(epoch)
         return []
 
--- a/magpieshift/lab/simulated/fanout_tier.py
+++ b/magpieshift/lab/simulated/fanout_tier.py
@@ -6,15 +6,14 @@
 from collections.abc import Callable
 from functools import partial
 
-from magpieshift.lab.simulated.fanout_processes import (
-    Connect,
-    End,
+from magpieshift.lab.simulated.fanout_outputs import (
+    CloseStream,
+    EffectApplied,
+    OpenStream,
     Output,
-    Process,
-    Send,
-    Source,
-    Took,
+    SendMessage,
 )
+from magpieshift.lab.simulated.fanout_processes import Process, Source
 from magpieshift.lab.simulated.fanout_tier_processes import (
     ProcessTable,
     as_follower,
@@ -157,7 +156,7 @@
         assert not isinstance(message, UpstreamMessage)
 
         def event(process: Process, now_us: int) -> list[Output]:
-            return as_follower(process).heard_from_relay(stream.stream_id, message, now_us)
+            return as_follower(process).receive_from_server(stream.stream_id, message, now_us)
 
         self._step(follower, ("to follower", stream.stream_id, number), event)
 
@@ -236,11 +235,11 @@
     def _receive_at_server(self, stream: StreamState, number: int, sends_answer: bool) -> None:
         def event(process: Process, now_us: int) -> list[Output]:
             if number == END_OF_STREAM:
-                as_server(process).follower_lost(stream.stream_id, now_us)
+                as_server(process).follower_stream_lost(stream.stream_id, now_us)
                 return []
             message = self._table.messages[number]
             assert isinstance(message, UpstreamMessage)
-            outputs = as_server(process).heard_from_follower(stream.stream_id, message, now_us)
+            outputs = as_server(process).receive_from_follower(stream.stream_id, message, now_us)
             answers = send_if_due(stream.stream_id, process, now_us) if sends_answer else []
             return [*outputs, *answers]
 
@@ -248,7 +247,7 @@
 
     def _notify_stream_lost(self, follower: str, stream_id: int) -> None:
         def event(process: Process, now_us: int) -> list[Output]:
-            as_follower(process).relay_lost(stream_id)
+            as_follower(process).server_stream_lost(stream_id)
             return []
 
         self._step(follower, ("lost", stream_id), event)
@@ -271,17 +270,17 @@
 
     def _carry_out(self, name: str, output: Output) -> None:
         match output:
-            case Connect(stream_id, server, join):
+            case OpenStream(stream_id, server, join):
                 self.streams.open(name, stream_id, server)
                 self.streams.send_to_server(stream_id, self._table.message_number(join))
-            case Send(stream_id, message):
+            case SendMessage(stream_id, message):
                 number = self._table.message_number(message)
                 if isinstance(message, UpstreamMessage):
                     self.streams.send_to_server(stream_id, number)
                 else:
                     self.streams.send_to_follower(stream_id, number)
-            case End(stream_id):
+            case CloseStream(stream_id):
                 self.streams.end(name, stream_id)
-            case Took(effect):
+            case EffectApplied(effect):
                 if name in ROUTERS:
                     self.applied[name] = applied_after(name, self.applied[name], effect, self.source_logs)
--- a/magpieshift/lab/simulated/fanout_tier_processes.py
+++ b/magpieshift/lab/simulated/fanout_tier_processes.py
@@ -3,14 +3,13 @@
 from __future__ import annotations
 
 from magpieshift.lab.simulated.fanout_frozen import Frozen
+from magpieshift.lab.simulated.fanout_outputs import Message, Output
 from magpieshift.lab.simulated.fanout_processes import (
-    Following,
-    Message,
-    Output,
+    FollowingProcess,
     Process,
     Relay,
     Router,
-    Server,
+    ServingProcess,
     Source,
 )
 from magpieshift.lab.simulated.fanout_tier_state import RELAYS, SOURCE
@@ -54,18 +53,18 @@
 def send_if_due(stream_id: int, process: Process, now_us: int) -> list[Output]:
     """What a server sends on a stream now; nothing before its next send is due."""
     serving = as_server(process)
-    return serving.send_to(stream_id, now_us) if stream_id in serving.fanout.due_streams(now_us) else []
+    return serving.send_due(stream_id, now_us) if stream_id in serving.fanout.due_streams(now_us) else []
 
 
-def as_server(process: Process) -> Server:
+def as_server(process: Process) -> ServingProcess:
     """The process, narrowed to one that serves followers."""
-    assert isinstance(process, Server)
+    assert isinstance(process, ServingProcess)
     return process
 
 
-def as_follower(process: Process) -> Following:
+def as_follower(process: Process) -> FollowingProcess:
     """The process, narrowed to one that follows a relay or source."""
-    assert isinstance(process, Following)
+    assert isinstance(process, FollowingProcess)
     return process
 
 
--- a/tests/relay/test_histories.py
+++ b/tests/relay/test_histories.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from magpieshift.lab.simulated.fanout import SECOND, Form, World
+from magpieshift.lab.simulated.fanout import SECOND_US, FanoutSize, SimulatedFanout
 from magpieshift.lab.simulated.fanout_histories import History
 from magpieshift.lab.simulated.fanout_judge import RuleBroken
 from magpieshift.lab.simulated.fanout_measures import check_bounds, settled
@@ -16,29 +16,29 @@
 RECOVERED_S = 40  # after any outage: a pause before the next try at a relay and then at its routers
 
 
-def began(**form: int) -> World:
+def began(**size: int) -> SimulatedFanout:
     """A world that has come up, with some entries behind it."""
-    world = World(Form(**form))
-    world.run(12 * SECOND)
+    world = SimulatedFanout(FanoutSize(**size))
+    world.run(12 * SECOND_US)
     load(world, 3)
     assert not settled(world), settled(world)
     return world
 
 
-def load(world: World, seconds: int, per_s: int = 4) -> None:
+def load(world: SimulatedFanout, seconds: int, per_s: int = 4) -> None:
     """Purges at a steady rate, then time to have them done."""
     for _ in range(seconds * per_s):
         world.purge()
-        world.run(SECOND // per_s)
-    world.run(4 * SECOND)
+        world.run(SECOND_US // per_s)
+    world.run(4 * SECOND_US)
 
 
-def settles(world: World, within_s: int) -> float:
+def settles(world: SimulatedFanout, within_s: int) -> float:
     """How many seconds it takes until all is at the head, leased and done."""
     for tenths in range(10 * within_s):
         if not settled(world):
             return tenths / 10
-        world.run(SECOND // 10)
+        world.run(SECOND_US // 10)
     raise AssertionError(f"after {within_s} s {settled(world)}")
 
 
@@ -58,18 +58,18 @@
         world = began(regions=1)
         for _ in range(20):
             world.purge()
-            world.run(SECOND // 7)  # at some of these moments it has what it did not pass on
+            world.run(SECOND_US // 7)  # at some of these moments it has what it did not pass on
             world.kill("R0.1", silently=True)
-            world.run(SECOND)
+            world.run(SECOND_US)
             world.start("R0.1")
-            world.run(3 * SECOND)
+            world.run(3 * SECOND_US)
         settles(world, 30)
 
     def test_one_paused_and_woken_with_old_state(self) -> None:
         world = began(regions=1)
-        world.pause("R0.1", 5 * SECOND)
+        world.pause("R0.1", 5 * SECOND_US)
         load(world, 8)
-        world.pause("R0.1", 9 * SECOND)
+        world.pause("R0.1", 9 * SECOND_US)
         load(world, 12)
         settles(world, 20)
 
@@ -85,7 +85,7 @@
     def test_one_paused_across_its_lease_bounds_the_attempt_in_hand(self) -> None:
         world = began(regions=1)
         host, router = world.routers()[0]
-        world.pause(host.name, limits.LEASE_US + 3 * SECOND)
+        world.pause(host.name, limits.LEASE_US + 3 * SECOND_US)
         load(world, 1)
         self.assertEqual(router.copy_age_limit(host.now_us()), 0)
         load(world, 1)
@@ -107,7 +107,7 @@
 
     def test_slow_readers_cost_only_themselves(self) -> None:
         world = began(regions=1, log_entries=40)
-        world.read_slowly("E0.1", 3 * SECOND)
+        world.read_slowly("E0.1", 3 * SECOND_US)
         load(world, 20)
         check_bounds(world)
         host, source = world.sources()[0]
@@ -122,9 +122,9 @@
     def test_one_that_is_paused_proves_nothing_it_has_not_read(self) -> None:
         world = began(regions=1)
         for _ in range(3):
-            world.pause("S1", 5 * SECOND)
+            world.pause("S1", 5 * SECOND_US)
             world.purge()
-            world.run(5 * SECOND)
+            world.run(5 * SECOND_US)
             world.network.cut("S1", "*")
             load(world, 12)
             world.network.heal()
@@ -135,10 +135,10 @@
         for name in ("S1", "S2", "S1"):
             for _ in range(MANY_PURGES):
                 world.purge()
-            world.run(SECOND // 2)
+            world.run(SECOND_US // 2)
             world.kill("S1")
             world.kill("S2")
-            world.run(SECOND)
+            world.run(SECOND_US)
             world.start(name)
             load(world, 4)
             settles(world, 40)
@@ -159,13 +159,13 @@
 
 class Load(unittest.TestCase):
     def test_ten_times_the_rate_while_a_tenth_restarts(self) -> None:
-        world = began(regions=1, routers_a_region=10, log_entries=400)
+        world = began(regions=1, routers_per_region=10, log_entries=400)
         for second in range(5):
             for _ in range(MANY_PURGES):
                 world.purge()
-                world.run(SECOND // MANY_PURGES)
+                world.run(SECOND_US // MANY_PURGES)
             world.kill("E0.1")
-            world.run(SECOND // 10 * second)
+            world.run(SECOND_US // 10 * second)
             world.start("E0.1")
         settles(world, 15)
         (done_at,) = world.judge.done_at.values()
@@ -173,27 +173,27 @@
         self.assertEqual(len(done_at), len(log))
 
     def test_a_region_away_for_an_hour_returns_by_one_snapshot_each(self) -> None:
-        world = began(turn_us=400_000, relays_a_region=1, routers_a_region=2, log_entries=200)
+        world = began(turn_interval_us=400_000, relays_per_region=1, routers_per_region=2, log_entries=200)
         away = [name for name in world.network.hosts if name[1:].startswith("1.")]
         for ends in (("region/0", "region/1"), ("region/1", "region/0")):
             world.network.cut(*ends)
         for _ in range(360):
-            world.run(9 * SECOND)
+            world.run(9 * SECOND_US)
             world.purge()
-            world.run(SECOND)
+            world.run(SECOND_US)
         load(world, 40, per_s=20)
         check_bounds(world)
-        before = {name: (world.bytes[name], world.snapshots[name]) for name in away}
+        before = {name: (world.bytes_sent[name], world.snapshots_sent[name]) for name in away}
         world.network.heal()
         took_s = settles(world, 20)
         for name in away:
-            spent, snapshots = world.bytes[name] - before[name][0], world.snapshots[name] - before[name][1]
+            spent = world.bytes_sent[name] - before[name][0]
+            snapshots = world.snapshots_sent[name] - before[name][1]
             self.assertLessEqual(snapshots, 2, name)
-            whole = MESSAGE_BYTES + PURGE_BYTES * 20 * limits.PURGE_RETENTION_US // SECOND
+            whole = MESSAGE_BYTES + PURGE_BYTES * 20 * limits.PURGE_RETENTION_US // SECOND_US
             self.assertLess(spent, (snapshots + 1) * whole, f"{name} in {took_s} s")
-        print(
-            f"an hour away: {took_s} s and {max(world.bytes[name] - before[name][0] for name in away)} bytes"
-        )
+        most_bytes = max(world.bytes_sent[name] - before[name][0] for name in away)
+        print(f"an hour away: {took_s} s and {most_bytes} bytes")
 
 
 class TheJudge(unittest.TestCase):
@@ -202,15 +202,15 @@
         (epoch,) = world.judge.claims
         world.judge.claims[epoch] += 1
         with self.assertRaisesRegex(RuleBroken, "watermark"):
-            world.run(SECOND)
+            world.run(SECOND_US)
 
     def test_it_sees_a_purge_that_a_leased_router_lacks(self) -> None:
         world = began(regions=1)
         world.purge()
-        world.judge.purges.append(world.log.purge("never told"))
-        world.log.entries.pop()
+        world.judge.purges.append(world.change_log.purge("never told"))
+        world.change_log.entries.pop()
         with self.assertRaisesRegex(RuleBroken, "bound"):
-            world.run(10 * SECOND)
+            world.run(10 * SECOND_US)
 
 
 if __name__ == "__main__":
--- a/tests/relay/test_planted.py
+++ b/tests/relay/test_planted.py
@@ -12,7 +12,8 @@
 
 from magpieshift.lab.simulated.fanout_histories import History
 from magpieshift.lab.simulated.fanout_judge import RuleBroken
-from magpieshift.lab.simulated.fanout_processes import Connect, Router, Send, Source
+from magpieshift.lab.simulated.fanout_outputs import OpenStream, SendMessage
+from magpieshift.lab.simulated.fanout_processes import Router, Source
 from magpieshift.relay import fanout, staleness_bound
 from magpieshift.relay.fanout import Fanout
 from magpieshift.relay.follower import Follower
@@ -335,15 +336,15 @@
     router = Router("E", "E/1", 0)
     for now_us in (10_000_000, 11_000_000, 12_000_000):  # joins, takes the snapshot, is proven
         source.read([], by_source(now_us), by_source(now_us))
-        said = router.connect("S", by_router(now_us)) if router.stream is None else []
+        said = router.connect("S", by_router(now_us)) if router.stream_id is None else []
         for output in [*said, *router.acknowledge(by_router(now_us))]:
-            if isinstance(output, Connect):
-                source.heard_from_follower(0, output.join, by_source(now_us))
-            elif isinstance(output, Send) and isinstance(output.message, Progress):
-                source.heard_from_follower(0, output.message, by_source(now_us))
-        for output in source.send_to(0, by_source(now_us)):
-            if isinstance(output, Send) and isinstance(output.message, DownstreamMessage):
-                router.heard_from_relay(0, output.message, by_router(now_us))
+            if isinstance(output, OpenStream):
+                source.receive_from_follower(0, output.join, by_source(now_us))
+            elif isinstance(output, SendMessage) and isinstance(output.message, Progress):
+                source.receive_from_follower(0, output.message, by_source(now_us))
+        for output in source.send_due(0, by_source(now_us)):
+            if isinstance(output, SendMessage) and isinstance(output.message, DownstreamMessage):
+                router.receive_from_server(0, output.message, by_router(now_us))
     began_us = now_us
     while router.copy_age_limit(by_router(now_us)) == 0:
         (status,) = source.fanout.status(by_source(now_us))
