--- a/magpieshift/lab/simulated/fanout_histories.py
+++ b/magpieshift/lab/simulated/fanout_histories.py
@@ -8,8 +8,9 @@
 from dataclasses import dataclass
 from functools import partial
 
-from magpieshift.lab.simulated.fanout import SECOND_US, FanoutSize, SimulatedFanout
+from magpieshift.lab.simulated.fanout import SECOND_US, SimulatedFanout
 from magpieshift.lab.simulated.fanout_judge import RuleBroken
+from magpieshift.lab.simulated.fanout_layout import FanoutSize
 from magpieshift.lab.simulated.fanout_measures import check_bounds, settled
 
 LASTS_S = 45  # how long faults go on
--- a/tests/relay/test_histories.py
+++ b/tests/relay/test_histories.py
@@ -4,9 +4,10 @@
 
 import unittest
 
-from magpieshift.lab.simulated.fanout import SECOND_US, FanoutSize, SimulatedFanout
+from magpieshift.lab.simulated.fanout import SECOND_US, SimulatedFanout
 from magpieshift.lab.simulated.fanout_histories import History
 from magpieshift.lab.simulated.fanout_judge import RuleBroken
+from magpieshift.lab.simulated.fanout_layout import FanoutSize
 from magpieshift.lab.simulated.fanout_measures import check_bounds, settled
 from magpieshift.lab.simulated.fanout_message_sizes import MESSAGE_BYTES, PURGE_BYTES
 from magpieshift.relay import limits
