--- a/magpieshift/cli/lab_fleet.py
+++ b/magpieshift/cli/lab_fleet.py
@@ -28,7 +28,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from magpieshift.lab.fault_injection.scenario import Run
+    from magpieshift.lab.fault_injection.scenario import Scenario
 
 
 @click.command("members", epilog="\b\nExample:\n  magpieshift lab members --routers 8,50 --seed 1 --json")
@@ -202,16 +202,17 @@
     from magpieshift.control.errors import UnusableDocumentError
     from magpieshift.lab.fault_injection import run as runs
     from magpieshift.lab.fault_injection import scenario as scenarios
+    from magpieshift.lab.fault_injection.built_in_scenarios import BUILT_IN_SCENARIOS
 
     if listed:
-        for name, data in scenarios.KNOWN.items():
+        for name, data in BUILT_IN_SCENARIOS.items():
             click.echo(f"{name}: {len(data.get('faults', {}))} faults in {data['seconds']} s")
         return
     if scenario is None:
         raise click.UsageError("SCENARIO: found nothing, expected a file or one of --list")
     try:
-        plan = scenarios.named(scenario)
-        plan = scenarios.altered(plan, routers or plan.routers, seed or plan.seed)
+        plan = scenarios.find_scenario(scenario)
+        plan = scenarios.resized(plan, routers or plan.routers, seed or plan.seed)
     except UnusableDocumentError as err:
         raise ConfigError(f"{scenario}: {err}") from err
     path = Path(folder) if folder else Path(tempfile.mkdtemp(prefix="fleet-run-"))
@@ -265,19 +266,19 @@
         raise SystemExit(1)
 
 
-def _shrink(run: Run, path: Path, name: str) -> str:
+def _shrink(run: Scenario, path: Path, name: str) -> str:
     """Cut a failing history down to a scenario that still fails; the path of its file."""
     from magpieshift.lab.fault_injection import random_runs, scenario
     from magpieshift.lab.fault_injection import run as fault_runs
 
     attempts = itertools.count()
 
-    async def still_fails(smaller: Run) -> bool:
+    async def still_fails(smaller: Scenario) -> bool:
         """Whether this part of the history breaks a rule as well."""
         verdict = await fault_runs.play(smaller, path / f"{name}-{next(attempts)}")
         return bool(verdict["rules_broken"])
 
     smallest = asyncio.run(random_runs.shrink(run, still_fails))
     file = path / f"{name}-shrunk.sexp"
-    file.write_text(scenario.written(smallest))
+    file.write_text(scenario.format_scenario(smallest))
     return str(file)
--- a/magpieshift/cli/lab_rollout.py
+++ b/magpieshift/cli/lab_rollout.py
@@ -98,5 +98,5 @@
 
     path = Path(folder or tempfile.mkdtemp(prefix="rollout-")) / name
     row = asyncio.run(real.play(name, path, routers, seed)) | {"folder": str(path)}
-    is_bad_version = real.SCENARIOS[name][2]
+    is_bad_version = real.SCENARIOS[name].is_bad
     return row, not (row["stopped_wrongly"] or row["rules_broken"] or row["caught"] != is_bad_version)
--- a/magpieshift/lab/fault_injection/__init__.py
+++ b/magpieshift/lab/fault_injection/__init__.py
@@ -1,1 +1,1 @@
-"""A proving ground: many real router processes, and faults put between and into them."""
+"""A testbed of many real router processes, with faults injected between them and into them."""
--- a/magpieshift/lab/fault_injection/admin_clients.py
+++ b/magpieshift/lab/fault_injection/admin_clients.py
@@ -1,4 +1,4 @@
-"""Asking the routers of the proving ground at their doors, and waiting for what they say."""
+"""Commands to the admin servers of the testbed's routers, and waiting until their answers agree."""
 
 from __future__ import annotations
 
@@ -8,78 +8,98 @@
 from collections.abc import Awaitable, Callable, Iterable
 from typing import Any
 
-from magpieshift.lab.fault_injection.places import Place
+from magpieshift.lab.fault_injection.router_instance import RouterInstance
 
-UP_S = 30.0  # generous: a verdict must not hang on the machine's speed
-CALL_S = 2.0
+STARTUP_TIMEOUT_S = 30.0
+"""Seconds that anything awaited may take: generous, as a verdict must not hang on the machine's speed."""
+COMMAND_TIMEOUT_S = 2.0
+"""Seconds until an admin command counts as unanswered: paused and dead routers never answer."""
+POLL_INTERVAL_S = 0.1
+"""Seconds between two looks at a condition that is awaited."""
+MAX_ANSWER_BYTES = 1 << 20
+"""Longest answer line read: asyncio's default of 64 KiB is too little for the members of a large fleet."""
 
 
-class Doors:
-    """The doors of routers, by name."""
+class AdminClients:
+    """Clients of the admin servers of all routers, by the router's name."""
 
     def __init__(self) -> None:
-        self.places: dict[str, Place] = {}
+        self.routers: dict[str, RouterInstance] = {}
+        """All routers of the testbed, by name."""
 
-    async def call(self, name: str, word: str) -> str | None:
-        """A line from a router's door; None where nobody answers soon."""
+    async def call(self, name: str, command: str) -> str | None:
+        """Return a router's answer to an admin command; None where there is none in time."""
         try:
-            async with asyncio.timeout(CALL_S):
-                door = self.places[name].console
-                reader, writer = await asyncio.open_connection("127.0.0.1", door, limit=1 << 20)
-                writer.write(f"{word}\n".encode())
+            async with asyncio.timeout(COMMAND_TIMEOUT_S):
+                port = self.routers[name].admin_port
+                reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=MAX_ANSWER_BYTES)
+                writer.write(f"{command}\n".encode())
                 line = await reader.readline()
                 writer.close()
         except (OSError, TimeoutError, ValueError):
             return None
         return line.decode().rstrip("\n") or None
 
-    async def view(self, name: str) -> dict[str, Any] | None:
-        """What a router says of its members."""
-        line = await self.call(name, "MEMBERS")
-        if line is None or not line.startswith("OK "):
-            return None
-        found: dict[str, Any] = json.loads(line[3:])
-        return found
+    async def membership_view(self, name: str) -> dict[str, Any] | None:
+        """Return a router's answer to MEMBERS: its view of the fleet's members."""
+        return await self._json_answer(name, "MEMBERS")
+
+    async def overload_view(self, name: str) -> dict[str, Any] | None:
+        """Return a router's answer to TALK: what it knows of failing endpoints and of handovers."""
+        return await self._json_answer(name, "TALK")
 
-    async def talk(self, name: str) -> dict[str, Any] | None:
-        """What a router says of failing stores, and of handing over."""
-        line = await self.call(name, "TALK")
+    async def _json_answer(self, name: str, command: str) -> dict[str, Any] | None:
+        line = await self.call(name, command)
         if line is None or not line.startswith("OK "):
             return None
-        found: dict[str, Any] = json.loads(line[3:])
-        return found
+        answer: dict[str, Any] = json.loads(line[3:])
+        return answer
 
-    async def views(self, names: Iterable[str] | None = None) -> dict[str, dict[str, Any]]:
-        """The views of all who live and run."""
-        running = [p.name for p in self.places.values() if p.alive and not p.paused]
+    async def membership_views(self, names: Iterable[str] | None = None) -> dict[str, dict[str, Any]]:
+        """Return the membership views of these routers, or else of all that run; those that answer."""
+        running = [router.name for router in self.routers.values() if router.alive and not router.paused]
         wanted = running if names is None else list(names)
-        found = await asyncio.gather(*(self.view(name) for name in wanted))
-        return {name: view for name, view in zip(wanted, found, strict=True) if view is not None}
+        views = await asyncio.gather(*(self.membership_view(name) for name in wanted))
+        return {name: view for name, view in zip(wanted, views, strict=True) if view is not None}
 
     @staticmethod
-    def here(view: dict[str, Any]) -> list[str]:
+    def present_members(view: dict[str, Any]) -> list[str]:
+        """Return the members that a view counts as present: alive or suspected."""
         return [row["name"] for row in view["members"] if row["standing"] in ("alive", "suspected")]
 
     @staticmethod
-    def standing(view: dict[str, Any], name: str) -> str:
+    def member_state(view: dict[str, Any], name: str) -> str:
+        """Return the state of a member in a view, ``unknown`` where it is not there."""
         return next((row["standing"] for row in view["members"] if row["name"] == name), "unknown")
 
-    async def agreed(self, names: Iterable[str] | None = None) -> bool:
-        """Whether all who live have one view, of exactly those who live."""
-        living = sorted(p.name for p in self.places.values() if p.alive)
+    async def views_agree(self, names: Iterable[str] | None = None) -> bool:
+        """Whether these routers, or else all living ones, have one view, of exactly the living ones.
+
+        Paused routers are not asked.
+        """
+        living = sorted(router.name for router in self.routers.values() if router.alive)
         wanted = sorted(names) if names is not None else living
-        views = await self.views([name for name in wanted if not self.places[name].paused])
-        if len(views) < len([name for name in wanted if not self.places[name].paused]):
+        answering = [name for name in wanted if not self.routers[name].paused]
+        views = await self.membership_views(answering)
+        if len(views) < len(answering):
             return False
         return len({view["digest"] for view in views.values()}) == 1 and all(
-            sorted(self.here(view)) == living for view in views.values()
+            sorted(self.present_members(view)) == living for view in views.values()
         )
 
-    async def until(self, true: Callable[[], Awaitable[bool]], what: str, within_s: float = UP_S) -> float:
-        """Wait for something to come true; how long it took. ``AssertionError`` where it does not."""
+    async def wait_until(
+        self,
+        condition: Callable[[], Awaitable[bool]],
+        description: str,
+        timeout_s: float = STARTUP_TIMEOUT_S,
+    ) -> float:
+        """Wait for a condition; return how long it took, in seconds.
+
+        Raises ``AssertionError`` with the description where it takes longer than the timeout.
+        """
         began = time.monotonic()
-        while not await true():
-            if time.monotonic() - began > within_s:
-                raise AssertionError(f"not within {within_s:g} s: {what}")
-            await asyncio.sleep(0.1)
+        while not await condition():
+            if time.monotonic() - began > timeout_s:
+                raise AssertionError(f"not within {timeout_s:g} s: {description}")
+            await asyncio.sleep(POLL_INTERVAL_S)
         return time.monotonic() - began
--- a/magpieshift/lab/fault_injection/checks.py
+++ b/magpieshift/lab/fault_injection/checks.py
@@ -1,7 +1,7 @@
-"""What is judged of a fleet of processes from outside: a plug for each invariant.
+"""What is checked of a fleet of processes from outside: one class for each invariant.
 
-A check is shown the fleet now and then while it runs, and asked at the end for what it saw broken. The rules
-at the stores are ``emulator.Rules``, which all stores and routers of a run have in common.
+A check observes the fleet now and then while it runs, and is asked at the end for the violations it saw. The
+rules at the endpoints are ``emulator.Rules``, which all endpoints and routers of a run have in common.
 """
 
 from __future__ import annotations
@@ -9,163 +9,220 @@
 import math
 import os
 from collections.abc import Mapping
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any, Protocol
 
-WHOLE = 1.0 + 1e-4  # shares are logged to six places
-# as the cluster's settings say
-MEMORY_MB = 64
-SOCKETS = 512
+from magpieshift.lab.fault_injection.outages import ENDLESS, Halt
 
+MAX_TOTAL_QUOTA = 1.0 + 1e-4
+"""Most that all quotas may come to: the whole, and the rounding of logs that write six places."""
+MAX_MEMORY_MB = 64
+"""Memory limit of a router process, as the cluster's settings have it."""
+MAX_DESCRIPTORS = 512
+"""Limit of a router's file descriptors, as the cluster's settings have it."""
+MAX_SENT_PER_SERVED = 10
+"""Requests sent for each one served, beyond which a fleet counts as useless: many, as scenarios take most
+endpoints away."""
+MAX_EXAMPLES = 5
+"""Lost requests that a violation names: enough to begin with."""
+MAX_TRACEBACK_CHARACTERS = 600
+"""How much of a traceback a violation quotes: its first frames."""
+QUOTA_TOLERANCE = 1e-9
+"""Rise of the total that counts as a rise, beyond the error of float sums."""
 
-class Seen(Protocol):
-    """What a check may look at."""
+
+class ObservedFleet(Protocol):
+    """What a check may observe."""
 
     folder: Path
+    """Where the routers' logs are."""
 
     def running(self) -> Mapping[str, int]:
-        """Process ids by router."""
+        """Return process ids by router."""
         ...
 
-    def idle(self) -> list[tuple[str, int, float, float]]:
-        """Who, of which start, could do nothing, from when until when on the steady clock."""
+    def halts(self) -> list[Halt]:
+        """Return when processes were paused or dead."""
         ...
 
-    def counted(self) -> Mapping[str, int]:
-        """What became of the clients' requests."""
+    def request_counts(self) -> Mapping[str, int]:
+        """Return what became of the clients' requests."""
         ...
 
-    def missed(self) -> list[str]:
-        """Some of those lost, each in a line."""
+    def lost_examples(self) -> list[str]:
+        """Return some of the lost requests, each in a line."""
         ...
 
 
 class Check(Protocol):
     """One invariant."""
 
-    def look(self, fleet: Seen, views: Mapping[str, Mapping[str, Any]]) -> None:
-        """The fleet as it is at this moment, with the views of those who answered."""
+    def observe(self, fleet: ObservedFleet, views: Mapping[str, Mapping[str, Any]]) -> None:
+        """Observe the fleet at this moment, with the membership views of those that answered."""
         ...
 
-    def broken(self, fleet: Seen) -> list[str]:
-        """At the end: a line for each breach; none where it held."""
+    def violations(self, fleet: ObservedFleet) -> list[str]:
+        """Return a line for each violation, at the end of the run; none where the invariant held."""
         ...
 
 
-class Quiet:
-    """A check that need not look meanwhile."""
+class FinalCheck:
+    """A check that needs to observe nothing while the fleet runs."""
 
-    def look(self, fleet: Seen, views: Mapping[str, Mapping[str, Any]]) -> None:
-        pass
+    def observe(self, fleet: ObservedFleet, views: Mapping[str, Mapping[str, Any]]) -> None:
+        """Do nothing."""
 
 
-class Answers(Quiet):
-    """One final answer to each request that a router could answer; and they are of use."""
+class AnswerCheck(FinalCheck):
+    """Each request that a router could answer has one final answer, and enough of them are served."""
 
-    def broken(self, fleet: Seen) -> list[str]:
-        counted = fleet.counted()
+    def violations(self, fleet: ObservedFleet) -> list[str]:
+        """Return lost requests, requests with two answers, and a fleet that serves next to nothing."""
+        counts = fleet.request_counts()
         found = []
-        if counted["lost"]:
-            found.append(f"{counted['lost']} requests lost, such as {'; '.join(fleet.missed()[:5])}")
-        if counted["doubles"]:
-            found.append(f"{counted['doubles']} requests answered twice")
-        if counted["sent"] and counted["served"] < counted["sent"] / 10:
-            found.append(f"{counted['served']} requests served of {counted['sent']}")
+        if counts["lost"]:
+            examples = "; ".join(fleet.lost_examples()[:MAX_EXAMPLES])
+            found.append(f"{counts['lost']} requests lost, such as {examples}")
+        if counts["doubles"]:
+            found.append(f"{counts['doubles']} requests answered twice")
+        if counts["sent"] and counts["served"] < counts["sent"] / MAX_SENT_PER_SERVED:
+            found.append(f"{counts['served']} requests served of {counts['sent']}")
         return found
 
 
-class Logs(Quiet):
-    """No router raised anything that it did not expect."""
+class LogCheck(FinalCheck):
+    """No router raised an error that it did not expect."""
 
-    def broken(self, fleet: Seen) -> list[str]:
+    def violations(self, fleet: ObservedFleet) -> list[str]:
+        """Return the first traceback of each log."""
         found = []
         for log in sorted(fleet.folder.glob("*.log")):
             text = log.read_text(errors="replace")
             if "Traceback" in text:
-                found.append(f"{log.name}: {text[text.index('Traceback') :][:600]}")
+                quoted = text[text.index("Traceback") :][:MAX_TRACEBACK_CHARACTERS]
+                found.append(f"{log.name}: {quoted}")
         return found
 
 
-class Limits:
+class ResourceLimitCheck:
     """Memory and descriptors of each process stay within its settings."""
 
     def __init__(self) -> None:
-        self.most_mb = 0.0
-        self.most_open = 0
+        self.max_memory_mb = 0.0
+        """Most resident memory seen in one process."""
+        self.max_descriptors = 0
+        """Most open descriptors seen in one process."""
 
-    def look(self, fleet: Seen, views: Mapping[str, Mapping[str, Any]]) -> None:
+    def observe(self, fleet: ObservedFleet, views: Mapping[str, Mapping[str, Any]]) -> None:
+        """Read each process's memory and descriptors from /proc."""
         for pid in fleet.running().values():
             try:
                 pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
-                self.most_open = max(self.most_open, len(os.listdir(f"/proc/{pid}/fd")))
+                self.max_descriptors = max(self.max_descriptors, len(os.listdir(f"/proc/{pid}/fd")))
             except (OSError, IndexError):
                 continue  # it ended meanwhile
-            self.most_mb = max(self.most_mb, pages * os.sysconf("SC_PAGE_SIZE") / (1 << 20))
-
-    def broken(self, fleet: Seen) -> list[str]:
-        found = []
-        if self.most_mb > MEMORY_MB:
-            found.append(f"a process held {self.most_mb:.1f} MB, limit {MEMORY_MB}")
-        if self.most_open > SOCKETS:
-            found.append(f"a process had {self.most_open} descriptors, limit {SOCKETS}")
-        return found
-
+            self.max_memory_mb = max(self.max_memory_mb, pages * os.sysconf("SC_PAGE_SIZE") / (1 << 20))
 
-class Shares(Quiet):
-    """What all may use at an instant, in all: never more than the whole.
-
-    The routers' own logs tell each change of a share, on the clock that all processes of a machine have in
-    common. A process that stands still or is dead uses nothing; one that is being replaced looks before it
-    acts whether its successor lives, and then uses half."""
-
-    def broken(self, fleet: Seen) -> list[str]:
-        most, when = self.most(fleet)
-        return [f"shares came to {most:.4f} of the whole at {when:.3f}"] if most > WHOLE else []
-
-    def most(self, fleet: Seen) -> tuple[float, float]:
-        """The most they came to, and when."""
-        steps: list[tuple[float, float, str]] = []
-        for log in fleet.folder.glob("*.log"):
-            name, start, _ = log.name.split(".")
-            changes = self._changes(log)
-            successor = fleet.folder / f"{name}.{int(start) + 1}.log"
-            if successor.exists() and (begun := self._changes(successor)[:1]):
-                at = begun[0][0]
-                held = [share for when, share in changes if when <= at]
-                ended = any((who, str(n)) == (name, start) and a < at for who, n, a, _ in fleet.idle())
-                if held and not ended:
-                    steps.append((math.nextafter(at, 0.0), held[-1] / 2, log.name))  # before it acts
-            steps += [(at, share, log.name) for at, share in changes]
-            for who, which, since, until in fleet.idle():
-                if (who, str(which)) != (name, start):
-                    continue
-                held = [share for at, share in changes if at <= since]
-                steps.append((since, 0.0, log.name))
-                later = any(since < at < until for at, _ in changes)
-                if until != float("inf") and held and not later:
-                    # it reads the clock before it acts: what it then logs is what it may use
-                    nexts = [share for at, share in changes if at >= until]
-                    steps.append((until, min([held[-1], *nexts[:1]]), log.name))
-        now: dict[str, float] = {}
-        most = 0.0
-        when = 0.0
-        for at, share, which_log in sorted(steps, key=lambda step: (step[0], step[1])):
-            now[which_log] = share
-            if (total := sum(now.values())) > most + 1e-9:
-                most = total
-                when = at
-        return most, when
-
-    @staticmethod
-    def _changes(log: Path) -> list[tuple[float, float]]:
+    def violations(self, fleet: ObservedFleet) -> list[str]:
+        """Return the limits that some process exceeded."""
         found = []
-        for line in log.read_text(errors="replace").splitlines():
-            if " event=share " in line:
-                pairs = dict(word.split("=", 1) for word in line.split() if "=" in word)
-                found.append((int(pairs["at_us"]) / 1e6, float(pairs["share"])))
+        if self.max_memory_mb > MAX_MEMORY_MB:
+            found.append(f"a process held {self.max_memory_mb:.1f} MB, limit {MAX_MEMORY_MB}")
+        if self.max_descriptors > MAX_DESCRIPTORS:
+            found.append(f"a process had {self.max_descriptors} descriptors, limit {MAX_DESCRIPTORS}")
         return found
 
 
-def standard() -> list[Check]:
-    """What holds in every run."""
-    return [Answers(), Logs(), Limits(), Shares()]
+@dataclass(frozen=True)
+class QuotaChange:
+    """From when on a process may use which quota."""
+
+    at_s: float
+    """Time in seconds on the clock of the routers' logs."""
+    quota: float
+    """Share of the whole, 0 to 1."""
+    log_name: str
+    """The log of the process."""
+
+
+class QuotaCheck(FinalCheck):
+    """At no instant do the quotas that all processes may use come to more than the whole.
+
+    The routers' logs have each change of a quota, on the clock that all processes of a machine have in
+    common. A process that is halted uses nothing; one that is being replaced checks before it acts whether
+    its successor lives, and then uses half.
+    """
+
+    def violations(self, fleet: ObservedFleet) -> list[str]:
+        """Return the greatest total, where it is more than the whole."""
+        total, at_s = self.max_total(fleet)
+        if total <= MAX_TOTAL_QUOTA:
+            return []
+        return [f"shares came to {total:.4f} of the whole at {at_s:.3f}"]
+
+    def max_total(self, fleet: ObservedFleet) -> tuple[float, float]:
+        """Return the greatest total of quotas, and when it was reached, in seconds."""
+        changes = [change for log in fleet.folder.glob("*.log") for change in _effective_changes(fleet, log)]
+        quotas: dict[str, float] = {}
+        max_total = 0.0
+        max_at_s = 0.0
+        for change in sorted(changes, key=lambda change: (change.at_s, change.quota)):
+            quotas[change.log_name] = change.quota
+            if (total := sum(quotas.values())) > max_total + QUOTA_TOLERANCE:
+                max_total = total
+                max_at_s = change.at_s
+        return max_total, max_at_s
+
+
+def _effective_changes(fleet: ObservedFleet, log: Path) -> list[QuotaChange]:
+    """All changes of the quota that one process may use: those logged, by its successor, and by its halts."""
+    name, start, _ = log.name.split(".")
+    logged = _logged_changes(log)
+    halts = [halt for halt in fleet.halts() if (halt.router, str(halt.start)) == (name, start)]
+    successor = fleet.folder / f"{name}.{int(start) + 1}.log"
+    changes = _halved_by_successor(logged, halts, successor, log.name) + logged
+    for halt in halts:
+        changes += _changes_by_halt(logged, halt, log.name)
+    return changes
+
+
+def _halved_by_successor(
+    logged: list[QuotaChange], halts: list[Halt], successor: Path, log_name: str
+) -> list[QuotaChange]:
+    """The change to half of the quota when the successor of a living process first acts."""
+    begun = _logged_changes(successor)[:1] if successor.exists() else []
+    if not begun:
+        return []
+    at_s = begun[0].at_s
+    held = [change.quota for change in logged if change.at_s <= at_s]
+    if not held or any(halt.since_s < at_s for halt in halts):
+        return []
+    return [QuotaChange(math.nextafter(at_s, 0.0), held[-1] / 2, log_name)]  # just before the successor acts
+
+
+def _changes_by_halt(logged: list[QuotaChange], halt: Halt, log_name: str) -> list[QuotaChange]:
+    """The changes to nothing while a process is halted, and back when it is resumed."""
+    changes = [QuotaChange(halt.since_s, 0.0, log_name)]
+    held = [change.quota for change in logged if change.at_s <= halt.since_s]
+    logged_meanwhile = any(halt.since_s < change.at_s < halt.until_s for change in logged)
+    if halt.until_s != ENDLESS and held and not logged_meanwhile:
+        # it reads the clock before it acts: what it logs next is what it may use from its resumption on
+        following = [change.quota for change in logged if change.at_s >= halt.until_s]
+        changes.append(QuotaChange(halt.until_s, min([held[-1], *following[:1]]), log_name))
+    return changes
+
+
+def _logged_changes(log: Path) -> list[QuotaChange]:
+    """The changes of its quota that a process logged."""
+    changes = []
+    for line in log.read_text(errors="replace").splitlines():
+        if " event=share " in line:
+            pairs = dict(word.split("=", 1) for word in line.split() if "=" in word)
+            changes.append(QuotaChange(int(pairs["at_us"]) / 1e6, float(pairs["share"]), log.name))
+    return changes
+
+
+def standard_checks() -> list[Check]:
+    """Return the checks that hold in every run."""
+    return [AnswerCheck(), LogCheck(), ResourceLimitCheck(), QuotaCheck()]
--- a/magpieshift/lab/fault_injection/cluster.py
+++ b/magpieshift/lab/fault_injection/cluster.py
@@ -1,9 +1,9 @@
-"""Many router processes amid an emulated installation, owned by id: started, stopped, paused, killed and
-started again, with faults on every link between any two of them.
+"""Many router processes amid emulated endpoints, owned by id: started, stopped, paused, killed and started
+again, with faults on every link between any two processes.
 
-The ends of links are the routers (r0, r1, ...), the stores by place (box1, hub1, origin), the change log
-(``log``) and the clients (``clients``). Routers speak to each other in datagrams
-through a ``Switch``, all else goes in streams, each pair through a ``Relay`` of its own.
+The ends of links are the routers (r0, r1, ...), the endpoints by place (box1, hub1, origin), the change log
+(``log``) and the clients (``clients``). Routers send each other datagrams through a ``Switch``; all else goes
+in streams, each pair through a ``Relay`` of its own.
 """
 
 from __future__ import annotations
@@ -19,210 +19,248 @@
 from magpieshift.lab.emulators import emulated
 from magpieshift.lab.emulators.emulator import Rules
 from magpieshift.lab.emulators.load import CROSSED_S, Load
-from magpieshift.lab.fault_injection import checks, skewed
-from magpieshift.lab.fault_injection.admin_clients import UP_S
-from magpieshift.lab.fault_injection.network import CLIENTS, LOG, Network
-from magpieshift.lab.fault_injection.outages import Idle
-from magpieshift.lab.fault_injection.places import Place
+from magpieshift.lab.fault_injection import checks, skewed_clock
+from magpieshift.lab.fault_injection.admin_clients import STARTUP_TIMEOUT_S
+from magpieshift.lab.fault_injection.environment import Environment
+from magpieshift.lab.fault_injection.network import CHANGE_LOG, CLIENTS, Network
+from magpieshift.lab.fault_injection.outages import Halt
 from magpieshift.lab.fault_injection.ports import free_ports
-from magpieshift.lab.fault_injection.processes import PROGRAM, Processes
-from magpieshift.lab.fault_injection.surroundings import Surroundings
+from magpieshift.lab.fault_injection.processes import PROGRAM, RouterProcesses
+from magpieshift.lab.fault_injection.router_instance import RouterInstance
 from magpieshift.lab.fault_injection.switch import Switch
 
-OBJECTS = 400
+OBJECT_COUNT = 400
+"""Objects that clients ask for: few enough that caches fill within a run."""
 SLACK_S = 0.05
-WATCH_S = 0.2  # between two looks of the checks
-KINDS = ("sent", "served", "refused", "failed", "lost", "cut")  # of requests
+"""Seconds granted beyond the time limits of the rules, as the platform grants them."""
+CHECK_INTERVAL_S = 0.2
+"""Seconds between two looks of the checks: short beside any fault that a scenario injects."""
+PORTS_PER_ROUTER = 5
+"""Clients', two admin ports, private and public port for datagrams."""
+VOTER_COUNT = 3
+"""Routers named in ``council`` of the settings: the smallest number that survives the loss of one."""
+MAX_EXAMPLES = 5
+"""Breaches of the endpoints' rules that a report shows in full: enough to begin with."""
+REQUEST_OUTCOMES = ("sent", "served", "refused", "failed", "lost", "cut")
+"""What is counted of the clients' requests."""
 
 
-class Cluster(Processes):
-    """Owner of the installation, the network, the clients and all router processes.
+class Cluster(RouterProcesses):
+    """Owner of the endpoints, the network, the clients and all router processes.
 
-    ``digests`` and ``hand_over`` are set as in the settings' members. ``slack_s`` is granted beyond the
-    time limits of the rules on top of the platform's 0.05 s: more where a verdict must not hang on how busy
-    the machine is. ``clocks`` names the routers whose clocks can be set."""
+    ``solo_quota``, ``digests`` and ``hand_over`` are the members' settings ``alone``, ``digests`` and
+    ``hand-over``; ``seed_count`` routers are named in ``seeds``. ``requests_per_s`` is each client's rate.
+    ``slack_s`` is granted beyond the time limits of the rules: more than the platform's where a verdict must
+    not hang on how busy the machine is. ``clocks`` names the routers whose clocks can be set.
+    """
 
     def __init__(
         self,
         folder: Path,
         routers: int,
         seed: int = 1,
-        alone: float = 0.5,
-        rate: float = 20.0,
+        solo_quota: float = 0.5,
+        requests_per_s: float = 20.0,
         program: Iterable[str] = PROGRAM,
         boxes: int = 2,
         hubs: int = 1,
         slack_s: float = SLACK_S,
         clocks: Iterable[str] = (),
-        seeds: int = 3,
+        seed_count: int = 3,
         digests: bool = False,
         hand_over: bool = False,
     ) -> None:
         super().__init__(folder, program, clocks)
         self.count = routers
+        """Number of routers."""
         self.seed = seed
-        self.alone = alone
+        self.solo_quota = solo_quota
         self.network = Network()
+        """The faults between processes."""
         self.switch = Switch(seed, self.network)
-        self.rules = Rules(slack_s, self._knew)
-        self.checks: list[checks.Check] = checks.standard()
+        self.rules = Rules(slack_s, self._known_at)
+        """Rules that all endpoints and clients of the run check together."""
+        self.checks: list[checks.Check] = checks.standard_checks()
         self.loads: dict[str, Load] = {}
-        self.broken: list[str] = []
-        self._surroundings = Surroundings(self.network, self.rules, boxes, hubs, random.Random(seed))
-        self._rate = rate
-        self._seeds = seeds
+        """Clients by the router that they ask first."""
+        self.violations: list[str] = []
+        """What the checks and rules found, after ``finish``."""
+        self._environment = Environment(self.network, self.rules, boxes, hubs, random.Random(seed))
+        self._requests_per_s = requests_per_s
+        self._seed_count = seed_count
         self._digests = digests
         self._hand_over = hand_over
         self._clients: list[asyncio.Task[None]] = []
-        self._watching: asyncio.Task[None] | None = None
+        self._check_task: asyncio.Task[None] | None = None
 
     @property
-    def stores(self) -> emulated.Emulated:
-        return self._surroundings.stores
+    def endpoints(self) -> emulated.Emulated:
+        """The emulated caches, parents and origin."""
+        return self._environment.endpoints
 
     # --- beginning and end
 
     async def __aenter__(self) -> Cluster:
+        """Start everything but the routers."""
         self.folder.mkdir(parents=True, exist_ok=True)
         try:
-            await self._begin()
+            await self._start_environment()
         except BaseException:
             await self.close()
             raise
         return self
 
     async def __aexit__(self, *error: object) -> None:
+        """End all that was started."""
         await self.close()
 
-    async def _begin(self) -> None:
-        ports = iter(free_ports(5 * self.count))
+    async def _start_environment(self) -> None:
+        ports = iter(free_ports(PORTS_PER_ROUTER * self.count))
         for number in range(self.count):
-            name, port, console, second, private, public = f"r{number}", *(next(ports) for _ in range(5))
+            name = f"r{number}"
+            port, admin_port, second_admin_port, private, public = (
+                next(ports) for _ in range(PORTS_PER_ROUTER)
+            )
             await self.switch.add(name, private, public)
-            self.places[name] = Place(name, port, console, (console, second), private, public)
-            self.outages.leave(name)  # until it serves
-            await self._surroundings.start_log(name)
-        await self.stores.start()
-        for place in self.places.values():
-            await self._surroundings.relay_to(place)
-            self._write(place)
-        self.stores.tell_on()
-        self._watching = asyncio.ensure_future(self._watch())
-
-    def _write(self, place: Place) -> None:
-        names = list(self.places)
-        seeds = [f"127.0.0.1:{self.places[name].public}" for name in names[: self._seeds]]
+            self.routers[name] = RouterInstance(
+                name, port, admin_port, (admin_port, second_admin_port), private, public
+            )
+            self.outages.begin(name)  # until it serves
+            await self._environment.start_log(name)
+        await self.endpoints.start()
+        for router in self.routers.values():
+            await self._environment.relay_to(router)
+            self._write_settings(router)
+        self.endpoints.tell_on()
+        self._check_task = asyncio.ensure_future(self._run_checks())
+
+    def _write_settings(self, router: RouterInstance) -> None:
+        names = list(self.routers)
+        seeds = [f"127.0.0.1:{self.routers[name].public_port}" for name in names[: self._seed_count]]
         members = {
             "fleet": "proving",
-            "listen": f"127.0.0.1:{place.members}",
+            "listen": f"127.0.0.1:{router.private_port}",
             "seeds": seeds,
-            "advertise": f"127.0.0.1:{place.public}",
-            "alone": self.alone,
-            "council": names[: 3 if len(names) >= 3 else 1],
+            "advertise": f"127.0.0.1:{router.public_port}",
+            "alone": self.solo_quota,
+            "council": names[: VOTER_COUNT if len(names) >= VOTER_COUNT else 1],
             "digests": self._digests,
             "hand-over": self._hand_over,
         }
-        log_port = self._surroundings.log_port(place.name)
-        data = emulated.settings(place.name, place.port, log_port, self.count) | {
-            "console": f"127.0.0.1:{place.console}",
-            "router-index": int(place.name[1:]),
+        log_port = self._environment.log_port(router.name)
+        data = emulated.settings(router.name, router.port, log_port, self.count) | {
+            "console": f"127.0.0.1:{router.admin_port}",
+            "router-index": int(router.name[1:]),
             "members": members,
         }
-        path = self.folder / f"{place.name}.sexp"
+        path = self.folder / f"{router.name}.sexp"
         document = load_data(data).document
         self.rules.copies = emulated.may_copy(document)
         path.write_text(sexp.format_document(to_data(document)))
-        if place.name in self._clocks:
-            skewed.write(self.folder / f"{place.name}.clock")
+        if router.name in self._clocks:
+            skewed_clock.write_clock(self._clock_path(router.name))
 
-    async def _watch(self) -> None:
-        """Note when the change log does not reach a router, and let the checks look."""
+    async def _run_checks(self) -> None:
+        """Record when the change log does not reach a router, and let the checks observe the fleet."""
         while True:
-            for name in self.places:
-                self.outages.note_log(name, self.network.either(name, LOG))
+            for name in self.routers:
+                self.outages.record_log_faults(name, self.network.faults_either_way(name, CHANGE_LOG))
             for check in self.checks:
-                check.look(self, {})
-            await asyncio.sleep(WATCH_S)
+                check.observe(self, {})
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def close(self) -> None:
-        """End all that was started, however things stand."""
-        if self._watching is not None:
-            self._watching.cancel()
+        """End all that was started, in whatever state it is."""
+        if self._check_task is not None:
+            self._check_task.cancel()
         for task in self._clients:
             task.cancel()
         await self.end_all()
         self.switch.close()
-        await self._surroundings.close()
+        await self._environment.close()
 
-    # --- what the checks look at
+    # --- what the checks observe
 
-    def idle(self) -> list[Idle]:
-        return self.outages.idle
+    def halts(self) -> list[Halt]:
+        """Return when processes were paused or dead."""
+        return self.outages.halts
 
-    def counted(self) -> dict[str, int]:
-        found = {kind: sum(getattr(load.total, kind) for load in self.loads.values()) for kind in KINDS}
-        return found | {"doubles": sum(load.doubles for load in self.loads.values())}
+    def request_counts(self) -> dict[str, int]:
+        """Return how many requests had each outcome, and how many had two answers (``doubles``)."""
+        counts = {
+            outcome: sum(getattr(load.total, outcome) for load in self.loads.values())
+            for outcome in REQUEST_OUTCOMES
+        }
+        return counts | {"doubles": sum(load.doubles for load in self.loads.values())}
 
-    def missed(self) -> list[str]:
-        """Some of the requests that were lost, each with what its client saw."""
+    def lost_examples(self) -> list[str]:
+        """Return some of the requests that were lost, each with what its client saw."""
         return [example for load in self.loads.values() for example in load.missed]
 
-    def most_shared(self) -> tuple[float, float]:
-        """The most that all shares in use came to at any instant, and when."""
-        return checks.Shares().most(self)
+    def max_total_quota(self) -> tuple[float, float]:
+        """Return the most that all quotas in use came to at any instant, and when (Unix time in seconds)."""
+        return checks.QuotaCheck().max_total(self)
 
-    def _knew(self, ident: str, told: float) -> float:
-        """When the router that sent this could know what was told at that (Unix) time: one that is cut off
-        from the change log, or stands still, only afterwards."""
-        return self.outages.knew(f"r{int(ident[:2], 16)}" if ident else "", told)
+    def _known_at(self, request_id: str, announced_s: float) -> float:
+        """When the router that sent a request could know what was announced at that Unix time.
 
-    def _excused(self, name: str, began: float) -> bool:
-        """Whether a request of that moment may have gone without an answer: the router was killed, stood
-        still, or nothing went between it and its clients."""
-        return self.outages.away_since(name, began) or bool(self.network.either(CLIENTS, name))
+        A request's id begins with its router's number, as ``start_load`` marks it.
+        """
+        return self.outages.known_at(f"r{int(request_id[:2], 16)}" if request_id else "", announced_s)
+
+    def _is_excused(self, name: str, began_s: float) -> bool:
+        """Whether a request begun then may go unanswered: its router was halted, or cut from its clients."""
+        return self.outages.unavailable_since(name, began_s) or bool(
+            self.network.faults_either_way(CLIENTS, name)
+        )
 
     # --- load
 
-    def load(self, roam: bool = False) -> None:
-        """Clients at each router, until ``settle``; where they ``roam``, who is refused comes back at another
-        router."""
-        for number, place in enumerate(self.places.values()):
-            name = place.name
-            mark = f"{number:02x}"
+    def start_load(self, roam: bool = False) -> None:
+        """Start clients at each router, until ``finish``.
+
+        Where they ``roam``, a client that is rejected comes back at another router.
+        """
+        for number, router in enumerate(self.routers.values()):
+            name = router.name
             load = Load(
-                place.clients,
-                self._rate,
-                OBJECTS,
+                router.client_port,
+                self._requests_per_s,
+                OBJECT_COUNT,
                 self.seed * 1000 + number,
                 self.rules.served,
-                mark,
-                lambda began, name=name: self._excused(name, began),  # type: ignore[misc]
+                f"{number:02x}",
+                lambda began, name=name: self._is_excused(name, began),  # type: ignore[misc]
                 CROSSED_S + self.rules.slack_s - SLACK_S,
-                [other.clients for other in self.places.values() if roam and other is not place],
+                [other.client_port for other in self.routers.values() if roam and other is not router],
             )
             self.loads[name] = load
             self._clients.append(asyncio.ensure_future(load.run(float("inf"))))
 
-    def service(self, seconds: int = 3) -> float:
-        """The share of what clients asked for that was served, over the last whole seconds whose answers are
-        due; 1 where nothing was asked."""
+    def served_share(self, seconds: int = 3) -> float:
+        """Return the share of requests that were served, over the last whole seconds whose answers are due.
+
+        It is 1 where nothing was requested. The last three seconds' answers may still be under way.
+        """
         sent = 0
         served = 0
         for load in self.loads.values():
             for second in load.slices[-seconds - 3 : -3]:
-                sent = sent + second.sent
-                served = served + second.served
+                sent += second.sent
+                served += second.served
         return served / sent if sent else 1.0
 
-    async def settle(self) -> dict[str, int]:
-        """Stop the load, wait for the last answers, count, and ask all checks; what they found is in
-        ``broken``."""
+    async def finish(self) -> dict[str, int]:
+        """Stop the load, wait for the last answers and ask all checks; return the requests' counts.
+
+        What the checks found is in ``violations``.
+        """
         for load in self.loads.values():
             load.settle()
         with contextlib.suppress(asyncio.CancelledError):
-            await asyncio.wait_for(asyncio.gather(*self._clients, return_exceptions=True), UP_S)
+            await asyncio.wait_for(asyncio.gather(*self._clients, return_exceptions=True), STARTUP_TIMEOUT_S)
         for check in self.checks:
-            self.broken += check.broken(self)
-        self.broken += [f"{count} times: {rule}" for rule, count in self.rules.broken.items()]
-        self.broken += self.rules.examples[:5] if self.rules.broken else []
-        return self.counted()
+            self.violations += check.violations(self)
+        self.violations += [f"{count} times: {rule}" for rule, count in self.rules.broken.items()]
+        self.violations += self.rules.examples[:MAX_EXAMPLES] if self.rules.broken else []
+        return self.request_counts()
--- /dev/null
+++ b/magpieshift/lab/fault_injection/defective_router.py
@@ -0,0 +1,111 @@
+"""A router with a defect that is injected on purpose:
+``python -m magpieshift.lab.fault_injection.defective_router DEFECT MAGNITUDE run ...``.
+
+A rollout has to notice it. Defects are wrapped round the engine from outside: the product has none of this.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import random
+import sys
+import time
+from argparse import ArgumentParser
+from collections.abc import Callable
+from dataclasses import replace
+from itertools import count
+
+from magpieshift.engine.engine import Engine
+from magpieshift.engine.model import ClientRequest
+from magpieshift.extensions import runner
+from magpieshift.log import setup
+
+DEFECTS = ("none", "worse", "leak", "slower", "no-start", "mute", "late-crash")
+"""Defects by name; each takes one number, see ``inject_defect`` and ``main``."""
+FAILING_CLASS = "picture"
+"""The request class that the defect ``worse`` fails: the lab's load has enough of it to be noticed."""
+FAILING_TIME_LEFT_US = 1_000
+"""Time left given to a request that is to fail, in microseconds: no endpoint answers so soon."""
+FIRST_UNUSED_ID = 1 << 40
+"""First number returned for requests that never reach the engine: far beyond the engine's own."""
+LEAK_INTERVAL_S = 0.1
+"""Seconds between two steps of the leak: fine enough to look continuous."""
+START_FAILURE_EXIT_CODE = 3
+"""Exit code of ``no-start``: any but 0."""
+CRASH_EXIT_CODE = 7
+"""Exit code of ``late-crash``: any but 0, and told apart from ``no-start``."""
+
+
+def inject_defect(engine: Engine, defect: str, magnitude: float) -> None:
+    """Wrap the one place where the engine takes requests.
+
+    ``magnitude`` is, for ``worse``, the share of one class that fails; for ``slower``, the processor time
+    added to a request, in milliseconds. Other defects leave the engine as it is or ignore it.
+    """
+    submit: Callable[..., int] = engine.submit
+    draw = random.Random(1)
+    unused_ids = count(FIRST_UNUSED_ID)
+
+    def worse(request: ClientRequest, *arguments: object) -> int:
+        if request.class_name == FAILING_CLASS and draw.random() < magnitude:
+            return submit(replace(request, time_left_us=FAILING_TIME_LEFT_US), *arguments)
+        return submit(request, *arguments)
+
+    def slower(request: ClientRequest, *arguments: object) -> int:
+        end = time.process_time() + magnitude * 1e-3
+        while time.process_time() < end:
+            pass
+        return submit(request, *arguments)
+
+    def mute(request: ClientRequest, *arguments: object) -> int:
+        return next(unused_ids)  # never answered
+
+    wrapper = {"worse": worse, "slower": slower, "mute": mute}.get(defect)
+    if wrapper is not None:
+        engine.submit = wrapper  # type: ignore[method-assign, assignment]
+
+
+async def leak_memory(mb_per_s: float) -> None:
+    """Hold ever more memory, so many megabytes a second, until cancelled."""
+    held: list[bytes] = []
+    while True:
+        held.append(os.urandom(int(mb_per_s * 1e6 * LEAK_INTERVAL_S)))
+        await asyncio.sleep(LEAK_INTERVAL_S)
+
+
+def _parser() -> ArgumentParser:
+    parser = ArgumentParser(prog="faulty")
+    parser.add_argument("defect", choices=DEFECTS)
+    parser.add_argument("magnitude", type=float)
+    parser.add_argument("run")
+    parser.add_argument("--config", required=True)
+    parser.add_argument("--console", default="")
+    parser.add_argument("--label", default="")
+    parser.add_argument("--term", type=int, default=-1)
+    return parser
+
+
+def main() -> None:
+    """Run a router with a defect: ``leak`` in megabytes a second, ``late-crash`` after so many seconds."""
+    arguments = _parser().parse_args()
+    if arguments.defect == "no-start":
+        sys.exit(START_FAILURE_EXIT_CODE)
+    setup("INFO")
+    tasks: list[asyncio.Task[None]] = []
+
+    def prepared(installation: runner.Installation) -> None:
+        inject_defect(installation.router.engine, arguments.defect, arguments.magnitude)
+        if arguments.defect == "leak":
+            tasks.append(asyncio.ensure_future(leak_memory(arguments.magnitude)))
+        if arguments.defect == "late-crash":
+            asyncio.get_running_loop().call_later(arguments.magnitude, os._exit, CRASH_EXIT_CODE)
+
+    options = runner.Options(
+        config=arguments.config, console=arguments.console, label=arguments.label, term=arguments.term
+    )
+    runner.run(options, prepared)
+
+
+if __name__ == "__main__":
+    main()
--- /dev/null
+++ b/magpieshift/lab/fault_injection/environment.py
@@ -0,0 +1,74 @@
+"""What surrounds the testbed's routers: emulated endpoints, change logs, and a relay on each link to them."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from typing import Any
+
+from magpieshift.lab.emulators import emulated, peers
+from magpieshift.lab.emulators.emulator import Rules
+from magpieshift.lab.fault_injection.network import CHANGE_LOG, CLIENTS, Network
+from magpieshift.lab.fault_injection.relay import Relay
+from magpieshift.lab.fault_injection.router_instance import RouterInstance
+
+
+class Environment:
+    """Owner of the emulated endpoints, of a change log for each router, and of all relays."""
+
+    def __init__(self, network: Network, rules: Rules, boxes: int, hubs: int, rand: random.Random) -> None:
+        self._network = network
+        self.endpoints = emulated.Emulated(boxes, hubs, rules, rand, self._announce)
+        """The caches, parents and the origin."""
+        self._logs: dict[str, peers.Log] = {}
+        """Change logs by router."""
+        self._relays: dict[tuple[str, str], Relay] = {}
+        """By source and target."""
+
+    async def start_log(self, name: str) -> None:
+        """Start the change log of one router."""
+        self._logs[name] = peers.Log()
+        await self._logs[name].start()
+
+    async def relay_to(self, router: RouterInstance) -> None:
+        """Start relays from a router to all that it connects to, and one from its clients to it."""
+        await self._relay(router.name, CHANGE_LOG, self._logs[router.name].port)
+        for place, endpoint in self.endpoints.places.items():
+            await self._relay(router.name, place, endpoint.port)
+        router.client_port = (await self._relay(CLIENTS, router.name, router.port)).port
+
+    async def _relay(self, source: str, target: str, port: int) -> Relay:
+        relay = Relay(self._network, source, target, port)
+        self._relays[source, target] = relay
+        await relay.start()
+        return relay
+
+    def log_port(self, name: str) -> int:
+        """Return the port where a router reaches its change log."""
+        return self._relays[name, CHANGE_LOG].port
+
+    def _announce(self, event: dict[str, Any]) -> None:
+        """Send a watch event to each router, with each endpoint at the end of that router's own relay."""
+        for name, log in self._logs.items():
+            routed = event
+            if "fleet" in event:
+                members = [
+                    member | {"host_port": f"127.0.0.1:{self._relays[name, _place(member['id'])].port}"}
+                    for member in event["fleet"]["members"]
+                ]
+                routed = event | {"fleet": event["fleet"] | {"members": members}}
+            log.tell(**routed)
+
+    async def close(self) -> None:
+        """Stop relays, change logs and endpoints."""
+        for relay in self._relays.values():
+            relay.close()
+        for log in self._logs.values():
+            log.stop()
+        self.endpoints.stop()
+        await asyncio.sleep(0)
+
+
+def _place(endpoint_id: str) -> str:
+    """The place of an endpoint, by its id."""
+    return endpoint_id.split("-")[1]
--- a/magpieshift/lab/fault_injection/network.py
+++ b/magpieshift/lab/fault_injection/network.py
@@ -1,67 +1,71 @@
-"""The network between processes: which faults are on which direction of which link, and what they come to
-together."""
+"""The faults between processes, by direction of each link, and what they come to together."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass, fields
-from typing import Any
+from dataclasses import dataclass
 
-ANY = "*"
-ROUTERS = "routers"
-# ends besides the routers (r0, r1, ...) and the stores by place (box1, hub1, origin)
-LOG = "log"
+ANY_END = "*"
+"""A link's end that stands for any process."""
+ANY_ROUTER = "routers"
+"""A link's end that stands for any router (r0, r1, ...)."""
+# ends besides the routers and the endpoints by place (box1, hub1, origin)
+CHANGE_LOG = "log"
 CLIENTS = "clients"
 
 
-def _names(end: str) -> tuple[str, ...]:
-    """What an end may be called: by its name, as one of the routers (r0, r1, ...), as anybody."""
-    return (end, ROUTERS, ANY) if end[:1] == "r" and end[1:].isdigit() else (end, ANY)
+def _matching_ends(end: str) -> tuple[str, ...]:
+    """The ends of faults that cover this end."""
+    is_router = end[:1] == "r" and end[1:].isdigit()
+    return (end, ANY_ROUTER, ANY_END) if is_router else (end, ANY_END)
 
 
 @dataclass
 class LinkFault:
-    """What happens on one direction of one link; several that fit add up.
+    """What happens on one direction of one link; several that cover it add up.
 
-    Datagrams are lost, doubled and overtake each other. A stream is never torn inside: what is cut waits
-    until the link heals, as sent again by the system would, and ``lose`` and ``double`` do nothing to it.
+    Datagrams are lost, duplicated and reordered. A stream is never torn inside: what is cut waits until the
+    link heals, as if the system sent it again, and ``loss_share`` and ``duplicate_share`` do nothing to it.
     """
 
     cut: bool = False
-    lose: float = 0.0  # share of datagrams
+    """Nothing passes."""
+    loss_share: float = 0.0
+    """Share of datagrams lost, 0 to 1."""
     delay_ms: float = 0.0
-    jitter_ms: float = 0.0  # up to so much more, drawn for each datagram: they overtake each other
-    double: float = 0.0  # share of datagrams that come twice
-    reset: bool = False  # streams: open connections are reset, and new ones at once
-    silent: bool = False  # streams: connections are accepted, and nothing is ever said on them
-    kb_per_s: float = 0.0  # streams: no more than this; 0 is no limit
+    """Delay of each datagram and of each piece of a stream."""
+    jitter_ms: float = 0.0
+    """Most further delay of a datagram, drawn for each: they overtake each other."""
+    duplicate_share: float = 0.0
+    """Share of datagrams that arrive twice, 0 to 1."""
+    reset: bool = False
+    """Streams: open connections are reset, and new ones at once."""
+    silent: bool = False
+    """Streams: connections are accepted, and nothing is ever sent on them."""
+    kb_per_s: float = 0.0
+    """Streams: the bandwidth in kilobytes a second; 0 is no limit."""
 
 
 class Network:
-    """The faults in force, by direction; ``*`` stands for anybody, ``routers`` for any of them."""
+    """The faults in force, by direction of the link; ``*`` and ``routers`` stand for many ends."""
 
     def __init__(self) -> None:
         self._faults: dict[tuple[str, str], dict[str, LinkFault]] = {}
-        self.changes = 0  # so that who watches can tell that something is new
-
-    def put(self, why: str, source: str, target: str, **fault: Any) -> None:
-        """Put a fault on the link from one to another, under a name by which it is healed."""
-        known = {field.name for field in fields(LinkFault)}
-        if wrong := set(fault) - known:
-            raise ValueError(f"found {sorted(wrong)}, expected some of {sorted(known)}")
-        self._faults.setdefault((source, target), {})[why] = LinkFault(**fault)
-        self.changes += 1
-
-    def heal(self, why: str) -> None:
-        """Take away all that was put under this name."""
-        for held in self._faults.values():
-            held.pop(why, None)
-        self.changes += 1
-
-    def on(self, source: str, target: str) -> list[LinkFault]:
-        """All that happens on this direction now."""
-        links = ((a, b) for a in _names(source) for b in _names(target))
+        """By source and target, then by the fault's name."""
+
+    def add_fault(self, name: str, source: str, target: str, fault: LinkFault) -> None:
+        """Put a fault on the link from one end to another, under a name by which it is removed."""
+        self._faults.setdefault((source, target), {})[name] = fault
+
+    def remove_fault(self, name: str) -> None:
+        """Remove all faults that were added under this name."""
+        for faults in self._faults.values():
+            faults.pop(name, None)
+
+    def faults_on(self, source: str, target: str) -> list[LinkFault]:
+        """Return all faults on this direction now."""
+        links = ((a, b) for a in _matching_ends(source) for b in _matching_ends(target))
         return [fault for link in links for fault in self._faults.get(link, {}).values()]
 
-    def either(self, one: str, other: str) -> list[LinkFault]:
-        """All that happens on either direction: a connection has both."""
-        return self.on(one, other) + self.on(other, one)
+    def faults_either_way(self, one: str, other: str) -> list[LinkFault]:
+        """Return all faults on either direction: a connection has both."""
+        return self.faults_on(one, other) + self.faults_on(other, one)
--- a/magpieshift/lab/fault_injection/outages.py
+++ b/magpieshift/lab/fault_injection/outages.py
@@ -1,68 +1,89 @@
-"""When routers could not answer, could not read the change log, or could do nothing at all."""
+"""When routers could not answer, could not read the change log, or were halted altogether."""
 
 from __future__ import annotations
 
 import time
+from dataclasses import dataclass
 
 from magpieshift.lab.fault_injection.network import LinkFault
 
-KNOWS_S = 3.0  # after a cut from the change log, or a pause, by when a router has read on
-Span = tuple[float, float]
-"""From when until when, on the steady clock in seconds; the end of one that lasts is infinite."""
-Idle = tuple[str, int, float, float]
-"""A router, which start of it, and from when until when it could do nothing."""
+CATCH_UP_S = 3.0
+"""Seconds after a cut from the change log, or a pause, by when a router has read on: chosen by trial; less
+turns slow machines into breaches of the rules, more excuses real ones."""
 ENDLESS = float("inf")
+"""End of a span that lasts."""
+Span = tuple[float, float]
+"""From when until when, in seconds on the steady clock."""
+
+
+@dataclass(frozen=True)
+class Halt:
+    """When one process of a router was paused or dead."""
+
+    router: str
+    start: int
+    """Which process of the router, counted from 1."""
+    since_s: float
+    """When it halted, in seconds on the steady clock."""
+    until_s: float
+    """When it was resumed; infinite for one that is not."""
 
 
 class Outages:
-    """What a run's rules grant each router for the faults that it was given."""
+    """What a run's rules excuse each router from, for the faults that were injected."""
 
     def __init__(self) -> None:
-        self.idle: list[Idle] = []
-        self._away: dict[str, list[Span]] = {}  # when a router could not answer
-        self._deaf: dict[str, list[Span]] = {}  # when the change log did not reach it
+        self.halts: list[Halt] = []
+        """When processes were paused or dead, in order of their beginning."""
+        self._unavailable: dict[str, list[Span]] = {}
+        """By router, when it could not answer."""
+        self._cut_off: dict[str, list[Span]] = {}
+        """By router, when the change log did not reach it."""
 
-    def leave(self, name: str, in_s: float = 0.0) -> None:
-        """From now, or so long from now, on it cannot answer."""
-        self._away.setdefault(name, []).append((time.monotonic() + in_s, ENDLESS))
+    def begin(self, name: str, in_s: float = 0.0) -> None:
+        """From now on, or from so many seconds from now, the router cannot answer."""
+        self._unavailable.setdefault(name, []).append((time.monotonic() + in_s, ENDLESS))
 
-    def back(self, name: str) -> None:
-        """It answers again."""
-        spans = self._away.setdefault(name, [])
+    def end(self, name: str) -> None:
+        """The router answers again."""
+        spans = self._unavailable.setdefault(name, [])
         if spans and spans[-1][1] == ENDLESS:
             spans[-1] = spans[-1][0], time.monotonic()
 
-    def stopped(self, name: str, start: int) -> None:
-        """From now on a process does nothing any more."""
-        self.idle.append((name, start, time.monotonic(), ENDLESS))
+    def process_halted(self, name: str, start: int) -> None:
+        """From now on this process of the router does nothing any more."""
+        self.halts.append(Halt(name, start, time.monotonic(), ENDLESS))
 
-    def resumed(self, name: str) -> None:
-        """The process of a router that stopped last goes on."""
-        last = max(i for i, idle in enumerate(self.idle) if idle[0] == name)
-        self.idle[last] = (*self.idle[last][:3], time.monotonic())
+    def process_resumed(self, name: str) -> None:
+        """The process of the router that halted last goes on."""
+        last = max(i for i, halt in enumerate(self.halts) if halt.router == name)
+        halt = self.halts[last]
+        self.halts[last] = Halt(halt.router, halt.start, halt.since_s, time.monotonic())
 
-    def note_log(self, name: str, faults: list[LinkFault]) -> None:
-        """What lies between a router and the change log at this moment."""
+    def record_log_faults(self, name: str, faults: list[LinkFault]) -> None:
+        """Record the faults that lie between a router and the change log at this moment."""
         now = time.monotonic()
-        spans = self._deaf.setdefault(name, [])
+        spans = self._cut_off.setdefault(name, [])
         if any(f.cut or f.silent or f.reset or f.delay_ms or f.kb_per_s for f in faults):
             if not spans or spans[-1][1] != ENDLESS:
                 spans.append((now, ENDLESS))
         elif spans and spans[-1][1] == ENDLESS:
             spans[-1] = (spans[-1][0], now)
 
-    def knew(self, name: str, told: float) -> float:
-        """When this router could know what was told at that (Unix) time: one that is cut off from the change
-        log, or stands still, only afterwards."""
-        shift = time.time() - time.monotonic()
-        spans = self._deaf.get(name, []) + self._away.get(name, [])
-        knew = told
+    def known_at(self, name: str, announced_s: float) -> float:
+        """Return when this router could know what was announced at that Unix time in seconds.
+
+        One that was cut off from the change log, or could not answer, knew only afterwards.
+        """
+        unix_offset_s = time.time() - time.monotonic()
+        spans = self._cut_off.get(name, []) + self._unavailable.get(name, [])
+        known_s = announced_s
         for since, until in sorted(spans):
-            if since + shift - KNOWS_S <= knew <= until + shift + KNOWS_S:
-                knew = until + shift + KNOWS_S
-        return knew
+            if since + unix_offset_s - CATCH_UP_S <= known_s <= until + unix_offset_s + CATCH_UP_S:
+                known_s = until + unix_offset_s + CATCH_UP_S
+        return known_s
 
-    def away_since(self, name: str, began: float) -> bool:
-        """Whether it could not answer at some time from then until now."""
+    def unavailable_since(self, name: str, began_s: float) -> bool:
+        """Whether the router could not answer at some time from then (steady clock) until now."""
         now = time.monotonic()
-        return any(since <= now and began <= until for since, until in self._away.get(name, []))
+        return any(since <= now and began_s <= until for since, until in self._unavailable.get(name, []))
--- a/magpieshift/lab/fault_injection/ports.py
+++ b/magpieshift/lab/fault_injection/ports.py
@@ -8,18 +8,26 @@
 import socket
 
 FIRST_PORT = 20_000
+"""Lowest port tried: above the ports that services commonly have."""
 LAST_PORT = 32_000
-PORTS_EACH = 300
-PLACES = (LAST_PORT - FIRST_PORT) // PORTS_EACH
+"""End of the ports tried: below the ephemeral ports that Linux gives out (32768 and up)."""
+PORTS_PER_RANGE = 300
+"""Width in ports of one test process's range: more than any cluster needs, so that neighbours seldom meet."""
+PORT_RANGES = (LAST_PORT - FIRST_PORT) // PORTS_PER_RANGE
+"""Number of ranges that test processes are spread over by their process id."""
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports of loopback that nobody has, for datagrams and connections, below those the system gives away
-    by itself: a process that starts again must find its own still free. Processes that own a cluster
-    each, side by side, begin to look in places of their own."""
+    """Return ports of loopback that are free for both datagrams and connections.
+
+    They lie below the ephemeral range, so that a process that starts again finds its own still free.
+    Processes that own a cluster each, side by side, begin to look in ranges of their own. Raises ``OSError``
+    where there are not so many.
+    """
     found: list[int] = []
-    place = os.getpid() % PLACES
-    start = FIRST_PORT + place * PORTS_EACH + random.randrange(PORTS_EACH // 2)  # not by the seed
+    range_index = os.getpid() % PORT_RANGES
+    offset = random.randrange(PORTS_PER_RANGE // 2)  # not drawn by a run's seed: two runs must not collide
+    start = FIRST_PORT + range_index * PORTS_PER_RANGE + offset
     for port in (*range(start, LAST_PORT), *range(FIRST_PORT, start)):
         with contextlib.suppress(OSError), contextlib.ExitStack() as stack:
             for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
@@ -28,4 +36,4 @@
             found.append(port)
         if len(found) == count:
             return found
-    raise OSError("no free ports on loopback")
+    raise OSError(f"found {len(found)} free ports on loopback, expected {count}")
--- a/magpieshift/lab/fault_injection/processes.py
+++ b/magpieshift/lab/fault_injection/processes.py
@@ -1,4 +1,4 @@
-"""The router processes of the proving ground, owned by id: started, stopped, paused, killed, replaced."""
+"""The router processes of the testbed, owned by id: started, stopped, paused, killed, replaced."""
 
 from __future__ import annotations
 
@@ -9,31 +9,42 @@
 from collections.abc import Iterable, Sequence
 from pathlib import Path
 
-from magpieshift.lab.fault_injection import skewed
-from magpieshift.lab.fault_injection.admin_clients import UP_S, Doors
+from magpieshift.lab.fault_injection import skewed_clock
+from magpieshift.lab.fault_injection.admin_clients import STARTUP_TIMEOUT_S, AdminClients
 from magpieshift.lab.fault_injection.outages import Outages
 from magpieshift.lab.fault_injection.ports import free_ports
+from magpieshift.lab.fault_injection.router_instance import RouterInstance
 
 PROGRAM = (sys.executable, "-m", "magpieshift")
-COMING_S = 0.6  # after a planned end was asked for, clients may still come
+"""The command of the router under test."""
+READY_EVENT = " event=ready "
+"""Text of the log line with which a router says that it serves."""
+DRAIN_GRACE_S = 0.6
+"""Seconds after SIGTERM from which clients may go unanswered: chosen by trial; less excuses real losses, more
+blames the router for clients that could not know yet."""
 
 
-class Processes(Doors):
+class RouterProcesses(AdminClients):
     """Owner of all router processes of a run. ``clocks`` names the routers whose clocks can be set."""
 
     def __init__(self, folder: Path, program: Iterable[str] = PROGRAM, clocks: Iterable[str] = ()) -> None:
         super().__init__()
         self.folder = folder
+        """Where settings, logs and clock files are."""
         self.outages = Outages()
-        self.ended_wrong: list[str] = []
+        """When routers could not answer."""
+        self.unexpected_exits: list[str] = []
+        """A line for each process that ended with another code than it should have."""
         self._program = tuple(program)
         self._clocks = frozenset(clocks)
-        self._started: list[asyncio.subprocess.Process] = []  # all of them: a place may have had several
-        self._tasks_of_ends: list[asyncio.Task[None]] = []
+        self._started: list[asyncio.subprocess.Process] = []
+        """All processes ever started: a router may have had several."""
+        self._exit_watchers: list[asyncio.Task[None]] = []
+        """Tasks that await the end of processes that were replaced."""
 
     async def end_all(self) -> None:
         """Kill what still runs, paused processes too."""
-        for task in self._tasks_of_ends:
+        for task in self._exit_watchers:
             task.cancel()
         for process in self._started:
             if process.returncode is None:
@@ -41,131 +52,157 @@
                 await process.wait()
 
     def left_running(self) -> int:
+        """Return how many of the processes have not ended."""
         return sum(process.returncode is None for process in self._started)
 
     def running(self) -> dict[str, int]:
-        """Process ids by router."""
-        return {p.name: p.process.pid for p in self.places.values() if p.alive and p.process is not None}
+        """Return process ids by router."""
+        return {
+            router.name: router.process.pid
+            for router in self.routers.values()
+            if router.alive and router.process is not None
+        }
 
-    async def start(self, *names: str, words: Sequence[str] = (), program: Sequence[str] = ()) -> None:
-        """Start routers, all at once; wait for nothing. ``words`` go behind ``run``, ``program`` is another
-        one than the cluster's."""
+    def log_path(self, name: str, start: int) -> Path:
+        """Return the log of one process of a router, counted from 1."""
+        return self.folder / f"{name}.{start}.log"
+
+    def _has_served(self, name: str, start: int) -> bool:
+        return READY_EVENT in self.log_path(name, start).read_text(errors="replace")
+
+    async def start(self, *names: str, arguments: Sequence[str] = (), program: Sequence[str] = ()) -> None:
+        """Start routers, all at once; wait for nothing.
+
+        ``arguments`` are added to the ``run`` command; ``program`` replaces the testbed's own command.
+        """
         for name in names:
-            place = self.places[name]
-            place.starts += 1
-            place.paused = False
-            place.killed = False
-            with (self.folder / f"{name}.{place.starts}.log").open("wb") as log:
-                begins = tuple(program) or self._program
-                if name in self._clocks:
-                    clock = str(self.folder / f"{name}.clock")
-                    begins = (sys.executable, "-m", "magpieshift.lab.fault_injection.skewed", clock)
+            router = self.routers[name]
+            router.starts += 1
+            router.paused = False
+            router.killed = False
+            command = tuple(program) or self._program
+            if name in self._clocks:
+                command = (sys.executable, "-m", skewed_clock.__name__, str(self._clock_path(name)))
+            with self.log_path(name, router.starts).open("wb") as log:
                 process = await asyncio.create_subprocess_exec(
-                    *begins,
+                    *command,
                     "run",
                     "--config",
                     str(self.folder / f"{name}.sexp"),
                     "--console",
-                    f"127.0.0.1:{place.console}",
-                    *words,
+                    f"127.0.0.1:{router.admin_port}",
+                    *arguments,
                     stderr=log,
                     env=os.environ | {"TMPDIR": str(self.folder)},
                 )
-                place.process = process
-                self._started.append(process)
-
-    async def beside(self, name: str, door: int, words: Sequence[str], program: Sequence[str] = ()) -> None:
-        """Start a further process of a place, with a door of its own; whoever asked for it ends the other."""
-        place = self.places[name]
-        old = place.process
-        number = place.starts
-        place.console = door
-        await self.start(name, words=words, program=program)
+            router.process = process
+            self._started.append(process)
+
+    async def start_successor(
+        self, name: str, admin_port: int, arguments: Sequence[str], program: Sequence[str] = ()
+    ) -> None:
+        """Start a further process of a router, with its own admin port; the caller ends the other one."""
+        router = self.routers[name]
+        old = router.process
+        old_start = router.starts
+        router.admin_port = admin_port
+        await self.start(name, arguments=arguments, program=program)
         if old is not None:
-            self._tasks_of_ends.append(asyncio.ensure_future(self._note_end(name, number, old)))
+            self._exit_watchers.append(asyncio.ensure_future(self._watch_exit(name, old_start, old)))
 
-    async def _note_end(self, name: str, number: int, process: asyncio.subprocess.Process) -> None:
+    async def _watch_exit(self, name: str, start: int, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
-        self.outages.stopped(name, number)
-        served = " event=ready " in (self.folder / f"{name}.{number}.log").read_text(errors="replace")
-        if code != 0 and served and not self.places[name].killed:  # one that never served may be turned down
-            self.ended_wrong.append(f"a process of {name} ended with {code}")
+        self.outages.process_halted(name, start)
+        # one that never served may have been rejected by its predecessor: no fault
+        if code != 0 and self._has_served(name, start) and not self.routers[name].killed:
+            self.unexpected_exits.append(f"a process of {name} ended with {code}")
 
-    async def serving(self, *names: str) -> None:
-        """Wait until these answer at their doors."""
+    async def wait_until_serving(self, *names: str) -> None:
+        """Wait until these routers answer at their admin servers."""
 
-        async def up() -> bool:
-            said = [await self.call(name, "PING") for name in names]
-            return all(line is not None and line.startswith("OK") for line in said)
+        async def all_answer() -> bool:
+            answers = [await self.call(name, "PING") for name in names]
+            return all(line is not None and line.startswith("OK") for line in answers)
 
-        await self.until(up, f"{', '.join(names)} serving")
+        await self.wait_until(all_answer, f"{', '.join(names)} serving")
         for name in names:
-            self.outages.back(name)
+            self.outages.end(name)
+
+    def _process(self, name: str) -> tuple[RouterInstance, asyncio.subprocess.Process]:
+        """A router with its process, which must have been started."""
+        router = self.routers[name]
+        assert router.process is not None
+        return router, router.process
 
     def kill(self, name: str) -> None:
-        place = self.places[name]
-        assert place.process is not None
-        place.killed = True
-        self.outages.leave(name)
-        self.outages.stopped(name, place.starts)
-        place.process.kill()
-
-    async def died(self, *names: str) -> None:
+        """Kill a router's process with SIGKILL."""
+        router, process = self._process(name)
+        router.killed = True
+        self.outages.begin(name)
+        self.outages.process_halted(name, router.starts)
+        process.kill()
+
+    async def wait_for_exit(self, *names: str) -> None:
+        """Wait until the processes of these routers have ended."""
         for name in names:
-            process = self.places[name].process
-            assert process is not None
+            _, process = self._process(name)
             await process.wait()
 
     def pause(self, name: str) -> None:
-        place = self.places[name]
-        assert place.process is not None
-        place.process.send_signal(signal.SIGSTOP)
-        place.paused = True
-        self.outages.leave(name)
-        self.outages.stopped(name, place.starts)
-
-    def wake(self, name: str) -> None:
-        place = self.places[name]
-        assert place.process is not None
-        self.outages.resumed(name)
-        place.process.send_signal(signal.SIGCONT)
-        place.paused = False
-        self.outages.back(name)
+        """Halt a router's process with SIGSTOP."""
+        router, process = self._process(name)
+        process.send_signal(signal.SIGSTOP)
+        router.paused = True
+        self.outages.begin(name)
+        self.outages.process_halted(name, router.starts)
+
+    def resume(self, name: str) -> None:
+        """Let a paused process go on, with SIGCONT."""
+        router, process = self._process(name)
+        self.outages.process_resumed(name)
+        process.send_signal(signal.SIGCONT)
+        router.paused = False
+        self.outages.end(name)
 
     async def stop(self, name: str) -> None:
-        """A planned end."""
-        place = self.places[name]
-        assert place.process is not None
-        place.process.terminate()
-        self.outages.leave(name, COMING_S)
-        code = await asyncio.wait_for(place.process.wait(), UP_S)
-        self.outages.stopped(name, place.starts)
+        """Shut a router down gracefully, with SIGTERM, and wait for its end."""
+        router, process = self._process(name)
+        process.terminate()
+        self.outages.begin(name, DRAIN_GRACE_S)
+        code = await asyncio.wait_for(process.wait(), STARTUP_TIMEOUT_S)
+        self.outages.process_halted(name, router.starts)
         if code != 0:
-            self.ended_wrong.append(f"{name} ended with {code}")
-
-    async def replace(self, name: str, within_s: float = UP_S) -> None:
-        """A new process takes over under the same name and at the clients' address, and the old one ends as
-        planned once the new one is ready; for a while there are two, each with a door of its own."""
-        place = self.places[name]
-        place.console = free_ports(1)[0]
-        old = place.process
-        number = place.starts
-        assert old is not None
+            self.unexpected_exits.append(f"{name} ended with {code}")
+
+    async def replace(self, name: str, timeout_s: float = STARTUP_TIMEOUT_S) -> None:
+        """Replace a router's process by a new one under the same name and at the clients' address.
+
+        The old one is shut down gracefully once the new one is ready; for a while there are two, each with an
+        admin port of its own.
+        """
+        router, old = self._process(name)
+        old_start = router.starts
+        router.admin_port = free_ports(1)[0]
         await self.start(name)
-        log = self.folder / f"{name}.{place.starts}.log"
 
         async def ready() -> bool:
-            return " event=ready " in log.read_text(errors="replace")
+            return self._has_served(name, router.starts)
 
-        await self.until(ready, f"the new {name} is ready", within_s)
+        await self.wait_until(ready, f"the new {name} is ready", timeout_s)
         old.terminate()
-        code = await asyncio.wait_for(old.wait(), UP_S)
-        self.outages.stopped(name, number)
+        code = await asyncio.wait_for(old.wait(), STARTUP_TIMEOUT_S)
+        self.outages.process_halted(name, old_start)
         if code != 0:
-            self.ended_wrong.append(f"the old {name} ended with {code}")
+            self.unexpected_exits.append(f"the old {name} ended with {code}")
+
+    def _clock_path(self, name: str) -> Path:
+        return self.folder / f"{name}.clock"
 
     def set_clock(self, name: str, step_s: float = 0.0, rate: float = 1.0) -> None:
-        """Step the wall clock of a process that was named in ``clocks``, and bend all its clocks."""
+        """Step the wall clock of a router that was named in ``clocks``, and set the rate of all its clocks.
+
+        Raises ``ValueError`` for another router.
+        """
         if name not in self._clocks:
             raise ValueError(f"found {name}, expected one of {sorted(self._clocks)}")
-        skewed.write(self.folder / f"{name}.clock", int(step_s * 1e6), rate)
+        skewed_clock.write_clock(self._clock_path(name), int(step_s * 1e6), rate)
--- a/magpieshift/lab/fault_injection/rollouts.py
+++ b/magpieshift/lab/fault_injection/rollouts.py
@@ -1,73 +1,108 @@
-"""Rollouts of real processes on the proving ground: the cluster starts what the coordinator's executor asks
-for."""
+"""Rollouts of real processes on the testbed: the cluster starts what the coordinator's executor asks for."""
 
 from __future__ import annotations
 
 import asyncio
 import sys
 import time
-from collections.abc import Callable, Mapping, Sequence
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
 from magpieshift.config import Address
+from magpieshift.lab.fault_injection import defective_router
 from magpieshift.lab.fault_injection.cluster import Cluster
 from magpieshift.rollout.plan import Build, Plan, RouterPlace
 from magpieshift.rollout.plan_reader import load_plan
 from magpieshift.rollout.runner import RolloutRunner
 
-OLD = "old"
-NEW = "new"
-SCENARIOS: dict[str, tuple[str, float, bool]] = {  # the new version's defect, by how much, whether it is bad
-    "same": ("none", 0.0, False),
-    "same-with-outage": ("none", 0.0, False),
-    "worse-class": ("worse", 0.3, True),
-    "leak": ("leak", 0.05, True),
-    "slower": ("slower", 3.0, True),
-    "no-start": ("no-start", 0.0, True),
-    "mute": ("mute", 0.0, True),
-    "late-crash": ("late-crash", 8.0, True),
+OLD_LABEL = "old"
+NEW_LABEL = "new"
+OUTAGE_SCENARIO = "same-with-outage"
+"""The scenario in which the origin is slow for a while, so that a good version looks bad."""
+OUTAGE_S = 8.0
+"""Seconds that the origin is slow: longer than a stage's soak."""
+OUTAGE_DELAY_MS = 400
+"""Delay of the slow origin: well above the latency objectives of the lab's classes."""
+CACHE_FILL_S = 5.0
+"""Seconds of load before a rollout begins, until caches are filled: chosen by trial; with less, the service
+before is lower than the one after."""
+SERVICE_SPAN_S = 8
+"""Seconds over which the service after the rollout is measured."""
+REQUESTS_PER_S = 40.0
+"""Rate of the clients at each router: enough that a small fleet's samples decide within a soak."""
+RULES_SLACK_S = 1.0
+"""Seconds granted beyond the time limits of the rules: a verdict must not hang on how busy the machine is."""
+CACHES = 3
+
+
+@dataclass(frozen=True)
+class RolloutScenario:
+    """A rollout of a version with a known defect."""
+
+    defect: str
+    """The new version's, one of ``defective_router.DEFECTS``."""
+    magnitude: float
+    """How strong the defect is, in its own unit."""
+    is_bad: bool
+    """Whether the rollout has to stop."""
+
+
+SCENARIOS: dict[str, RolloutScenario] = {
+    "same": RolloutScenario("none", 0.0, False),
+    OUTAGE_SCENARIO: RolloutScenario("none", 0.0, False),
+    "worse-class": RolloutScenario("worse", 0.3, True),
+    "leak": RolloutScenario("leak", 0.05, True),
+    "slower": RolloutScenario("slower", 3.0, True),
+    "no-start": RolloutScenario("no-start", 0.0, True),
+    "mute": RolloutScenario("mute", 0.0, True),
+    "late-crash": RolloutScenario("late-crash", 8.0, True),
 }
+"""Rollouts by name."""
 
 
-def plan_for(cluster: Cluster, **more: Any) -> Plan:
-    """A plan of two stages for a cluster's routers; what of it is otherwise in ``more``."""
+def plan_for(cluster: Cluster, **overrides: Any) -> Plan:
+    """Return a plan of two stages for a cluster's routers; ``overrides`` replace its document's entries."""
     routers = {
-        name: {"doors": [f"127.0.0.1:{door}" for door in place.doors]}
-        for name, place in cluster.places.items()
+        name: {"doors": [f"127.0.0.1:{port}" for port in router.admin_ports]}
+        for name, router in cluster.routers.items()
     }
     stages = {"one": {"routers": 1, "soak-s": 3.0, "most-s": 120.0}, "all": {"share": 1.0, "soak-s": 3.0}}
     data: dict[str, Any] = {
         "name": "proving",
-        "new": {"label": NEW, "start": "-"},
-        "old": {"label": OLD, "start": "-"},
+        "new": {"label": NEW_LABEL, "start": "-"},
+        "old": {"label": OLD_LABEL, "start": "-"},
         "routers": routers,
         "stages": stages,
         "worse-by": {"served": 0.1},
         "most-away": 1,
         "step-s": 15.0,
     }
-    return load_plan(data | more)
+    return load_plan(data | overrides)
 
 
-def starter(cluster: Cluster, defect: str = "none", by: float = 0.0) -> Callable[..., Any]:
-    """The executor's way of starting a process: the cluster does, and owns it."""
+def process_starter(cluster: Cluster, defect: str = "none", magnitude: float = 0.0) -> Callable[..., Any]:
+    """Return the executor's way of starting a process: the cluster starts and owns it.
 
-    async def start(router: RouterPlace, door: Address, side: Build, term: int) -> None:
-        words = ("--label", side.label, "--term", str(term))
-        program: Sequence[str] = ()
-        if side.label == NEW and defect != "none":
-            program = (sys.executable, "-m", "magpieshift.lab.fault_injection.faulty", defect, str(by))
-        await cluster.beside(router.name, door[1], words, program)
+    Processes of the new version have the defect.
+    """
+
+    async def start(router: RouterPlace, admin_address: Address, build: Build, term: int) -> None:
+        arguments = ("--label", build.label, "--term", str(term))
+        program: tuple[str, ...] = ()
+        if build.label == NEW_LABEL and defect != "none":
+            program = (sys.executable, "-m", defective_router.__name__, defect, str(magnitude))
+        await cluster.start_successor(router.name, admin_address[1], arguments, program)
 
     return start
 
 
-async def begin(cluster: Cluster) -> None:
-    """All routers up, on the old side."""
-    names = list(cluster.places)
-    await cluster.start(*names, words=("--label", OLD, "--term", "0"))
-    await cluster.serving(*names)
+async def start_old_version(cluster: Cluster) -> None:
+    """Start all routers with the old version's label, and wait until they serve."""
+    names = list(cluster.routers)
+    await cluster.start(*names, arguments=("--label", OLD_LABEL, "--term", "0"))
+    await cluster.wait_until_serving(*names)
 
 
 async def play(
@@ -75,42 +110,50 @@
     folder: Path,
     routers: int,
     seed: int,
-    told: Callable[[Mapping[str, Any]], None] = lambda status: None,
+    on_status: Callable[[Mapping[str, Any]], None] = lambda status: None,
 ) -> dict[str, Any]:
-    """One rollout of real processes under load, judged by the cluster as well."""
-    defect, by, bad = SCENARIOS[name]
+    """Play one rollout of real processes under load; return its verdict, with the cluster's violations."""
+    scenario = SCENARIOS[name]
     began = time.monotonic()
-    async with Cluster(folder, routers, seed, rate=40.0, slack_s=1.0, boxes=3) as cluster:
-        await begin(cluster)
-        cluster.load()
-        await asyncio.sleep(5.0)  # caches fill
-        usual = cluster.service()
-        runner = RolloutRunner(plan_for(cluster), folder / "rollout", starter(cluster, defect, by), told)
+    async with Cluster(
+        folder, routers, seed, requests_per_s=REQUESTS_PER_S, slack_s=RULES_SLACK_S, boxes=CACHES
+    ) as cluster:
+        await start_old_version(cluster)
+        cluster.start_load()
+        await asyncio.sleep(CACHE_FILL_S)
+        served_before = cluster.served_share()
+        starter = process_starter(cluster, scenario.defect, scenario.magnitude)
+        runner = RolloutRunner(plan_for(cluster), folder / "rollout", starter, on_status)
         outage = None
-        if name == "same-with-outage":
-            outage = asyncio.ensure_future(cluster.stores.fail("slow", "origin", 8.0, by=400))
+        if name == OUTAGE_SCENARIO:
+            slow_origin = cluster.endpoints.fail("slow", "origin", OUTAGE_S, by=OUTAGE_DELAY_MS)
+            outage = asyncio.ensure_future(slow_origin)
         status = await runner.run()
         if outage is not None:
             await outage
-        service = cluster.service(8)
-        counted = await cluster.settle()
-        stopped = status["way"] != "ended" or status["new"] != sorted(cluster.places)
-        verdict = {
-            "scenario": name,
-            "routers": routers,
-            "seed": seed,
-            "runs": 1,
-            "stopped_wrongly": int(stopped and not bad),
-            "caught": int(stopped and bad),
-            "exposed_share": round(max(len(status["new"]), 1) / routers, 3),
-            "lost": counted["lost"],
-            "cut": counted["cut"],
-            "asked": counted["sent"],
-            "served": counted["served"],
-            "service_before": round(usual, 4),
-            "service_after": round(service, 4),
+        served_after = cluster.served_share(SERVICE_SPAN_S)
+        counts = await cluster.finish()
+        verdict = {"scenario": name, "routers": routers, "seed": seed, "runs": 1}
+        verdict |= _outcome(status, scenario.is_bad, list(cluster.routers))
+        verdict |= {
+            "lost": counts["lost"],
+            "cut": counts["cut"],
+            "asked": counts["sent"],
+            "served": counts["served"],
+            "service_before": round(served_before, 4),
+            "service_after": round(served_after, 4),
             "why": status["why"],
-            "rules_broken": cluster.broken + cluster.ended_wrong,
+            "rules_broken": cluster.violations + cluster.unexpected_exits,
             "seconds": round(time.monotonic() - began, 1),
         }
     return verdict | {"left_running": cluster.left_running()}
+
+
+def _outcome(status: Mapping[str, Any], is_bad: bool, routers: list[str]) -> dict[str, Any]:
+    """Whether the rollout stopped where it should, and the share of routers that had the new version."""
+    stopped = status["way"] != "ended" or status["new"] != sorted(routers)
+    return {
+        "stopped_wrongly": int(stopped and not is_bad),
+        "caught": int(stopped and is_bad),
+        "exposed_share": round(max(len(status["new"]), 1) / len(routers), 3),
+    }
--- a/magpieshift/lab/fault_injection/run.py
+++ b/magpieshift/lab/fault_injection/run.py
@@ -1,4 +1,4 @@
-"""One run of the proving ground: a scenario played, judged, and left behind to be played again."""
+"""One run of the testbed: a scenario played, judged, and left behind to be played again."""
 
 from __future__ import annotations
 
@@ -6,132 +6,196 @@
 import json
 import time
 from collections.abc import Callable
-from dataclasses import asdict
 from pathlib import Path
 from typing import Any
 
-from magpieshift.lab.fault_injection.admin_clients import UP_S
+from magpieshift.lab.fault_injection.admin_clients import STARTUP_TIMEOUT_S
 from magpieshift.lab.fault_injection.cluster import Cluster
-from magpieshift.lab.fault_injection.scenario import ON_LINKS, ON_ROUTERS, Fault, Run, written
-
-QUIET_S = 30.0  # after the last fault, within which all must agree
-
-
-async def _fault(cluster: Cluster, fault: Fault, began: float) -> None:
-    """Cause it, and take it away when its time is over."""
-    await asyncio.sleep(max(0.0, began + fault.at_s - time.monotonic()))
-    if fault.what in ON_LINKS:
-        faults: dict[str, dict[str, Any]] = {
-            "cut": {"cut": True},
-            "lose": {"lose": fault.by},
-            "double": {"double": fault.by},
-            "delay": {"delay_ms": fault.by, "jitter_ms": fault.by},
-            "reset": {"reset": True},
-            "silence": {"silent": True},
-            "throttle": {"kb_per_s": fault.by},
-        }
-        cluster.network.put(fault.name, fault.source, fault.target, **faults[fault.what])
-        await asyncio.sleep(fault.for_s)
-        return cluster.network.heal(fault.name)
-    if fault.what in ("step", "rate"):
-        cluster.set_clock(fault.who, **{"step_s" if fault.what == "step" else "rate": fault.by})
-        await asyncio.sleep(fault.for_s)
-        return cluster.set_clock(fault.who)
-    if fault.what not in ON_ROUTERS:
-        return await cluster.stores.fail(fault.what, fault.who, fault.for_s, fault.by)
-    if fault.what == "pause":
-        cluster.pause(fault.who)
-        await asyncio.sleep(fault.for_s)
-        return cluster.wake(fault.who)
-    if fault.what == "kill":
-        cluster.kill(fault.who)
-        await cluster.died(fault.who)
+from magpieshift.lab.fault_injection.network import LinkFault
+from magpieshift.lab.fault_injection.scenario import (
+    LINK_FAULTS,
+    ROUTER_FAULTS,
+    Fault,
+    Scenario,
+    format_scenario,
+    to_json,
+)
+
+AGREEMENT_TIMEOUT_S = 30.0
+"""Seconds after the last fault within which all routers must have one view: chosen by trial;
+start-up's allowance for slow machines is added to it."""
+SAMPLE_INTERVAL_S = 1.0
+"""Seconds between two samples of the routers' views."""
+
+
+def _link_fault(fault: Fault) -> LinkFault:
+    """What a scenario's fault on links does to a link."""
+    match fault.kind:
+        case "cut":
+            return LinkFault(cut=True)
+        case "lose":
+            return LinkFault(loss_share=fault.magnitude)
+        case "double":
+            return LinkFault(duplicate_share=fault.magnitude)
+        case "delay":
+            return LinkFault(delay_ms=fault.magnitude, jitter_ms=fault.magnitude)
+        case "reset":
+            return LinkFault(reset=True)
+        case "silence":
+            return LinkFault(silent=True)
+        case "throttle":
+            return LinkFault(kb_per_s=fault.magnitude)
+    raise ValueError(f"found {fault.kind!r}, expected one of {LINK_FAULTS}")
+
+
+async def _inject(cluster: Cluster, fault: Fault, began: float) -> None:
+    """Cause a fault at its time, and take it away when it is over."""
+    await asyncio.sleep(max(0.0, began + fault.start_s - time.monotonic()))
+    if fault.kind in LINK_FAULTS:
+        cluster.network.add_fault(fault.name, fault.source, fault.target, _link_fault(fault))
+        await asyncio.sleep(fault.duration_s)
+        cluster.network.remove_fault(fault.name)
+    elif fault.kind in ROUTER_FAULTS:
+        await _inject_at_router(cluster, fault)
     else:
-        await cluster.stop(fault.who)
-    await asyncio.sleep(fault.for_s)
-    await cluster.start(fault.who)
+        await cluster.endpoints.fail(fault.kind, fault.component, fault.duration_s, fault.magnitude)
 
 
-async def play(run: Run, folder: Path, progress: Callable[[str], None] = lambda line: None) -> dict[str, Any]:
-    """Play it; the verdict, which is also left in the folder with settings and logs."""
-    (folder).mkdir(parents=True, exist_ok=True)
-    (folder / "scenario.sexp").write_text(written(run))  # from which it can be played again
-    (folder / "scenario.json").write_text(json.dumps(asdict(run), indent=1))
-    verdict: dict[str, Any] = {"routers": run.routers, "seed": run.seed}
-    samples: list[dict[str, Any]] = []
-    wrong: list[str] = []
+async def _inject_at_router(cluster: Cluster, fault: Fault) -> None:
+    match fault.kind:
+        case "step":
+            cluster.set_clock(fault.component, step_s=fault.magnitude)
+            await asyncio.sleep(fault.duration_s)
+            cluster.set_clock(fault.component)
+        case "rate":
+            cluster.set_clock(fault.component, rate=fault.magnitude)
+            await asyncio.sleep(fault.duration_s)
+            cluster.set_clock(fault.component)
+        case "pause":
+            cluster.pause(fault.component)
+            await asyncio.sleep(fault.duration_s)
+            cluster.resume(fault.component)
+        case "kill":
+            cluster.kill(fault.component)
+            await cluster.wait_for_exit(fault.component)
+            await asyncio.sleep(fault.duration_s)
+            await cluster.start(fault.component)
+        case _:
+            await cluster.stop(fault.component)
+            await asyncio.sleep(fault.duration_s)
+            await cluster.start(fault.component)
+
+
+async def play(
+    scenario: Scenario, folder: Path, progress: Callable[[str], None] = lambda line: None
+) -> dict[str, Any]:
+    """Play a scenario; return the verdict, which is also left in the folder with settings and logs."""
+    folder.mkdir(parents=True, exist_ok=True)
+    (folder / "scenario.sexp").write_text(format_scenario(scenario))  # from which it can be played again
+    (folder / "scenario.json").write_text(json.dumps(to_json(scenario), indent=1))
+    verdict: dict[str, Any] = {"routers": scenario.routers, "seed": scenario.seed}
+    problems: list[str] = []
     async with Cluster(
-        folder, run.routers, run.seed, run.alone, run.rate, boxes=run.boxes, hubs=run.hubs, clocks=run.clocks
+        folder,
+        scenario.routers,
+        scenario.seed,
+        scenario.solo_quota,
+        scenario.requests_per_s,
+        boxes=scenario.boxes,
+        hubs=scenario.hubs,
+        clocks=scenario.clocks,
     ) as cluster:
-        names = list(cluster.places)
+        names = list(cluster.routers)
         await cluster.start(*names)
-        await cluster.serving(*names)
-        await cluster.until(lambda: cluster.agreed(), "all agree at first")
-        cluster.load()
-        began = time.monotonic()
-        faults = [asyncio.ensure_future(_fault(cluster, fault, began)) for fault in run.faults]
-        while time.monotonic() - began < run.seconds or not all(task.done() for task in faults):
-            views = await cluster.views()
-            row = {
-                "at_s": round(time.monotonic() - began, 1),
-                "here": {name: len(cluster.here(view)) for name, view in views.items()},
-                "suspected": sum(m["standing"] == "suspected" for v in views.values() for m in v["members"]),
-                "gone": sum(m["standing"] == "gone" for v in views.values() for m in v["members"]),
-                "share": {name: view["share"] for name, view in views.items()},
-            }
-            samples.append(row)
-            progress(
-                f"{row['at_s']:6.1f} s  views {sorted(set(row['here'].values()))}  suspected "
-                f"{row['suspected']}  gone {row['gone']}"
-            )
-            await asyncio.sleep(1.0)
-        for fault, task in zip(run.faults, faults, strict=True):
-            if (error := task.exception()) is not None:
-                wrong.append(f"fault {fault.name}: {error}")
+        await cluster.wait_until_serving(*names)
+        await cluster.wait_until(cluster.views_agree, "all agree at first")
+        cluster.start_load()
+        samples = await _play_faults(cluster, scenario, problems, progress)
         try:
-            what = "all agree after the last fault"
-            took = await cluster.until(lambda: cluster.agreed(), what, QUIET_S + UP_S)
-            verdict["agree_after_s"] = round(took, 1)
-        except AssertionError as err:
-            wrong.append(str(err))
-        counted = await cluster.settle()
-        most, _ = cluster.most_shared()
-        wrong += cluster.broken + cluster.ended_wrong
-        verdict |= {
-            "asked": counted["sent"],
-            "served": counted["served"],
-            "refused": counted["refused"],
-            "failed": counted["failed"],
-            "lost": counted["lost"],
-            "cut": counted["cut"],
-            "faults": len(run.faults),
-            "most_share": round(most, 4),
-            "rules_broken": wrong,
-            "datagrams": cluster.switch.carried,
-            "dropped": cluster.switch.dropped,
-        }
+            took_s = await cluster.wait_until(
+                cluster.views_agree,
+                "all agree after the last fault",
+                AGREEMENT_TIMEOUT_S + STARTUP_TIMEOUT_S,
+            )
+            verdict["agree_after_s"] = round(took_s, 1)
+        except AssertionError as error:
+            problems.append(str(error))
+        verdict |= await _judge(cluster, len(scenario.faults), problems)
     verdict["left_running"] = cluster.left_running()
     (folder / "samples.json").write_text(json.dumps(samples))
     (folder / "verdict.json").write_text(json.dumps(verdict, indent=1))
     return verdict
 
 
+async def _play_faults(
+    cluster: Cluster, scenario: Scenario, problems: list[str], progress: Callable[[str], None]
+) -> list[dict[str, Any]]:
+    """Inject all faults; return samples of the routers' views, and add to ``problems`` faults that failed."""
+    samples: list[dict[str, Any]] = []
+    began = time.monotonic()
+    tasks = [asyncio.ensure_future(_inject(cluster, fault, began)) for fault in scenario.faults]
+    while time.monotonic() - began < scenario.duration_s or not all(task.done() for task in tasks):
+        sample = _sample(cluster, await cluster.membership_views(), time.monotonic() - began)
+        samples.append(sample)
+        progress(
+            f"{sample['at_s']:6.1f} s  views {sorted(set(sample['here'].values()))}  suspected "
+            f"{sample['suspected']}  gone {sample['gone']}"
+        )
+        await asyncio.sleep(SAMPLE_INTERVAL_S)
+    for fault, task in zip(scenario.faults, tasks, strict=True):
+        if (error := task.exception()) is not None:
+            problems.append(f"fault {fault.name}: {error}")
+    return samples
+
+
+def _sample(cluster: Cluster, views: dict[str, dict[str, Any]], at_s: float) -> dict[str, Any]:
+    """What the routers' views came to at a moment, by the keys of ``samples.json``."""
+    states = [member["standing"] for view in views.values() for member in view["members"]]
+    return {
+        "at_s": round(at_s, 1),
+        "here": {name: len(cluster.present_members(view)) for name, view in views.items()},
+        "suspected": states.count("suspected"),
+        "gone": states.count("gone"),
+        "share": {name: view["share"] for name, view in views.items()},
+    }
+
+
+async def _judge(cluster: Cluster, fault_count: int, problems: list[str]) -> dict[str, Any]:
+    """Stop the load and return what the checks found, by the verdict's keys."""
+    counts = await cluster.finish()
+    max_total, _ = cluster.max_total_quota()
+    return {
+        "asked": counts["sent"],
+        "served": counts["served"],
+        "refused": counts["refused"],
+        "failed": counts["failed"],
+        "lost": counts["lost"],
+        "cut": counts["cut"],
+        "faults": fault_count,
+        "most_share": round(max_total, 4),
+        "rules_broken": problems + cluster.violations + cluster.unexpected_exits,
+        "datagrams": cluster.switch.forwarded,
+        "dropped": cluster.switch.dropped,
+    }
+
+
 def plot(folder: Path) -> Path:
-    """The timeline of a run that was left behind, as a picture."""
+    """Draw the timeline of a run that was left behind; return the picture's path."""
     import matplotlib
 
     matplotlib.use("Agg")
     import matplotlib.pyplot as plt
 
     samples = json.loads((folder / "samples.json").read_text())
-    run = json.loads((folder / "scenario.json").read_text())
+    scenario = json.loads((folder / "scenario.json").read_text())
     figure, (above, below) = plt.subplots(2, 1, sharex=True, figsize=(10, 6))
-    names = sorted({name for row in samples for name in row["here"]})
+    names = sorted({name for sample in samples for name in sample["here"]})
     for name in names:
-        rows = [row for row in samples if name in row["here"]]
-        above.plot([r["at_s"] for r in rows], [r["here"][name] for r in rows], label=name, alpha=0.7)
-        below.plot([r["at_s"] for r in rows], [r["share"][name] for r in rows], alpha=0.7)
-    for fault in run["faults"]:
+        rows = [sample for sample in samples if name in sample["here"]]
+        times = [row["at_s"] for row in rows]
+        above.plot(times, [row["here"][name] for row in rows], label=name, alpha=0.7)
+        below.plot(times, [row["share"][name] for row in rows], alpha=0.7)
+    for fault in scenario["faults"]:
         for axis in (above, below):
             axis.axvspan(fault["at_s"], fault["at_s"] + fault["for_s"], alpha=0.1, color="red")
     above.set_ylabel("members in the view")
--- a/magpieshift/lab/fault_injection/scenario.py
+++ b/magpieshift/lab/fault_injection/scenario.py
@@ -1,4 +1,4 @@
-"""What is to happen to a fleet of processes: an S-expression, with a seed."""
+"""Scenarios: what is to happen to a fleet of processes, read from an S-expression, with a seed."""
 
 from __future__ import annotations
 
@@ -14,10 +14,12 @@
 from magpieshift.control.errors import Problem, UnusableDocumentError
 from magpieshift.control.validation import Form, Seconds, validate_form
 from magpieshift.lab.emulators.emulated import places
-from magpieshift.lab.fault_injection.network import ANY, CLIENTS, LOG, ROUTERS
+from magpieshift.lab.fault_injection.built_in_scenarios import BUILT_IN_SCENARIOS
+from magpieshift.lab.fault_injection.network import ANY_END, ANY_ROUTER, CHANGE_LOG, CLIENTS
 
-HEAD = "fleet-run"
-What = Literal[
+DOCUMENT_HEAD = "fleet-run"
+"""First word of a scenario's document."""
+FaultKind = Literal[
     "pause",
     "kill",
     "stop",
@@ -38,23 +40,33 @@
     "purge",
     "late-list",
 ]
-ON_ROUTERS = ("pause", "kill", "stop", "step", "rate")
-ON_LINKS = ("cut", "lose", "delay", "double", "reset", "silence", "throttle")
-AT_STORES = ("drain", "die", "hang", "slow", "err")  # purges and late lists are of no store
+"""All kinds of faults; purges and late lists concern neither a router nor a link nor an endpoint."""
+ROUTER_FAULTS = ("pause", "kill", "stop", "step", "rate")
+"""Kinds that happen to one router."""
+LINK_FAULTS = ("cut", "lose", "delay", "double", "reset", "silence", "throttle")
+"""Kinds that happen on one direction of links."""
+ENDPOINT_FAULTS = ("drain", "die", "hang", "slow", "err")
+"""Kinds that happen to one endpoint."""
 
 
 class FaultForm(Form):
-    what: What
+    """A fault as a document has it; ``Fault`` names its fields in words."""
+
+    what: FaultKind
     at_s: Seconds
     for_s: Seconds = 0.0
-    who: str = ""  # a router or a store's place
-    source: str = "*"  # of what happens on a link: routers (all or one), places, log, clients
+    who: str = ""
+    """A router or an endpoint's place."""
+    source: str = "*"
+    """Of a fault on links: routers (all or one), places, log, clients."""
     target: str = "*"
-    # lose, double, err: a share; delay, slow: ms; throttle: KB a second; step: seconds; rate: times true
     by: Annotated[float, Field(ge=-3_600, le=60_000)] = 0.0
+    """See ``Fault.magnitude``."""
 
 
 class RunForm(Form):
+    """A scenario as a document has it; ``Scenario`` names its fields in words."""
+
     seconds: Annotated[float, Field(ge=1, le=3_600)]
     seed: Annotated[int, Field(ge=0)] = 1
     routers: Annotated[int, Field(ge=2, le=16)] = 8
@@ -70,178 +82,180 @@
     """One fault, from when and for how long."""
 
     name: str
-    what: str
-    at_s: float
-    for_s: float
-    who: str
+    kind: str
+    """One of ``FaultKind``."""
+    start_s: float
+    """Seconds from the scenario's beginning."""
+    duration_s: float
+    """Seconds that it lasts."""
+    component: str
+    """The router or the endpoint's place that it happens to; empty for a fault on links."""
     source: str
+    """The end of a link from which what is faulted comes."""
     target: str
-    by: float
+    """The end of a link to which it goes."""
+    magnitude: float
+    """How strong it is: lose, double, err: a share; delay, slow: milliseconds; throttle: kilobytes a second;
+    step: seconds; rate: times the true rate."""
 
 
 @dataclass(frozen=True)
-class Run:
-    """A fleet, its load, and what goes wrong, by time."""
+class Scenario:
+    """A fleet, its load, and the faults that are injected, by time."""
 
-    seconds: float
+    duration_s: float
+    """Seconds that the load lasts at least."""
     seed: int
+    """Seed of the load, of datagrams' faults and of the endpoints."""
     routers: int
-    rate: float
-    alone: float
+    """Number of routers."""
+    requests_per_s: float
+    """Rate of the clients at each router."""
+    solo_quota: float
+    """The members' setting ``alone``: the quota of a router that knows of no other, a share of the whole."""
     boxes: int
+    """Number of caches."""
     hubs: int
+    """Number of parents."""
     faults: tuple[Fault, ...]
+    """In order of their beginning."""
 
     @property
     def clocks(self) -> list[str]:
         """The routers whose clocks are set."""
-        return sorted({fault.who for fault in self.faults if fault.what in ("step", "rate")})
+        return sorted({fault.component for fault in self.faults if fault.kind in ("step", "rate")})
 
 
-def load(data: Mapping[str, Any], lines: Mapping[sexp.EntryPath, int] | None = None) -> Run:
-    """A checked run; ``UnusableDocumentError`` with all that is wrong."""
-    lines = lines or {}
-    form = validate_form(RunForm, data, lines)
-    names = [f"r{number}" for number in range(form.routers)]
-    stores = places(form.boxes, form.hubs)
+def _find_problems(form: RunForm, lines: Mapping[sexp.EntryPath, int]) -> list[Problem]:
+    """The ends and components of faults that a fleet of this size does not have."""
+    routers = [f"r{number}" for number in range(form.routers)]
+    endpoints = places(form.boxes, form.hubs)
     problems: list[Problem] = []
 
-    def must(name: str, key: str, found: str, wanted: list[str]) -> None:
-        if found not in wanted:
-            at = lines.get(("faults", name, key), 0)
+    def require(name: str, key: str, found: str, expected: list[str]) -> None:
+        if found not in expected:
+            line = lines.get(("faults", name, key), 0)
             problems.append(
-                Problem(f"faults {name} {key}", at, sexp.shorten(found), "one of " + ", ".join(wanted))
+                Problem(f"faults {name} {key}", line, sexp.shorten(found), "one of " + ", ".join(expected))
             )
 
     for name, fault in form.faults.items():
-        if fault.what in ON_LINKS:
+        if fault.what in LINK_FAULTS:
             for key, end in (("source", fault.source), ("target", fault.target)):
-                must(name, key, end, [ANY, ROUTERS, *names, *stores, LOG, CLIENTS])
-        elif fault.what in ON_ROUTERS:
-            must(name, "who", fault.who, names)
-        elif fault.what in AT_STORES:
-            must(name, "who", fault.who, stores)
-    if problems:
+                require(name, key, end, [ANY_END, ANY_ROUTER, *routers, *endpoints, CHANGE_LOG, CLIENTS])
+        elif fault.what in ROUTER_FAULTS:
+            require(name, "who", fault.who, routers)
+        elif fault.what in ENDPOINT_FAULTS:
+            require(name, "who", fault.who, endpoints)
+    return problems
+
+
+def load(data: Mapping[str, Any], lines: Mapping[sexp.EntryPath, int] | None = None) -> Scenario:
+    """Return a checked scenario; ``UnusableDocumentError`` with all that is wrong."""
+    lines = lines or {}
+    form = validate_form(RunForm, data, lines)
+    if problems := _find_problems(form, lines):
         raise UnusableDocumentError(problems)
     faults = [
-        Fault(n, f.what, f.at_s, f.for_s, f.who, f.source, f.target, f.by) for n, f in form.faults.items()
+        Fault(
+            name,
+            fault.what,
+            fault.at_s,
+            fault.for_s,
+            fault.who,
+            fault.source,
+            fault.target,
+            fault.by,
+        )
+        for name, fault in form.faults.items()
     ]
-    ordered = tuple(sorted(faults, key=lambda fault: fault.at_s))
-    return Run(form.seconds, form.seed, form.routers, form.rate, form.alone, form.boxes, form.hubs, ordered)
+    return Scenario(
+        duration_s=form.seconds,
+        seed=form.seed,
+        routers=form.routers,
+        requests_per_s=form.rate,
+        solo_quota=form.alone,
+        boxes=form.boxes,
+        hubs=form.hubs,
+        faults=tuple(sorted(faults, key=lambda fault: fault.start_s)),
+    )
 
 
-def written(run: Run) -> str:
-    """A run as a file that ``load_file`` reads as the same."""
+def format_scenario(scenario: Scenario) -> str:
+    """Return a scenario's document, which ``load_file`` reads as the same."""
     faults = {
-        f.name: {"what": f.what, "at-s": f.at_s, "for-s": f.for_s, "by": f.by}
-        | ({"source": f.source, "target": f.target} if f.what in ON_LINKS else {})
-        | ({"who": f.who} if f.who else {})
-        for f in run.faults
+        fault.name: {
+            "what": fault.kind,
+            "at-s": fault.start_s,
+            "for-s": fault.duration_s,
+            "by": fault.magnitude,
+        }
+        | ({"source": fault.source, "target": fault.target} if fault.kind in LINK_FAULTS else {})
+        | ({"who": fault.component} if fault.component else {})
+        for fault in scenario.faults
     }
-    data = {
-        "seconds": run.seconds,
-        "seed": run.seed,
-        "routers": run.routers,
-        "rate": run.rate,
-        "alone": run.alone,
-        "boxes": run.boxes,
-        "hubs": run.hubs,
+    data = _size_to_json(scenario)
+    return sexp.format_document(data | ({"faults": faults} if faults else {}), DOCUMENT_HEAD)
+
+
+def _size_to_json(scenario: Scenario) -> dict[str, Any]:
+    """All of a scenario but its faults, by the keys of documents and saved files."""
+    return {
+        "seconds": scenario.duration_s,
+        "seed": scenario.seed,
+        "routers": scenario.routers,
+        "rate": scenario.requests_per_s,
+        "alone": scenario.solo_quota,
+        "boxes": scenario.boxes,
+        "hubs": scenario.hubs,
     }
-    return sexp.format_document(data | ({"faults": faults} if faults else {}), HEAD)
 
 
-def load_file(path: str) -> Run:
-    """A file's; ``ConfigError`` if it cannot be read, ``UnusableDocumentError`` if it cannot be used."""
-    tree = sexp.parse(read_text(path), path, HEAD)
+def to_json(scenario: Scenario) -> dict[str, Any]:
+    """Return a scenario by the keys of the ``scenario.json`` that a run leaves behind."""
+    faults = [
+        {
+            "name": fault.name,
+            "what": fault.kind,
+            "at_s": fault.start_s,
+            "for_s": fault.duration_s,
+            "who": fault.component,
+            "source": fault.source,
+            "target": fault.target,
+            "by": fault.magnitude,
+        }
+        for fault in scenario.faults
+    ]
+    return _size_to_json(scenario) | {"faults": faults}
+
+
+def load_file(path: str) -> Scenario:
+    """Return a file's scenario.
+
+    Raises ``ConfigError`` if the file cannot be read, ``UnusableDocumentError`` if it cannot be used.
+    """
+    tree = sexp.parse(read_text(path), path, DOCUMENT_HEAD)
     return load(tree.data, tree.lines)
 
 
-def named(name: str) -> Run:
-    """One of ``KNOWN`` or else a file's; ``ConfigError`` if it is neither, ``UnusableDocumentError`` if it
-    cannot be used."""
-    if name in KNOWN:
-        return load(KNOWN[name])
+def find_scenario(name: str) -> Scenario:
+    """Return one of ``BUILT_IN_SCENARIOS`` or else a file's.
+
+    Raises ``ConfigError`` if it is neither, ``UnusableDocumentError`` if it cannot be used.
+    """
+    if name in BUILT_IN_SCENARIOS:
+        return load(BUILT_IN_SCENARIOS[name])
     if not Path(name).exists():
-        raise ConfigError(f"{name}: found no such file, expected one or one of {', '.join(KNOWN)}")
+        known = ", ".join(BUILT_IN_SCENARIOS)
+        raise ConfigError(f"{name}: found no such file, expected one or one of {known}")
     return load_file(name)
 
 
-def altered(run: Run, routers: int, seed: int) -> Run:
-    """The run with another size and seed; ``UnusableDocumentError`` where its faults do not fit that size."""
-    changed = replace(run, routers=routers, seed=seed)
-    load(sexp.parse(written(changed), HEAD, HEAD).data)
-    return changed
-
+def resized(scenario: Scenario, routers: int, seed: int) -> Scenario:
+    """Return the scenario with another size and seed.
 
-KNOWN: dict[str, dict[str, Any]] = {
-    "quiet": {"seconds": 10},
-    "paused": {
-        "seconds": 25,
-        "faults": {
-            "one": {"what": "pause", "who": "r1", "at-s": 2, "for-s": 5},
-            "two": {"what": "pause", "who": "r2", "at-s": 10, "for-s": 5},
-            "three": {"what": "pause", "who": "r3", "at-s": 10, "for-s": 5},
-        },
-    },
-    "deaf-and-mute": {
-        "seconds": 30,
-        "faults": {
-            "deaf": {"what": "cut", "source": "routers", "target": "r1", "at-s": 2, "for-s": 12},
-            "mute": {"what": "cut", "source": "r2", "target": "routers", "at-s": 2, "for-s": 12},
-        },
-    },
-    "lossy": {
-        "seconds": 25,
-        "faults": {
-            "all": {"what": "lose", "by": 0.3, "at-s": 1, "for-s": 20},
-            "one": {"what": "lose", "source": "r1", "by": 0.6, "at-s": 1, "for-s": 20},
-        },
-    },
-    "killed": {
-        "seconds": 30,
-        "faults": {f"k{i}": {"what": "kill", "who": f"r{i}", "at-s": 2, "for-s": 2} for i in range(1, 6)},
-    },
-    "stores": {
-        "seconds": 25,
-        "faults": {
-            "drained": {"what": "drain", "who": "box1", "at-s": 3, "for-s": 2},
-            "dead": {"what": "die", "who": "hub1", "at-s": 5, "for-s": 3},
-            "purged": {"what": "purge", "at-s": 6},
-            "late": {"what": "late-list", "at-s": 9, "for-s": 3},
-            "again": {"what": "purge", "at-s": 10},
-            "gone": {"what": "die", "who": "box2", "at-s": 10, "for-s": 3},
-        },
-    },
-    "streams": {
-        "seconds": 25,
-        "faults": {
-            "reset": {"what": "reset", "source": "r1", "target": "box1", "at-s": 2, "for-s": 3},
-            "silent": {"what": "silence", "source": "r2", "target": "box2", "at-s": 3, "for-s": 5},
-            "one-way": {"what": "cut", "source": "hub1", "target": "r0", "at-s": 4, "for-s": 5},
-            "deaf": {"what": "cut", "source": "log", "target": "r3", "at-s": 4, "for-s": 8},
-            "drained": {"what": "drain", "who": "box1", "at-s": 6, "for-s": 2},
-            "thin": {"what": "throttle", "source": "*", "target": "origin", "by": 20, "at-s": 10, "for-s": 4},
-        },
-    },
-    "overload": {
-        "seconds": 40,
-        "faults": {
-            "slow": {"what": "slow", "who": "origin", "by": 400, "at-s": 3, "for-s": 8},
-            "dead": {"what": "die", "who": "hub1", "at-s": 14, "for-s": 4},
-            "errs": {"what": "err", "who": "box1", "by": 0.5, "at-s": 21, "for-s": 6},
-            "paused": {"what": "pause", "who": "r1", "at-s": 24, "for-s": 5},
-            "killed": {"what": "kill", "who": "r2", "at-s": 29, "for-s": 2},
-            "too": {"what": "kill", "who": "r3", "at-s": 29, "for-s": 2},
-        },
-    },
-    "clocks": {
-        "seconds": 25,
-        "faults": {
-            "back": {"what": "step", "who": "r1", "by": -30, "at-s": 2, "for-s": 8},
-            "ahead": {"what": "step", "who": "r2", "by": 30, "at-s": 3, "for-s": 8},
-            "fast": {"what": "rate", "who": "r3", "by": 1.01, "at-s": 1, "for-s": 20},
-            "slow": {"what": "rate", "who": "r0", "by": 0.99, "at-s": 1, "for-s": 20},
-        },
-    },
-}
-"""Runs that need no file."""
+    Raises ``UnusableDocumentError`` where its faults do not fit that size.
+    """
+    changed = replace(scenario, routers=routers, seed=seed)
+    load(sexp.parse(format_scenario(changed), DOCUMENT_HEAD, DOCUMENT_HEAD).data)
+    return changed
--- a/magpieshift/lab/fault_injection/switch.py
+++ b/magpieshift/lab/fault_injection/switch.py
@@ -1,28 +1,32 @@
-"""A switch for datagrams on loopback: each process has a public port here, and every direction between two of
-them its own faults."""
+"""A switch for datagrams on loopback: each process has a public port, and each direction between two of them
+has its own faults."""
 
 from __future__ import annotations
 
 import asyncio
 import random
 
-from magpieshift.lab.fault_injection.network import Network
+from magpieshift.lab.fault_injection.network import LinkFault, Network
 
 
 class _Port(asyncio.DatagramProtocol):
+    """The public port of one process."""
+
     def __init__(self, switch: Switch, name: str) -> None:
         self._switch = switch
         self._name = name
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport for sending."""
         self.transport = transport  # type: ignore[assignment]  # asyncio's own is no subclass of its interface
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self._switch.carry(addr[1], self._name, data)
+        """Forward a datagram that another process sent to this one."""
+        self._switch.forward(addr[1], self._name, data)
 
     def error_received(self, exc: Exception) -> None:
-        pass  # nobody listens at the private port right now: the process is down
+        """Ignore it: the process is down and nobody listens at its private port."""
 
 
 class Switch:
@@ -31,50 +35,60 @@
     def __init__(self, seed: int, network: Network | None = None) -> None:
         self._random = random.Random(seed)
         self.network = network or Network()
+        """The faults in force."""
         self._ports: dict[str, _Port] = {}
-        self._private: dict[str, int] = {}
+        self._private_ports: dict[str, int] = {}
         self._names: dict[int, str] = {}
-        self.carried = 0
+        """Processes by their private ports."""
+        self.forwarded = 0
+        """Datagrams forwarded, duplicates included."""
         self.dropped = 0
+        """Datagrams dropped by faults."""
 
     async def add(self, name: str, private: int, public: int) -> None:
-        """A public port for the process that binds ``private``."""
+        """Open a public port for the process that binds ``private``."""
         loop = asyncio.get_running_loop()
         _, port = await loop.create_datagram_endpoint(
             lambda: _Port(self, name), local_addr=("127.0.0.1", public)
         )
         self._ports[name] = port
-        self._private[name] = private
+        self._private_ports[name] = private
         self._names[private] = name
 
     def close(self) -> None:
+        """Close all public ports."""
         for port in self._ports.values():
             if port.transport is not None:
                 port.transport.close()
 
-    def carry(self, private: int, target: str, data: bytes) -> None:
+    def forward(self, private: int, target: str, data: bytes) -> None:
+        """Forward a datagram from the process with this private port, as its direction's faults allow."""
         source = self._names.get(private)
         if source is None:
             return
-        faults = self.network.on(source, target)
-        kept = 1.0
-        delay_ms = 0.0
-        copies = 1
-        for fault in faults:
-            kept *= 0.0 if fault.cut else 1.0 - fault.lose
-            delay_ms += fault.delay_ms + fault.jitter_ms * self._random.random()
-            copies += self._random.random() < fault.double
-        if self._random.random() >= kept:
+        pass_probability, delay_ms, copies = self._effect(self.network.faults_on(source, target))
+        if self._random.random() >= pass_probability:
             self.dropped += 1
             return
         for _ in range(copies):
-            self.carried += 1
+            self.forwarded += 1
             if delay_ms:
                 asyncio.get_running_loop().call_later(delay_ms / 1e3, self._deliver, source, target, data)
             else:
                 self._deliver(source, target, data)
 
+    def _effect(self, faults: list[LinkFault]) -> tuple[float, float, int]:
+        """Probability that one datagram passes, its delay in milliseconds, and its number of copies."""
+        pass_probability = 1.0
+        delay_ms = 0.0
+        copies = 1
+        for fault in faults:
+            pass_probability *= 0.0 if fault.cut else 1.0 - fault.loss_share
+            delay_ms += fault.delay_ms + fault.jitter_ms * self._random.random()
+            copies += self._random.random() < fault.duplicate_share
+        return pass_probability, delay_ms, copies
+
     def _deliver(self, source: str, target: str, data: bytes) -> None:
-        transport = self._ports[source].transport  # so that it comes from where its sender is known
+        transport = self._ports[source].transport  # the receiver knows a sender by its public port
         if transport is not None and not transport.is_closing():
-            transport.sendto(data, ("127.0.0.1", self._private[target]))
+            transport.sendto(data, ("127.0.0.1", self._private_ports[target]))
--- a/magpieshift/lab/scale/network.py
+++ b/magpieshift/lab/scale/network.py
@@ -3,7 +3,7 @@
 
 from __future__ import annotations
 
-from magpieshift.lab.fault_injection.network import Network
+from magpieshift.lab.fault_injection.network import LinkFault, Network
 from magpieshift.lab.scale import child
 from magpieshift.lab.scale.messages import Done, HealFault, Message, PutFault, Ready, StartNetwork
 from magpieshift.lab.scale.streams import Passage
@@ -24,7 +24,12 @@
         ends = {"to-routers": (CONTROL, path), "from-routers": (path, CONTROL)}
         chosen = ends.values() if fault.direction == "both" else [ends[fault.direction]]
         for source, target in chosen:
-            links.put(fault.why, source, target, cut=fault.cut, kb_per_s=fault.kb_per_s, delay_ms=delay_ms)
+            links.add_fault(
+                fault.why,
+                source,
+                target,
+                LinkFault(cut=fault.cut, kb_per_s=fault.kb_per_s, delay_ms=delay_ms),
+            )
 
 
 async def run() -> None:
@@ -45,7 +50,7 @@
                 put(links, message)
                 return Done()
             case HealFault(why=why):
-                links.heal(why)
+                links.remove_fault(why)
                 return Done()
             case other:
                 raise RuntimeError(f"a network knows no {other.kind!r}")
--- a/magpieshift/lab/scale/streams.py
+++ b/magpieshift/lab/scale/streams.py
@@ -73,7 +73,7 @@
         loop = asyncio.get_running_loop()
         try:
             while data := await reader.read(CHUNK):
-                delay_ms = sum(fault.delay_ms for fault in self._links.on(source, target))
+                delay_ms = sum(fault.delay_ms for fault in self._links.faults_on(source, target))
                 await under_way.put((loop.time() + delay_ms / 1000, data))
         finally:
             writing.cancel()
@@ -92,12 +92,12 @@
                 if (left_s := due - loop.time()) > 0:
                     await asyncio.sleep(left_s)
                 await self._while_cut(source, target)
-                for fault in self._links.on(source, target):
+                for fault in self._links.faults_on(source, target):
                     if fault.kb_per_s:
                         await asyncio.sleep(len(data) / 1000 / fault.kb_per_s)
                 writer.write(data)
                 await writer.drain()
 
     async def _while_cut(self, source: str, target: str) -> None:
-        while any(fault.cut for fault in self._links.on(source, target)):
+        while any(fault.cut for fault in self._links.faults_on(source, target)):
             await asyncio.sleep(LOOK_S)
--- a/tests/interoperability.py
+++ b/tests/interoperability.py
@@ -45,16 +45,16 @@
 
 async def replace_with(cluster: Cluster, name: str, program: Sequence[str]) -> None:
     """Replace a router's process by one of another program, as operators do."""
-    place = cluster.places[name]
+    place = cluster.routers[name]
     old = place.process
     assert old is not None
-    await cluster.beside(name, free_ports(1)[0], (), program)
+    await cluster.start_successor(name, free_ports(1)[0], (), program)
     log = cluster.folder / f"{name}.{place.starts}.log"
 
     async def ready() -> bool:
         return "event=ready " in log.read_text(errors="replace")
 
-    await cluster.until(ready, f"the new {name} is ready", READY_S)
+    await cluster.wait_until(ready, f"the new {name} is ready", READY_S)
     old.terminate()
     assert await asyncio.wait_for(old.wait(), READY_S) == 0, f"{name} did not end as planned"
 
@@ -75,19 +75,21 @@
         async with Cluster(Path(folder), 4, seed=3, digests=True, slack_s=1.0) as cluster:
             await cluster.start("r0", "r1", program=other)
             await cluster.start("r2", "r3", program=OWN)
-            await cluster.serving("r0", "r1", "r2", "r3")
-            await cluster.until(cluster.agreed, "all have one view", READY_S)
+            await cluster.wait_until_serving("r0", "r1", "r2", "r3")
+            await cluster.wait_until(cluster.views_agree, "all have one view", READY_S)
             assert await keys(cluster, "r0") == await keys(cluster, "r2"), "answers to operators differ"
-            cluster.load()
+            cluster.start_load()
             await asyncio.sleep(2.0)
             await replace_with(cluster, "r0", OWN)
             await replace_with(cluster, "r2", other)
             await asyncio.sleep(2.0)
-            await cluster.until(cluster.agreed, "all have one view again", READY_S)
-            counted = await cluster.settle()
-            print("fleet:", counted, "broken:", cluster.broken, "ended wrong:", cluster.ended_wrong)
-            assert counted["sent"] > 100 and counted["lost"] == counted["doubles"] == 0, cluster.missed()
-            assert not cluster.broken and not cluster.ended_wrong
+            await cluster.wait_until(cluster.views_agree, "all have one view again", READY_S)
+            counted = await cluster.finish()
+            print("fleet:", counted, "broken:", cluster.violations, "ended wrong:", cluster.unexpected_exits)
+            assert counted["sent"] > 100 and counted["lost"] == counted["doubles"] == 0, (
+                cluster.lost_examples()
+            )
+            assert not cluster.violations and not cluster.unexpected_exits
 
 
 async def control_stream(other: Sequence[str]) -> None:
--- a/tests/membership/test_ground.py
+++ b/tests/membership/test_ground.py
@@ -1,4 +1,4 @@
-"""The proving ground itself: its network does what it says, and each of its checks can fail."""
+"""The fault-injection testbed itself: its network does what it says, and each of its checks can fail."""
 
 from __future__ import annotations
 
@@ -20,8 +20,9 @@
 from magpieshift.lab.emulators import emulated
 from magpieshift.lab.emulators.emulator import Rules
 from magpieshift.lab.emulators.load import Connection, Missed
-from magpieshift.lab.fault_injection import checks, skewed
-from magpieshift.lab.fault_injection.network import ROUTERS, Network
+from magpieshift.lab.fault_injection import checks, skewed_clock
+from magpieshift.lab.fault_injection.network import ANY_ROUTER, LinkFault, Network
+from magpieshift.lab.fault_injection.outages import Halt
 from magpieshift.lab.fault_injection.relay import Relay
 
 GENEROUS_S = 20.0
@@ -33,19 +34,19 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.processes: dict[str, int] = {}
-        self.spans: list[tuple[str, int, float, float]] = []
+        self.spans: list[Halt] = []
         self.counts = {"sent": 100, "served": 90, "lost": 0, "doubles": 0}
 
     def running(self) -> Mapping[str, int]:
         return self.processes
 
-    def idle(self) -> list[tuple[str, int, float, float]]:
+    def halts(self) -> list[Halt]:
         return self.spans
 
-    def counted(self) -> Mapping[str, int]:
+    def request_counts(self) -> Mapping[str, int]:
         return self.counts
 
-    def missed(self) -> list[str]:
+    def lost_examples(self) -> list[str]:
         return ["one"]
 
     def log(self, name: str, *shares: tuple[float, float]) -> None:
@@ -60,44 +61,44 @@
         self.fleet = Fleet(Path(folder.name))
 
     def test_answers(self) -> None:
-        self.assertEqual(checks.Answers().broken(self.fleet), [])
+        self.assertEqual(checks.AnswerCheck().violations(self.fleet), [])
         for wrong in ({"lost": 1}, {"doubles": 1}, {"served": 5}):
             with self.subTest(wrong):
                 self.fleet.counts = {"sent": 100, "served": 90, "lost": 0, "doubles": 0} | wrong
-                self.assertEqual(len(checks.Answers().broken(self.fleet)), 1)
+                self.assertEqual(len(checks.AnswerCheck().violations(self.fleet)), 1)
 
     def test_logs(self) -> None:
         log = self.fleet.folder / "r0.1.log"
         log.write_text("all well\n")
-        self.assertEqual(checks.Logs().broken(self.fleet), [])
+        self.assertEqual(checks.LogCheck().violations(self.fleet), [])
         log.write_text("oh\nTraceback (most recent call last)\n")
-        self.assertEqual(len(checks.Logs().broken(self.fleet)), 1)
+        self.assertEqual(len(checks.LogCheck().violations(self.fleet)), 1)
 
     def test_limits(self) -> None:
         self.fleet.processes = {"r0": os.getpid()}
-        limits = checks.Limits()
-        limits.look(self.fleet, {})
-        self.assertGreater(limits.most_mb, 1.0)
-        with mock.patch.object(checks, "MEMORY_MB", 1), mock.patch.object(checks, "SOCKETS", 1):
-            self.assertEqual(len(limits.broken(self.fleet)), 2)
+        limits = checks.ResourceLimitCheck()
+        limits.observe(self.fleet, {})
+        self.assertGreater(limits.max_memory_mb, 1.0)
+        with mock.patch.object(checks, "MAX_MEMORY_MB", 1), mock.patch.object(checks, "MAX_DESCRIPTORS", 1):
+            self.assertEqual(len(limits.violations(self.fleet)), 2)
 
     def test_shares(self) -> None:
         self.fleet.log("r0.1", (1.0, 0.5), (3.0, 0.75))
         self.fleet.log("r1.1", (1.0, 0.5), (2.0, 0.25))
-        self.assertEqual(checks.Shares().broken(self.fleet), [])
+        self.assertEqual(checks.QuotaCheck().violations(self.fleet), [])
         self.fleet.log("r1.1", (1.0, 0.5), (3.1, 0.25))
-        self.assertEqual(checks.Shares().most(self.fleet), (1.25, 3.0))
-        self.assertEqual(len(checks.Shares().broken(self.fleet)), 1)
-        self.fleet.spans = [("r1", 1, 2.5, float("inf"))]  # dead before the other grew
-        self.assertEqual(checks.Shares().broken(self.fleet), [])
+        self.assertEqual(checks.QuotaCheck().max_total(self.fleet), (1.25, 3.0))
+        self.assertEqual(len(checks.QuotaCheck().violations(self.fleet)), 1)
+        self.fleet.spans = [Halt("r1", 1, 2.5, float("inf"))]  # dead before the other grew
+        self.assertEqual(checks.QuotaCheck().violations(self.fleet), [])
 
     def test_shares_of_one_that_replaces_another(self) -> None:
         self.fleet.log("r0.1", (1.0, 0.6))
         self.fleet.log("r1.1", (1.0, 0.4), (3.0, 0.2))
         self.fleet.log("r1.2", (2.0, 0.2))
-        self.assertEqual(checks.Shares().broken(self.fleet), [])
+        self.assertEqual(checks.QuotaCheck().violations(self.fleet), [])
         self.fleet.log("r1.2", (2.0, 0.4))
-        self.assertEqual(len(checks.Shares().broken(self.fleet)), 1)
+        self.assertEqual(len(checks.QuotaCheck().violations(self.fleet)), 1)
 
     def test_drains_count_from_when_the_router_could_know(self) -> None:
         told = time.time() - 1.0
@@ -166,17 +167,17 @@
     async def test_each_direction_is_cut_by_itself_and_nothing_is_torn(self) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.relay.port)
         self.addCleanup(writer.close)
-        self.network.put("deaf", "box1", ROUTERS, cut=True)
+        self.network.add_fault("deaf", "box1", ANY_ROUTER, LinkFault(cut=True))
         writer.write(b"one")
         await self.until(lambda: self.heard == b"one")
-        self.network.put("mute", "r1", "box1", cut=True)
+        self.network.add_fault("mute", "r1", "box1", LinkFault(cut=True))
         writer.write(b"two")
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(0.2):
                 await reader.readexactly(1)
         self.assertEqual(self.heard, b"one")
-        self.network.heal("deaf")
-        self.network.heal("mute")
+        self.network.remove_fault("deaf")
+        self.network.remove_fault("mute")
         async with asyncio.timeout(GENEROUS_S):
             self.assertEqual(await reader.readexactly(6), b"onetwo")
 
@@ -184,19 +185,19 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", self.relay.port)
         writer.write(b"one")
         await reader.readexactly(3)
-        self.network.put("broken", "*", "box1", reset=True)
+        self.network.add_fault("broken", "*", "box1", LinkFault(reset=True))
         for _ in range(2):
             with self.assertRaises(ConnectionError):
                 async with asyncio.timeout(GENEROUS_S):
                     if await reader.read(1) == b"":
                         raise AssertionError("an end in place of a reset")
             reader, writer = await asyncio.open_connection("127.0.0.1", self.relay.port)
-        self.network.heal("broken")
+        self.network.remove_fault("broken")
         writer.close()
         await self.until(lambda: self.relay.open == 0)
 
     async def test_a_silent_peer_accepts_and_says_nothing(self) -> None:
-        self.network.put("silent", "r1", "*", silent=True)
+        self.network.add_fault("silent", "r1", "*", LinkFault(silent=True))
         reader, writer = await asyncio.open_connection("127.0.0.1", self.relay.port)
         self.addCleanup(writer.close)
         writer.write(b"one")
@@ -204,7 +205,7 @@
             async with asyncio.timeout(0.2):
                 await reader.read(1)
         self.assertEqual(self.heard, b"")
-        self.network.heal("silent")
+        self.network.remove_fault("silent")
         async with asyncio.timeout(GENEROUS_S):
             self.assertEqual(await reader.readexactly(3), b"one")
 
@@ -230,8 +231,8 @@
                 self.assertEqual(await reader.read(1), b"")
 
     async def test_other_ways_are_left_alone(self) -> None:
-        for source, target in (("r2", "box1"), ("r1", "box2"), ("log", "r1"), (ROUTERS, ROUTERS)):
-            self.network.put("elsewhere", source, target, cut=True, reset=True, silent=True)
+        for source, target in (("r2", "box1"), ("r1", "box2"), ("log", "r1"), (ANY_ROUTER, ANY_ROUTER)):
+            self.network.add_fault("elsewhere", source, target, LinkFault(cut=True, reset=True, silent=True))
         reader, writer = await asyncio.open_connection("127.0.0.1", self.relay.port)
         self.addCleanup(writer.close)
         writer.write(b"one")
@@ -293,15 +294,15 @@
         with tempfile.TemporaryDirectory() as folder, mock.patch("time.monotonic_ns") as true:
             path = Path(folder) / "clock"
             true.return_value = 1_000_000_000
-            skewed.write(path)
-            clock = skewed.Skewed(path)
+            skewed_clock.write_clock(path)
+            clock = skewed_clock.SkewedTimeSource(path)
             steady, wall = clock.steady_us(), clock.unix_us()
-            skewed.write(path, step_us=-5_000_000, rate=2.0)
+            skewed_clock.write_clock(path, step_us=-5_000_000, rate=2.0)
             self.assertEqual(clock.steady_us(), steady)  # a new rate bends from now on
             self.assertAlmostEqual(clock.unix_us(), wall - 5_000_000, delta=2)
             true.return_value += 1_000_000_000
             self.assertEqual(clock.steady_us(), steady + 2_000_000)
-            skewed.write(path, rate=0.5)
+            skewed_clock.write_clock(path, rate=0.5)
             self.assertEqual(clock.steady_us(), steady + 2_000_000)
             true.return_value += 1_000_000_000
             self.assertEqual(clock.steady_us(), steady + 2_500_000)
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -13,8 +13,10 @@
 
 from magpieshift.control.errors import UnusableDocumentError
 from magpieshift.lab.fault_injection import scenario
+from magpieshift.lab.fault_injection.built_in_scenarios import BUILT_IN_SCENARIOS
 from magpieshift.lab.fault_injection.cluster import Cluster
-from magpieshift.lab.fault_injection.network import ROUTERS as ALL
+from magpieshift.lab.fault_injection.network import ANY_ROUTER as ALL
+from magpieshift.lab.fault_injection.network import LinkFault
 
 ROUTERS = 8
 
@@ -25,20 +27,22 @@
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
         self.cluster = await self.enterAsyncContext(
-            Cluster(Path(self.folder.name), ROUTERS, rate=15.0, slack_s=1.0)
+            Cluster(Path(self.folder.name), ROUTERS, requests_per_s=15.0, slack_s=1.0)
         )
-        self.names = list(self.cluster.places)
+        self.names = list(self.cluster.routers)
 
     async def others(self, but: str) -> list[dict[str, object]]:
-        views = await self.cluster.views([n for n in self.names if n != but and self.cluster.places[n].alive])
+        views = await self.cluster.membership_views(
+            [n for n in self.names if n != but and self.cluster.routers[n].alive]
+        )
         return list(views.values())
 
     async def all_say(self, about: str, standing: str) -> None:
         async def true() -> bool:
             views = await self.others(about)
-            return bool(views) and all(self.cluster.standing(view, about) == standing for view in views)
+            return bool(views) and all(self.cluster.member_state(view, about) == standing for view in views)
 
-        await self.cluster.until(true, f"all hold {about} for {standing}", 60.0)
+        await self.cluster.wait_until(true, f"all hold {about} for {standing}", 60.0)
 
     async def all_read(self, about: str, state: str) -> None:
         """Others read of it what it is in the middle of, and hold it for alive."""
@@ -48,11 +52,11 @@
             said = {(row["state"], row["standing"]) for row in rows if row["name"] == about}
             return said == {(state, "alive")}
 
-        await self.cluster.until(true, f"all read of {about} that it is {state}", 60.0)
+        await self.cluster.wait_until(true, f"all read of {about} that it is {state}", 60.0)
 
     async def together(self) -> None:
-        await self.cluster.until(
-            lambda: self.cluster.agreed(), "all agree, and nobody is gone who lives", 60.0
+        await self.cluster.wait_until(
+            lambda: self.cluster.views_agree(), "all agree, and nobody is gone who lives", 60.0
         )
 
     async def removed(self) -> set[str]:
@@ -67,9 +71,9 @@
     async def test_the_hard_cases_one_after_another_under_load(self) -> None:
         cluster, names = self.cluster, self.names
         await cluster.start(*names)
-        await cluster.serving(*names)
+        await cluster.wait_until_serving(*names)
         await self.together()
-        cluster.load()
+        cluster.start_load()
 
         with self.subTest("one stands still, then three at once"):
             for sleepers in (["r1"], ["r4", "r5", "r6"]):
@@ -78,21 +82,21 @@
                 for name in sleepers:
                     await self.all_say(name, "suspected") if len(sleepers) == 1 else None
                 for name in sleepers:
-                    cluster.wake(name)
+                    cluster.resume(name)
                 await self.together()
             self.assertEqual(await self.removed(), set())
 
         with self.subTest("all stand still, each at its own moment, and a fifth of all is lost"):
-            cluster.network.put("lossy", ALL, ALL, lose=0.2)
+            cluster.network.add_fault("lossy", ALL, ALL, LinkFault(loss_share=0.2))
 
             async def nap(number: int, name: str) -> None:
                 await asyncio.sleep(number / 2)
                 cluster.pause(name)
                 await asyncio.sleep(4.0)
-                cluster.wake(name)
+                cluster.resume(name)
 
             await asyncio.gather(*(nap(number, name) for number, name in enumerate(names)))
-            cluster.network.heal("lossy")
+            cluster.network.remove_fault("lossy")
             await self.together()
             self.assertEqual(await self.removed(), set())
 
@@ -106,68 +110,68 @@
             self.assertEqual(await self.removed(), set())
 
         with self.subTest("one hears but is not heard"):
-            cluster.network.put("mute", "r2", ALL, cut=True)
+            cluster.network.add_fault("mute", "r2", ALL, LinkFault(cut=True))
             await self.all_say("r2", "gone")
             self.assertEqual(await self.removed(), {"r2"})
-            cluster.network.heal("mute")
+            cluster.network.remove_fault("mute")
             await self.together()
 
         with self.subTest("one is heard but does not hear"):
-            cluster.network.put("deaf", ALL, "r3", cut=True)
+            cluster.network.add_fault("deaf", ALL, "r3", LinkFault(cut=True))
 
             async def cut_off() -> bool:
-                view = await cluster.view("r3")
+                view = await cluster.membership_view("r3")
                 return view is not None and view["isolated"]
 
-            await cluster.until(cut_off, "r3 knows that it hears nobody")
-            cluster.network.heal("deaf")
+            await cluster.wait_until(cut_off, "r3 knows that it hears nobody")
+            cluster.network.remove_fault("deaf")
             await self.together()
             self.assertEqual(await self.removed(), {"r2"})
 
         with self.subTest("one hears only half of the others, while another dies"):
             for name in names[:3]:
-                cluster.network.put("half deaf", name, "r4", cut=True)
+                cluster.network.add_fault("half deaf", name, "r4", LinkFault(cut=True))
             cluster.kill("r6")
-            await cluster.died("r6")
+            await cluster.wait_for_exit("r6")
             await self.all_say("r6", "gone")
             self.assertEqual(await self.removed(), {"r2", "r6"})
 
         with self.subTest("two halves, as shares are growing, with a leave in one of them"):
-            cluster.network.heal("half deaf")
+            cluster.network.remove_fault("half deaf")
             half = names[:4]
             for a in names:
                 for b in names:
                     if (a in half) != (b in half):
-                        cluster.network.put("halves", a, b, cut=True)
+                        cluster.network.add_fault("halves", a, b, LinkFault(cut=True))
 
             async def parted() -> bool:
-                views = await cluster.views()
-                return all(len(cluster.here(view)) <= ROUTERS // 2 for view in views.values())
+                views = await cluster.membership_views()
+                return all(len(cluster.present_members(view)) <= ROUTERS // 2 for view in views.values())
 
             await cluster.stop("r7")
-            await cluster.until(parted, "each half is by itself", 60.0)
-            cluster.network.heal("halves")
+            await cluster.wait_until(parted, "each half is by itself", 60.0)
+            cluster.network.remove_fault("halves")
             await self.together()
 
         with self.subTest("four more killed at once, and all started again under their names"):
             killed = names[2:6]
-            before = await cluster.view("r0")
+            before = await cluster.membership_view("r0")
             assert before is not None
             old = {row["name"]: row["incarnation"] for row in before["members"]}
             for name in killed:
                 cluster.kill(name)
-            await cluster.died(*killed)
+            await cluster.wait_for_exit(*killed)
             await cluster.start("r6", "r7", *killed)
-            await cluster.serving("r6", "r7", *killed)
+            await cluster.wait_until_serving("r6", "r7", *killed)
             await self.together()
-            after = await cluster.view("r0")
+            after = await cluster.membership_view("r0")
             assert after is not None
             for row in after["members"]:
                 if row["name"] in killed:
                     self.assertGreater(row["incarnation"], old[row["name"]])
 
-        counted = await cluster.settle()
-        self.assertEqual((cluster.broken, cluster.ended_wrong), ([], []))
+        counted = await cluster.finish()
+        self.assertEqual((cluster.violations, cluster.unexpected_exits), ([], []))
         self.assertEqual((counted["lost"], counted["doubles"]), (0, 0))
         self.assertGreater(counted["served"], 100)
         await cluster.close()
@@ -178,36 +182,36 @@
     async def test_sixteen_start_while_their_one_seed_is_down_and_one_stands_still_as_it_joins(self) -> None:
         asyncio.get_running_loop().set_debug(False)
         with tempfile.TemporaryDirectory() as folder:
-            async with Cluster(Path(folder), 16, rate=3.0, slack_s=1.0, seeds=1) as cluster:
-                first, *rest = cluster.places
+            async with Cluster(Path(folder), 16, requests_per_s=3.0, slack_s=1.0, seed_count=1) as cluster:
+                first, *rest = cluster.routers
                 began = asyncio.get_running_loop().time()
                 await cluster.start(*rest)
-                await cluster.serving(*rest)
-                cluster.load()
+                await cluster.wait_until_serving(*rest)
+                cluster.start_load()
                 await asyncio.sleep(max(0.0, began + 10.0 - asyncio.get_running_loop().time()))
-                views = await cluster.views()
-                self.assertEqual({len(cluster.here(view)) for view in views.values()}, {1})
+                views = await cluster.membership_views()
+                self.assertEqual({len(cluster.present_members(view)) for view in views.values()}, {1})
                 self.assertLessEqual(sum(view["share"] for view in views.values()), 0.5)
                 await cluster.start(first)
-                await cluster.serving(first)
+                await cluster.wait_until_serving(first)
 
                 async def joining() -> bool:
-                    view = await cluster.view(rest[-1])
-                    return view is not None and len(cluster.here(view)) > 1
+                    view = await cluster.membership_view(rest[-1])
+                    return view is not None and len(cluster.present_members(view)) > 1
 
-                await cluster.until(joining, "the last one has begun to join", 60.0)
+                await cluster.wait_until(joining, "the last one has begun to join", 60.0)
                 cluster.pause(rest[-1])
                 awake = [first, *rest[:-1]]
 
                 async def others() -> bool:
-                    views = await cluster.views(awake)
-                    return all(set(awake) <= set(cluster.here(view)) for view in views.values())
-
-                await cluster.until(others, "the others know each other", 60.0)
-                cluster.wake(rest[-1])
-                await cluster.until(lambda: cluster.agreed(), "all agree", 60.0)
-                counted = await cluster.settle()
-                self.assertEqual((cluster.broken, cluster.ended_wrong, counted["lost"]), ([], [], 0))
+                    views = await cluster.membership_views(awake)
+                    return all(set(awake) <= set(cluster.present_members(view)) for view in views.values())
+
+                await cluster.wait_until(others, "the others know each other", 60.0)
+                cluster.resume(rest[-1])
+                await cluster.wait_until(lambda: cluster.views_agree(), "all agree", 60.0)
+                counted = await cluster.finish()
+                self.assertEqual((cluster.violations, cluster.unexpected_exits, counted["lost"]), ([], [], 0))
                 self.assertNotIn("after=gone", "".join(p.read_text() for p in Path(folder).glob("*.log")))
             self.assertEqual(cluster.left_running(), 0)
 
@@ -217,7 +221,7 @@
         with tempfile.TemporaryDirectory() as folder:
             async with Cluster(Path(folder), 2) as cluster:
                 await cluster.start("r1")
-                await cluster.serving("r1")
+                await cluster.wait_until_serving("r1")
                 (Path(folder) / "r1.sexp").write_text("(edge-router")  # the new one cannot start
                 with self.assertRaises(AssertionError):
                     await cluster.replace("r1", 3.0)
@@ -242,15 +246,15 @@
             self.assertEqual((verdict["routers"], verdict["lost"], verdict["left_running"]), (2, 0, 0))
             left = {path.name for path in Path(folder).iterdir()}
             again = scenario.load_file(str(Path(folder) / "scenario.sexp"))
-            self.assertEqual((again.seconds, again.routers, again.seed), (10, 2, 3))
+            self.assertEqual((again.duration_s, again.routers, again.seed), (10, 2, 3))
             self.assertLessEqual({"scenario.json", "verdict.json", "r0.sexp", "r0.1.log"}, left)
 
     def test_every_scenario_that_is_left_behind_is_read_as_the_same(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            for name, data in scenario.KNOWN.items():
+            for name, data in BUILT_IN_SCENARIOS.items():
                 with self.subTest(name):
                     run, path = scenario.load(data), Path(folder) / "scenario.sexp"
-                    path.write_text(scenario.written(run))
+                    path.write_text(scenario.format_scenario(run))
                     self.assertEqual(scenario.load_file(str(path)), run)
 
     def test_a_scenario_with_mistakes_is_told_all_of_them(self) -> None:
--- a/tests/membership/test_trials.py
+++ b/tests/membership/test_trials.py
@@ -9,7 +9,7 @@
 
 from magpieshift.lab.fault_injection import random_runs as trials
 from magpieshift.lab.fault_injection import scenario
-from magpieshift.lab.fault_injection.scenario import AT_STORES, ON_ROUTERS, Run
+from magpieshift.lab.fault_injection.scenario import ENDPOINT_FAULTS, ROUTER_FAULTS, Scenario
 
 
 class Drawn(unittest.TestCase):
@@ -19,7 +19,7 @@
             for seed in range(40):
                 run = trials.draw(seed)
                 self.assertEqual(run, trials.draw(seed))
-                path.write_text(scenario.written(run))
+                path.write_text(scenario.format_scenario(run))
                 self.assertEqual(scenario.load_file(str(path)), run)
 
     def test_they_end_in_time_leave_enough_and_meet_each_others_recovery(self) -> None:
@@ -27,17 +27,24 @@
         close = 0
         for seed in range(300):
             run = trials.draw(seed)
-            kinds |= {fault.what for fault in run.faults}
+            kinds |= {fault.kind for fault in run.faults}
             for fault in run.faults:
-                self.assertLessEqual(fault.at_s + fault.for_s, trials.QUIET * run.seconds + 0.1)
+                self.assertLessEqual(
+                    fault.start_s + fault.duration_s, trials.FAULTY_SHARE * run.duration_s + 0.1
+                )
                 beside = [o for o in run.faults if o is not fault and trials._overlaps(fault, o)]
-                if fault.what in ON_ROUTERS:
-                    self.assertNotIn(fault.who, [o.who for o in beside if o.what in ON_ROUTERS])
-                if fault.what in AT_STORES:
-                    same = [o for o in beside if o.what == fault.what and o.who == fault.who]
+                if fault.kind in ROUTER_FAULTS:
+                    self.assertNotIn(
+                        fault.component, [o.component for o in beside if o.kind in ROUTER_FAULTS]
+                    )
+                if fault.kind in ENDPOINT_FAULTS:
+                    same = [o for o in beside if o.kind == fault.kind and o.component == fault.component]
                     self.assertEqual(same, [])
-                close += any(0 <= fault.at_s - o.at_s - o.for_s <= trials.SOON_S for o in run.faults)
-        self.assertEqual(kinds, set(trials.KINDS))
+                close += any(
+                    0 <= fault.start_s - o.start_s - o.duration_s <= trials.MAX_OVERLAP_DELAY_S
+                    for o in run.faults
+                )
+        self.assertEqual(kinds, set(trials.FAULT_DRAWS))
         self.assertGreater(close, 300)
 
 
@@ -47,7 +54,7 @@
             run = trials.draw(seed, faults=12)
             first, last = run.faults[1].name, run.faults[-2].name
 
-            async def fails(candidate: Run, both: frozenset[str] = frozenset((first, last))) -> bool:
+            async def fails(candidate: Scenario, both: frozenset[str] = frozenset((first, last))) -> bool:
                 return both <= {fault.name for fault in candidate.faults}
 
             found = asyncio.run(trials.shrink(run, fails))
@@ -56,12 +63,12 @@
     def test_it_ends_however_often_it_would_fail(self) -> None:
         played = 0
 
-        async def fails(candidate: Run) -> bool:
+        async def fails(candidate: Scenario) -> bool:
             nonlocal played
             played += 1
             return played % 3 == 0
 
-        asyncio.run(trials.shrink(trials.draw(1, faults=12), fails, most=25))
+        asyncio.run(trials.shrink(trials.draw(1, faults=12), fails, max_runs=25))
         self.assertLessEqual(played, 25)
 
 
--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -9,7 +9,8 @@
 from pathlib import Path
 
 from magpieshift.lab.fault_injection.cluster import Cluster
-from magpieshift.lab.fault_injection.network import ROUTERS as ALL
+from magpieshift.lab.fault_injection.network import ANY_ROUTER as ALL
+from magpieshift.lab.fault_injection.network import LinkFault
 
 ROUTERS = 6
 TRIERS = 2
@@ -21,39 +22,41 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.cluster = await self.enterAsyncContext(
-            Cluster(Path(folder.name), ROUTERS, rate=20.0, slack_s=1.0, boxes=3, hubs=2, digests=True)
+            Cluster(
+                Path(folder.name), ROUTERS, requests_per_s=20.0, slack_s=1.0, boxes=3, hubs=2, digests=True
+            )
         )
-        self.names = list(self.cluster.places)
+        self.names = list(self.cluster.routers)
 
     async def left(self) -> dict[str, list[str]]:
         """Which stores each router that answers leaves to others."""
-        told = await asyncio.gather(*(self.cluster.talk(name) for name in self.names))
+        told = await asyncio.gather(*(self.cluster.overload_view(name) for name in self.names))
         return {name: said["left"] for name, said in zip(self.names, told, strict=True) if said}
 
     async def until_left(self, store: str, least: int, what: str) -> None:
         async def true() -> bool:
             return sum(store in stores for stores in (await self.left()).values()) >= least
 
-        await self.cluster.until(true, what, 60.0)
+        await self.cluster.wait_until(true, what, 60.0)
 
     async def until_none(self, what: str) -> None:
         async def true() -> bool:
             left = await self.left()
             return len(left) == ROUTERS and not any(left.values())
 
-        await self.cluster.until(true, what, 60.0)
+        await self.cluster.wait_until(true, what, 60.0)
 
     async def test_a_dead_parent_is_left_to_a_few_and_lost_digests_are_borne(self) -> None:
         cluster, names = self.cluster, self.names
         await cluster.start(*names)
-        await cluster.serving(*names)
-        await cluster.until(lambda: cluster.agreed(), "all agree", 60.0)
-        cluster.load()
-        hub = cluster.stores.places["hub1"]
+        await cluster.wait_until_serving(*names)
+        await cluster.wait_until(lambda: cluster.views_agree(), "all agree", 60.0)
+        cluster.start_load()
+        hub = cluster.endpoints.places["hub1"]
 
         with self.subTest("it dies, and the list says so late"):
-            late = asyncio.ensure_future(cluster.stores.fail("late-list", for_s=20.0))
-            death = asyncio.ensure_future(cluster.stores.fail("die", "hub1", 15.0))
+            late = asyncio.ensure_future(cluster.endpoints.fail("late-list", for_s=20.0))
+            death = asyncio.ensure_future(cluster.endpoints.fail("die", "hub1", 15.0))
             await self.until_left(hub.ident, 2, "routers leave it to others")
             most = 0
             for _ in range(10):
@@ -63,29 +66,29 @@
             self.assertLessEqual(most, ROUTERS - TRIERS)
 
         with self.subTest("all digests are lost: each goes by itself, and the news is forgotten"):
-            cluster.network.put("mute", ALL, ALL, cut=True)
+            cluster.network.add_fault("mute", ALL, ALL, LinkFault(cut=True))
             await self.until_none("nobody goes by old news")
-            cluster.network.heal("mute")
+            cluster.network.remove_fault("mute")
             await asyncio.gather(late, death)
 
         with self.subTest("it is back, and nobody leaves anything to others"):
-            await cluster.until(lambda: cluster.agreed(), "all agree again", 60.0)
+            await cluster.wait_until(lambda: cluster.views_agree(), "all agree again", 60.0)
             await self.until_none("all are well")
 
             async def asked() -> bool:
-                return cluster.stores.places["hub1"].ident != hub.ident and cluster.service() > 0.5
+                return cluster.endpoints.places["hub1"].ident != hub.ident and cluster.served_share() > 0.5
 
-            await cluster.until(asked, "it is back and clients are served", 60.0)
+            await cluster.wait_until(asked, "it is back and clients are served", 60.0)
 
         with self.subTest("one that stood still wakes and acts on nothing it had heard"):
             cluster.pause("r1")
             await asyncio.sleep(5.0)
-            cluster.wake("r1")
-            await cluster.until(lambda: cluster.agreed(), "all agree with it", 60.0)
+            cluster.resume("r1")
+            await cluster.wait_until(lambda: cluster.views_agree(), "all agree with it", 60.0)
             await self.until_none("nothing is left over")
 
-        counted = await cluster.settle()
-        self.assertEqual((cluster.broken, cluster.ended_wrong), ([], []))
+        counted = await cluster.finish()
+        self.assertEqual((cluster.violations, cluster.unexpected_exits), ([], []))
         self.assertEqual((counted["lost"], counted["doubles"]), (0, 0))
         await cluster.close()
         self.assertEqual(cluster.left_running(), 0)
@@ -96,35 +99,35 @@
         asyncio.get_running_loop().set_debug(False)
         with tempfile.TemporaryDirectory() as folder:
             async with Cluster(
-                Path(folder), 4, rate=25.0, slack_s=1.0, digests=True, hand_over=True
+                Path(folder), 4, requests_per_s=25.0, slack_s=1.0, digests=True, hand_over=True
             ) as cluster:
-                names = list(cluster.places)
+                names = list(cluster.routers)
                 await cluster.start(*names)
-                await cluster.serving(*names)
-                await cluster.until(lambda: cluster.agreed(), "all agree", 60.0)
-                cluster.load(roam=True)
+                await cluster.wait_until_serving(*names)
+                await cluster.wait_until(lambda: cluster.views_agree(), "all agree", 60.0)
+                cluster.start_load(roam=True)
                 starving = asyncio.ensure_future(self.starve(cluster, "r1"))
 
                 async def handing() -> bool:
-                    told = await cluster.talk("r1")
+                    told = await cluster.overload_view("r1")
                     return told is not None and told["handed"] > 0
 
-                await cluster.until(handing, "r1 hands clients over", 60.0)
-                told = [await cluster.talk(name) for name in names if name != "r1"]
+                await cluster.wait_until(handing, "r1 hands clients over", 60.0)
+                told = [await cluster.overload_view(name) for name in names if name != "r1"]
                 self.assertEqual([said["over"] for said in told if said], [False] * 3)
                 starving.cancel()
                 await asyncio.wait([starving])
 
                 async def over() -> bool:
-                    told = await cluster.talk("r1")
+                    told = await cluster.overload_view("r1")
                     return told is not None and not told["over"]
 
-                await cluster.until(over, "r1 hands nothing over any more", 60.0)
-                told_at_end = await cluster.talk("r1")
+                await cluster.wait_until(over, "r1 hands nothing over any more", 60.0)
+                told_at_end = await cluster.overload_view("r1")
                 assert told_at_end is not None
                 self.assertLessEqual(told_at_end["changes"], 2)
-                counted = await cluster.settle()
-                self.assertEqual((cluster.broken, cluster.ended_wrong), ([], []))
+                counted = await cluster.finish()
+                self.assertEqual((cluster.violations, cluster.unexpected_exits), ([], []))
                 self.assertEqual((counted["lost"], counted["doubles"]), (0, 0))
             self.assertEqual(cluster.left_running(), 0)
 
@@ -134,11 +137,11 @@
             while True:
                 cluster.pause(name)
                 await asyncio.sleep(0.3)
-                cluster.wake(name)
+                cluster.resume(name)
                 await asyncio.sleep(0.1)
         finally:
-            if cluster.places[name].paused:
-                cluster.wake(name)
+            if cluster.routers[name].paused:
+                cluster.resume(name)
 
 
 if __name__ == "__main__":
--- a/tests/rollout/test_processes.py
+++ b/tests/rollout/test_processes.py
@@ -10,7 +10,13 @@
 from magpieshift.lab.experiments import rollout_report
 from magpieshift.lab.fault_injection import rollouts
 from magpieshift.lab.fault_injection.cluster import Cluster
-from magpieshift.lab.fault_injection.rollouts import NEW, OLD, begin, plan_for, starter
+from magpieshift.lab.fault_injection.rollouts import (
+    NEW_LABEL,
+    OLD_LABEL,
+    plan_for,
+    process_starter,
+    start_old_version,
+)
 from magpieshift.rollout.errors import TermSupersededError
 from magpieshift.rollout.executor import Executor, send_admin_command
 from magpieshift.rollout.journal import read_rows
@@ -25,19 +31,21 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        self.cluster = await self.enterAsyncContext(Cluster(self.folder, ROUTERS, rate=40.0, slack_s=1.0))
-        await begin(self.cluster)
-        self.cluster.load()
+        self.cluster = await self.enterAsyncContext(
+            Cluster(self.folder, ROUTERS, requests_per_s=40.0, slack_s=1.0)
+        )
+        await start_old_version(self.cluster)
+        self.cluster.start_load()
 
     async def labels(self, executor: Executor) -> dict[str, list[str]]:
         return {
             name: [figures.label for figures in (await executor.read_processes(name)).values()]
-            for name in self.cluster.places
+            for name in self.cluster.routers
         }
 
     async def end(self) -> None:
-        counted = await self.cluster.settle()
-        self.assertEqual((self.cluster.broken, self.cluster.ended_wrong), ([], []))
+        counted = await self.cluster.finish()
+        self.assertEqual((self.cluster.violations, self.cluster.unexpected_exits), ([], []))
         self.assertEqual((counted["lost"], counted["doubles"]), (0, 0))
         await self.cluster.close()
         self.assertEqual(self.cluster.left_running(), 0)
@@ -48,18 +56,18 @@
             cluster, **{"worse-by": {"served": 0.5, "processor": 9.0, "memory-mb-per-min": 900.0}}
         )
         state = self.folder / "state"
-        first = asyncio.ensure_future(RolloutRunner(plan, state, starter(cluster)).run())
+        first = asyncio.ensure_future(RolloutRunner(plan, state, process_starter(cluster)).run())
 
         async def changed() -> bool:
             return any(record["what"] == "intent" for record in read_rows(state))
 
-        await cluster.until(changed, "the first step is begun", 60.0)
+        await cluster.wait_until(changed, "the first step is begun", 60.0)
         first.cancel()  # in the middle of it
         await asyncio.wait([first])
-        status = await asyncio.wait_for(RolloutRunner(plan, state, starter(cluster)).run(), 120.0)
-        self.assertEqual((status["way"], status["new"]), ("ended", sorted(cluster.places)), status)
+        status = await asyncio.wait_for(RolloutRunner(plan, state, process_starter(cluster)).run(), 120.0)
+        self.assertEqual((status["way"], status["new"]), ("ended", sorted(cluster.routers)), status)
         executor = Executor(plan, 0)
-        self.assertEqual(await self.labels(executor), {name: [NEW] for name in cluster.places})
+        self.assertEqual(await self.labels(executor), {name: [NEW_LABEL] for name in cluster.routers})
         report = rollout_report.write(state).read_text()
         self.assertIn("Rollout proving: ended", report)
         self.assertIn("data:image/png;base64,", report)
@@ -67,19 +75,19 @@
         self.assertEqual(len(steps), len(set(steps)))
         with self.subTest("an older coordinator is turned down, and what it starts does not serve"):
             with self.assertRaises(TermSupersededError):
-                await Executor(plan, 1, starter(cluster)).replace_process("r0", OLD)
-            place = cluster.places["r0"]
+                await Executor(plan, 1, process_starter(cluster)).replace_process("r0", OLD_LABEL)
+            place = cluster.routers["r0"]
             door = next(iter(await executor.read_processes("r0")))
             self.assertRegex(
                 str(await send_admin_command(door, "AS 1 END")), "term 1 is over, the latest is 2"
             )
             serving, place.process = place.process, None
-            free = next(port for port in place.doors if port != door[1])
-            await cluster.beside("r0", free, ("--label", OLD, "--term", "1"))
+            free = next(port for port in place.admin_ports if port != door[1])
+            await cluster.start_successor("r0", free, ("--label", OLD_LABEL, "--term", "1"))
             assert place.process is not None
             self.assertEqual(await asyncio.wait_for(place.process.wait(), 30.0), 2)
             place.process, place.console = serving, door[1]
-            self.assertEqual(await self.labels(executor), {name: [NEW] for name in cluster.places})
+            self.assertEqual(await self.labels(executor), {name: [NEW_LABEL] for name in cluster.routers})
         await self.end()
 
     async def test_a_silent_router_is_waited_for_and_one_emptied_by_hand_is_not_judged(self) -> None:
@@ -90,13 +98,15 @@
         state = self.folder / "state"
         seen: list[str] = []
         running = asyncio.ensure_future(
-            RolloutRunner(plan, state, starter(cluster), lambda status: seen.append(str(status["why"]))).run()
+            RolloutRunner(
+                plan, state, process_starter(cluster), lambda status: seen.append(str(status["why"]))
+            ).run()
         )
 
         async def begun() -> bool:
             return any(record["what"] == "done" for record in read_rows(state))
 
-        await cluster.until(begun, "the first has been changed", 60.0)
+        await cluster.wait_until(begun, "the first has been changed", 60.0)
         # the last to be changed, so that no step is under way there, and the first, which is changed already
         by_hand, *_, still = plan.stages[0].targets
         cluster.pause(still)
@@ -105,10 +115,10 @@
         async def waits() -> bool:
             return any("away" in why and still in why for why in seen)
 
-        await cluster.until(waits, "it is away, and nothing is begun", 90.0)
-        cluster.wake(still)
+        await cluster.wait_until(waits, "it is away, and nothing is begun", 90.0)
+        cluster.resume(still)
         status = await asyncio.wait_for(running, 120.0)
-        self.assertEqual((status["way"], status["new"]), ("ended", sorted(cluster.places)), status)
+        self.assertEqual((status["way"], status["new"]), ("ended", sorted(cluster.routers)), status)
         await self.end()
 
     async def test_one_that_cannot_start_is_put_back_and_one_that_says_no_to_some_as_well(self) -> None:
@@ -117,21 +127,21 @@
             with self.subTest(defect):
                 plan = plan_for(cluster, **{"step-s": 2.0 if defect == "no-start" else 15.0, "name": defect})
                 state = self.folder / defect
-                runner = RolloutRunner(plan, state, starter(cluster, defect, by))
+                runner = RolloutRunner(plan, state, process_starter(cluster, defect, by))
                 status = await asyncio.wait_for(runner.run(), 120.0)
-                self.assertEqual((status["way"], status["old"]), ("ended", sorted(cluster.places)), status)
+                self.assertEqual((status["way"], status["old"]), ("ended", sorted(cluster.routers)), status)
                 self.assertIn(why, status["why"])
                 self.assertEqual(
-                    await self.labels(Executor(plan, 0)), {name: [OLD] for name in cluster.places}
+                    await self.labels(Executor(plan, 0)), {name: [OLD_LABEL] for name in cluster.routers}
                 )
         await self.end()
 
 
 class Scenarios(unittest.TestCase):
     def test_every_defect_can_be_put_in(self) -> None:
-        from magpieshift.lab.fault_injection.faulty import DEFECTS
+        from magpieshift.lab.fault_injection.defective_router import DEFECTS
 
-        self.assertEqual({defect for defect, _, _ in rollouts.SCENARIOS.values()}, set(DEFECTS))
+        self.assertEqual({one.defect for one in rollouts.SCENARIOS.values()}, set(DEFECTS))
 
 
 if __name__ == "__main__":
--- a/tests/test_overload_processes.py
+++ b/tests/test_overload_processes.py
@@ -19,12 +19,12 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.cluster = await self.enterAsyncContext(
-            Cluster(Path(folder.name), ROUTERS, rate=25.0, slack_s=1.0, boxes=3, hubs=2)
+            Cluster(Path(folder.name), ROUTERS, requests_per_s=25.0, slack_s=1.0, boxes=3, hubs=2)
         )
 
     async def back(self, usual: float, after: str) -> None:
         async def well() -> bool:
-            return self.cluster.service() >= BACK * usual
+            return self.cluster.served_share() >= BACK * usual
 
         await asyncio.sleep(6.0)  # until the seconds looked at are those after it
         await self.cluster.until(well, f"service is back after {after}", 60.0)
@@ -33,21 +33,21 @@
         cluster, names = self.cluster, list(self.cluster.places)
         await cluster.start(*names)
         await cluster.serving(*names)
-        cluster.load()
+        cluster.start_load()
         await asyncio.sleep(8.0)  # caches fill
-        usual = cluster.service()
+        usual = cluster.served_share()
         self.assertGreater(usual, 0.5)
 
         with self.subTest("the origin is slow for all"):
-            await cluster.stores.fail("slow", "origin", 5.0, by=400)
+            await cluster.endpoints.fail("slow", "origin", 5.0, by=400)
             await self.back(usual, "a slow origin")
 
         with self.subTest("a parent dies and returns cold"):
-            await cluster.stores.fail("die", "hub1", 3.0)
+            await cluster.endpoints.fail("die", "hub1", 3.0)
             await self.back(usual, "a dead parent")
 
         with self.subTest("a cache answers every second request with an error"):
-            await cluster.stores.fail("err", "box1", 4.0, by=0.5)
+            await cluster.endpoints.fail("err", "box1", 4.0, by=0.5)
             await self.back(usual, "errors")
 
         with self.subTest("four of six are killed under load, and another stands still with full queues"):
@@ -62,8 +62,8 @@
             await cluster.serving(*names[2:])
             await self.back(usual, "four are killed")
 
-        counted = await cluster.settle()
-        self.assertEqual((cluster.broken, cluster.ended_wrong), ([], []))
+        counted = await cluster.finish()
+        self.assertEqual((cluster.violations, cluster.ended_wrong), ([], []))
         self.assertEqual((counted["lost"], counted["doubles"]), (0, 0))
         await cluster.close()
         self.assertEqual(cluster.left_running(), 0)
