--- a/magpieshift/lab/experiments/overload.py
+++ b/magpieshift/lab/experiments/overload.py
@@ -11,8 +11,9 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, field, replace
 
+from magpieshift.lab.simulated.endpoints import EndpointCondition
 from magpieshift.lab.simulated.fleet import SECOND, Fleet, Form
-from magpieshift.lab.simulated.stores import GONE, HERE, Account
+from magpieshift.lab.simulated.second_counters import SecondCounters
 
 WARM_S = 15
 CALM_S = 10
@@ -34,22 +35,22 @@
 
 def _origin_half(fleet: Fleet) -> None:
     """The origin takes twice as long for everything."""
-    fleet.stores.origin.slow[""] = 2.0
+    fleet.stores.origin.slowdowns[""] = 2.0
 
 
 def _parent_dead(fleet: Fleet) -> None:
-    fleet.fail("hub-0", GONE)
+    fleet.fail("hub-0", EndpointCondition.CRASHED)
 
 
 def _half_errors(fleet: Fleet) -> None:
     """A store in each zone answers every second request with an error."""
     for zone in range(fleet.form.zones):
-        fleet.stores.by_name[f"box-{zone}-0"].errors = 0.5
+        fleet.stores.by_name[f"box-{zone}-0"].error_probability = 0.5
 
 
 def _one_class(fleet: Fleet) -> None:
     """The origin is slow for one class only."""
-    fleet.stores.origin.slow["picture"] = 4.0
+    fleet.stores.origin.slowdowns["picture"] = 4.0
 
 
 def _threshold(fleet: Fleet) -> None:
@@ -72,10 +73,10 @@
     """All is as before."""
     fleet.rate = fleet.form.made_for * fleet.form.load
     for ident, store in fleet.stores.by_name.items():
-        store.errors = 0.0
-        store.slow.clear()
-        if store.failing:
-            fleet.fail(ident, HERE)
+        store.error_probability = 0.0
+        store.slowdowns.clear()
+        if store.is_failing:
+            fleet.fail(ident, EndpointCondition.RUNNING)
 
 
 @dataclass(frozen=True)
@@ -120,20 +121,20 @@
     talk_bytes_per_s: float = 0.0
     rules_broken: int = 0
     real_s: float = 0.0
-    by_second: list[Account] = field(default_factory=list, repr=False)
+    by_second: list[SecondCounters] = field(default_factory=list, repr=False)
 
     def row(self) -> dict[str, object]:
         return {name: value for name, value in vars(self).items() if name != "by_second"}
 
 
-def _work(seconds: Sequence[Account]) -> float:
-    asked = sum(a.asked for a in seconds)
+def _work(seconds: Sequence[SecondCounters]) -> float:
+    asked = sum(a.requests for a in seconds)
     return sum(a.attempts + a.fills for a in seconds) / asked if asked else 0.0
 
 
-def _good(seconds: Sequence[Account]) -> float:
-    asked = sum(a.asked for a in seconds)
-    return sum(a.served for a in seconds) / asked if asked else 0.0
+def _good(seconds: Sequence[SecondCounters]) -> float:
+    asked = sum(a.requests for a in seconds)
+    return sum(a.served_in_time for a in seconds) / asked if asked else 0.0
 
 
 @dataclass(frozen=True)
@@ -180,18 +181,18 @@
     failing = seconds[start + 1 : end]
     out = Outcome(name, form.routers, form.seed)
     out.amplification = round(max(map(_work, windows)) / usual_work, 3)
-    out.tries_per_s = round(sum(a.at_failed for a in failing) / max(1, len(failing)), 1)
+    out.tries_per_s = round(sum(a.at_failing_endpoints for a in failing) / max(1, len(failing)), 1)
     out.back_to_95_s = back
     out.refused_then_served = round(fleet.seen.refused_then_served / max(1, fleet.seen.refused_wishes), 3)
     out.goodput = round(_good(troubled), 4)
     classes: dict[str, list[int]] = {}
     for account in troubled:
-        for cls, (asked, served) in account.by_class.items():
+        for cls, counted in account.by_class.items():
             counts = classes.setdefault(cls, [0, 0])
-            counts[0] += asked
-            counts[1] += served
+            counts[0] += counted.requests
+            counts[1] += counted.served_in_time
     out.worst_class = round(min(served / asked for asked, served in classes.values()), 4)
-    out.refused = round(sum(a.refused for a in troubled) / sum(a.asked for a in troubled), 3)
+    out.refused = round(sum(a.rejections for a in troubled) / sum(a.requests for a in troubled), 3)
     out.rules_broken = len(fleet.seen.broken)
     if talk is not None:
         out.talk_per_s, out.talk_bytes_per_s = (round(each, 2) for each in talk.cost())
--- /dev/null
+++ b/magpieshift/lab/simulated/endpoints.py
@@ -0,0 +1,158 @@
+"""Models of endpoints: service slots, a bounded queue, cached objects, and how they fail. Times are
+microseconds."""
+
+from __future__ import annotations
+
+import random
+from collections import OrderedDict, deque
+from collections.abc import Callable
+from dataclasses import dataclass
+from enum import Enum
+
+from magpieshift.engine.model import ListedEndpoint
+from magpieshift.lab.simulated.time import Event, Time
+
+US_PER_S = 1_000_000
+ObjectKey = tuple[str, int]  # an object, and which part of it
+
+
+class EndpointCondition(Enum):
+    """How an endpoint does."""
+
+    RUNNING = "here"
+    CRASHED = "gone"  # connections are refused at once
+    UNRESPONSIVE = "silent"  # nothing is ever answered
+
+
+@dataclass(frozen=True)
+class EndpointCapacity:
+    """What an endpoint can do."""
+
+    slots: int  # requests served at the same time
+    us_per_kb: float = 0.0  # service time by size
+    min_service_us: float = 2_000.0  # service time whatever the size
+    max_queued: int = 64  # requests beyond the slots; what comes above that is rejected
+    max_objects: int = 500  # cached objects
+
+
+class Work:
+    """One request at an endpoint: queued, in a slot, or in flight."""
+
+    __slots__ = ("event", "is_over", "release_slot")
+
+    def __init__(self) -> None:
+        self.event: Event | None = None  # what happens to it next
+        self.release_slot: Callable[[], None] | None = None  # of the slot that it holds now
+        self.is_over = False
+
+    def end(self) -> None:
+        """End it, whether done or cancelled, and release its slot; nothing happens the second time."""
+        if self.is_over:
+            return
+        self.is_over = True
+        if self.event is not None:
+            self.event.cancel()
+        self.release()
+
+    def release(self) -> None:
+        """Release the slot, if it holds one."""
+        release_slot = self.release_slot
+        self.release_slot = None
+        if release_slot is not None:
+            release_slot()
+
+
+class SimulatedEndpoint:
+    """One endpoint: a cache, a parent or the origin."""
+
+    def __init__(
+        self, listed: ListedEndpoint, capacity: EndpointCapacity, time: Time, rand: random.Random
+    ) -> None:
+        self.listed = listed  # as routers know it
+        self.capacity = capacity
+        self.condition = EndpointCondition.RUNNING
+        self.error_probability = 0.0  # of answering with an error
+        self.slowdowns: dict[str, float] = {}  # factor of service times by request class, "" for all
+        self.cached: OrderedDict[ObjectKey, None] = OrderedDict()  # least recently used first
+        self._time = time
+        self._random = rand
+        self._busy_slots = 0
+        self._queue: deque[tuple[Work, float, Callable[[], None]]] = deque()  # with service time, then
+
+    @property
+    def is_failing(self) -> bool:
+        """Whether it is crashed or unresponsive."""
+        return self.condition != EndpointCondition.RUNNING
+
+    @property
+    def load(self) -> int:
+        """Requests in slots and in the queue."""
+        return self._busy_slots + len(self._queue)
+
+    def has_capacity(self) -> bool:
+        """Whether one more request is accepted."""
+        return self.load < self.capacity.slots + self.capacity.max_queued
+
+    def draws_error(self) -> bool:
+        """Whether this request is answered with an error; draws only where errors are possible."""
+        return self.error_probability > 0 and self._random.random() < self.error_probability
+
+    def lookup(self, key: ObjectKey) -> bool:
+        """Whether an object is cached; it counts as used."""
+        if key in self.cached:
+            self.cached.move_to_end(key)
+            return True
+        return False
+
+    def store(self, key: ObjectKey) -> None:
+        """Cache an object, and evict the least recently used above the limit."""
+        self.cached[key] = None
+        self.cached.move_to_end(key)
+        while len(self.cached) > self.capacity.max_objects:
+            self.cached.popitem(last=False)
+
+    def service_time_us(self, class_name: str, size_kb: float) -> float:
+        """How long a request holds a slot."""
+        factor = self.slowdowns.get(class_name, self.slowdowns.get("", 1.0))
+        return max(self.capacity.min_service_us, size_kb * self.capacity.us_per_kb) * factor
+
+    def serve(self, work: Work, service_us: float, then: Callable[[], None]) -> None:
+        """Hold a slot for the service time, after all that is queued, and call ``then``."""
+        if self._busy_slots < self.capacity.slots:
+            self._begin(work, service_us, then)
+        else:
+            self._queue.append((work, service_us, then))
+
+    def _begin(self, work: Work, service_us: float, then: Callable[[], None]) -> None:
+        self._busy_slots += 1
+        work.release_slot = self._release_slot
+
+        def finished() -> None:
+            work.release()
+            if not work.is_over:
+                then()
+
+        work.event = self._time.after(service_us, finished)
+
+    def _release_slot(self) -> None:
+        self._busy_slots -= 1
+        while self._queue:
+            work, service_us, then = self._queue.popleft()
+            if not work.is_over:
+                self._begin(work, service_us, then)
+                return
+
+
+class ZoneLink:
+    """The link into a zone: transfers run one after the other, so each waits for all before it."""
+
+    def __init__(self, time: Time, kb_per_s: float) -> None:
+        self.kb_per_s = kb_per_s
+        self._time = time
+        self._idle_at_us = 0  # when the last transfer ends
+
+    def transfer(self, work: Work, size_kb: float, then: Callable[[], None]) -> None:
+        """Transfer so much, and call ``then`` unless the work was cancelled."""
+        start_us = max(self._idle_at_us, self._time.now_us)
+        self._idle_at_us = start_us + int(US_PER_S * size_kb / self.kb_per_s)
+        work.event = self._time.at(self._idle_at_us, lambda: None if work.is_over else then())
--- a/magpieshift/lab/simulated/fleet.py
+++ b/magpieshift/lab/simulated/fleet.py
@@ -18,13 +18,21 @@
 from magpieshift.control.schema import load_data
 from magpieshift.engine.engine import Engine
 from magpieshift.engine.model import ClientRequest, ListedEndpoint, Response, Verdict, endpoint_number
-from magpieshift.lab.simulated.stores import HERE, Account, Back, Figures, Link, Store, Stores
+from magpieshift.lab.simulated.endpoints import (
+    EndpointCapacity,
+    EndpointCondition,
+    SimulatedEndpoint,
+    ZoneLink,
+)
+from magpieshift.lab.simulated.second_counters import ClassCounters, SecondCounters
 from magpieshift.lab.simulated.time import RouterClock, Time
+from magpieshift.lab.simulated.upstreams import SimulatedUpstream, SimulatedUpstreams
 from magpieshift.policy.events import Endpoint, EndpointListKind, EndpointState
 
 SECOND = 1_000_000
 NOTICED_US = 500_000  # by a front, that a router has died
 KINDS = ("box", "upper", "source")
+CACHE_MISS_RATIO = 0.55  # about what caches of this size miss, by the skew of the keys
 PICTURE = "picture"
 BASKET = "basket"
 
@@ -81,7 +89,7 @@
 class Seen:
     """What is counted over the whole of a run."""
 
-    seconds: list[Account] = field(default_factory=list)
+    seconds: list[SecondCounters] = field(default_factory=list)
     refused_then_served: int = 0
     refused_wishes: int = 0
     broken: list[str] = field(default_factory=list)
@@ -96,55 +104,61 @@
         self.rand = random.Random(form.seed)
         self._draw = np.random.default_rng(form.seed)
         self.seen = Seen()
-        self.stores = Stores(self.time, self.account)
+        self.stores = SimulatedUpstreams(self.time, self.account)
         self.rate = form.made_for * form.load
         self.routers: dict[str, Router] = {}
         self._idents = 0
         self._keys: list[int] = []
-        self._build_stores()
+        self._build_endpoints()
         for number in range(form.routers):
             self.start(f"r{number}")
         self.time.after(0, self._arrive)
 
-    def account(self) -> Account:
+    def account(self) -> SecondCounters:
         """That of the present second."""
         seconds = self.seen.seconds
         while len(seconds) <= self.time.second:
-            seconds.append(Account())
+            seconds.append(SecondCounters())
         return seconds[self.time.second]
 
     # --- the installation
 
-    def _build_stores(self) -> None:
-        form = self.form
-        bears = self.form.room
-        kb_per_s = form.made_for * form.size_kb
-        box = Figures(max(2, round(bears * kb_per_s / 10_000 / (form.zones * form.boxes) * 4)), 100.0)
-        box_keeps = max(20, int(form.objects * 0.4 / form.boxes))
-        misses = 0.55 * form.made_for  # about what boxes of this size lack
-        parent = Figures(max(2, round(bears * misses * 0.02 / form.parents * 2)), least_us=20_000.0)
-        origin = Figures(
-            max(3, round(bears * misses * 0.7 * 0.05 + form.writes * form.made_for * 0.05)),
-            least_us=50_000.0,
-            waiting=32,
+    def _build_endpoints(self) -> None:
+        """Caches in each zone, parents and the origin, sized for the rate that the fleet is made for."""
+        size = self.form
+        kb_per_s = size.made_for * size.size_kb
+        misses_per_s = CACHE_MISS_RATIO * size.made_for
+        cache = EndpointCapacity(
+            slots=max(2, round(size.room * kb_per_s / 10_000 / (size.zones * size.boxes) * 4)),
+            us_per_kb=100.0,
+            max_objects=max(20, int(size.objects * 0.4 / size.boxes)),
         )
-        for zone in range(form.zones):
-            self.stores.links[zone + 1] = Link(self.time, bears * misses * form.size_kb / form.zones)
-            for number in range(form.boxes):
-                self._add(f"box-{zone}-{number}", 0, zone + 1, box, box_keeps)
-        for number in range(form.parents):
-            self._add(f"hub-{number}", 1, 0, parent, max(20, int(form.objects * 0.8 / form.parents)))
-        self._add("origin", 2, 0, origin, 0)
-
-    def _add(self, ident: str, kind: int, zone: int, figures: Figures, keeps: int) -> None:
-        entry = Endpoint(
-            endpoint_number(ident), zone, kind, len(self.stores.by_name), EndpointState.READY, 4.0, 0
+        parent = EndpointCapacity(
+            slots=max(2, round(size.room * misses_per_s * 0.02 / size.parents * 2)),
+            min_service_us=20_000.0,
+            max_objects=max(20, int(size.objects * 0.8 / size.parents)),
         )
-        listed = ListedEndpoint(ident, ("127.0.0.1", 1), entry)
-        figures = Figures(figures.slots, figures.us_per_kb, figures.least_us, figures.waiting, keeps)
-        self.stores.by_name[ident] = Store(
-            listed, figures, self.time, random.Random(f"{self.form.seed} {ident}"), self.account
+        origin = EndpointCapacity(
+            slots=max(3, round(size.room * misses_per_s * 0.7 * 0.05 + size.writes * size.made_for * 0.05)),
+            min_service_us=50_000.0,
+            max_queued=32,
+            max_objects=0,
         )
+        for zone in range(size.zones):
+            link_kb_per_s = size.room * misses_per_s * size.size_kb / size.zones
+            self.stores.links[zone + 1] = ZoneLink(self.time, link_kb_per_s)
+            for number in range(size.boxes):
+                self._add_endpoint(f"box-{zone}-{number}", 0, zone + 1, cache)
+        for number in range(size.parents):
+            self._add_endpoint(f"hub-{number}", 1, 0, parent)
+        self._add_endpoint("origin", 2, 0, origin)
+
+    def _add_endpoint(self, name: str, kind: int, zone: int, capacity: EndpointCapacity) -> None:
+        position = len(self.stores.by_name)
+        endpoint = Endpoint(endpoint_number(name), zone, kind, position, EndpointState.READY, 4.0, 0)
+        listed = ListedEndpoint(name, ("127.0.0.1", 1), endpoint)
+        rand = random.Random(f"{self.form.seed} {name}")
+        self.stores.by_name[name] = SimulatedEndpoint(listed, capacity, self.time, rand)
 
     def _document(self, number: int) -> Document:
         form = self.form
@@ -187,7 +201,7 @@
         settings = document.settings
         clock = RouterClock(self.time)
         seed = self.form.seed * 1000 + number
-        back = Back(self.stores, lambda: not clock.dead)
+        back = SimulatedUpstream(self.stores, lambda: not clock.dead)
         engine = Engine(settings, seed, clock, back, names=document.names)
         router = self.routers[name] = Router(name, settings.zone, clock, engine)
         members = [store.listed for store in self.stores.by_name.values()]
@@ -205,12 +219,12 @@
     def pause(self, name: str, for_us: int) -> None:
         self.routers[name].clock.asleep_until_us = self.time.now_us + for_us
 
-    def fail(self, ident: str, state: str) -> None:
+    def fail(self, ident: str, state: EndpointCondition) -> None:
         """A store dies, falls silent, or is back, empty."""
         store = self.stores.by_name[ident]
-        if state == HERE:
-            store.holds.clear()
-        store.state = state
+        if state == EndpointCondition.RUNNING:
+            store.cached.clear()
+        store.condition = state
 
     # --- clients
 
@@ -222,8 +236,8 @@
         key = f"{int(self._draw.zipf(self.form.skew)) % self.form.objects + 1:016x}"
         wish = Wish(cls, key, self.time.second, zone, self.time.now_us + 800_000)
         account = self.account()
-        account.asked += 1
-        account.by_class.setdefault(cls, [0, 0])[0] += 1
+        account.requests += 1
+        account.by_class.setdefault(cls, ClassCounters()).requests += 1
         self._try(wish)
 
     def _router_for(self, zone: int) -> Router | None:
@@ -283,27 +297,27 @@
         if answer.verdict == Verdict.SERVED:
             account = self.seen.seconds[wish.second]
             if self.time.now_us <= wish.due_us:
-                account.served += 1
-                account.by_class[wish.cls][1] += 1
+                account.served_in_time += 1
+                account.by_class[wish.cls].served_in_time += 1
             else:
-                account.late += 1
+                account.served_late += 1
             if wish.refused_at and wish.refused_at != router.name:
                 self.seen.refused_then_served += 1
             return
-        self.account().refused += 1
+        self.account().rejections += 1
         self.seen.refused_wishes += not wish.refused_at
         self._again(wish, answer.retry_after_us, router.name)
 
     def _again(self, wish: Wish, wait_us: int, refused_at: str) -> None:
         if wish.tries >= self.form.tries or self.time.now_us > wish.due_us + 2 * SECOND:
-            self.account().given_up += 1
+            self.account().abandoned += 1
             return
         wish.tries += 1
         wish.refused_at = refused_at or wish.refused_at
         told = wait_us if self.rand.random() < self.form.patient else 50_000
 
         def back() -> None:
-            self.account().returns += 1
+            self.account().client_retries += 1
             self._try(wish)
 
         self.time.after(max(told, 1_000), back)
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -10,9 +10,16 @@
 from magpieshift.engine.model import AttemptResult, ClientRequest, ListedEndpoint, UpstreamRequest
 from magpieshift.engine.request_table import RequestTable
 from magpieshift.lab.experiments import overload
+from magpieshift.lab.simulated.endpoints import (
+    EndpointCapacity,
+    EndpointCondition,
+    SimulatedEndpoint,
+    ZoneLink,
+)
 from magpieshift.lab.simulated.fleet import SECOND, Fleet, Form
-from magpieshift.lab.simulated.stores import GONE, Account, Figures, Link, Store, Stores
+from magpieshift.lab.simulated.second_counters import SecondCounters
 from magpieshift.lab.simulated.time import RouterClock, Time
+from magpieshift.lab.simulated.upstreams import SimulatedUpstreams
 from magpieshift.policy.events import Endpoint, EndpointState
 from magpieshift.policy.outcomes import Outcome
 
@@ -36,17 +43,15 @@
 
 class Models(unittest.TestCase):
     def setUp(self) -> None:
-        self.time, self.account = Time(), Account()
-        self.stores = Stores(self.time, lambda: self.account)
-        self.stores.links[1] = Link(self.time, 1000.0)
+        self.time, self.account = Time(), SecondCounters()
+        self.stores = SimulatedUpstreams(self.time, lambda: self.account)
+        self.stores.links[1] = ZoneLink(self.time, 1000.0)
         for ident, kind, zone in (("box", 0, 1), ("hub", 1, 0), ("origin", 2, 0)):
             listed = ListedEndpoint(
                 ident, ("", 1), Endpoint(kind + 1, zone, kind, 1, EndpointState.READY, 4.0, 0)
             )
-            figures = Figures(1, least_us=10_000.0, waiting=1)
-            self.stores.by_name[ident] = Store(
-                listed, figures, self.time, random.Random(1), lambda: self.account
-            )
+            figures = EndpointCapacity(1, min_service_us=10_000.0, max_queued=1)
+            self.stores.by_name[ident] = SimulatedEndpoint(listed, figures, self.time, random.Random(1))
         self.results: list[tuple[float, AttemptResult]] = []
 
     def ask(self, key: str, source: str = "") -> object:
@@ -55,7 +60,7 @@
         by = self.stores.by_name[source].listed if source else None
         order = UpstreamRequest(call, target, by, 1, 0, 0, 0, False, lambda: None)
         began = self.time.now_us
-        return self.stores.ask(order, lambda r: self.results.append(((self.time.now_us - began) / 1e6, r)))
+        return self.stores.send(order, lambda r: self.results.append(((self.time.now_us - began) / 1e6, r)))
 
     def run_on(self) -> list[Outcome]:
         self.time.run(self.time.now_us + 10 * SECOND)
@@ -71,13 +76,13 @@
         took, result = self.results[0]
         self.assertEqual(result.outcome, Outcome.OK)
         self.assertAlmostEqual(took, 0.111, places=3)  # the origin 10 ms, the link 100 ms, two ways
-        self.assertEqual((self.account.fills, self.account.origin), (2, 1))
+        self.assertEqual((self.account.fills, self.account.origin_requests), (2, 1))
         self.results.clear()
         self.ask("k")
         self.assertEqual(self.run_on(), [Outcome.OK])
 
     def test_what_is_more_than_slots_and_queue_is_turned_away_and_work_given_up_is_no_load(self) -> None:
-        self.stores.by_name["box"].keep(("k", 0))
+        self.stores.by_name["box"].store(("k", 0))
         works = [self.ask("k") for _ in range(3)]
         self.assertEqual(sorted(self.run_on()), [Outcome.OK, Outcome.OK, Outcome.OVERLOADED])
         works = [self.ask("k"), self.ask("k")]
@@ -87,13 +92,13 @@
         self.assertEqual(self.stores.by_name["box"].load, 0)
 
     def test_a_dead_source_and_a_dead_store_say_so(self) -> None:
-        self.stores.by_name["hub"].state = GONE
+        self.stores.by_name["hub"].condition = EndpointCondition.CRASHED
         self.ask("k", "hub")
         self.assertEqual(self.run_on(), [Outcome.ERROR])
-        self.stores.by_name["box"].state = GONE
+        self.stores.by_name["box"].condition = EndpointCondition.CRASHED
         self.ask("k")
         self.assertEqual(self.run_on(), [Outcome.CONNECT_FAILED])
-        self.assertEqual(self.account.at_failed, 2)
+        self.assertEqual(self.account.at_failing_endpoints, 2)
 
 
 class Fleets(unittest.TestCase):
@@ -116,7 +121,7 @@
         fleet = Fleet(FORM)
         fleet.run(1)
         with mock.patch.object(PolicyActions, "_reject"), mock.patch.object(RequestTable, "_expire"):
-            fleet.fail("origin", GONE)
+            fleet.fail("origin", EndpointCondition.CRASHED)
             fleet.run(6)
         self.assertTrue(fleet.seen.broken)
 
