--- a/magpieshift/cli/lab_fleet.py
+++ b/magpieshift/cli/lab_fleet.py
@@ -83,7 +83,7 @@
         if figures["disagreements"]:
             raise SystemExit(1)
         return
-    from magpieshift.lab.experiments.members import play
+    from magpieshift.lab.experiments.membership_trial import play
     from magpieshift.membership.codec import encode
     from magpieshift.membership.suspicion import DetectorTuning
 
@@ -163,7 +163,7 @@
     """Overload on a simulated fleet of real engines and policies: what all routers do together."""
     import os
 
-    from magpieshift.lab.experiments.overload import SCENARIOS, Talking, map_of, play
+    from magpieshift.lab.experiments.overload import SCENARIOS, GossipSettings, map_of, play
     from magpieshift.lab.simulated.fleet import Form
 
     if liars > routers:
@@ -173,7 +173,7 @@
         output.print_rows([vars(point) for point in map_of(form, os.cpu_count() or 1)], as_json)
         return
     for name in [scenario] if scenario else SCENARIOS:
-        row = play(name, form, None if without else Talking(digests_lost, liars)).row()
+        row = play(name, form, None if without else GossipSettings(digests_lost, liars)).row()
         if as_json:
             click.echo(json.dumps(row))
         else:
--- a/magpieshift/lab/capacity/roles/membership.py
+++ b/magpieshift/lab/capacity/roles/membership.py
@@ -5,7 +5,7 @@
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.processor import spending
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
-from magpieshift.lab.experiments.members import SECOND, Form, grown
+from magpieshift.lab.experiments.membership_network import SECOND, FleetSettings, started_network
 from magpieshift.membership.codec import decode, encode
 from magpieshift.membership.messages import Datagram
 
@@ -38,7 +38,7 @@
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
         members = int(size)
-        network = grown(Form(members), seed)
+        network = started_network(FleetSettings(members), seed)
         network.size = carried
         network.sent = 0
         network.bytes = 0
--- a/magpieshift/lab/experiments/overload.py
+++ b/magpieshift/lab/experiments/overload.py
@@ -1,7 +1,7 @@
-"""Overload by scenario, at any number of routers: what harm routers do together that each by itself does not.
+"""Overload by scenario, at any number of routers: failures of the whole fleet that no router has by itself.
 
-``map_of`` goes through loads, triggers and clients: after the trigger is gone, does the fleet return by
-itself?
+``map_of`` plays all combinations of loads, triggers and clients: does the fleet recover by itself once the
+trigger is gone, or is the failure metastable?
 """
 
 from __future__ import annotations
@@ -14,15 +14,26 @@
 from magpieshift.lab.simulated.fleet import SECOND, Fleet, Form
 from magpieshift.lab.simulated.stores import GONE, HERE, Account
 
-WARM_S = 15
-CALM_S = 10
-MOST_AFTER_S = 60
+WARM_UP_S = 15
+"""Seconds until caches are filled and rates settle: chosen by trial; with less the baseline is too low."""
+BASELINE_S = 10
+"""Seconds without faults that all else is compared to."""
+MAX_RECOVERY_S = 60
+"""Seconds after a fault within which a fleet must recover; else the failure counts as metastable."""
 WINDOW_S = 3
+"""Seconds over which goodput and amplification are taken: one second's figures scatter."""
+ANSWER_TIME_S = 2
+"""Seconds until all answers to a second's requests are due."""
+SETTLE_S = 3
+"""Seconds at the end whose requests are not judged, as their answers may still be under way."""
+RECOVERED_GOODPUT = 0.95
+"""Goodput at which a fleet has recovered, as a share of the baseline's."""
 
-Trouble = Callable[[Fleet], None]
+Fault = Callable[[Fleet], None]
+"""Injects a fault into a fleet."""
 
 
-def _killed(fleet: Fleet) -> None:
+def _kill_routers(fleet: Fleet) -> None:
     """Seven of ten routers die at once, and come back at 2 s, all at once."""
     names = sorted(fleet.routers)
     dead = fleet.rand.sample(names, len(names) * 7 // 10)
@@ -32,44 +43,45 @@
         fleet.time.after(2 * SECOND, lambda name=name: fleet.start(name))  # type: ignore[misc]
 
 
-def _origin_half(fleet: Fleet) -> None:
+def _slow_origin(fleet: Fleet) -> None:
     """The origin takes twice as long for everything."""
     fleet.stores.origin.slow[""] = 2.0
 
 
-def _parent_dead(fleet: Fleet) -> None:
+def _kill_parent(fleet: Fleet) -> None:
+    """One parent dies."""
     fleet.fail("hub-0", GONE)
 
 
-def _half_errors(fleet: Fleet) -> None:
-    """A store in each zone answers every second request with an error."""
+def _fail_half_of_requests(fleet: Fleet) -> None:
+    """A cache in each zone answers every second request with an error."""
     for zone in range(fleet.form.zones):
         fleet.stores.by_name[f"box-{zone}-0"].errors = 0.5
 
 
-def _one_class(fleet: Fleet) -> None:
+def _slow_one_class(fleet: Fleet) -> None:
     """The origin is slow for one class only."""
     fleet.stores.origin.slow["picture"] = 4.0
 
 
-def _threshold(fleet: Fleet) -> None:
-    """Just about what can be borne."""
+def _load_to_capacity(fleet: Fleet) -> None:
+    """The load is what endpoints and links can just bear."""
     fleet.rate = fleet.form.made_for * fleet.form.room
 
 
-def _paused(fleet: Fleet) -> None:
-    """A fifth of all routers stands still for 5 s."""
+def _pause_routers(fleet: Fleet) -> None:
+    """A fifth of all routers is paused for 5 s."""
     for name in sorted(fleet.routers)[::5]:
         fleet.pause(name, 5 * SECOND)
 
 
-def _burst(fleet: Fleet) -> None:
+def _triple_load(fleet: Fleet) -> None:
     """Three times the load."""
     fleet.rate = fleet.form.made_for * fleet.form.load * 3
 
 
-def _well(fleet: Fleet) -> None:
-    """All is as before."""
+def _remove_faults(fleet: Fleet) -> None:
+    """Load, endpoints and errors are as before."""
     fleet.rate = fleet.form.made_for * fleet.form.load
     for ident, store in fleet.stores.by_name.items():
         store.errors = 0.0
@@ -80,153 +92,198 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """A trouble and how long it lasts; ``changes`` to the form."""
+    """A fault and how long it lasts."""
 
-    trouble: Trouble
-    seconds: int
+    fault: Fault
+    duration_s: int
     changes: dict[str, float] = field(default_factory=dict)
-    digests_lost: float = 0.0  # share of what routers that talk say to each other
+    """Fields of the fleet's form that differ."""
+    digests_lost: float = 0.0
+    """Share of the routers' gossip that is lost."""
 
 
 SCENARIOS: dict[str, Scenario] = {
-    "routers-killed": Scenario(_killed, 3),
-    "origin-half": Scenario(_origin_half, 15),
-    "parent-dead": Scenario(_parent_dead, 15),
-    "digests-lost": Scenario(_parent_dead, 15, digests_lost=1.0),
-    "half-errors": Scenario(_half_errors, 15),
-    "one-class": Scenario(_one_class, 15),
-    "threshold": Scenario(_threshold, 120),
-    "paused": Scenario(_paused, 6),
-    "burst": Scenario(_burst, 10),
+    "routers-killed": Scenario(_kill_routers, 3),
+    "origin-half": Scenario(_slow_origin, 15),
+    "parent-dead": Scenario(_kill_parent, 15),
+    "digests-lost": Scenario(_kill_parent, 15, digests_lost=1.0),
+    "half-errors": Scenario(_fail_half_of_requests, 15),
+    "one-class": Scenario(_slow_one_class, 15),
+    "threshold": Scenario(_load_to_capacity, 120),
+    "paused": Scenario(_pause_routers, 6),
+    "burst": Scenario(_triple_load, 10),
 }
 
 
 @dataclass
 class Outcome:
-    """What came of one run. Amplification is work that reached stores over requests first asked for, against
-    the same in the calm before, in the worst three seconds from the trouble on."""
+    """What came of one run. The fields but ``by_second`` are the keys of ``--json``."""
 
     scenario: str
     routers: int
+    """Number of routers."""
     seed: int
     amplification: float = 0.0
-    tries_per_s: float = 0.0  # that reached failing stores, from a second after they began to fail
-    back_to_95_s: float = 0.0  # after the trouble
-    refused_then_served: float = 0.0  # share of refused requests that another router served
-    goodput: float = 0.0  # share of requests served in time, from the trouble on
+    """Work that reached endpoints over requests, against the same in the baseline, in the worst window from
+    the fault on."""
+    tries_per_s: float = 0.0
+    """Attempts that reached failing endpoints, from a second after they began to fail."""
+    back_to_95_s: float = 0.0
+    """Seconds after the fault until the fleet had recovered."""
+    refused_then_served: float = 0.0
+    """Share of rejected requests that another router served."""
+    goodput: float = 0.0
+    """Share of requests served in time, from the fault on."""
     worst_class: float = 0.0
-    refused: float = 0.0  # tries refused, of all first asked for
-    talk_per_s: float = 0.0  # datagrams of digests, of each router
+    """The same of the request class that fares worst."""
+    refused: float = 0.0
+    """Attempts of clients that were rejected, over requests."""
+    talk_per_s: float = 0.0
+    """Gossip datagrams of one router a second."""
     talk_bytes_per_s: float = 0.0
+    """Gossip bytes of one router a second."""
     rules_broken: int = 0
+    """Violations of the simulation's rules."""
     real_s: float = 0.0
+    """Time that the run took."""
     by_second: list[Account] = field(default_factory=list, repr=False)
+    """What happened in each second."""
 
     def row(self) -> dict[str, object]:
+        """Return the figures by the keys of ``--json``."""
         return {name: value for name, value in vars(self).items() if name != "by_second"}
 
 
-def _work(seconds: Sequence[Account]) -> float:
-    asked = sum(a.asked for a in seconds)
-    return sum(a.attempts + a.fills for a in seconds) / asked if asked else 0.0
+def _work_per_request(seconds: Sequence[Account]) -> float:
+    """Attempts and fills that reached endpoints, for each request."""
+    asked = sum(second.asked for second in seconds)
+    return sum(second.attempts + second.fills for second in seconds) / asked if asked else 0.0
 
 
-def _good(seconds: Sequence[Account]) -> float:
-    asked = sum(a.asked for a in seconds)
-    return sum(a.served for a in seconds) / asked if asked else 0.0
+def _goodput(seconds: Sequence[Account]) -> float:
+    """Share of requests served in time."""
+    asked = sum(second.asked for second in seconds)
+    return sum(second.served for second in seconds) / asked if asked else 0.0
 
 
 @dataclass(frozen=True)
-class Talking:
-    """How routers talk, where they do."""
+class GossipSettings:
+    """How routers gossip, where they do."""
 
     loss: float = 0.0
+    """Share of datagrams lost."""
     liars: int = 0
+    """Routers that report that all endpoints fail."""
 
 
-def play(name: str, form: Form, talking: Talking | None = None) -> Outcome:
-    """One run: calm, trouble, and what follows; without ``talking`` each router goes by itself."""
+def play(name: str, form: Form, gossip: GossipSettings | None = None) -> Outcome:
+    """Play one run: baseline, fault, and what follows; without ``gossip`` each router is on its own."""
     began = time.perf_counter()
     scenario = SCENARIOS[name]
     form = replace(form, **scenario.changes)  # type: ignore[arg-type]
     fleet = Fleet(form)
     talk = None
-    if talking is not None:
+    if gossip is not None:
         from magpieshift.lab.simulated.gossip import Talk  # needs the codec's library
 
-        talk = Talk(fleet, max(talking.loss, scenario.digests_lost), talking.liars)
-    fleet.run(WARM_S + CALM_S)
-    calm = fleet.seen.seconds[WARM_S : WARM_S + CALM_S]
-    usual_work = _work(calm)
-    usual_good = _good(calm)
-    start = fleet.time.second
-    scenario.trouble(fleet)
-    fleet.run(scenario.seconds)
-    end = fleet.time.second
-    _well(fleet)
-    back = MOST_AFTER_S
-    for after in range(MOST_AFTER_S):
+        talk = Talk(fleet, max(gossip.loss, scenario.digests_lost), gossip.liars)
+    fleet.run(WARM_UP_S + BASELINE_S)
+    baseline = fleet.seen.seconds[WARM_UP_S : WARM_UP_S + BASELINE_S]
+    baseline_work = _work_per_request(baseline)
+    baseline_goodput = _goodput(baseline)
+    start_s = fleet.time.second
+    scenario.fault(fleet)
+    fleet.run(scenario.duration_s)
+    end_s = fleet.time.second
+    _remove_faults(fleet)
+    outcome = Outcome(name, form.routers, form.seed)
+    outcome.back_to_95_s = _run_until_recovered(fleet, end_s, baseline_goodput)
+    fleet.run(SETTLE_S)
+    _judge(outcome, fleet, start_s, end_s, baseline_work)
+    if talk is not None:
+        datagrams_per_s, bytes_per_s = talk.cost()
+        outcome.talk_per_s = round(datagrams_per_s, 2)
+        outcome.talk_bytes_per_s = round(bytes_per_s, 2)
+    outcome.real_s = round(time.perf_counter() - began, 1)
+    outcome.by_second = fleet.seen.seconds
+    return outcome
+
+
+def _run_until_recovered(fleet: Fleet, end_s: int, baseline_goodput: float) -> int:
+    """Run until the goodput is the baseline's again; return after how many seconds it was."""
+    for elapsed_s in range(MAX_RECOVERY_S):
         fleet.run(1)
-        # a second's requests are judged once their time is over
-        if after >= WINDOW_S + 2:
-            window = fleet.seen.seconds[end + after - WINDOW_S - 1 : end + after - 1]
-            if _good(window) >= 0.95 * usual_good:
-                back = after - WINDOW_S - 1
-                break
-    fleet.run(3)
+        if elapsed_s >= WINDOW_S + ANSWER_TIME_S:
+            window = fleet.seen.seconds[end_s + elapsed_s - WINDOW_S - 1 : end_s + elapsed_s - 1]
+            if _goodput(window) >= RECOVERED_GOODPUT * baseline_goodput:
+                return elapsed_s - WINDOW_S - 1
+    return MAX_RECOVERY_S
+
+
+def _judge(outcome: Outcome, fleet: Fleet, start_s: int, end_s: int, baseline_work: float) -> None:
+    """Set the figures of a run whose fault lasted from ``start_s`` to ``end_s``."""
     seconds = fleet.seen.seconds
-    troubled = seconds[start : len(seconds) - 3]
-    windows = [seconds[at : at + WINDOW_S] for at in range(start, len(seconds) - 3 - WINDOW_S)]
-    failing = seconds[start + 1 : end]
-    out = Outcome(name, form.routers, form.seed)
-    out.amplification = round(max(map(_work, windows)) / usual_work, 3)
-    out.tries_per_s = round(sum(a.at_failed for a in failing) / max(1, len(failing)), 1)
-    out.back_to_95_s = back
-    out.refused_then_served = round(fleet.seen.refused_then_served / max(1, fleet.seen.refused_wishes), 3)
-    out.goodput = round(_good(troubled), 4)
-    classes: dict[str, list[int]] = {}
-    for account in troubled:
-        for cls, (asked, served) in account.by_class.items():
-            counts = classes.setdefault(cls, [0, 0])
-            counts[0] += asked
-            counts[1] += served
-    out.worst_class = round(min(served / asked for asked, served in classes.values()), 4)
-    out.refused = round(sum(a.refused for a in troubled) / sum(a.asked for a in troubled), 3)
-    out.rules_broken = len(fleet.seen.broken)
-    if talk is not None:
-        out.talk_per_s, out.talk_bytes_per_s = (round(each, 2) for each in talk.cost())
-    out.real_s = round(time.perf_counter() - began, 1)
-    out.by_second = seconds
-    return out
+    judged_end_s = len(seconds) - SETTLE_S
+    judged = seconds[start_s:judged_end_s]
+    windows = [seconds[at_s : at_s + WINDOW_S] for at_s in range(start_s, judged_end_s - WINDOW_S)]
+    failing = seconds[start_s + 1 : end_s]
+    outcome.amplification = round(max(map(_work_per_request, windows)) / baseline_work, 3)
+    outcome.tries_per_s = round(sum(second.at_failed for second in failing) / max(1, len(failing)), 1)
+    outcome.refused_then_served = round(fleet.seen.refused_then_served / max(1, fleet.seen.refused_wishes), 3)
+    outcome.goodput = round(_goodput(judged), 4)
+    outcome.worst_class = round(_worst_class_goodput(judged), 4)
+    rejected = sum(second.refused for second in judged)
+    outcome.refused = round(rejected / sum(second.asked for second in judged), 3)
+    outcome.rules_broken = len(fleet.seen.broken)
+
+
+def _worst_class_goodput(seconds: Sequence[Account]) -> float:
+    """Share of requests served in time, of the request class that fares worst."""
+    totals: dict[str, tuple[int, int]] = {}
+    for second in seconds:
+        for class_name, (asked, served) in second.by_class.items():
+            total_asked, total_served = totals.get(class_name, (0, 0))
+            totals[class_name] = (total_asked + asked, total_served + served)
+    return min(served / asked for asked, served in totals.values())
 
 
 @dataclass(frozen=True)
 class Point:
-    """One point of the map, and what was found there."""
+    """One point of the map. The fields are the keys of ``--json``."""
 
     load: float
+    """Times what the installation was made for."""
     trigger: str
+    """The scenario's name."""
     tries: int
+    """Attempts of a client, the first included."""
     back_to_95_s: float
+    """As in ``Outcome``, like the next two."""
     goodput: float
     amplification: float
     stays_bad: bool
+    """Whether the fleet did not recover by itself."""
 
 
 def point(load: float, trigger: str, tries: int, form: Form) -> Point:
-    """One point: none of its clients is patient, so that returns are as bad as they can be."""
-    found = play(trigger, replace(form, load=load, tries=tries, patient=0.0))
-    bad = found.back_to_95_s >= MOST_AFTER_S
-    return Point(load, trigger, tries, found.back_to_95_s, found.goodput, found.amplification, bad)
+    """Play one point of the map: no client waits for Retry-After, so that retries are at their worst."""
+    outcome = play(trigger, replace(form, load=load, tries=tries, patient=0.0))
+    stays_bad = outcome.back_to_95_s >= MAX_RECOVERY_S
+    return Point(
+        load, trigger, tries, outcome.back_to_95_s, outcome.goodput, outcome.amplification, stays_bad
+    )
 
 
 LOADS = (0.5, 0.7, 0.85, 1.0, 1.2)
+"""Loads of the map, in times of what the installation was made for: from half to beyond its capacity."""
 TRIGGERS = ("burst", "origin-half", "routers-killed")
+"""Scenarios of the map: too many requests, too little capacity, and lost state."""
 TRIES = (1, 4, 8)
+"""Attempts of the map's clients: none that retry, the usual, and stubborn ones."""
 
 
 def map_of(form: Form, workers: int) -> list[Point]:
-    """All points, by several processes."""
+    """Play all points of the map, in so many processes."""
     points = [(load, trigger, tries) for trigger in TRIGGERS for tries in TRIES for load in LOADS]
     with ProcessPoolExecutor(workers) as pool:
         return list(pool.map(point, *zip(*points, strict=True), [form] * len(points)))
--- a/tests/membership/pieces.py
+++ b/tests/membership/pieces.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from magpieshift.lab.experiments import members as lab
+from magpieshift.lab.experiments import membership_network as lab
 from magpieshift.membership.member import Member
 
 
--- a/tests/membership/test_explored.py
+++ b/tests/membership/test_explored.py
@@ -177,7 +177,7 @@
 
     def test_a_restart_taken_for_its_predecessor_is_found(self) -> None:
         def start(fleet: explored.Fleet, name: str) -> None:
-            fleet.lives[name] = 1
+            fleet.incarnations[name] = 1
             own = Member(name, *at(name), 1, 1)
             fleet.members[name] = FailureDetector(own, "f", explored.SEEDS, fleet.now_us, random.Random(1))
 
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -5,8 +5,8 @@
 import unittest
 from functools import partial
 
-from magpieshift.lab.experiments import members as lab
-from magpieshift.lab.experiments.members import SECOND, Form, Network, grown
+from magpieshift.lab.experiments.membership_network import SECOND, FleetSettings, Network, started_network
+from magpieshift.lab.experiments.membership_trial import false_removals
 from magpieshift.membership.member import MemberState
 from magpieshift.membership.suspicion import DetectorTuning
 from tests.membership.pieces import moved_address
@@ -19,23 +19,23 @@
 
     def quiet(self, network: Network, within_s: int = 30) -> None:
         """After quiet all agree, and nobody is gone who lives."""
-        self.assertTrue(network.run(network.now_us + within_s * SECOND, network.agreed), "no agreement")
-        self.assertEqual(network.over_whole, 0, f"shares came to {network.most_share}")
+        self.assertTrue(network.run(network.now_us + within_s * SECOND, network.views_agree), "no agreement")
+        self.assertEqual(network.quota_excesses, 0, f"shares came to {network.max_total_quota}")
 
     def none_removed(self, network: Network, but: tuple[str, ...] = ()) -> None:
         wrong = [
-            (name, change.name)
-            for _, name, change in network.changes
-            if change.new_state == MemberState.DEAD
-            and network.processes[change.name].alive
-            and change.name not in but
-            and name not in but
+            (observed.observer, observed.change.name)
+            for observed in network.changes
+            if observed.change.new_state == MemberState.DEAD
+            and network.processes[observed.change.name].alive
+            and observed.change.name not in but
+            and observed.observer not in but
         ]
         self.assertEqual(wrong, [])
 
     def test_sixteen_start_at_once_while_the_one_seed_is_down(self) -> None:
         for seed in self.SEEDS:
-            network = Network(Form(16, seeds=1), seed)
+            network = Network(FleetSettings(16, seed_count=1), seed)
             for number in range(1, 16):
                 network.start(f"r{number}")
             network.run(10 * SECOND)
@@ -45,7 +45,7 @@
 
     def test_pauses_of_five_seconds_remove_nobody(self) -> None:
         for seed in self.SEEDS:
-            network = grown(Form(8), seed)
+            network = started_network(FleetSettings(8), seed)
             network.pause("r1", 5 * SECOND)
             network.run(network.now_us + 8 * SECOND)
             for name in ("r2", "r3", "r4"):
@@ -53,14 +53,14 @@
             network.run(network.now_us + 8 * SECOND)
             for number in range(8):  # all, at different moments
                 when = network.now_us + network.rand.randrange(8 * SECOND)
-                network.at(when, partial(network.pause, f"r{number}", 5 * SECOND))
+                network.schedule(when, partial(network.pause, f"r{number}", 5 * SECOND))
             network.run(network.now_us + 14 * SECOND)
             self.none_removed(network)
             self.quiet(network)
 
     def test_a_pause_during_a_join(self) -> None:
         for seed in self.SEEDS:
-            network = grown(Form(8), seed)
+            network = started_network(FleetSettings(8), seed)
             network.start("late")
             network.run(network.now_us + 100_000 * (seed % 30 + 1))
             network.pause("late", 5 * SECOND)
@@ -70,7 +70,7 @@
     def test_a_member_that_only_sends_and_one_that_only_receives(self) -> None:
         for seed in self.SEEDS:
             for deaf in (True, False):
-                network = grown(Form(8), seed)
+                network = started_network(FleetSettings(8), seed)
                 network.cut = (lambda a, b: b == "r3") if deaf else (lambda a, b: a == "r3")
                 network.run(network.now_us + 20 * SECOND)
                 self.none_removed(network, ("r3",))  # it removes nobody, and nobody but it is removed
@@ -86,7 +86,7 @@
 
     def test_a_member_that_hears_half_of_the_others(self) -> None:
         for seed in self.SEEDS:
-            network = grown(Form(8), seed)
+            network = started_network(FleetSettings(8), seed)
             network.cut = lambda a, b: b == "r3" and a in ("r0", "r1", "r2")
             network.run(network.now_us + 20 * SECOND)
             self.none_removed(network)
@@ -95,15 +95,15 @@
 
     def test_one_direction_between_a_pair(self) -> None:
         for seed in self.SEEDS:
-            network = grown(Form(8), seed)
+            network = started_network(FleetSettings(8), seed)
             network.cut = lambda a, b: (a, b) == ("r1", "r2")
             network.run(network.now_us + 20 * SECOND)
             self.none_removed(network)
-            self.assertTrue(network.agreed())
+            self.assertTrue(network.views_agree())
 
     def test_seven_of_ten_killed_and_started_again(self) -> None:
         for seed in self.SEEDS:
-            network = grown(Form(10), seed)
+            network = started_network(FleetSettings(10), seed)
             before = {n: network.processes[n].detector.view.own.incarnation for n in network.processes}
             for number in range(3, 10):
                 network.kill(f"r{number}")
@@ -119,7 +119,7 @@
         """News that was passed on to the dead was lost: a survivor heard of the others' accusations only when
         their views were compared, half a minute later."""
         for seed in self.SEEDS:
-            network = grown(Form(10), seed)
+            network = started_network(FleetSettings(10), seed)
             for number in range(3, 10):
                 network.kill(f"r{number}")
             self.quiet(network, 30)
@@ -127,7 +127,7 @@
     def test_a_lost_report_is_sent_again_by_a_member_that_has_declared_the_suspect_dead(self) -> None:
         """Two of three had removed a dead one and had no accusation left to pass on; the third, to which one
         had been lost, held it for alive for ever (4 of 100 seeds of the case above)."""
-        network = grown(Form(10), 4)
+        network = started_network(FleetSettings(10), 4)
         for number in range(3, 10):
             network.kill(f"r{number}")
         lacks = network.processes["r0"].detector.view
@@ -135,14 +135,14 @@
         def forget() -> None:  # what r1 says of r9 never reaches r0 while r1 says it
             if network.processes["r1"].detector.view.members["r9"].state != MemberState.DEAD:
                 lacks.remove_suspicion("r9", "r1")
-                network.at(network.now_us + 10_000, forget)
+                network.schedule(network.now_us + 10_000, forget)
 
         forget()
         self.quiet(network, 40)
 
     def test_two_halves_with_a_join_and_a_leave_in_them(self) -> None:
         for seed in self.SEEDS:
-            network = grown(Form(8), seed)
+            network = started_network(FleetSettings(8), seed)
             half = {"r0", "r1", "r2", "r3", "new"}
             network.cut = lambda a, b, half=half: (a in half) != (b in half)  # type: ignore[misc]
             network.run(network.now_us + 5 * SECOND)
@@ -155,17 +155,19 @@
                 self.assertNotIn("r6", [k.member.name for k in process.detector.view.present_members()])
 
     def test_a_leave_spreads_at_once_and_is_no_failure(self) -> None:
-        network = grown(Form(8), 1)
+        network = started_network(FleetSettings(8), 1)
         left = network.now_us
         network.leave("r5")
         network.run(left + 2 * SECOND)
         for process in network.living():
             self.assertEqual(process.detector.view.members["r5"].state, MemberState.LEFT)
-        self.assertFalse(any(c.new_state == MemberState.SUSPECT for _, _, c in network.changes))
+        self.assertFalse(
+            any(c.new_state == MemberState.SUSPECT for c in (observed.change for observed in network.changes))
+        )
 
     def test_thirty_percent_of_datagrams_lost_and_eighty_at_one_member(self) -> None:
         for seed in self.SEEDS:
-            network = grown(Form(8), seed)
+            network = started_network(FleetSettings(8), seed)
             network.loss, network.loss_at = 0.3, {"r2": 0.55}
             network.run(network.now_us + 60 * SECOND)
             self.none_removed(network)
@@ -173,13 +175,13 @@
             self.quiet(network)
 
     def test_delays_beyond_the_timeout_of_a_ping(self) -> None:
-        network = grown(Form(8), 1)
+        network = started_network(FleetSettings(8), 1)
         network.delay_us = (800_000, 1_500_000)
         network.run(network.now_us + 30 * SECOND)
         self.none_removed(network)
 
     def test_two_processes_of_one_name_are_reported_and_both_stay(self) -> None:
-        network = grown(Form(4), 1)
+        network = started_network(FleetSettings(4), 1)
         first = network.processes["r2"]
         network.address_of = moved_address  # type: ignore[method-assign]
         second = network.start("r2")
@@ -194,7 +196,7 @@
             self.assertEqual(names, sorted(["r0", "r1", "r2", "r3", alias]))
 
     def test_a_replaced_process_is_superseded_and_is_no_conflict(self) -> None:
-        network = grown(Form(4), 1)
+        network = started_network(FleetSettings(4), 1)
         first = network.processes["r2"]
         first.detector.expects_successor = True
         network.address_of = moved_address  # type: ignore[method-assign]
@@ -204,11 +206,14 @@
         self.assertTrue(first.detector.superseded)
         self.assertEqual(first.detector.counters.conflicts, 0)
         self.assertFalse(
-            any(c.new_state in (MemberState.SUSPECT, MemberState.DEAD) for _, _, c in network.changes)
+            any(
+                c.new_state in (MemberState.SUSPECT, MemberState.DEAD)
+                for c in (observed.change for observed in network.changes)
+            )
         )
 
     def test_a_successor_whose_clock_is_behind_takes_its_name_back(self) -> None:
-        network = grown(Form(4), 1)
+        network = started_network(FleetSettings(4), 1)
         network.kill("r2")
         held = network.now_us
         network.now_us = 0  # the incarnation is made of the wall clock
@@ -224,19 +229,21 @@
         """The check can fail: the ablation shows it does."""
         found = 0
         for seed in range(4):
-            network = grown(
-                Form(8, tuning=DetectorTuning(suspicion_quorum=1, monitored_peers=7, local_health=False)),
+            network = started_network(
+                FleetSettings(
+                    8, tuning=DetectorTuning(suspicion_quorum=1, monitored_peers=7, local_health=False)
+                ),
                 seed,
             )
             network.pause("r1", 12 * SECOND)
             network.run(network.now_us + 14 * SECOND)
             network.pause("r1", 12 * SECOND)
             network.run(network.now_us + 20 * SECOND)
-            found += lab.false_removals(network)
+            found += false_removals(network)
         self.assertGreater(found, 0)
 
     def test_the_same_seed_gives_the_same_history(self) -> None:
-        one, two = grown(Form(6), 3), grown(Form(6), 3)
+        one, two = started_network(FleetSettings(6), 3), started_network(FleetSettings(6), 3)
         self.assertEqual(one.changes, two.changes)
         self.assertEqual((one.now_us, one.sent), (two.now_us, two.sent))
 
@@ -244,7 +251,7 @@
 class ProbeCostTest(unittest.TestCase):
     def test_a_member_that_was_just_heard_is_not_pinged(self) -> None:
         """In a small fleet all watch each other: asking both ways cost twice the messages, 2% of a core."""
-        network = grown(Form(8), 1)
+        network = started_network(FleetSettings(8), 1)
         network.sent = 0
         network.run(network.now_us + 10 * SECOND)
         asked = network.sent / 10 / 8
--- a/tests/membership/test_quota_lease.py
+++ b/tests/membership/test_quota_lease.py
@@ -6,54 +6,54 @@
 import unittest
 from functools import partial
 
-from magpieshift.lab.experiments.members import SECOND, Form, grown
+from magpieshift.lab.experiments.membership_network import SECOND, FleetSettings, started_network
 from magpieshift.membership.quota_lease import FLEET_SCOPE
 
 
 class SimulatedQuotaTest(unittest.TestCase):
     def test_with_all_present_each_has_what_the_settings_give(self) -> None:
-        network = grown(Form(6), 1)
+        network = started_network(FleetSettings(6), 1)
         network.run(network.now_us + 30 * SECOND)
         for process in network.living():
-            share = process.shares.quota(FLEET_SCOPE, process.clock(network.now_us))
+            share = process.quota_lease.quota(FLEET_SCOPE, process.clock(network.now_us))
             self.assertAlmostEqual(share, 1 / 6, places=6)
 
     def test_a_dead_members_quota_goes_to_the_rest_and_comes_back(self) -> None:
-        network = grown(Form(6), 2)
+        network = started_network(FleetSettings(6), 2)
         network.run(network.now_us + 30 * SECOND)
         network.kill("r5")
         network.run(network.now_us + 30 * SECOND)
-        shares = [p.shares.quota(FLEET_SCOPE, p.clock(network.now_us)) for p in network.living()]
+        shares = [p.quota_lease.quota(FLEET_SCOPE, p.clock(network.now_us)) for p in network.living()]
         self.assertTrue(all(abs(share - (0.5 / 6 + 0.5 / 5)) < 1e-6 for share in shares), shares)
         network.start("r5")
         network.run(network.now_us + 40 * SECOND)
         self.assertTrue(
             all(
-                abs(p.shares.quota(FLEET_SCOPE, p.clock(network.now_us)) - 1 / 6) < 1e-6
+                abs(p.quota_lease.quota(FLEET_SCOPE, p.clock(network.now_us)) - 1 / 6) < 1e-6
                 for p in network.living()
             )
         )
-        self.assertEqual(network.over_whole, 0)
+        self.assertEqual(network.quota_excesses, 0)
 
     def test_an_isolated_member_falls_back_to_its_solo_quota_and_the_sum_never_exceeds_the_whole(
         self,
     ) -> None:
         for seed in range(3):
-            network = grown(Form(6), seed)
+            network = started_network(FleetSettings(6), seed)
             network.run(network.now_us + 20 * SECOND)
             network.cut = lambda a, b, who=f"r{seed}": who in (a, b)  # type: ignore[misc]
             network.run(network.now_us + 10 * SECOND)
             alone = network.processes[f"r{seed}"]
-            self.assertAlmostEqual(alone.shares.quota(FLEET_SCOPE, alone.clock(network.now_us)), 0.5 / 6)
+            self.assertAlmostEqual(alone.quota_lease.quota(FLEET_SCOPE, alone.clock(network.now_us)), 0.5 / 6)
             network.run(network.now_us + 20 * SECOND)
             network.cut = lambda a, b: False
             network.run(network.now_us + 30 * SECOND)
-            self.assertEqual(network.over_whole, 0, network.most_share)
-            self.assertLessEqual(network.most_share, 1 + 1e-9)
+            self.assertEqual(network.quota_excesses, 0, network.max_total_quota)
+            self.assertLessEqual(network.max_total_quota, 1 + 1e-9)
 
     def test_a_partition_while_quotas_are_growing(self) -> None:
         for seed in range(3):
-            network = grown(Form(6), seed)
+            network = started_network(FleetSettings(6), seed)
             network.run(network.now_us + 20 * SECOND)
             network.kill("r5")
             network.run(network.now_us + 9 * SECOND + seed * SECOND // 2)  # gone about now: they grow
@@ -62,31 +62,31 @@
             network.cut = lambda a, b: False
             network.start("r5")
             network.run(network.now_us + 30 * SECOND)
-            self.assertEqual(network.over_whole, 0, network.most_share)
+            self.assertEqual(network.quota_excesses, 0, network.max_total_quota)
 
     def test_the_lease_of_a_paused_process_has_expired_when_it_resumes(self) -> None:
-        network = grown(Form(4), 1)
+        network = started_network(FleetSettings(4), 1)
         network.run(network.now_us + 30 * SECOND)
         process = network.processes["r1"]
         slept = network.now_us
         network.pause("r1", 8 * SECOND)
         network.run(slept + 8 * SECOND - 1)
         now = process.clock(network.now_us)
-        self.assertAlmostEqual(process.shares.quota(FLEET_SCOPE, now), 0.5 / 4)
+        self.assertAlmostEqual(process.quota_lease.quota(FLEET_SCOPE, now), 0.5 / 4)
 
     def test_more_members_than_the_settings_count_shrink_quotas_at_once(self) -> None:
-        network = grown(Form(3), 1)
+        network = started_network(FleetSettings(3), 1)
         for number in range(3, 6):
             network.start(f"r{number}")
         network.run(network.now_us + 10 * SECOND)
         for process in network.living():
             self.assertLessEqual(
-                process.shares.quota(FLEET_SCOPE, process.clock(network.now_us)), 1 / 6 + 1e-9
+                process.quota_lease.quota(FLEET_SCOPE, process.clock(network.now_us)), 1 / 6 + 1e-9
             )
 
     def test_random_histories_never_use_more_than_the_whole(self) -> None:
         for seed in range(5):
-            network = grown(Form(5), 100 + seed)
+            network = started_network(FleetSettings(5), 100 + seed)
             rand = random.Random(seed)
             for _ in range(10):
                 name = f"r{rand.randrange(5)}"
@@ -96,7 +96,7 @@
                     case "kill" if network.processes[name].alive:
                         network.kill(name)
                         again = network.now_us + rand.randrange(SECOND, 9 * SECOND)
-                        network.at(again, partial(network.start, name))
+                        network.schedule(again, partial(network.start, name))
                     case "cut":
                         ways = {(f"r{rand.randrange(5)}", f"r{rand.randrange(5)}") for _ in range(8)}
                         network.cut = lambda a, b, ways=ways: (a, b) in ways  # type: ignore[misc]
@@ -106,8 +106,8 @@
                         network.loss = rand.random() * 0.6
                 network.run(network.now_us + rand.randrange(6 * SECOND))
             network.cut, network.loss = (lambda a, b: False), 0.0
-            self.assertEqual(network.over_whole, 0, (seed, network.most_share))
-            self.assertTrue(network.run(network.now_us + 40 * SECOND, network.agreed), seed)
+            self.assertEqual(network.quota_excesses, 0, (seed, network.max_total_quota))
+            self.assertTrue(network.run(network.now_us + 40 * SECOND, network.views_agree), seed)
 
 
 if __name__ == "__main__":
--- a/tests/overload/test_simulated_fleet.py
+++ b/tests/overload/test_simulated_fleet.py
@@ -16,8 +16,8 @@
     def test_a_dead_parent_is_probed_by_few_and_lost_digests_leave_each_router_to_itself(self) -> None:
         form = Form(routers=12, zones=2, boxes=2, parents=3, seed=4)
         alone = lab.play("parent-dead", form)
-        told = lab.play("parent-dead", form, lab.Talking())
-        lost = lab.play("parent-dead", form, lab.Talking(loss=1.0))
+        told = lab.play("parent-dead", form, lab.GossipSettings())
+        lost = lab.play("parent-dead", form, lab.GossipSettings(loss=1.0))
         self.assertLess(told.tries_per_s, alone.tries_per_s / 2)
         self.assertEqual(lost.tries_per_s, alone.tries_per_s)  # to the last: nothing was heeded
         for outcome in (alone, told, lost):
@@ -25,8 +25,8 @@
 
     def test_false_reports_do_not_take_the_endpoints_away(self) -> None:
         form = Form(routers=12, zones=2, boxes=2, parents=3, seed=4)
-        honest = lab.play("parent-dead", form, lab.Talking())
-        lied = lab.play("parent-dead", form, lab.Talking(liars=2))
+        honest = lab.play("parent-dead", form, lab.GossipSettings())
+        lied = lab.play("parent-dead", form, lab.GossipSettings(liars=2))
         self.assertGreater(lied.goodput, honest.goodput - 0.02)
         self.assertLess(lied.amplification, 1.2)
 
--- a/tests/test_overload_processes.py
+++ b/tests/test_overload_processes.py
@@ -27,12 +27,12 @@
             return self.cluster.served_share() >= BACK * usual
 
         await asyncio.sleep(6.0)  # until the seconds looked at are those after it
-        await self.cluster.until(well, f"service is back after {after}", 60.0)
+        await self.cluster.wait_until(well, f"service is back after {after}", 60.0)
 
     async def test_the_hard_cases_one_after_another(self) -> None:
-        cluster, names = self.cluster, list(self.cluster.places)
+        cluster, names = self.cluster, list(self.cluster.routers)
         await cluster.start(*names)
-        await cluster.serving(*names)
+        await cluster.wait_until_serving(*names)
         cluster.start_load()
         await asyncio.sleep(8.0)  # caches fill
         usual = cluster.served_share()
@@ -53,17 +53,17 @@
         with self.subTest("four of six are killed under load, and another stands still with full queues"):
             for name in names[2:]:
                 cluster.kill(name)
-            await cluster.died(*names[2:])
+            await cluster.wait_for_exit(*names[2:])
             cluster.pause(names[1])
             await asyncio.sleep(2.0)
             await cluster.start(*names[2:])
             await asyncio.sleep(3.0)
-            cluster.wake(names[1])
-            await cluster.serving(*names[2:])
+            cluster.resume(names[1])
+            await cluster.wait_until_serving(*names[2:])
             await self.back(usual, "four are killed")
 
         counted = await cluster.finish()
-        self.assertEqual((cluster.violations, cluster.ended_wrong), ([], []))
+        self.assertEqual((cluster.violations, cluster.unexpected_exits), ([], []))
         self.assertEqual((counted["lost"], counted["doubles"]), (0, 0))
         await cluster.close()
         self.assertEqual(cluster.left_running(), 0)
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -109,7 +109,7 @@
                 found = overload.play(name, FORM)
                 self.assertEqual(found.rules_broken, 0)
                 self.assertGreater(found.goodput, 0.3)
-                self.assertLess(found.back_to_95_s, overload.MOST_AFTER_S)
+                self.assertLess(found.back_to_95_s, overload.MAX_RECOVERY_S)
 
     def test_an_answer_that_is_lost_is_seen(self) -> None:
         """The check can fail: a router that refuses without saying so."""
