--- a/magpieshift/cli/lab_scale.py
+++ b/magpieshift/cli/lab_scale.py
@@ -122,7 +122,7 @@
     invariant broke. SCENARIO is one of --list; or "calibrate", which holds hollow ones against real ones; or
     "topology", which prints a generated file for --topology."""
     from magpieshift.lab.scale.calibration import Calibration
-    from magpieshift.lab.scale.processes import ProcessEnded
+    from magpieshift.lab.scale.processes import ProcessExitedError
     from magpieshift.lab.scale.run import Plan
     from magpieshift.lab.scale.scenario import SCENARIOS
     from magpieshift.lab.scale.topology import generate, read_file, write
@@ -155,7 +155,7 @@
         )
         Path(logs or ".").mkdir(parents=True, exist_ok=True)
         _play(plan, save, as_json)
-    except ProcessEnded as err:
+    except ProcessExitedError as err:
         raise click.ClickException(str(err)) from None
     except TimeoutError:
         raise click.ClickException("the processes of the run were not ready in time") from None
--- a/magpieshift/lab/scale/calibration.py
+++ b/magpieshift/lab/scale/calibration.py
@@ -28,23 +28,23 @@
 from magpieshift.lab.scale.fleet import Fleet, Size
 from magpieshift.lab.scale.load import Rates, arrivals
 from magpieshift.lab.scale.player import Player
-from magpieshift.lab.scale.processes import ProcessEnded, cpu_seconds, resident_mb
+from magpieshift.lab.scale.processes import ProcessExitedError, cpu_seconds, resident_mb
 from magpieshift.lab.scale.tier import CONTROL, DirectTier
 from magpieshift.lab.scale.topology import Topology, generate
 
-SIZES = (1, 4, 10)
-ALIKE = 0.2  # a larger difference must be explained
-START_S = 30.0
-LOOK_S = 0.1
-REST_S = 1.0  # after the start, before the load
-END_S = 8.0
+ROUTER_COUNTS = (1, 4, 10)
+MAX_RATIO_DEVIATION = 0.2  # a larger difference must be explained
+START_TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.1
+IDLE_BEFORE_LOAD_S = 1.0  # after the start, before the load
+STOP_TIMEOUT_S = 8.0
 MODULES = (
     "magpieshift.cli.main",
     "structlog",
     "magpieshift.extensions.runner",
     "magpieshift.extensions.control_channel",
 )
-BARE = f"import {', '.join(MODULES)}; print(flush=True); input()"
+BARE_PROCESS_CODE = f"import {', '.join(MODULES)}; print(flush=True); input()"
 FIGURES = ("cpu_percent", "bytes_s", "mb")
 
 
@@ -68,7 +68,7 @@
     seed: int = 1
     seconds: float = 10.0
     caches: int = 1000
-    sizes: Sequence[int] = SIZES
+    sizes: Sequence[int] = ROUTER_COUNTS
 
 
 @dataclass(frozen=True)
@@ -118,29 +118,32 @@
                     stderr=asyncio.subprocess.DEVNULL,
                 )
             )
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while not await self._all_follow():
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _all_follow(self) -> bool:
         if any(process.returncode is not None for process in self._processes):
-            raise ProcessEnded("a router process has ended at its start")
+            raise ProcessExitedError("a router process has ended at its start")
         watches = (await self._fleet.log_report()).watches
         return watches == self._count and await self._tier.followers() == self._count
 
     def cpu_s(self) -> float:
+        """Processor seconds of all router processes so far."""
         return sum(cpu_seconds(process.pid) for process in self._processes)
 
     def memory_mb(self) -> float:
+        """Resident memory of all router processes."""
         return sum(resident_mb(process.pid) for process in self._processes)
 
     async def close(self) -> None:
+        """Terminate all router processes; one that does not exit within ``STOP_TIMEOUT_S`` is killed."""
         for process in self._processes:
             if process.returncode is None:
                 process.terminate()
         for process in self._processes:
             try:
-                async with asyncio.timeout(END_S):
+                async with asyncio.timeout(STOP_TIMEOUT_S):
                     await process.wait()
             except TimeoutError:
                 process.kill()
@@ -150,7 +153,7 @@
 async def bare_mb() -> float:
     """Memory of a router process that has loaded its modules and built nothing."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-c", BARE, stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE
+        sys.executable, "-c", BARE_PROCESS_CODE, stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE
     )
     assert process.stdout is not None and process.stdin is not None
     try:
@@ -176,7 +179,7 @@
             else:
                 real = RealRouters(fleet, tier, routers, Path(folder))
                 await real.start()
-            await asyncio.sleep(REST_S)
+            await asyncio.sleep(IDLE_BEFORE_LOAD_S)
 
             def cpu_s() -> float:
                 return real.cpu_s() if real is not None else sum(w.cpu_s() for w in fleet.workers)
@@ -242,7 +245,7 @@
                 costs.append({"routers": routers, "run": run, "kind": kind.value} | asdict(cost))
         rows.append(row := compared(routers, found))
         for name, ratio in row.items():
-            if name.endswith("_ratio") and ratio is not None and abs(ratio - 1) > ALIKE:
+            if name.endswith("_ratio") and ratio is not None and abs(ratio - 1) > MAX_RATIO_DEVIATION:
                 differ.append(f"{name} at {routers}: {ratio}")
     return {
         "seconds": plan.seconds,
--- a/magpieshift/lab/scale/changelog.py
+++ b/magpieshift/lab/scale/changelog.py
@@ -15,16 +15,16 @@
 from magpieshift.lab.scale import child
 from magpieshift.lab.scale.installation import CacheList
 from magpieshift.lab.scale.messages import (
-    AskHead,
-    AskLog,
-    GoAway,
+    AcceptPurges,
+    ChangeEndpointList,
     Head,
+    HeadRequest,
     LogReport,
+    LogReportRequest,
     Message,
+    PauseChangeLog,
     Ready,
     StartLog,
-    TellListChange,
-    TellPurges,
 )
 from magpieshift.lab.scale.tally import object_of
 
@@ -48,16 +48,19 @@
         self.bytes_written = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register this watch with the server."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._changes.watches.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Take this watch out of the server, and keep its byte count."""
         self._changes.watches.discard(self)
         self._changes.left(self)
         self._may_write = False
 
     def data_received(self, data: bytes) -> None:
+        """Collect the request's head; once it is complete, answer and start sending events."""
         if self._may_write or self._transport is None:
             return
         self._head += data
@@ -72,9 +75,11 @@
         self.catch_up()
 
     def pause_writing(self) -> None:
+        """Stop sending: the transport's buffer is full."""
         self._may_write = False
 
     def resume_writing(self) -> None:
+        """Go on sending after a pause."""
         self._may_write = True
         self.catch_up()
 
@@ -92,6 +97,7 @@
             self._write(HEARTBEAT)
 
     def abort(self) -> None:
+        """Reset the connection."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -162,13 +168,16 @@
             self._tell({"invalidate": {"object": object_of(index), "time": made_ms}})
 
     def change_list(self, place: int) -> None:
+        """Accept the next change of the cache at this place in the list."""
         self._tell(self._list.change(place))
 
     def head(self) -> Head:
+        """The newest sequence number, the purges so far and the complete list."""
         event = json.dumps({"seq": len(self.events)} | self._list.whole())
         return Head(sequence=len(self.events), purges=len(self.accepted), list_event=event)
 
     def report(self) -> LogReport:
+        """Acceptance times, bytes written and watches."""
         written = [watch.bytes_written for watch in self.watches]
         return LogReport(
             accepted=self.accepted,
@@ -178,6 +187,7 @@
         )
 
     def left(self, watch: Watch) -> None:
+        """Add the byte count of a watch that has ended to the total."""
         self._bytes_of_those_gone += watch.bytes_written
 
     def _tell(self, event: dict[str, Any]) -> None:
@@ -213,15 +223,15 @@
         if server is None:
             raise RuntimeError("the change log has not been started")
         match message:
-            case TellPurges(count=count, made_over_s=made_over_s):
+            case AcceptPurges(count=count, made_over_s=made_over_s):
                 server.purge(count, made_over_s)
-            case TellListChange(place=place):
+            case ChangeEndpointList(place=place):
                 server.change_list(place)
-            case GoAway(seconds=seconds):
+            case PauseChangeLog(seconds=seconds):
                 server.go_away(seconds)
-            case AskHead():
+            case HeadRequest():
                 return server.head()
-            case AskLog():
+            case LogReportRequest():
                 return server.report()
             case other:
                 raise RuntimeError(f"a change log knows no {other.kind!r}")
--- a/magpieshift/lab/scale/child.py
+++ b/magpieshift/lab/scale/child.py
@@ -8,7 +8,7 @@
 import sys
 from collections.abc import Awaitable, Callable
 
-from magpieshift.lab.scale.messages import LONGEST_LINE, Failed, Message, decode, encode
+from magpieshift.lab.scale.messages import MAX_LINE_BYTES, Failed, Message, decode, encode
 
 log = logging.getLogger(__name__)
 
@@ -18,7 +18,7 @@
 async def serve(handle: Handle) -> None:
     """Hand each message to ``handle``, and write what it returns. What it raises is told as ``Failed``."""
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(limit=LONGEST_LINE)
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
         try:
--- a/magpieshift/lab/scale/controller.py
+++ b/magpieshift/lab/scale/controller.py
@@ -8,8 +8,8 @@
 from magpieshift.control.service import ControlService
 from magpieshift.lab.scale import child
 from magpieshift.lab.scale.messages import (
-    AskFollowers,
     Count,
+    FollowerCountRequest,
     Message,
     Publish,
     PublishedAt,
@@ -31,7 +31,7 @@
                 at_s = time.monotonic()
                 service.publish(PublishedVersion.parse(number, text))
                 return PublishedAt(at_s=at_s)
-            case AskFollowers():
+            case FollowerCountRequest():
                 return Count(count=sum(bool(stream.subscriber.router) for stream in service.streams))
             case other:
                 raise RuntimeError(f"a control service knows no {other.kind!r}")
--- a/magpieshift/lab/scale/faults.py
+++ b/magpieshift/lab/scale/faults.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from magpieshift.lab.scale.fleet import Fleet
-from magpieshift.lab.scale.messages import PutFault
+from magpieshift.lab.scale.messages import InjectFault
 from magpieshift.lab.scale.scenario import (
-    AWAY_S,
+    CONTROL_LOSS_S,
     ControlLost,
     Crash,
     Event,
@@ -24,11 +24,11 @@
 SLOW_PATH, STILL_PATH = OWN_PATHS = "slow-readers", "standing-still"
 DELAY = "distance"
 AWAY = "region away"
-LOOK_S = 0.1
-RESTART_S = 0.5  # a router's restart
-ONE_OF = 10
-ALL_FOLLOW_S = 60.0
-DIGEST_S = 120.0  # for an hour's purges, which come to the control machines all at once
+POLL_INTERVAL_S = 0.1
+RESTART_DOWNTIME_S = 0.5  # a router's restart
+ROUTERS_PER_SLOW_ONE = 10
+FOLLOW_TIMEOUT_S = 60.0
+DIGEST_TIMEOUT_S = 120.0  # for an hour's purges, which come to the control machines all at once
 
 
 class Faults:
@@ -68,8 +68,10 @@
         for number, place in enumerate(self._fleet.places.values()):
             if place.rack in racks:
                 self._fleet.paths[place.name] = place.rack
-            elif slow and number % ONE_OF == 0:
-                self._fleet.paths[place.name] = STILL_PATH if number // ONE_OF % 2 else SLOW_PATH
+            elif slow and number % ROUTERS_PER_SLOW_ONE == 0:
+                self._fleet.paths[place.name] = (
+                    STILL_PATH if number // ROUTERS_PER_SLOW_ONE % 2 else SLOW_PATH
+                )
 
     def reachable_paths(self) -> frozenset[str] | None:
         """The paths on which control can be heard now; None for all."""
@@ -81,7 +83,7 @@
         """A router restarts, the one whose name comes first in an order that is as good as random."""
         if self._fleet.live:
             name = min(self._fleet.live, key=lambda name: name[::-1])
-            self._spawn(self._restart([name], RESTART_S))
+            self._spawn(self._restart([name], RESTART_DOWNTIME_S))
 
     def _spawn(self, doing: Coroutine[Any, Any, None]) -> None:
         self._tasks.append(asyncio.ensure_future(doing))
@@ -103,21 +105,21 @@
             delays = {fleet.paths[p.name]: fleet.topology.delay_ms(p.zone) for p in fleet.places.values()}
             far = {path: ms for path, ms in delays.items() if ms and path not in OWN_PATHS}
             if far:
-                await fleet.put_fault(PutFault(why=DELAY, paths=sorted(far), delay_ms=far))
+                await fleet.put_fault(InjectFault(why=DELAY, paths=sorted(far), delay_ms=far))
         gone = self._away_region() if self._away is not None else []
         if (away := self._away) is not None:
             await fleet.start_routers(gone)
             await self._cut(AWAY, {fleet.paths[name] for name in gone})
             await fleet.purge(int(away.seconds * purges_per_s), away.seconds)
             await fleet.tell_made()
-            async with asyncio.timeout(DIGEST_S):
+            async with asyncio.timeout(DIGEST_TIMEOUT_S):
                 while not await fleet.digested({fleet.places[name].zone for name in gone}):
-                    await asyncio.sleep(LOOK_S)
+                    await asyncio.sleep(POLL_INTERVAL_S)
             await asyncio.sleep(fleet.tier.forgets_after_s)
         await fleet.start_routers([name for name in fleet.places if name not in gone])
-        async with asyncio.timeout(ALL_FOLLOW_S):
+        async with asyncio.timeout(FOLLOW_TIMEOUT_S):
             while not await fleet.all_follow():
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
         self.first_purge = fleet.purges
 
     def _away_region(self) -> list[str]:
@@ -171,7 +173,7 @@
         """The live routers of the fullest rack or zone, or every tenth one."""
         live = [place for place in self._fleet.places.values() if place.name in self._fleet.live]
         if scope is Scope.TENTH:
-            return [place.name for place in live[::ONE_OF]]
+            return [place.name for place in live[::ROUTERS_PER_SLOW_ONE]]
         by = {place.name: place.rack if scope is Scope.RACK else place.zone for place in live}
         largest = max(sorted(set(by.values())), key=list(by.values()).count)
         return [name for name, at in by.items() if at == largest]
@@ -191,7 +193,7 @@
         loop = asyncio.get_running_loop()
         begin = loop.time()
         while await self._fleet.behind(names):
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         self.return_s = round(loop.time() - begin, 2)
         if counter is not None:
             self.return_bytes_per_router = round((await counter.look() - first) / len(names))
@@ -199,7 +201,7 @@
     async def _slow_down(self, event: Slow) -> None:
         await self._wait(event.begin)
         await self._cut(STILL_PATH, {STILL_PATH} & set(self._fleet.paths.values()))
-        slow = PutFault(why=SLOW_PATH, paths=[SLOW_PATH], kb_per_s=event.kb_per_s, direction="to-routers")
+        slow = InjectFault(why=SLOW_PATH, paths=[SLOW_PATH], kb_per_s=event.kb_per_s, direction="to-routers")
         await self._fleet.put_fault(slow)
         self._cut_paths.add(SLOW_PATH)
         await self._wait(event.until - event.begin)
@@ -209,7 +211,7 @@
 
     async def _lose_control(self, event: ControlLost) -> None:
         await self._wait(event.at)
-        await self._fleet.tier.lose(event.machines, AWAY_S)
+        await self._fleet.tier.lose(event.machines, CONTROL_LOSS_S)
 
     # --- cuts
 
@@ -224,7 +226,7 @@
     async def _cut(self, why: str, paths: set[str], direction: Any = "both") -> None:
         self._held[why] = paths
         self._cut_paths |= paths
-        await self._fleet.put_fault(PutFault(why=why, paths=sorted(paths), cut=True, direction=direction))
+        await self._fleet.put_fault(InjectFault(why=why, paths=sorted(paths), cut=True, direction=direction))
 
     async def _heal(self, why: str) -> None:
         self._cut_paths -= self._held.pop(why)
--- a/magpieshift/lab/scale/fleet.py
+++ b/magpieshift/lab/scale/fleet.py
@@ -18,8 +18,8 @@
 from magpieshift.lab.scale.tier import LOG, Tier
 from magpieshift.lab.scale.topology import Place, Topology
 
-MOST_NETWORKS = 3
-ROUTERS_A_NETWORK = 60
+MAX_NETWORKS = 3
+ROUTERS_PER_NETWORK = 60
 EVENTS_OF_A_CACHE = 3  # of the list: it drains, goes, and serves again
 
 
@@ -69,7 +69,7 @@
     async def _start_networks(self, paths: Sequence[str]) -> None:
         """Share the paths out among as many processes as their routers need."""
         routers = sum(path in paths for path in self.paths.values())
-        count = min(MOST_NETWORKS, len(paths), 1 + routers // ROUTERS_A_NETWORK)
+        count = min(MAX_NETWORKS, len(paths), 1 + routers // ROUTERS_PER_NETWORK)
         for number in range(count):
             part = list(paths[number::count])
             order = m.StartNetwork(targets=dict(self.tier.targets), paths=part)
@@ -93,6 +93,7 @@
 
     @property
     def log(self) -> Child:
+        """The change log's process; only after ``open``."""
         assert self._log is not None
         return self._log
 
@@ -122,7 +123,7 @@
 
     async def start_routers(self, names: Collection[str]) -> None:
         """Start these, with what the log has told by now; returns once they are connected."""
-        head = await self.log.ask(m.AskHead(), m.Head)
+        head = await self.log.ask(m.HeadRequest(), m.Head)
         version = self.published[-1].number if self.published else 0
         orders = [
             (worker, m.StartRouters(places=[*map(self._placed, part)], head=head, version=version))
@@ -143,12 +144,12 @@
 
     async def digested(self, without: Collection[str]) -> bool:
         """Whether the tier has all that the change log has accepted, outside these zones."""
-        return await self.tier.digested((await self.log.ask(m.AskHead(), m.Head)).sequence, without)
+        return await self.tier.digested((await self.log.ask(m.HeadRequest(), m.Head)).sequence, without)
 
     async def behind(self, names: Sequence[str] = ()) -> int:
         """How many live routers (of these) lack a purge or the newest version."""
         newest = self.published[-1].number if self.published else 0
-        asked = m.AskBehind(purges=self.purges, version=newest, names=list(names))
+        asked = m.LaggingCountRequest(purges=self.purges, version=newest, names=list(names))
         counts = await asyncio.gather(*(worker.ask(asked, m.Count) for worker in self.workers))
         return sum(answer.count for answer in counts)
 
@@ -158,18 +159,18 @@
         """Have the change log accept so many purges."""
         if count:
             self.purges += count
-            await self.log.tell(m.TellPurges(count=count, made_over_s=made_over_s))
+            await self.log.tell(m.AcceptPurges(count=count, made_over_s=made_over_s))
 
     async def tell_made(self) -> None:
         """Tell all routers' processes that what was accepted until now was made until now."""
-        order = m.MadeBy(purges=self.purges, at_s=time.monotonic())
+        order = m.PurgesAcceptedBy(purges=self.purges, at_s=time.monotonic())
         await asyncio.gather(*(worker.ask(order, m.Done) for worker in self.workers))
 
     async def change_list(self) -> None:
         """A cache goes on in its life: it drains, goes, or serves again."""
         place = self.list_changes // EVENTS_OF_A_CACHE
         self.list_changes += 1
-        await self.log.tell(m.TellListChange(place=place))
+        await self.log.tell(m.ChangeEndpointList(place=place))
 
     async def publish(self, reachable: frozenset[str] | None) -> None:
         """Publish the next version, once control is there."""
@@ -180,11 +181,12 @@
 
     # --- the network
 
-    async def put_fault(self, fault: m.PutFault) -> None:
+    async def put_fault(self, fault: m.InjectFault) -> None:
         """Put a fault on paths that lead through a network."""
         await asyncio.gather(*(network.ask(fault, m.Done) for network in self.networks))
 
     async def heal_fault(self, why: str) -> None:
+        """Remove the fault with this name from all networks."""
         await asyncio.gather(*(network.ask(m.HealFault(why=why), m.Done) for network in self.networks))
 
     # --- what it costs, and what was seen
@@ -216,8 +218,10 @@
         return round(grown_mb / len(self.live), 3)
 
     async def log_report(self) -> m.LogReport:
-        return await self.log.ask(m.AskLog(), m.LogReport)
+        """Ask the change log for its report."""
+        return await self.log.ask(m.LogReportRequest(), m.LogReport)
 
     async def worker_reports(self) -> list[m.WorkerReport]:
-        asked = m.AskWorker(purges=self.purges)
+        """Ask every worker what its routers have applied."""
+        asked = m.WorkerReportRequest(purges=self.purges)
         return list(await asyncio.gather(*(w.ask(asked, m.WorkerReport) for w in self.workers)))
--- a/magpieshift/lab/scale/hollow.py
+++ b/magpieshift/lab/scale/hollow.py
@@ -46,6 +46,7 @@
     changelog: Address | None = None
 
     def apply_to(self, document: Document) -> Document:
+        """The document with this router's own change log address."""
         found = super().apply_to(document)
         return found if self.changelog is None else replace(found, change_log_address=self.changelog)
 
@@ -78,10 +79,12 @@
     """A back that carries nothing: orders fail to connect, probes answer well."""
 
     def start(self, order: UpstreamRequest, done: Callable[[AttemptResult], None]) -> UpstreamExchange:
+        """Fail the request with ``CONNECT_FAILED`` on the next turn of the loop."""
         LoopClock().soon(lambda: done(AttemptResult(Outcome.CONNECT_FAILED)))
         return _Unreached()
 
     def probe(self, member: ListedEndpoint, done: Callable[[AttemptResult], None]) -> None:
+        """Report the health check as passed on the next turn of the loop."""
         LoopClock().soon(lambda: done(AttemptResult(Outcome.OK)))
 
     def close_idle(self, member: ListedEndpoint) -> None:
@@ -97,6 +100,8 @@
         self._seen = 0
 
     def handle(self, module: RouterPolicy, unix_now_us: int, events: Sequence[Event]) -> list[Action]:
+        """Hand events to the policy, then report the object purges among them; returns the policy's
+        actions."""
         if self._drop_every:
             events = [event for event in events if not self._dropped(event)]
         actions = module.handle(unix_now_us, events)
@@ -111,11 +116,14 @@
         self._seen += 1
         return self._seen % self._drop_every == 0
 
-    def register_name(self, number: int, ident: str) -> None: ...
+    def register_name(self, number: int, ident: str) -> None:
+        """Names are not observed."""
 
-    def reconfigured(self, settings: Settings, fresh: Collection[int]) -> None: ...
+    def reconfigured(self, settings: Settings, fresh: Collection[int]) -> None:
+        """Changes of settings are not observed."""
 
-    def overrides_applied(self, unix_now_us: int, acts: Sequence[HealthOverride]) -> None: ...
+    def overrides_applied(self, unix_now_us: int, acts: Sequence[HealthOverride]) -> None:
+        """Health overrides are not observed."""
 
 
 class HollowRouter:
@@ -143,9 +151,11 @@
     # --- the listener of the change log
 
     def list_changed(self, kind: EndpointListKind, version: int, members: Sequence[ListedEndpoint]) -> None:
+        """Pass a change of the endpoint list to the engine."""
         self.engine.list_changed(kind, version, members)
 
     def purged(self, key: str, group: int, made_us: int) -> None:
+        """Pass a purge to the engine, unless this router has crashed."""
         if not self._crashed:
             self.engine.purged(key, group, made_us)
 
@@ -157,12 +167,15 @@
         return [self.change_log, self.engine]
 
     def running(self) -> Mapping[str, RunningSettings]:
+        """The settings in force, by part."""
         return {part.part: dict(part.running()) for part in self.parts}
 
     async def prepare(self, document: Document) -> Prepared:
+        """Prepare all parts for a document, without applying it."""
         return await prepare(self.parts, self.document, align_numbers(self.document, document))
 
     def commit(self, prepared: Prepared, version: int) -> None:
+        """Apply what was prepared."""
         self.document = prepared.document
         prepared.commit()
 
@@ -170,6 +183,7 @@
 
     @property
     def connected(self) -> bool:
+        """Whether the feed has delivered what there was at its start."""
         return self._feed is not None and self._feed.connected
 
     def start(self, feed: Feed, known: Mapping[str, Any]) -> None:
@@ -200,13 +214,16 @@
 
     @property
     def connected(self) -> bool:
+        """Whether the change log has answered."""
         return self._log.has_answered
 
     def start(self) -> None:
+        """Connect to the change log and to the control service."""
         self._log.start()
         self._control.start()
 
     async def crash(self) -> None:
+        """Close both connections."""
         self._log.stop()
         await self._control.stop()
 
--- a/magpieshift/lab/scale/memory.py
+++ b/magpieshift/lab/scale/memory.py
@@ -6,11 +6,11 @@
 
 from magpieshift.config import ConfigError
 
-SHARE = 0.5  # of the machine's memory
+MAX_MEMORY_FRACTION = 0.5  # of the machine's memory
 PROCESS_MB = 90.0  # a process with its modules, before its first router
 ROUTER_MB = 1.0  # a hollow router with an empty list
 ROUTER_MB_PER_CACHE = 0.0026
-MOST_PROCESSES = 300
+MAX_PROCESSES = 300
 
 
 def machine_mb(meminfo: str = "") -> float:
@@ -31,12 +31,12 @@
 
 def check(routers: int, processes: int, caches: int, of_mb: float = 0.0) -> None:
     """``ConfigError`` where a run would take more than its share of the machine's memory."""
-    limit_mb = SHARE * (of_mb or machine_mb())
+    limit_mb = MAX_MEMORY_FRACTION * (of_mb or machine_mb())
     wanted_mb = needed_mb(routers, processes, caches)
     if wanted_mb > limit_mb:
         raise ConfigError(
             f"--routers: found {routers}, which take {wanted_mb:.0f} MB; expected at most {limit_mb:.0f} MB, "
             "half of the machine's memory"
         )
-    if processes > MOST_PROCESSES:
-        raise ConfigError(f"processes: found {processes}, expected at most {MOST_PROCESSES}")
+    if processes > MAX_PROCESSES:
+        raise ConfigError(f"processes: found {processes}, expected at most {MAX_PROCESSES}")
--- a/magpieshift/lab/scale/messages.py
+++ b/magpieshift/lab/scale/messages.py
@@ -6,7 +6,7 @@
 
 from pydantic import BaseModel, Field, TypeAdapter
 
-LONGEST_LINE = 256 << 20  # bytes; a report on an hour of purges takes a tenth
+MAX_LINE_BYTES = 256 << 20  # bytes; a report on an hour of purges takes a tenth
 
 
 class StartLog(BaseModel):
@@ -67,7 +67,7 @@
     ports: dict[str, int] = {}
 
 
-class TellPurges(BaseModel):
+class AcceptPurges(BaseModel):
     """To the change log: accept so many purges; the first was made ``made_over_s`` ago, the last now."""
 
     kind: Literal["tell-purges"] = "tell-purges"
@@ -75,14 +75,14 @@
     made_over_s: float = 0.0
 
 
-class TellListChange(BaseModel):
+class ChangeEndpointList(BaseModel):
     """To the change log: a cache, by its place in the list, drains, goes or serves again."""
 
     kind: Literal["tell-list-change"] = "tell-list-change"
     place: int
 
 
-class GoAway(BaseModel):
+class PauseChangeLog(BaseModel):
     """To the change log: be away for so long, with all connections reset; what is accepted meanwhile is
     told afterwards."""
 
@@ -90,7 +90,7 @@
     seconds: float
 
 
-class AskHead(BaseModel):
+class HeadRequest(BaseModel):
     """To the change log: how far are you?"""
 
     kind: Literal["ask-head"] = "ask-head"
@@ -105,7 +105,7 @@
     list_event: str
 
 
-class AskLog(BaseModel):
+class LogReportRequest(BaseModel):
     """To the change log: what have you accepted and written?"""
 
     kind: Literal["ask-log"] = "ask-log"
@@ -136,7 +136,7 @@
     at_s: float
 
 
-class AskFollowers(BaseModel):
+class FollowerCountRequest(BaseModel):
     """To the control service: how many routers have said hello and are connected?"""
 
     kind: Literal["ask-followers"] = "ask-followers"
@@ -191,7 +191,7 @@
     kind: Literal["done"] = "done"
 
 
-class MadeBy(BaseModel):
+class PurgesAcceptedBy(BaseModel):
     """To a worker: so many purges, all that there are, were made by this time of the monotonic clock."""
 
     kind: Literal["made-by"] = "made-by"
@@ -199,7 +199,7 @@
     at_s: float
 
 
-class AskBehind(BaseModel):
+class LaggingCountRequest(BaseModel):
     """To a worker: how many live routers lack any of so many purges, or this version?"""
 
     kind: Literal["ask-behind"] = "ask-behind"
@@ -208,7 +208,7 @@
     names: list[str] = []  # only of these, where some are named
 
 
-class AskWorker(BaseModel):
+class WorkerReportRequest(BaseModel):
     """To a worker: what have your routers applied, of so many purges?"""
 
     kind: Literal["ask-worker"] = "ask-worker"
@@ -230,7 +230,7 @@
     version_behind: dict[str, int]  # by router: the version in force
 
 
-class PutFault(BaseModel):
+class InjectFault(BaseModel):
     """To a network: put a fault on all streams of some paths, in one direction or both. ``cut`` holds bytes
     back, as a system that sends them again would."""
 
@@ -265,26 +265,26 @@
     | StartNetwork
     | StartWorker
     | Ready
-    | TellPurges
-    | TellListChange
-    | GoAway
-    | AskHead
+    | AcceptPurges
+    | ChangeEndpointList
+    | PauseChangeLog
+    | HeadRequest
     | Head
-    | AskLog
+    | LogReportRequest
     | LogReport
     | Publish
     | PublishedAt
-    | AskFollowers
+    | FollowerCountRequest
     | Count
     | StartRouters
     | CrashRouters
     | Done
-    | AskBehind
-    | AskWorker
+    | LaggingCountRequest
+    | WorkerReportRequest
     | WorkerReport
-    | PutFault
+    | InjectFault
     | HealFault
-    | MadeBy
+    | PurgesAcceptedBy
     | Failed
 )
 _ANY: TypeAdapter[Message] = TypeAdapter(Annotated[Message, Field(discriminator="kind")])
--- a/magpieshift/lab/scale/network.py
+++ b/magpieshift/lab/scale/network.py
@@ -5,7 +5,7 @@
 
 from magpieshift.lab.fault_injection.network import Network
 from magpieshift.lab.scale import child
-from magpieshift.lab.scale.messages import Done, HealFault, Message, PutFault, Ready, StartNetwork
+from magpieshift.lab.scale.messages import Done, HealFault, InjectFault, Message, Ready, StartNetwork
 from magpieshift.lab.scale.streams import Passage
 
 CONTROL = "control"  # the other end of every path
@@ -17,7 +17,7 @@
     return f"{path}{SEPARATOR}{target}"
 
 
-def put(links: Network, fault: PutFault) -> None:
+def put(links: Network, fault: InjectFault) -> None:
     """Put a fault on the paths that it names, in its direction."""
     for path in fault.paths:
         delay_ms = fault.delay_ms.get(path, 0.0)
@@ -41,7 +41,7 @@
                         passages.append(Passage(links, path, CONTROL, port))
                         ports[port_name(path, name)] = await passages[-1].start()
                 return Ready(ports=ports)
-            case PutFault():
+            case InjectFault():
                 put(links, message)
                 return Done()
             case HealFault(why=why):
--- a/magpieshift/lab/scale/processes.py
+++ b/magpieshift/lab/scale/processes.py
@@ -9,16 +9,16 @@
 from pathlib import Path
 from typing import TypeVar
 
-from magpieshift.lab.scale.messages import LONGEST_LINE, Failed, Message, Ready, decode, encode
+from magpieshift.lab.scale.messages import MAX_LINE_BYTES, Failed, Message, Ready, decode, encode
 
-PATIENCE_S = 120.0  # for one answer
+REPLY_TIMEOUT_S = 120.0  # for one answer
 END_S = 5.0  # for a process to end by itself
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 M = TypeVar("M", bound=Message)
 
 
-class ProcessEnded(Exception):
+class ProcessExitedError(Exception):
     """A process of the run has ended by itself, or cannot do what it was told."""
 
 
@@ -64,7 +64,7 @@
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
                 stderr=log,
-                limit=LONGEST_LINE,
+                limit=MAX_LINE_BYTES,
                 start_new_session=True,
             )
         child = cls(name, process)
@@ -77,6 +77,7 @@
 
     @property
     def pid(self) -> int:
+        """The process id."""
         return self._process.pid
 
     def cpu_s(self) -> float:
@@ -86,6 +87,7 @@
         return self._cpu_s
 
     def memory_mb(self) -> float:
+        """Resident memory now; ``OSError`` once the process is gone."""
         return resident_mb(self.pid)
 
     async def tell(self, message: Message) -> None:
@@ -95,24 +97,24 @@
             self._process.stdin.write(encode(message))
             await self._process.stdin.drain()
         except ConnectionError:
-            raise ProcessEnded(f"{self.name} has ended") from None
+            raise ProcessExitedError(f"{self.name} has ended") from None
 
     async def ask(self, message: Message, wanted: type[M]) -> M:
         """Send what is answered, and wait for the answer."""
         assert self._process.stdout is not None
         async with self._turn:
             await self.tell(message)
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(REPLY_TIMEOUT_S):
                 line = await self._process.stdout.readline()
         if not line:
-            raise ProcessEnded(f"{self.name} has ended")
+            raise ProcessExitedError(f"{self.name} has ended")
         match decode(line):
             case Failed(reason=reason):
-                raise ProcessEnded(f"{self.name}: {reason}")
+                raise ProcessExitedError(f"{self.name}: {reason}")
             case answer if isinstance(answer, wanted):
                 return answer
             case other:
-                raise ProcessEnded(f"{self.name} answered {other.kind!r} to {message.kind!r}")
+                raise ProcessExitedError(f"{self.name} answered {other.kind!r} to {message.kind!r}")
 
     async def kill(self) -> None:
         """SIGKILL, as a machine that is lost."""
--- a/magpieshift/lab/scale/relayed.py
+++ b/magpieshift/lab/scale/relayed.py
@@ -25,6 +25,7 @@
 
     @property
     def connected(self) -> bool:
+        """Whether the relay subscription has caught up."""
         return self._client.caught_up.is_set()
 
     @property
@@ -34,6 +35,7 @@
         return limit is not None and limit() == 0
 
     def start(self) -> None:
+        """Connect to a relay, and let the lifecycle go on as in a started router."""
         self._router.change_source.start()
         self._router.lifecycle.start_completed()
 
--- a/magpieshift/lab/scale/relays.py
+++ b/magpieshift/lab/scale/relays.py
@@ -22,7 +22,7 @@
 
 SOURCE = "source"
 LOOPBACK = "127.0.0.1"
-RELAYS_A_REGION = 2
+RELAYS_PER_REGION = 2
 
 
 FIXED_PORTS = range(20_000, 32_000)  # below those that the system gives to connections (ip_local_port_range)
@@ -51,6 +51,7 @@
     gone_s: float = 0.0  # processor time of its processes that were killed
 
     def cpu_s(self) -> float:
+        """Processor seconds of this relay so far, killed processes included."""
         return self.gone_s + (self.child.cpu_s() if self.child is not None else 0.0)
 
 
@@ -58,10 +59,10 @@
     """The relays: in each region that has routers, by turns in its zones."""
     found = []
     regions = sorted({place.region for place in topology.places})
-    ports = iter(fixed_ports(RELAYS_A_REGION * len(regions)))
+    ports = iter(fixed_ports(RELAYS_PER_REGION * len(regions)))
     for region in regions:
         zones = [zone for zone, of in topology.form.zones.items() if of == region]
-        for number in range(RELAYS_A_REGION):
+        for number in range(RELAYS_PER_REGION):
             name = f"relay-{region}-{number}"
             found.append(Machine(name, region, zones[number % len(zones)], next(ports)))
     return found
@@ -80,15 +81,18 @@
         self._reach: Reach = lambda path, target: self.targets[target]
 
     async def open(self, log: Child) -> None:
+        """Start the source beside the change log."""
         self._log = log
         start = m.StartSource(log_port=log.ports[LOG], versions=self._folder.name)
         self._source = await Child.start(SOURCE, "node", start)
 
     async def join(self, reach: Reach) -> None:
+        """Start all relays; each follows the source by the path of its zone."""
         self._reach = reach
         await asyncio.gather(*map(self._start, self._machines.values()))
 
     async def close(self) -> None:
+        """End the source and all relays, and remove the folder of versions."""
         children = [self._source, *(machine.child for machine in self._machines.values())]
         await asyncio.gather(*(child.end() for child in children if child is not None))
         self._folder.cleanup()
@@ -104,23 +108,29 @@
 
     @property
     def source(self) -> Child:
+        """The source's process; only after ``open``."""
         assert self._source is not None
         return self._source
 
     @property
     def targets(self) -> Mapping[str, int]:
+        """The ports of the source and of all relays, by name."""
         relays = {machine.name: machine.port for machine in self._machines.values()}
         return {SOURCE: self.source.ports["node"]} | relays
 
     @property
     def serving(self) -> list[int]:
+        """The ports of all relays."""
         return [machine.port for machine in self._machines.values()]
 
     @property
     def processes(self) -> int:
+        """The source and all relays."""
         return 1 + len(self._machines)
 
     def placed(self, place: Place, path: str, reach: Reach, inside: bool) -> m.Place:
+        """A router with all relays; inside its region they are reached without a network where a cut leaves
+        the region whole."""
         assert self._log is not None
         relays = [
             m.RelayPlace(
@@ -137,6 +147,7 @@
         )
 
     async def publish(self, number: int, text: str) -> float:
+        """Write the version to the source's folder; when that was, by the monotonic clock."""
         path = Path(self._folder.name) / f"{number}.sexp"
         part = path.with_suffix(".part")
         part.write_text(text, encoding="utf-8")
@@ -149,6 +160,7 @@
         return True
 
     async def digested(self, events: int, without: Collection[str]) -> bool:
+        """Whether the source and all relays outside these zones have so many events."""
         ports = [m.port for m in self._machines.values() if m.zone not in without]
         asked = (status.fetch_status(f"{LOOPBACK}:{port}") for port in [self.source.ports["node"], *ports])
         try:
@@ -159,6 +171,7 @@
 
     @property
     def forgets_after_s(self) -> float:
+        """How long relays retain a purge."""
         return PURGE_RETENTION_US / 1e6
 
     async def lose(self, machines: int, seconds: float) -> None:
@@ -169,6 +182,7 @@
         await asyncio.gather(*map(self._start, lost))
 
     async def lose_zone(self, zone: str) -> None:
+        """Kill the relays of this zone; they are not started again."""
         lost = [machine for machine in self._machines.values() if machine.zone == zone]
         await asyncio.gather(*map(self._kill, lost))
 
@@ -180,5 +194,6 @@
             machine.gone_s += child.cpu_s()
 
     def cpu_s(self) -> dict[str, float]:
+        """Processor seconds so far, by process."""
         relays = {machine.name: machine.cpu_s() for machine in self._machines.values()}
         return {SOURCE: self.source.cpu_s()} | relays
--- a/magpieshift/lab/scale/result.py
+++ b/magpieshift/lab/scale/result.py
@@ -10,11 +10,11 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from magpieshift.lab.scale.tally import VOID
+from magpieshift.lab.scale.tally import NOT_APPLIED
 
-PURGE_WITHIN_S = 9.7
-VERSION_WITHIN_S = 4.0
-MOST_NAMED = 5  # routers in a rule's line
+MAX_PURGE_DONE_S = 9.7
+MAX_VERSION_IN_FORCE_S = 4.0
+MAX_ROUTERS_NAMED = 5  # routers in a rule's line
 
 
 @dataclass
@@ -85,11 +85,15 @@
 
     A router without a lease accepts no copy older than ``lease_s``: from so long after its acceptance on, a
     purge is done there, whether it was told or not."""
-    latest = [max((part[i] for part in applied if i < len(part)), default=VOID) for i in range(len(accepted))]
+    latest = [
+        max((part[i] for part in applied if i < len(part)), default=NOT_APPLIED) for i in range(len(accepted))
+    ]
     for index, at_s, lapsed_s in late:
         bounded_s = max(accepted[index] + lease_s, lapsed_s)
         latest[index] = max(latest[index], min(at_s, bounded_s))
-    times = [at - begin if at != VOID else math.inf for at, begin in zip(latest, accepted, strict=True)]
+    times = [
+        at - begin if at != NOT_APPLIED else math.inf for at, begin in zip(latest, accepted, strict=True)
+    ]
     for index in missing:
         times[index] = math.inf
     return times
@@ -112,11 +116,11 @@
     result.purge_done_max_s = quantile(ordered, 1.0)
     if not_done:
         result.notes.append(f"{not_done} purges were not done everywhere at the end: their times are unknown")
-    late = [time for time in ordered if time > PURGE_WITHIN_S]
+    late = [time for time in ordered if time > MAX_PURGE_DONE_S]
     if late:
         worst = f"{max(late):.1f} s" if math.isfinite(max(late)) else "never"
         result.rules_broken.append(
-            f"purge done everywhere within {PURGE_WITHIN_S} s: "
+            f"purge done everywhere within {MAX_PURGE_DONE_S} s: "
             f"{len(late)} of {len(ordered)} were not (worst: {worst})"
         )
 
@@ -136,14 +140,14 @@
         ]
         if times:
             worst = max(times) if worst is None else max(worst, *times)
-            if max(times) > VERSION_WITHIN_S:
+            if max(times) > MAX_VERSION_IN_FORCE_S:
                 late.append(version.number)
     result.version_in_force_max_s = round(worst, 4) if worst is not None else None
     if worst is None:
         result.notes.append("no version came into force: its time is unknown")
     if late:
         result.rules_broken.append(
-            f"version in force within {VERSION_WITHIN_S} s: {len(late)} of {len(published)} were not "
+            f"version in force within {MAX_VERSION_IN_FORCE_S} s: {len(late)} of {len(published)} were not "
             f"(worst {worst:.1f} s)"
         )
 
@@ -162,5 +166,5 @@
 
 def _named(routers: Mapping[str, int]) -> str:
     names = sorted(routers)
-    more = f" and {len(names) - MOST_NAMED} more" if len(names) > MOST_NAMED else ""
-    return ", ".join(names[:MOST_NAMED]) + more
+    more = f" and {len(names) - MAX_ROUTERS_NAMED} more" if len(names) > MAX_ROUTERS_NAMED else ""
+    return ", ".join(names[:MAX_ROUTERS_NAMED]) + more
--- a/magpieshift/lab/scale/run.py
+++ b/magpieshift/lab/scale/run.py
@@ -17,7 +17,7 @@
 from magpieshift.lab.scale.messages import LogReport, WorkerReport
 from magpieshift.lab.scale.player import Player
 from magpieshift.lab.scale.processes import Child
-from magpieshift.lab.scale.relays import RELAYS_A_REGION, RelayTier
+from magpieshift.lab.scale.relays import RELAYS_PER_REGION, RelayTier
 from magpieshift.lab.scale.result import (
     Result,
     judge_losses,
@@ -37,15 +37,15 @@
 FEEDS = tuple(TIERS)
 CONTROL_PROCESSES = {
     "direct": 2,
-    "relay": 2 + RELAYS_A_REGION * TARGET_REGIONS,
+    "relay": 2 + RELAYS_PER_REGION * TARGET_REGIONS,
 }  # at most, change log included
-MOST_WORKERS = 6
-ROUTERS_A_WORKER = 10  # as long as there are workers left
-LOOK_S = 0.25
-SAMPLE_S = 2.0  # between looks at the streams' counters
+MAX_WORKERS = 6
+ROUTERS_PER_WORKER = 10  # as long as there are workers left
+POLL_INTERVAL_S = 0.25
+SAMPLE_INTERVAL_S = 2.0  # between looks at the streams' counters
 BUSY_PERCENT = 90.0
 
-Tell = Callable[[str], None]
+ProgressCallback = Callable[[str], None]
 
 
 @dataclass(frozen=True)
@@ -72,7 +72,7 @@
     @property
     def processes(self) -> int:
         """Of hollow routers."""
-        return self.workers or min(MOST_WORKERS, math.ceil(self.routers / ROUTERS_A_WORKER))
+        return self.workers or min(MAX_WORKERS, math.ceil(self.routers / ROUTERS_PER_WORKER))
 
 
 @dataclass(frozen=True)
@@ -91,7 +91,7 @@
 class Run:
     """Owner of the fleet of one run."""
 
-    def __init__(self, plan: Plan, tell: Tell = lambda line: None) -> None:
+    def __init__(self, plan: Plan, tell: ProgressCallback = lambda line: None) -> None:
         plan.check()
         self.plan = plan
         self._tell = tell
@@ -168,7 +168,7 @@
         begin = last = loop.time()
         spent = self._workers_cpu_s()
         while True:
-            await asyncio.sleep(SAMPLE_S)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
             now = loop.time()
             spent_now = self._workers_cpu_s()
             self._live_s += (now - last) * len(self.fleet.live)
@@ -188,7 +188,7 @@
         loop = asyncio.get_running_loop()
         end = loop.time() + self.plan.settle_s
         while await self.fleet.behind() and loop.time() < end:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     # --- what was seen
 
@@ -235,7 +235,7 @@
         result.worker_busy_max_percent = round(busiest, 1)
         if busiest > BUSY_PERCENT:
             result.notes.append(
-                f"a process of hollow routers took {busiest:.0f}% of a core for {SAMPLE_S:.0f} s: "
+                f"a process of hollow routers took {busiest:.0f}% of a core for {SAMPLE_INTERVAL_S:.0f} s: "
                 "the times are this machine's"
             )
         by = {
--- a/magpieshift/lab/scale/scenario.py
+++ b/magpieshift/lab/scale/scenario.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-AWAY_S = 3.0  # how long a lost control machine is gone
+CONTROL_LOSS_S = 3.0  # how long a lost control machine is gone
 HOUR_S = 3600.0
 
 
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class ControlLost:
-    """So many control machines are gone at ``at`` for ``AWAY_S``."""
+    """So many control machines are gone at ``at`` for ``CONTROL_LOSS_S``."""
 
     at: float
     machines: int
--- a/magpieshift/lab/scale/streams.py
+++ b/magpieshift/lab/scale/streams.py
@@ -8,9 +8,9 @@
 
 from magpieshift.lab.fault_injection.network import Network
 
-CHUNK = 65_536
-CHUNKS_UNDER_WAY = 64  # of each direction; then the sender is held up
-LOOK_S = 0.02  # how soon a fault that was put or healed shows
+CHUNK_BYTES = 65_536
+MAX_CHUNKS_IN_FLIGHT = 64  # of each direction; then the sender is held up
+FAULT_POLL_INTERVAL_S = 0.02  # how soon a fault that was put or healed shows
 LOOPBACK = "127.0.0.1"
 
 
@@ -68,11 +68,11 @@
     async def _one_way(
         self, source: str, target: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        under_way: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(CHUNKS_UNDER_WAY)
+        under_way: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MAX_CHUNKS_IN_FLIGHT)
         writing = asyncio.ensure_future(self._write(source, target, under_way, writer))
         loop = asyncio.get_running_loop()
         try:
-            while data := await reader.read(CHUNK):
+            while data := await reader.read(CHUNK_BYTES):
                 delay_ms = sum(fault.delay_ms for fault in self._links.on(source, target))
                 await under_way.put((loop.time() + delay_ms / 1000, data))
         finally:
@@ -100,4 +100,4 @@
 
     async def _while_cut(self, source: str, target: str) -> None:
         while any(fault.cut for fault in self._links.on(source, target)):
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(FAULT_POLL_INTERVAL_S)
--- a/magpieshift/lab/scale/tally.py
+++ b/magpieshift/lab/scale/tally.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-FORGOTTEN_S = 12.0  # a purge so old matters no more: twice the settings' ``purges done-ms``
-VOID = 0.0  # in place of a time: not applied by anybody
+PURGE_RELEVANCE_S = 12.0  # a purge so old matters no more: twice the settings' ``purges done-ms``
+NOT_APPLIED = 0.0  # in place of a time: not applied by anybody
 
 
 def object_of(index: int) -> str:
@@ -35,7 +35,7 @@
     def purged(self, index: int, now_s: float) -> None:
         """A router has applied a purge; times never go back."""
         if index >= len(self.purges):
-            self.purges.extend([VOID] * (index + 1 - len(self.purges)))
+            self.purges.extend([NOT_APPLIED] * (index + 1 - len(self.purges)))
         self.purges[index] = now_s
 
     def version(self, path: str, number: int, now_s: float) -> None:
@@ -93,7 +93,11 @@
         it out: all that were made before one that is, and those that are known to be."""
         below, made_by_s = self._shared.made
         oldest = (
-            index if age_s >= FORGOTTEN_S else min(index, below) if now_s - made_by_s >= FORGOTTEN_S else 0
+            index
+            if age_s >= PURGE_RELEVANCE_S
+            else min(index, below)
+            if now_s - made_by_s >= PURGE_RELEVANCE_S
+            else 0
         )
         if oldest > self.next_purge:
             self.forgotten += sum(each not in self._beyond for each in range(self.next_purge, oldest))
@@ -127,5 +131,5 @@
     found: dict[int, float] = {}
     for part in parts:
         for number, at in part.items():
-            found[number] = max(at, found.get(number, VOID))
+            found[number] = max(at, found.get(number, NOT_APPLIED))
     return found
--- a/magpieshift/lab/scale/tier.py
+++ b/magpieshift/lab/scale/tier.py
@@ -43,7 +43,9 @@
         ...
 
     @property
-    def processes(self) -> int: ...
+    def processes(self) -> int:
+        """How many processes the tier has."""
+        ...
 
     def placed(self, place: Place, path: str, reach: Reach, inside: bool) -> m.Place:
         """Where a router finds what feeds it; ``inside``: a cut of its path leaves what is in its region."""
@@ -91,6 +93,7 @@
         self._newest: m.Publish | None = None
 
     async def open(self, log: Child) -> None:
+        """Start the control service."""
         self._log = log
         self._control = await Child.start("control service", "control", m.StartControl())
 
@@ -98,42 +101,51 @@
         """There is nothing more to start."""
 
     async def close(self) -> None:
+        """End the control service."""
         if self._control is not None:
             await self._control.end()
 
     @property
     def control(self) -> Child:
+        """The control service's process; only after ``open``."""
         assert self._control is not None
         return self._control
 
     @property
     def log(self) -> Child:
+        """The change log's process; only after ``open``."""
         assert self._log is not None
         return self._log
 
     @property
     def targets(self) -> Mapping[str, int]:
+        """The ports of the change log and of the control service."""
         return {LOG: self.log.ports[LOG], CONTROL: self.control.ports[CONTROL]}
 
     @property
     def serving(self) -> list[int]:
+        """The same ports: routers connect to both."""
         return list(self.targets.values())
 
     @property
     def processes(self) -> int:
+        """The control service alone."""
         return 1
 
     def placed(self, place: Place, path: str, reach: Reach, inside: bool) -> m.Place:
+        """A router that connects to both by its network path."""
         return m.Place(
             name=place.name, path=path, log_port=reach(path, LOG), control_port=reach(path, CONTROL)
         )
 
     async def publish(self, number: int, text: str) -> float:
+        """Publish by the control service, after any outage of it."""
         async with self._turn:
             self._newest = m.Publish(number=number, text=text)
             return (await self.control.ask(self._newest, m.PublishedAt)).at_s
 
     async def follow_all(self, routers: int) -> bool:
+        """Whether so many routers are connected to the control service."""
         return await self.followers() >= routers
 
     async def digested(self, events: int, without: Collection[str]) -> bool:
@@ -147,7 +159,7 @@
 
     async def followers(self) -> int:
         """How many routers are connected to the control service."""
-        return (await self.control.ask(m.AskFollowers(), m.Count)).count
+        return (await self.control.ask(m.FollowerCountRequest(), m.Count)).count
 
     async def lose(self, machines: int, seconds: float) -> None:
         """The change log cannot be reached; with two machines the control service is killed besides."""
@@ -157,7 +169,7 @@
         await asyncio.gather(*lost[:machines])
 
     async def _lose_log(self, seconds: float) -> None:
-        await self.log.tell(m.GoAway(seconds=seconds))
+        await self.log.tell(m.PauseChangeLog(seconds=seconds))
         await asyncio.sleep(seconds)
 
     async def _lose_control(self, seconds: float) -> None:
@@ -175,4 +187,5 @@
         """Nothing stands in a zone."""
 
     def cpu_s(self) -> dict[str, float]:
+        """Processor seconds of the control service so far, killed processes included."""
         return {"control service": self.control.cpu_s() + self._gone_s}
--- a/magpieshift/lab/scale/topology.py
+++ b/magpieshift/lab/scale/topology.py
@@ -39,7 +39,7 @@
 
 Km = Annotated[float, Field(ge=-50_000, le=50_000, allow_inf_nan=False)]
 Count = Annotated[int, Field(ge=1, le=100_000)]
-Share = Annotated[float, Field(ge=0, le=0.5, allow_inf_nan=False)]
+LossFraction = Annotated[float, Field(ge=0, le=0.5, allow_inf_nan=False)]
 
 
 class Cut(Form):
@@ -61,7 +61,7 @@
     sites: dict[str, tuple[str, Count]]
     control: str
     ms_per_1000km: Annotated[float, Field(ge=0, le=100)] = 5.0
-    loss_per_1000km: Share = 0.0
+    loss_per_1000km: LossFraction = 0.0
     rack_size: Count = 16
     cuts: dict[str, Cut] = {}
 
@@ -86,6 +86,7 @@
 
     @property
     def cuts(self) -> dict[str, Cut]:
+        """The network partitions of the file, by name."""
         return self.form.cuts
 
     def zone_sizes(self) -> dict[str, int]:
--- a/magpieshift/lab/scale/worker.py
+++ b/magpieshift/lab/scale/worker.py
@@ -15,29 +15,29 @@
 from magpieshift.lab.scale import child
 from magpieshift.lab.scale.hollow import At, DirectFeed, Feed, HollowRouter, PurgeWatch, on_version
 from magpieshift.lab.scale.messages import (
-    AskBehind,
-    AskWorker,
     Count,
     CrashRouters,
     Done,
     Head,
-    MadeBy,
+    LaggingCountRequest,
     Message,
     Place,
+    PurgesAcceptedBy,
     Ready,
     StartRouters,
     StartWorker,
     WorkerReport,
+    WorkerReportRequest,
 )
 from magpieshift.lab.scale.relayed import RelayFeed
 from magpieshift.lab.scale.tally import Applied, Shared, index_of
 from magpieshift.policy.events import PurgeReceived
 from magpieshift.relay.selection import RelayAddress
 
-SWITCH_S = 0.0005  # as a router process has it: versions are read in a thread
-CONNECT_S = 60.0
-LOOK_S = 0.02
-LEASE_LOOK_S = 0.05
+THREAD_SWITCH_INTERVAL_S = 0.0005  # as a router process has it: versions are read in a thread
+CONNECT_TIMEOUT_S = 60.0
+POLL_INTERVAL_S = 0.02
+LEASE_POLL_INTERVAL_S = 0.05
 LOOPBACK = "127.0.0.1"
 
 
@@ -73,9 +73,9 @@
             self._live[place.name] = live
             started.append(live.router)
             await asyncio.sleep(0)  # one after the other: a list of many caches takes milliseconds
-        async with asyncio.timeout(CONNECT_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             while not all(router.connected for router in started):
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
         gc.collect()
         gc.freeze()  # as a router process does once it serves
 
@@ -104,7 +104,7 @@
             for live in self._live.values():
                 if isinstance(live.feed, RelayFeed):
                     live.applied.leased(live.feed.leased, now_s)
-            await asyncio.sleep(LEASE_LOOK_S)
+            await asyncio.sleep(LEASE_POLL_INTERVAL_S)
 
     def behind(self, purges: int, version: int, names: Sequence[str]) -> int:
         """How many live routers lack a purge, or have a lower version in force."""
@@ -143,7 +143,7 @@
 async def run() -> None:
     """The process: hollow routers that do what they are told."""
     worker: Worker | None = None
-    sys.setswitchinterval(SWITCH_S)
+    sys.setswitchinterval(THREAD_SWITCH_INTERVAL_S)
 
     async def handle(message: Message) -> Message | None:
         nonlocal worker
@@ -159,12 +159,12 @@
             case CrashRouters(names=names):
                 await worker.crash(names)
                 return Done()
-            case MadeBy(purges=purges, at_s=at_s):
+            case PurgesAcceptedBy(purges=purges, at_s=at_s):
                 worker.shared.made = purges, at_s
                 return Done()
-            case AskBehind(purges=purges, version=version, names=names):
+            case LaggingCountRequest(purges=purges, version=version, names=names):
                 return Count(count=worker.behind(purges, version, names))
-            case AskWorker(purges=purges):
+            case WorkerReportRequest(purges=purges):
                 return worker.report(purges)
             case other:
                 raise RuntimeError(f"a worker knows no {other.kind!r}")
--- a/tests/scale/test_tally.py
+++ b/tests/scale/test_tally.py
@@ -16,7 +16,7 @@
     purge_times,
 )
 from magpieshift.lab.scale.sockets import parse
-from magpieshift.lab.scale.tally import FORGOTTEN_S, Applied, Shared, index_of, object_of
+from magpieshift.lab.scale.tally import PURGE_RELEVANCE_S, Applied, Shared, index_of, object_of
 
 
 class Purges(unittest.TestCase):
@@ -50,13 +50,13 @@
 
     def test_what_is_left_out_is_lost_unless_it_was_too_old_to_matter(self) -> None:
         self.one.purges({2: 0.0}, 1.0)
-        self.one.purges({500: FORGOTTEN_S - 1, 501: 1.0}, 2.0)
+        self.one.purges({500: PURGE_RELEVANCE_S - 1, 501: 1.0}, 2.0)
         self.assertEqual((self.one.lost(502), self.one.forgotten), (497, 0))
-        self.one.purges({502: FORGOTTEN_S, 503: 1.0}, 3.0)
+        self.one.purges({502: PURGE_RELEVANCE_S, 503: 1.0}, 3.0)
         self.assertEqual((self.one.lost(504), self.one.forgotten, self.one.out_of_order), (0, 497, 0))
 
     def test_what_is_known_to_be_old_is_forgotten_before_purges_that_are_not(self) -> None:
-        for now_s, lost in ((100.0 + FORGOTTEN_S - 1, 7), (100.0 + FORGOTTEN_S, 2)):
+        for now_s, lost in ((100.0 + PURGE_RELEVANCE_S - 1, 7), (100.0 + PURGE_RELEVANCE_S, 2)):
             shared = Shared(made=(5, 100.0))
             one = Applied(shared, "z0", 0, 0)
             one.purges({7: 0.5}, now_s)
