--- a/magpieshift/lab/scale/calibration.py
+++ b/magpieshift/lab/scale/calibration.py
@@ -32,12 +32,12 @@
 from magpieshift.lab.scale.tier import CONTROL, DirectTier
 from magpieshift.lab.scale.topology import Topology, generate
 
-ROUTER_COUNTS = (1, 4, 10)
+ROUTER_COUNTS = (1, 4, 10)  # real processes that one machine runs beside each other
 MAX_RATIO_DEVIATION = 0.2  # a larger difference must be explained
-START_TIMEOUT_S = 30.0
-POLL_INTERVAL_S = 0.1
+START_TIMEOUT_S = 30.0  # for all router processes to follow
+POLL_INTERVAL_S = 0.1  # while waiting for them
 IDLE_BEFORE_LOAD_S = 1.0  # after the start, before the load
-STOP_TIMEOUT_S = 8.0
+STOP_TIMEOUT_S = 8.0  # for a router process to exit by itself; then it is killed
 MODULES = (
     "magpieshift.cli.main",
     "structlog",
@@ -230,7 +230,9 @@
     return {name: round(mean, 3), f"{name}_low": round(min(ratios), 3), f"{name}_high": round(max(ratios), 3)}
 
 
-async def calibrate(plan: Calibration, tell: Callable[[str], None] = lambda line: None) -> dict[str, Any]:
+async def calibrate(
+    plan: Calibration, report_progress: Callable[[str], None] = lambda line: None
+) -> dict[str, Any]:
     """All sizes, the kinds by turns: one row a size, every single cost, and what differs by over a fifth."""
     rows = []
     costs = []
@@ -239,7 +241,7 @@
         found: dict[Kind, list[Cost]] = {kind: [] for kind in Kind}
         for run in range(plan.runs):
             for kind in Kind:
-                tell(f"{routers} routers, run {run + 1} of {plan.runs}, {kind.value}")
+                report_progress(f"{routers} routers, run {run + 1} of {plan.runs}, {kind.value}")
                 cost = await measure(plan, routers, run, kind)
                 found[kind].append(cost)
                 costs.append({"routers": routers, "run": run, "kind": kind.value} | asdict(cost))
--- a/magpieshift/lab/scale/changelog.py
+++ b/magpieshift/lab/scale/changelog.py
@@ -1,7 +1,7 @@
 """The change log of a run, as a process of its own: events by server-sent events to many watches.
 
 Each event is encoded once. A watch that does not read holds up only itself: nothing is queued for it beyond
-its transport's buffer, and it is told the rest from the log once it reads again.
+its transport's buffer, and it gets the rest from the log once it reads again.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
 )
 from magpieshift.lab.scale.tally import object_of
 
-HEARTBEAT_S = 1.0
+HEARTBEAT_INTERVAL_S = 1.0  # as the platform's change log sends them
 HEARTBEAT = b": alive\n\n"
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
 LAST_EVENT_ID = re.compile(rb"^last-event-id:\s*(\d+)\s*$", re.I | re.M)
-MOST_EVENTS_A_WRITE = 4096  # so that a watch far behind does not take the loop for long
-LONGEST_HEAD = 8192  # bytes of a request
+MAX_EVENTS_PER_WRITE = 4096  # so that a watch far behind does not take the loop for long
+MAX_REQUEST_HEAD_BYTES = 8192  # bytes of a request
 
 
 class Watch(asyncio.Protocol):
@@ -43,8 +43,8 @@
         self._changes = changes
         self._head = b""
         self._transport: asyncio.Transport | None = None
-        self._may_write = False
-        self._next = 0  # of the events, from 0
+        self._writable = False
+        self._next_event = 0  # of the events, from 0
         self.bytes_written = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -56,44 +56,44 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Take this watch out of the server, and keep its byte count."""
         self._changes.watches.discard(self)
-        self._changes.left(self)
-        self._may_write = False
+        self._changes.watch_closed(self)
+        self._writable = False
 
     def data_received(self, data: bytes) -> None:
         """Collect the request's head; once it is complete, answer and start sending events."""
-        if self._may_write or self._transport is None:
+        if self._writable or self._transport is None:
             return
         self._head += data
         if b"\r\n\r\n" not in self._head:
-            if len(self._head) > LONGEST_HEAD:
+            if len(self._head) > MAX_REQUEST_HEAD_BYTES:
                 self.abort()
             return
         match = LAST_EVENT_ID.search(self._head.replace(b"\r\n", b"\n"))
-        self._next = int(match[1]) if match else 0
-        self._may_write = True
-        self._write(ANSWER + HEARTBEAT)
+        self._next_event = int(match[1]) if match else 0
+        self._writable = True
+        self._write(RESPONSE_HEAD + HEARTBEAT)
         self.catch_up()
 
     def pause_writing(self) -> None:
         """Stop sending: the transport's buffer is full."""
-        self._may_write = False
+        self._writable = False
 
     def resume_writing(self) -> None:
         """Go on sending after a pause."""
-        self._may_write = True
+        self._writable = True
         self.catch_up()
 
     def catch_up(self) -> None:
         """Write what this watch has not had, as long as it reads."""
         events = self._changes.events
-        while self._may_write and self._next < len(events):
-            part = events[self._next : self._next + MOST_EVENTS_A_WRITE]
-            self._next += len(part)
+        while self._writable and self._next_event < len(events):
+            part = events[self._next_event : self._next_event + MAX_EVENTS_PER_WRITE]
+            self._next_event += len(part)
             self._write(b"".join(part))
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Write a comment, which proves that the log is alive."""
-        if self._may_write:
+        if self._writable:
             self._write(HEARTBEAT)
 
     def abort(self) -> None:
@@ -117,11 +117,11 @@
         self.port = 0
         self._list = CacheList(caches)
         self._server: asyncio.Server | None = None
-        self._beating: asyncio.Task[None] | None = None
-        self._returning: asyncio.Task[None] | None = None
-        self._due = False
-        self._bytes_of_those_gone = 0
-        self._tell(self._list.whole())
+        self._heartbeat_task: asyncio.Task[None] | None = None
+        self._return_task: asyncio.Task[None] | None = None
+        self._flush_scheduled = False
+        self._closed_watch_bytes = 0
+        self._append(self._list.complete_event())
 
     async def start(self, port: int = 0) -> None:
         """Listen; port 0 picks a free one."""
@@ -130,8 +130,8 @@
             lambda: Watch(self), "127.0.0.1", port, backlog=4096, reuse_address=True
         )
         self.port = int(self._server.sockets[0].getsockname()[1])
-        if self._beating is None:
-            self._beating = asyncio.ensure_future(self._beat())
+        if self._heartbeat_task is None:
+            self._heartbeat_task = asyncio.ensure_future(self._send_heartbeats())
 
     def stop(self) -> None:
         """Stop listening, and reset all watches."""
@@ -142,16 +142,16 @@
             watch.abort()
 
     def close(self) -> None:
-        """Give everything back."""
+        """Stop the server and its tasks."""
         self.stop()
-        for task in (self._beating, self._returning):
+        for task in (self._heartbeat_task, self._return_task):
             if task is not None:
                 task.cancel()
 
-    def go_away(self, seconds: float) -> None:
-        """Be gone for so long, and come back at the same port; events are accepted meanwhile."""
+    def pause(self, seconds: float) -> None:
+        """Close the port for so many seconds, then listen on it again; events are accepted meanwhile."""
         self.stop()
-        self._returning = asyncio.ensure_future(self._return_after(seconds))
+        self._return_task = asyncio.ensure_future(self._return_after(seconds))
 
     async def _return_after(self, seconds: float) -> None:
         await asyncio.sleep(seconds)
@@ -165,15 +165,15 @@
             index = len(self.accepted)
             made_ms = int(now_ms - 1000 * made_over_s * (count - 1 - number) / max(1, count - 1))
             self.accepted.append(now_s)
-            self._tell({"invalidate": {"object": object_of(index), "time": made_ms}})
+            self._append({"invalidate": {"object": object_of(index), "time": made_ms}})
 
     def change_list(self, place: int) -> None:
         """Accept the next change of the cache at this place in the list."""
-        self._tell(self._list.change(place))
+        self._append(self._list.change(place))
 
     def head(self) -> Head:
         """The newest sequence number, the purges so far and the complete list."""
-        event = json.dumps({"seq": len(self.events)} | self._list.whole())
+        event = json.dumps({"seq": len(self.events)} | self._list.complete_event())
         return Head(sequence=len(self.events), purges=len(self.accepted), list_event=event)
 
     def report(self) -> LogReport:
@@ -181,37 +181,37 @@
         written = [watch.bytes_written for watch in self.watches]
         return LogReport(
             accepted=self.accepted,
-            bytes_written=sum(written) + self._bytes_of_those_gone,
+            bytes_written=sum(written) + self._closed_watch_bytes,
             watches=len(written),
             most_bytes_a_watch=max(written, default=0),
         )
 
-    def left(self, watch: Watch) -> None:
+    def watch_closed(self, watch: Watch) -> None:
         """Add the byte count of a watch that has ended to the total."""
-        self._bytes_of_those_gone += watch.bytes_written
+        self._closed_watch_bytes += watch.bytes_written
 
-    def _tell(self, event: dict[str, Any]) -> None:
+    def _append(self, event: dict[str, Any]) -> None:
         seq = len(self.events) + 1
         text = json.dumps({"seq": seq} | event, separators=(",", ":"))
         self.events.append(f"id: {seq}\ndata: {text}\n\n".encode())
-        if not self._due and self.watches:
-            self._due = True
+        if not self._flush_scheduled and self.watches:
+            self._flush_scheduled = True
             asyncio.get_running_loop().call_soon(self._flush)
 
     def _flush(self) -> None:
-        self._due = False
+        self._flush_scheduled = False
         for watch in list(self.watches):
             watch.catch_up()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            await asyncio.sleep(HEARTBEAT_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
             for watch in list(self.watches):
-                watch.beat()
+                watch.send_heartbeat()
 
 
 async def run() -> None:
-    """The process: a change log that does what it is told."""
+    """The process: a change log that is driven by messages."""
     server: ChangeLogServer | None = None
 
     async def handle(message: Message) -> Message | None:
@@ -228,7 +228,7 @@
             case ChangeEndpointList(place=place):
                 server.change_list(place)
             case PauseChangeLog(seconds=seconds):
-                server.go_away(seconds)
+                server.pause(seconds)
             case HeadRequest():
                 return server.head()
             case LogReportRequest():
--- a/magpieshift/lab/scale/child.py
+++ b/magpieshift/lab/scale/child.py
@@ -1,4 +1,4 @@
-"""A process of a run: it does what it is told on standard input, one message a line, and answers in order on
+"""A process of a run: it takes messages on standard input, one a line, and answers in order on
 standard output. It ends when its input does."""
 
 from __future__ import annotations
@@ -16,14 +16,15 @@
 
 
 async def serve(handle: Handle) -> None:
-    """Hand each message to ``handle``, and write what it returns. What it raises is told as ``Failed``."""
+    """Hand each message to ``handle``, and write what it returns. An error that it raises is answered by
+    ``Failed``."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
         try:
             answer = await handle(decode(line))
-        except Exception as err:
+        except Exception as err:  # any failure of one message: the coordinator must learn of it
             log.exception("message failed")
             answer = Failed(reason=f"{type(err).__name__}: {err}"[:300])
         if answer is not None:
--- a/magpieshift/lab/scale/controller.py
+++ b/magpieshift/lab/scale/controller.py
@@ -1,4 +1,4 @@
-"""The control service of a run, as a process of its own: the project's own service, told what to publish."""
+"""The control service of a run, as a process of its own: the project's own service, driven by messages."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 async def run() -> None:
-    """The process: a control service that publishes what it is told."""
+    """The process: a control service that publishes what it is sent."""
     service = ControlService()
 
     async def handle(message: Message) -> Message | None:
--- a/magpieshift/lab/scale/fleet.py
+++ b/magpieshift/lab/scale/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a run, and the routers in them: who lives, where, and by which network path."""
+"""The processes of a run, and the routers in them: which are running, where, and by which network path."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from magpieshift.lab.scale.network import port_name
 from magpieshift.lab.scale.processes import Child
 from magpieshift.lab.scale.result import Published
-from magpieshift.lab.scale.sockets import Counter
+from magpieshift.lab.scale.sockets import StreamByteCounter
 from magpieshift.lab.scale.tier import LOG, Tier
 from magpieshift.lab.scale.topology import Place, Topology
 
-MAX_NETWORKS = 3
-ROUTERS_PER_NETWORK = 60
-EVENTS_OF_A_CACHE = 3  # of the list: it drains, goes, and serves again
+MAX_NETWORKS = 3  # processes; chosen by trial
+ROUTERS_PER_NETWORK = 60  # chosen by trial; beyond it a further network process is started
+LIST_CHANGES_PER_CACHE = 3  # draining, deleted, serving again
 
 
 @dataclass(frozen=True)
@@ -41,7 +41,7 @@
         self.tier = tier
         self.places: Mapping[str, Place] = {place.name: place for place in topology.places}
         self.paths: dict[str, str] = {place.name: place.zone for place in topology.places}
-        self.inside: set[str] = set()  # paths whose cuts leave what is in the same region
+        self.region_internal_paths: set[str] = set()  # paths whose cuts leave what is in the same region
         self.live: set[str] = set()
         self.workers: list[Child] = []
         self.networks: list[Child] = []
@@ -52,10 +52,10 @@
         self._log: Child | None = None
         self._publishing = asyncio.Lock()  # one version after the other
         self.settings: dict[str, Any] = {}
-        self._counter: Counter | None = None
+        self._counter: StreamByteCounter | None = None
         self._first_mb = 0.0
 
-    # --- beginning and end
+    # --- start and stop
 
     async def open(self, networked: Collection[str] = ()) -> None:
         """Start all processes, without a router; the paths that are named lead through a network."""
@@ -63,8 +63,8 @@
         self.settings = base_settings(len(self.places), self.log.ports[LOG], self.topology.zone_sizes())
         await self.tier.open(self.log)
         await self._start_networks(sorted(networked))
-        await asyncio.gather(self.tier.join(self.reach), self._start_workers())
-        self._counter = Counter(self.tier.serving) if Counter.available() else None
+        await asyncio.gather(self.tier.start_remaining(self.reach), self._start_workers())
+        self._counter = StreamByteCounter(self.tier.router_ports) if StreamByteCounter.available() else None
 
     async def _start_networks(self, paths: Sequence[str]) -> None:
         """Share the paths out among as many processes as their routers need."""
@@ -89,7 +89,7 @@
     async def close(self) -> None:
         """End all processes."""
         every = [*self.workers, *self.networks, self._log]
-        await asyncio.gather(*(child.end() for child in every if child is not None), self.tier.close())
+        await asyncio.gather(*(child.stop() for child in every if child is not None), self.tier.close())
 
     @property
     def log(self) -> Child:
@@ -117,40 +117,42 @@
             return network.ports[port_name(path, target)]
         return self.tier.targets[target]
 
-    def _placed(self, name: str) -> m.Place:
+    def _address_router(self, name: str) -> m.Place:
         path = self.paths[name]
-        return self.tier.placed(self.places[name], path, self.reach, path in self.inside)
+        return self.tier.address_router(
+            self.places[name], path, self.reach, path in self.region_internal_paths
+        )
 
     async def start_routers(self, names: Collection[str]) -> None:
-        """Start these, with what the log has told by now; returns once they are connected."""
-        head = await self.log.ask(m.HeadRequest(), m.Head)
+        """Start these, which know what the change log has sent so far; returns once they are connected."""
+        head = await self.log.request(m.HeadRequest(), m.Head)
         version = self.published[-1].number if self.published else 0
         orders = [
-            (worker, m.StartRouters(places=[*map(self._placed, part)], head=head, version=version))
+            (worker, m.StartRouters(places=[*map(self._address_router, part)], head=head, version=version))
             for worker, part in self._by_worker(names)
         ]
-        await asyncio.gather(*(worker.ask(order, m.Done) for worker, order in orders))
+        await asyncio.gather(*(worker.request(order, m.Done) for worker, order in orders))
         self.live |= set(names)
 
     async def crash_routers(self, names: Collection[str]) -> None:
         """These are gone, all at once."""
         self.live -= set(names)
         orders = [(worker, m.CrashRouters(names=part)) for worker, part in self._by_worker(names)]
-        await asyncio.gather(*(worker.ask(order, m.Done) for worker, order in orders))
+        await asyncio.gather(*(worker.request(order, m.Done) for worker, order in orders))
 
     async def all_follow(self) -> bool:
-        """Whether all live routers hear of versions."""
+        """Whether all running routers receive versions."""
         return await self.tier.follow_all(len(self.live))
 
     async def digested(self, without: Collection[str]) -> bool:
         """Whether the tier has all that the change log has accepted, outside these zones."""
-        return await self.tier.digested((await self.log.ask(m.HeadRequest(), m.Head)).sequence, without)
+        return await self.tier.digested((await self.log.request(m.HeadRequest(), m.Head)).sequence, without)
 
-    async def behind(self, names: Sequence[str] = ()) -> int:
+    async def lagging_count(self, names: Sequence[str] = ()) -> int:
         """How many live routers (of these) lack a purge or the newest version."""
         newest = self.published[-1].number if self.published else 0
-        asked = m.LaggingCountRequest(purges=self.purges, version=newest, names=list(names))
-        counts = await asyncio.gather(*(worker.ask(asked, m.Count) for worker in self.workers))
+        request = m.LaggingCountRequest(purges=self.purges, version=newest, names=list(names))
+        counts = await asyncio.gather(*(worker.request(request, m.Count) for worker in self.workers))
         return sum(answer.count for answer in counts)
 
     # --- the load
@@ -159,21 +161,21 @@
         """Have the change log accept so many purges."""
         if count:
             self.purges += count
-            await self.log.tell(m.AcceptPurges(count=count, made_over_s=made_over_s))
+            await self.log.send(m.AcceptPurges(count=count, made_over_s=made_over_s))
 
-    async def tell_made(self) -> None:
-        """Tell all routers' processes that what was accepted until now was made until now."""
+    async def report_accepted_purges(self) -> None:
+        """Report to all routers' processes that the purges accepted so far were all made by now."""
         order = m.PurgesAcceptedBy(purges=self.purges, at_s=time.monotonic())
-        await asyncio.gather(*(worker.ask(order, m.Done) for worker in self.workers))
+        await asyncio.gather(*(worker.request(order, m.Done) for worker in self.workers))
 
     async def change_list(self) -> None:
-        """A cache goes on in its life: it drains, goes, or serves again."""
-        place = self.list_changes // EVENTS_OF_A_CACHE
+        """Move a cache to its next state: draining, deleted, or serving again."""
+        place = self.list_changes // LIST_CHANGES_PER_CACHE
         self.list_changes += 1
-        await self.log.tell(m.ChangeEndpointList(place=place))
+        await self.log.send(m.ChangeEndpointList(place=place))
 
     async def publish(self, reachable: frozenset[str] | None) -> None:
-        """Publish the next version, once control is there."""
+        """Publish the next version, as soon as the control service can be reached."""
         async with self._publishing:
             number = len(self.published) + 1
             at_s = await self.tier.publish(number, version_text(self.settings, number))
@@ -183,13 +185,13 @@
 
     async def put_fault(self, fault: m.InjectFault) -> None:
         """Put a fault on paths that lead through a network."""
-        await asyncio.gather(*(network.ask(fault, m.Done) for network in self.networks))
+        await asyncio.gather(*(network.request(fault, m.Done) for network in self.networks))
 
     async def heal_fault(self, why: str) -> None:
         """Remove the fault with this name from all networks."""
-        await asyncio.gather(*(network.ask(m.HealFault(why=why), m.Done) for network in self.networks))
+        await asyncio.gather(*(network.request(m.HealFault(why=why), m.Done) for network in self.networks))
 
-    # --- what it costs, and what was seen
+    # --- costs and reports
 
     def control_cpu_s(self) -> dict[str, float]:
         """Processor time of each process of control so far."""
@@ -201,13 +203,13 @@
 
     async def stream_bytes(self) -> int | None:
         """Payload of all streams between routers and control so far."""
-        return await self._counter.look() if self._counter is not None else None
+        return await self._counter.read() if self._counter is not None else None
 
-    def counter_of(self, paths: Collection[str]) -> Counter | None:
+    def counter_of(self, paths: Collection[str]) -> StreamByteCounter | None:
         """A counter of the streams of some paths alone; None where that cannot be had."""
         if self._counter is None or not set(paths) <= set(self._network_of):
             return None
-        return Counter([self.reach(path, target) for path in paths for target in self.tier.targets])
+        return StreamByteCounter([self.reach(path, target) for path in paths for target in self.tier.targets])
 
     @property
     def mb_per_router(self) -> float | None:
@@ -219,9 +221,9 @@
 
     async def log_report(self) -> m.LogReport:
         """Ask the change log for its report."""
-        return await self.log.ask(m.LogReportRequest(), m.LogReport)
+        return await self.log.request(m.LogReportRequest(), m.LogReport)
 
     async def worker_reports(self) -> list[m.WorkerReport]:
         """Ask every worker what its routers have applied."""
-        asked = m.WorkerReportRequest(purges=self.purges)
-        return list(await asyncio.gather(*(w.ask(asked, m.WorkerReport) for w in self.workers)))
+        request = m.WorkerReportRequest(purges=self.purges)
+        return list(await asyncio.gather(*(w.request(request, m.WorkerReport) for w in self.workers)))
--- a/magpieshift/lab/scale/hollow.py
+++ b/magpieshift/lab/scale/hollow.py
@@ -1,8 +1,8 @@
-"""A hollow router: the control side of a router, whole and real, without a front and without a back.
+"""A hollow router: the control side of a router, whole and real, without downstream and without upstream.
 
-It has the change log's reader, the engine with its decision module, and versioned configuration with its
-transaction over those parts. Clients and stores are what it lacks: its back carries nothing, and no client
-comes. Many of them live in one process, each with its own connections.
+It has the change log's reader, the engine with its policy, and versioned configuration with its
+transaction over those parts. It lacks clients and endpoints: every upstream request fails, and no client
+connects. Many of them live in one process, each with its own connections.
 """
 
 from __future__ import annotations
@@ -35,12 +35,12 @@
 from magpieshift.policy.router_policy import RouterPolicy
 from magpieshift.policy.settings import Settings
 
-Purged = Callable[[Sequence[PurgeReceived]], None]
-"""Told the purges of objects that the module has taken in, in one call of it."""
+PurgeCallback = Callable[[Sequence[PurgeReceived]], None]
+"""Receives the object purges that the policy has taken in, in one call of it."""
 
 
 @dataclass(frozen=True)
-class At(Overrides):
+class ChangeLogOverride(Overrides):
     """Where one router reads the change log, whatever address a version names."""
 
     changelog: Address | None = None
@@ -60,28 +60,28 @@
 
     @property
     def connected(self) -> bool:
-        """Whether it has had what there was to tell at its start."""
+        """Whether it has received what there was at its start."""
         ...
 
     async def crash(self) -> None:
-        """Be gone at once, with all connections."""
+        """Close all connections at once, without a graceful shutdown."""
         ...
 
 
-class _Unreached:
-    """An order that was never carried anywhere."""
+class _FailedExchange:
+    """An exchange that failed before it was sent."""
 
     def cancel(self) -> bool:
         return False
 
 
-class EmptyBack:
-    """A back that carries nothing: orders fail to connect, probes answer well."""
+class DisconnectedUpstream:
+    """An upstream without connections: requests fail to connect, health checks pass."""
 
     def start(self, order: UpstreamRequest, done: Callable[[AttemptResult], None]) -> UpstreamExchange:
         """Fail the request with ``CONNECT_FAILED`` on the next turn of the loop."""
         LoopClock().soon(lambda: done(AttemptResult(Outcome.CONNECT_FAILED)))
-        return _Unreached()
+        return _FailedExchange()
 
     def probe(self, member: ListedEndpoint, done: Callable[[AttemptResult], None]) -> None:
         """Report the health check as passed on the next turn of the loop."""
@@ -91,22 +91,22 @@
         """There is no connection."""
 
 
-class PurgeWatch:
-    """Stands between engine and module, and tells of purges once the module has taken them in."""
+class PurgeObserver:
+    """Stands between engine and policy, and reports purges once the policy has taken them in."""
 
-    def __init__(self, told: Purged, drop_every: int = 0) -> None:
-        self._told = told
+    def __init__(self, callback: PurgeCallback, drop_every: int = 0) -> None:
+        self._callback = callback
         self._drop_every = drop_every
         self._seen = 0
 
-    def handle(self, module: RouterPolicy, unix_now_us: int, events: Sequence[Event]) -> list[Action]:
+    def handle(self, policy: RouterPolicy, unix_now_us: int, events: Sequence[Event]) -> list[Action]:
         """Hand events to the policy, then report the object purges among them; returns the policy's
         actions."""
         if self._drop_every:
             events = [event for event in events if not self._dropped(event)]
-        actions = module.handle(unix_now_us, events)
+        actions = policy.handle(unix_now_us, events)
         if purges := [event for event in events if isinstance(event, PurgeReceived) and event.object_key]:
-            self._told(purges)
+            self._callback(purges)
         return actions
 
     def _dropped(self, event: Event) -> bool:
@@ -130,13 +130,13 @@
     """Owner of one router's control side."""
 
     def __init__(
-        self, name: str, loaded: LoadedDocument, overrides: Overrides, seed: int, tap: PurgeWatch
+        self, name: str, loaded: LoadedDocument, overrides: Overrides, seed: int, tap: PurgeObserver
     ) -> None:
         self.name = name
         self.seed = seed
         self.document = overrides.apply_to(loaded.document)
         self.engine = Engine(
-            self.document.settings, seed, LoopClock(), EmptyBack(), names=self.document.names
+            self.document.settings, seed, LoopClock(), DisconnectedUpstream(), names=self.document.names
         )
         self.engine.policy_observer = tap
         first = VersionRecord(0, loaded.digest, "start", VersionState.IN_FORCE, unix_now_us())
@@ -148,7 +148,7 @@
         self._feed: Feed | None = None
         self._crashed = False
 
-    # --- the listener of the change log
+    # --- listener of the change log
 
     def list_changed(self, kind: EndpointListKind, version: int, members: Sequence[ListedEndpoint]) -> None:
         """Pass a change of the endpoint list to the engine."""
@@ -179,7 +179,7 @@
         self.document = prepared.document
         prepared.commit()
 
-    # --- beginning and end
+    # --- start and stop
 
     @property
     def connected(self) -> bool:
@@ -187,8 +187,8 @@
         return self._feed is not None and self._feed.connected
 
     def start(self, feed: Feed, known: Mapping[str, Any]) -> None:
-        """Take up versions, and be fed. ``known`` is what the change log had told before, as a configuration
-        holds it."""
+        """Follow versions, and start the feed. ``known`` is what the change log had sent before, as a
+        configuration holds it."""
         self._feed = feed
         self.changes.apply_known(known)
         self.engine.flush()
@@ -196,7 +196,7 @@
         feed.start()
 
     async def crash(self) -> None:
-        """Be gone; connections are closed without a word."""
+        """Be gone; connections are closed without a graceful shutdown."""
         self._crashed = True
         if self._feed is not None:
             await self._feed.crash()
@@ -228,11 +228,11 @@
         await self._control.stop()
 
 
-def on_version(manager: VersionManager, told: Callable[[int], None]) -> None:
-    """Call ``told`` with the number of each version that comes into force."""
+def observe_versions(manager: VersionManager, callback: Callable[[int], None]) -> None:
+    """Call ``callback`` with the number of each version that comes into force."""
 
-    def heard(answer: OfferOutcome, apply_us: int, pause_us: int) -> None:
+    def version_applied(answer: OfferOutcome, apply_us: int, pause_us: int) -> None:
         if answer.accepted:
-            told(answer.offer.number)
+            callback(answer.offer.number)
 
-    manager.listeners.append(heard)
+    manager.listeners.append(version_applied)
--- a/magpieshift/lab/scale/installation.py
+++ b/magpieshift/lab/scale/installation.py
@@ -1,4 +1,4 @@
-"""What hollow routers are told of the installation around them: settings, and the list of caches."""
+"""The installation that hollow routers see: settings, and the list of caches."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 # of all caches; the settings are those of the emulated installation
 ZONE = "shop"
 KIND = "box"
-NOWHERE = 9  # port of loopback at which no cache listens: hollow routers never ask one
+UNUSED_PORT = 9  # of loopback, where no cache listens: hollow routers never connect to one
 NEXT_PHASE = {"SERVING": "DRAINING", "DRAINING": "DELETED", "DELETED": "SERVING"}
 
 
 def base_settings(routers: int, log_port: int, zones: Mapping[str, int]) -> dict[str, Any]:
     """Settings for a fleet of so many routers, with the routers of each zone."""
-    data = settings("hollow", NOWHERE, log_port, routers)
+    data = settings("hollow", UNUSED_PORT, log_port, routers)
     data["zones"] |= {name: {"routers": count, "attached-to": "hub"} for name, count in zones.items()}
     return data
 
@@ -34,7 +34,7 @@
     """A cache as the change log lists it; ``births`` counts the processes that its place has had before."""
     return {
         "id": f"s-{place:05d}-{births}",
-        "host_port": f"127.0.0.1:{NOWHERE}",
+        "host_port": f"127.0.0.1:{UNUSED_PORT}",
         "locality": ZONE,
         "flavor": KIND,
         "cell": place + 1,
@@ -45,20 +45,21 @@
 
 
 class CacheList:
-    """The list of caches, and the events that tell of it."""
+    """The list of caches, and the watch events that announce its changes."""
 
     def __init__(self, caches: int) -> None:
         self._listed = {place: cache(place) for place in range(caches)}
         self._births = dict.fromkeys(range(caches), 0)
         self._revision = 1
 
-    def whole(self) -> dict[str, Any]:
-        """The event with all that are listed."""
+    def complete_event(self) -> dict[str, Any]:
+        """The watch event with the complete list."""
         members = [member for member in self._listed.values() if member["phase"] != "DELETED"]
         return {"fleet": {"revision": self._revision, "complete": True, "members": members}}
 
     def change(self, place: int) -> dict[str, Any]:
-        """A cache drains, goes, or a new process serves in its place; the event that tells so."""
+        """Move a cache to its next state (draining, deleted, or a new process serving in its place), and
+        return the watch event."""
         place %= max(1, len(self._listed))
         self._revision += 1
         phase = NEXT_PHASE[self._listed[place]["phase"]]
--- a/magpieshift/lab/scale/load.py
+++ b/magpieshift/lab/scale/load.py
@@ -12,12 +12,11 @@
 from enum import Enum
 
 DAY_S = 86_400.0
-TARGET_ROUTERS = 4_800
-# a burst: so many times the mean, for so long
-BURST_TIMES = 10.0
-BURST_S = 5.0
+TARGET_ROUTERS = 4_800  # of the fleet that the product is built for
+BURST_RATE_MULTIPLE = 10.0  # of the mean rate of purges
+BURST_DURATION_S = 5.0  # of one burst
 MACHINE_EVENTS_PER_DAY = 7 + 420  # of routers and caches: failures, and restarts or replacements
-EVENTS_A_RESTART = 3  # of the list of caches: draining, gone, serving again
+LIST_CHANGES_PER_RESTART = 3  # of the list of caches: draining, gone, serving again
 
 
 class Kind(Enum):
@@ -36,7 +35,7 @@
 
     purges_per_s: float = 110.0
     versions_per_day: float = 20_000.0
-    list_changes_per_day: float = float(MACHINE_EVENTS_PER_DAY * EVENTS_A_RESTART)
+    list_changes_per_day: float = float(MACHINE_EVENTS_PER_DAY * LIST_CHANGES_PER_RESTART)
     restarts_per_day: float = 420.0
 
     def per_second(self, kind: Kind) -> float:
@@ -54,8 +53,8 @@
     """A stretch of time in which purges come at a multiple of their mean rate."""
 
     begin_s: float
-    seconds: float = BURST_S
-    times: float = BURST_TIMES
+    seconds: float = BURST_DURATION_S
+    times: float = BURST_RATE_MULTIPLE
 
 
 @dataclass(frozen=True)
--- a/magpieshift/lab/scale/memory.py
+++ b/magpieshift/lab/scale/memory.py
@@ -6,11 +6,11 @@
 
 from magpieshift.config import ConfigError
 
-MAX_MEMORY_FRACTION = 0.5  # of the machine's memory
+MAX_MEMORY_FRACTION = 0.5  # of the machine's memory: the rest is for its other work
 PROCESS_MB = 90.0  # a process with its modules, before its first router
 ROUTER_MB = 1.0  # a hollow router with an empty list
-ROUTER_MB_PER_CACHE = 0.0026
-MAX_PROCESSES = 300
+ROUTER_MB_PER_CACHE = 0.0026  # a hollow router's record of one cache
+MAX_PROCESSES = 300  # chosen by trial; more are refused before anything is started
 
 
 def machine_mb(meminfo: str = "") -> float:
@@ -30,7 +30,7 @@
 
 
 def check(routers: int, processes: int, caches: int, of_mb: float = 0.0) -> None:
-    """``ConfigError`` where a run would take more than its share of the machine's memory."""
+    """``ConfigError`` where a run would take more than ``MAX_MEMORY_FRACTION`` of the machine's memory."""
     limit_mb = MAX_MEMORY_FRACTION * (of_mb or machine_mb())
     wanted_mb = needed_mb(routers, processes, caches)
     if wanted_mb > limit_mb:
--- a/magpieshift/lab/scale/messages.py
+++ b/magpieshift/lab/scale/messages.py
@@ -1,4 +1,4 @@
-"""What the coordinator of a run and its processes tell each other: one JSON object a line."""
+"""The messages between the coordinator of a run and its processes: one JSON object a line."""
 
 from __future__ import annotations
 
@@ -83,15 +83,15 @@
 
 
 class PauseChangeLog(BaseModel):
-    """To the change log: be away for so long, with all connections reset; what is accepted meanwhile is
-    told afterwards."""
+    """To the change log: close the port for so long, with all connections reset; what is accepted meanwhile
+    is sent afterwards."""
 
     kind: Literal["go-away"] = "go-away"
     seconds: float
 
 
 class HeadRequest(BaseModel):
-    """To the change log: how far are you?"""
+    """To the change log: which is the newest event?"""
 
     kind: Literal["ask-head"] = "ask-head"
 
@@ -106,7 +106,7 @@
 
 
 class LogReportRequest(BaseModel):
-    """To the change log: what have you accepted and written?"""
+    """To the change log: which purges were accepted, and how many bytes were written?"""
 
     kind: Literal["ask-log"] = "ask-log"
 
@@ -137,7 +137,7 @@
 
 
 class FollowerCountRequest(BaseModel):
-    """To the control service: how many routers have said hello and are connected?"""
+    """To the control service: how many routers have introduced themselves and are connected?"""
 
     kind: Literal["ask-followers"] = "ask-followers"
 
@@ -170,7 +170,7 @@
 
 
 class StartRouters(BaseModel):
-    """To a worker: start these, with what the log and the control service had told by now."""
+    """To a worker: start these, knowing what the change log and the control service have sent so far."""
 
     kind: Literal["start-routers"] = "start-routers"
     places: list[Place]
@@ -179,7 +179,7 @@
 
 
 class CrashRouters(BaseModel):
-    """To a worker: these are gone, with all their connections."""
+    """To a worker: end these, with all their connections."""
 
     kind: Literal["crash-routers"] = "crash-routers"
     names: list[str]
@@ -251,7 +251,7 @@
 
 
 class Failed(BaseModel):
-    """The process cannot do what it was told."""
+    """The process cannot carry out an order."""
 
     kind: Literal["failed"] = "failed"
     reason: str
--- a/magpieshift/lab/scale/network.py
+++ b/magpieshift/lab/scale/network.py
@@ -6,7 +6,7 @@
 from magpieshift.lab.fault_injection.network import Network
 from magpieshift.lab.scale import child
 from magpieshift.lab.scale.messages import Done, HealFault, InjectFault, Message, Ready, StartNetwork
-from magpieshift.lab.scale.streams import Passage
+from magpieshift.lab.scale.streams import StreamForwarder
 
 CONTROL = "control"  # the other end of every path
 SEPARATOR = "/"
@@ -28,9 +28,9 @@
 
 
 async def run() -> None:
-    """The process: passages with the faults that it is told."""
+    """The process: stream forwarders with injected faults."""
     links = Network()
-    passages = list[Passage]()
+    passages = list[StreamForwarder]()
 
     async def handle(message: Message) -> Message | None:
         match message:
@@ -38,7 +38,7 @@
                 ports = {}
                 for path in paths:
                     for name, port in targets.items():
-                        passages.append(Passage(links, path, CONTROL, port))
+                        passages.append(StreamForwarder(links, path, CONTROL, port))
                         ports[port_name(path, name)] = await passages[-1].start()
                 return Ready(ports=ports)
             case InjectFault():
--- a/magpieshift/lab/scale/node.py
+++ b/magpieshift/lab/scale/node.py
@@ -1,5 +1,5 @@
-"""A source or relay of the fan-out tier in a run, as a process of its own: the project's own node, told where
-the others are."""
+"""A source or relay of the fan-out tier in a run, as a process of its own: the project's own node, given the
+ports of the others."""
 
 from __future__ import annotations
 
--- a/magpieshift/lab/scale/player.py
+++ b/magpieshift/lab/scale/player.py
@@ -10,8 +10,8 @@
 
 
 class Player:
-    """Owner of what is under way for one load. ``reachable`` tells on which paths control can be heard,
-    ``restart`` restarts a router."""
+    """Owner of what is under way for one load. ``reachable`` returns the paths on which control can be
+    reached, ``restart`` restarts a router."""
 
     def __init__(
         self, fleet: Fleet, reachable: Callable[[], frozenset[str] | None], restart: Callable[[], None]
@@ -33,13 +33,13 @@
                 if due[at].kind is Kind.PURGE:
                     purges += 1
                 else:
-                    await self._one(due[at].kind)
+                    await self._play_arrival(due[at].kind)
                 at += 1
             await self._fleet.purge(purges)
         await asyncio.sleep(seconds - (loop.time() - begin))
         await asyncio.gather(*self._publishing)
 
-    async def _one(self, kind: Kind) -> None:
+    async def _play_arrival(self, kind: Kind) -> None:
         match kind:
             case Kind.VERSION:  # waits while the control service is away, and purges do not wait for that
                 publishing = self._fleet.publish(self._reachable())
@@ -50,6 +50,6 @@
                 self._restart()
 
     def close(self) -> None:
-        """Call off what is under way."""
+        """Cancel what is under way."""
         for task in self._publishing:
             task.cancel()
--- a/magpieshift/lab/scale/processes.py
+++ b/magpieshift/lab/scale/processes.py
@@ -1,4 +1,4 @@
-"""The coordinator's end of a process of a run: orders, answers, and what the process costs by ``/proc``."""
+"""The coordinator's end of a process of a run: requests, replies, and the process's cost by ``/proc``."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 from magpieshift.lab.scale.messages import MAX_LINE_BYTES, Failed, Message, Ready, decode, encode
 
-REPLY_TIMEOUT_S = 120.0  # for one answer
-END_S = 5.0  # for a process to end by itself
+REPLY_TIMEOUT_S = 120.0  # for one reply, the start of all routers of a worker included; chosen by trial
+STOP_TIMEOUT_S = 5.0  # for a process to exit by itself; then it is killed
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 M = TypeVar("M", bound=Message)
 
 
 class ProcessExitedError(Exception):
-    """A process of the run has ended by itself, or cannot do what it was told."""
+    """A process of the run has ended by itself, or cannot carry out an order."""
 
 
 def cpu_seconds(pid: int) -> float:
@@ -45,7 +45,7 @@
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
         self.name = name
         self._process = process
-        self._turn = asyncio.Lock()
+        self._request_lock = asyncio.Lock()
         self._cpu_s = 0.0
         self.ports: dict[str, int] = {}
 
@@ -69,7 +69,7 @@
             )
         child = cls(name, process)
         try:
-            child.ports = (await child.ask(first, Ready)).ports
+            child.ports = (await child.request(first, Ready)).ports
         except BaseException:
             await child.kill()
             raise
@@ -90,8 +90,8 @@
         """Resident memory now; ``OSError`` once the process is gone."""
         return resident_mb(self.pid)
 
-    async def tell(self, message: Message) -> None:
-        """Send what has no answer."""
+    async def send(self, message: Message) -> None:
+        """Send a message that has no reply."""
         assert self._process.stdin is not None
         try:
             self._process.stdin.write(encode(message))
@@ -99,11 +99,11 @@
         except ConnectionError:
             raise ProcessExitedError(f"{self.name} has ended") from None
 
-    async def ask(self, message: Message, wanted: type[M]) -> M:
-        """Send what is answered, and wait for the answer."""
+    async def request(self, message: Message, wanted: type[M]) -> M:
+        """Send a message, and return the reply, which must be of this type."""
         assert self._process.stdout is not None
-        async with self._turn:
-            await self.tell(message)
+        async with self._request_lock:
+            await self.send(message)
             async with asyncio.timeout(REPLY_TIMEOUT_S):
                 line = await self._process.stdout.readline()
         if not line:
@@ -123,13 +123,13 @@
             self._process.kill()
         await self._process.wait()
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         """End its input, and wait until it is gone."""
         self.cpu_s()
         if self._process.stdin is not None:
             self._process.stdin.close()
         try:
-            async with asyncio.timeout(END_S):
+            async with asyncio.timeout(STOP_TIMEOUT_S):
                 await self._process.wait()
         except TimeoutError:
             await self.kill()
--- a/magpieshift/lab/scale/relayed.py
+++ b/magpieshift/lab/scale/relayed.py
@@ -1,4 +1,4 @@
-"""A hollow router that is fed by the fan-out tier's relays, through the fitting that real routers have."""
+"""A hollow router that is fed by the fan-out tier's relays, through the extension that real routers have."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     """A place in the fan-out tier, which brings purges, lists and versions."""
 
     def __init__(self, router: HollowRouter, relays: Sequence[RelayAddress], region: str) -> None:
-        """The fitting uses of its router only what a hollow one has."""
+        """The extension uses of its router only what a hollow one has."""
         self._router = router
         self._relayed = RelaySubscription(
             cast(EdgeRouter, router), router.manager, relays, region, router.name
@@ -40,7 +40,7 @@
         self._router.lifecycle.start_completed()
 
     async def crash(self) -> None:
-        """Close the stream without a farewell, as a process that is killed."""
+        """Close the stream without a graceful shutdown, as a killed process does."""
         if (task := self._client._task) is not None:
             task.cancel()
             await asyncio.wait([task])
--- a/magpieshift/lab/scale/relays.py
+++ b/magpieshift/lab/scale/relays.py
@@ -14,7 +14,7 @@
 
 from magpieshift.lab.scale import messages as m
 from magpieshift.lab.scale.processes import Child
-from magpieshift.lab.scale.tier import LOG, Reach
+from magpieshift.lab.scale.tier import LOG, PortLookup
 from magpieshift.lab.scale.topology import Place, Topology
 from magpieshift.relay import status
 from magpieshift.relay.errors import RelayUnreachableError
@@ -22,16 +22,16 @@
 
 SOURCE = "source"
 LOOPBACK = "127.0.0.1"
-RELAYS_PER_REGION = 2
-
-
-FIXED_PORTS = range(20_000, 32_000)  # below those that the system gives to connections (ip_local_port_range)
+RELAYS_PER_REGION = 2  # so that a region outlives the loss of one
+FIXED_PORT_RANGE = range(
+    20_000, 32_000
+)  # below those that the system gives to connections (ip_local_port_range)
 
 
 def fixed_ports(count: int) -> list[int]:
-    """Ports of loopback that nobody listens on, and that no connection is given meanwhile."""
+    """Free ports of loopback, outside the range from which the kernel numbers connections."""
     found: list[int] = []
-    for port in random.sample(FIXED_PORTS, len(FIXED_PORTS)):
+    for port in random.sample(FIXED_PORT_RANGE, len(FIXED_PORT_RANGE)):
         with contextlib.suppress(OSError), socket.create_server((LOOPBACK, port)):
             found.append(port)
         if len(found) == count:
@@ -40,7 +40,7 @@
 
 
 @dataclass
-class Machine:
+class RelayMachine:
     """A relay: where it stands, and its process while it runs."""
 
     name: str
@@ -48,14 +48,14 @@
     zone: str
     port: int
     child: Child | None = None
-    gone_s: float = 0.0  # processor time of its processes that were killed
+    killed_cpu_s: float = 0.0  # processor time of its processes that were killed
 
     def cpu_s(self) -> float:
         """Processor seconds of this relay so far, killed processes included."""
-        return self.gone_s + (self.child.cpu_s() if self.child is not None else 0.0)
+        return self.killed_cpu_s + (self.child.cpu_s() if self.child is not None else 0.0)
 
 
-def machines(topology: Topology) -> list[Machine]:
+def relay_machines(topology: Topology) -> list[RelayMachine]:
     """The relays: in each region that has routers, by turns in its zones."""
     found = []
     regions = sorted({place.region for place in topology.places})
@@ -64,7 +64,7 @@
         zones = [zone for zone, of in topology.form.zones.items() if of == region]
         for number in range(RELAYS_PER_REGION):
             name = f"relay-{region}-{number}"
-            found.append(Machine(name, region, zones[number % len(zones)], next(ports)))
+            found.append(RelayMachine(name, region, zones[number % len(zones)], next(ports)))
     return found
 
 
@@ -72,13 +72,13 @@
     """Owner of the source, of all relays, and of the folder of versions."""
 
     def __init__(self, topology: Topology) -> None:
-        self._machines = {machine.name: machine for machine in machines(topology)}
+        self._machines = {machine.name: machine for machine in relay_machines(topology)}
         regions = [place.region for place in topology.places]
         self._largest = max(sorted(set(regions)), key=regions.count)
         self._folder = tempfile.TemporaryDirectory(prefix="scale-versions-")
         self._log: Child | None = None
         self._source: Child | None = None
-        self._reach: Reach = lambda path, target: self.targets[target]
+        self._reach: PortLookup = lambda path, target: self.targets[target]
 
     async def open(self, log: Child) -> None:
         """Start the source beside the change log."""
@@ -86,7 +86,7 @@
         start = m.StartSource(log_port=log.ports[LOG], versions=self._folder.name)
         self._source = await Child.start(SOURCE, "node", start)
 
-    async def join(self, reach: Reach) -> None:
+    async def start_remaining(self, reach: PortLookup) -> None:
         """Start all relays; each follows the source by the path of its zone."""
         self._reach = reach
         await asyncio.gather(*map(self._start, self._machines.values()))
@@ -94,10 +94,10 @@
     async def close(self) -> None:
         """End the source and all relays, and remove the folder of versions."""
         children = [self._source, *(machine.child for machine in self._machines.values())]
-        await asyncio.gather(*(child.end() for child in children if child is not None))
+        await asyncio.gather(*(child.stop() for child in children if child is not None))
         self._folder.cleanup()
 
-    async def _start(self, machine: Machine) -> None:
+    async def _start(self, machine: RelayMachine) -> None:
         start = m.StartRelay(
             name=machine.name,
             region=machine.region,
@@ -119,7 +119,7 @@
         return {SOURCE: self.source.ports["node"]} | relays
 
     @property
-    def serving(self) -> list[int]:
+    def router_ports(self) -> list[int]:
         """The ports of all relays."""
         return [machine.port for machine in self._machines.values()]
 
@@ -128,7 +128,7 @@
         """The source and all relays."""
         return 1 + len(self._machines)
 
-    def placed(self, place: Place, path: str, reach: Reach, inside: bool) -> m.Place:
+    def address_router(self, place: Place, path: str, reach: PortLookup, inside: bool) -> m.Place:
         """A router with all relays; inside its region they are reached without a network where a cut leaves
         the region whole."""
         assert self._log is not None
@@ -162,10 +162,10 @@
     async def digested(self, events: int, without: Collection[str]) -> bool:
         """Whether the source and all relays outside these zones have so many events."""
         ports = [m.port for m in self._machines.values() if m.zone not in without]
-        asked = (status.fetch_status(f"{LOOPBACK}:{port}") for port in [self.source.ports["node"], *ports])
+        requests = (status.fetch_status(f"{LOOPBACK}:{port}") for port in [self.source.ports["node"], *ports])
         try:
-            reports = await asyncio.gather(*asked)
-        except RelayUnreachableError:  # it is busy
+            reports = await asyncio.gather(*requests)
+        except RelayUnreachableError:  # it is too busy to answer
             return False
         return all(report.head >= events for report in reports)
 
@@ -174,7 +174,7 @@
         """How long relays retain a purge."""
         return PURGE_RETENTION_US / 1e6
 
-    async def lose(self, machines: int, seconds: float) -> None:
+    async def interrupt(self, machines: int, seconds: float) -> None:
         """So many relays of the largest region are killed, and started again at their ports."""
         lost = [machine for machine in self._machines.values() if machine.region == self._largest][:machines]
         await asyncio.gather(*map(self._kill, lost))
@@ -186,12 +186,12 @@
         lost = [machine for machine in self._machines.values() if machine.zone == zone]
         await asyncio.gather(*map(self._kill, lost))
 
-    async def _kill(self, machine: Machine) -> None:
+    async def _kill(self, machine: RelayMachine) -> None:
         child = machine.child
         machine.child = None
         if child is not None:
             await child.kill()
-            machine.gone_s += child.cpu_s()
+            machine.killed_cpu_s += child.cpu_s()
 
     def cpu_s(self) -> dict[str, float]:
         """Processor seconds so far, by process."""
--- a/magpieshift/lab/scale/result.py
+++ b/magpieshift/lab/scale/result.py
@@ -12,14 +12,14 @@
 
 from magpieshift.lab.scale.tally import NOT_APPLIED
 
-MAX_PURGE_DONE_S = 9.7
-MAX_VERSION_IN_FORCE_S = 4.0
+MAX_PURGE_DONE_S = 9.7  # the product's rule: from acceptance to the last router
+MAX_VERSION_IN_FORCE_S = 4.0  # the product's rule: from publication to the last router
 MAX_ROUTERS_NAMED = 5  # routers in a rule's line
 
 
 @dataclass
 class Result:
-    """The keys of the last line, and what tells how they were got."""
+    """The figures of a run under the keys of its ``--json`` line, and the conditions it ran under."""
 
     routers: int = 0
     hollow: int = 0  # how many of them lived at the end
@@ -62,14 +62,14 @@
 
 @dataclass(frozen=True)
 class Published:
-    """A version: when the control service took it in, and on which paths routers could hear of it."""
+    """A version: when the control service took it in, and by which network paths routers could receive it."""
 
     number: int
     at_s: float
     reachable: frozenset[str] | None = None  # None: on all
 
 
-Late = tuple[int, float, float]
+LateApplication = tuple[int, float, float]
 """A purge that was applied by a router without a lease: its index, when, and since when it had none."""
 
 
@@ -77,14 +77,14 @@
     accepted: Sequence[float],
     applied: Sequence[Sequence[float]],
     missing: Iterable[int],
-    late: Iterable[Late] = (),
+    late: Iterable[LateApplication] = (),
     lease_s: float = math.inf,
 ) -> list[float]:
     """Of each purge, the seconds from its acceptance until it was done at the last router of all processes;
     infinite where some live router had not applied it at the end, or none had.
 
     A router without a lease accepts no copy older than ``lease_s``: from so long after its acceptance on, a
-    purge is done there, whether it was told or not."""
+    purge is done there, whether it was notified or not."""
     latest = [
         max((part[i] for part in applied if i < len(part)), default=NOT_APPLIED) for i in range(len(accepted))
     ]
@@ -99,11 +99,11 @@
     return times
 
 
-def quantile(sorted_times: Sequence[float], share: float) -> float | None:
-    """The time within which this share of all are done; None where that one was not done at all."""
+def quantile(sorted_times: Sequence[float], fraction: float) -> float | None:
+    """The time within which this fraction of all is done; None where that one was not done at all."""
     if not sorted_times:
         return None
-    found = sorted_times[max(0, math.ceil(share * len(sorted_times)) - 1)]
+    found = sorted_times[max(0, math.ceil(fraction * len(sorted_times)) - 1)]
     return round(found, 4) if math.isfinite(found) else None
 
 
@@ -128,7 +128,7 @@
 def judge_versions(
     result: Result, published: Sequence[Published], in_force: Sequence[Mapping[str, Mapping[int, float]]]
 ) -> None:
-    """Fill in the longest time in which a version was in force on every path where it could be heard of."""
+    """Fill in the longest time in which a version was in force on every path by which it could come."""
     worst = None
     late = []
     for version in published:
--- a/magpieshift/lab/scale/run.py
+++ b/magpieshift/lab/scale/run.py
@@ -1,4 +1,4 @@
-"""A run: starts the processes, plays load and scenario, and gathers what was seen."""
+"""A run: starts the processes, plays load and scenario, and gathers the result."""
 
 from __future__ import annotations
 
@@ -39,11 +39,11 @@
     "direct": 2,
     "relay": 2 + RELAYS_PER_REGION * TARGET_REGIONS,
 }  # at most, change log included
-MAX_WORKERS = 6
+MAX_WORKERS = 6  # chosen by trial: more processes of hollow routers leave fewer cores to control
 ROUTERS_PER_WORKER = 10  # as long as there are workers left
-POLL_INTERVAL_S = 0.25
+POLL_INTERVAL_S = 0.25  # while waiting for routers to settle
 SAMPLE_INTERVAL_S = 2.0  # between looks at the streams' counters
-BUSY_PERCENT = 90.0
+BUSY_WORKER_CPU_PERCENT = 90.0  # of a core: above it, times include waiting within the worker
 
 ProgressCallback = Callable[[str], None]
 
@@ -94,15 +94,15 @@
     def __init__(self, plan: Plan, tell: ProgressCallback = lambda line: None) -> None:
         plan.check()
         self.plan = plan
-        self._tell = tell
+        self._report_progress = tell
         self.topology = plan.topology or Topology(generate(plan.routers, plan.seed))
         Child.logs = Path(plan.logs) if plan.logs else None
         size = Size(plan.processes, plan.caches, plan.drop_every)
         self.fleet = Fleet(self.topology, size, TIERS[plan.feed](self.topology))
         self.faults = Faults(self.fleet, plan.scenario, plan.seconds)
         # router seconds, and seconds, of the load
-        self._live_s = 0.0
-        self._watched_s = 0.0
+        self._router_seconds = 0.0
+        self._sampled_s = 0.0
         self._busiest_percent = 0.0  # of a core: the process of hollow routers that took most between looks
         self.result = Result(
             routers=len(self.topology.places),
@@ -117,17 +117,19 @@
     async def play(self) -> Result:
         """Carry it out; nothing is left running."""
         try:
-            self._tell(f"starting {self.result.routers} routers in {self.plan.processes} processes")
+            self._report_progress(
+                f"starting {self.result.routers} routers in {self.plan.processes} processes"
+            )
             await self.fleet.open(self.faults.networked(self.plan.topology is not None))
-            await self.faults.before(self.plan.rates.purges_per_s)
+            await self.faults.start_routers(self.plan.rates.purges_per_s)
             before = await self._sample()
             self._note_load()
-            await self._load()
+            await self._play_load()
             after = await self._sample()
-            self._tell("waiting until all routers have everything")
+            self._report_progress("waiting until all routers have everything")
             await self._settle()
             await self.faults.close()
-            await self._gather(before, after)
+            await self._collect_result(before, after)
         finally:
             await self.fleet.close()
         return self.result
@@ -145,15 +147,17 @@
 
     # --- the load
 
-    async def _load(self) -> None:
+    async def _play_load(self) -> None:
         """Play arrivals and events to the end of the load."""
         plan = self.plan
         scenario = self.plan.scenario
-        bursts = [] if scenario.burst_at is None else [Burst(scenario.burst_at * plan.seconds)]
+        bursts = (
+            [] if scenario.burst_at_fraction is None else [Burst(scenario.burst_at_fraction * plan.seconds)]
+        )
         due = arrivals(plan.rates, plan.seconds, plan.seed, bursts)
         player = Player(self.fleet, self.faults.reachable_paths, self.faults.restart_one)
         events = asyncio.ensure_future(self.faults.play())
-        watching = asyncio.ensure_future(self._watch())
+        watching = asyncio.ensure_future(self._sample_load())
         try:
             await player.play(due, plan.seconds)
             await events
@@ -162,8 +166,8 @@
             events.cancel()
             watching.cancel()
 
-    async def _watch(self) -> None:
-        """Count the live routers' time, look at counters, and tell of progress."""
+    async def _sample_load(self) -> None:
+        """Sum up the running routers' time, read the counters, and report progress."""
         loop = asyncio.get_running_loop()
         begin = last = loop.time()
         spent = self._workers_cpu_s()
@@ -171,26 +175,26 @@
             await asyncio.sleep(SAMPLE_INTERVAL_S)
             now = loop.time()
             spent_now = self._workers_cpu_s()
-            self._live_s += (now - last) * len(self.fleet.live)
-            self._watched_s += now - last
+            self._router_seconds += (now - last) * len(self.fleet.live)
+            self._sampled_s += now - last
             busiest = max(after - before for after, before in zip(spent_now, spent, strict=True))
             self._busiest_percent = max(self._busiest_percent, 100 * busiest / (now - last))
             last = now
             spent = spent_now
             await self.fleet.stream_bytes()
-            self._tell(
+            self._report_progress(
                 f"{now - begin:.0f} of {self.plan.seconds:.0f} s, {self.fleet.purges} purges, "
                 f"{len(self.fleet.live)} routers"
             )
 
     async def _settle(self) -> None:
-        """Wait until no live router lacks anything, as long as is granted."""
+        """Wait until no running router lacks anything, for at most ``settle_s``."""
         loop = asyncio.get_running_loop()
         end = loop.time() + self.plan.settle_s
-        while await self.fleet.behind() and loop.time() < end:
+        while await self.fleet.lagging_count() and loop.time() < end:
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    # --- what was seen
+    # --- result
 
     def _workers_cpu_s(self) -> list[float]:
         return [worker.cpu_s() for worker in self.fleet.workers]
@@ -207,7 +211,7 @@
             len(fleet.published),
         )
 
-    async def _gather(self, before: Sample, after: Sample) -> None:
+    async def _collect_result(self, before: Sample, after: Sample) -> None:
         result = self.result
         fleet = self.fleet
         result.mb_per_router = fleet.mb_per_router  # before reports are put together there
@@ -217,23 +221,23 @@
         result.processes = fleet.processes
         result.purges = len(log.accepted)
         result.versions = len(fleet.published)
-        self._costs(before, after)
+        self._record_costs(before, after)
         self._judge(log, reports)
         result.return_s = self.faults.return_s
         result.return_bytes_per_router = self.faults.return_bytes_per_router
 
-    def _costs(self, before: Sample, after: Sample) -> None:
+    def _record_costs(self, before: Sample, after: Sample) -> None:
         result = self.result
         took_s = after.at_s - before.at_s
         per_second = (after.purges - before.purges) / took_s
         result.purges_per_s = round(per_second, 1)
         result.versions_per_day = round((after.versions - before.versions) / took_s * DAY_S)
-        live = self._live_s / self._watched_s if self._watched_s else len(self.fleet.live)
+        live = self._router_seconds / self._sampled_s if self._sampled_s else len(self.fleet.live)
         spent_s = after.workers_cpu_s - before.workers_cpu_s
         result.cpu_percent_per_router = round(100 * spent_s / took_s / live, 4)
         busiest = self._busiest_percent or 100 * spent_s / took_s / len(self.fleet.workers)
         result.worker_busy_max_percent = round(busiest, 1)
-        if busiest > BUSY_PERCENT:
+        if busiest > BUSY_WORKER_CPU_PERCENT:
             result.notes.append(
                 f"a process of hollow routers took {busiest:.0f}% of a core for {SAMPLE_INTERVAL_S:.0f} s: "
                 "the times are this machine's"
--- a/magpieshift/lab/scale/saved.py
+++ b/magpieshift/lab/scale/saved.py
@@ -34,7 +34,7 @@
 def save_result(path: str, figures: Mapping[str, Any], seed: int) -> None:
     """Write figures with the command line, commit, seed, date and machine; ``OSError`` if it cannot."""
     command = shlex.join(["magpieshift", *sys.argv[1:]])
-    whole = {
+    saved = {
         "command": command,
         "commit": _commit(),
         "seed": seed,
@@ -43,7 +43,7 @@
         "cores": _cores(),
         "figures": dict(figures),
     }
-    Path(path).write_text(json.dumps(whole, indent=1) + "\n", encoding="utf-8")
+    Path(path).write_text(json.dumps(saved, indent=1) + "\n", encoding="utf-8")
 
 
 def _cores() -> int:
--- a/magpieshift/lab/scale/scenario.py
+++ b/magpieshift/lab/scale/scenario.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-CONTROL_LOSS_S = 3.0  # how long a lost control machine is gone
+CONTROL_OUTAGE_S = 3.0  # for which a lost control machine is gone; chosen by trial
 HOUR_S = 3600.0
 
 
@@ -19,43 +19,43 @@
 
 
 @dataclass(frozen=True)
-class Crash:
+class RouterCrash:
     """Routers are gone at ``at``; they start again after ``back_after_s``, or not at all."""
 
     scope: Scope
-    at: float
-    back_after_s: float | None = None
+    at_fraction: float
+    restart_after_s: float | None = None
 
 
 @dataclass(frozen=True)
-class RegionAway:
+class RegionPartition:
     """A region was cut off for ``seconds`` before the load begins, and all its routers return at ``until``.
 
     The time before the load is simulated: the change log accepts the purges of all that time at once, before
     any router outside the region starts."""
 
-    until: float
-    seconds: float = HOUR_S
+    until_fraction: float
+    duration_s: float = HOUR_S
 
 
 @dataclass(frozen=True)
-class Slow:
+class SlowReaders:
     """A tenth of the routers: one half reads at ``kb_per_s``, the other half stands still."""
 
-    begin: float
-    until: float
+    from_fraction: float
+    until_fraction: float
     kb_per_s: float = 2.0
 
 
 @dataclass(frozen=True)
-class ControlLost:
-    """So many control machines are gone at ``at`` for ``CONTROL_LOSS_S``."""
+class ControlOutage:
+    """So many control machines are gone at ``at`` for ``CONTROL_OUTAGE_S``."""
 
-    at: float
+    at_fraction: float
     machines: int
 
 
-Event = Crash | RegionAway | Slow | ControlLost
+Event = RouterCrash | RegionPartition | SlowReaders | ControlOutage
 
 
 @dataclass(frozen=True)
@@ -65,27 +65,29 @@
     name: str
     summary: str
     events: tuple[Event, ...] = ()
-    burst_at: float | None = None
+    burst_at_fraction: float | None = None
 
 
 SCENARIOS: Mapping[str, Scenario] = {
     scenario.name: scenario
     for scenario in (
         Scenario("steady", "purges, versions and list changes at the target's rates"),
-        Scenario("burst", "purges at ten times the mean for 5 s", burst_at=0.25),
+        Scenario("burst", "purges at ten times the mean for 5 s", burst_at_fraction=0.25),
         Scenario(
             "restarts",
             "restarts at 420 a day, and a tenth of the routers at once",
-            (Crash(Scope.TENTH, 0.3, back_after_s=0.5),),
+            (RouterCrash(Scope.TENTH, 0.3, restart_after_s=0.5),),
         ),
-        Scenario("rack-lost", "all routers of the fullest rack are gone", (Crash(Scope.RACK, 0.4),)),
-        Scenario("zone-lost", "all routers of the largest zone are gone", (Crash(Scope.ZONE, 0.4),)),
-        Scenario("region-cut", "a region is cut off for an hour, then all of it returns", (RegionAway(0.4),)),
-        Scenario("slow-routers", "of ten routers one reads slowly or stands still", (Slow(0.1, 0.6),)),
+        Scenario("rack-lost", "all routers of the fullest rack are gone", (RouterCrash(Scope.RACK, 0.4),)),
+        Scenario("zone-lost", "all routers of the largest zone are gone", (RouterCrash(Scope.ZONE, 0.4),)),
+        Scenario(
+            "region-cut", "a region is cut off for an hour, then all of it returns", (RegionPartition(0.4),)
+        ),
+        Scenario("slow-routers", "of ten routers one reads slowly or stands still", (SlowReaders(0.1, 0.6),)),
         Scenario(
             "control-lost",
             "one control machine is gone for 3 s, then two",
-            (ControlLost(0.2, 1), ControlLost(0.6, 2)),
+            (ControlOutage(0.2, 1), ControlOutage(0.6, 2)),
         ),
     )
 }
--- a/magpieshift/lab/scale/sockets.py
+++ b/magpieshift/lab/scale/sockets.py
@@ -7,9 +7,9 @@
 import re
 import shutil
 
-LINE = re.compile(r"^(?:[A-Z]\S*\s+)?\d+\s+\d+\s+(\S+:\d+)\s+(\S+:\d+)")
-SENT = re.compile(r"\bbytes_acked:(\d+)")
-RECEIVED = re.compile(r"\bbytes_received:(\d+)")
+ENDPOINTS_LINE = re.compile(r"^(?:[A-Z]\S*\s+)?\d+\s+\d+\s+(\S+:\d+)\s+(\S+:\d+)")
+BYTES_ACKED = re.compile(r"\bbytes_acked:(\d+)")
+BYTES_RECEIVED = re.compile(r"\bbytes_received:(\d+)")
 Streams = dict[tuple[str, str], int]  # bytes by both ends
 
 
@@ -18,34 +18,36 @@
     found: Streams = {}
     ends: tuple[str, str] | None = None
     for line in text.splitlines():
-        if match := LINE.match(line):
+        if match := ENDPOINTS_LINE.match(line):
             ends = match[1], match[2]
         elif ends is not None:
-            counted = [int(m[1]) for m in (SENT.search(line), RECEIVED.search(line)) if m is not None]
+            counted = [
+                int(m[1]) for m in (BYTES_ACKED.search(line), BYTES_RECEIVED.search(line)) if m is not None
+            ]
             found[ends] = sum(counted)
             ends = None
     return found
 
 
-class Counter:
+class StreamByteCounter:
     """Bytes of all streams of some listening ports since the counter was made. Streams that end are counted
     up to the last look at them."""
 
     def __init__(self, ports: list[int]) -> None:
         self.ports = ports
-        self._seen: Streams = {}
+        self._streams: Streams = {}
 
     @staticmethod
     def available() -> bool:
         """Whether the machine has the command that reads the counters."""
         return shutil.which("ss") is not None
 
-    async def look(self) -> int:
+    async def read(self) -> int:
         """Look at the counters now; the sum over all streams so far."""
         ports = " or ".join(f"sport = :{port}" for port in self.ports)
         process = await asyncio.create_subprocess_exec(
             "ss", "-tinH", "state", "established", f"( {ports} )", stdout=asyncio.subprocess.PIPE
         )
         out, _ = await process.communicate()
-        self._seen |= parse(out.decode())
-        return sum(self._seen.values())
+        self._streams |= parse(out.decode())
+        return sum(self._streams.values())
--- a/magpieshift/lab/scale/streams.py
+++ b/magpieshift/lab/scale/streams.py
@@ -8,13 +8,13 @@
 
 from magpieshift.lab.fault_injection.network import Network
 
-CHUNK_BYTES = 65_536
-MAX_CHUNKS_IN_FLIGHT = 64  # of each direction; then the sender is held up
+CHUNK_BYTES = 65_536  # read at once from a stream
+MAX_CHUNKS_IN_FLIGHT = 64  # in each direction; beyond it the sender waits
 FAULT_POLL_INTERVAL_S = 0.02  # how soon a fault that was put or healed shows
 LOOPBACK = "127.0.0.1"
 
 
-class Passage:
+class StreamForwarder:
     """Owner of a listening port, and of all streams from it to a target. ``source`` and ``target`` are the
     names of the ends in ``links``."""
 
@@ -24,7 +24,7 @@
         self._target = target
         self._to_port = to_port
         self._server: asyncio.Server | None = None
-        self._through: set[asyncio.Task[None]] = set()
+        self._connections: set[asyncio.Task[None]] = set()
 
     async def start(self) -> int:
         """Listen; the port."""
@@ -35,27 +35,27 @@
         """Stop listening, and end all streams."""
         if self._server is not None:
             self._server.close()
-        for task in self._through:
+        for task in self._connections:
             task.cancel()
 
     async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self._through.add(task)
+        self._connections.add(task)
         try:
             with contextlib.suppress(OSError, asyncio.CancelledError):
-                await self._carry(reader, writer)
+                await self._forward_both_ways(reader, writer)
         finally:
-            self._through.discard(task)
+            self._connections.discard(task)
             writer.transport.abort()
 
-    async def _carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _forward_both_ways(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Carry both directions until either ends."""
-        await self._while_cut(self._source, self._target)
-        theirs, ours = await asyncio.open_connection(LOOPBACK, self._to_port)
+        await self._wait_until_connected(self._source, self._target)
+        target_reader, target_writer = await asyncio.open_connection(LOOPBACK, self._to_port)
         ends = [
-            asyncio.ensure_future(self._one_way(self._source, self._target, reader, ours)),
-            asyncio.ensure_future(self._one_way(self._target, self._source, theirs, writer)),
+            asyncio.ensure_future(self._forward(self._source, self._target, reader, target_writer)),
+            asyncio.ensure_future(self._forward(self._target, self._source, target_reader, writer)),
         ]
         try:
             await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
@@ -63,13 +63,13 @@
             for end in ends:
                 end.cancel()
             await asyncio.gather(*ends, return_exceptions=True)
-            ours.transport.abort()
+            target_writer.transport.abort()
 
-    async def _one_way(
+    async def _forward(
         self, source: str, target: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         under_way: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MAX_CHUNKS_IN_FLIGHT)
-        writing = asyncio.ensure_future(self._write(source, target, under_way, writer))
+        writing = asyncio.ensure_future(self._write_delayed(source, target, under_way, writer))
         loop = asyncio.get_running_loop()
         try:
             while data := await reader.read(CHUNK_BYTES):
@@ -78,7 +78,7 @@
         finally:
             writing.cancel()
 
-    async def _write(
+    async def _write_delayed(
         self,
         source: str,
         target: str,
@@ -89,15 +89,15 @@
         with contextlib.suppress(OSError):
             while True:
                 due, data = await under_way.get()
-                if (left_s := due - loop.time()) > 0:
-                    await asyncio.sleep(left_s)
-                await self._while_cut(source, target)
+                if (remaining_s := due - loop.time()) > 0:
+                    await asyncio.sleep(remaining_s)
+                await self._wait_until_connected(source, target)
                 for fault in self._links.on(source, target):
                     if fault.kb_per_s:
                         await asyncio.sleep(len(data) / 1000 / fault.kb_per_s)
                 writer.write(data)
                 await writer.drain()
 
-    async def _while_cut(self, source: str, target: str) -> None:
+    async def _wait_until_connected(self, source: str, target: str) -> None:
         while any(fault.cut for fault in self._links.on(source, target)):
             await asyncio.sleep(FAULT_POLL_INTERVAL_S)
--- a/magpieshift/lab/scale/tally.py
+++ b/magpieshift/lab/scale/tally.py
@@ -25,12 +25,12 @@
 
 
 @dataclass
-class Shared:
+class ProcessTally:
     """What all routers of one process come to: when the last of them had applied each purge and version."""
 
     purges: list[float] = field(default_factory=list)  # by index
     versions: dict[str, dict[int, float]] = field(default_factory=dict)  # by path, then by number
-    made: tuple[int, float] = 0, 0.0  # all purges below this index were made by this time
+    accepted_by: tuple[int, float] = 0, 0.0  # all purges below this index were made by this time
 
     def purged(self, index: int, now_s: float) -> None:
         """A router has applied a purge; times never go back."""
@@ -43,23 +43,27 @@
         self.versions.setdefault(path, {})[number] = now_s
 
 
-class Applied:
+class RouterTally:
     """What one router has applied since its start."""
 
-    def __init__(self, shared: Shared, path: str, first_purge: int, version: int) -> None:
+    def __init__(self, shared: ProcessTally, path: str, first_purge: int, version: int) -> None:
         """It owes purges from ``first_purge`` on, and has all versions up to ``version``."""
         self._shared = shared
         self.path = path
         self.next_purge = first_purge  # all below are applied
-        self._beyond: set[int] = set()  # applied, with some below missing
+        self._applied_ahead: set[int] = set()  # applied, with some below missing
         self._highest = first_purge - 1
         self.version = version
-        self.lapsed_s: float | None = None  # since when it bounds the age of copies; None while it does not
-        self.late: list[tuple[int, float, float]] = []  # applied meanwhile: index, when, since when
+        self.lease_lapsed_at_s: float | None = (
+            None  # since when it bounds the age of copies; None while it does not
+        )
+        self.applied_without_lease: list[
+            tuple[int, float, float]
+        ] = []  # applied meanwhile: index, when, since when
         self.out_of_order = 0
         self.forgotten = 0  # purges that it never had, and that mattered no more when it had the next ones
 
-    def purges(self, ages: Mapping[int, float], now_s: float) -> None:
+    def record_purges(self, ages: Mapping[int, float], now_s: float) -> None:
         """Purges that were applied in one call, and the age in seconds of each; their order among themselves
         cannot be seen by any request. One that was applied before counts for nothing."""
         for index in sorted(ages):
@@ -67,31 +71,31 @@
                 self._forget_below(index, ages[index], now_s)
             if index == self.next_purge:
                 self.next_purge += 1
-                if self._beyond:
+                if self._applied_ahead:
                     self._close_up()
-            elif index > self.next_purge and index not in self._beyond:
-                self._beyond.add(index)
+            elif index > self.next_purge and index not in self._applied_ahead:
+                self._applied_ahead.add(index)
             else:
                 continue
             if index < self._highest:
                 self.out_of_order += 1
             self._highest = max(index, self._highest)
-            if self.lapsed_s is None:
+            if self.lease_lapsed_at_s is None:
                 self._shared.purged(index, now_s)
             else:
-                self.late.append((index, now_s, self.lapsed_s))
+                self.applied_without_lease.append((index, now_s, self.lease_lapsed_at_s))
 
-    def leased(self, held: bool, now_s: float) -> None:
+    def set_lease_held(self, held: bool, now_s: float) -> None:
         """Whether it holds a lease now: without one it bounds the age of the copies that it accepts."""
         if held:
-            self.lapsed_s = None
-        elif self.lapsed_s is None:
-            self.lapsed_s = now_s
+            self.lease_lapsed_at_s = None
+        elif self.lease_lapsed_at_s is None:
+            self.lease_lapsed_at_s = now_s
 
     def _forget_below(self, index: int, age_s: float, now_s: float) -> None:
         """Some before a purge of this age are missing. What is too old matters no more, and a snapshot leaves
         it out: all that were made before one that is, and those that are known to be."""
-        below, made_by_s = self._shared.made
+        below, made_by_s = self._shared.accepted_by
         oldest = (
             index
             if age_s >= PURGE_RELEVANCE_S
@@ -100,26 +104,26 @@
             else 0
         )
         if oldest > self.next_purge:
-            self.forgotten += sum(each not in self._beyond for each in range(self.next_purge, oldest))
-            self._beyond = {each for each in self._beyond if each >= oldest}
+            self.forgotten += sum(each not in self._applied_ahead for each in range(self.next_purge, oldest))
+            self._applied_ahead = {each for each in self._applied_ahead if each >= oldest}
             self.next_purge = oldest
 
     def _close_up(self) -> None:
-        while self.next_purge in self._beyond:
-            self._beyond.remove(self.next_purge)
+        while self.next_purge in self._applied_ahead:
+            self._applied_ahead.remove(self.next_purge)
             self.next_purge += 1
 
-    def lost(self, accepted: int) -> int:
+    def missing_count(self, accepted: int) -> int:
         """How many of the purges accepted so far it owes and has not applied."""
-        return max(0, accepted - self.next_purge - len(self._beyond))
+        return max(0, accepted - self.next_purge - len(self._applied_ahead))
 
     def mark_missing(self, marks: bytearray) -> None:
         """Set the marks, one for each purge accepted so far, of those it owes and has not applied."""
         for index in range(self.next_purge, len(marks)):
-            if index not in self._beyond:
+            if index not in self._applied_ahead:
                 marks[index] = 1
 
-    def in_force(self, number: int, now_s: float) -> None:
+    def record_version(self, number: int, now_s: float) -> None:
         """A version has come into force, and with it all that it replaces."""
         for passed in range(self.version + 1, number + 1):
             self._shared.version(self.path, passed, now_s)
--- a/magpieshift/lab/scale/tier.py
+++ b/magpieshift/lab/scale/tier.py
@@ -13,7 +13,7 @@
 LOG = "log"
 CONTROL = "control"
 
-Reach = Callable[[str, str], int]
+PortLookup = Callable[[str, str], int]
 """The port at which those on a path reach a target by its name, through a network or straight."""
 
 
@@ -21,10 +21,10 @@
     """Owner of the processes of control, except the change log."""
 
     async def open(self, log: Child) -> None:
-        """Start what stands next to the change log, and know all ports."""
+        """Start what connects to the change log, and learn all ports."""
         ...
 
-    async def join(self, reach: Reach) -> None:
+    async def start_remaining(self, reach: PortLookup) -> None:
         """Start the rest, once the network is there."""
         ...
 
@@ -38,7 +38,7 @@
         ...
 
     @property
-    def serving(self) -> list[int]:
+    def router_ports(self) -> list[int]:
         """The ports at which routers are served."""
         ...
 
@@ -47,8 +47,8 @@
         """How many processes the tier has."""
         ...
 
-    def placed(self, place: Place, path: str, reach: Reach, inside: bool) -> m.Place:
-        """Where a router finds what feeds it; ``inside``: a cut of its path leaves what is in its region."""
+    def address_router(self, place: Place, path: str, reach: PortLookup, inside: bool) -> m.Place:
+        """The ports by which a router is fed; ``inside``: a cut of its path leaves what is in its region."""
         ...
 
     async def publish(self, number: int, text: str) -> float:
@@ -56,7 +56,7 @@
         ...
 
     async def follow_all(self, routers: int) -> bool:
-        """Whether so many routers hear of versions."""
+        """Whether so many routers receive versions."""
         ...
 
     async def digested(self, events: int, without: Collection[str]) -> bool:
@@ -65,11 +65,11 @@
 
     @property
     def forgets_after_s(self) -> float:
-        """How long a purge is remembered from when it was heard: an hour that is simulated is over once those
-        that came in it are forgotten."""
+        """How long a purge is retained after its arrival, in seconds: a simulated hour is over once those
+        that came in it have expired."""
         ...
 
-    async def lose(self, machines: int, seconds: float) -> None:
+    async def interrupt(self, machines: int, seconds: float) -> None:
         """So many machines are gone for so long."""
         ...
 
@@ -88,8 +88,8 @@
     def __init__(self) -> None:
         self._log: Child | None = None
         self._control: Child | None = None
-        self._turn = asyncio.Lock()  # held while the control service is away
-        self._gone_s = 0.0  # processor time of those that were killed
+        self._control_lock = asyncio.Lock()  # held while the control service is away
+        self._killed_cpu_s = 0.0  # processor time of those that were killed
         self._newest: m.Publish | None = None
 
     async def open(self, log: Child) -> None:
@@ -97,13 +97,13 @@
         self._log = log
         self._control = await Child.start("control service", "control", m.StartControl())
 
-    async def join(self, reach: Reach) -> None:
-        """There is nothing more to start."""
+    async def start_remaining(self, reach: PortLookup) -> None:
+        """Nothing more is to be started."""
 
     async def close(self) -> None:
         """End the control service."""
         if self._control is not None:
-            await self._control.end()
+            await self._control.stop()
 
     @property
     def control(self) -> Child:
@@ -123,7 +123,7 @@
         return {LOG: self.log.ports[LOG], CONTROL: self.control.ports[CONTROL]}
 
     @property
-    def serving(self) -> list[int]:
+    def router_ports(self) -> list[int]:
         """The same ports: routers connect to both."""
         return list(self.targets.values())
 
@@ -132,7 +132,7 @@
         """The control service alone."""
         return 1
 
-    def placed(self, place: Place, path: str, reach: Reach, inside: bool) -> m.Place:
+    def address_router(self, place: Place, path: str, reach: PortLookup, inside: bool) -> m.Place:
         """A router that connects to both by its network path."""
         return m.Place(
             name=place.name, path=path, log_port=reach(path, LOG), control_port=reach(path, CONTROL)
@@ -140,28 +140,28 @@
 
     async def publish(self, number: int, text: str) -> float:
         """Publish by the control service, after any outage of it."""
-        async with self._turn:
+        async with self._control_lock:
             self._newest = m.Publish(number=number, text=text)
-            return (await self.control.ask(self._newest, m.PublishedAt)).at_s
+            return (await self.control.request(self._newest, m.PublishedAt)).at_s
 
     async def follow_all(self, routers: int) -> bool:
         """Whether so many routers are connected to the control service."""
         return await self.followers() >= routers
 
     async def digested(self, events: int, without: Collection[str]) -> bool:
-        """Nobody stands between."""
+        """There is no tier between."""
         return True
 
     @property
     def forgets_after_s(self) -> float:
-        """Nobody but the change log remembers, and that forgets nothing."""
+        """Only the change log retains purges, and it retains all."""
         return 0.0
 
     async def followers(self) -> int:
         """How many routers are connected to the control service."""
-        return (await self.control.ask(m.FollowerCountRequest(), m.Count)).count
+        return (await self.control.request(m.FollowerCountRequest(), m.Count)).count
 
-    async def lose(self, machines: int, seconds: float) -> None:
+    async def interrupt(self, machines: int, seconds: float) -> None:
         """The change log cannot be reached; with two machines the control service is killed besides."""
         lost = [self._lose_log(seconds), self._lose_control(seconds)]
         for beyond in lost[machines:]:
@@ -169,23 +169,23 @@
         await asyncio.gather(*lost[:machines])
 
     async def _lose_log(self, seconds: float) -> None:
-        await self.log.tell(m.PauseChangeLog(seconds=seconds))
+        await self.log.send(m.PauseChangeLog(seconds=seconds))
         await asyncio.sleep(seconds)
 
     async def _lose_control(self, seconds: float) -> None:
         """Another service starts at its port, and knows the newest version alone."""
-        async with self._turn:
+        async with self._control_lock:
             port = self.control.ports[CONTROL]
             await self.control.kill()
-            self._gone_s += self.control.cpu_s()
+            self._killed_cpu_s += self.control.cpu_s()
             await asyncio.sleep(seconds)
             self._control = await Child.start("control service", "control", m.StartControl(port=port))
             if self._newest is not None:
-                await self.control.ask(self._newest, m.PublishedAt)
+                await self.control.request(self._newest, m.PublishedAt)
 
     async def lose_zone(self, zone: str) -> None:
         """Nothing stands in a zone."""
 
     def cpu_s(self) -> dict[str, float]:
         """Processor seconds of the control service so far, killed processes included."""
-        return {"control service": self.control.cpu_s() + self._gone_s}
+        return {"control service": self.control.cpu_s() + self._killed_cpu_s}
--- a/magpieshift/lab/scale/topology.py
+++ b/magpieshift/lab/scale/topology.py
@@ -17,7 +17,7 @@
 
 import math
 import random
-from collections.abc import Iterator, Sequence
+from collections.abc import Container, Iterator, Sequence
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Annotated, Literal
@@ -30,6 +30,7 @@
 from magpieshift.control.validation import Form, Seconds, validate_form
 
 HEAD = "topology"
+# the size of the fleet that the product is built for
 TARGET_SITES = 370
 TARGET_ZONES = 24
 TARGET_REGIONS = 10
@@ -133,8 +134,8 @@
     form = validate_form(TopologyForm, tree.data, tree.lines)
     problems = []
 
-    def known(where: tuple[str, ...], name: str, names: object, what: str) -> None:
-        if name not in names:  # type: ignore[operator]
+    def known(where: tuple[str, ...], name: str, names: Container[str], what: str) -> None:
+        if name not in names:
             problems.append(Problem(" ".join(where), tree.lines.get(where, 0), name, what))
 
     known(("control",), form.control, form.region_km, "a region of region-km")
@@ -185,7 +186,7 @@
     sites = sites or max(zones, round(TARGET_SITES * routers / TARGET_ROUTERS))
     sites = min(sites, routers)
     weights = [rand.paretovariate(1.2) for _ in range(sites)]
-    sizes = _shares(weights, routers)
+    sizes = _proportional_sizes(weights, routers)
     load = dict.fromkeys((f"z{i}" for i in range(zones)), 0)
     placed: dict[str, tuple[str, int]] = {}
     for number, size in enumerate(sorted(sizes, reverse=True)):
@@ -201,15 +202,15 @@
     )
 
 
-def _shares(weights: Sequence[float], total: int) -> list[int]:
+def _proportional_sizes(weights: Sequence[float], total: int) -> list[int]:
     """Whole numbers of at least 1 in proportion to weights, with this sum."""
-    spare = total - len(weights)
-    whole = sum(weights)
+    remaining = total - len(weights)
+    weight_sum = sum(weights)
     edges = [0]
     running = 0.0
     for weight in weights:
         running += weight
-        edges.append(round(spare * running / whole))
+        edges.append(round(remaining * running / weight_sum))
     return [1 + after - before for before, after in zip(edges, edges[1:], strict=False)]
 
 
--- a/magpieshift/lab/scale/worker.py
+++ b/magpieshift/lab/scale/worker.py
@@ -1,4 +1,4 @@
-"""A process with many hollow routers: starts and crashes them as told, and reports what they applied."""
+"""A process with many hollow routers: starts and crashes them by order, and reports what they applied."""
 
 from __future__ import annotations
 
@@ -13,7 +13,14 @@
 
 from magpieshift.control.schema import LoadedDocument, load_text
 from magpieshift.lab.scale import child
-from magpieshift.lab.scale.hollow import At, DirectFeed, Feed, HollowRouter, PurgeWatch, on_version
+from magpieshift.lab.scale.hollow import (
+    ChangeLogOverride,
+    DirectFeed,
+    Feed,
+    HollowRouter,
+    PurgeObserver,
+    observe_versions,
+)
 from magpieshift.lab.scale.messages import (
     Count,
     CrashRouters,
@@ -30,23 +37,23 @@
     WorkerReportRequest,
 )
 from magpieshift.lab.scale.relayed import RelayFeed
-from magpieshift.lab.scale.tally import Applied, Shared, index_of
+from magpieshift.lab.scale.tally import ProcessTally, RouterTally, index_of
 from magpieshift.policy.events import PurgeReceived
 from magpieshift.relay.selection import RelayAddress
 
 THREAD_SWITCH_INTERVAL_S = 0.0005  # as a router process has it: versions are read in a thread
-CONNECT_TIMEOUT_S = 60.0
-POLL_INTERVAL_S = 0.02
-LEASE_POLL_INTERVAL_S = 0.05
+CONNECT_TIMEOUT_S = 60.0  # for all routers of one order
+POLL_INTERVAL_S = 0.02  # while waiting for them
+LEASE_POLL_INTERVAL_S = 0.05  # bounds the error of the time when a lease lapsed
 LOOPBACK = "127.0.0.1"
 
 
 @dataclass(frozen=True)
-class Live:
+class RunningRouter:
     """A hollow router that runs, and what it has applied."""
 
     router: HollowRouter
-    applied: Applied
+    tally: RouterTally
     feed: Feed
 
 
@@ -56,21 +63,21 @@
     def __init__(self, start: StartWorker) -> None:
         self._loaded: LoadedDocument = load_text(start.settings)
         self._drop_every = start.drop_every
-        self.shared = Shared()
-        self._live: dict[str, Live] = {}
+        self.shared = ProcessTally()
+        self._running: dict[str, RunningRouter] = {}
         self._out_of_order = 0  # of those that are gone
-        self._late: list[tuple[int, float, float]] = []
+        self._applied_without_lease: list[tuple[int, float, float]] = []
         self._watching = asyncio.ensure_future(self._watch_leases())
 
     async def start_routers(self, places: Sequence[Place], head: Head, version: int) -> None:
-        """Start routers that know what was told by now; returns once all read the change log."""
+        """Start routers that know the change log up to now; returns once all are connected."""
         known = {"seq": head.sequence, "results": [json.loads(head.list_event)]}
         started = []
         for place in places:
-            applied = Applied(self.shared, place.path, head.purges, version)
-            live = self._built(place, applied)
+            applied = RouterTally(self.shared, place.path, head.purges, version)
+            live = self._build_router(place, applied)
             live.router.start(live.feed, {} if place.relays else known)
-            self._live[place.name] = live
+            self._running[place.name] = live
             started.append(live.router)
             await asyncio.sleep(0)  # one after the other: a list of many caches takes milliseconds
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -79,55 +86,60 @@
         gc.collect()
         gc.freeze()  # as a router process does once it serves
 
-    def _built(self, place: Place, applied: Applied) -> Live:
+    def _build_router(self, place: Place, applied: RouterTally) -> RunningRouter:
         def purged(purges: Sequence[PurgeReceived]) -> None:
             ages = {index_of(purge.object_key): purge.age_us / 1e6 for purge in purges}
-            applied.purges(ages, time.monotonic())
+            applied.record_purges(ages, time.monotonic())
 
-        overrides = At(place.name, changelog=(LOOPBACK, place.log_port))
+        overrides = ChangeLogOverride(place.name, changelog=(LOOPBACK, place.log_port))
         seed = random.Random(place.name).getrandbits(32)
-        router = HollowRouter(place.name, self._loaded, overrides, seed, PurgeWatch(purged, self._drop_every))
-        on_version(router.manager, lambda number: applied.in_force(number, time.monotonic()))
-        return Live(router, applied, _feed(router, place))
+        router = HollowRouter(
+            place.name, self._loaded, overrides, seed, PurgeObserver(purged, self._drop_every)
+        )
+        observe_versions(router.manager, lambda number: applied.record_version(number, time.monotonic()))
+        return RunningRouter(router, applied, _feed(router, place))
 
     async def crash(self, names: Sequence[str]) -> None:
         """End these routers, all at once."""
-        gone = [self._live.pop(name) for name in names if name in self._live]
-        self._out_of_order += sum(live.applied.out_of_order for live in gone)
-        self._late += [each for live in gone for each in live.applied.late]
+        gone = [self._running.pop(name) for name in names if name in self._running]
+        self._out_of_order += sum(live.tally.out_of_order for live in gone)
+        self._applied_without_lease += [each for live in gone for each in live.tally.applied_without_lease]
         await asyncio.gather(*(live.router.crash() for live in gone))
 
     async def _watch_leases(self) -> None:
-        """Note who holds no lease."""
+        """Record which routers hold no lease."""
         while True:
             now_s = time.monotonic()
-            for live in self._live.values():
+            for live in self._running.values():
                 if isinstance(live.feed, RelayFeed):
-                    live.applied.leased(live.feed.leased, now_s)
+                    live.tally.set_lease_held(live.feed.leased, now_s)
             await asyncio.sleep(LEASE_POLL_INTERVAL_S)
 
-    def behind(self, purges: int, version: int, names: Sequence[str]) -> int:
+    def lagging_count(self, purges: int, version: int, names: Sequence[str]) -> int:
         """How many live routers lack a purge, or have a lower version in force."""
-        chosen = [live for name, live in self._live.items() if not names or name in names]
-        return sum(live.applied.lost(purges) > 0 or live.applied.version < version for live in chosen)
+        chosen = [live for name, live in self._running.items() if not names or name in names]
+        return sum(live.tally.missing_count(purges) > 0 or live.tally.version < version for live in chosen)
 
     def report(self, purges: int) -> WorkerReport:
         """What all routers of this process have applied."""
-        lost = {name: live.applied.lost(purges) for name, live in self._live.items()}
+        lost = {name: live.tally.missing_count(purges) for name, live in self._running.items()}
         missing = bytearray(purges)  # 1 for each purge that some live router lacks
-        for live in self._live.values():
-            live.applied.mark_missing(missing)
-        out_of_order = sum(live.applied.out_of_order for live in self._live.values())
+        for live in self._running.values():
+            live.tally.mark_missing(missing)
+        out_of_order = sum(live.tally.out_of_order for live in self._running.values())
         return WorkerReport(
-            live=len(self._live),
+            live=len(self._running),
             purges=self.shared.purges,
             versions=self.shared.versions,
             lost={name: count for name, count in lost.items() if count},
             out_of_order=out_of_order + self._out_of_order,
-            late=[*self._late, *(each for live in self._live.values() for each in live.applied.late)],
-            forgotten=sum(live.applied.forgotten for live in self._live.values()),
+            late=[
+                *self._applied_without_lease,
+                *(each for live in self._running.values() for each in live.tally.applied_without_lease),
+            ],
+            forgotten=sum(live.tally.forgotten for live in self._running.values()),
             missing=[index for index, lacking in enumerate(missing) if lacking],
-            version_behind={name: live.applied.version for name, live in self._live.items()},
+            version_behind={name: live.tally.version for name, live in self._running.items()},
         )
 
 
@@ -141,7 +153,7 @@
 
 
 async def run() -> None:
-    """The process: hollow routers that do what they are told."""
+    """The process: hollow routers, started and crashed by order."""
     worker: Worker | None = None
     sys.setswitchinterval(THREAD_SWITCH_INTERVAL_S)
 
@@ -160,10 +172,10 @@
                 await worker.crash(names)
                 return Done()
             case PurgesAcceptedBy(purges=purges, at_s=at_s):
-                worker.shared.made = purges, at_s
+                worker.shared.accepted_by = purges, at_s
                 return Done()
             case LaggingCountRequest(purges=purges, version=version, names=names):
-                return Count(count=worker.behind(purges, version, names))
+                return Count(count=worker.lagging_count(purges, version, names))
             case WorkerReportRequest(purges=purges):
                 return worker.report(purges)
             case other:
--- a/tests/scale/test_runs.py
+++ b/tests/scale/test_runs.py
@@ -15,7 +15,14 @@
 from magpieshift.lab.scale.load import Rates
 from magpieshift.lab.scale.result import Result
 from magpieshift.lab.scale.run import Plan, Run
-from magpieshift.lab.scale.scenario import SCENARIOS, ControlLost, Crash, RegionAway, Scenario, Scope
+from magpieshift.lab.scale.scenario import (
+    SCENARIOS,
+    ControlOutage,
+    RegionPartition,
+    RouterCrash,
+    Scenario,
+    Scope,
+)
 from magpieshift.lab.scale.topology import read
 
 KEYS = [
@@ -73,12 +80,12 @@
             self.assertIsNotNone(getattr(result, figure), figure)
 
     def test_restarted_routers_owe_what_was_accepted_since(self) -> None:
-        crash = Scenario("half", "", (Crash(Scope.TENTH, 0.2, back_after_s=0.2),))
+        crash = Scenario("half", "", (RouterCrash(Scope.TENTH, 0.2, restart_after_s=0.2),))
         result = play(crash)
         self.assertEqual((result.rules_broken, result.hollow), ([], 5))
 
     def test_a_cut_region_catches_up_with_what_was_told_meanwhile(self) -> None:
-        away = Scenario("away", "", (RegionAway(0.3, seconds=20.0),))
+        away = Scenario("away", "", (RegionPartition(0.3, duration_s=20.0),))
         result = play(away, routers=6)
         self.assertEqual((result.lost, result.out_of_order), (0, 0))
         self.assertIsNotNone(result.return_s)
@@ -87,7 +94,7 @@
 
 class Relayed(unittest.TestCase):
     def test_the_fan_out_tier_carries_purges_and_versions_while_a_relay_is_lost(self) -> None:
-        lost = Scenario("lost", "", (ControlLost(0.2, 1),))
+        lost = Scenario("lost", "", (ControlOutage(0.2, 1),))
         result = play(lost, routers=6, feed="relay", topology=ONE_REGION, seconds=3.0)
         self.assertEqual((result.rules_broken, result.lost, result.out_of_order), ([], 0, 0))
         self.assertEqual((result.hollow, result.processes), (6, 6))
--- a/tests/scale/test_tally.py
+++ b/tests/scale/test_tally.py
@@ -16,60 +16,62 @@
     purge_times,
 )
 from magpieshift.lab.scale.sockets import parse
-from magpieshift.lab.scale.tally import PURGE_RELEVANCE_S, Applied, Shared, index_of, object_of
+from magpieshift.lab.scale.tally import PURGE_RELEVANCE_S, ProcessTally, RouterTally, index_of, object_of
 
 
 class Purges(unittest.TestCase):
     def setUp(self) -> None:
-        self.shared = Shared()
-        self.one = Applied(self.shared, "z0", first_purge=2, version=0)
+        self.shared = ProcessTally()
+        self.one = RouterTally(self.shared, "z0", first_purge=2, version=0)
 
     def test_an_object_tells_the_index_of_its_purge(self) -> None:
         self.assertEqual([index_of(int(object_of(i), 16)) for i in (0, 5, 1 << 40)], [0, 5, 1 << 40])
 
     def test_what_came_in_order_is_neither_lost_nor_out_of_order(self) -> None:
         for index in range(2, 6):
-            self.one.purges({index: 0.0}, float(index))
-        self.assertEqual((self.one.lost(6), self.one.out_of_order), (0, 0))
+            self.one.record_purges({index: 0.0}, float(index))
+        self.assertEqual((self.one.missing_count(6), self.one.out_of_order), (0, 0))
         self.assertEqual(self.shared.purges, [0, 0, 2.0, 3.0, 4.0, 5.0])
 
     def test_a_gap_is_lost_until_it_is_filled_and_then_out_of_order(self) -> None:
-        self.one.purges({2: 0.0}, 1.0)
-        self.one.purges({4: 0.0}, 2.0)
+        self.one.record_purges({2: 0.0}, 1.0)
+        self.one.record_purges({4: 0.0}, 2.0)
         marks = bytearray(6)
         self.one.mark_missing(marks)
-        self.assertEqual((self.one.lost(6), list(marks)), (2, [0, 0, 0, 1, 0, 1]))
-        self.one.purges({3: 0.0}, 3.0)
-        self.assertEqual((self.one.lost(5), self.one.out_of_order, self.one.next_purge), (0, 1, 5))
+        self.assertEqual((self.one.missing_count(6), list(marks)), (2, [0, 0, 0, 1, 0, 1]))
+        self.one.record_purges({3: 0.0}, 3.0)
+        self.assertEqual((self.one.missing_count(5), self.one.out_of_order, self.one.next_purge), (0, 1, 5))
 
     def test_one_call_has_no_order_and_repeats_count_for_nothing(self) -> None:
-        self.one.purges({4: 0.0, 3: 0.1, 2: 0.2}, 1.0)
-        self.one.purges({3: 8.1, 2: 8.2}, 9.0)
-        self.assertEqual((self.one.lost(5), self.one.out_of_order), (0, 0))
+        self.one.record_purges({4: 0.0, 3: 0.1, 2: 0.2}, 1.0)
+        self.one.record_purges({3: 8.1, 2: 8.2}, 9.0)
+        self.assertEqual((self.one.missing_count(5), self.one.out_of_order), (0, 0))
         self.assertEqual(self.shared.purges[2:], [1.0, 1.0, 1.0])
 
     def test_what_is_left_out_is_lost_unless_it_was_too_old_to_matter(self) -> None:
-        self.one.purges({2: 0.0}, 1.0)
-        self.one.purges({500: PURGE_RELEVANCE_S - 1, 501: 1.0}, 2.0)
-        self.assertEqual((self.one.lost(502), self.one.forgotten), (497, 0))
-        self.one.purges({502: PURGE_RELEVANCE_S, 503: 1.0}, 3.0)
-        self.assertEqual((self.one.lost(504), self.one.forgotten, self.one.out_of_order), (0, 497, 0))
+        self.one.record_purges({2: 0.0}, 1.0)
+        self.one.record_purges({500: PURGE_RELEVANCE_S - 1, 501: 1.0}, 2.0)
+        self.assertEqual((self.one.missing_count(502), self.one.forgotten), (497, 0))
+        self.one.record_purges({502: PURGE_RELEVANCE_S, 503: 1.0}, 3.0)
+        self.assertEqual(
+            (self.one.missing_count(504), self.one.forgotten, self.one.out_of_order), (0, 497, 0)
+        )
 
     def test_what_is_known_to_be_old_is_forgotten_before_purges_that_are_not(self) -> None:
         for now_s, lost in ((100.0 + PURGE_RELEVANCE_S - 1, 7), (100.0 + PURGE_RELEVANCE_S, 2)):
-            shared = Shared(made=(5, 100.0))
-            one = Applied(shared, "z0", 0, 0)
-            one.purges({7: 0.5}, now_s)
-            self.assertEqual(one.lost(8), lost)
+            shared = ProcessTally(accepted_by=(5, 100.0))
+            one = RouterTally(shared, "z0", 0, 0)
+            one.record_purges({7: 0.5}, now_s)
+            self.assertEqual(one.missing_count(8), lost)
 
     def test_purges_from_before_its_start_are_not_owed(self) -> None:
-        self.assertEqual(self.one.lost(2), 0)
-        self.one.purges({0: 0.0}, 1.0)
+        self.assertEqual(self.one.missing_count(2), 0)
+        self.one.record_purges({0: 0.0}, 1.0)
         self.assertEqual((self.one.out_of_order, self.shared.purges), (0, []))
 
     def test_a_version_stands_for_all_that_it_replaces(self) -> None:
-        self.one.in_force(3, 7.0)
-        self.one.in_force(2, 8.0)
+        self.one.record_version(3, 7.0)
+        self.one.record_version(2, 8.0)
         self.assertEqual(self.shared.versions, {"z0": {1: 7.0, 2: 7.0, 3: 7.0}})
 
 
@@ -88,14 +90,16 @@
                 self.assertEqual(purge_times([1.0], [[1.25]], [], [late], lease_s=8.0), [time])
 
     def test_what_is_applied_without_a_lease_is_told_apart(self) -> None:
-        shared = Shared()
-        one = Applied(shared, "z0", 0, 0)
-        one.leased(False, 3.0)
-        one.leased(False, 4.0)
-        one.purges({0: 0.0}, 5.0)
-        one.leased(True, 6.0)
-        one.purges({1: 0.0}, 7.0)
-        self.assertEqual((one.late, shared.purges, one.lost(2)), ([(0, 5.0, 3.0)], [0.0, 7.0], 0))
+        shared = ProcessTally()
+        one = RouterTally(shared, "z0", 0, 0)
+        one.set_lease_held(False, 3.0)
+        one.set_lease_held(False, 4.0)
+        one.record_purges({0: 0.0}, 5.0)
+        one.set_lease_held(True, 6.0)
+        one.record_purges({1: 0.0}, 7.0)
+        self.assertEqual(
+            (one.applied_without_lease, shared.purges, one.missing_count(2)), ([(0, 5.0, 3.0)], [0.0, 7.0], 0)
+        )
 
     def test_one_that_was_not_done_has_no_time_and_breaks_the_rule(self) -> None:
         result = Result()
