--- a/magpieshift/cli/lab_capacity.py
+++ b/magpieshift/cli/lab_capacity.py
@@ -91,28 +91,28 @@
     """Measure what each role costs by what grows with the fleet, fit it, and hold it against its budget."""
     from magpieshift.lab.capacity import measure, page, results
     from magpieshift.lab.capacity.roles import every_role
-    from magpieshift.lab.capacity.routers import HERE
+    from magpieshift.lab.capacity.routers import REPOSITORY_ROOT
 
     if make_page:
         click.echo("made anew" if page.rewrite() else "unchanged")
         return
     if folder and not (Path(folder) / "magpieshift" / "__main__.py").is_file():
         raise ConfigError(f"--router: found {folder!r}, expected the folder of a checkout")
-    roles = every_role(folder or HERE)
+    roles = every_role(folder or REPOSITORY_ROOT)
     if listing:
         output.print_rows(
-            [{"role": role.name, "by": role.by, "target": role.target} for role in roles], as_json
+            [{"role": role.name, "by": role.quantity, "target": role.target} for role in roles], as_json
         )
         return
     chosen = _choose_roles(roles, names, quick)
     started_s = time.monotonic()
-    turns = measure.take_turns(chosen, seed, quick, measure.on_terminal)
-    measure.on_terminal("")
+    turns = measure.measure_roles(chosen, seed, quick, measure.show_progress)
+    measure.show_progress("")
     rows = [row for index, role in enumerate(chosen) for row in measure.rows(role, turns.samples[index])]
     if save:
         command = _command_line(names, seed, quick, folder)
         duration_s = time.monotonic() - started_s
-        origin = results.origin(command, folder or HERE, seed, duration_s, turns.failures)
+        origin = results.origin(command, folder or REPOSITORY_ROOT, seed, duration_s, turns.failures)
         results.save(results.Result(origin, tuple(rows)), save)
     if as_json:
         click.echo(json.dumps([asdict(row) for row in rows]))
--- a/magpieshift/lab/capacity/arithmetic.py
+++ b/magpieshift/lab/capacity/arithmetic.py
@@ -9,10 +9,10 @@
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.measure import Row
 from magpieshift.lab.capacity.results import Result
-from magpieshift.lab.capacity.tables import NOT_TOLD, Results, growth, number, table
+from magpieshift.lab.capacity.tables import INCONCLUSIVE, Results, growth, number, table
 from magpieshift.relay.limits import LEASE_US, MAX_SNAPSHOTS_PER_S, RELAY_SILENCE_TIMEOUT_US
 
-LARGEST_ANSWER = 240_000  # bytes: the largest object part that stores send, and the largest measured
+MAX_RESPONSE_BYTES = 240_000  # bytes: the largest object part that stores send, and the largest measured
 HOUR_S = 3_600
 ROUTERS_PER_SITE = fleet.ROUTERS / fleet.SITES
 UNMEASURED = "unmeasured"
@@ -31,9 +31,9 @@
         f"- {fleet.BITS_PER_S / 1e12:g} Tbit/s over {fleet.ROUTERS:,} routers are"
         f" {fleet.BYTES_PER_ROUTER_S / 1e6:.0f} MB a second at the mean router:"
         f" {fleet.BYTES_PER_REQUEST / 1e3:.0f} KB a request, so a request stands for"
-        f" {fleet.BYTES_PER_REQUEST / LARGEST_ANSWER:.1f} answers of the largest size,"
-        f" {LARGEST_ANSWER:,} bytes, and the router sees"
-        f" {fleet.BYTES_PER_ROUTER_S / LARGEST_ANSWER:,.0f} such answers a second.",
+        f" {fleet.BYTES_PER_REQUEST / MAX_RESPONSE_BYTES:.1f} answers of the largest size,"
+        f" {MAX_RESPONSE_BYTES:,} bytes, and the router sees"
+        f" {fleet.BYTES_PER_ROUTER_S / MAX_RESPONSE_BYTES:,.0f} such answers a second.",
     ]
     lines += [line for name, result in results.items() if (line := _carried(name, result))]
     return "\n".join(lines)
@@ -49,15 +49,15 @@
     byte_us = answers.slope if answers.exponent == 1 else None
     if byte_us is None:
         return f"- {name}: the cost of a byte did not come out linear, so nothing is said of bytes."
-    answer_us = request_us + byte_us * LARGEST_ANSWER
-    doubt = "; the spread is nearly as large" if growth(answers) == NOT_TOLD else ""
-    cores = fleet.BYTES_PER_ROUTER_S / LARGEST_ANSWER * answer_us / 1e6
+    answer_us = request_us + byte_us * MAX_RESPONSE_BYTES
+    doubt = "; the spread is nearly as large" if growth(answers) == INCONCLUSIVE else ""
+    cores = fleet.BYTES_PER_ROUTER_S / MAX_RESPONSE_BYTES * answer_us / 1e6
     return (
         f"- {name}: {fleet.REQUESTS_PER_ROUTER_S:.0f} small requests a second take"
         f" {number(requests.at_target)}% of a core ({requests.how}), {request_us:.0f} us each; a byte adds"
         f" {1e3 * byte_us:.3g} ns (fitted, to {number(answers.measured_to)} bytes{doubt})."
         f" An answer of the largest size then takes {answer_us:.0f} us (fitted), so one Python process, which"
-        f" has one core, carries at most {LARGEST_ANSWER / answer_us:.0f} MB a second: {100 / cores:.0f}%"
+        f" has one core, carries at most {MAX_RESPONSE_BYTES / answer_us:.0f} MB a second: {100 / cores:.0f}%"
         " of the mean router's bytes. It carries the mean rate of small requests; it does not carry the mean"
         f" rate of bytes, for which {cores:.1f} cores would be needed, nor what sites busier than the mean"
         " ask for."
--- a/magpieshift/lab/capacity/fit.py
+++ b/magpieshift/lab/capacity/fit.py
@@ -18,10 +18,10 @@
 Floats = NDArray[np.float64]
 
 EXPONENTS = np.arange(0.02, 3.0 + 1e-9, 0.02)
-LEAST_SIZES = 3  # as many as the law has parameters
+MIN_SIZES = 3  # as many as the law has parameters
 NORMAL_QUANTILE = 1.96  # two-sided 95%
-LEAST_RESIDUAL = 1e-9  # relative; below it a fit is exact
-SUPERLINEAR_FROM = 1.1
+MIN_RELATIVE_RESIDUAL = 1e-9  # relative; below it a fit is exact
+MIN_SUPERLINEAR_EXPONENT = 1.1
 """Growth is called superlinear where the exponent's interval lies above this: by a factor of ten in size, an
 exponent of 1.1 adds a quarter to a linear forecast, which is the error that a forecast may have."""
 
@@ -56,7 +56,7 @@
     @property
     def superlinear(self) -> bool:
         """Whether the cost grows faster than the size."""
-        return self.interval[0] > SUPERLINEAR_FROM
+        return self.interval[0] > MIN_SUPERLINEAR_EXPONENT
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,9 +69,9 @@
 
 
 def fit(points: Sequence[Point]) -> Fit:
-    """The law of these measurements; ``UnfitError`` with less than ``LEAST_SIZES`` sizes."""
-    if len({point.size for point in points}) < LEAST_SIZES:
-        raise UnfitError(f"found {len({p.size for p in points})} sizes, expected at least {LEAST_SIZES}")
+    """The law of these measurements; ``UnfitError`` with less than ``MIN_SIZES`` sizes."""
+    if len({point.size for point in points}) < MIN_SIZES:
+        raise UnfitError(f"found {len({p.size for p in points})} sizes, expected at least {MIN_SIZES}")
     sizes = np.array([point.size for point in points])
     costs = np.array([point.cost for point in points])
     if not np.any(costs):
@@ -98,26 +98,26 @@
     elif slope < 0:
         intercept = max(0.0, float(constant @ target) / float(constant @ constant))
         slope = 0.0
-    left = target - intercept * constant - slope * growth
-    return _Law(float(intercept), float(slope), float(left @ left))
+    residuals = target - intercept * constant - slope * growth
+    return _Law(float(intercept), float(slope), float(residuals @ residuals))
 
 
 def _interval(laws: Mapping[float, _Law], points: int) -> tuple[float, float]:
-    """The exponents whose residual is within what chance adds to the least one."""
-    freedom = max(1, points - LEAST_SIZES)
-    least = max(min(law.residual for law in laws.values()), points * LEAST_RESIDUAL**2)
-    bound = least * (1.0 + _student_quantile(freedom) ** 2 / freedom)
+    """The exponents whose residual is within what chance adds to the smallest one."""
+    degrees_of_freedom = max(1, points - MIN_SIZES)
+    smallest = max(min(law.residual for law in laws.values()), points * MIN_RELATIVE_RESIDUAL**2)
+    bound = smallest * (1.0 + _student_quantile(degrees_of_freedom) ** 2 / degrees_of_freedom)
     within = [exponent for exponent, law in laws.items() if law.residual <= bound]
     return round(min(within), 2), round(max(within), 2)
 
 
-def _student_quantile(freedom: int) -> float:
+def _student_quantile(degrees_of_freedom: int) -> float:
     """The two-sided 95% quantile of Student's distribution (Cornish-Fisher expansion, within 2% from three
     degrees of freedom on)."""
     z = NORMAL_QUANTILE
     first = (z**3 + z) / 4
     second = (5 * z**5 + 16 * z**3 + 3 * z) / 96
-    return z + first / freedom + second / freedom**2
+    return z + first / degrees_of_freedom + second / degrees_of_freedom**2
 
 
 def prediction_error(points: Sequence[Point]) -> float:
--- /dev/null
+++ b/magpieshift/lab/capacity/listening_process.py
@@ -0,0 +1,60 @@
+"""A ``magpieshift`` command as a process of its own that listens at a free port and logs it."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import re
+import sys
+from collections.abc import AsyncIterator
+from dataclasses import dataclass
+
+START_TIMEOUT_S = 30.0  # until the process has logged its port
+PORT = re.compile(r"\bport=(\d+)")
+MAX_LOG_CHARACTERS = 500  # of the log's end in the error of a process that did not start
+
+
+@dataclass(frozen=True, slots=True)
+class ListeningProcess:
+    """A started process, and the port of loopback that it listens at."""
+
+    pid: int
+    port: int
+
+
+@contextlib.asynccontextmanager
+async def listening_process(
+    description: str, *arguments: str, event: str = ""
+) -> AsyncIterator[ListeningProcess]:
+    """``magpieshift`` with these arguments, until the block ends; its port is taken from the first line of
+    its log that has one and contains ``event``. ``RuntimeError`` where it ends before."""
+    process = await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-m",
+        "magpieshift",
+        *arguments,
+        "--listen",
+        "127.0.0.1:0",
+        stderr=asyncio.subprocess.PIPE,
+    )
+    assert process.stderr is not None
+    log_reader: asyncio.Future[bytes] | None = None
+    try:
+        async with asyncio.timeout(START_TIMEOUT_S):
+            port = await _logged_port(process.stderr, description, event)
+        log_reader = asyncio.ensure_future(process.stderr.read())  # a full pipe would stop the process
+        yield ListeningProcess(process.pid, port)
+    finally:
+        process.kill()
+        await process.wait()
+        if log_reader is not None:
+            await log_reader
+
+
+async def _logged_port(log: asyncio.StreamReader, description: str, event: str) -> int:
+    lines = []
+    while line := (await log.readline()).decode():
+        lines.append(line)
+        if event in line and (found := PORT.search(line)):
+            return int(found[1])
+    raise RuntimeError(f"{description} did not come up: {''.join(lines)[-MAX_LOG_CHARACTERS:]}")
--- a/magpieshift/lab/capacity/log_process.py
+++ b/magpieshift/lab/capacity/log_process.py
@@ -1,6 +1,6 @@
-"""The stand-in change log as a process of its own, so that its processor time is not that of its readers.
+"""The emulated change log as a process of its own, so that its processor time is not that of its readers.
 
-``python -m magpieshift.lab.capacity.log_process RATE`` prints its port and tells purges at this even rate
+``python -m magpieshift.lab.capacity.log_process RATE`` prints its port and sends purges at this even rate
 until its standard input ends.
 """
 
@@ -13,17 +13,17 @@
 
 from magpieshift.lab.emulators import peers
 
-SEED = 1
+SEED = 1  # of the objects drawn: every run purges the same ones
 
 
-async def tell_purges(log: peers.Log, rate: float) -> None:
-    """Tell purges of objects drawn from all ids at an even rate, for ever."""
+async def send_purges(log: peers.Log, rate: float) -> None:
+    """Send purges of objects drawn from all ids at an even rate, until cancelled."""
     draw = random.Random(SEED)
     begun = time.monotonic()
-    told = 0
+    sent = 0
     while True:
-        told += 1
-        await asyncio.sleep(max(0.0, begun + told / rate - time.monotonic()))
+        sent += 1
+        await asyncio.sleep(max(0.0, begun + sent / rate - time.monotonic()))
         log.tell(invalidate={"object": f"{draw.getrandbits(64):016x}", "time": int(time.time() * 1000)})
 
 
@@ -32,9 +32,9 @@
     log = peers.Log()
     await log.start()
     print(log.port, flush=True)
-    telling = asyncio.ensure_future(tell_purges(log, rate))
+    sender = asyncio.ensure_future(send_purges(log, rate))
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)
-    telling.cancel()
+    sender.cancel()
     log.stop()
 
 
--- a/magpieshift/lab/capacity/measure.py
+++ b/magpieshift/lab/capacity/measure.py
@@ -13,8 +13,8 @@
 from magpieshift.lab.capacity.fit import Fit, Point, UnfitError, fit, prediction_error
 from magpieshift.lab.capacity.role import Resource, Role, Sample
 
-MOST_ERROR = 0.25  # of a prediction; above it nothing is extrapolated
-MOST_REACH = 64.0
+MAX_PREDICTION_ERROR = 0.25  # of a prediction; above it nothing is extrapolated
+MAX_EXTRAPOLATION_FACTOR = 64.0
 """Nothing is extrapolated to more than this many times the largest size measured: the prediction that a fit
 has to pass reaches over a factor of two, and an error of a quarter in it is one of four times over six such
 steps."""
@@ -23,10 +23,9 @@
 SIMULATED = "simulated"
 UNMEASURED = "unmeasured at target"
 
-# for which a started process is watched
-FULL_S = 1.5
-QUICK_S = 0.4
-AT_ONCE = 3  # measurements of a trial
+FULL_OBSERVATION_S = 1.5  # for which a started process is observed; chosen by trial
+QUICK_OBSERVATION_S = 0.4  # the same in a trial
+MAX_PARALLEL_MEASUREMENTS = 3  # of a trial; chosen by trial
 
 Progress = Callable[[str], None]
 
@@ -59,41 +58,43 @@
 
 
 @dataclass(slots=True)
-class Turns:
-    """What came of all measurements: samples by a role's place in the list, and what went wrong, a line
+class Measurements:
+    """The outcome of all measurements: samples by a role's place in the list, and the failures, a line
     each."""
 
     samples: dict[int, list[Sample]]
     failures: list[str] = field(default_factory=list)
 
 
-def take_turns(roles: Sequence[Role], seed: int, quick: bool, progress: Progress) -> Turns:
+def measure_roles(roles: Sequence[Role], seed: int, quick: bool, progress: Progress) -> Measurements:
     """Every round measures every size of every role once, in an order drawn from the seed, so that a slow
-    minute of the machine strikes all alike. A measurement that fails is told of and left out. A trial
+    minute of the machine affects all alike. A measurement that fails is reported and left out. A trial
     (``quick``) is one round, of fewer sizes and several measurements at once."""
     draw = random.Random(seed)
-    turns = Turns({place: [] for place in range(len(roles))})
+    measurements = Measurements({place: [] for place in range(len(roles))})
     rounds = 1 if quick else max(role.repeats for role in roles)
     for round_ in range(rounds):
         order = [
-            _Turn(place, role, size, draw.getrandbits(32), QUICK_S if quick else FULL_S)
+            _Measurement(
+                place, role, size, draw.getrandbits(32), QUICK_OBSERVATION_S if quick else FULL_OBSERVATION_S
+            )
             for place, role in enumerate(roles)
             if quick or round_ < role.repeats
             for size in (role.quick_sizes if quick else role.sizes)
         ]
         draw.shuffle(order)
-        outcomes = _at_once(order) if quick else map(_outcome, order)
-        for turn, outcome in zip(order, outcomes, strict=True):
-            progress(f"round {round_ + 1} of {rounds}: {turn}")
+        outcomes = _outcomes_in_parallel(order) if quick else map(_outcome, order)
+        for measurement, outcome in zip(order, outcomes, strict=True):
+            progress(f"round {round_ + 1} of {rounds}: {measurement}")
             if isinstance(outcome, Sample):
-                turns.samples[turn.place].append(outcome)
+                measurements.samples[measurement.place].append(outcome)
             else:
-                turns.failures.append(f"{turn}: {outcome}")
-    return turns
+                measurements.failures.append(f"{measurement}: {outcome}")
+    return measurements
 
 
 @dataclass(frozen=True, slots=True)
-class _Turn:
+class _Measurement:
     """One measurement to take."""
 
     place: int
@@ -103,25 +104,27 @@
     for_s: float
 
     def __str__(self) -> str:
-        return f"{self.role.name} at {self.size:g} {self.role.by}"
+        return f"{self.role.name} at {self.size:g} {self.role.quantity}"
 
 
-def _outcome(turn: _Turn) -> Sample | str:
+def _outcome(measurement: _Measurement) -> Sample | str:
     """The sample, or why there is none."""
     try:
-        return turn.role.measure(turn.size, turn.seed, turn.for_s)
+        return measurement.role.measure(measurement.size, measurement.seed, measurement.for_s)
     except (OSError, RuntimeError) as err:  # a timeout is an OSError
         return f"{type(err).__name__}: {err}".removesuffix(": ")
 
 
-def _at_once(order: Sequence[_Turn]) -> Iterator[Sample | str]:
+def _outcomes_in_parallel(order: Sequence[_Measurement]) -> Iterator[Sample | str]:
     """Outcomes from several processes, in this order."""
-    with ProcessPoolExecutor(AT_ONCE, mp_context=multiprocessing.get_context("spawn")) as pool:
+    with ProcessPoolExecutor(
+        MAX_PARALLEL_MEASUREMENTS, mp_context=multiprocessing.get_context("spawn")
+    ) as pool:
         yield from pool.map(_outcome, order)
 
 
-def on_terminal(line: str) -> None:
-    """A progress line, where somebody looks."""
+def show_progress(line: str) -> None:
+    """A progress line, if standard error is a terminal."""
     if sys.stderr.isatty():
         print(f"\r\x1b[K{line}", end="", file=sys.stderr, flush=True)
 
@@ -132,14 +135,14 @@
 
 
 def row(role: Role, resource: Resource, samples: Sequence[Sample]) -> Row:
-    """What these samples say of one resource."""
+    """The row of one resource, from these samples."""
     points = [Point(sample.size, sample.costs[resource.name]) for sample in samples]
     law = _law(points)
     error = prediction_error(points)
-    trusted = law if error <= MOST_ERROR else None
+    trusted = law if error <= MAX_PREDICTION_ERROR else None
     largest = max(point.size for point in points)
     at_half, at_target, at_twice = (
-        _cost(points, trusted if size <= MOST_REACH * largest else None, size)
+        _cost(points, trusted if size <= MAX_EXTRAPOLATION_FACTOR * largest else None, size)
         for size in (role.target / 2, role.target, role.target * 2)
     )
     budget = resource.budget
@@ -147,7 +150,7 @@
     return Row(
         role=role.name,
         resource=resource.name,
-        by=role.by,
+        by=role.quantity,
         unit=resource.unit,
         target=role.target,
         measured_to=largest,
@@ -178,9 +181,9 @@
 
 def _cost(points: Sequence[Point], law: Fit | None, size: float) -> float | None:
     """The cost at a size: the median where it was measured, by the law where one is trusted."""
-    there = [point.cost for point in points if point.size == size]
-    if there:
-        return statistics.median(there)
+    measured = [point.cost for point in points if point.size == size]
+    if measured:
+        return statistics.median(measured)
     return law.at(size) if law is not None else None
 
 
--- a/magpieshift/lab/capacity/page.py
+++ b/magpieshift/lab/capacity/page.py
@@ -11,11 +11,11 @@
 
 from magpieshift.config import ConfigError
 from magpieshift.lab.capacity import arithmetic, results, scale_tables, tables
-from magpieshift.lab.capacity.routers import HERE
+from magpieshift.lab.capacity.routers import REPOSITORY_ROOT
 from magpieshift.lab.capacity.tables import Results
 
-PAGE = Path(HERE) / "docs" / "CAPACITY.md"
-SAVED = Path(HERE) / "docs" / "capacity"
+PAGE = Path(REPOSITORY_ROOT) / "docs" / "CAPACITY.md"
+SAVED = Path(REPOSITORY_ROOT) / "docs" / "capacity"
 ORDER = ("as-it-stood", "before", "after", "fan-out", "folder")  # results by name of their file
 
 MARKED = re.compile(r"(<!-- capacity ([a-z-]+) -->\n)(.*?)(<!-- end -->)", re.DOTALL)
--- a/magpieshift/lab/capacity/processor.py
+++ b/magpieshift/lab/capacity/processor.py
@@ -9,13 +9,13 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-SCHEDULED = 2  # CPUCLOCK_SCHED of the kernel's interface
+CPUCLOCK_SCHED = 2  # of the kernel's interface: a process's clock of user and system time
 
 
 def processor_s(pid: int) -> float:
     """Processor seconds of a process and its threads so far, to the nanosecond; ``OSError`` where it has
     ended. The clock's number is that of clock_getcpuclockid(3)."""
-    return time.clock_gettime((~pid << 3) | SCHEDULED)
+    return time.clock_gettime((~pid << 3) | CPUCLOCK_SCHED)
 
 
 def resident_mb(pid: int) -> float:
@@ -27,16 +27,16 @@
     return int(found[1]) * 1024 / 1e6
 
 
-class Spent:
+class ProcessorTime:
     """Processor seconds that a block took."""
 
     seconds = 0.0
 
 
 @contextmanager
-def spending() -> Iterator[Spent]:
+def count_processor_time() -> Iterator[ProcessorTime]:
     """Count this process's processor time in a block, without pauses for garbage of earlier ones."""
-    spent = Spent()
+    spent = ProcessorTime()
     gc.collect()
     gc.disable()
     began = time.process_time()
--- a/magpieshift/lab/capacity/results.py
+++ b/magpieshift/lab/capacity/results.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """A run of all roles that were asked for."""
+    """A run of all requested roles."""
 
     origin: Origin
     rows: tuple[Row, ...]
@@ -81,8 +81,8 @@
     try:
         data = json.loads(path.read_text(encoding="utf-8"))
         rows = tuple(_row(row) for row in data["rows"])
-        told = data["origin"]
-        return Result(Origin(**(told | {"failures": tuple(told["failures"])})), rows)
+        origin_data = data["origin"]
+        return Result(Origin(**(origin_data | {"failures": tuple(origin_data["failures"])})), rows)
     except OSError as err:
         raise ConfigError(f"{path} cannot be read: {err.strerror or err}") from err
     except (ValueError, TypeError, KeyError) as err:
--- a/magpieshift/lab/capacity/role.py
+++ b/magpieshift/lab/capacity/role.py
@@ -1,4 +1,4 @@
-"""What a role declares of itself: what it grows by, what it costs, and what it may cost."""
+"""A role of the fleet as the laboratory sees it: its size, its costs and their budgets."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resource:
-    """A cost of a role. One without a budget is shown and not ranked."""
+    """A cost of a role. Only those with a budget are ranked."""
 
     name: str
     unit: str
@@ -33,36 +33,47 @@
 
 
 class Role(Protocol):
-    """A role as the laboratory measures it.
-
-    ``name`` is the role's, ``by`` the quantity that grows, ``target`` what the target fleet has of it.
-    ``simulated`` is set where state machines run on a simulated clock and network. ``repeats`` counts the
-    measurements of each size. ``quick_sizes`` are those of a trial; none where even that takes long.
-    """
+    """A role as the laboratory measures it."""
 
     @property
-    def name(self) -> str: ...
+    def name(self) -> str:
+        """The role's name, as in saved results and ``--role``."""
+        ...
 
     @property
-    def by(self) -> str: ...
+    def quantity(self) -> str:
+        """What grows: the unit of sizes."""
+        ...
 
     @property
-    def target(self) -> float: ...
+    def target(self) -> float:
+        """What the target fleet has of it."""
+        ...
 
     @property
-    def sizes(self) -> Sequence[float]: ...
+    def sizes(self) -> Sequence[float]:
+        """The sizes measured."""
+        ...
 
     @property
-    def quick_sizes(self) -> Sequence[float]: ...
+    def quick_sizes(self) -> Sequence[float]:
+        """The sizes of a trial; empty where even one takes long."""
+        ...
 
     @property
-    def repeats(self) -> int: ...
+    def repeats(self) -> int:
+        """Measurements of each size."""
+        ...
 
     @property
-    def simulated(self) -> bool: ...
+    def simulated(self) -> bool:
+        """Whether state machines run on a simulated clock and network."""
+        ...
 
     @property
-    def resources(self) -> Sequence[Resource]: ...
+    def resources(self) -> Sequence[Resource]:
+        """The costs that are measured."""
+        ...
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
         """One measurement; processor times, never wall times. A started process is watched ``for_s``
--- a/magpieshift/lab/capacity/roles/__init__.py
+++ b/magpieshift/lab/capacity/roles/__init__.py
@@ -6,7 +6,12 @@
 from magpieshift.lab.capacity.roles.capture import Capture
 from magpieshift.lab.capacity.roles.changelog import ChangeLogSource
 from magpieshift.lab.capacity.roles.commands import ConfigCheck
-from magpieshift.lab.capacity.roles.control import ControlService, KnownLook, SourceLook, VersionsKept
+from magpieshift.lab.capacity.roles.control import (
+    ControlService,
+    KnownVersionsScan,
+    SourceScan,
+    VersionFolderScan,
+)
 from magpieshift.lab.capacity.roles.decisions import Decisions
 from magpieshift.lab.capacity.roles.digests import Digests
 from magpieshift.lab.capacity.roles.lists import RouterLists
@@ -19,20 +24,20 @@
     RouterBehindRelay,
     SourceFollowers,
 )
-from magpieshift.lab.capacity.roles.requests import BytesCarried, Requests
-from magpieshift.lab.capacity.roles.rollouts import RolloutLook, RolloutMemory
+from magpieshift.lab.capacity.roles.requests import Requests, ResponseBytes
+from magpieshift.lab.capacity.roles.rollouts import RolloutMemory, RolloutRound
 from magpieshift.lab.capacity.roles.snapshots import Snapshots
 from magpieshift.lab.capacity.roles.versions import RouterVersions
-from magpieshift.lab.capacity.routers import HERE
+from magpieshift.lab.capacity.routers import REPOSITORY_ROOT
 
 
-def every_role(router_folder: str = HERE) -> list[Role]:
+def every_role(router_folder: str = REPOSITORY_ROOT) -> list[Role]:
     """All roles; routers that are started as the platform does are those of this folder."""
     return [
         Decisions(),
         Objects(),
         Requests(router_folder),
-        BytesCarried(router_folder),
+        ResponseBytes(router_folder),
         RouterPurges(router_folder),
         RouterLists(router_folder),
         RouterVersions(),
@@ -43,12 +48,12 @@
         Snapshots(),
         RouterBehindRelay(router_folder),
         ControlService(),
-        VersionsKept(),
-        KnownLook(),
-        SourceLook(),
+        VersionFolderScan(),
+        KnownVersionsScan(),
+        SourceScan(),
         Membership(),
         Digests(),
-        RolloutLook(),
+        RolloutRound(),
         RolloutMemory(),
         ConfigCheck(),
         Capture(),
--- a/magpieshift/lab/capacity/roles/capture.py
+++ b/magpieshift/lab/capacity/roles/capture.py
@@ -9,19 +9,19 @@
 from magpieshift.capture.segments import FORMAT
 from magpieshift.capture.wire import capture_pb2 as wire
 from magpieshift.lab.capacity import fleet
-from magpieshift.lab.capacity.processor import spending
+from magpieshift.lab.capacity.processor import count_processor_time
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.experiments.decisions import Run
 from magpieshift.policy.actions import SendCacheRequest, SendPlainRequest
 from magpieshift.policy.events import Event
 
 HALF_CORE_MS = 500.0
-SHARE = 0.05  # of a request's processor time that recording may take
-KEPT_S = 3600.0
-KEPT_BYTES = 512e6
+MAX_RECORDING_FRACTION = 0.05  # of a request's processor time that recording may take
+CAPTURE_DURATION_S = 3600.0
+MAX_CAPTURE_BYTES = 512e6
 
 
-class Recorded(Run):
+class RecordedRun(Run):
     """Decisions that pass through a recorder."""
 
     def __init__(self, caches: int, seed: int, recorder: Recorder | None) -> None:
@@ -30,7 +30,8 @@
 
     def _feed(self, event: Event) -> None:
         if self._recorder is None:
-            return super()._feed(event)
+            super()._feed(event)
+            return
         for action in self._recorder.handle(self.router, self.now, (event,)):
             if isinstance(action, SendPlainRequest | SendCacheRequest):
                 self._out.append(action)
@@ -40,7 +41,7 @@
     """The same requests with and without recording; the writer's thread counts."""
 
     name = "capture"
-    by = "requests a second"
+    quantity = "requests a second"
     target = float(round(fleet.REQUESTS_PER_ROUTER_S))
     sizes = (75.0, 151.0, 302.0, 604.0, 1208.0)
     quick_sizes = (75.0, 151.0, 302.0, 604.0)
@@ -50,16 +51,19 @@
         Resource(
             "processor",
             "ms a second",
-            Budget(SHARE * HALF_CORE_MS, "a twentieth of the half core that requests may take"),
+            Budget(
+                MAX_RECORDING_FRACTION * HALF_CORE_MS, "a twentieth of the half core that requests may take"
+            ),
         ),
         Resource(
             "bytes",
             "bytes a second",
-            Budget(KEPT_BYTES / KEPT_S, "an hour in the 512 MB that a capture may take"),
+            Budget(MAX_CAPTURE_BYTES / CAPTURE_DURATION_S, "an hour in the 512 MB that a capture may take"),
         ),
     )
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
+        """Run the same requests with and without a recorder; the difference is the cost."""
         requests = int(size)
         plain_s = self._spent(requests, seed, None)
         with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as folder:
@@ -73,8 +77,8 @@
 
     @staticmethod
     def _spent(requests: int, seed: int, recorder: Recorder | None) -> float:
-        run = Recorded(fleet.CACHES_PER_ZONE, seed, recorder)
-        with spending() as spent:
+        run = RecordedRun(fleet.CACHES_PER_ZONE, seed, recorder)
+        with count_processor_time() as spent:
             for _ in range(requests):
                 run.request()
             if recorder is not None:
--- a/magpieshift/lab/capacity/roles/changelog.py
+++ b/magpieshift/lab/capacity/roles/changelog.py
@@ -15,7 +15,7 @@
 from magpieshift.lab.capacity.roles.purges import RESIDENT
 
 SETTLE_S = 0.3
-ASK = b"GET /changes HTTP/1.1\r\nHost: log\r\nAccept: text/event-stream\r\n\r\n"
+WATCH_REQUEST = b"GET /changes HTTP/1.1\r\nHost: log\r\nAccept: text/event-stream\r\n\r\n"
 NETWORK_BYTES_PER_S = 125e6 / 2
 
 
@@ -26,10 +26,12 @@
         self.received = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the request for events."""
         assert isinstance(transport, asyncio.Transport)
-        transport.write(ASK)
+        transport.write(WATCH_REQUEST)
 
     def data_received(self, data: bytes) -> None:
+        """Count the bytes received."""
         self.received += len(data)
 
 
@@ -70,7 +72,7 @@
     """The stand-in log and watchers that take all at once: without a tier, every router is a watch."""
 
     name = "change-log source"
-    by = "watches"
+    quantity = "watches"
     target = float(fleet.ROUTERS)
     sizes = (10.0, 20.0, 40.0, 80.0, 160.0)  # one core is full at some 300
     quick_sizes = (10.0, 20.0, 40.0, 80.0)
@@ -83,6 +85,7 @@
     )
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
+        """Connect so many watches, and measure the log's process for a while."""
         return asyncio.run(self._measure(int(size), for_s))
 
     async def _measure(self, watches: int, for_s: float) -> Sample:
--- a/magpieshift/lab/capacity/roles/commands.py
+++ b/magpieshift/lab/capacity/roles/commands.py
@@ -18,7 +18,7 @@
     """``magpieshift config check`` of a file with so many zones, as a process."""
 
     name = "operator's commands"
-    by = "zones in the settings"
+    quantity = "zones in the settings"
     target = float(fleet.SITES)
     sizes = (24.0, 46.0, 92.0, 185.0, 370.0, 740.0)
     quick_sizes = (12.0, 24.0, 46.0, 92.0)
@@ -30,6 +30,7 @@
     )
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
+        """Check one settings file with so many zones."""
         text = sexp.format_document(settings(int(size)))
         with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as folder:
             path = Path(folder) / "settings.sexp"
--- a/magpieshift/lab/capacity/roles/control.py
+++ b/magpieshift/lab/capacity/roles/control.py
@@ -4,10 +4,8 @@
 
 import asyncio
 import contextlib
-import re
-import sys
 import tempfile
-from collections.abc import AsyncIterator, Callable, Iterable, Sequence
+from collections.abc import Callable, Iterable, Sequence
 from functools import partial
 from pathlib import Path
 
@@ -22,18 +20,18 @@
 from magpieshift.control.version_records import OfferOutcome, VersionOffer, VersionRecord, VersionState
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.documents import changed, settings
-from magpieshift.lab.capacity.processor import processor_s, resident_mb, spending
+from magpieshift.lab.capacity.listening_process import ListeningProcess, listening_process
+from magpieshift.lab.capacity.processor import count_processor_time, processor_s, resident_mb
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 
-VERSIONS = 2
-WITHIN_S = 30.0
-PORT = re.compile(r"\bport=(\d+)")
+VERSIONS = 2  # published in one measurement
+TIMEOUT_S = 30.0  # for all followers to have a version in force
 MANY_VERSIONS = (312.0, 625.0, 1250.0, 2500.0, 5000.0, 10_000.0, 20_000.0)
 IN_FORCE = Budget(1e3 * fleet.VERSION_IN_FORCE_S / 2, "half of the 4 s within which a version is in force")
 
 
 class Follower:
-    """A router's end of the channel, as its session speaks it: takes every version and says so."""
+    """A router's end of the control channel, which accepts every version."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -71,47 +69,16 @@
     part.rename(folder / f"{number}.sexp")
 
 
-@contextlib.asynccontextmanager
-async def served(folder: str) -> AsyncIterator[tuple[int, int]]:
-    """``magpieshift control serve`` on a folder: its process and port."""
-    process = await asyncio.create_subprocess_exec(
-        sys.executable,
-        "-m",
-        "magpieshift",
-        "control",
-        "serve",
-        folder,
-        "--listen",
-        "127.0.0.1:0",
-        stderr=asyncio.subprocess.PIPE,
-    )
-    assert process.stderr is not None
-    try:
-        async with asyncio.timeout(WITHIN_S):
-            port = await _port(process.stderr)
-        reading = asyncio.ensure_future(process.stderr.read())  # or it would wait for its log's reader
-        yield process.pid, port
-    finally:
-        process.kill()
-        await process.wait()
-    await reading
-
-
-async def _port(log: asyncio.StreamReader) -> int:
-    """The port that the service says it listens at; ``RuntimeError`` where it ends before."""
-    lines = []
-    while line := (await log.readline()).decode():
-        lines.append(line)
-        if found := PORT.search(line):
-            return int(found[1])
-    raise RuntimeError(f"the control service did not come up: {''.join(lines)[-500:]}")
+def served(folder: str) -> contextlib.AbstractAsyncContextManager[ListeningProcess]:
+    """``magpieshift control serve`` on a folder."""
+    return listening_process("the control service", "control", "serve", folder)
 
 
 class ControlService:
     """One version for so many followers; the folder holds few versions."""
 
     name = "control service: followers"
-    by = "followers"
+    quantity = "followers"
     target = float(fleet.ROUTERS_PER_MACHINE)
     sizes = (15.0, 30.0, 60.0, 120.0, 240.0)
     quick_sizes = (8.0, 15.0, 30.0, 60.0)
@@ -125,26 +92,27 @@
     )
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
+        """Publish versions to so many followers of a started service."""
         return asyncio.run(self._measure(int(size), for_s))
 
     async def _measure(self, count: int, for_s: float) -> Sample:
         with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as name:
             folder = Path(name)
             write_version(folder, 1)
-            async with served(name) as (pid, port):
+            async with served(name) as service:
                 followers = [Follower(f"router-{number}") for number in range(count)]
-                tasks = [asyncio.ensure_future(follower.follow(port)) for follower in followers]
+                tasks = [asyncio.ensure_future(follower.follow(service.port)) for follower in followers]
                 try:
                     await self._all_have(followers, 1)
-                    idle_s = await self._idle(pid, for_s)
-                    spent = processor_s(pid)
+                    idle_s = await self._idle(service.pid, for_s)
+                    spent = processor_s(service.pid)
                     received = sum(f.received for f in followers)
                     for number in range(2, 2 + VERSIONS):
                         write_version(folder, number)
                         await self._all_have(followers, number)
-                    each_s = (processor_s(pid) - spent) / VERSIONS
+                    each_s = (processor_s(service.pid) - spent) / VERSIONS
                     bytes_each = (sum(f.received for f in followers) - received) / VERSIONS
-                    memory = resident_mb(pid)
+                    memory = resident_mb(service.pid)
                 finally:
                     for task in tasks:
                         task.cancel()
@@ -161,23 +129,23 @@
 
     @staticmethod
     async def _all_have(followers: Sequence[Follower], number: int) -> None:
-        async with asyncio.timeout(WITHIN_S):
+        async with asyncio.timeout(TIMEOUT_S):
             await asyncio.gather(*(follower.has(number) for follower in followers))
 
     @staticmethod
     async def _idle(pid: int, for_s: float) -> float:
-        """Processor seconds a second with nothing to tell."""
+        """Processor seconds a second without a new version."""
         before = processor_s(pid)
         await asyncio.sleep(for_s)
         return (processor_s(pid) - before) / for_s
 
 
-class VersionsKept:
-    """One look of the service at a folder with so many versions that it does not know: the first after a
+class VersionFolderScan:
+    """One scan by the service of a folder with so many versions that it does not know: the first after a
     start."""
 
     name = "control service: versions kept"
-    by = "versions in the folder"
+    quantity = "versions in the folder"
     target = float(fleet.VERSIONS_PER_DAY)
     sizes = (20.0, 40.0, 80.0, 160.0, 320.0)
     quick_sizes = (10.0, 20.0, 40.0, 80.0)
@@ -186,20 +154,20 @@
     resources = (Resource("processor", "ms a look", IN_FORCE),)
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
+        """Read a folder of so many versions once."""
         with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as name:
             text = sexp.format_document(settings(fleet.ZONES))
             for number in range(int(size)):
                 (Path(name) / f"{number}.sexp").write_text(text)
-            with spending() as spent:
+            with count_processor_time() as spent:
                 read_version_folder(name)
         return Sample(size, {"processor": 1e3 * spent.seconds})
 
 
-class KnownLook:
-    """One look of the service at such a folder, all of which it has read."""
+class _FolderScan:
+    """One scan of such a folder by a reader that needs none of its versions."""
 
-    name = "control service: look at known versions"
-    by = "versions in the folder"
+    quantity = "versions in the folder"
     target = float(fleet.VERSIONS_PER_DAY)
     sizes = MANY_VERSIONS
     quick_sizes = (78.0, 156.0, 312.0, 625.0)
@@ -207,39 +175,43 @@
     simulated = False
     resources = (Resource("processor", "ms a look", IN_FORCE),)
 
+    @staticmethod
+    def _scan(numbers: set[int], folder: str) -> Sequence[PublishedVersion]:
+        raise NotImplementedError
+
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
+        """Scan a folder of so many versions once."""
         numbers = set(range(int(size)))
-        return Sample(
-            size, {"processor": 1e3 * _look_s(numbers, partial(read_version_folder, known=numbers))}
-        )
+        return Sample(size, {"processor": 1e3 * _scan_s(numbers, partial(self._scan, numbers))})
+
+
+class KnownVersionsScan(_FolderScan):
+    """One scan of the service, which has read all versions."""
+
+    name = "control service: look at known versions"
+
+    @staticmethod
+    def _scan(numbers: set[int], folder: str) -> Sequence[PublishedVersion]:
+        return read_version_folder(folder, known=numbers)
 
 
-class SourceLook:
-    """One look of the fan-out tier's source at such a folder, of which it has passed on the newest."""
+class SourceScan(_FolderScan):
+    """One scan of the fan-out tier's source, which has forwarded the newest version."""
 
     name = "control service: look of a source"
-    by = "versions in the folder"
-    target = float(fleet.VERSIONS_PER_DAY)
-    sizes = MANY_VERSIONS
-    quick_sizes = (78.0, 156.0, 312.0, 625.0)
-    repeats = 1
-    simulated = False
-    resources = (Resource("processor", "ms a look", IN_FORCE),)
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
-        numbers = set(range(int(size)))
-        return Sample(
-            size, {"processor": 1e3 * _look_s(numbers, partial(read_version_folder, above=max(numbers)))}
-        )
+    @staticmethod
+    def _scan(numbers: set[int], folder: str) -> Sequence[PublishedVersion]:
+        return read_version_folder(folder, above=max(numbers))
 
 
-def _look_s(numbers: Iterable[int], look: Callable[[str], Sequence[PublishedVersion]]) -> float:
-    """Processor seconds of a look that reads none of a folder's versions."""
+def _scan_s(numbers: Iterable[int], scan: Callable[[str], Sequence[PublishedVersion]]) -> float:
+    """Processor seconds of a scan that reads none of a folder's versions."""
     with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as name:
         for number in numbers:
             (Path(name) / f"{number}.sexp").touch()
-        with spending() as spent:
-            found = look(name)
+        with count_processor_time() as spent:
+            found = scan(name)
     if found:
         raise RuntimeError(f"{len(found)} versions were read, expected none")
     return spent.seconds
--- a/magpieshift/lab/capacity/roles/decisions.py
+++ b/magpieshift/lab/capacity/roles/decisions.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from magpieshift.lab.capacity import fleet
-from magpieshift.lab.capacity.processor import spending
+from magpieshift.lab.capacity.processor import count_processor_time
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.experiments.decisions import OPEN, Run
 
@@ -20,7 +20,7 @@
     """One hit, or one miss and its fill, a request."""
 
     name = "router: decisions"
-    by = "caches in the zone"
+    quantity = "caches in the zone"
     target = float(fleet.CACHES_PER_ZONE)
     sizes = (4.0, 10.0, 21.0, 42.0, 84.0, 160.0, 400.0)
     quick_sizes = (4.0, 21.0, 42.0, 100.0)
@@ -29,10 +29,11 @@
     resources = (Resource("processor", "us a request", BUDGET),)
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
+        """Decide on requests in a zone of so many caches."""
         run = Run(int(size), seed)
         for _ in range(2 * OPEN):
             run.request()
-        with spending() as spent:
+        with count_processor_time() as spent:
             for _ in range(REQUESTS):
                 run.request()
         return Sample(size, {"processor": 1e6 * spent.seconds / REQUESTS})
--- a/magpieshift/lab/capacity/roles/digests.py
+++ b/magpieshift/lab/capacity/roles/digests.py
@@ -5,16 +5,18 @@
 import random
 
 from magpieshift.lab.capacity import fleet
-from magpieshift.lab.capacity.processor import spending
+from magpieshift.lab.capacity.processor import count_processor_time
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.overload.codec import decode, encode
 from magpieshift.overload.gossip import GOSSIP_INTERVAL_US, Gossip
 from magpieshift.overload.probe_election import EndpointHealth
 
-FAILING = 8  # stores of a zone at once: a rack of them
-TALKERS = 8  # of the routers; what goes to the others comes to one of these, as each hears what it says
-TURNS = 25
-FOR_S = TURNS * GOSSIP_INTERVAL_US / 1e6
+FAILING_ENDPOINTS = 8  # stores of a zone at once: a rack of them
+MEASURED_ROUTERS = (
+    8  # of the routers; what goes to the others comes to one of these, as each hears what it says
+)
+GOSSIP_ROUNDS = 25
+SIMULATED_S = GOSSIP_ROUNDS * GOSSIP_INTERVAL_US / 1e6
 ALL_CONTROL = "all of control on a router"
 
 
@@ -22,7 +24,7 @@
     """A zone of so many routers, all of which see the same stores fail."""
 
     name = "overload digests"
-    by = "routers that talk"
+    quantity = "routers that talk"
     target = float(fleet.ROUTERS_PER_ZONE)
     sizes = (13.0, 25.0, 50.0, 100.0, 200.0, 400.0)
     quick_sizes = (13.0, 25.0, 50.0, 100.0)
@@ -35,15 +37,17 @@
     )
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
+        """Exchange digests in a zone of so many routers."""
         draw = random.Random(seed)
         here = sorted(f"router-{number}" for number in range(int(size)))
         talkers = {
-            name: Gossip(name, random.Random(draw.getrandbits(64))) for name in draw.sample(here, TALKERS)
+            name: Gossip(name, random.Random(draw.getrandbits(64)))
+            for name in draw.sample(here, MEASURED_ROUTERS)
         }
         sent = 0
         sent_bytes = 0
-        with spending() as spent:
-            for turn in range(1, TURNS + 1):
+        with count_processor_time() as spent:
+            for turn in range(1, GOSSIP_ROUNDS + 1):
                 for talker in talkers.values():
                     seen = self._seen(draw)
                     for name, digest in talker.tick(turn * GOSSIP_INTERVAL_US, seen, here).sends:
@@ -55,8 +59,8 @@
         return Sample(
             size,
             {
-                "processor": 100 * spent.seconds / FOR_S / TALKERS,
-                "bytes": sent_bytes / FOR_S / TALKERS,
+                "processor": 100 * spent.seconds / SIMULATED_S / MEASURED_ROUTERS,
+                "bytes": sent_bytes / SIMULATED_S / MEASURED_ROUTERS,
                 "digest": sent_bytes / sent,
             },
         )
@@ -66,7 +70,7 @@
         """What a router sees of its zone's stores: some failed within the last second."""
         stores = {}
         for number in range(fleet.CACHES_PER_ZONE):
-            failing = number < FAILING
+            failing = number < FAILING_ENDPOINTS
             failed_us = draw.randrange(1_000_000) if failing else None
             stores[f"store-{number}"] = EndpointHealth(
                 number, (0, 1), failing, failed_us, None if failing else 0
--- a/magpieshift/lab/capacity/roles/lists.py
+++ b/magpieshift/lab/capacity/roles/lists.py
@@ -6,15 +6,15 @@
 
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
-from magpieshift.lab.capacity.routers import HERE, CountedWorld, ready_router
+from magpieshift.lab.capacity.routers import REPOSITORY_ROOT, CountingWorld, started_router
 from magpieshift.lab.emulators import peers
 
-CHANGES = 40
-BETWEEN_S = 0.01
-SLACK = "the loop is held for it, and stores are promised an answer within 8 ms"
+LIST_CHANGES = 40
+CHANGE_INTERVAL_S = 0.01
+CHANGE_BUDGET_DERIVATION = "the loop is held for it, and stores are promised an answer within 8 ms"
 
-WHOLE = Resource("whole list", "ms of processor")
-CHANGE = Resource("change of one cache", "ms of processor", Budget(8.0, SLACK))
+COMPLETE_LIST = Resource("whole list", "ms of processor")
+CHANGE = Resource("change of one cache", "ms of processor", Budget(8.0, CHANGE_BUDGET_DERIVATION))
 MEMORY = Resource("memory", "MB above one cache", Budget(fleet.CONTROL_MB, "all of control on a router"))
 
 
@@ -22,42 +22,43 @@
     """A whole list of so many caches, then changes of one of them."""
 
     name = "router: list of caches"
-    by = "caches listed"
+    quantity = "caches listed"
     target = float(fleet.CACHES)
     sizes = (10.0, 50.0, 125.0, 250.0, 500.0, 1000.0, 2000.0)
     quick_sizes = (10.0, 125.0, 250.0, 500.0)
     repeats = 2
     simulated = False
-    resources = (WHOLE, CHANGE, MEMORY)
+    resources = (COMPLETE_LIST, CHANGE, MEMORY)
 
-    def __init__(self, folder: str = HERE) -> None:
+    def __init__(self, folder: str = REPOSITORY_ROOT) -> None:
         self._folder = folder
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
+        """Send a list of so many caches to a started router, then changes of it."""
         return asyncio.run(self._measure(int(size)))
 
     async def _measure(self, caches: int) -> Sample:
-        async with ready_router(self._folder) as router:
+        async with started_router(self._folder) as router:
             at_rest = router.read()
             self._tell_whole(router.world, caches)
             await router.caught_up()
             listed = router.read()
-            for number in range(CHANGES):
+            for number in range(LIST_CHANGES):
                 self._tell_change(router.world, number % caches)
-                await asyncio.sleep(BETWEEN_S)
+                await asyncio.sleep(CHANGE_INTERVAL_S)
             await router.caught_up()
             changed = router.read()
         return Sample(
             caches,
             {
                 "whole list": 1e3 * (listed.processor_s - at_rest.processor_s),
-                "change of one cache": 1e3 * (changed.processor_s - listed.processor_s) / CHANGES,
+                "change of one cache": 1e3 * (changed.processor_s - listed.processor_s) / LIST_CHANGES,
                 "memory": max(0.0, changed.memory_mb - at_rest.memory_mb),
             },
         )
 
     @staticmethod
-    def _tell_whole(world: CountedWorld, caches: int) -> None:
+    def _tell_whole(world: CountingWorld, caches: int) -> None:
         cache = peers.member(world.cache, "shop", "box", 1)
         members = [
             {**cache, "id": f"s-{number}", "locality": "shop" if number < caches / fleet.ZONES else "hub"}
@@ -67,7 +68,7 @@
         world.log.tell(fleet={"revision": 2, "complete": True, "members": members})
 
     @staticmethod
-    def _tell_change(world: CountedWorld, number: int) -> None:
+    def _tell_change(world: CountingWorld, number: int) -> None:
         phase = "DRAINING" if number % 2 else "SERVING"
         cache = peers.member(world.cache, "shop", "box", 1, phase)
         changed = {**cache, "id": f"s-{number}"}
--- a/magpieshift/lab/capacity/roles/membership.py
+++ b/magpieshift/lab/capacity/roles/membership.py
@@ -3,17 +3,17 @@
 from __future__ import annotations
 
 from magpieshift.lab.capacity import fleet
-from magpieshift.lab.capacity.processor import spending
+from magpieshift.lab.capacity.processor import count_processor_time
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.experiments.members import SECOND, Form, grown
 from magpieshift.membership.codec import decode, encode
 from magpieshift.membership.messages import Datagram
 
-FOR_S = 3
+SIMULATED_S = 3
 ALL_CONTROL = "all of control on a router"
 
 
-def carried(datagram: Datagram) -> int:
+def datagram_bytes(datagram: Datagram) -> int:
     """The size of a datagram, which is written and read as its two ends do."""
     data = encode(datagram)
     decode(data)
@@ -24,7 +24,7 @@
     """A group at rest, once all agree; a group is the routers of a zone."""
 
     name = "membership"
-    by = "members of a group"
+    quantity = "members of a group"
     target = float(fleet.ROUTERS_PER_ZONE)
     sizes = (13.0, 25.0, 50.0, 100.0, 200.0)
     quick_sizes = (7.0, 13.0, 25.0, 50.0)
@@ -37,14 +37,15 @@
     )
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
+        """Run a group of so many members on a simulated clock."""
         members = int(size)
         network = grown(Form(members), seed)
-        network.size = carried
+        network.size = datagram_bytes
         network.sent = 0
         network.bytes = 0
-        with spending() as spent:
-            network.run(network.now_us + FOR_S * SECOND)
-        member_seconds = members * FOR_S
+        with count_processor_time() as spent:
+            network.run(network.now_us + SIMULATED_S * SECOND)
+        member_seconds = members * SIMULATED_S
         return Sample(
             size,
             {
--- a/magpieshift/lab/capacity/roles/objects.py
+++ b/magpieshift/lab/capacity/roles/objects.py
@@ -6,15 +6,15 @@
 from dataclasses import replace
 
 from magpieshift.lab.capacity import fleet
-from magpieshift.lab.capacity.processor import spending
+from magpieshift.lab.capacity.processor import count_processor_time
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.capacity.roles.decisions import BUDGET
 from magpieshift.lab.experiments.decisions import Run
 from magpieshift.policy.events import Event, RequestReceived
 
-OBJECTS = 35_000_000_000
-LAST = 100  # requests over which the cost of one is measured
-QUARTER_MB = 16.0  # of the stand-in settings' 64 MB, for the program
+TARGET_OBJECTS = 35_000_000_000
+MEASURED_REQUESTS = 100  # requests over which the cost of one is measured
+PROGRAM_MEMORY_MB = 16.0  # of the stand-in settings' 64 MB, for the program
 
 
 class EveryObjectOnce(Run):
@@ -30,25 +30,28 @@
     """So many objects asked for, one after another, in a zone of the target's size."""
 
     name = "router: objects known"
-    by = "objects asked for"
-    target = OBJECTS / fleet.ROUTERS
+    quantity = "objects asked for"
+    target = TARGET_OBJECTS / fleet.ROUTERS
     sizes = (125.0, 250.0, 500.0, 1000.0)
     quick_sizes = (100.0, 110.0, 120.0, 240.0)
     repeats = 1
     simulated = False
     resources = (
         Resource("processor", "us a request", BUDGET),
-        Resource("memory", "MB", Budget(QUARTER_MB, "a quarter of 64 MB is the program's")),
+        Resource("memory", "MB", Budget(PROGRAM_MEMORY_MB, "a quarter of 64 MB is the program's")),
     )
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
+        """Request so many different objects; the last ones are timed."""
         run = EveryObjectOnce(fleet.CACHES_PER_ZONE, seed)
-        for _ in range(int(size) - LAST):
+        for _ in range(int(size) - MEASURED_REQUESTS):
             run.request()
-        with spending() as spent:
-            for _ in range(LAST):
+        with count_processor_time() as spent:
+            for _ in range(MEASURED_REQUESTS):
                 run.request()
-        return Sample(size, {"processor": 1e6 * spent.seconds / LAST, "memory": self._kept_mb(size, seed)})
+        return Sample(
+            size, {"processor": 1e6 * spent.seconds / MEASURED_REQUESTS, "memory": self._kept_mb(size, seed)}
+        )
 
     @staticmethod
     def _kept_mb(size: float, seed: int) -> float:
--- a/magpieshift/lab/capacity/roles/purges.py
+++ b/magpieshift/lab/capacity/roles/purges.py
@@ -8,9 +8,9 @@
 
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
-from magpieshift.lab.capacity.routers import HERE, CountedWorld, ready_router
+from magpieshift.lab.capacity.routers import REPOSITORY_ROOT, CountingWorld, started_router
 
-REMEMBERED_S = 12.0  # twice the time in which a purge is done, in the stand-ins' settings
+PURGE_RETENTION_S = 12.0  # twice the time in which a purge is done, in the stand-ins' settings
 
 ALL_CONTROL = "all of control on a router"
 PROCESSOR = Resource("processor", "% of a core", Budget(fleet.CONTROL_CPU_PERCENT, ALL_CONTROL))
@@ -19,15 +19,15 @@
 RESIDENT = Resource("resident memory", "MB of the whole process")
 
 
-def remember(world: CountedWorld, rate: float, draw: random.Random) -> None:
+def send_retained_purges(world: CountingWorld, rate: float, draw: random.Random) -> None:
     """Tell at once what was purged in the time that a router remembers."""
     now = time.time()
-    count = int(rate * REMEMBERED_S)
+    count = int(rate * PURGE_RETENTION_S)
     for number in range(count):
-        world.purge(draw, now - REMEMBERED_S * (1 - number / count))
+        world.purge(draw, now - PURGE_RETENTION_S * (1 - number / count))
 
 
-async def tell(world: CountedWorld, rate: float, draw: random.Random, for_s: float) -> None:
+async def send_purges(world: CountingWorld, rate: float, draw: random.Random, for_s: float) -> None:
     """Tell purges at this rate, each by itself, for about so long: a whole number of them."""
     begun = time.monotonic()
     count = max(1, round(rate * for_s))
@@ -40,7 +40,7 @@
     """Purges one by one at an even rate, with as many remembered as the rate makes."""
 
     name = "router: purges"
-    by = "purges a second"
+    quantity = "purges a second"
     target = float(fleet.PURGES_PER_S)
     sizes = (1.0, 27.0, 55.0, 110.0, 220.0, 440.0)
     quick_sizes = (1.0, 27.0, 55.0, 110.0)
@@ -48,19 +48,20 @@
     simulated = False
     resources = (PROCESSOR, BYTES, MEMORY, RESIDENT)
 
-    def __init__(self, folder: str = HERE) -> None:
+    def __init__(self, folder: str = REPOSITORY_ROOT) -> None:
         self._folder = folder
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
+        """Send purges to a started router at this rate."""
         return asyncio.run(self._measure(size, random.Random(seed), for_s))
 
     async def _measure(self, rate: float, draw: random.Random, for_s: float) -> Sample:
-        async with ready_router(self._folder) as router:
+        async with started_router(self._folder) as router:
             at_rest = router.read()
-            remember(router.world, rate, draw)
+            send_retained_purges(router.world, rate, draw)
             await router.caught_up()
             begun = router.read()
-            await tell(router.world, rate, draw, for_s)
+            await send_purges(router.world, rate, draw, for_s)
             ended = router.read()
         took_s = ended.at_s - begun.at_s
         return Sample(
--- a/magpieshift/lab/capacity/roles/requests.py
+++ b/magpieshift/lab/capacity/roles/requests.py
@@ -7,16 +7,16 @@
 
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
-from magpieshift.lab.capacity.routers import HERE, Ready, ready_router
+from magpieshift.lab.capacity.routers import REPOSITORY_ROOT, StartedRouter, started_router
 from magpieshift.lab.emulators import peers
 
 SETTLE_S = 0.2
 CLIENTS = 4
 HALF_CORE = Budget(50.0, "half of the one core that one Python process can use: the mean is not the most")
-SLOW_RATE = 60.0  # requests a second, at which bytes are measured
+BYTES_REQUEST_RATE = 60.0  # requests a second, at which bytes are measured
 
 
-async def percent_of_core(router: Ready, rate: float, seed: int, for_s: float) -> tuple[float, float]:
+async def percent_of_core(router: StartedRouter, rate: float, seed: int, for_s: float) -> tuple[float, float]:
     """Percent of a core under requests at this rate, and the requests that were sent a second meanwhile."""
     clients = [peers.Client(router.world.port, random.Random(seed + n), lambda: True) for n in range(CLIENTS)]
     loads = [asyncio.ensure_future(client.run(rate / CLIENTS, lambda: ["picture"])) for client in clients]
@@ -39,7 +39,7 @@
     """Small objects at a rate, one cache and an origin."""
 
     name = "router: requests"
-    by = "requests a second"
+    quantity = "requests a second"
     target = float(round(fleet.REQUESTS_PER_ROUTER_S))
     sizes = (38.0, 75.0, 151.0, 302.0, 604.0)
     quick_sizes = (19.0, 38.0, 75.0, 151.0)
@@ -50,25 +50,26 @@
         Resource("resident memory", "MB of the whole process"),
     )
 
-    def __init__(self, folder: str = HERE) -> None:
+    def __init__(self, folder: str = REPOSITORY_ROOT) -> None:
         self._folder = folder
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
+        """Send requests to a started router at this rate."""
         return asyncio.run(self._measure(size, seed, for_s))
 
     async def _measure(self, rate: float, seed: int, for_s: float) -> Sample:
-        async with ready_router(self._folder) as router:
+        async with started_router(self._folder) as router:
             percent, sent = await percent_of_core(router, rate, seed, for_s)
             memory = router.read().memory_mb
         # arrivals are open and random: the cost is brought to the rate that was asked for
         return Sample(rate, {"processor": percent * rate / sent, "resident memory": memory})
 
 
-class BytesCarried:
+class ResponseBytes:
     """What one answer of so many bytes costs; the largest that stores may send has 256 KB."""
 
     name = "router: bytes of an answer"
-    by = "bytes of an answer"
+    quantity = "bytes of an answer"
     target = float(round(fleet.BYTES_PER_REQUEST))
     sizes = (600.0, 30_000.0, 60_000.0, 120_000.0, 240_000.0)
     quick_sizes = (600.0, 15_000.0, 30_000.0, 60_000.0)
@@ -85,15 +86,16 @@
         ),
     )
 
-    def __init__(self, folder: str = HERE) -> None:
+    def __init__(self, folder: str = REPOSITORY_ROOT) -> None:
         self._folder = folder
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
+        """Send requests whose responses have so many bytes."""
         return asyncio.run(self._measure(int(size), seed, for_s))
 
     async def _measure(self, size: int, seed: int, for_s: float) -> Sample:
-        async with ready_router(self._folder) as router:
+        async with started_router(self._folder) as router:
             for store in (router.world.cache, router.world.origin):
                 store.body = b"x" * size
-            percent, sent = await percent_of_core(router, SLOW_RATE, seed, for_s)
+            percent, sent = await percent_of_core(router, BYTES_REQUEST_RATE, seed, for_s)
         return Sample(size, {"processor": 1e4 * percent / sent})
--- a/magpieshift/lab/capacity/roles/rollouts.py
+++ b/magpieshift/lab/capacity/roles/rollouts.py
@@ -6,7 +6,7 @@
 import tracemalloc
 
 from magpieshift.lab.capacity import fleet
-from magpieshift.lab.capacity.processor import spending
+from magpieshift.lab.capacity.processor import count_processor_time
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.simulated.rollout import LOOK_S
 from magpieshift.lab.simulated.rollout_fleet import NEW, OLD, plan_of
@@ -17,13 +17,13 @@
 from magpieshift.rollout.records import StagePassed
 from magpieshift.rollout.verdict import Verdict
 
-LOOKS = 3
-REQUESTS_A_LOOK = 1000
+MEASURED_ROUNDS = 3
+REQUESTS_PER_ROUND = 1000
 STAGES_PASSED = 2  # of one, tenth, half, all: half of the fleet is new
 SECOND_US = 1_000_000
 
 
-class Watched:
+class ObservedFleet:
     """A fleet half of which is new, and who judges it."""
 
     def __init__(self, routers: int, seed: int) -> None:
@@ -44,7 +44,7 @@
         return {name: self._figures(name, label) for name, label in self._labels.items()}
 
     def _figures(self, name: str, label: str) -> ProcessCounters:
-        self._counts[name] += REQUESTS_A_LOOK
+        self._counts[name] += REQUESTS_PER_ROUND
         asked = self._counts[name]
         served = asked - self._draw.randrange(asked // 50 + 1)
         row = RequestCounts(asked, served)
@@ -63,11 +63,11 @@
         return verdict
 
 
-class RolloutLook:
+class RolloutRound:
     """One look at all routers, without asking their doors."""
 
     name = "rollout: look"
-    by = "routers"
+    quantity = "routers"
     target = float(fleet.ROUTERS)
     sizes = (16.0, 150.0, 300.0, 600.0, 1200.0, 2400.0, 4800.0)
     quick_sizes = (16.0, 150.0, 300.0, 600.0)
@@ -80,20 +80,21 @@
     )
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
-        watched = Watched(int(size), seed)
+        """Judge a fleet of so many routers for several rounds."""
+        watched = ObservedFleet(int(size), seed)
         watched.look(watched.answers())
-        looks = [watched.answers() for _ in range(LOOKS)]
-        with spending() as spent:
+        looks = [watched.answers() for _ in range(MEASURED_ROUNDS)]
+        with count_processor_time() as spent:
             for answers in looks:
                 watched.look(answers)
-        return Sample(size, {"processor": 1e3 * spent.seconds / LOOKS})
+        return Sample(size, {"processor": 1e3 * spent.seconds / MEASURED_ROUNDS})
 
 
 class RolloutMemory:
     """What the judge keeps once its samples of each process are full."""
 
     name = "rollout: judge's memory"
-    by = "routers"
+    quantity = "routers"
     target = float(fleet.ROUTERS)
     sizes = (5.0, 10.0, 20.0, 40.0, 80.0)
     quick_sizes = (2.0, 3.0, 4.0, 8.0)
@@ -104,9 +105,10 @@
     )
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
+        """Fill the samples of so many routers, and count the memory allocated."""
         tracemalloc.start()
         try:
-            watched = Watched(int(size), seed)
+            watched = ObservedFleet(int(size), seed)
             for _ in range(MAX_SAMPLES):
                 watched.judge.record_round(watched.now_us, watched.answers())
             return Sample(size, {"memory": tracemalloc.get_traced_memory()[0] / 1e6})
--- a/magpieshift/lab/capacity/roles/snapshots.py
+++ b/magpieshift/lab/capacity/roles/snapshots.py
@@ -8,7 +8,7 @@
 from magpieshift.control import sexp
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.documents import settings
-from magpieshift.lab.capacity.processor import spending
+from magpieshift.lab.capacity.processor import count_processor_time
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.capacity.roles.changelog import NETWORK_BYTES_PER_S
 from magpieshift.relay.decoding import decode_downstream
@@ -16,9 +16,9 @@
 from magpieshift.relay.limits import MAX_SNAPSHOTS_PER_S, PURGE_RETENTION_US, SNAPSHOT_REUSE_US
 from magpieshift.relay.messages import ConfigurationChange, Epoch, Purge, Snapshot
 
-TIMES = 3
-KEPT_S = PURGE_RETENTION_US / 1e6
-REUSED_S = SNAPSHOT_REUSE_US / 1e6
+REPETITIONS = 3
+PURGE_RETENTION_S = PURGE_RETENTION_US / 1e6
+SNAPSHOT_REUSE_S = SNAPSHOT_REUSE_US / 1e6
 NOW_US = 1_764_576_000_000_000
 
 
@@ -52,14 +52,16 @@
     """One snapshot, written by a relay and read by a router."""
 
     name = "fan-out: snapshot"
-    by = "purges in it"
-    target = fleet.PURGES_PER_S * KEPT_S
+    quantity = "purges in it"
+    target = fleet.PURGES_PER_S * PURGE_RETENTION_S
     sizes = (206.0, 412.0, 825.0, 1650.0, 3300.0, 6600.0, 13200.0)
     quick_sizes = (206.0, 412.0, 825.0, 1650.0)
     repeats = 2
     simulated = False
     resources = (
-        Resource("written", "ms of processor", Budget(500 * REUSED_S, "half of a core at one each second")),
+        Resource(
+            "written", "ms of processor", Budget(500 * SNAPSHOT_REUSE_S, "half of a core at one each second")
+        ),
         Resource("read", "ms of processor"),
         Resource(
             "bytes",
@@ -71,18 +73,19 @@
     )
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
+        """Encode and decode a snapshot with so many purges."""
         made = snapshot(int(size), random.Random(seed))
-        with spending() as written:
-            for _ in range(TIMES):
+        with count_processor_time() as written:
+            for _ in range(REPETITIONS):
                 data = encode_downstream(made)
-        with spending() as read:
-            for _ in range(TIMES):
+        with count_processor_time() as read:
+            for _ in range(REPETITIONS):
                 decode_downstream(data)
         return Sample(
             size,
             {
-                "written": 1e3 * written.seconds / TIMES,
-                "read": 1e3 * read.seconds / TIMES,
+                "written": 1e3 * written.seconds / REPETITIONS,
+                "read": 1e3 * read.seconds / REPETITIONS,
                 "bytes": len(data),
             },
         )
--- a/magpieshift/lab/capacity/roles/versions.py
+++ b/magpieshift/lab/capacity/roles/versions.py
@@ -14,21 +14,22 @@
 from magpieshift.extensions.runner import Installation, Options
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.documents import changed, settings
-from magpieshift.lab.capacity.processor import spending
+from magpieshift.lab.capacity.processor import count_processor_time
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.emulators.world import World
 
-VERSIONS = 15
-MILLISECONDS = 10 * fleet.CONTROL_CPU_PERCENT / 2 / fleet.VERSIONS_PER_S
+MEASURED_VERSIONS = 15  # in one measurement
+BUDGET_MS = 10 * fleet.CONTROL_CPU_PERCENT / 2 / fleet.VERSIONS_PER_S
 BUDGET = Budget(
-    MILLISECONDS, f"half of {fleet.CONTROL_CPU_PERCENT}% of a core at {fleet.VERSIONS_PER_S:.2f} a second"
+    BUDGET_MS, f"half of {fleet.CONTROL_CPU_PERCENT}% of a core at {fleet.VERSIONS_PER_S:.2f} a second"
 )
 
 
 class ZonedWorld(World):
-    """Stand-ins, and settings with as many zones as the target has."""
+    """Emulated neighbours, and settings with as many zones as the target has."""
 
     def settings(self) -> dict[str, object]:
+        """Settings with ``fleet.ZONES`` zones, for this world's ports."""
         return settings(fleet.ZONES, f"127.0.0.1:{self.log.port}", f"127.0.0.1:{self.port}")
 
 
@@ -36,7 +37,7 @@
     """Versions that change a figure, whole, read, checked, kept on disk and committed."""
 
     name = "router: versions"
-    by = "caches listed"
+    quantity = "caches listed"
     target = float(fleet.CACHES)
     sizes = (10.0, 125.0, 250.0, 500.0, 1000.0, 2000.0)
     quick_sizes = (10.0, 125.0, 250.0, 500.0)
@@ -45,6 +46,7 @@
     resources = (Resource("processor", "ms a version", BUDGET),)
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
+        """Put versions in force on a router with so many caches listed."""
         return asyncio.run(self._measure(int(size)))
 
     async def _measure(self, caches: int) -> Sample:
@@ -64,7 +66,7 @@
                 await installation.manager.stop()
                 installation.router.close()
                 world.stop()
-        return Sample(caches, {"processor": 1e3 * spent_s / VERSIONS})
+        return Sample(caches, {"processor": 1e3 * spent_s / MEASURED_VERSIONS})
 
     @staticmethod
     async def _put_in_force(installation: Installation, data: dict[str, object]) -> float:
@@ -72,7 +74,7 @@
         done: asyncio.Queue[OfferOutcome] = asyncio.Queue()
         installation.manager.listeners.append(lambda answer, apply_us, pause_us: done.put_nowait(answer))
         offers = []
-        for number in range(1, VERSIONS + 1):
+        for number in range(1, MEASURED_VERSIONS + 1):
             document = changed(data, number)
             offers.append(
                 VersionOffer(
@@ -82,10 +84,10 @@
                     payload=FullContent(sexp.format_document(document)),
                 )
             )
-        with spending() as spent:
+        with count_processor_time() as spent:
             for offer in offers:
                 installation.manager.offer(offer)
                 answer = await done.get()
                 if not answer.accepted:
-                    raise RuntimeError(f"version {offer.number} was turned down: {answer.detail}")
+                    raise RuntimeError(f"version {offer.number} was rejected: {answer.detail}")
         return spent.seconds
--- a/magpieshift/lab/capacity/routers.py
+++ b/magpieshift/lab/capacity/routers.py
@@ -1,4 +1,4 @@
-"""A started router between stand-ins, for roles that measure a whole process."""
+"""A started router between emulated neighbours, for roles that measure a whole process."""
 
 from __future__ import annotations
 
@@ -15,24 +15,25 @@
 from magpieshift.lab.emulators.world import World
 from magpieshift.lab.experiments.cost import Variant, started
 
-HERE = str(Path(__file__).resolve().parents[3])
-CAUGHT_UP_S = 60.0
-POLL_S = 0.02
-TRIES = 4
+REPOSITORY_ROOT = str(Path(__file__).resolve().parents[3])
+CATCH_UP_TIMEOUT_S = 60.0  # for all that the change log has sent
+POLL_INTERVAL_S = 0.02  # between looks at the router's log
+MAX_START_ATTEMPTS = 4  # each at another port; chosen by trial
 PORT_TAKEN = "Address already in use"
 
 
-class CountingLog(peers.Log):
-    """The stand-in change log, which counts the bytes it writes."""
+class CountingChangeLog(peers.Log):
+    """The emulated change log, which counts the bytes that it writes."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.written = 0
-        self.told = 0
+        self.bytes_written = 0
+        self.events_sent = 0
 
     def tell(self, **event: object) -> None:
+        """Send an event to all watches, and count it."""
         super().tell(**event)
-        self.told += 1
+        self.events_sent += 1
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await super()._serve(reader, CountingWriter(writer, self))  # type: ignore[arg-type]
@@ -41,38 +42,41 @@
 class CountingWriter:
     """A stream writer that adds what is written to a log's count."""
 
-    def __init__(self, writer: asyncio.StreamWriter, log: CountingLog) -> None:
+    def __init__(self, writer: asyncio.StreamWriter, log: CountingChangeLog) -> None:
         self._writer = writer
         self._log = log
 
     def write(self, data: bytes) -> None:
-        self._log.written += len(data)
+        """Write data, and count its bytes."""
+        self._log.bytes_written += len(data)
         self._writer.write(data)
 
     async def drain(self) -> None:
+        """Wait until the transport takes more."""
         await self._writer.drain()
 
     def close(self) -> None:
+        """Close the stream."""
         self._writer.close()
 
 
-class CountedWorld(World):
-    """Stand-ins round a router, with a change log that counts."""
+class CountingWorld(World):
+    """Emulated neighbours of a router, with a change log that counts."""
 
-    log: CountingLog
+    log: CountingChangeLog
 
     def __init__(self) -> None:
         super().__init__()
-        self.log = CountingLog()
+        self.log = CountingChangeLog()
 
     def purge(self, draw: random.Random, made_s: float) -> None:
-        """Tell one purge of an object drawn from all 64-bit ids, made at this Unix time."""
+        """Send one purge of an object drawn from all 64-bit ids, made at this Unix time."""
         self.log.tell(invalidate={"object": f"{draw.getrandbits(64):016x}", "time": int(made_s * 1000)})
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """What the kernel and the stand-ins have counted of a router so far."""
+    """What the kernel and the emulated change log have counted of a router so far."""
 
     processor_s: float
     memory_mb: float
@@ -80,59 +84,61 @@
     at_s: float  # steady clock
 
 
-class Ready:
+class StartedRouter:
     """A router that serves, and its world."""
 
-    def __init__(self, world: CountedWorld, pid: int, log: Path) -> None:
+    def __init__(self, world: CountingWorld, pid: int, log: Path) -> None:
         self.world = world
         self.pid = pid
         self._log = log
 
     def read(self) -> Reading:
         """The counts now."""
-        return Reading(processor_s(self.pid), resident_mb(self.pid), self.world.log.written, time.monotonic())
+        return Reading(
+            processor_s(self.pid), resident_mb(self.pid), self.world.log.bytes_written, time.monotonic()
+        )
 
     async def caught_up(self) -> None:
-        """Wait until the router has applied all that its change log told; ``TimeoutError`` where it does
-        not."""
-        last = f"seq={self.world.log.told}"
-        async with asyncio.timeout(CAUGHT_UP_S):
+        """Wait until the router has applied all that its change log has sent; ``TimeoutError`` where it
+        does not."""
+        last = f"seq={self.world.log.events_sent}"
+        async with asyncio.timeout(CATCH_UP_TIMEOUT_S):
             while last not in self._log.read_text().split():
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
 
 @contextlib.asynccontextmanager
-async def ready_router(folder: str = HERE, members: int = 1) -> AsyncIterator[Ready]:
+async def started_router(folder: str = REPOSITORY_ROOT, members: int = 1) -> AsyncIterator[StartedRouter]:
     """The router of a checkout, started as the platform does, beside a list of so many caches."""
     async with contextlib.AsyncExitStack() as stack:
-        ready = await come_up(stack, folder, members)
+        ready = await start_router(stack, folder, members)
         await ready.caught_up()
         yield ready
 
 
-async def _bare(world: CountedWorld) -> Sequence[str]:
-    """The words behind ``-m magpieshift`` of a router as the platform starts it: none."""
+async def _no_arguments(world: CountingWorld) -> Sequence[str]:
+    """The arguments after ``-m magpieshift`` of a router as the platform starts it: none."""
     return ()
 
 
-async def come_up(
+async def start_router(
     stack: contextlib.AsyncExitStack,
     folder: str,
     members: int = 1,
-    words: Callable[[CountedWorld], Awaitable[Sequence[str]]] = _bare,
-) -> Ready:
-    """A router that serves, until the stack is closed; another port is tried where somebody took the one
-    that was free. ``words`` are those of its command line, once its world is there."""
-    for _ in range(TRIES):
-        world = CountedWorld()
+    arguments: Callable[[CountingWorld], Awaitable[Sequence[str]]] = _no_arguments,
+) -> StartedRouter:
+    """A router that serves, until the stack is closed; another port is tried where the free one was
+    taken meanwhile. ``arguments`` returns those of its command line, once its world is there."""
+    for _ in range(MAX_START_ATTEMPTS):
+        world = CountingWorld()
         stack.callback(world.stop)
         await world.start(members)
-        variant = Variant("router", folder, await words(world))
+        variant = Variant("router", folder, await arguments(world))
         try:
             process, log = await stack.enter_async_context(started(variant, world))
         except RuntimeError as err:
             if PORT_TAKEN not in str(err):
                 raise
         else:
-            return Ready(world, process.pid, log)
-    raise RuntimeError(f"no free port in {TRIES} tries")
+            return StartedRouter(world, process.pid, log)
+    raise RuntimeError(f"no free port in {MAX_START_ATTEMPTS} tries")
--- a/magpieshift/lab/capacity/scale_tables.py
+++ b/magpieshift/lab/capacity/scale_tables.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from magpieshift.config import ConfigError
-from magpieshift.lab.capacity.tables import NOTHING, number, table
+from magpieshift.lab.capacity.tables import NO_VALUE, number, table
 
 RUNS = "scale-*.json"
 CALIBRATIONS = "calibration-*.json"
@@ -60,13 +60,13 @@
     """A ratio of means and its spread over the runs."""
     ratio, low, high = (row.get(f"{key}_ratio{end}") for end in ("", "_low", "_high"))
     if ratio is None:
-        return NOTHING
+        return NO_VALUE
     return f"{number(ratio)} ({number(low)} to {number(high)})"
 
 
 def _by_size(path: Path) -> tuple[str, int]:
-    words, _, size = path.stem.rpartition("-")
-    return words, int(size) if size.isdecimal() else 0
+    name, _, size = path.stem.rpartition("-")
+    return name, int(size) if size.isdecimal() else 0
 
 
 def _load(path: Path) -> dict[str, Any]:
--- a/magpieshift/lab/capacity/tables.py
+++ b/magpieshift/lab/capacity/tables.py
@@ -9,9 +9,9 @@
 
 Results = Mapping[str, Result]  # by name, in the order in which they were taken
 
-WIDE = 2.0  # an exponent's interval as wide as this tells nothing
-NOTHING = "–"
-NOT_TOLD = "not told"
+MAX_INTERVAL_WIDTH = 2.0  # of an exponent's interval; a wider one is inconclusive
+NO_VALUE = "–"
+INCONCLUSIVE = "not told"
 
 
 def table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
@@ -23,26 +23,26 @@
 def number(value: float | None) -> str:
     """Three digits, with commas between thousands."""
     if value is None:
-        return NOTHING
+        return NO_VALUE
     if value >= 100 or value == int(value):
         return f"{value:,.0f}"
     return f"{value:.3g}"
 
 
 def growth(row: Row) -> str:
-    """The exponent and its interval, where the measurements tell one."""
+    """The exponent and its interval, where the measurements determine one."""
     if row.exponent is None or row.interval is None:
-        return NOTHING
+        return NO_VALUE
     if row.exponent == 0:
         return "none seen"
-    if row.interval[1] - row.interval[0] >= WIDE:
-        return NOT_TOLD
+    if row.interval[1] - row.interval[0] >= MAX_INTERVAL_WIDTH:
+        return INCONCLUSIVE
     return f"{row.exponent:g} ({row.interval[0]:g} to {row.interval[1]:g})"
 
 
 def error(row: Row) -> str:
     """The error of the prediction, in percent."""
-    return NOTHING if row.prediction_error is None else f"{100 * row.prediction_error:.0f}%"
+    return NO_VALUE if row.prediction_error is None else f"{100 * row.prediction_error:.0f}%"
 
 
 def origins(results: Results) -> str:
@@ -50,26 +50,26 @@
     head = ("result", "command", "commit", "seed", "UTC", "cores", "Python", "s", "failed")
     rows = []
     for name, result in results.items():
-        o = result.origin
-        command = f"`{o.command}`"
+        origin = result.origin
+        command = f"`{origin.command}`"
         rows.append(
             (
                 name,
                 command,
-                o.commit,
-                str(o.seed),
-                o.date,
-                str(o.cores),
-                o.python,
-                number(o.took_s),
-                "; ".join(o.failures) or "none",
+                origin.commit,
+                str(origin.seed),
+                origin.date,
+                str(origin.cores),
+                origin.python,
+                number(origin.took_s),
+                "; ".join(origin.failures) or "none",
             )
         )
     return table(head, rows)
 
 
 def ranking(results: Results) -> str:
-    """Roles by ratio to budget in the newest result that tells one, the largest first, with all ratios."""
+    """Roles by ratio to budget in the newest result that has one, the largest first, with all ratios."""
     newest: dict[tuple[str, str], Row] = {}
     for row in (row for result in results.values() for row in result.rows):
         if row.ratio is not None or (row.role, row.resource) not in newest:
@@ -102,60 +102,55 @@
     return "\n".join(lines or ["- nothing in these results"])
 
 
+ROLE_COLUMNS = (
+    "resource",
+    "by (target)",
+    "result",
+    "measured to",
+    "at half",
+    "at target",
+    "at twice",
+    "unit",
+    "slope",
+    "exponent",
+    "error",
+    "budget",
+    "ratio",
+    "how",
+)
+
+
 def role(results: Results, *names: str) -> str:
     """All that was measured of these roles: a line a resource and result."""
-    head = (
-        "resource",
-        "by (target)",
-        "result",
-        "measured to",
-        "at half",
-        "at target",
-        "at twice",
-        "unit",
-        "slope",
-        "exponent",
-        "error",
-        "budget",
-        "ratio",
-        "how",
-    )
-    rows = [
-        (
-            f"{row.role}: {row.resource}",
-            f"{row.by} ({number(row.target)})",
-            name,
-            number(row.measured_to),
-            number(row.at_half),
-            number(row.at_target),
-            number(row.at_twice),
-            row.unit,
-            number(row.slope),
-            growth(row),
-            error(row),
-            number(row.budget),
-            number(row.ratio),
-            row.how,
-        )
-        for name, result in results.items()
-        for row in result.rows
-        if row.role in names
-    ]
-    if not rows:
+    chosen = [(name, row) for name, result in results.items() for row in result.rows if row.role in names]
+    if not chosen:
         return "Not run."
-    commands = dict.fromkeys(
-        f"`{row.command}`" for result in results.values() for row in result.rows if row.role in names
-    )
-    budgets = dict.fromkeys(
-        f"{row.resource}: {row.derivation}"
-        for result in results.values()
-        for row in result.rows
-        if row.role in names and row.derivation
-    )
+    commands = dict.fromkeys(f"`{row.command}`" for _, row in chosen)
+    budgets = dict.fromkeys(f"{row.resource}: {row.derivation}" for _, row in chosen if row.derivation)
     return "\n".join(
         [
-            table(head, rows),
+            table(ROLE_COLUMNS, [_role_line(name, row) for name, row in chosen]),
             "",
             f"Run: {'; '.join(commands)}. Budgets: {'; '.join(budgets) or 'none'}.",
         ]
     )
+
+
+def _role_line(result: str, row: Row) -> tuple[str, ...]:
+    """The cells of ``ROLE_COLUMNS`` for a row of this result."""
+    return (
+        f"{row.role}: {row.resource}",
+        f"{row.by} ({number(row.target)})",
+        result,
+        number(row.measured_to),
+        number(row.at_half),
+        number(row.at_target),
+        number(row.at_twice),
+        row.unit,
+        number(row.slope),
+        growth(row),
+        error(row),
+        number(row.budget),
+        number(row.ratio),
+        row.how,
+    )
--- a/tests/capacity/test_fit.py
+++ b/tests/capacity/test_fit.py
@@ -9,7 +9,7 @@
 
 from magpieshift.lab.capacity import measure
 from magpieshift.lab.capacity.fit import Point, UnfitError, fit, prediction_error
-from magpieshift.lab.capacity.measure import MOST_REACH, Row
+from magpieshift.lab.capacity.measure import MAX_EXTRAPOLATION_FACTOR, Row
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 
 SIZES = (1.0, 3.0, 10.0, 30.0, 100.0, 300.0)
@@ -77,7 +77,7 @@
     target: float
     simulated: bool = False
     name: str = "planned"
-    by: str = "things"
+    quantity: str = "things"
     repeats: int = 2
     resources: tuple[Resource, ...] = (Resource("processor", "ms", Budget(10.0, "a test's")),)
     measured: list[float] = field(default_factory=list)
@@ -97,7 +97,7 @@
 
 
 def row_of(role: Planned, seed: int = 1) -> Row:
-    turns = measure.take_turns([role], seed, False, lambda line: None)
+    turns = measure.measure_roles([role], seed, False, lambda line: None)
     (row,) = measure.rows(role, turns.samples[0])
     return row
 
@@ -120,15 +120,15 @@
 
     def test_nothing_is_extrapolated_too_far(self) -> None:
         plan = {size: 2 * size for size in SIZES}
-        self.assertEqual(row_of(Planned(plan, 300 * MOST_REACH + 1)).how, measure.UNMEASURED)
-        self.assertEqual(row_of(Planned(plan, 300 * MOST_REACH)).how, measure.FITTED)
+        self.assertEqual(row_of(Planned(plan, 300 * MAX_EXTRAPOLATION_FACTOR + 1)).how, measure.UNMEASURED)
+        self.assertEqual(row_of(Planned(plan, 300 * MAX_EXTRAPOLATION_FACTOR)).how, measure.FITTED)
 
     def test_a_simulation_is_called_one(self) -> None:
         self.assertEqual(row_of(Planned({s: s for s in SIZES}, 100.0, simulated=True)).how, measure.SIMULATED)
 
     def test_a_measurement_that_fails_is_told_of_and_left_out(self) -> None:
         role = Planned({size: size for size in SIZES}, 100.0, failing=frozenset({10.0}))
-        turns = measure.take_turns([role], 1, False, lambda line: None)
+        turns = measure.measure_roles([role], 1, False, lambda line: None)
         self.assertEqual(len(turns.samples[0]), (len(SIZES) - 1) * role.repeats)
         self.assertEqual(turns.failures, ["planned at 10 things: TimeoutError: nobody answered"] * 2)
 
