--- a/magpieshift/lab/capacity/arithmetic.py
+++ b/magpieshift/lab/capacity/arithmetic.py
@@ -73,8 +73,8 @@
         return "The cost of a follower did not come out linear, so nothing is said of the relays needed."
     each = (relay.budget - relay.intercept) / relay.slope
     needed = math.ceil(fleet.ROUTERS / each)
-    left = fleet.CONTROL_MACHINES - 2
-    spread = fleet.ROUTERS / left
+    remaining = fleet.CONTROL_MACHINES - 2
+    spread = fleet.ROUTERS / remaining
     percent = relay.intercept + relay.slope * spread
     return (
         f"A relay has {each:.0f} routers within {relay.budget:g}% of a core (fitted), so {needed} relays"
@@ -165,9 +165,9 @@
 def _of_tier(results: Results) -> list[Failure]:
     """With routers behind the fan-out tier; none where it was not measured."""
     relay = _newest(results, "fan-out: relay", "processor")
-    whole = _newest(results, "fan-out: snapshot", "bytes")
+    snapshot = _newest(results, "fan-out: snapshot", "bytes")
     read = _newest(results, "fan-out: snapshot", "read")
-    if relay is None or whole is None or read is None:
+    if relay is None or snapshot is None or read is None:
         return []
     lease_s = LEASE_US / 1e6
     silence_s = RELAY_SILENCE_TIMEOUT_US / 1e6
@@ -194,10 +194,11 @@
         Failure(
             "a region cut off for an hour, behind relays",
             f"{region} routers",
-            f"a snapshot each: {_kilobytes(whole.at_target)} and {_ms(read.at_target)} of processor a router,"
+            f"a snapshot each: {_kilobytes(snapshot.at_target)} and {_ms(read.at_target)} of processor"
+            " a router,"
             f" at most {MAX_SNAPSHOTS_PER_S} a second from a relay",
             bounded,
-            f"{whole.how}; the time to return is unmeasured here (`lab scale`)",
+            f"{snapshot.how}; the time to return is unmeasured here (`lab scale`)",
         ),
     ]
 
@@ -226,10 +227,10 @@
 
 
 def _more(requests: Row | None, lost: float) -> str:
-    """What the routers that are left take on, if all of them share it."""
-    left = fleet.ROUTERS - lost
-    rate = fleet.REQUESTS_PER_S / left
-    text = f"{100 * lost / left:.2g}% more at each other router: {rate:.0f} requests a second"
+    """What the remaining routers take on, if all of them share it."""
+    remaining = fleet.ROUTERS - lost
+    rate = fleet.REQUESTS_PER_S / remaining
+    text = f"{100 * lost / remaining:.2g}% more at each other router: {rate:.0f} requests a second"
     if requests is None or requests.slope is None or requests.exponent is None:
         return f"{text}; processor {UNMEASURED}"
     added = requests.slope * (rate**requests.exponent - fleet.REQUESTS_PER_ROUTER_S**requests.exponent)
@@ -237,7 +238,7 @@
 
 
 def _catch_up(backlog: int, purges: Row | None, sent: Row | None) -> str:
-    """An hour's purges told to one router after the cut, at what one costs that is told by itself."""
+    """An hour's purges sent to one router after the cut, at the cost of one that is sent by itself."""
     text = f"{backlog:,} purges each to take in"
     if purges is None or sent is None or purges.at_target is None or sent.at_target is None:
         return f"{text}; {UNMEASURED}"
--- a/magpieshift/lab/capacity/log_process.py
+++ b/magpieshift/lab/capacity/log_process.py
@@ -19,11 +19,11 @@
 async def send_purges(log: peers.Log, rate: float) -> None:
     """Send purges of objects drawn from all ids at an even rate, until cancelled."""
     draw = random.Random(SEED)
-    begun = time.monotonic()
+    started_s = time.monotonic()
     sent = 0
     while True:
         sent += 1
-        await asyncio.sleep(max(0.0, begun + sent / rate - time.monotonic()))
+        await asyncio.sleep(max(0.0, started_s + sent / rate - time.monotonic()))
         log.tell(invalidate={"object": f"{draw.getrandbits(64):016x}", "time": int(time.time() * 1000)})
 
 
--- a/magpieshift/lab/capacity/roles/changelog.py
+++ b/magpieshift/lab/capacity/roles/changelog.py
@@ -14,9 +14,9 @@
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.capacity.roles.purges import RESIDENT
 
-SETTLE_S = 0.3
+SETTLE_S = 0.3  # after the watches connect; chosen by trial
 WATCH_REQUEST = b"GET /changes HTTP/1.1\r\nHost: log\r\nAccept: text/event-stream\r\n\r\n"
-NETWORK_BYTES_PER_S = 125e6 / 2
+NETWORK_BYTES_PER_S = 125e6 / 2  # half of a gigabit a second
 
 
 class Watcher(asyncio.Protocol):
@@ -45,7 +45,7 @@
 
 @contextlib.asynccontextmanager
 async def log_process(rate: float) -> AsyncIterator[LogProcess]:
-    """A change log in a process of its own that tells purges at this rate."""
+    """A change log in a process of its own that sends purges at this rate."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -69,7 +69,7 @@
 
 
 class ChangeLogSource:
-    """The stand-in log and watchers that take all at once: without a tier, every router is a watch."""
+    """The emulated log and watchers that take all at once: without a tier, every router is a watch."""
 
     name = "change-log source"
     quantity = "watches"
@@ -98,12 +98,12 @@
                 watchers.append(watcher)
                 transports.append(transport)
             await asyncio.sleep(SETTLE_S)
-            spent = processor_s(log.pid)
+            processor_seconds = processor_s(log.pid)
             received = _received(watchers)
-            begun = time.monotonic()
+            started_s = time.monotonic()
             await asyncio.sleep(for_s)
-            took_s = time.monotonic() - begun
-            spent = processor_s(log.pid) - spent
+            took_s = time.monotonic() - started_s
+            processor_seconds = processor_s(log.pid) - processor_seconds
             received = _received(watchers) - received
             memory = resident_mb(log.pid)
             for transport in transports:
@@ -111,7 +111,7 @@
         return Sample(
             watches,
             {
-                "processor": 100 * spent / took_s,
+                "processor": 100 * processor_seconds / took_s,
                 "bytes": received / took_s,
                 "resident memory": memory,
             },
--- a/magpieshift/lab/capacity/roles/digests.py
+++ b/magpieshift/lab/capacity/roles/digests.py
@@ -1,4 +1,4 @@
-"""Overload digests by the routers that talk, while stores fail: state machines on a simulated clock."""
+"""Overload digests by the routers that gossip, while endpoints fail: state machines on a simulated clock."""
 
 from __future__ import annotations
 
@@ -11,17 +11,15 @@
 from magpieshift.overload.gossip import GOSSIP_INTERVAL_US, Gossip
 from magpieshift.overload.probe_election import EndpointHealth
 
-FAILING_ENDPOINTS = 8  # stores of a zone at once: a rack of them
-MEASURED_ROUTERS = (
-    8  # of the routers; what goes to the others comes to one of these, as each hears what it says
-)
-GOSSIP_ROUNDS = 25
+FAILING_ENDPOINTS = 8  # endpoints of a zone at once: a rack of them
+MEASURED_ROUTERS = 8  # of the routers; a digest to another goes to one of these
+GOSSIP_ROUNDS = 25  # in one measurement
 SIMULATED_S = GOSSIP_ROUNDS * GOSSIP_INTERVAL_US / 1e6
 ALL_CONTROL = "all of control on a router"
 
 
 class Digests:
-    """A zone of so many routers, all of which see the same stores fail."""
+    """A zone of so many routers, all of which see the same endpoints fail."""
 
     name = "overload digests"
     quantity = "routers that talk"
@@ -39,23 +37,25 @@
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
         """Exchange digests in a zone of so many routers."""
         draw = random.Random(seed)
-        here = sorted(f"router-{number}" for number in range(int(size)))
-        talkers = {
+        routers = sorted(f"router-{number}" for number in range(int(size)))
+        gossips = {
             name: Gossip(name, random.Random(draw.getrandbits(64)))
-            for name in draw.sample(here, MEASURED_ROUTERS)
+            for name in draw.sample(routers, MEASURED_ROUTERS)
         }
         sent = 0
         sent_bytes = 0
         with count_processor_time() as spent:
             for turn in range(1, GOSSIP_ROUNDS + 1):
-                for talker in talkers.values():
+                for gossip in gossips.values():
                     seen = self._seen(draw)
-                    for name, digest in talker.tick(turn * GOSSIP_INTERVAL_US, seen, here).sends:
+                    for name, digest in gossip.tick(turn * GOSSIP_INTERVAL_US, seen, routers).sends:
                         data = encode(digest)
                         sent = sent + 1
                         sent_bytes = sent_bytes + len(data)
-                        hears = talkers.get(name) or draw.choice(list(talkers.values()))
-                        hears.receive(turn * GOSSIP_INTERVAL_US, talker.own, decode(data), is_neighbour=True)
+                        receiver = gossips.get(name) or draw.choice(list(gossips.values()))
+                        receiver.receive(
+                            turn * GOSSIP_INTERVAL_US, gossip.own, decode(data), is_neighbour=True
+                        )
         return Sample(
             size,
             {
@@ -67,12 +67,12 @@
 
     @staticmethod
     def _seen(draw: random.Random) -> dict[str, EndpointHealth]:
-        """What a router sees of its zone's stores: some failed within the last second."""
-        stores = {}
+        """What a router sees of its zone's endpoints: some failed within the last second."""
+        health = {}
         for number in range(fleet.CACHES_PER_ZONE):
             failing = number < FAILING_ENDPOINTS
             failed_us = draw.randrange(1_000_000) if failing else None
-            stores[f"store-{number}"] = EndpointHealth(
+            health[f"store-{number}"] = EndpointHealth(
                 number, (0, 1), failing, failed_us, None if failing else 0
             )
-        return stores
+        return health
--- a/magpieshift/lab/capacity/roles/lists.py
+++ b/magpieshift/lab/capacity/roles/lists.py
@@ -6,11 +6,11 @@
 
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
-from magpieshift.lab.capacity.routers import REPOSITORY_ROOT, CountingWorld, started_router
+from magpieshift.lab.capacity.routers import CountingWorld, StartedRouterRole, started_router
 from magpieshift.lab.emulators import peers
 
-LIST_CHANGES = 40
-CHANGE_INTERVAL_S = 0.01
+LIST_CHANGES = 40  # in one measurement
+CHANGE_INTERVAL_S = 0.01  # so that each change is applied by itself
 CHANGE_BUDGET_DERIVATION = "the loop is held for it, and stores are promised an answer within 8 ms"
 
 COMPLETE_LIST = Resource("whole list", "ms of processor")
@@ -18,7 +18,7 @@
 MEMORY = Resource("memory", "MB above one cache", Budget(fleet.CONTROL_MB, "all of control on a router"))
 
 
-class RouterLists:
+class RouterLists(StartedRouterRole):
     """A whole list of so many caches, then changes of one of them."""
 
     name = "router: list of caches"
@@ -30,9 +30,6 @@
     simulated = False
     resources = (COMPLETE_LIST, CHANGE, MEMORY)
 
-    def __init__(self, folder: str = REPOSITORY_ROOT) -> None:
-        self._folder = folder
-
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
         """Send a list of so many caches to a started router, then changes of it."""
         return asyncio.run(self._measure(int(size)))
@@ -40,11 +37,11 @@
     async def _measure(self, caches: int) -> Sample:
         async with started_router(self._folder) as router:
             at_rest = router.read()
-            self._tell_whole(router.world, caches)
+            self._send_complete_list(router.world, caches)
             await router.caught_up()
             listed = router.read()
             for number in range(LIST_CHANGES):
-                self._tell_change(router.world, number % caches)
+                self._send_change(router.world, number % caches)
                 await asyncio.sleep(CHANGE_INTERVAL_S)
             await router.caught_up()
             changed = router.read()
@@ -58,7 +55,7 @@
         )
 
     @staticmethod
-    def _tell_whole(world: CountingWorld, caches: int) -> None:
+    def _send_complete_list(world: CountingWorld, caches: int) -> None:
         cache = peers.member(world.cache, "shop", "box", 1)
         members = [
             {**cache, "id": f"s-{number}", "locality": "shop" if number < caches / fleet.ZONES else "hub"}
@@ -68,7 +65,7 @@
         world.log.tell(fleet={"revision": 2, "complete": True, "members": members})
 
     @staticmethod
-    def _tell_change(world: CountingWorld, number: int) -> None:
+    def _send_change(world: CountingWorld, number: int) -> None:
         phase = "DRAINING" if number % 2 else "SERVING"
         cache = peers.member(world.cache, "shop", "box", 1, phase)
         changed = {**cache, "id": f"s-{number}"}
--- a/magpieshift/lab/capacity/roles/membership.py
+++ b/magpieshift/lab/capacity/roles/membership.py
@@ -9,7 +9,7 @@
 from magpieshift.membership.codec import decode, encode
 from magpieshift.membership.messages import Datagram
 
-SIMULATED_S = 3
+SIMULATED_S = 3  # in one measurement
 ALL_CONTROL = "all of control on a router"
 
 
--- a/magpieshift/lab/capacity/roles/objects.py
+++ b/magpieshift/lab/capacity/roles/objects.py
@@ -1,4 +1,4 @@
-"""Router, data path: what a request costs, and what the module keeps, by the objects that were asked for."""
+"""Router, data path: what a request costs, and what the policy keeps, by the objects requested."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from magpieshift.lab.experiments.decisions import Run
 from magpieshift.policy.events import Event, RequestReceived
 
-TARGET_OBJECTS = 35_000_000_000
+TARGET_OBJECTS = 35_000_000_000  # of the whole fleet
 MEASURED_REQUESTS = 100  # requests over which the cost of one is measured
-PROGRAM_MEMORY_MB = 16.0  # of the stand-in settings' 64 MB, for the program
+PROGRAM_MEMORY_MB = 16.0  # of the emulated settings' 64 MB, for the program
 
 
 class EveryObjectOnce(Run):
-    """Requests of which each asks for an object that nobody has asked for."""
+    """Requests of which each asks for an object that was never requested."""
 
     def _feed(self, event: Event) -> None:
         if isinstance(event, RequestReceived):
@@ -27,7 +27,7 @@
 
 
 class Objects:
-    """So many objects asked for, one after another, in a zone of the target's size."""
+    """So many objects requested, one after another, in a zone of the target's size."""
 
     name = "router: objects known"
     quantity = "objects asked for"
@@ -50,12 +50,13 @@
             for _ in range(MEASURED_REQUESTS):
                 run.request()
         return Sample(
-            size, {"processor": 1e6 * spent.seconds / MEASURED_REQUESTS, "memory": self._kept_mb(size, seed)}
+            size,
+            {"processor": 1e6 * spent.seconds / MEASURED_REQUESTS, "memory": self._allocated_mb(size, seed)},
         )
 
     @staticmethod
-    def _kept_mb(size: float, seed: int) -> float:
-        """What is allocated once all were asked for; counted in a run of its own, as counting takes time."""
+    def _allocated_mb(size: float, seed: int) -> float:
+        """Memory allocated once all were requested; counted in a run of its own, as counting takes time."""
         tracemalloc.start()
         try:
             run = EveryObjectOnce(fleet.CACHES_PER_ZONE, seed)
--- a/magpieshift/lab/capacity/roles/purges.py
+++ b/magpieshift/lab/capacity/roles/purges.py
@@ -8,9 +8,9 @@
 
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
-from magpieshift.lab.capacity.routers import REPOSITORY_ROOT, CountingWorld, started_router
+from magpieshift.lab.capacity.routers import CountingWorld, StartedRouterRole, started_router
 
-PURGE_RETENTION_S = 12.0  # twice the time in which a purge is done, in the stand-ins' settings
+PURGE_RETENTION_S = 12.0  # twice the time in which a purge is done, in the emulated settings
 
 ALL_CONTROL = "all of control on a router"
 PROCESSOR = Resource("processor", "% of a core", Budget(fleet.CONTROL_CPU_PERCENT, ALL_CONTROL))
@@ -20,7 +20,7 @@
 
 
 def send_retained_purges(world: CountingWorld, rate: float, draw: random.Random) -> None:
-    """Tell at once what was purged in the time that a router remembers."""
+    """Send at once the purges of the time for which a router retains them."""
     now = time.time()
     count = int(rate * PURGE_RETENTION_S)
     for number in range(count):
@@ -28,16 +28,16 @@
 
 
 async def send_purges(world: CountingWorld, rate: float, draw: random.Random, for_s: float) -> None:
-    """Tell purges at this rate, each by itself, for about so long: a whole number of them."""
-    begun = time.monotonic()
+    """Send purges at this rate, each by itself, for about so long: a whole number of them."""
+    started = time.monotonic()
     count = max(1, round(rate * for_s))
     for number in range(1, count + 1):
-        await asyncio.sleep(max(0.0, begun + number / rate - time.monotonic()))
+        await asyncio.sleep(max(0.0, started + number / rate - time.monotonic()))
         world.purge(draw, time.time())
 
 
-class RouterPurges:
-    """Purges one by one at an even rate, with as many remembered as the rate makes."""
+class RouterPurges(StartedRouterRole):
+    """Purges one by one at an even rate, with as many retained as the rate makes."""
 
     name = "router: purges"
     quantity = "purges a second"
@@ -48,9 +48,6 @@
     simulated = False
     resources = (PROCESSOR, BYTES, MEMORY, RESIDENT)
 
-    def __init__(self, folder: str = REPOSITORY_ROOT) -> None:
-        self._folder = folder
-
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
         """Send purges to a started router at this rate."""
         return asyncio.run(self._measure(size, random.Random(seed), for_s))
@@ -60,15 +57,15 @@
             at_rest = router.read()
             send_retained_purges(router.world, rate, draw)
             await router.caught_up()
-            begun = router.read()
+            started = router.read()
             await send_purges(router.world, rate, draw, for_s)
             ended = router.read()
-        took_s = ended.at_s - begun.at_s
+        took_s = ended.at_s - started.at_s
         return Sample(
             rate,
             {
-                "processor": 100 * (ended.processor_s - begun.processor_s) / took_s,
-                "bytes": (ended.log_bytes - begun.log_bytes) / took_s,
+                "processor": 100 * (ended.processor_s - started.processor_s) / took_s,
+                "bytes": (ended.log_bytes - started.log_bytes) / took_s,
                 "memory": max(0.0, ended.memory_mb - at_rest.memory_mb),
                 "resident memory": ended.memory_mb,
             },
--- a/magpieshift/lab/capacity/roles/relays.py
+++ b/magpieshift/lab/capacity/roles/relays.py
@@ -25,7 +25,7 @@
     send_purges,
     send_retained_purges,
 )
-from magpieshift.lab.capacity.routers import REPOSITORY_ROOT, CountingWorld, start_router
+from magpieshift.lab.capacity.routers import CountingWorld, StartedRouterRole, start_router
 from magpieshift.relay.connection import CHANNEL_OPTIONS
 from magpieshift.relay.decoding import decode_downstream
 from magpieshift.relay.encoding import encode_upstream
@@ -104,14 +104,17 @@
     return "serve", "--source", f"127.0.0.1:{source.port}", "--name", "n1", "--region", REGION
 
 
+@contextlib.asynccontextmanager
+async def source_of_log(rate: float) -> AsyncIterator[ListeningProcess]:
+    """A source whose change log sends purges at this rate a second."""
+    async with log_process(rate) as log, node(*source_arguments(log.port)) as source:
+        yield source
+
+
 @contextlib.asynccontextmanager
 async def relay_of_log(rate: float) -> AsyncIterator[ListeningProcess]:
     """A relay behind a source, whose change log sends purges at this rate a second."""
-    async with (
-        log_process(rate) as log,
-        node(*source_arguments(log.port)) as source,
-        node(*relay_arguments(source)) as relay,
-    ):
+    async with source_of_log(rate) as source, node(*relay_arguments(source)) as relay:
         yield relay
 
 
@@ -138,11 +141,11 @@
     """What a node spends on followers, at its change log's rate of purges."""
     async with following(measured.port, count) as followers:
         spent = processor_s(measured.pid)
-        begun = time.monotonic()
+        started = time.monotonic()
         received = sum(follower.received for follower in followers)
         sent = sum(follower.sent for follower in followers)
         await asyncio.sleep(for_s)
-        took_s = time.monotonic() - begun
+        took_s = time.monotonic() - started
         spent = processor_s(measured.pid) - spent
         received = sum(follower.received for follower in followers) - received
         sent = sum(follower.sent for follower in followers) - sent
@@ -166,47 +169,48 @@
 )
 
 
-class SourceFollowers:
-    """The source, at the purges of the target, by the relays that follow it."""
+class _Followers:
+    """A node at the purges of the target, by those that follow it."""
 
-    name = "fan-out: source"
-    quantity = "relays"
-    target = float(fleet.CONTROL_MACHINES)
-    sizes = (2.0, 5.0, 10.0, 20.0, 40.0)
     quick_sizes = ()  # too long for a trial
     repeats = 2
     simulated = False
     resources = FOLLOWER_RESOURCES
 
+    def _node(self) -> contextlib.AbstractAsyncContextManager[ListeningProcess]:
+        raise NotImplementedError
+
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
-        """Let so many relays follow a source."""
+        """Let so many followers follow the node."""
         return asyncio.run(self._measure(int(size), for_s))
 
     async def _measure(self, count: int, for_s: float) -> Sample:
-        async with log_process(fleet.PURGES_PER_S) as log, node(*source_arguments(log.port)) as source:
-            return await cost_of_followers(source, count, for_s)
+        async with self._node() as measured:
+            return await cost_of_followers(measured, count, for_s)
+
 
+class SourceFollowers(_Followers):
+    """The source, by the relays that follow it."""
 
-class RelayFollowers:
-    """A relay, at the purges of the target, by the routers that follow it: all of a region's, where the
-    other relay of the region is gone."""
+    name = "fan-out: source"
+    quantity = "relays"
+    target = float(fleet.CONTROL_MACHINES)
+    sizes = (2.0, 5.0, 10.0, 20.0, 40.0)
+
+    def _node(self) -> contextlib.AbstractAsyncContextManager[ListeningProcess]:
+        return source_of_log(fleet.PURGES_PER_S)
+
+
+class RelayFollowers(_Followers):
+    """A relay, by the routers that follow it: all of a region's, where the other relay is gone."""
 
     name = "fan-out: relay"
     quantity = "routers"
     target = float(fleet.ROUTERS // fleet.REGIONS)
     sizes = (15.0, 30.0, 60.0, 120.0, 240.0)
-    quick_sizes = ()  # too long for a trial
-    repeats = 2
-    simulated = False
-    resources = FOLLOWER_RESOURCES
-
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
-        """Let so many routers follow a relay."""
-        return asyncio.run(self._measure(int(size), for_s))
 
-    async def _measure(self, count: int, for_s: float) -> Sample:
-        async with relay_of_log(fleet.PURGES_PER_S) as relay:
-            return await cost_of_followers(relay, count, for_s)
+    def _node(self) -> contextlib.AbstractAsyncContextManager[ListeningProcess]:
+        return relay_of_log(fleet.PURGES_PER_S)
 
 
 class RelayPurges:
@@ -232,7 +236,7 @@
         return Sample(rate, found.costs)
 
 
-class RouterBehindRelay:
+class RouterBehindRelay(StartedRouterRole):
     """A started router that follows a relay, and gets no requests, by purges."""
 
     name = "fan-out: router"
@@ -244,9 +248,6 @@
     simulated = False
     resources = (PROCESSOR, MEMORY, RESIDENT)
 
-    def __init__(self, folder: str = REPOSITORY_ROOT) -> None:
-        self._folder = folder
-
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
         """Send purges at this rate to a started router by a relay."""
         return asyncio.run(self._measure(size, random.Random(seed), for_s))
@@ -259,10 +260,10 @@
             at_rest = ready.read()
             send_retained_purges(ready.world, rate, draw)
             await asyncio.sleep(SETTLE_S)
-            begun = ready.read()
+            started = ready.read()
             await send_purges(ready.world, rate, draw, for_s)
             ended = ready.read()
-        percent = 100 * (ended.processor_s - begun.processor_s) / (ended.at_s - begun.at_s)
+        percent = 100 * (ended.processor_s - started.processor_s) / (ended.at_s - started.at_s)
         grown_mb = max(0.0, ended.memory_mb - at_rest.memory_mb)
         return Sample(
             rate,
--- a/magpieshift/lab/capacity/roles/requests.py
+++ b/magpieshift/lab/capacity/roles/requests.py
@@ -7,11 +7,11 @@
 
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
-from magpieshift.lab.capacity.routers import REPOSITORY_ROOT, StartedRouter, started_router
+from magpieshift.lab.capacity.routers import StartedRouter, StartedRouterRole, started_router
 from magpieshift.lab.emulators import peers
 
-SETTLE_S = 0.2
-CLIENTS = 4
+SETTLE_S = 0.2  # after the clients start; chosen by trial
+CLIENTS = 4  # which share the rate
 HALF_CORE = Budget(50.0, "half of the one core that one Python process can use: the mean is not the most")
 BYTES_REQUEST_RATE = 60.0  # requests a second, at which bytes are measured
 
@@ -21,7 +21,7 @@
     clients = [peers.Client(router.world.port, random.Random(seed + n), lambda: True) for n in range(CLIENTS)]
     loads = [asyncio.ensure_future(client.run(rate / CLIENTS, lambda: ["picture"])) for client in clients]
     await asyncio.sleep(SETTLE_S)
-    begun = router.read()
+    started = router.read()
     sent = sum(client.sent for client in clients)
     await asyncio.sleep(for_s)
     ended = router.read()
@@ -31,11 +31,11 @@
     await asyncio.gather(*loads)
     if lost := sum(client.lost for client in clients):
         raise RuntimeError(f"{lost} of {sum(client.sent for client in clients)} requests had no answer")
-    took_s = ended.at_s - begun.at_s
-    return 100 * (ended.processor_s - begun.processor_s) / took_s, sent / took_s
+    took_s = ended.at_s - started.at_s
+    return 100 * (ended.processor_s - started.processor_s) / took_s, sent / took_s
 
 
-class Requests:
+class Requests(StartedRouterRole):
     """Small objects at a rate, one cache and an origin."""
 
     name = "router: requests"
@@ -50,9 +50,6 @@
         Resource("resident memory", "MB of the whole process"),
     )
 
-    def __init__(self, folder: str = REPOSITORY_ROOT) -> None:
-        self._folder = folder
-
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
         """Send requests to a started router at this rate."""
         return asyncio.run(self._measure(size, seed, for_s))
@@ -61,12 +58,12 @@
         async with started_router(self._folder) as router:
             percent, sent = await percent_of_core(router, rate, seed, for_s)
             memory = router.read().memory_mb
-        # arrivals are open and random: the cost is brought to the rate that was asked for
+        # arrivals are open and random: the cost is scaled to the requested rate
         return Sample(rate, {"processor": percent * rate / sent, "resident memory": memory})
 
 
-class ResponseBytes:
-    """What one answer of so many bytes costs; the largest that stores may send has 256 KB."""
+class ResponseBytes(StartedRouterRole):
+    """What one answer of so many bytes costs; the largest that endpoints may send has 256 KB."""
 
     name = "router: bytes of an answer"
     quantity = "bytes of an answer"
@@ -86,16 +83,13 @@
         ),
     )
 
-    def __init__(self, folder: str = REPOSITORY_ROOT) -> None:
-        self._folder = folder
-
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
         """Send requests whose responses have so many bytes."""
         return asyncio.run(self._measure(int(size), seed, for_s))
 
     async def _measure(self, size: int, seed: int, for_s: float) -> Sample:
         async with started_router(self._folder) as router:
-            for store in (router.world.cache, router.world.origin):
-                store.body = b"x" * size
+            for endpoint in (router.world.cache, router.world.origin):
+                endpoint.body = b"x" * size
             percent, sent = await percent_of_core(router, BYTES_REQUEST_RATE, seed, for_s)
         return Sample(size, {"processor": 1e4 * percent / sent})
--- a/magpieshift/lab/capacity/roles/rollouts.py
+++ b/magpieshift/lab/capacity/roles/rollouts.py
@@ -17,14 +17,14 @@
 from magpieshift.rollout.records import StagePassed
 from magpieshift.rollout.verdict import Verdict
 
-MEASURED_ROUNDS = 3
+MEASURED_ROUNDS = 3  # in one measurement
 REQUESTS_PER_ROUND = 1000
 STAGES_PASSED = 2  # of one, tenth, half, all: half of the fleet is new
 SECOND_US = 1_000_000
 
 
 class ObservedFleet:
-    """A fleet half of which is new, and who judges it."""
+    """A fleet half of which runs the new version, with its coordinator and judge."""
 
     def __init__(self, routers: int, seed: int) -> None:
         self._draw = random.Random(seed)
@@ -39,21 +39,21 @@
         self._labels = {name: NEW if name in targets else OLD for name in self.plan.routers}
 
     def answers(self) -> dict[str, ProcessCounters | None]:
-        """What all doors say at the next look."""
+        """The counters of all admin servers at the next round."""
         self.now_us += LOOK_S * SECOND_US
         return {name: self._figures(name, label) for name, label in self._labels.items()}
 
     def _figures(self, name: str, label: str) -> ProcessCounters:
         self._counts[name] += REQUESTS_PER_ROUND
-        asked = self._counts[name]
-        served = asked - self._draw.randrange(asked // 50 + 1)
-        row = RequestCounts(asked, served)
-        cpu_us = int(1000 * asked * self._draw.uniform(0.95, 1.05))
+        requests = self._counts[name]
+        served = requests - self._draw.randrange(requests // 50 + 1)
+        row = RequestCounts(requests, served)
+        cpu_us = int(1000 * requests * self._draw.uniform(0.95, 1.05))
         rss_kb = 30_000 + self._draw.randrange(500)
         return ProcessCounters(label, f"{name}-1", "serving", self.now_us, {"picture": row}, cpu_us, rss_kb)
 
-    def look(self, answers: dict[str, ProcessCounters | None]) -> Verdict:
-        """One look, as the rollout's loop takes it."""
+    def judge_round(self, answers: dict[str, ProcessCounters | None]) -> Verdict:
+        """One round, as the rollout's loop runs it."""
         for name, figures in answers.items():
             if figures is not None:
                 self.coordinator.record_labels(self.now_us, name, frozenset({figures.label}))
@@ -64,7 +64,7 @@
 
 
 class RolloutRound:
-    """One look at all routers, without asking their doors."""
+    """One round over all routers, without connecting to their admin servers."""
 
     name = "rollout: look"
     quantity = "routers"
@@ -75,18 +75,20 @@
     simulated = True
     resources = (
         Resource(
-            "processor", "ms a look", Budget(500.0 * LOOK_S, f"half of the {LOOK_S} s between two looks")
+            "processor",
+            "ms a look",
+            Budget(500.0 * LOOK_S, f"half of the {LOOK_S} s between two looks"),
         ),
     )
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
         """Judge a fleet of so many routers for several rounds."""
         watched = ObservedFleet(int(size), seed)
-        watched.look(watched.answers())
-        looks = [watched.answers() for _ in range(MEASURED_ROUNDS)]
+        watched.judge_round(watched.answers())
+        rounds = [watched.answers() for _ in range(MEASURED_ROUNDS)]
         with count_processor_time() as spent:
-            for answers in looks:
-                watched.look(answers)
+            for answers in rounds:
+                watched.judge_round(answers)
         return Sample(size, {"processor": 1e3 * spent.seconds / MEASURED_ROUNDS})
 
 
--- a/magpieshift/lab/capacity/routers.py
+++ b/magpieshift/lab/capacity/routers.py
@@ -142,3 +142,10 @@
         else:
             return StartedRouter(world, process.pid, log)
     raise RuntimeError(f"no free port in {MAX_START_ATTEMPTS} tries")
+
+
+class StartedRouterRole:
+    """Base of the roles that start the router of a checkout."""
+
+    def __init__(self, folder: str = REPOSITORY_ROOT) -> None:
+        self._folder = folder
--- a/magpieshift/lab/scale/run.py
+++ b/magpieshift/lab/scale/run.py
@@ -91,10 +91,10 @@
 class Run:
     """Owner of the fleet of one run."""
 
-    def __init__(self, plan: Plan, tell: ProgressCallback = lambda line: None) -> None:
+    def __init__(self, plan: Plan, report_progress: ProgressCallback = lambda line: None) -> None:
         plan.check()
         self.plan = plan
-        self._report_progress = tell
+        self._report_progress = report_progress
         self.topology = plan.topology or Topology(generate(plan.routers, plan.seed))
         Child.logs = Path(plan.logs) if plan.logs else None
         size = Size(plan.processes, plan.caches, plan.drop_every)
--- a/magpieshift/lab/scale/streams.py
+++ b/magpieshift/lab/scale/streams.py
@@ -44,12 +44,12 @@
         self._connections.add(task)
         try:
             with contextlib.suppress(OSError, asyncio.CancelledError):
-                await self._forward_both_ways(reader, writer)
+                await self._forward_connection(reader, writer)
         finally:
             self._connections.discard(task)
             writer.transport.abort()
 
-    async def _forward_both_ways(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _forward_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Carry both directions until either ends."""
         await self._wait_until_connected(self._source, self._target)
         target_reader, target_writer = await asyncio.open_connection(LOOPBACK, self._to_port)
--- a/magpieshift/lab/scale/tally.py
+++ b/magpieshift/lab/scale/tally.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-PURGE_RELEVANCE_S = 12.0  # a purge so old matters no more: twice the settings' ``purges done-ms``
-NOT_APPLIED = 0.0  # in place of a time: not applied by anybody
+PURGE_RELEVANCE_S = 12.0  # a purge so old has expired: twice the settings' ``purges done-ms``
+NOT_APPLIED = 0.0  # in place of a time: not applied by any router
 
 
 def object_of(index: int) -> str:
@@ -26,7 +26,7 @@
 
 @dataclass
 class ProcessTally:
-    """What all routers of one process come to: when the last of them had applied each purge and version."""
+    """The sum over all routers of one process: when the last of them had applied each purge and version."""
 
     purges: list[float] = field(default_factory=list)  # by index
     versions: dict[str, dict[int, float]] = field(default_factory=dict)  # by path, then by number
@@ -54,14 +54,11 @@
         self._applied_ahead: set[int] = set()  # applied, with some below missing
         self._highest = first_purge - 1
         self.version = version
-        self.lease_lapsed_at_s: float | None = (
-            None  # since when it bounds the age of copies; None while it does not
-        )
-        self.applied_without_lease: list[
-            tuple[int, float, float]
-        ] = []  # applied meanwhile: index, when, since when
+        self.lease_lapsed_at_s: float | None = None  # None while it holds a lease
+        # purges applied without a lease: index, when, and since when there was none
+        self.applied_without_lease: list[tuple[int, float, float]] = []
         self.out_of_order = 0
-        self.forgotten = 0  # purges that it never had, and that mattered no more when it had the next ones
+        self.forgotten = 0  # purges that it never received, and that had expired when the next ones came
 
     def record_purges(self, ages: Mapping[int, float], now_s: float) -> None:
         """Purges that were applied in one call, and the age in seconds of each; their order among themselves
@@ -93,16 +90,15 @@
             self.lease_lapsed_at_s = now_s
 
     def _forget_below(self, index: int, age_s: float, now_s: float) -> None:
-        """Some before a purge of this age are missing. What is too old matters no more, and a snapshot leaves
-        it out: all that were made before one that is, and those that are known to be."""
+        """Some before a purge of this age are missing. Snapshots leave out expired purges: all that were made
+        before an expired one, and those that are known to have expired."""
         below, made_by_s = self._shared.accepted_by
-        oldest = (
-            index
-            if age_s >= PURGE_RELEVANCE_S
-            else min(index, below)
-            if now_s - made_by_s >= PURGE_RELEVANCE_S
-            else 0
-        )
+        if age_s >= PURGE_RELEVANCE_S:
+            oldest = index
+        elif now_s - made_by_s >= PURGE_RELEVANCE_S:
+            oldest = min(index, below)
+        else:
+            oldest = 0
         if oldest > self.next_purge:
             self.forgotten += sum(each not in self._applied_ahead for each in range(self.next_purge, oldest))
             self._applied_ahead = {each for each in self._applied_ahead if each >= oldest}
--- a/magpieshift/lab/scale/topology.py
+++ b/magpieshift/lab/scale/topology.py
@@ -134,15 +134,15 @@
     form = validate_form(TopologyForm, tree.data, tree.lines)
     problems = []
 
-    def known(where: tuple[str, ...], name: str, names: Container[str], what: str) -> None:
+    def check_known(where: tuple[str, ...], name: str, names: Container[str], what: str) -> None:
         if name not in names:
             problems.append(Problem(" ".join(where), tree.lines.get(where, 0), name, what))
 
-    known(("control",), form.control, form.region_km, "a region of region-km")
+    check_known(("control",), form.control, form.region_km, "a region of region-km")
     for zone, region in form.zones.items():
-        known(("zones", zone), region, form.region_km, "a region of region-km")
+        check_known(("zones", zone), region, form.region_km, "a region of region-km")
     for site, (zone, _) in form.sites.items():
-        known(("sites", site), zone, form.zones, "a zone of zones")
+        check_known(("sites", site), zone, form.zones, "a zone of zones")
     if problems:
         raise UnusableDocumentError(problems)
     topology = Topology(form)
