--- a/magpieshift/lab/capacity/arithmetic.py
+++ b/magpieshift/lab/capacity/arithmetic.py
@@ -9,10 +9,10 @@
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.measure import Row
 from magpieshift.lab.capacity.results import Result
-from magpieshift.lab.capacity.tables import NOT_TOLD, Results, growth, number, table
+from magpieshift.lab.capacity.tables import INCONCLUSIVE, Results, growth, number, table
 from magpieshift.relay.limits import FRESHNESS_LEASE_US, MAX_SNAPSHOTS_PER_S, RELAY_SILENCE_TIMEOUT_US
 
-LARGEST_ANSWER = 240_000  # bytes: the largest object part that stores send, and the largest measured
+MAX_RESPONSE_BYTES = 240_000  # bytes: the largest object part that stores send, and the largest measured
 HOUR_S = 3_600
 ROUTERS_PER_SITE = fleet.ROUTERS / fleet.SITES
 UNMEASURED = "unmeasured"
@@ -31,9 +31,9 @@
         f"- {fleet.BITS_PER_S / 1e12:g} Tbit/s over {fleet.ROUTERS:,} routers are"
         f" {fleet.BYTES_PER_ROUTER_S / 1e6:.0f} MB a second at the mean router:"
         f" {fleet.BYTES_PER_REQUEST / 1e3:.0f} KB a request, so a request stands for"
-        f" {fleet.BYTES_PER_REQUEST / LARGEST_ANSWER:.1f} answers of the largest size,"
-        f" {LARGEST_ANSWER:,} bytes, and the router sees"
-        f" {fleet.BYTES_PER_ROUTER_S / LARGEST_ANSWER:,.0f} such answers a second.",
+        f" {fleet.BYTES_PER_REQUEST / MAX_RESPONSE_BYTES:.1f} answers of the largest size,"
+        f" {MAX_RESPONSE_BYTES:,} bytes, and the router sees"
+        f" {fleet.BYTES_PER_ROUTER_S / MAX_RESPONSE_BYTES:,.0f} such answers a second.",
     ]
     lines += [line for name, result in results.items() if (line := _carried(name, result))]
     return "\n".join(lines)
@@ -49,15 +49,15 @@
     byte_us = answers.slope if answers.exponent == 1 else None
     if byte_us is None:
         return f"- {name}: the cost of a byte did not come out linear, so nothing is said of bytes."
-    answer_us = request_us + byte_us * LARGEST_ANSWER
-    doubt = "; the spread is nearly as large" if growth(answers) == NOT_TOLD else ""
-    cores = fleet.BYTES_PER_ROUTER_S / LARGEST_ANSWER * answer_us / 1e6
+    answer_us = request_us + byte_us * MAX_RESPONSE_BYTES
+    doubt = "; the spread is nearly as large" if growth(answers) == INCONCLUSIVE else ""
+    cores = fleet.BYTES_PER_ROUTER_S / MAX_RESPONSE_BYTES * answer_us / 1e6
     return (
         f"- {name}: {fleet.REQUESTS_PER_ROUTER_S:.0f} small requests a second take"
         f" {number(requests.at_target)}% of a core ({requests.how}), {request_us:.0f} us each; a byte adds"
         f" {1e3 * byte_us:.3g} ns (fitted, to {number(answers.measured_to)} bytes{doubt})."
         f" An answer of the largest size then takes {answer_us:.0f} us (fitted), so one Python process, which"
-        f" has one core, carries at most {LARGEST_ANSWER / answer_us:.0f} MB a second: {100 / cores:.0f}%"
+        f" has one core, carries at most {MAX_RESPONSE_BYTES / answer_us:.0f} MB a second: {100 / cores:.0f}%"
         " of the mean router's bytes. It carries the mean rate of small requests; it does not carry the mean"
         f" rate of bytes, for which {cores:.1f} cores would be needed, nor what sites busier than the mean"
         " ask for."
@@ -73,8 +73,8 @@
         return "The cost of a follower did not come out linear, so nothing is said of the relays needed."
     each = (relay.budget - relay.intercept) / relay.slope
     needed = math.ceil(fleet.ROUTERS / each)
-    left = fleet.CONTROL_MACHINES - 2
-    spread = fleet.ROUTERS / left
+    remaining = fleet.CONTROL_MACHINES - 2
+    spread = fleet.ROUTERS / remaining
     percent = relay.intercept + relay.slope * spread
     return (
         f"A relay has {each:.0f} routers within {relay.budget:g}% of a core (fitted), so {needed} relays"
@@ -165,9 +165,9 @@
 def _of_tier(results: Results) -> list[Failure]:
     """With routers behind the fan-out tier; none where it was not measured."""
     relay = _newest(results, "fan-out: relay", "processor")
-    whole = _newest(results, "fan-out: snapshot", "bytes")
+    snapshot = _newest(results, "fan-out: snapshot", "bytes")
     read = _newest(results, "fan-out: snapshot", "read")
-    if relay is None or whole is None or read is None:
+    if relay is None or snapshot is None or read is None:
         return []
     lease_s = FRESHNESS_LEASE_US / 1e6
     silence_s = RELAY_SILENCE_TIMEOUT_US / 1e6
@@ -194,10 +194,11 @@
         Failure(
             "a region cut off for an hour, behind relays",
             f"{region} routers",
-            f"a snapshot each: {_kilobytes(whole.at_target)} and {_ms(read.at_target)} of processor a router,"
+            f"a snapshot each: {_kilobytes(snapshot.at_target)} and {_ms(read.at_target)} of processor"
+            " a router,"
             f" at most {MAX_SNAPSHOTS_PER_S} a second from a relay",
             bounded,
-            f"{whole.how}; the time to return is unmeasured here (`lab scale`)",
+            f"{snapshot.how}; the time to return is unmeasured here (`lab scale`)",
         ),
     ]
 
@@ -226,10 +227,10 @@
 
 
 def _more(requests: Row | None, lost: float) -> str:
-    """What the routers that are left take on, if all of them share it."""
-    left = fleet.ROUTERS - lost
-    rate = fleet.REQUESTS_PER_S / left
-    text = f"{100 * lost / left:.2g}% more at each other router: {rate:.0f} requests a second"
+    """What the remaining routers take on, if all of them share it."""
+    remaining = fleet.ROUTERS - lost
+    rate = fleet.REQUESTS_PER_S / remaining
+    text = f"{100 * lost / remaining:.2g}% more at each other router: {rate:.0f} requests a second"
     if requests is None or requests.slope is None or requests.exponent is None:
         return f"{text}; processor {UNMEASURED}"
     added = requests.slope * (rate**requests.exponent - fleet.REQUESTS_PER_ROUTER_S**requests.exponent)
@@ -237,7 +238,7 @@
 
 
 def _catch_up(backlog: int, purges: Row | None, sent: Row | None) -> str:
-    """An hour's purges told to one router after the cut, at what one costs that is told by itself."""
+    """An hour's purges sent to one router after the cut, at the cost of one that is sent by itself."""
     text = f"{backlog:,} purges each to take in"
     if purges is None or sent is None or purges.at_target is None or sent.at_target is None:
         return f"{text}; {UNMEASURED}"
--- a/magpieshift/lab/capacity/roles/changelog.py
+++ b/magpieshift/lab/capacity/roles/changelog.py
@@ -14,9 +14,9 @@
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.capacity.roles.purges import RESIDENT
 
-SETTLE_S = 0.3
-ASK = b"GET /changes HTTP/1.1\r\nHost: log\r\nAccept: text/event-stream\r\n\r\n"
-NETWORK_BYTES_PER_S = 125e6 / 2
+SETTLE_S = 0.3  # after the watches connect; chosen by trial
+WATCH_REQUEST = b"GET /changes HTTP/1.1\r\nHost: log\r\nAccept: text/event-stream\r\n\r\n"
+NETWORK_BYTES_PER_S = 125e6 / 2  # half of a gigabit a second
 
 
 class Watcher(asyncio.Protocol):
@@ -26,10 +26,12 @@
         self.received = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the request for events."""
         assert isinstance(transport, asyncio.Transport)
-        transport.write(ASK)
+        transport.write(WATCH_REQUEST)
 
     def data_received(self, data: bytes) -> None:
+        """Count the bytes received."""
         self.received += len(data)
 
 
@@ -43,7 +45,7 @@
 
 @contextlib.asynccontextmanager
 async def log_process(rate: float) -> AsyncIterator[LogProcess]:
-    """A change log in a process of its own that tells purges at this rate."""
+    """A change log in a process of its own that sends purges at this rate."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -67,10 +69,10 @@
 
 
 class ChangeLogSource:
-    """The stand-in log and watchers that take all at once: without a tier, every router is a watch."""
+    """The emulated log and watchers that take all at once: without a tier, every router is a watch."""
 
     name = "change-log source"
-    by = "watches"
+    quantity = "watches"
     target = float(fleet.ROUTERS)
     sizes = (10.0, 20.0, 40.0, 80.0, 160.0)  # one core is full at some 300
     quick_sizes = (10.0, 20.0, 40.0, 80.0)
@@ -83,6 +85,7 @@
     )
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
+        """Connect so many watches, and measure the log's process for a while."""
         return asyncio.run(self._measure(int(size), for_s))
 
     async def _measure(self, watches: int, for_s: float) -> Sample:
@@ -95,12 +98,12 @@
                 watchers.append(watcher)
                 transports.append(transport)
             await asyncio.sleep(SETTLE_S)
-            spent = processor_s(log.pid)
+            processor_seconds = processor_s(log.pid)
             received = _received(watchers)
-            begun = time.monotonic()
+            started_s = time.monotonic()
             await asyncio.sleep(for_s)
-            took_s = time.monotonic() - begun
-            spent = processor_s(log.pid) - spent
+            took_s = time.monotonic() - started_s
+            processor_seconds = processor_s(log.pid) - processor_seconds
             received = _received(watchers) - received
             memory = resident_mb(log.pid)
             for transport in transports:
@@ -108,7 +111,7 @@
         return Sample(
             watches,
             {
-                "processor": 100 * spent / took_s,
+                "processor": 100 * processor_seconds / took_s,
                 "bytes": received / took_s,
                 "resident memory": memory,
             },
--- a/magpieshift/lab/capacity/roles/rollouts.py
+++ b/magpieshift/lab/capacity/roles/rollouts.py
@@ -6,7 +6,7 @@
 import tracemalloc
 
 from magpieshift.lab.capacity import fleet
-from magpieshift.lab.capacity.processor import spending
+from magpieshift.lab.capacity.processor import count_processor_time
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.simulated.rollout import LOOK_S
 from magpieshift.lab.simulated.rollout_fleet import NEW, OLD, plan_of
@@ -17,14 +17,14 @@
 from magpieshift.rollout.records import StagePassed
 from magpieshift.rollout.verdict import Verdict
 
-LOOKS = 3
-REQUESTS_A_LOOK = 1000
+MEASURED_ROUNDS = 3  # in one measurement
+REQUESTS_PER_ROUND = 1000  # of each router
 STAGES_PASSED = 2  # of one, tenth, half, all: half of the fleet is new
 SECOND_US = 1_000_000
 
 
-class Watched:
-    """A fleet half of which is new, and who judges it."""
+class ObservedFleet:
+    """A fleet half of which runs the new version, with its coordinator and judge."""
 
     def __init__(self, routers: int, seed: int) -> None:
         self._draw = random.Random(seed)
@@ -39,21 +39,21 @@
         self._labels = {name: NEW if name in targets else OLD for name in self.plan.routers}
 
     def answers(self) -> dict[str, ProcessCounters | None]:
-        """What all doors say at the next look."""
+        """The counters of all admin servers at the next round."""
         self.now_us += LOOK_S * SECOND_US
         return {name: self._figures(name, label) for name, label in self._labels.items()}
 
     def _figures(self, name: str, label: str) -> ProcessCounters:
-        self._counts[name] += REQUESTS_A_LOOK
-        asked = self._counts[name]
-        served = asked - self._draw.randrange(asked // 50 + 1)
-        row = RequestCounts(asked, served)
-        cpu_us = int(1000 * asked * self._draw.uniform(0.95, 1.05))
+        self._counts[name] += REQUESTS_PER_ROUND
+        requests = self._counts[name]
+        served = requests - self._draw.randrange(requests // 50 + 1)
+        row = RequestCounts(requests, served)
+        cpu_us = int(1000 * requests * self._draw.uniform(0.95, 1.05))
         rss_kb = 30_000 + self._draw.randrange(500)
         return ProcessCounters(label, f"{name}-1", "serving", self.now_us, {"picture": row}, cpu_us, rss_kb)
 
-    def look(self, answers: dict[str, ProcessCounters | None]) -> Verdict:
-        """One look, as the rollout's loop takes it."""
+    def judge_round(self, answers: dict[str, ProcessCounters | None]) -> Verdict:
+        """One round, as the rollout's loop runs it."""
         for name, figures in answers.items():
             if figures is not None:
                 self.coordinator.record_labels(self.now_us, name, frozenset({figures.label}))
@@ -63,11 +63,11 @@
         return verdict
 
 
-class RolloutLook:
-    """One look at all routers, without asking their doors."""
+class RolloutRound:
+    """One round over all routers, without connecting to their admin servers."""
 
     name = "rollout: look"
-    by = "routers"
+    quantity = "routers"
     target = float(fleet.ROUTERS)
     sizes = (16.0, 150.0, 300.0, 600.0, 1200.0, 2400.0, 4800.0)
     quick_sizes = (16.0, 150.0, 300.0, 600.0)
@@ -75,25 +75,28 @@
     simulated = True
     resources = (
         Resource(
-            "processor", "ms a look", Budget(500.0 * LOOK_S, f"half of the {LOOK_S} s between two looks")
+            "processor",
+            "ms a look",
+            Budget(500.0 * LOOK_S, f"half of the {LOOK_S} s between two looks"),
         ),
     )
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
-        watched = Watched(int(size), seed)
-        watched.look(watched.answers())
-        looks = [watched.answers() for _ in range(LOOKS)]
-        with spending() as spent:
-            for answers in looks:
-                watched.look(answers)
-        return Sample(size, {"processor": 1e3 * spent.seconds / LOOKS})
+        """Judge a fleet of so many routers for several rounds."""
+        watched = ObservedFleet(int(size), seed)
+        watched.judge_round(watched.answers())
+        rounds = [watched.answers() for _ in range(MEASURED_ROUNDS)]
+        with count_processor_time() as spent:
+            for answers in rounds:
+                watched.judge_round(answers)
+        return Sample(size, {"processor": 1e3 * spent.seconds / MEASURED_ROUNDS})
 
 
 class RolloutMemory:
     """What the judge keeps once its samples of each process are full."""
 
     name = "rollout: judge's memory"
-    by = "routers"
+    quantity = "routers"
     target = float(fleet.ROUTERS)
     sizes = (5.0, 10.0, 20.0, 40.0, 80.0)
     quick_sizes = (2.0, 3.0, 4.0, 8.0)
@@ -104,9 +107,10 @@
     )
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
+        """Fill the samples of so many routers, and count the memory allocated."""
         tracemalloc.start()
         try:
-            watched = Watched(int(size), seed)
+            watched = ObservedFleet(int(size), seed)
             for _ in range(MAX_SAMPLES):
                 watched.judge.record_round(watched.now_us, watched.answers())
             return Sample(size, {"memory": tracemalloc.get_traced_memory()[0] / 1e6})
--- a/magpieshift/lab/scale/calibration.py
+++ b/magpieshift/lab/scale/calibration.py
@@ -3,7 +3,7 @@
 ratios.
 
 Hollow routers that share a process share its wake-ups: a purge comes to all their sockets at once. Those that
-stand apart tell what is missing of a router; those together, what sharing saves besides.
+stand apart show what a hollow router lacks; those together, what sharing saves besides.
 
 Memory is compared by increments: what a process has grown by, for each router, beyond one of its kind that
 has loaded its modules and holds no router.
@@ -28,23 +28,23 @@
 from magpieshift.lab.scale.fleet import Fleet, Size
 from magpieshift.lab.scale.load import Rates, arrivals
 from magpieshift.lab.scale.player import Player
-from magpieshift.lab.scale.processes import ProcessEnded, cpu_seconds, resident_mb
+from magpieshift.lab.scale.processes import ProcessExitedError, cpu_seconds, resident_mb
 from magpieshift.lab.scale.tier import CONTROL, DirectTier
 from magpieshift.lab.scale.topology import Topology, generate
 
-SIZES = (1, 4, 10)
-ALIKE = 0.2  # a larger difference must be explained
-START_S = 30.0
-LOOK_S = 0.1
-REST_S = 1.0  # after the start, before the load
-END_S = 8.0
+ROUTER_COUNTS = (1, 4, 10)  # real processes that one machine runs beside each other
+MAX_RATIO_DEVIATION = 0.2  # a larger difference must be explained
+START_TIMEOUT_S = 30.0  # for all router processes to follow
+POLL_INTERVAL_S = 0.1  # while waiting for them
+IDLE_BEFORE_LOAD_S = 1.0  # after the start, before the load
+STOP_TIMEOUT_S = 8.0  # for a router process to exit by itself; then it is killed
 MODULES = (
     "magpieshift.cli.main",
     "structlog",
     "magpieshift.extensions.runner",
     "magpieshift.extensions.control_channel",
 )
-BARE = f"import {', '.join(MODULES)}; print(flush=True); input()"
+BARE_PROCESS_CODE = f"import {', '.join(MODULES)}; print(flush=True); input()"
 FIGURES = ("cpu_percent", "bytes_s", "mb")
 
 
@@ -68,7 +68,7 @@
     seed: int = 1
     seconds: float = 10.0
     caches: int = 1000
-    sizes: Sequence[int] = SIZES
+    sizes: Sequence[int] = ROUTER_COUNTS
 
 
 @dataclass(frozen=True)
@@ -118,29 +118,32 @@
                     stderr=asyncio.subprocess.DEVNULL,
                 )
             )
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while not await self._all_follow():
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _all_follow(self) -> bool:
         if any(process.returncode is not None for process in self._processes):
-            raise ProcessEnded("a router process has ended at its start")
+            raise ProcessExitedError("a router process has ended at its start")
         watches = (await self._fleet.log_report()).watches
         return watches == self._count and await self._tier.followers() == self._count
 
     def cpu_s(self) -> float:
+        """Processor seconds of all router processes so far."""
         return sum(cpu_seconds(process.pid) for process in self._processes)
 
     def memory_mb(self) -> float:
+        """Resident memory of all router processes."""
         return sum(resident_mb(process.pid) for process in self._processes)
 
     async def close(self) -> None:
+        """Terminate all router processes; one that does not exit within ``STOP_TIMEOUT_S`` is killed."""
         for process in self._processes:
             if process.returncode is None:
                 process.terminate()
         for process in self._processes:
             try:
-                async with asyncio.timeout(END_S):
+                async with asyncio.timeout(STOP_TIMEOUT_S):
                     await process.wait()
             except TimeoutError:
                 process.kill()
@@ -150,7 +153,7 @@
 async def bare_mb() -> float:
     """Memory of a router process that has loaded its modules and built nothing."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-c", BARE, stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE
+        sys.executable, "-c", BARE_PROCESS_CODE, stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE
     )
     assert process.stdout is not None and process.stdin is not None
     try:
@@ -176,15 +179,18 @@
             else:
                 real = RealRouters(fleet, tier, routers, Path(folder))
                 await real.start()
-            await asyncio.sleep(REST_S)
+            await asyncio.sleep(IDLE_BEFORE_LOAD_S)
 
             def cpu_s() -> float:
                 return real.cpu_s() if real is not None else sum(w.cpu_s() for w in fleet.workers)
 
-            first_cpu_s, first_bytes, begin = cpu_s(), await fleet.stream_bytes(), time.monotonic()
+            first_cpu_s = cpu_s()
+            first_bytes = await fleet.stream_bytes()
+            begin = time.monotonic()
             due = arrivals(Rates(restarts_per_day=0.0), plan.seconds, plan.seed + run)
             await player.play(due, plan.seconds)
-            spent_s, last_bytes = cpu_s() - first_cpu_s, await fleet.stream_bytes()
+            spent_s = cpu_s() - first_cpu_s
+            last_bytes = await fleet.stream_bytes()
             took_s = time.monotonic() - begin
             if real is not None:
                 mb = real.memory_mb() / routers - await bare_mb()
@@ -227,7 +233,9 @@
     return {name: round(mean, 3), f"{name}_low": round(min(ratios), 3), f"{name}_high": round(max(ratios), 3)}
 
 
-async def calibrate(plan: Calibration, tell: Callable[[str], None] = lambda line: None) -> dict[str, Any]:
+async def calibrate(
+    plan: Calibration, report_progress: Callable[[str], None] = lambda line: None
+) -> dict[str, Any]:
     """All sizes, the kinds by turns: one row a size, every single cost, and what differs by over a fifth."""
     rows = []
     costs = []
@@ -236,13 +244,13 @@
         found: dict[Kind, list[Cost]] = {kind: [] for kind in Kind}
         for run in range(plan.runs):
             for kind in Kind:
-                tell(f"{routers} routers, run {run + 1} of {plan.runs}, {kind.value}")
+                report_progress(f"{routers} routers, run {run + 1} of {plan.runs}, {kind.value}")
                 cost = await measure(plan, routers, run, kind)
                 found[kind].append(cost)
                 costs.append({"routers": routers, "run": run, "kind": kind.value} | asdict(cost))
         rows.append(row := compared(routers, found))
         for name, ratio in row.items():
-            if name.endswith("_ratio") and ratio is not None and abs(ratio - 1) > ALIKE:
+            if name.endswith("_ratio") and ratio is not None and abs(ratio - 1) > MAX_RATIO_DEVIATION:
                 differ.append(f"{name} at {routers}: {ratio}")
     return {
         "seconds": plan.seconds,
--- a/magpieshift/lab/scale/messages.py
+++ b/magpieshift/lab/scale/messages.py
@@ -1,4 +1,4 @@
-"""What the coordinator of a run and its processes tell each other: one JSON object a line."""
+"""The messages between the coordinator of a run and its processes: one JSON object a line."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from pydantic import BaseModel, Field, TypeAdapter
 
-LONGEST_LINE = 256 << 20  # bytes; a report on an hour of purges takes a tenth
+MAX_LINE_BYTES = 256 << 20  # bytes; a report on an hour of purges takes a tenth
 
 
 class StartLog(BaseModel):
@@ -67,7 +67,7 @@
     ports: dict[str, int] = {}
 
 
-class TellPurges(BaseModel):
+class AcceptPurges(BaseModel):
     """To the change log: accept so many purges; the first was made ``made_over_s`` ago, the last now."""
 
     kind: Literal["tell-purges"] = "tell-purges"
@@ -75,23 +75,23 @@
     made_over_s: float = 0.0
 
 
-class TellListChange(BaseModel):
+class ChangeEndpointList(BaseModel):
     """To the change log: a cache, by its place in the list, drains, goes or serves again."""
 
     kind: Literal["tell-list-change"] = "tell-list-change"
     place: int
 
 
-class GoAway(BaseModel):
-    """To the change log: be away for so long, with all connections reset; what is accepted meanwhile is
-    told afterwards."""
+class PauseChangeLog(BaseModel):
+    """To the change log: close the port for so long, with all connections reset; what is accepted meanwhile
+    is sent afterwards."""
 
     kind: Literal["go-away"] = "go-away"
     seconds: float
 
 
-class AskHead(BaseModel):
-    """To the change log: how far are you?"""
+class HeadRequest(BaseModel):
+    """To the change log: which is the newest event?"""
 
     kind: Literal["ask-head"] = "ask-head"
 
@@ -105,8 +105,8 @@
     list_event: str
 
 
-class AskLog(BaseModel):
-    """To the change log: what have you accepted and written?"""
+class LogReportRequest(BaseModel):
+    """To the change log: which purges were accepted, and how many bytes were written?"""
 
     kind: Literal["ask-log"] = "ask-log"
 
@@ -136,8 +136,8 @@
     at_s: float
 
 
-class AskFollowers(BaseModel):
-    """To the control service: how many routers have said hello and are connected?"""
+class FollowerCountRequest(BaseModel):
+    """To the control service: how many routers have introduced themselves and are connected?"""
 
     kind: Literal["ask-followers"] = "ask-followers"
 
@@ -170,7 +170,7 @@
 
 
 class StartRouters(BaseModel):
-    """To a worker: start these, with what the log and the control service had told by now."""
+    """To a worker: start these, knowing what the change log and the control service have sent so far."""
 
     kind: Literal["start-routers"] = "start-routers"
     places: list[Place]
@@ -179,7 +179,7 @@
 
 
 class CrashRouters(BaseModel):
-    """To a worker: these are gone, with all their connections."""
+    """To a worker: end these, with all their connections."""
 
     kind: Literal["crash-routers"] = "crash-routers"
     names: list[str]
@@ -191,7 +191,7 @@
     kind: Literal["done"] = "done"
 
 
-class MadeBy(BaseModel):
+class PurgesAcceptedBy(BaseModel):
     """To a worker: so many purges, all that there are, were made by this time of the monotonic clock."""
 
     kind: Literal["made-by"] = "made-by"
@@ -199,7 +199,7 @@
     at_s: float
 
 
-class AskBehind(BaseModel):
+class LaggingCountRequest(BaseModel):
     """To a worker: how many live routers lack any of so many purges, or this version?"""
 
     kind: Literal["ask-behind"] = "ask-behind"
@@ -208,7 +208,7 @@
     names: list[str] = []  # only of these, where some are named
 
 
-class AskWorker(BaseModel):
+class WorkerReportRequest(BaseModel):
     """To a worker: what have your routers applied, of so many purges?"""
 
     kind: Literal["ask-worker"] = "ask-worker"
@@ -230,7 +230,7 @@
     version_behind: dict[str, int]  # by router: the version in force
 
 
-class PutFault(BaseModel):
+class InjectFault(BaseModel):
     """To a network: put a fault on all streams of some paths, in one direction or both. ``cut`` holds bytes
     back, as a system that sends them again would."""
 
@@ -251,7 +251,7 @@
 
 
 class Failed(BaseModel):
-    """The process cannot do what it was told."""
+    """The process cannot carry out an order."""
 
     kind: Literal["failed"] = "failed"
     reason: str
@@ -265,26 +265,26 @@
     | StartNetwork
     | StartWorker
     | Ready
-    | TellPurges
-    | TellListChange
-    | GoAway
-    | AskHead
+    | AcceptPurges
+    | ChangeEndpointList
+    | PauseChangeLog
+    | HeadRequest
     | Head
-    | AskLog
+    | LogReportRequest
     | LogReport
     | Publish
     | PublishedAt
-    | AskFollowers
+    | FollowerCountRequest
     | Count
     | StartRouters
     | CrashRouters
     | Done
-    | AskBehind
-    | AskWorker
+    | LaggingCountRequest
+    | WorkerReportRequest
     | WorkerReport
-    | PutFault
+    | InjectFault
     | HealFault
-    | MadeBy
+    | PurgesAcceptedBy
     | Failed
 )
 _ANY: TypeAdapter[Message] = TypeAdapter(Annotated[Message, Field(discriminator="kind")])
--- a/magpieshift/lab/scale/network.py
+++ b/magpieshift/lab/scale/network.py
@@ -5,8 +5,8 @@
 
 from magpieshift.lab.fault_injection.network import LinkFault, Network
 from magpieshift.lab.scale import child
-from magpieshift.lab.scale.messages import Done, HealFault, Message, PutFault, Ready, StartNetwork
-from magpieshift.lab.scale.streams import Passage
+from magpieshift.lab.scale.messages import Done, HealFault, InjectFault, Message, Ready, StartNetwork
+from magpieshift.lab.scale.streams import StreamForwarder
 
 CONTROL = "control"  # the other end of every path
 SEPARATOR = "/"
@@ -17,7 +17,7 @@
     return f"{path}{SEPARATOR}{target}"
 
 
-def put(links: Network, fault: PutFault) -> None:
+def put(links: Network, fault: InjectFault) -> None:
     """Put a fault on the paths that it names, in its direction."""
     for path in fault.paths:
         delay_ms = fault.delay_ms.get(path, 0.0)
@@ -33,9 +33,9 @@
 
 
 async def run() -> None:
-    """The process: passages with the faults that it is told."""
+    """The process: stream forwarders with injected faults."""
     links = Network()
-    passages = list[Passage]()
+    passages = list[StreamForwarder]()
 
     async def handle(message: Message) -> Message | None:
         match message:
@@ -43,10 +43,10 @@
                 ports = {}
                 for path in paths:
                     for name, port in targets.items():
-                        passages.append(Passage(links, path, CONTROL, port))
+                        passages.append(StreamForwarder(links, path, CONTROL, port))
                         ports[port_name(path, name)] = await passages[-1].start()
                 return Ready(ports=ports)
-            case PutFault():
+            case InjectFault():
                 put(links, message)
                 return Done()
             case HealFault(why=why):
--- a/magpieshift/lab/scale/processes.py
+++ b/magpieshift/lab/scale/processes.py
@@ -1,4 +1,4 @@
-"""The coordinator's end of a process of a run: orders, answers, and what the process costs by ``/proc``."""
+"""The coordinator's end of a process of a run: requests, replies, and the process's cost by ``/proc``."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from pathlib import Path
 from typing import TypeVar
 
-from magpieshift.lab.scale.messages import LONGEST_LINE, Failed, Message, Ready, decode, encode
+from magpieshift.lab.scale.messages import MAX_LINE_BYTES, Failed, Message, Ready, decode, encode
 
-PATIENCE_S = 120.0  # for one answer
-END_S = 5.0  # for a process to end by itself
+REPLY_TIMEOUT_S = 120.0  # for one reply, the start of all routers of a worker included; chosen by trial
+STOP_TIMEOUT_S = 5.0  # for a process to exit by itself; then it is killed
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 M = TypeVar("M", bound=Message)
 
 
-class ProcessEnded(Exception):
-    """A process of the run has ended by itself, or cannot do what it was told."""
+class ProcessExitedError(Exception):
+    """A process of the run has ended by itself, or cannot carry out an order."""
 
 
 def cpu_seconds(pid: int) -> float:
@@ -45,7 +45,7 @@
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
         self.name = name
         self._process = process
-        self._turn = asyncio.Lock()
+        self._request_lock = asyncio.Lock()
         self._cpu_s = 0.0
         self.ports: dict[str, int] = {}
 
@@ -64,12 +64,12 @@
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
                 stderr=log,
-                limit=LONGEST_LINE,
+                limit=MAX_LINE_BYTES,
                 start_new_session=True,
             )
         child = cls(name, process)
         try:
-            child.ports = (await child.ask(first, Ready)).ports
+            child.ports = (await child.request(first, Ready)).ports
         except BaseException:
             await child.kill()
             raise
@@ -77,6 +77,7 @@
 
     @property
     def pid(self) -> int:
+        """The process id."""
         return self._process.pid
 
     def cpu_s(self) -> float:
@@ -86,33 +87,34 @@
         return self._cpu_s
 
     def memory_mb(self) -> float:
+        """Resident memory now; ``OSError`` once the process is gone."""
         return resident_mb(self.pid)
 
-    async def tell(self, message: Message) -> None:
-        """Send what has no answer."""
+    async def send(self, message: Message) -> None:
+        """Send a message that has no reply."""
         assert self._process.stdin is not None
         try:
             self._process.stdin.write(encode(message))
             await self._process.stdin.drain()
         except ConnectionError:
-            raise ProcessEnded(f"{self.name} has ended") from None
+            raise ProcessExitedError(f"{self.name} has ended") from None
 
-    async def ask(self, message: Message, wanted: type[M]) -> M:
-        """Send what is answered, and wait for the answer."""
+    async def request(self, message: Message, wanted: type[M]) -> M:
+        """Send a message, and return the reply, which must be of this type."""
         assert self._process.stdout is not None
-        async with self._turn:
-            await self.tell(message)
-            async with asyncio.timeout(PATIENCE_S):
+        async with self._request_lock:
+            await self.send(message)
+            async with asyncio.timeout(REPLY_TIMEOUT_S):
                 line = await self._process.stdout.readline()
         if not line:
-            raise ProcessEnded(f"{self.name} has ended")
+            raise ProcessExitedError(f"{self.name} has ended")
         match decode(line):
             case Failed(reason=reason):
-                raise ProcessEnded(f"{self.name}: {reason}")
+                raise ProcessExitedError(f"{self.name}: {reason}")
             case answer if isinstance(answer, wanted):
                 return answer
             case other:
-                raise ProcessEnded(f"{self.name} answered {other.kind!r} to {message.kind!r}")
+                raise ProcessExitedError(f"{self.name} answered {other.kind!r} to {message.kind!r}")
 
     async def kill(self) -> None:
         """SIGKILL, as a machine that is lost."""
@@ -121,13 +123,13 @@
             self._process.kill()
         await self._process.wait()
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         """End its input, and wait until it is gone."""
         self.cpu_s()
         if self._process.stdin is not None:
             self._process.stdin.close()
         try:
-            async with asyncio.timeout(END_S):
+            async with asyncio.timeout(STOP_TIMEOUT_S):
                 await self._process.wait()
         except TimeoutError:
             await self.kill()
--- a/magpieshift/lab/scale/topology.py
+++ b/magpieshift/lab/scale/topology.py
@@ -17,7 +17,7 @@
 
 import math
 import random
-from collections.abc import Iterator, Sequence
+from collections.abc import Container, Iterator, Sequence
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Annotated, Literal
@@ -30,6 +30,7 @@
 from magpieshift.control.validation import Form, Seconds, validate_form
 
 HEAD = "topology"
+# the product's target, as its operators state it
 TARGET_SITES = 370
 TARGET_ZONES = 24
 TARGET_REGIONS = 10
@@ -39,7 +40,7 @@
 
 Km = Annotated[float, Field(ge=-50_000, le=50_000, allow_inf_nan=False)]
 Count = Annotated[int, Field(ge=1, le=100_000)]
-Share = Annotated[float, Field(ge=0, le=0.5, allow_inf_nan=False)]
+LossFraction = Annotated[float, Field(ge=0, le=0.5, allow_inf_nan=False)]
 
 
 class Cut(Form):
@@ -61,7 +62,7 @@
     sites: dict[str, tuple[str, Count]]
     control: str
     ms_per_1000km: Annotated[float, Field(ge=0, le=100)] = 5.0
-    loss_per_1000km: Share = 0.0
+    loss_per_1000km: LossFraction = 0.0
     rack_size: Count = 16
     cuts: dict[str, Cut] = {}
 
@@ -86,6 +87,7 @@
 
     @property
     def cuts(self) -> dict[str, Cut]:
+        """The network partitions of the file, by name."""
         return self.form.cuts
 
     def zone_sizes(self) -> dict[str, int]:
@@ -132,15 +134,15 @@
     form = validate_form(TopologyForm, tree.data, tree.lines)
     problems = []
 
-    def known(where: tuple[str, ...], name: str, names: object, what: str) -> None:
-        if name not in names:  # type: ignore[operator]
+    def check_known(where: tuple[str, ...], name: str, names: Container[str], what: str) -> None:
+        if name not in names:
             problems.append(Problem(" ".join(where), tree.lines.get(where, 0), name, what))
 
-    known(("control",), form.control, form.region_km, "a region of region-km")
+    check_known(("control",), form.control, form.region_km, "a region of region-km")
     for zone, region in form.zones.items():
-        known(("zones", zone), region, form.region_km, "a region of region-km")
+        check_known(("zones", zone), region, form.region_km, "a region of region-km")
     for site, (zone, _) in form.sites.items():
-        known(("sites", site), zone, form.zones, "a zone of zones")
+        check_known(("sites", site), zone, form.zones, "a zone of zones")
     if problems:
         raise UnusableDocumentError(problems)
     topology = Topology(form)
@@ -184,7 +186,7 @@
     sites = sites or max(zones, round(TARGET_SITES * routers / TARGET_ROUTERS))
     sites = min(sites, routers)
     weights = [rand.paretovariate(1.2) for _ in range(sites)]
-    sizes = _shares(weights, routers)
+    sizes = _proportional_sizes(weights, routers)
     load = dict.fromkeys((f"z{i}" for i in range(zones)), 0)
     placed: dict[str, tuple[str, int]] = {}
     for number, size in enumerate(sorted(sizes, reverse=True)):
@@ -200,15 +202,15 @@
     )
 
 
-def _shares(weights: Sequence[float], total: int) -> list[int]:
+def _proportional_sizes(weights: Sequence[float], total: int) -> list[int]:
     """Whole numbers of at least 1 in proportion to weights, with this sum."""
-    spare = total - len(weights)
-    whole = sum(weights)
+    remaining = total - len(weights)
+    weight_sum = sum(weights)
     edges = [0]
     running = 0.0
     for weight in weights:
         running += weight
-        edges.append(round(spare * running / whole))
+        edges.append(round(remaining * running / weight_sum))
     return [1 + after - before for before, after in zip(edges, edges[1:], strict=False)]
 
 
