--- a/magpieshift/lab/capacity/roles/requests.py
+++ b/magpieshift/lab/capacity/roles/requests.py
@@ -8,7 +8,7 @@
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.capacity.routers import HERE, Ready, ready_router
-from magpieshift.lab.emulators import peers
+from magpieshift.lab.emulators.request_generator import RequestGenerator
 
 SETTLE_S = 0.2
 CLIENTS = 4
@@ -19,7 +19,7 @@
 async def percent_of_core(router: Ready, rate: float, seed: int, for_s: float) -> tuple[float, float]:
     """Percent of a core under requests at this rate, and the requests that were sent a second meanwhile."""
     clients = [
-        peers.RequestGenerator(router.world.router_port, random.Random(seed + n), lambda: True)
+        RequestGenerator(router.world.router_port, random.Random(seed + n), lambda: True)
         for n in range(CLIENTS)
     ]
     loads = [asyncio.ensure_future(client.run(rate / CLIENTS, lambda: ["picture"])) for client in clients]
--- a/magpieshift/lab/emulators/__init__.py
+++ b/magpieshift/lab/emulators/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of what a router speaks to: stores, origin, change log, clients."""
+"""Emulators, written from the protocol pages, of what a router speaks to: endpoints, change log, clients."""
--- a/magpieshift/lab/emulators/endpoint_profile.py
+++ b/magpieshift/lab/emulators/endpoint_profile.py
@@ -46,6 +46,7 @@
     profile: EndpointProfile
 
 
+# the same defaults, slower: chosen by trial, so that a hit pays
 ORIGIN_ROLE = Role("hub", ORIGIN_KIND, EndpointProfile(slots=16, serve_ms=14, fetch_ms=25))
 ROLES = {
     "box": Role("shop", CACHE_KIND, EndpointProfile()),
--- a/magpieshift/lab/emulators/world.py
+++ b/magpieshift/lab/emulators/world.py
@@ -1,5 +1,4 @@
-"""A small installation of stand-ins on loopback: one cache, one origin, their change log, and settings for a
-router."""
+"""A small installation on loopback: one cache, one origin, their change log, and settings for a router."""
 
 from __future__ import annotations
 
@@ -9,35 +8,44 @@
 from magpieshift.control import sexp
 from magpieshift.control.schema import load_data, to_data
 from magpieshift.lab.emulators import peers
+from magpieshift.lab.emulators.endpoint_profile import CACHE_KIND, ORIGIN_KIND, PARENT_KIND
+
+ROUTER_ZONE = "shop"
+ORIGIN_ZONE = "hub"
 
 
 class LoopbackInstallation:
-    """Owner of the stand-ins."""
+    """Owner of the emulators round one router."""
 
     def __init__(self) -> None:
-        self.overlaps, self.change_log = peers.OverlapDetector(), peers.ChangeLog()
+        self.overlaps = peers.OverlapDetector()
+        self.change_log = peers.ChangeLog()
         self.cache = peers.StubEndpoint("s-cache", self.overlaps)
-        self.origin = peers.StubEndpoint("s-origin", self.overlaps, holds_all=True)
-        self.router_port = peers.free_port()  # where the router is to listen
+        self.origin = peers.StubEndpoint("s-origin", self.overlaps, is_origin=True)
+        self.router_port = peers.free_port()
+        """Port of loopback on which the router is to listen."""
 
     async def start(self, members: int = 1) -> None:
-        """Listen, and list the cache, the origin, and so many caches in all; the others are never asked, as
-        they stand in another zone."""
-        for store in (self.cache, self.origin):
-            await store.start()
+        """Listen, and publish a list of the origin and of ``members`` caches in all; those beyond the first
+        stand in another zone and get no requests."""
+        for endpoint in (self.cache, self.origin):
+            await endpoint.start()
         await self.change_log.start()
-        shop = peers.list_entry(self.cache, "shop", "box", 1)
-        others = [{**shop, "id": f"s-far{i}", "locality": "hub", "cell": 2 + i} for i in range(members - 1)]
-        origin = peers.list_entry(self.origin, "hub", "source", 0)
-        self.change_log.publish(fleet={"revision": 1, "complete": True, "members": [shop, origin, *others]})
+        cache = peers.list_entry(self.cache, ROUTER_ZONE, CACHE_KIND, 1)
+        others = [
+            {**cache, "id": f"s-far{i}", "locality": ORIGIN_ZONE, "cell": 2 + i} for i in range(members - 1)
+        ]
+        origin = peers.list_entry(self.origin, ORIGIN_ZONE, ORIGIN_KIND, 0)
+        self.change_log.publish(fleet={"revision": 1, "complete": True, "members": [cache, origin, *others]})
 
     def stop(self) -> None:
-        for store in (self.cache, self.origin):
-            store.stop()
+        """Accept no more connections."""
+        for endpoint in (self.cache, self.origin):
+            endpoint.stop()
         self.change_log.stop()
 
     def settings(self) -> dict[str, Any]:
-        """The settings of a router in this world."""
+        """The settings of the router, as their document's data."""
         picture = {"aim-ms": 500, "deadline-ms": 2000, "in-parts": True, "worth": 2}
         basket = {"aim-ms": 700, "deadline-ms": 2000, "effect": "keyed", "dedup-ms": 5000, "write": True}
         data = {
@@ -45,16 +53,17 @@
             "listen": f"127.0.0.1:{self.router_port}",
             "change-log": f"127.0.0.1:{self.change_log.port}",
             "limits": {"memory-mb": 64, "sockets": 512},
-            "zone": "shop",
-            "zones": {"hub": {"routers": 0}, "shop": {"routers": 1, "attached-to": "hub"}},
-            "kinds": ["box", "upper", "source"],
-            "parent-kind": "upper",
-            "origin-kind": "source",
+            "zone": ROUTER_ZONE,
+            "zones": {ORIGIN_ZONE: {"routers": 0}, ROUTER_ZONE: {"routers": 1, "attached-to": ORIGIN_ZONE}},
+            "kinds": [CACHE_KIND, PARENT_KIND, ORIGIN_KIND],
+            "parent-kind": PARENT_KIND,
+            "origin-kind": ORIGIN_KIND,
             "classes": {"picture": picture, "basket": basket},
         }
         return to_data(load_data(data).document)
 
     def write_settings(self, folder: Path) -> Path:
+        """Write the settings to a file in this folder: its path."""
         path = folder / "start.sexp"
         path.write_text(sexp.format_document(self.settings()))
         return path
--- a/magpieshift/lab/experiments/admin_client.py
+++ b/magpieshift/lab/experiments/admin_client.py
@@ -11,6 +11,7 @@
 
 from magpieshift.admin.server import MAX_CONNECTIONS
 from magpieshift.lab.emulators import peers
+from magpieshift.lab.emulators.request_generator import RequestGenerator
 from magpieshift.lab.emulators.world import LoopbackInstallation
 from magpieshift.lab.experiments.cost import Variant, started
 
@@ -41,9 +42,7 @@
     here = os.path.dirname(os.path.dirname(os.path.dirname(__file__)))
     variant = Variant("this", here, environment={"EDGE_CONSOLE": f"127.0.0.1:{port}"})
     async with started(variant, world) as (process, _):
-        clients = [
-            peers.RequestGenerator(world.router_port, random.Random(i), lambda: True) for i in range(4)
-        ]
+        clients = [RequestGenerator(world.router_port, random.Random(i), lambda: True) for i in range(4)]
         loads = [asyncio.ensure_future(c.run(rate / len(clients), lambda: ["picture"])) for c in clients]
         mute = [asyncio.ensure_future(_mute(port)) for _ in range(MAX_CONNECTIONS)]
         await asyncio.sleep(0.5)
--- a/magpieshift/lab/experiments/cost.py
+++ b/magpieshift/lab/experiments/cost.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import Any
 
-from magpieshift.lab.emulators import peers
+from magpieshift.lab.emulators.request_generator import RequestGenerator
 from magpieshift.lab.emulators.world import LoopbackInstallation
 
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -219,8 +219,7 @@
     try:
         async with started(variant, world) as (process, log):
             clients = [
-                peers.RequestGenerator(world.router_port, random.Random(seed + i), lambda: True)
-                for i in range(4)
+                RequestGenerator(world.router_port, random.Random(seed + i), lambda: True) for i in range(4)
             ]
             loads = [asyncio.ensure_future(c.run(rate / len(clients), lambda: ["picture"])) for c in clients]
             await asyncio.sleep(0.5)
--- a/magpieshift/lab/experiments/versions.py
+++ b/magpieshift/lab/experiments/versions.py
@@ -28,7 +28,7 @@
 from magpieshift.control.schema import load_data
 from magpieshift.control.service import ControlService, RouterStream
 from magpieshift.control.wire import control_pb2 as wire
-from magpieshift.lab.emulators import peers
+from magpieshift.lab.emulators.request_generator import RequestGenerator
 from magpieshift.lab.emulators.world import LoopbackInstallation
 from magpieshift.lab.experiments.version_checks import VersionChecks
 from magpieshift.lab.experiments.version_maker import VersionMaker
@@ -229,9 +229,7 @@
             "--control",
             f"127.0.0.1:{self._service.port}",
         ]
-        client = peers.RequestGenerator(
-            world.router_port, random.Random(plan.seed), lambda: not self._killing
-        )
+        client = RequestGenerator(world.router_port, random.Random(plan.seed), lambda: not self._killing)
         loading: asyncio.Task[None] | None = None
         events = self._schedule()
         with (folder / "router.log").open("wb") as self._log, _bar(plan.count, progress) as bar:
--- a/tests/capture/test_process.py
+++ b/tests/capture/test_process.py
@@ -16,8 +16,8 @@
 from magpieshift.capture.replay import Replay
 from magpieshift.control import sexp
 from magpieshift.control.errors import UnusableDocumentError
-from magpieshift.lab.emulators import peers
 from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
+from magpieshift.lab.emulators.request_generator import RequestGenerator
 from magpieshift.lab.emulators.world import LoopbackInstallation
 from magpieshift.lab.experiments import episode, episode_report, scenario
 from tests.control.test_program import program
@@ -115,7 +115,7 @@
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "magpieshift", *words, stderr=file, cwd=ROOT
             )
-        client = peers.RequestGenerator(world.router_port, random.Random(1), lambda: True)
+        client = RequestGenerator(world.router_port, random.Random(1), lambda: True)
         try:
             await self.says(log, "change applied")
             load = asyncio.ensure_future(client.run(200, lambda: ["picture"]))
@@ -147,7 +147,7 @@
                 await asyncio.sleep(0.01)
 
     @staticmethod
-    async def served(client: peers.RequestGenerator, count: int) -> None:
+    async def served(client: RequestGenerator, count: int) -> None:
         async with asyncio.timeout(PATIENCE_S):
             while client.served < count:
                 await asyncio.sleep(0.01)
--- a/tests/relay/test_processes.py
+++ b/tests/relay/test_processes.py
@@ -34,7 +34,7 @@
     """A store that notes which ages of copies it was asked for, and when."""
 
     def __init__(self, ident: str, watch: peers.OverlapDetector) -> None:
-        super().__init__(ident, watch, holds_all=True)
+        super().__init__(ident, watch, is_origin=True)
         self.orders: list[tuple[float, str, int | None]] = []  # Unix time, key, bound in ms
 
     async def _answer(
