--- a/magpieshift/cli/lab_episode.py
+++ b/magpieshift/cli/lab_episode.py
@@ -25,7 +25,7 @@
     from magpieshift.lab.experiments import scenario
 
     if not file:
-        return scenario.bad_morning(seconds, seed, rate)
+        return scenario.draw_scenario(seconds, seed, rate)
     try:
         return scenario.load_file(file)
     except UnusableDocumentError as err:
@@ -136,7 +136,7 @@
     folder.mkdir(parents=True, exist_ok=True)
     scenario = _scenario("", seconds, 2, 100.0)
     click.echo("What will go wrong:")
-    for failure in scenario.failures:
+    for failure in scenario.faults:
         click.echo(f"  {failure}")
     outcome = _play(
         scenario, str(folder / "capture"), str(folder / "report.html"), str(folder / "run.json"), True
--- a/magpieshift/lab/experiments/episode.py
+++ b/magpieshift/lab/experiments/episode.py
@@ -20,7 +20,7 @@
 from magpieshift.lab.emulators.emulated import EmulatedInstallation, router_settings
 from magpieshift.lab.emulators.load import LoadGenerator
 from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
-from magpieshift.lab.experiments.scenario import Failure, Scenario
+from magpieshift.lab.experiments.scenario import Fault, Scenario
 
 ROUTER = (sys.executable, "-m", "magpieshift")
 UP_S = 20.0
@@ -65,9 +65,9 @@
         )
         self._port = peers.free_port()
 
-    async def _fail(self, failure: Failure) -> None:
+    async def _fail(self, failure: Fault) -> None:
         what = "hang" if failure.what == "pause" else failure.what
-        await self._stores.inject_fault(what, failure.who, failure.for_s, failure.by)
+        await self._stores.inject_fault(what, failure.place, failure.duration_s, failure.amount)
 
     async def run(self, folder: Path, progress: Callable[[float], None] = lambda seconds: None) -> Outcome:
         """The whole episode; ``RuntimeError`` where the router does not come up."""
@@ -90,7 +90,7 @@
         try:
             await self._up(log)
             began = time.monotonic()
-            failing = [asyncio.ensure_future(self._at(began, failure)) for failure in scenario.failures]
+            failing = [asyncio.ensure_future(self._at(began, failure)) for failure in scenario.faults]
             watching = asyncio.ensure_future(self._watch(outcome, began, progress))
             await load.run(scenario.seconds)
             watching.cancel()
@@ -127,8 +127,8 @@
                 raise RuntimeError(f"the router did not come up: {log.read_text()[-800:]}")
             await asyncio.sleep(0.02)
 
-    async def _at(self, began: float, failure: Failure) -> None:
-        await asyncio.sleep(max(0.0, began + failure.at_s - time.monotonic()))
+    async def _at(self, began: float, failure: Fault) -> None:
+        await asyncio.sleep(max(0.0, began + failure.start_s - time.monotonic()))
         await self._fail(failure)
 
     async def _watch(self, outcome: Outcome, began: float, progress: Callable[[float], None]) -> None:
@@ -179,7 +179,7 @@
             "p50_ms": total.latency_us.get_value_at_percentile(50) / 1000,
             "p99_ms": total.latency_us.get_value_at_percentile(99) / 1000,
             "origin_fetches": sum(rules.origin_fetches.values()),
-            "failures": len(outcome.scenario.failures),
+            "failures": len(outcome.scenario.faults),
             "cpu_us_a_request": round(1e6 * spent / max(1, total.sent)),
         }
 
@@ -204,8 +204,8 @@
         "broken": outcome.broken,
         "examples": outcome.examples,
         "failures": [
-            {"what": f.what, "who": f.who, "at_s": f.at_s, "for_s": f.for_s}
-            for f in outcome.scenario.failures
+            {"what": f.what, "who": f.place, "at_s": f.start_s, "for_s": f.duration_s}
+            for f in outcome.scenario.faults
         ],
     }
     return json.dumps(plain)
--- a/magpieshift/lab/experiments/handover.py
+++ b/magpieshift/lab/experiments/handover.py
@@ -1,7 +1,7 @@
-"""What becomes of connections while one listener takes an address over from another, by the way it is done.
+"""What becomes of connections while one listener takes an address over from another, by the method used.
 
-Clients in threads connect, say one byte and wait for one back, as fast as they can; in the midst of it a
-second listener joins and the first goes. Who meets a reset or a refusal is counted. All in one process.
+Clients in threads connect, send one byte and wait for one back, as fast as they can; meanwhile a second
+listener joins and the first stops. All in one process.
 """
 
 from __future__ import annotations
@@ -12,44 +12,64 @@
 import time
 from collections import Counter
 from dataclasses import dataclass, field
+from enum import StrEnum
 
 from magpieshift.sockets import listen_socket, steer_to_second
 
 OUTCOMES = ("answered", "reset", "refused", "closed unread")
-WAYS = ("closed", "emptied", "steered", "passed on")
-BESIDE_S = 0.05  # in which both listen
+"""What a connection can meet, by the names of the report's columns."""
+OVERLAP_S = 0.05  # in which both listen; chosen by trial, longer counts more connections
+ACCEPT_POLL_S = 0.005  # how often a listener looks whether it is to stop; well below the overlap
+CLIENT_TIMEOUT_S = 1.0  # of a connection; a byte on loopback takes microseconds
+
+
+class Method(StrEnum):
+    """How the first listener stops; values are the names of the report's rows."""
+
+    CLOSED = "closed"
+    """It closes with what it has not accepted."""
+    EMPTIED = "emptied"
+    """It first accepts what is in its backlog."""
+    STEERED = "steered"
+    """New connections are steered to the second before it empties its backlog."""
+    PASSED_ON = "passed on"
+    """The second takes over the socket itself."""
 
 
 @dataclass
 class Listener:
-    """Accepts and answers in a thread of its own, until told to leave."""
+    """Accepts and answers in a thread of its own, until it is to stop."""
 
     sock: socket.socket
-    empties: bool
-    leaving: threading.Event = field(default_factory=threading.Event)
+    drains_backlog: bool
+    """Whether it accepts what is in its backlog before it closes."""
+    stopping: threading.Event = field(default_factory=threading.Event)
 
     def run(self) -> None:
-        self.sock.settimeout(0.005)
-        while not self.leaving.is_set():
+        """Serve until ``stopping`` is set; closes the socket."""
+        self.sock.settimeout(ACCEPT_POLL_S)
+        while not self.stopping.is_set():
             with contextlib.suppress(TimeoutError):
                 self._answer(self.sock.accept()[0])
-        if self.empties:
+        if self.drains_backlog:
             self.sock.setblocking(False)
             with contextlib.suppress(BlockingIOError):
                 while True:
                     self._answer(self.sock.accept()[0])
         self.sock.close()
 
-    def _answer(self, client: socket.socket) -> None:
+    @staticmethod
+    def _answer(client: socket.socket) -> None:
         with client, contextlib.suppress(OSError):
-            client.settimeout(1.0)
+            client.settimeout(CLIENT_TIMEOUT_S)
             client.sendall(client.recv(1))
 
 
-def _call(address: tuple[str, int], until: float, counts: Counter[str]) -> None:
-    while time.monotonic() < until:
+def _run_client(address: tuple[str, int], end_s: float, counts: Counter[str]) -> None:
+    """Connect again and again until this steady time, and count what the connections meet."""
+    while time.monotonic() < end_s:
         try:
-            with socket.create_connection(address, 1.0) as sock:
+            with socket.create_connection(address, CLIENT_TIMEOUT_S) as sock:
                 sock.sendall(b"x")
                 counts["answered" if sock.recv(1) else "closed unread"] += 1
         except ConnectionRefusedError:
@@ -58,37 +78,38 @@
             counts["reset"] += 1
 
 
-def once(way: str, clients: int) -> Counter[str]:
-    """One handover under load."""
+def hand_over(method: Method, clients: int) -> Counter[str]:
+    """One handover under load: connections by outcome."""
     first = listen_socket("127.0.0.1", 0, shared=True)
     host, port = first.getsockname()
-    old = Listener(first, empties=way in ("emptied", "steered"))
+    old = Listener(first, drains_backlog=method in (Method.EMPTIED, Method.STEERED))
     counts = [Counter[str]() for _ in range(clients)]
-    ends = time.monotonic() + 3 * BESIDE_S
+    end_s = time.monotonic() + 3 * OVERLAP_S
     threads = [threading.Thread(target=old.run)]
-    threads += [threading.Thread(target=_call, args=((host, port), ends, each)) for each in counts]
+    threads += [threading.Thread(target=_run_client, args=((host, port), end_s, each)) for each in counts]
     for thread in threads:
         thread.start()
-    time.sleep(BESIDE_S)
-    second = first.dup() if way == "passed on" else listen_socket(host, port, shared=True)
-    new = Listener(second, empties=False)
-    threads.append(threading.Thread(target=new.run))
-    threads[-1].start()
-    if way == "steered":
+    time.sleep(OVERLAP_S)
+    is_passed_on = method is Method.PASSED_ON
+    second = first.dup() if is_passed_on else listen_socket(host, port, shared=True)
+    new = Listener(second, drains_backlog=False)
+    new_thread = threading.Thread(target=new.run)
+    new_thread.start()
+    if method is Method.STEERED:
         steer_to_second(second)
-    time.sleep(BESIDE_S)
-    old.leaving.set()
-    for thread in threads[:-1]:
+    time.sleep(OVERLAP_S)
+    old.stopping.set()
+    for thread in threads:
         thread.join()
-    new.leaving.set()
-    threads[-1].join()
+    new.stopping.set()
+    new_thread.join()
     return sum(counts, Counter[str]())
 
 
 def measure(rounds: int, clients: int) -> dict[str, Counter[str]]:
-    """All ways, in turn."""
-    totals = {way: Counter[str]() for way in WAYS}
+    """Handovers of all methods, in turn: connections by method and outcome."""
+    totals = {method.value: Counter[str]() for method in Method}
     for _ in range(rounds):
-        for way in WAYS:
-            totals[way] += once(way, clients)
+        for method in Method:
+            totals[method.value] += hand_over(method, clients)
     return totals
--- a/magpieshift/lab/experiments/scenario.py
+++ b/magpieshift/lab/experiments/scenario.py
@@ -1,4 +1,4 @@
-"""What is to happen in an episode: a file of S-expressions, or one drawn from a seed."""
+"""The faults and the load of an episode, from a file of S-expressions or drawn from a seed."""
 
 from __future__ import annotations
 
@@ -15,65 +15,80 @@
 from magpieshift.control.validation import Form, Seconds, validate_form
 from magpieshift.lab.emulators.emulated import place_names
 
-HEAD = "scenario"
-What = Literal["die", "pause", "late-list", "slow", "lose", "reset", "drain", "purge"]
+HEAD = "scenario"  # of the file's expression
+PLACELESS_FAULTS = ("late-list", "purge")  # of the change log, not of an endpoint
+FaultWord = Literal["die", "pause", "late-list", "slow", "lose", "reset", "drain", "purge"]
 
 
-class FailureForm(Form):
-    what: What
+class FaultForm(Form):
+    """One fault as the file has it."""
+
+    what: FaultWord
     at_s: Seconds
     for_s: Seconds = 0.0
-    who: str = ""  # a store's place: box1, hub2, origin
+    who: str = ""  # an endpoint's place: box1, hub2, origin
     by: Annotated[float, Field(ge=0, le=60_000)] = 0.0  # slow: ms; lose: a share
 
 
 class ScenarioForm(Form):
+    """A scenario as the file has it."""
+
     seconds: Annotated[float, Field(ge=1, le=86_400)]
     seed: Annotated[int, Field(ge=0)] = 1
     rate: Annotated[float, Field(gt=0, le=10_000)] = 120.0
     boxes: Annotated[int, Field(ge=1, le=64)] = 4
     hubs: Annotated[int, Field(ge=0, le=16)] = 2
     objects: Annotated[int, Field(ge=1, le=1_000_000)] = 2_000
-    failures: dict[str, FailureForm] = {}
+    failures: dict[str, FaultForm] = {}
 
 
 @dataclass(frozen=True)
-class Failure:
-    """One thing that goes wrong, and for how long."""
+class Fault:
+    """One fault, where it is, and for how long."""
 
     name: str
-    what: str
-    who: str
-    at_s: float
-    for_s: float
-    by: float
+    what: FaultWord
+    place: str
+    """Of the endpoint; empty for a fault of the change log."""
+    start_s: float
+    """Since the load began."""
+    duration_s: float
+    amount: float
+    """Milliseconds of delay, or a share of answers that are lost."""
 
     def __str__(self) -> str:
-        words = [self.what, self.who] if self.who else [self.what]
-        return " ".join(words) + f" at {self.at_s:g} s" + (f" for {self.for_s:g} s" if self.for_s else "")
+        words = [self.what, self.place] if self.place else [self.what]
+        duration = f" for {self.duration_s:g} s" if self.duration_s else ""
+        return " ".join(words) + f" at {self.start_s:g} s" + duration
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """An installation, its load, and what goes wrong, by time."""
+    """An installation, its load, and its faults in the order of their start."""
 
     seconds: float
+    """Duration of the load."""
     seed: int
     rate: float
+    """Parts requested a second."""
     boxes: int
+    """Caches."""
     hubs: int
+    """Parent caches."""
     objects: int
-    failures: tuple[Failure, ...]
+    """Objects that clients request."""
+    faults: tuple[Fault, ...]
 
     @property
     def place_names(self) -> list[str]:
+        """The names of all places of the installation."""
         return place_names(self.boxes, self.hubs)
 
 
 def load(data: Mapping[str, Any], lines: Mapping[sexp.EntryPath, int] | None = None) -> Scenario:
     """A checked scenario; ``UnusableDocumentError`` with all that is wrong."""
     form = validate_form(ScenarioForm, data, lines or {})
-    failures = [Failure(name, f.what, f.who, f.at_s, f.for_s, f.by) for name, f in form.failures.items()]
+    faults = [Fault(name, f.what, f.who, f.at_s, f.for_s, f.by) for name, f in form.failures.items()]
     found = Scenario(
         form.seconds,
         form.seed,
@@ -81,12 +96,12 @@
         form.boxes,
         form.hubs,
         form.objects,
-        tuple(sorted(failures, key=lambda f: f.at_s)),
+        tuple(sorted(faults, key=lambda f: f.start_s)),
     )
     problems = [
-        Problem(f"failures {f.name} who", 0, sexp.shorten(f.who), "one of " + ", ".join(found.place_names))
-        for f in failures
-        if f.what not in ("late-list", "purge") and f.who not in found.place_names
+        Problem(f"failures {f.name} who", 0, sexp.shorten(f.place), "one of " + ", ".join(found.place_names))
+        for f in faults
+        if f.what not in PLACELESS_FAULTS and f.place not in found.place_names
     ]
     if problems:
         raise UnusableDocumentError(problems)
@@ -99,8 +114,9 @@
     return load(tree.data, tree.lines)
 
 
-def bad_morning(seconds: float, seed: int, rate: float = 120.0) -> Scenario:
-    """Boxes die, a hub dies, the list runs late and the origin slows, all at once and again and again."""
+def draw_scenario(seconds: float, seed: int, rate: float = 120.0) -> Scenario:
+    """Groups of concurrent faults, one after the other: caches and a parent die, the list is late, the origin
+    slows. The durations and pauses were chosen by trial: shorter pauses leave no recovery between groups."""
     rand = np.random.default_rng(seed)
     failures: dict[str, Any] = {}
     at = min(3.0, seconds / 6)
--- a/tests/capture/test_process.py
+++ b/tests/capture/test_process.py
@@ -48,8 +48,8 @@
         self.capture = str(self.folder / "capture")
 
     async def test_a_bad_morning_keeps_the_rules_and_replays_the_same(self) -> None:
-        plan = scenario.bad_morning(6.0, seed=4, rate=60.0)
-        self.assertGreaterEqual({f.what for f in plan.failures}, {"die", "slow", "late-list", "purge"})
+        plan = scenario.draw_scenario(6.0, seed=4, rate=60.0)
+        self.assertGreaterEqual({f.what for f in plan.faults}, {"die", "slow", "late-list", "purge"})
         key = self.folder / "key"
         key.write_text("0123456789abcdef0123")
         outcome = await episode.play(plan, ["--capture", self.capture, "--hash-key", str(key)])
@@ -161,8 +161,8 @@
 
 class Pieces(unittest.TestCase):
     def test_the_same_seed_gives_the_same_script(self) -> None:
-        self.assertEqual(scenario.bad_morning(60, 5), scenario.bad_morning(60, 5))
-        self.assertNotEqual(scenario.bad_morning(60, 5), scenario.bad_morning(60, 6))
+        self.assertEqual(scenario.draw_scenario(60, 5), scenario.draw_scenario(60, 5))
+        self.assertNotEqual(scenario.draw_scenario(60, 5), scenario.draw_scenario(60, 6))
 
     def test_a_scenario_says_what_is_wrong_with_it(self) -> None:
         for data, said in (
