--- a/tests/capture/test_process.py
+++ b/tests/capture/test_process.py
@@ -16,8 +16,8 @@
 from magpieshift.capture.replay import Replay
 from magpieshift.control import sexp
 from magpieshift.control.errors import UnusableDocumentError
-from magpieshift.lab.emulators import peers
 from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
+from magpieshift.lab.emulators.request_generator import RequestGenerator
 from magpieshift.lab.emulators.world import LoopbackInstallation
 from magpieshift.lab.experiments import episode, episode_report, scenario
 from tests.control.test_program import program
@@ -48,8 +48,8 @@
         self.capture = str(self.folder / "capture")
 
     async def test_a_bad_morning_keeps_the_rules_and_replays_the_same(self) -> None:
-        plan = scenario.bad_morning(6.0, seed=4, rate=60.0)
-        self.assertGreaterEqual({f.what for f in plan.failures}, {"die", "slow", "late-list", "purge"})
+        plan = scenario.draw_scenario(6.0, seed=4, rate=60.0)
+        self.assertGreaterEqual({f.what for f in plan.faults}, {"die", "slow", "late-list", "purge"})
         key = self.folder / "key"
         key.write_text("0123456789abcdef0123")
         outcome = await episode.play(plan, ["--capture", self.capture, "--hash-key", str(key)])
@@ -115,7 +115,7 @@
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "magpieshift", *words, stderr=file, cwd=ROOT
             )
-        client = peers.RequestGenerator(world.router_port, random.Random(1), lambda: True)
+        client = RequestGenerator(world.router_port, random.Random(1), lambda: True)
         try:
             await self.says(log, "change applied")
             load = asyncio.ensure_future(client.run(200, lambda: ["picture"]))
@@ -147,7 +147,7 @@
                 await asyncio.sleep(0.01)
 
     @staticmethod
-    async def served(client: peers.RequestGenerator, count: int) -> None:
+    async def served(client: RequestGenerator, count: int) -> None:
         async with asyncio.timeout(PATIENCE_S):
             while client.served < count:
                 await asyncio.sleep(0.01)
@@ -161,8 +161,8 @@
 
 class Pieces(unittest.TestCase):
     def test_the_same_seed_gives_the_same_script(self) -> None:
-        self.assertEqual(scenario.bad_morning(60, 5), scenario.bad_morning(60, 5))
-        self.assertNotEqual(scenario.bad_morning(60, 5), scenario.bad_morning(60, 6))
+        self.assertEqual(scenario.draw_scenario(60, 5), scenario.draw_scenario(60, 5))
+        self.assertNotEqual(scenario.draw_scenario(60, 5), scenario.draw_scenario(60, 6))
 
     def test_a_scenario_says_what_is_wrong_with_it(self) -> None:
         for data, said in (
