--- a/magpieshift/cli/lab_fleet.py
+++ b/magpieshift/cli/lab_fleet.py
@@ -164,11 +164,11 @@
     import os
 
     from magpieshift.lab.experiments.overload import SCENARIOS, Talking, map_of, play
-    from magpieshift.lab.simulated.fleet import Form
+    from magpieshift.lab.simulated.fleet_state import FleetSize
 
     if liars > routers:
         raise ConfigError(f"--liars: found {liars}, expected no more than the {routers} routers")
-    form = Form(routers=routers, seed=seed, load=load)
+    form = FleetSize(routers=routers, seed=seed, load_factor=load)
     if show_map:
         output.print_rows([vars(point) for point in map_of(form, os.cpu_count() or 1)], as_json)
         return
--- a/magpieshift/lab/experiments/overload.py
+++ b/magpieshift/lab/experiments/overload.py
@@ -12,7 +12,8 @@
 from dataclasses import dataclass, field, replace
 
 from magpieshift.lab.simulated.endpoints import EndpointCondition
-from magpieshift.lab.simulated.fleet import SECOND, Fleet, Form
+from magpieshift.lab.simulated.fleet import Fleet
+from magpieshift.lab.simulated.fleet_state import SECOND_US, FleetSize
 from magpieshift.lab.simulated.second_counters import SecondCounters
 
 WARM_S = 15
@@ -30,53 +31,53 @@
     for name in dead:
         fleet.kill(name)
     for name in dead:
-        fleet.time.after(2 * SECOND, lambda name=name: fleet.start(name))  # type: ignore[misc]
+        fleet.time.after(2 * SECOND_US, lambda name=name: fleet.start(name))  # type: ignore[misc]
 
 
 def _origin_half(fleet: Fleet) -> None:
     """The origin takes twice as long for everything."""
-    fleet.stores.origin.slowdowns[""] = 2.0
+    fleet.upstreams.origin.slowdowns[""] = 2.0
 
 
 def _parent_dead(fleet: Fleet) -> None:
-    fleet.fail("hub-0", EndpointCondition.CRASHED)
+    fleet.set_condition("hub-0", EndpointCondition.CRASHED)
 
 
 def _half_errors(fleet: Fleet) -> None:
     """A store in each zone answers every second request with an error."""
-    for zone in range(fleet.form.zones):
-        fleet.stores.by_name[f"box-{zone}-0"].error_probability = 0.5
+    for zone in range(fleet.size.zones):
+        fleet.upstreams.by_name[f"box-{zone}-0"].error_probability = 0.5
 
 
 def _one_class(fleet: Fleet) -> None:
     """The origin is slow for one class only."""
-    fleet.stores.origin.slowdowns["picture"] = 4.0
+    fleet.upstreams.origin.slowdowns["picture"] = 4.0
 
 
 def _threshold(fleet: Fleet) -> None:
     """Just about what can be borne."""
-    fleet.rate = fleet.form.made_for * fleet.form.room
+    fleet.rate = fleet.size.design_rate * fleet.size.capacity_factor
 
 
 def _paused(fleet: Fleet) -> None:
     """A fifth of all routers stands still for 5 s."""
     for name in sorted(fleet.routers)[::5]:
-        fleet.pause(name, 5 * SECOND)
+        fleet.pause(name, 5 * SECOND_US)
 
 
 def _burst(fleet: Fleet) -> None:
     """Three times the load."""
-    fleet.rate = fleet.form.made_for * fleet.form.load * 3
+    fleet.rate = fleet.size.design_rate * fleet.size.load_factor * 3
 
 
 def _well(fleet: Fleet) -> None:
     """All is as before."""
-    fleet.rate = fleet.form.made_for * fleet.form.load
-    for ident, store in fleet.stores.by_name.items():
+    fleet.rate = fleet.size.design_rate * fleet.size.load_factor
+    for ident, store in fleet.upstreams.by_name.items():
         store.error_probability = 0.0
         store.slowdowns.clear()
         if store.is_failing:
-            fleet.fail(ident, EndpointCondition.RUNNING)
+            fleet.set_condition(ident, EndpointCondition.RUNNING)
 
 
 @dataclass(frozen=True)
@@ -145,7 +146,7 @@
     liars: int = 0
 
 
-def play(name: str, form: Form, talking: Talking | None = None) -> Outcome:
+def play(name: str, form: FleetSize, talking: Talking | None = None) -> Outcome:
     """One run: calm, trouble, and what follows; without ``talking`` each router goes by itself."""
     began = time.perf_counter()
     scenario = SCENARIOS[name]
@@ -157,7 +158,7 @@
 
         talk = Talk(fleet, max(talking.loss, scenario.digests_lost), talking.liars)
     fleet.run(WARM_S + CALM_S)
-    calm = fleet.seen.seconds[WARM_S : WARM_S + CALM_S]
+    calm = fleet.record.by_second[WARM_S : WARM_S + CALM_S]
     usual_work = _work(calm)
     usual_good = _good(calm)
     start = fleet.time.second
@@ -170,12 +171,12 @@
         fleet.run(1)
         # a second's requests are judged once their time is over
         if after >= WINDOW_S + 2:
-            window = fleet.seen.seconds[end + after - WINDOW_S - 1 : end + after - 1]
+            window = fleet.record.by_second[end + after - WINDOW_S - 1 : end + after - 1]
             if _good(window) >= 0.95 * usual_good:
                 back = after - WINDOW_S - 1
                 break
     fleet.run(3)
-    seconds = fleet.seen.seconds
+    seconds = fleet.record.by_second
     troubled = seconds[start : len(seconds) - 3]
     windows = [seconds[at : at + WINDOW_S] for at in range(start, len(seconds) - 3 - WINDOW_S)]
     failing = seconds[start + 1 : end]
@@ -183,7 +184,8 @@
     out.amplification = round(max(map(_work, windows)) / usual_work, 3)
     out.tries_per_s = round(sum(a.at_failing_endpoints for a in failing) / max(1, len(failing)), 1)
     out.back_to_95_s = back
-    out.refused_then_served = round(fleet.seen.refused_then_served / max(1, fleet.seen.refused_wishes), 3)
+    record = fleet.record
+    out.refused_then_served = round(record.rejected_then_served / max(1, record.rejected_requests), 3)
     out.goodput = round(_good(troubled), 4)
     classes: dict[str, list[int]] = {}
     for account in troubled:
@@ -193,7 +195,7 @@
             counts[1] += counted.served_in_time
     out.worst_class = round(min(served / asked for asked, served in classes.values()), 4)
     out.refused = round(sum(a.rejections for a in troubled) / sum(a.requests for a in troubled), 3)
-    out.rules_broken = len(fleet.seen.broken)
+    out.rules_broken = len(fleet.record.violations)
     if talk is not None:
         out.talk_per_s, out.talk_bytes_per_s = (round(each, 2) for each in talk.cost())
     out.real_s = round(time.perf_counter() - began, 1)
@@ -214,9 +216,9 @@
     stays_bad: bool
 
 
-def point(load: float, trigger: str, tries: int, form: Form) -> Point:
+def point(load: float, trigger: str, tries: int, form: FleetSize) -> Point:
     """One point: none of its clients is patient, so that returns are as bad as they can be."""
-    found = play(trigger, replace(form, load=load, tries=tries, patient=0.0))
+    found = play(trigger, replace(form, load_factor=load, max_attempts=tries, patient_share=0.0))
     bad = found.back_to_95_s >= MOST_AFTER_S
     return Point(load, trigger, tries, found.back_to_95_s, found.goodput, found.amplification, bad)
 
@@ -226,7 +228,7 @@
 TRIES = (1, 4, 8)
 
 
-def map_of(form: Form, workers: int) -> list[Point]:
+def map_of(form: FleetSize, workers: int) -> list[Point]:
     """All points, by several processes."""
     points = [(load, trigger, tries) for trigger in TRIGGERS for tries in TRIES for load in LOADS]
     with ProcessPoolExecutor(workers) as pool:
--- a/magpieshift/lab/simulated/gossip.py
+++ b/magpieshift/lab/simulated/gossip.py
@@ -5,7 +5,8 @@
 import random
 from functools import partial
 
-from magpieshift.lab.simulated.fleet import SECOND, Fleet, Router
+from magpieshift.lab.simulated.fleet import Fleet
+from magpieshift.lab.simulated.fleet_state import SECOND_US, SimulatedRouter
 from magpieshift.overload.codec import decode, encode
 from magpieshift.overload.digest import Digest, FailureReport
 from magpieshift.overload.gossip import GOSSIP_INTERVAL_US, Gossip
@@ -21,8 +22,8 @@
     def __init__(self, fleet: Fleet, loss: float = 0.0, liars: int = 0) -> None:
         self._fleet = fleet
         self.loss = loss
-        self._rand = random.Random(f"talk {fleet.form.seed}")
-        self._talkers: dict[int, tuple[Router, Gossip]] = {}  # by engine: a later start begins anew
+        self._rand = random.Random(f"talk {fleet.size.seed}")
+        self._talkers: dict[int, tuple[SimulatedRouter, Gossip]] = {}  # by engine: a later start begins anew
         self._liars = set(sorted(fleet.routers)[:liars])
         self._died: dict[str, int] = {}
         self.sent = 0
@@ -49,7 +50,7 @@
         now = self._fleet.time.now_us
         return sorted(name for name in self._fleet.routers if now - self._died.get(name, now) < NOTICED_US)
 
-    def _turn(self, router: Router, talker: Gossip) -> None:
+    def _turn(self, router: SimulatedRouter, talker: Gossip) -> None:
         now = self._fleet.time.now_us
         seen = {
             m.name: EndpointHealth(
@@ -63,7 +64,7 @@
         sends = turn.sends
         if router.name in self._liars:
             reports = tuple(
-                FailureReport(store, router.name, True, 0) for store in self._fleet.stores.by_name
+                FailureReport(store, router.name, True, 0) for store in self._fleet.upstreams.by_name
             )
             sends = [(name, Digest(reports, 0.0, 1e6)) for name in self._rand.sample(here, min(8, len(here)))]
         for name, digest in sends:
@@ -85,5 +86,5 @@
 
     def cost(self) -> tuple[float, float]:
         """Datagrams and bytes that a router sent a second, over the whole run."""
-        over = len(self._fleet.routers) * (self._fleet.time.now_us - self._fleet.time.began_us) / SECOND
+        over = len(self._fleet.routers) * (self._fleet.time.now_us - self._fleet.time.began_us) / SECOND_US
         return self.sent / over, self.bytes / over
--- a/tests/overload/test_simulated_fleet.py
+++ b/tests/overload/test_simulated_fleet.py
@@ -5,7 +5,7 @@
 import unittest
 
 from magpieshift.lab.experiments import overload as lab
-from magpieshift.lab.simulated.fleet import Form
+from magpieshift.lab.simulated.fleet_state import FleetSize
 from magpieshift.overload import gossip as gossip
 from magpieshift.overload import probe_election as probe_election
 
@@ -14,7 +14,7 @@
     """Whole fleets on a fake clock, with the real engine and module."""
 
     def test_a_dead_parent_is_probed_by_few_and_lost_digests_leave_each_router_to_itself(self) -> None:
-        form = Form(routers=12, zones=2, boxes=2, parents=3, seed=4)
+        form = FleetSize(routers=12, zones=2, caches_per_zone=2, parents=3, seed=4)
         alone = lab.play("parent-dead", form)
         told = lab.play("parent-dead", form, lab.Talking())
         lost = lab.play("parent-dead", form, lab.Talking(loss=1.0))
@@ -24,7 +24,7 @@
             self.assertEqual((outcome.rules_broken, outcome.back_to_95_s < 10), (0, True))
 
     def test_false_reports_do_not_take_the_endpoints_away(self) -> None:
-        form = Form(routers=12, zones=2, boxes=2, parents=3, seed=4)
+        form = FleetSize(routers=12, zones=2, caches_per_zone=2, parents=3, seed=4)
         honest = lab.play("parent-dead", form, lab.Talking())
         lied = lab.play("parent-dead", form, lab.Talking(liars=2))
         self.assertGreater(lied.goodput, honest.goodput - 0.02)
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -16,28 +16,29 @@
     SimulatedEndpoint,
     ZoneLink,
 )
-from magpieshift.lab.simulated.fleet import SECOND, Fleet, Form
+from magpieshift.lab.simulated.fleet import Fleet
+from magpieshift.lab.simulated.fleet_state import SECOND_US, FleetSize
 from magpieshift.lab.simulated.second_counters import SecondCounters
 from magpieshift.lab.simulated.time import RouterClock, Time
 from magpieshift.lab.simulated.upstreams import SimulatedUpstreams
 from magpieshift.policy.events import Endpoint, EndpointState
 from magpieshift.policy.outcomes import Outcome
 
-FORM = Form(routers=10, zones=2, seed=3)
+FORM = FleetSize(routers=10, zones=2, seed=3)
 
 
 class Clocks(unittest.TestCase):
     def test_who_sleeps_catches_up_in_order_and_the_dead_do_nothing(self) -> None:
         time, done = Time(), list[str]()
         clock, dead = RouterClock(time), RouterClock(time)
-        clock.after(SECOND, lambda: done.append("one"))
-        clock.after(2 * SECOND, lambda: done.append("two")).cancel()
-        clock.after(3 * SECOND, lambda: done.append("three"))
-        dead.after(SECOND, lambda: done.append("never"))
-        clock.asleep_until_us, dead.dead = time.now_us + 5 * SECOND, True
-        time.run(time.now_us + 4 * SECOND)
+        clock.after(SECOND_US, lambda: done.append("one"))
+        clock.after(2 * SECOND_US, lambda: done.append("two")).cancel()
+        clock.after(3 * SECOND_US, lambda: done.append("three"))
+        dead.after(SECOND_US, lambda: done.append("never"))
+        clock.asleep_until_us, dead.dead = time.now_us + 5 * SECOND_US, True
+        time.run(time.now_us + 4 * SECOND_US)
         self.assertEqual(done, [])
-        time.run(time.now_us + 2 * SECOND)
+        time.run(time.now_us + 2 * SECOND_US)
         self.assertEqual(done, ["one", "three"])
 
 
@@ -55,7 +56,7 @@
         self.results: list[tuple[float, AttemptResult]] = []
 
     def ask(self, key: str, source: str = "") -> object:
-        call = ClientRequest(key, 0, "picture", key, 0, 1, 100.0, SECOND, False, "", "", b"")
+        call = ClientRequest(key, 0, "picture", key, 0, 1, 100.0, SECOND_US, False, "", "", b"")
         target = self.stores.by_name["box"].listed
         by = self.stores.by_name[source].listed if source else None
         order = UpstreamRequest(call, target, by, 1, 0, 0, 0, False, lambda: None)
@@ -63,7 +64,7 @@
         return self.stores.send(order, lambda r: self.results.append(((self.time.now_us - began) / 1e6, r)))
 
     def run_on(self) -> list[Outcome]:
-        self.time.run(self.time.now_us + 10 * SECOND)
+        self.time.run(self.time.now_us + 10 * SECOND_US)
         found = [result.outcome for _, result in self.results]
         self.results.clear()
         return found
@@ -72,7 +73,7 @@
         self.ask("k")
         self.assertEqual(self.run_on(), [Outcome.MISS])
         self.ask("k", "hub")
-        self.time.run(self.time.now_us + SECOND)
+        self.time.run(self.time.now_us + SECOND_US)
         took, result = self.results[0]
         self.assertEqual(result.outcome, Outcome.OK)
         self.assertAlmostEqual(took, 0.111, places=3)  # the origin 10 ms, the link 100 ms, two ways
@@ -121,9 +122,9 @@
         fleet = Fleet(FORM)
         fleet.run(1)
         with mock.patch.object(PolicyActions, "_reject"), mock.patch.object(RequestTable, "_expire"):
-            fleet.fail("origin", EndpointCondition.CRASHED)
+            fleet.set_condition("origin", EndpointCondition.CRASHED)
             fleet.run(6)
-        self.assertTrue(fleet.seen.broken)
+        self.assertTrue(fleet.record.violations)
 
     def test_a_point_of_the_map(self) -> None:
         found = overload.point(0.85, "burst", 4, FORM)
