--- a/magpieshift/lab/experiments/overload.py
+++ b/magpieshift/lab/experiments/overload.py
@@ -12,7 +12,8 @@
 from dataclasses import dataclass, field, replace
 
 from magpieshift.lab.simulated.endpoints import EndpointCondition
-from magpieshift.lab.simulated.fleet import SECOND, Fleet, Form
+from magpieshift.lab.simulated.fleet import Fleet
+from magpieshift.lab.simulated.fleet_state import SECOND_US, FleetSize
 from magpieshift.lab.simulated.second_counters import SecondCounters
 
 WARM_UP_S = 15
@@ -41,54 +42,54 @@
     for name in dead:
         fleet.kill(name)
     for name in dead:
-        fleet.time.after(2 * SECOND, lambda name=name: fleet.start(name))  # type: ignore[misc]
+        fleet.time.after(2 * SECOND_US, lambda name=name: fleet.start(name))  # type: ignore[misc]
 
 
 def _slow_origin(fleet: Fleet) -> None:
     """The origin takes twice as long for everything."""
-    fleet.stores.origin.slowdowns[""] = 2.0
+    fleet.upstreams.origin.slowdowns[""] = 2.0
 
 
 def _kill_parent(fleet: Fleet) -> None:
     """One parent dies."""
-    fleet.fail("hub-0", EndpointCondition.CRASHED)
+    fleet.set_condition("hub-0", EndpointCondition.CRASHED)
 
 
 def _fail_half_of_requests(fleet: Fleet) -> None:
     """A cache in each zone answers every second request with an error."""
-    for zone in range(fleet.form.zones):
-        fleet.stores.by_name[f"box-{zone}-0"].error_probability = 0.5
+    for zone in range(fleet.size.zones):
+        fleet.upstreams.by_name[f"box-{zone}-0"].error_probability = 0.5
 
 
 def _slow_one_class(fleet: Fleet) -> None:
     """The origin is slow for one class only."""
-    fleet.stores.origin.slowdowns["picture"] = 4.0
+    fleet.upstreams.origin.slowdowns["picture"] = 4.0
 
 
 def _load_to_capacity(fleet: Fleet) -> None:
     """The load is what endpoints and links can just bear."""
-    fleet.rate = fleet.form.made_for * fleet.form.room
+    fleet.rate = fleet.size.design_rate * fleet.size.capacity_factor
 
 
 def _pause_routers(fleet: Fleet) -> None:
     """A fifth of all routers is paused for 5 s."""
     for name in sorted(fleet.routers)[::5]:
-        fleet.pause(name, 5 * SECOND)
+        fleet.pause(name, 5 * SECOND_US)
 
 
 def _triple_load(fleet: Fleet) -> None:
     """Three times the load."""
-    fleet.rate = fleet.form.made_for * fleet.form.load * 3
+    fleet.rate = fleet.size.design_rate * fleet.size.load_factor * 3
 
 
 def _remove_faults(fleet: Fleet) -> None:
     """Load, endpoints and errors are as before."""
-    fleet.rate = fleet.form.made_for * fleet.form.load
-    for ident, store in fleet.stores.by_name.items():
+    fleet.rate = fleet.size.design_rate * fleet.size.load_factor
+    for ident, store in fleet.upstreams.by_name.items():
         store.error_probability = 0.0
         store.slowdowns.clear()
         if store.is_failing:
-            fleet.fail(ident, EndpointCondition.RUNNING)
+            fleet.set_condition(ident, EndpointCondition.RUNNING)
 
 
 @dataclass(frozen=True)
@@ -177,7 +178,7 @@
     """Routers that report that all endpoints fail."""
 
 
-def play(name: str, form: Form, gossip: GossipSettings | None = None) -> Outcome:
+def play(name: str, form: FleetSize, gossip: GossipSettings | None = None) -> Outcome:
     """Play one run: baseline, fault, and what follows; without ``gossip`` each router is on its own."""
     began = time.perf_counter()
     scenario = SCENARIOS[name]
@@ -189,7 +190,7 @@
 
         talk = Talk(fleet, max(gossip.loss, scenario.digests_lost), gossip.liars)
     fleet.run(WARM_UP_S + BASELINE_S)
-    baseline = fleet.seen.seconds[WARM_UP_S : WARM_UP_S + BASELINE_S]
+    baseline = fleet.record.by_second[WARM_UP_S : WARM_UP_S + BASELINE_S]
     baseline_work = _work_per_request(baseline)
     baseline_goodput = _goodput(baseline)
     start_s = fleet.time.second
@@ -206,7 +207,7 @@
         outcome.talk_per_s = round(datagrams_per_s, 2)
         outcome.talk_bytes_per_s = round(bytes_per_s, 2)
     outcome.real_s = round(time.perf_counter() - began, 1)
-    outcome.by_second = fleet.seen.seconds
+    outcome.by_second = fleet.record.by_second
     return outcome
 
 
@@ -215,7 +216,7 @@
     for elapsed_s in range(MAX_RECOVERY_S):
         fleet.run(1)
         if elapsed_s >= WINDOW_S + ANSWER_TIME_S:
-            window = fleet.seen.seconds[end_s + elapsed_s - WINDOW_S - 1 : end_s + elapsed_s - 1]
+            window = fleet.record.by_second[end_s + elapsed_s - WINDOW_S - 1 : end_s + elapsed_s - 1]
             if _goodput(window) >= RECOVERED_GOODPUT * baseline_goodput:
                 return elapsed_s - WINDOW_S - 1
     return MAX_RECOVERY_S
@@ -223,7 +224,7 @@
 
 def _judge(outcome: Outcome, fleet: Fleet, start_s: int, end_s: int, baseline_work: float) -> None:
     """Set the figures of a run whose fault lasted from ``start_s`` to ``end_s``."""
-    seconds = fleet.seen.seconds
+    seconds = fleet.record.by_second
     judged_end_s = len(seconds) - SETTLE_S
     judged = seconds[start_s:judged_end_s]
     windows = [seconds[at_s : at_s + WINDOW_S] for at_s in range(start_s, judged_end_s - WINDOW_S)]
@@ -232,12 +233,14 @@
     outcome.tries_per_s = round(
         sum(second.at_failing_endpoints for second in failing) / max(1, len(failing)), 1
     )
-    outcome.refused_then_served = round(fleet.seen.refused_then_served / max(1, fleet.seen.refused_wishes), 3)
+    outcome.refused_then_served = round(
+        fleet.record.rejected_then_served / max(1, fleet.record.rejected_requests), 3
+    )
     outcome.goodput = round(_goodput(judged), 4)
     outcome.worst_class = round(_worst_class_goodput(judged), 4)
     rejected = sum(second.rejections for second in judged)
     outcome.refused = round(rejected / sum(second.requests for second in judged), 3)
-    outcome.rules_broken = len(fleet.seen.broken)
+    outcome.rules_broken = len(fleet.record.violations)
 
 
 def _worst_class_goodput(seconds: Sequence[SecondCounters]) -> float:
@@ -268,9 +271,9 @@
     """Whether the fleet did not recover by itself."""
 
 
-def point(load: float, trigger: str, tries: int, form: Form) -> Point:
+def point(load: float, trigger: str, tries: int, form: FleetSize) -> Point:
     """Play one point of the map: no client waits for Retry-After, so that retries are at their worst."""
-    outcome = play(trigger, replace(form, load=load, tries=tries, patient=0.0))
+    outcome = play(trigger, replace(form, load_factor=load, max_attempts=tries, patient_share=0.0))
     stays_bad = outcome.back_to_95_s >= MAX_RECOVERY_S
     return Point(
         load, trigger, tries, outcome.back_to_95_s, outcome.goodput, outcome.amplification, stays_bad
@@ -285,7 +288,7 @@
 """Attempts of the map's clients: none that retry, the usual, and stubborn ones."""
 
 
-def map_of(form: Form, workers: int) -> list[Point]:
+def map_of(form: FleetSize, workers: int) -> list[Point]:
     """Play all points of the map, in so many processes."""
     points = [(load, trigger, tries) for trigger in TRIGGERS for tries in TRIES for load in LOADS]
     with ProcessPoolExecutor(workers) as pool:
