--- a/magpieshift/lab/capacity/roles/capture.py
+++ b/magpieshift/lab/capacity/roles/capture.py
@@ -15,10 +15,10 @@
 from magpieshift.policy.actions import SendCacheRequest, SendPlainRequest
 from magpieshift.policy.events import Event
 
-HALF_CORE_MS = 500.0
+HALF_CORE_MS = 500.0  # a second
 MAX_RECORDING_FRACTION = 0.05  # of a request's processor time that recording may take
-CAPTURE_DURATION_S = 3600.0
-MAX_CAPTURE_BYTES = 512e6
+CAPTURE_DURATION_S = 3600.0  # that a capture is to hold
+MAX_CAPTURE_BYTES = 512e6  # that a capture may take on disk
 
 
 class RecordedRun(Run):
--- a/magpieshift/lab/capacity/roles/control.py
+++ b/magpieshift/lab/capacity/roles/control.py
@@ -26,6 +26,7 @@
 
 VERSIONS = 2  # published in one measurement
 TIMEOUT_S = 30.0  # for all followers to have a version in force
+# in the folder, up to a day's
 MANY_VERSIONS = (312.0, 625.0, 1250.0, 2500.0, 5000.0, 10_000.0, 20_000.0)
 IN_FORCE = Budget(1e3 * fleet.VERSION_IN_FORCE_S / 2, "half of the 4 s within which a version is in force")
 
--- a/magpieshift/lab/capacity/roles/rollouts.py
+++ b/magpieshift/lab/capacity/roles/rollouts.py
@@ -18,7 +18,7 @@
 from magpieshift.rollout.verdict import Verdict
 
 MEASURED_ROUNDS = 3  # in one measurement
-REQUESTS_PER_ROUND = 1000
+REQUESTS_PER_ROUND = 1000  # of each router
 STAGES_PASSED = 2  # of one, tenth, half, all: half of the fleet is new
 SECOND_US = 1_000_000
 
--- a/magpieshift/lab/capacity/roles/snapshots.py
+++ b/magpieshift/lab/capacity/roles/snapshots.py
@@ -16,10 +16,10 @@
 from magpieshift.relay.limits import MAX_SNAPSHOTS_PER_S, PURGE_RETENTION_US, SNAPSHOT_REUSE_US
 from magpieshift.relay.messages import ConfigurationChange, Epoch, Purge, Snapshot
 
-REPETITIONS = 3
+REPETITIONS = 3  # of which a measurement is the mean
 PURGE_RETENTION_S = PURGE_RETENTION_US / 1e6
 SNAPSHOT_REUSE_S = SNAPSHOT_REUSE_US / 1e6
-NOW_US = 1_764_576_000_000_000
+NOW_US = 1_764_576_000_000_000  # any Unix time: snapshots of one seed are the same bytes
 
 
 def snapshot(purges: int, draw: random.Random) -> Snapshot:
--- a/magpieshift/lab/scale/calibration.py
+++ b/magpieshift/lab/scale/calibration.py
@@ -3,7 +3,7 @@
 ratios.
 
 Hollow routers that share a process share its wake-ups: a purge comes to all their sockets at once. Those that
-stand apart tell what is missing of a router; those together, what sharing saves besides.
+stand apart show what a hollow router lacks; those together, what sharing saves besides.
 
 Memory is compared by increments: what a process has grown by, for each router, beyond one of its kind that
 has loaded its modules and holds no router.
@@ -184,10 +184,13 @@
             def cpu_s() -> float:
                 return real.cpu_s() if real is not None else sum(w.cpu_s() for w in fleet.workers)
 
-            first_cpu_s, first_bytes, begin = cpu_s(), await fleet.stream_bytes(), time.monotonic()
+            first_cpu_s = cpu_s()
+            first_bytes = await fleet.stream_bytes()
+            begin = time.monotonic()
             due = arrivals(Rates(restarts_per_day=0.0), plan.seconds, plan.seed + run)
             await player.play(due, plan.seconds)
-            spent_s, last_bytes = cpu_s() - first_cpu_s, await fleet.stream_bytes()
+            spent_s = cpu_s() - first_cpu_s
+            last_bytes = await fleet.stream_bytes()
             took_s = time.monotonic() - begin
             if real is not None:
                 mb = real.memory_mb() / routers - await bare_mb()
--- a/magpieshift/lab/scale/faults.py
+++ b/magpieshift/lab/scale/faults.py
@@ -21,7 +21,9 @@
 from magpieshift.lab.scale.sockets import StreamByteCounter
 from magpieshift.lab.scale.topology import Cut
 
-SLOW_PATH, STALLED_PATH = OWN_PATHS = "slow-readers", "standing-still"
+SLOW_PATH = "slow-readers"
+STALLED_PATH = "standing-still"
+OWN_PATHS = (SLOW_PATH, STALLED_PATH)
 DISTANCE_DELAY = "distance"
 REGION_PARTITION = "region away"
 POLL_INTERVAL_S = 0.1  # between looks at whether a wait is over; bounds the error of ``return_s``
--- a/magpieshift/lab/scale/fleet.py
+++ b/magpieshift/lab/scale/fleet.py
@@ -99,7 +99,7 @@
 
     @property
     def processes(self) -> int:
-        """How many there are, stand-ins included."""
+        """How many processes there are, emulated ones included."""
         return len(self.workers) + len(self.networks) + 1 + self.tier.processes
 
     # --- routers
--- a/magpieshift/lab/scale/load.py
+++ b/magpieshift/lab/scale/load.py
@@ -12,7 +12,7 @@
 from enum import Enum
 
 DAY_S = 86_400.0
-TARGET_ROUTERS = 4_800  # of the fleet that the product is built for
+TARGET_ROUTERS = 4_800  # the product's target
 BURST_RATE_MULTIPLE = 10.0  # of the mean rate of purges
 BURST_DURATION_S = 5.0  # of one burst
 MACHINE_EVENTS_PER_DAY = 7 + 420  # of routers and caches: failures, and restarts or replacements
--- a/magpieshift/lab/scale/run.py
+++ b/magpieshift/lab/scale/run.py
@@ -169,7 +169,8 @@
     async def _sample_load(self) -> None:
         """Sum up the running routers' time, read the counters, and report progress."""
         loop = asyncio.get_running_loop()
-        begin = last = loop.time()
+        begin = loop.time()
+        last = begin
         spent = self._workers_cpu_s()
         while True:
             await asyncio.sleep(SAMPLE_INTERVAL_S)
@@ -258,7 +259,6 @@
     def _judge(self, log: LogReport, reports: list[WorkerReport]) -> None:
         result = self.result
         first = self.faults.first_purge
-        lost = {name: count for report in reports for name, count in report.lost.items()}
         result.out_of_order = sum(report.out_of_order for report in reports)
         missing = {index for report in reports for index in report.missing}
         late = [each for report in reports for each in report.late]
@@ -268,6 +268,10 @@
         result.purges_forgotten = sum(report.forgotten for report in reports)
         judge_purges(result, times)
         judge_versions(result, self.fleet.published, [report.versions for report in reports])
-        behind = {name: number for report in reports for name, number in report.version_behind.items()}
+        lost: dict[str, int] = {}
+        behind: dict[str, int] = {}
+        for report in reports:
+            lost |= report.lost
+            behind |= report.version_behind
         newest = max((version.number for version in self.fleet.published), default=0)
         judge_losses(result, lost, behind, newest)
--- a/magpieshift/lab/scale/scenario.py
+++ b/magpieshift/lab/scale/scenario.py
@@ -1,4 +1,4 @@
-"""The scenarios: what happens to a fleet while the load runs. Times are shares of the load's length."""
+"""The scenarios: what happens to a fleet while the load runs. A fraction is of the load's length."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class RouterCrash:
-    """Routers are gone at ``at``; they start again after ``back_after_s``, or not at all."""
+    """Routers are gone at ``at_fraction``; they start again after ``restart_after_s``, or not at all."""
 
     scope: Scope
     at_fraction: float
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class RegionPartition:
-    """A region was cut off for ``seconds`` before the load begins, and all its routers return at ``until``.
+    """A region was cut off for ``duration_s`` before the load begins; it returns at ``until_fraction``.
 
     The time before the load is simulated: the change log accepts the purges of all that time at once, before
     any router outside the region starts."""
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class SlowReaders:
-    """A tenth of the routers: one half reads at ``kb_per_s``, the other half stands still."""
+    """A tenth of the routers: one half reads at ``kb_per_s``, the other half does not read."""
 
     from_fraction: float
     until_fraction: float
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class ControlOutage:
-    """So many control machines are gone at ``at`` for ``CONTROL_OUTAGE_S``."""
+    """So many control machines are gone at ``at_fraction`` for ``CONTROL_OUTAGE_S``."""
 
     at_fraction: float
     machines: int
--- a/magpieshift/lab/scale/topology.py
+++ b/magpieshift/lab/scale/topology.py
@@ -30,7 +30,7 @@
 from magpieshift.control.validation import Form, Seconds, validate_form
 
 HEAD = "topology"
-# the size of the fleet that the product is built for
+# the product's target, as its operators state it
 TARGET_SITES = 370
 TARGET_ZONES = 24
 TARGET_REGIONS = 10
