--- a/magpieshift/lab/capacity/log_process.py
+++ b/magpieshift/lab/capacity/log_process.py
@@ -16,7 +16,7 @@
 SEED = 1  # of the objects drawn: every run purges the same ones
 
 
-async def send_purges(log: peers.Log, rate: float) -> None:
+async def send_purges(log: peers.ChangeLog, rate: float) -> None:
     """Send purges of objects drawn from all ids at an even rate, until cancelled."""
     draw = random.Random(SEED)
     started_s = time.monotonic()
@@ -24,12 +24,12 @@
     while True:
         sent += 1
         await asyncio.sleep(max(0.0, started_s + sent / rate - time.monotonic()))
-        log.tell(invalidate={"object": f"{draw.getrandbits(64):016x}", "time": int(time.time() * 1000)})
+        log.publish(invalidate={"object": f"{draw.getrandbits(64):016x}", "time": int(time.time() * 1000)})
 
 
 async def serve(rate: float) -> None:
     """Serve a log until standard input ends."""
-    log = peers.Log()
+    log = peers.ChangeLog()
     await log.start()
     print(log.port, flush=True)
     sender = asyncio.ensure_future(send_purges(log, rate))
--- a/magpieshift/lab/capacity/roles/relays.py
+++ b/magpieshift/lab/capacity/roles/relays.py
@@ -273,6 +273,6 @@
 
 async def _behind_relay(stack: contextlib.AsyncExitStack, world: CountingWorld) -> Sequence[str]:
     """A source and a relay of this world's change log, and the arguments that make a router follow them."""
-    source = await stack.enter_async_context(node(*source_arguments(world.log.port)))
+    source = await stack.enter_async_context(node(*source_arguments(world.change_log.port)))
     relay = await stack.enter_async_context(node(*relay_arguments(source)))
     return "run", "--relays", f"127.0.0.1:{relay.port}", "--region", REGION
--- a/magpieshift/lab/capacity/routers.py
+++ b/magpieshift/lab/capacity/routers.py
@@ -12,7 +12,7 @@
 
 from magpieshift.lab.capacity.processor import processor_s, resident_mb
 from magpieshift.lab.emulators import peers
-from magpieshift.lab.emulators.world import World
+from magpieshift.lab.emulators.world import LoopbackInstallation
 from magpieshift.lab.experiments.cost import Variant, started
 
 REPOSITORY_ROOT = str(Path(__file__).resolve().parents[3])
@@ -22,7 +22,7 @@
 PORT_TAKEN = "Address already in use"
 
 
-class CountingChangeLog(peers.Log):
+class CountingChangeLog(peers.ChangeLog):
     """The emulated change log, which counts the bytes that it writes."""
 
     def __init__(self) -> None:
@@ -30,9 +30,9 @@
         self.bytes_written = 0
         self.events_sent = 0
 
-    def tell(self, **event: object) -> None:
+    def publish(self, **event: object) -> None:
         """Send an event to all watches, and count it."""
-        super().tell(**event)
+        super().publish(**event)
         self.events_sent += 1
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -60,18 +60,20 @@
         self._writer.close()
 
 
-class CountingWorld(World):
+class CountingWorld(LoopbackInstallation):
     """Emulated neighbours of a router, with a change log that counts."""
 
-    log: CountingChangeLog
+    change_log: CountingChangeLog
 
     def __init__(self) -> None:
         super().__init__()
-        self.log = CountingChangeLog()
+        self.change_log = CountingChangeLog()
 
     def purge(self, draw: random.Random, made_s: float) -> None:
         """Send one purge of an object drawn from all 64-bit ids, made at this Unix time."""
-        self.log.tell(invalidate={"object": f"{draw.getrandbits(64):016x}", "time": int(made_s * 1000)})
+        self.change_log.publish(
+            invalidate={"object": f"{draw.getrandbits(64):016x}", "time": int(made_s * 1000)}
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,13 +97,16 @@
     def read(self) -> Reading:
         """The counts now."""
         return Reading(
-            processor_s(self.pid), resident_mb(self.pid), self.world.log.bytes_written, time.monotonic()
+            processor_s(self.pid),
+            resident_mb(self.pid),
+            self.world.change_log.bytes_written,
+            time.monotonic(),
         )
 
     async def caught_up(self) -> None:
         """Wait until the router has applied all that its change log has sent; ``TimeoutError`` where it
         does not."""
-        last = f"seq={self.world.log.events_sent}"
+        last = f"seq={self.world.change_log.events_sent}"
         async with asyncio.timeout(CATCH_UP_TIMEOUT_S):
             while last not in self._log.read_text().split():
                 await asyncio.sleep(POLL_INTERVAL_S)
--- a/tests/relay/test_planted.py
+++ b/tests/relay/test_planted.py
@@ -12,13 +12,14 @@
 
 from magpieshift.lab.simulated.fanout_histories import History
 from magpieshift.lab.simulated.fanout_judge import RuleBroken
-from magpieshift.lab.simulated.fanout_processes import Connect, Router, Send, Source
+from magpieshift.lab.simulated.fanout_outputs import OpenStream, SendMessage
+from magpieshift.lab.simulated.fanout_processes import Router, Source
 from magpieshift.relay import fanout, staleness_bound
 from magpieshift.relay.fanout import Fanout
 from magpieshift.relay.follower import Follower
 from magpieshift.relay.follower_stream import FollowerStream
 from magpieshift.relay.instructions import ApplyEntries, EndStream
-from magpieshift.relay.limits import CLOCK_DRIFT, LEASE_US
+from magpieshift.relay.limits import CLOCK_DRIFT, FRESHNESS_LEASE_US
 from magpieshift.relay.log import SequencedLog
 from magpieshift.relay.log_state import LogState
 from magpieshift.relay.messages import DownstreamMessage, Epoch, Progress
@@ -162,7 +163,9 @@
 
 
 def let_a_stale_relay_extend_leases() -> Plant:
-    return mock.patch.object(StalenessBound, "epoch_age_us", lambda self, now_us: min(LEASE_US // 2, 10**6))
+    return mock.patch.object(
+        StalenessBound, "epoch_age_us", lambda self, now_us: min(FRESHNESS_LEASE_US // 2, 10**6)
+    )
 
 
 def skip_a_gap() -> Plant:
@@ -193,7 +196,7 @@
     with (
         mock.patch.object(staleness_bound, "max_elapsed_us", lambda duration_us: duration_us),
         mock.patch.object(fanout, "max_elapsed_us", lambda duration_us: duration_us),
-        mock.patch.object(fanout, "lease_lapse_us", lambda: LEASE_US),
+        mock.patch.object(fanout, "lease_lapse_us", lambda: FRESHNESS_LEASE_US),
     ):
         yield
 
@@ -229,7 +232,7 @@
 
 
 def count_half_as_long() -> Plant:
-    return mock.patch.object(fanout, "lease_lapse_us", lambda: LEASE_US // 2)
+    return mock.patch.object(fanout, "lease_lapse_us", lambda: FRESHNESS_LEASE_US // 2)
 
 
 def say_farewell_before_the_lease_rests_on_the_new_stream() -> Plant:
@@ -309,7 +312,7 @@
     def test_whoever_holds_a_lease_is_counted(self) -> None:
         for rates in RATES:
             with self.subTest(rates):
-                self.assertGreater(leased_for_us(*rates), LEASE_US // 2)
+                self.assertGreater(leased_for_us(*rates), FRESHNESS_LEASE_US // 2)
 
     def test_forgetting_the_drift_is_found(self) -> None:
         with forget_the_drift(), self.assertRaises(RuleBroken):
@@ -335,15 +338,15 @@
     router = Router("E", "E/1", 0)
     for now_us in (10_000_000, 11_000_000, 12_000_000):  # joins, takes the snapshot, is proven
         source.read([], by_source(now_us), by_source(now_us))
-        said = router.connect("S", by_router(now_us)) if router.stream is None else []
+        said = router.connect("S", by_router(now_us)) if router.stream_id is None else []
         for output in [*said, *router.acknowledge(by_router(now_us))]:
-            if isinstance(output, Connect):
-                source.heard_from_follower(0, output.join, by_source(now_us))
-            elif isinstance(output, Send) and isinstance(output.message, Progress):
-                source.heard_from_follower(0, output.message, by_source(now_us))
-        for output in source.send_to(0, by_source(now_us)):
-            if isinstance(output, Send) and isinstance(output.message, DownstreamMessage):
-                router.heard_from_relay(0, output.message, by_router(now_us))
+            if isinstance(output, OpenStream):
+                source.receive_from_follower(0, output.join, by_source(now_us))
+            elif isinstance(output, SendMessage) and isinstance(output.message, Progress):
+                source.receive_from_follower(0, output.message, by_source(now_us))
+        for output in source.send_due(0, by_source(now_us)):
+            if isinstance(output, SendMessage) and isinstance(output.message, DownstreamMessage):
+                router.receive_from_server(0, output.message, by_router(now_us))
     began_us = now_us
     while router.copy_age_limit(by_router(now_us)) == 0:
         (status,) = source.fanout.status(by_source(now_us))
