--- a/magpieshift/lab/scale/messages.py
+++ b/magpieshift/lab/scale/messages.py
@@ -83,8 +83,7 @@
 
 
 class PauseChangeLog(BaseModel):
-    """To the change log: close the port for so long, with all connections reset; what is accepted meanwhile
-    is sent afterwards."""
+    """To the change log: reset all connections and close the port for so long; go on accepting events."""
 
     kind: Literal["go-away"] = "go-away"
     seconds: float
