--- a/magpieshift/lab/experiments/version_report.py
+++ b/magpieshift/lab/experiments/version_report.py
@@ -1,4 +1,4 @@
-"""What the experiment of versioned configuration has seen."""
+"""The report of the experiment of versioned configuration."""
 
 from __future__ import annotations
 
@@ -7,15 +7,17 @@
 
 from hdrh.histogram import HdrHistogram
 
+MAX_DURATION_US = 60_000_000  # of the histograms; far above any timeout of the experiment
+
 
 @dataclass
 class Report:
-    """What was seen."""
+    """Counts and findings; the fields' names are the keys of the saved report."""
 
     sent: int = 0
     accepted: int = 0
     rejected: int = 0
-    unanswered: int = 0  # the answer went down with its connection; the next hello told what is in force
+    unanswered: int = 0  # lost with their connection; the next hello reported what is in force
     kills: int = 0
     breaks: int = 0
     half_applied: int = 0
@@ -28,15 +30,17 @@
     seconds: float = 0.0
     unusable: dict[str, int] = field(default_factory=dict)
     findings: list[str] = field(default_factory=list)
-    apply_us: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000_000, 3))
-    pause_us: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000_000, 3))
+    apply_us: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_DURATION_US, 3))
+    pause_us: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_DURATION_US, 3))
 
     @property
     def good(self) -> bool:
+        """Whether versions were accepted and no rule was broken."""
         broken = self.half_applied or self.mismatches or self.lost_requests or self.double_answers
         return not (broken or self.second_attempts or self.findings) and self.accepted > 0
 
     def figures(self) -> dict[str, Any]:
+        """Counts and percentiles in milliseconds, by the saved report's keys."""
         plain = {
             name: value
             for name, value in vars(self).items()
--- a/magpieshift/lab/experiments/versions.py
+++ b/magpieshift/lab/experiments/versions.py
@@ -84,11 +84,13 @@
         message = wire.FromRouter.FromString(data)
         if message.WhichOneof("said") == "hello":
             newest = self._service.publisher.newest
-            self._checks.hello(message.hello, stream.subscriber, newest.number if newest is not None else 0)
+            self._checks.hello_received(
+                message.hello, stream.subscriber, newest.number if newest is not None else 0
+            )
             self._stream = stream
             self._hello.set()
         else:
-            self._checks.answer(message.answer, self._stream.subscriber if self._stream else None)
+            self._checks.answer_received(message.answer, self._stream.subscriber if self._stream else None)
 
     # --- what is done to it
 
@@ -103,7 +105,7 @@
             async with asyncio.timeout(PATIENCE_S):
                 await event.wait()
         except TimeoutError:
-            raise RuntimeError(f"waited {PATIENCE_S} s for {what}; open: {self._checks.open}") from None
+            raise RuntimeError(f"waited {PATIENCE_S} s for {what}; open: {self._checks.unanswered}") from None
 
     async def _kill(self, command: Sequence[str]) -> None:
         assert self._process is not None
@@ -136,7 +138,7 @@
 
     def _know(self, version: PublishedVersion) -> None:
         loaded = load_data(version.data or {})
-        self._checks.know(version.number, replace(loaded, version=version.number))
+        self._checks.add_document(version.number, replace(loaded, version=version.number))
 
     def _send_unusable(self, versions: VersionMaker) -> str:
         """Send one that must be turned down; in what way."""
@@ -182,7 +184,7 @@
         whole = self._service.publisher.encode_version(replace(stream.subscriber), version, full=True)
         cut = whole[: rand.randrange(1, len(whole) - 1)]
         stream.send({"noise": b"\xff" + rand.randbytes(40), "truncated": cut, "empty": b"\x12\x00"}[way])
-        self._checks.malformed_open += 1
+        self._checks.malformed_unanswered += 1
 
     def _send_unknown_base(self, version: PublishedVersion) -> None:
         """A delta against what the router never had: turned down, and then sent whole."""
@@ -217,7 +219,7 @@
         await world.start(plan.members)
         versions = VersionMaker(world.settings(), rand)
         start = world.write_settings(folder)
-        self._checks.know(0, load_data(versions.data))
+        self._checks.add_document(0, load_data(versions.data))
         await self._service.start("127.0.0.1:0")
         command = [
             *plan.program,
@@ -303,7 +305,7 @@
         assert self._process is not None
         newest = self._service.publisher.newest
         if newest is not None and self._checks.acknowledged != newest.number:
-            self._checks.mismatch(
+            self._checks.record_mismatch(
                 f"at the end {self._checks.acknowledged} is in force, the newest is {newest.number}"
             )
         self._process.terminate()
