--- a/magpieshift/lab/experiments/admin_client.py
+++ b/magpieshift/lab/experiments/admin_client.py
@@ -1,4 +1,4 @@
-"""How long the operators' door takes to answer while a router serves, and others call to say nothing."""
+"""How long the admin server takes to answer while a router serves and silent clients hold connections."""
 
 from __future__ import annotations
 
@@ -15,18 +15,23 @@
 from magpieshift.lab.emulators.world import LoopbackInstallation
 from magpieshift.lab.experiments.cost import Variant, started
 
+CLIENTS = 4  # that share the load; chosen by trial
+SETTLE_S = 0.5  # before commands are timed, until clients are connected; chosen by trial
+STOP_TIMEOUT_S = 20  # of the router's graceful shutdown
 
-async def _call(port: int, line: bytes) -> tuple[float, bytes]:
-    begun = time.monotonic()
+
+async def _send_command(port: int, line: bytes) -> tuple[float, bytes]:
+    """Send one command: seconds until its answer, and the answer."""
+    begun_s = time.monotonic()
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(line)
     answer = await reader.readline()
     writer.close()
-    return time.monotonic() - begun, answer
+    return time.monotonic() - begun_s, answer
 
 
-async def _mute(port: int) -> None:
-    """Half a call, again and again."""
+async def _stay_silent(port: int) -> None:
+    """Send half a command, and again once the server closes the connection."""
     while True:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"PI")
@@ -35,25 +40,27 @@
 
 
 async def measure(calls: int, rate: float) -> dict[str, Any]:
-    """One router under load; a row."""
+    """Send so many commands to one router that serves ``rate`` requests a second: a row of the report."""
     world = LoopbackInstallation()
     port = peers.free_port()
     await world.start()
     here = os.path.dirname(os.path.dirname(os.path.dirname(__file__)))
     variant = Variant("this", here, environment={"EDGE_CONSOLE": f"127.0.0.1:{port}"})
     async with started(variant, world) as (process, _):
-        clients = [RequestGenerator(world.router_port, random.Random(i), lambda: True) for i in range(4)]
+        clients = [
+            RequestGenerator(world.router_port, random.Random(i), lambda: True) for i in range(CLIENTS)
+        ]
         loads = [asyncio.ensure_future(c.run(rate / len(clients), lambda: ["picture"])) for c in clients]
-        mute = [asyncio.ensure_future(_mute(port)) for _ in range(MAX_CONNECTIONS)]
-        await asyncio.sleep(0.5)
-        found = [await _call(port, b"PING\n") for _ in range(calls)]
-        for each in mute:
+        silent_clients = [asyncio.ensure_future(_stay_silent(port)) for _ in range(MAX_CONNECTIONS)]
+        await asyncio.sleep(SETTLE_S)
+        found = [await _send_command(port, b"PING\n") for _ in range(calls)]
+        for each in silent_clients:
             each.cancel()
         for client in clients:
             client.stop_sending()
         await asyncio.gather(*loads)
         process.terminate()
-        await asyncio.wait_for(process.wait(), 20)
+        await asyncio.wait_for(process.wait(), STOP_TIMEOUT_S)
     world.stop()
     times = [1000 * took for took, _ in found]
     return {
@@ -61,7 +68,7 @@
         "wrong": sum(answer != b"OK serving\n" for _, answer in found),
         "median ms": round(statistics.median(times), 2),
         "slowest ms": round(max(times), 2),
-        "mute callers": len(mute),
+        "mute callers": len(silent_clients),
         "requests": sum(c.sent for c in clients),
         "lost": sum(c.lost for c in clients),
     }
