--- a/magpieshift/lab/simulated/fanout.py
+++ b/magpieshift/lab/simulated/fanout.py
@@ -233,7 +233,7 @@
         now_us = host.now_us()
         if router.copy_age_limit(now_us) == 0:
             age_us = router.follower.staleness.epoch_age_us(now_us)
-            is_by_own_epoch = age_us is not None and age_us < limits.LEASE_US
+            is_by_own_epoch = age_us is not None and age_us < limits.FRESHNESS_LEASE_US
             self.judge.holds_lease(host.name, is_by_own_epoch, self.time.now_us)
 
     # --- messages
