--- a/magpieshift/lab/simulated/endpoints.py
+++ b/magpieshift/lab/simulated/endpoints.py
@@ -10,7 +10,7 @@
 from enum import Enum
 
 from magpieshift.engine.model import ListedEndpoint
-from magpieshift.lab.simulated.time import Event, Time
+from magpieshift.lab.simulated.time import ScheduledCall, SimulatedTime
 
 US_PER_S = 1_000_000
 ObjectKey = tuple[str, int]  # an object, and which part of it
@@ -41,7 +41,7 @@
     __slots__ = ("event", "is_over", "release_slot")
 
     def __init__(self) -> None:
-        self.event: Event | None = None  # what happens to it next
+        self.event: ScheduledCall | None = None  # what happens to it next
         self.release_slot: Callable[[], None] | None = None  # of the slot that it holds now
         self.is_over = False
 
@@ -66,7 +66,7 @@
     """One endpoint: a cache, a parent or the origin."""
 
     def __init__(
-        self, listed: ListedEndpoint, capacity: EndpointCapacity, time: Time, rand: random.Random
+        self, listed: ListedEndpoint, capacity: EndpointCapacity, time: SimulatedTime, rand: random.Random
     ) -> None:
         self.listed = listed  # as routers know it
         self.capacity = capacity
@@ -146,7 +146,7 @@
 class ZoneLink:
     """The link into a zone: transfers run one after the other, so each waits for all before it."""
 
-    def __init__(self, time: Time, kb_per_s: float) -> None:
+    def __init__(self, time: SimulatedTime, kb_per_s: float) -> None:
         self.kb_per_s = kb_per_s
         self._time = time
         self._idle_at_us = 0  # when the last transfer ends
--- a/magpieshift/lab/simulated/fanout.py
+++ b/magpieshift/lab/simulated/fanout.py
@@ -26,7 +26,7 @@
     SourceSuperseded,
 )
 from magpieshift.lab.simulated.fanout_processes import FollowingProcess, Relay, Router, ServingProcess, Source
-from magpieshift.lab.simulated.time import Time
+from magpieshift.lab.simulated.time import SimulatedTime
 from magpieshift.relay import limits, selection
 from magpieshift.relay.messages import Epoch, Snapshot, UpstreamMessage
 
@@ -37,11 +37,11 @@
 
 
 class SimulatedFanout:
-    """A fan-out tier that runs. ``RuleBroken`` is raised out of whatever call led to the breach of a rule."""
+    """A fan-out tier that runs. ``RuleBrokenError`` is raised out of the call that led to it."""
 
     def __init__(self, size: FanoutSize) -> None:
         self.size = size
-        self.time = Time()
+        self.time = SimulatedTime()
         self.judge = Judge()
         self.rand = random.Random(f"fan-out {size.seed}")
         self.change_log = ChangeLog(self.time)
--- a/magpieshift/lab/simulated/fanout_changes.py
+++ b/magpieshift/lab/simulated/fanout_changes.py
@@ -6,7 +6,7 @@
 
 from magpieshift.lab.simulated.fanout_network import Host
 from magpieshift.lab.simulated.fanout_processes import Source
-from magpieshift.lab.simulated.time import Time
+from magpieshift.lab.simulated.time import SimulatedTime
 from magpieshift.relay.limits import PURGE_RETENTION_US
 from magpieshift.relay.messages import ConfigurationChange, EndpointListChange, Entry, Purge
 
@@ -17,7 +17,7 @@
 class ChangeLog:
     """What was accepted, when. Lists and versions are told whole, so the newest of each will do."""
 
-    def __init__(self, time: Time) -> None:
+    def __init__(self, time: SimulatedTime) -> None:
         self._time = time
         self.entries: list[tuple[int, Entry]] = []
 
@@ -61,7 +61,7 @@
     """A source's connection to the change log: what that accepted arrives in order after up to
     ``HELD_MOST_US``, and a comment where nothing is new."""
 
-    def __init__(self, time: Time, rand: random.Random, log: ChangeLog, host: Host) -> None:
+    def __init__(self, time: SimulatedTime, rand: random.Random, log: ChangeLog, host: Host) -> None:
         self.cut = False
         self._time = time
         self._rand = rand
--- a/magpieshift/lab/simulated/fanout_explored.py
+++ b/magpieshift/lab/simulated/fanout_explored.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from magpieshift.lab.simulated.fanout_judge import RuleBroken
+from magpieshift.lab.simulated.fanout_judge import RuleBrokenError
 from magpieshift.lab.simulated.fanout_tier import MutableTier
 from magpieshift.lab.simulated.fanout_tier_processes import ProcessTable
 from magpieshift.lab.simulated.fanout_tier_state import (
@@ -183,8 +183,8 @@
     def explore(
         self, start: TierState, depth: int, moves: Moves, max_states: int = MAX_STATES
     ) -> ExplorationSize:
-        """Visit every state within ``depth`` events of ``start``. Raises ``RuleBroken`` with the events that
-        led there as its note."""
+        """Visit every state within ``depth`` events of ``start``. Raises ``RuleBrokenError`` with the events
+        that led there as its note."""
         predecessors: Predecessors = {start: None}
         frontier = [start]
         transitions = 0
@@ -210,7 +210,7 @@
         try:
             event(tier)
             tier.check_rules()
-        except RuleBroken as broken:
+        except RuleBrokenError as broken:
             broken.add_note(", ".join([*_path_to(state, predecessors), label]))
             raise
         return tier.state()
--- a/magpieshift/lab/simulated/fanout_histories.py
+++ b/magpieshift/lab/simulated/fanout_histories.py
@@ -9,7 +9,7 @@
 from functools import partial
 
 from magpieshift.lab.simulated.fanout import SECOND_US, SimulatedFanout
-from magpieshift.lab.simulated.fanout_judge import RuleBroken
+from magpieshift.lab.simulated.fanout_judge import RuleBrokenError
 from magpieshift.lab.simulated.fanout_layout import FanoutSize
 from magpieshift.lab.simulated.fanout_measures import check_bounds, settled
 
@@ -61,7 +61,7 @@
         }
 
     def run(self) -> Outcome:
-        """Let it happen. ``RuleBroken``, with what happened in its notes."""
+        """Let it happen. ``RuleBrokenError``, with what happened in its notes."""
         world = self.world
         try:
             world.time.after(0, self._load)
@@ -73,7 +73,7 @@
                 world.run(SECOND_US)
                 check_bounds(world)
             settled_s = self._settle()
-        except RuleBroken as broken:
+        except RuleBrokenError as broken:
             broken.add_note("; ".join(self.trail))
             raise
         judge = world.judge
@@ -98,11 +98,11 @@
         while (missing := settled(world)) and world.time.now_us < began_us + quiet_s * SECOND_US:
             world.run(SECOND_US // 2)
         if missing:
-            raise RuleBroken(f"quiet: after {quiet_s} s {missing}")
+            raise RuleBrokenError(f"quiet: after {quiet_s} s {missing}")
         return (world.time.now_us - began_us) / SECOND_US
 
     def _note(self, what: str) -> None:
-        self.trail.append(f"{(self.world.time.now_us - self.world.time.began_us) / SECOND_US:.2f} {what}")
+        self.trail.append(f"{(self.world.time.now_us - self.world.time.start_us) / SECOND_US:.2f} {what}")
 
     # --- load
 
--- a/magpieshift/lab/simulated/fanout_judge.py
+++ b/magpieshift/lab/simulated/fanout_judge.py
@@ -21,7 +21,7 @@
 OVERLAP_US = FRESHNESS_LEASE_US + 100_000  # how long the leases of a source that has ended may hold
 
 
-class RuleBroken(AssertionError):
+class RuleBrokenError(AssertionError):
     """The tier did what it never may."""
 
 
@@ -36,11 +36,12 @@
     claims_judged: dict[Epoch, int] = field(default_factory=dict)
 
     def has(self, purge: Purge) -> bool:
+        """Whether a purge of the same key, as new or newer, has been applied."""
         return self.purges.get(purge.key, -1) >= purge.issued_us
 
 
 class Judge:
-    """Raises ``RuleBroken`` as soon as a rule is broken."""
+    """Raises ``RuleBrokenError`` as soon as a rule is broken."""
 
     def __init__(self) -> None:
         self.logs: dict[Epoch, list[Entry]] = {}
@@ -76,16 +77,20 @@
 
     def _took_entries(self, name: str, router: Applied, effect: ApplyEntries) -> None:
         if effect.epoch != router.epoch or effect.first != router.sequence + 1:
-            raise RuleBroken(f"order: {name} at {router.sequence} applied {effect.first} of {effect.epoch}")
+            raise RuleBrokenError(
+                f"order: {name} at {router.sequence} applied {effect.first} of {effect.epoch}"
+            )
         true = self.logs[effect.epoch][effect.first - 1 : effect.last]
         if list(effect.entries) != true:
-            raise RuleBroken(f"content: {name} applied other entries than {effect.first} to {effect.last}")
+            raise RuleBrokenError(
+                f"content: {name} applied other entries than {effect.first} to {effect.last}"
+            )
         router.sequence = effect.last
         self._note(router, effect.entries)
 
     def _took_snapshot(self, name: str, router: Applied, snapshot: Snapshot, now_us: int) -> None:
         if (snapshot.epoch, snapshot.applied) < (router.epoch, router.sequence):
-            raise RuleBroken(f"order: {name} at {router.sequence} took a snapshot of {snapshot.applied}")
+            raise RuleBrokenError(f"order: {name} at {router.sequence} took a snapshot of {snapshot.applied}")
         told = Applied()
         self._note(told, snapshot.purges)
         true = self.logs[snapshot.epoch][: snapshot.applied]
@@ -94,7 +99,9 @@
                 if entry.issued_us < now_us - REMEMBERED_US:
                     break
                 if not told.has(entry):
-                    raise RuleBroken(f"skipped: purge {entry.key} is not in the snapshot that {name} took")
+                    raise RuleBrokenError(
+                        f"skipped: purge {entry.key} is not in the snapshot that {name} took"
+                    )
         self._same_lists(name, snapshot, true)
         router.epoch = snapshot.epoch
         router.sequence = snapshot.applied
@@ -104,11 +111,11 @@
         versions = [entry.digest for entry in true if isinstance(entry, ConfigurationChange)]
         told = snapshot.configuration.digest if snapshot.configuration else ""
         if versions and versions[-1] != told:
-            raise RuleBroken(
+            raise RuleBrokenError(
                 f"skipped: {name} took a snapshot with version {told!r} in place of {versions[-1]!r}"
             )
         if any(isinstance(entry, EndpointListChange) for entry in true) and not snapshot.endpoint_list_json:
-            raise RuleBroken(f"skipped: the list of stores is not in the snapshot that {name} took")
+            raise RuleBrokenError(f"skipped: the list of stores is not in the snapshot that {name} took")
 
     @staticmethod
     def _note(router: Applied, entries: tuple[Entry, ...]) -> None:
@@ -122,7 +129,7 @@
         self.attempts += 1
         if limit_us:
             if limit_us * (1 + CLOCK_DRIFT) > MAX_PURGE_US:
-                raise RuleBroken(f"bound: {name} accepts copies of {limit_us} us")
+                raise RuleBrokenError(f"bound: {name} accepts copies of {limit_us} us")
             return
         self.unbounded_attempts += 1
         router = self.routers[name]
@@ -132,7 +139,7 @@
                 return
             if purge.issued_us > now_us - REMEMBERED_US and not router.has(purge):
                 age_s = (now_us - purge.issued_us) / 1e6
-                raise RuleBroken(
+                raise RuleBrokenError(
                     f"bound: {name} accepts any copy {age_s:.2f} s after a purge it never applied"
                 )
             router.judged += 1
@@ -140,9 +147,9 @@
     def called_done(self, epoch: Epoch, done: int, now_us: int) -> None:
         """A source calls everything up to ``done`` done everywhere."""
         if done > len(self.logs[epoch]):
-            raise RuleBroken(f"watermark: {done} of {len(self.logs[epoch])} entries are called done")
+            raise RuleBrokenError(f"watermark: {done} of {len(self.logs[epoch])} entries are called done")
         if done < self.claims[epoch]:
-            raise RuleBroken(f"watermark: went back from {self.claims[epoch]} to {done}")
+            raise RuleBrokenError(f"watermark: went back from {self.claims[epoch]} to {done}")
         self.claims[epoch] = done
         self.done_at[epoch] += [now_us] * (done - len(self.done_at[epoch]))
 
@@ -154,7 +161,7 @@
         for epoch, done in self.claims.items():
             if epoch == router.epoch and (by_its_epoch or now_us >= self.overlap_until_us):
                 if router.sequence < done:
-                    raise RuleBroken(
+                    raise RuleBrokenError(
                         f"watermark: {done} is done, {name} with a lease is at {router.sequence}"
                     )
             elif now_us >= self.overlap_until_us:
@@ -166,5 +173,5 @@
         for entry in self.logs[epoch][judged : self.claims[epoch]]:
             fresh = isinstance(entry, Purge) and entry.issued_us > now_us - REMEMBERED_US
             if fresh and isinstance(entry, Purge) and not router.has(entry):
-                raise RuleBroken(f"watermark: purge {entry.key} is done, {name} with a lease lacks it")
+                raise RuleBrokenError(f"watermark: purge {entry.key} is done, {name} with a lease lacks it")
         router.claims_judged[epoch] = self.claims[epoch]
--- a/magpieshift/lab/simulated/fanout_measures.py
+++ b/magpieshift/lab/simulated/fanout_measures.py
@@ -4,7 +4,7 @@
 from __future__ import annotations
 
 from magpieshift.lab.simulated.fanout import SimulatedFanout
-from magpieshift.lab.simulated.fanout_judge import RuleBroken
+from magpieshift.lab.simulated.fanout_judge import RuleBrokenError
 from magpieshift.lab.simulated.fanout_network import Host
 from magpieshift.lab.simulated.fanout_processes import FollowingProcess, Relay, Source
 from magpieshift.relay import limits
@@ -41,13 +41,13 @@
         process = host.process
         if isinstance(process, Source | Relay):
             if process.log.head - process.log.first + 1 > world.size.log_entries:
-                raise RuleBroken(f"bounds: the log of {host.name}")
+                raise RuleBrokenError(f"bounds: the log of {host.name}")
             statuses = process.fanout.status(host.now_us())
             # who holds no lease keeps a place only as long as its stream, or until the next look
             idle = sum(1 for status in statuses if not status.may_hold_lease)
             if idle > 2 * followers:
-                raise RuleBroken(f"bounds: {idle} idle places at {host.name}")
+                raise RuleBrokenError(f"bounds: {idle} idle places at {host.name}")
     for stream in world.network.streams.values():
         unread = stream.unread(stream.server)
         if unread > MOST_UNREAD:
-            raise RuleBroken(f"bounds: {unread} messages to {stream.client.name}")
+            raise RuleBrokenError(f"bounds: {unread} messages to {stream.client.name}")
--- a/magpieshift/lab/simulated/fanout_network.py
+++ b/magpieshift/lab/simulated/fanout_network.py
@@ -13,7 +13,7 @@
 
 from magpieshift.lab.simulated.fanout_outputs import Message
 from magpieshift.lab.simulated.fanout_processes import Relay, Router, Source
-from magpieshift.lab.simulated.time import Time
+from magpieshift.lab.simulated.time import SimulatedTime
 
 # delays within a region and between two
 NEAR_US = (1_000, 30_000)
@@ -32,7 +32,7 @@
 class Host:
     """A machine that runs at most one process. Its clock goes on while the process sleeps."""
 
-    def __init__(self, name: str, region: str, time: Time, rate: float, offset_us: int) -> None:
+    def __init__(self, name: str, region: str, time: SimulatedTime, rate: float, offset_us: int) -> None:
         """``rate`` is by how much its clock runs faster than the true one."""
         self.name = name
         self.region = region
@@ -47,7 +47,7 @@
 
     def now_us(self) -> int:
         """Its monotonic clock."""
-        elapsed = self._time.now_us - self._time.began_us
+        elapsed = self._time.now_us - self._time.start_us
         return self._offset_us + elapsed + int(elapsed * self._rate)
 
     @property
@@ -206,7 +206,10 @@
     """All machines, the streams between them, and the cuts."""
 
     def __init__(
-        self, time: Time, rand: random.Random, deliver: Callable[[Host, Stream, Message | EndMark], None]
+        self,
+        time: SimulatedTime,
+        rand: random.Random,
+        deliver: Callable[[Host, Stream, Message | EndMark], None],
     ) -> None:
         self.time = time
         self.deliver = deliver
--- a/magpieshift/lab/simulated/fanout_tier.py
+++ b/magpieshift/lab/simulated/fanout_tier.py
@@ -42,7 +42,7 @@
 
 
 class MutableTier:
-    """A tier while an event happens to it. ``RuleBroken`` is raised by the event that breaks a rule."""
+    """A tier while an event happens to it. ``RuleBrokenError`` is raised by the event that breaks a rule."""
 
     def __init__(self, table: ProcessTable, state: TierState) -> None:
         self._table = table
@@ -214,7 +214,7 @@
     # --- rules
 
     def check_rules(self) -> None:
-        """Check what the processes claim against the true state; ``RuleBroken`` where they differ."""
+        """Check what the processes claim against the true state; ``RuleBrokenError`` where they differ."""
         watermark = self._query(
             SOURCE, "watermark", lambda process, now_us: as_server(process).fanout.watermark(now_us)
         )
--- a/magpieshift/lab/simulated/fanout_tier_rules.py
+++ b/magpieshift/lab/simulated/fanout_tier_rules.py
@@ -1,9 +1,9 @@
 """The rules of the fan-out tier that an exploration checks in each state: entries are applied in order and
-without a gap, and a router with a lease has every purge that it must have. Each raises ``RuleBroken``."""
+without a gap, and a router with a lease has every purge that it must have. Raise ``RuleBrokenError``."""
 
 from __future__ import annotations
 
-from magpieshift.lab.simulated.fanout_judge import RuleBroken
+from magpieshift.lab.simulated.fanout_judge import RuleBrokenError
 from magpieshift.lab.simulated.fanout_tier_state import AppliedState, SourceLog
 from magpieshift.relay.instructions import ApplyEntries, RestoreSnapshot
 from magpieshift.relay.limits import MAX_PURGE_US
@@ -29,10 +29,10 @@
     term = effect.epoch.term
     last = effect.last
     if (term, effect.first) != (applied.term, applied.sequence + 1):
-        raise RuleBroken(f"order: {name} at {applied} applied {effect.first} to {last} of {term}")
+        raise RuleBrokenError(f"order: {name} at {applied} applied {effect.first} to {last} of {term}")
     received = purge_positions(effect.entries)
     if received != list(logs[term][effect.first - 1 : last]):
-        raise RuleBroken(f"content: {name} applied {received}")
+        raise RuleBrokenError(f"content: {name} applied {received}")
     return AppliedState(term, last, applied.purges | frozenset(received))
 
 
@@ -43,9 +43,9 @@
     last = effect.snapshot.applied
     received = purge_positions(effect.snapshot.purges)
     if (term, last) < (applied.term, applied.sequence):
-        raise RuleBroken(f"order: {name} at {applied} took a snapshot of {last} of {term}")
+        raise RuleBrokenError(f"order: {name} at {applied} took a snapshot of {last} of {term}")
     if missing := set(logs[term][:last]).difference(received):
-        raise RuleBroken(f"skipped: {name} took a snapshot without {missing}")
+        raise RuleBrokenError(f"skipped: {name} took a snapshot without {missing}")
     return AppliedState(term, last, applied.purges | frozenset(received))
 
 
@@ -61,12 +61,12 @@
     for log in source_logs:
         behind = applied.sequence < log.watermark if log.term == applied.term else False
         if behind or not applied.purges.issuperset(log.entries[: log.watermark]):
-            raise RuleBroken(
+            raise RuleBrokenError(
                 f"watermark: {log.watermark} of {log.term} is done, {name} (leased) has {applied}"
             )
     for position, accepted_us in enumerate(purges_accepted_us):
         if accepted_us <= now_us - MAX_PURGE_US and position not in applied.purges:
-            raise RuleBroken(f"bound: {name} (leased) lacks a purge of {now_us - accepted_us} us ago")
+            raise RuleBrokenError(f"bound: {name} (leased) lacks a purge of {now_us - accepted_us} us ago")
 
 
 def purge_positions(entries: tuple[Entry, ...]) -> list[int]:
--- a/magpieshift/lab/simulated/fleet.py
+++ b/magpieshift/lab/simulated/fleet.py
@@ -21,7 +21,7 @@
 from magpieshift.lab.simulated.fleet_settings import router_document
 from magpieshift.lab.simulated.fleet_state import SECOND_US, FleetRecord, FleetSize, SimulatedRouter
 from magpieshift.lab.simulated.second_counters import SecondCounters
-from magpieshift.lab.simulated.time import RouterClock, Time
+from magpieshift.lab.simulated.time import RouterClock, SimulatedTime
 from magpieshift.lab.simulated.upstreams import SimulatedUpstream, SimulatedUpstreams
 from magpieshift.policy.events import Endpoint, EndpointListKind, EndpointState
 
@@ -34,7 +34,7 @@
 
     def __init__(self, size: FleetSize) -> None:
         self.size = size
-        self.time = Time()
+        self.time = SimulatedTime()
         self.rand = random.Random(size.seed)
         self.record = FleetRecord()
         self.upstreams = SimulatedUpstreams(self.time, self.counters)
--- a/magpieshift/lab/simulated/fleet_clients.py
+++ b/magpieshift/lab/simulated/fleet_clients.py
@@ -15,7 +15,7 @@
 from magpieshift.engine.model import ClientRequest, Response, Verdict
 from magpieshift.lab.simulated.fleet_state import SECOND_US, FleetRecord, FleetSize, SimulatedRouter
 from magpieshift.lab.simulated.second_counters import ClassCounters
-from magpieshift.lab.simulated.time import Time
+from magpieshift.lab.simulated.time import SimulatedTime
 
 PICTURE_CLASS = "picture"  # a cacheable read
 BASKET_CLASS = "basket"  # a write with an idempotency key
@@ -58,7 +58,7 @@
     def __init__(
         self,
         size: FleetSize,
-        time: Time,
+        time: SimulatedTime,
         rand: random.Random,
         record: FleetRecord,
         routers: Mapping[str, SimulatedRouter],
--- a/magpieshift/lab/simulated/fleet_state.py
+++ b/magpieshift/lab/simulated/fleet_state.py
@@ -6,7 +6,7 @@
 
 from magpieshift.engine.engine import Engine
 from magpieshift.lab.simulated.second_counters import SecondCounters
-from magpieshift.lab.simulated.time import RouterClock, Time
+from magpieshift.lab.simulated.time import RouterClock, SimulatedTime
 
 SECOND_US = 1_000_000
 
@@ -56,7 +56,7 @@
     rejected_requests: int = 0  # requests rejected at least once
     violations: list[str] = field(default_factory=list)  # requests with no response, or with two
 
-    def counters(self, time: Time) -> SecondCounters:
+    def counters(self, time: SimulatedTime) -> SecondCounters:
         """The counters of the current second."""
         while len(self.by_second) <= time.second:
             self.by_second.append(SecondCounters())
--- a/magpieshift/lab/simulated/gossip.py
+++ b/magpieshift/lab/simulated/gossip.py
@@ -86,5 +86,5 @@
 
     def cost(self) -> tuple[float, float]:
         """Datagrams and bytes that a router sent a second, over the whole run."""
-        over = len(self._fleet.routers) * (self._fleet.time.now_us - self._fleet.time.began_us) / SECOND_US
+        over = len(self._fleet.routers) * (self._fleet.time.now_us - self._fleet.time.start_us) / SECOND_US
         return self.sent / over, self.bytes / over
--- a/magpieshift/lab/simulated/upstreams.py
+++ b/magpieshift/lab/simulated/upstreams.py
@@ -12,7 +12,7 @@
 from magpieshift.engine.model import AttemptResult, ListedEndpoint, UpstreamRequest
 from magpieshift.lab.simulated.endpoints import EndpointCondition, SimulatedEndpoint, Work, ZoneLink
 from magpieshift.lab.simulated.second_counters import SecondCounters
-from magpieshift.lab.simulated.time import Time
+from magpieshift.lab.simulated.time import SimulatedTime
 from magpieshift.policy.actions import CacheRequestFlag
 from magpieshift.policy.outcomes import CacheStatus, Outcome
 
@@ -25,7 +25,7 @@
 class SimulatedUpstreams:
     """All endpoints of an installation, as routers reach them."""
 
-    def __init__(self, time: Time, counters: Callable[[], SecondCounters]) -> None:
+    def __init__(self, time: SimulatedTime, counters: Callable[[], SecondCounters]) -> None:
         self.by_name: dict[str, SimulatedEndpoint] = {}
         self.links: dict[int, ZoneLink] = {}  # by zone
         self._time = time
--- a/tests/relay/test_histories.py
+++ b/tests/relay/test_histories.py
@@ -6,7 +6,7 @@
 
 from magpieshift.lab.simulated.fanout import SECOND_US, SimulatedFanout
 from magpieshift.lab.simulated.fanout_histories import History
-from magpieshift.lab.simulated.fanout_judge import RuleBroken
+from magpieshift.lab.simulated.fanout_judge import RuleBrokenError
 from magpieshift.lab.simulated.fanout_layout import FanoutSize
 from magpieshift.lab.simulated.fanout_measures import check_bounds, settled
 from magpieshift.lab.simulated.fanout_message_sizes import MESSAGE_BYTES, PURGE_BYTES
@@ -202,7 +202,7 @@
         world = began(regions=1)
         (epoch,) = world.judge.claims
         world.judge.claims[epoch] += 1
-        with self.assertRaisesRegex(RuleBroken, "watermark"):
+        with self.assertRaisesRegex(RuleBrokenError, "watermark"):
             world.run(SECOND_US)
 
     def test_it_sees_a_purge_that_a_leased_router_lacks(self) -> None:
@@ -210,7 +210,7 @@
         world.purge()
         world.judge.purges.append(world.change_log.purge("never told"))
         world.change_log.entries.pop()
-        with self.assertRaisesRegex(RuleBroken, "bound"):
+        with self.assertRaisesRegex(RuleBrokenError, "bound"):
             world.run(10 * SECOND_US)
 
 
--- a/tests/relay/test_planted.py
+++ b/tests/relay/test_planted.py
@@ -11,7 +11,7 @@
 from unittest import mock
 
 from magpieshift.lab.simulated.fanout_histories import History
-from magpieshift.lab.simulated.fanout_judge import RuleBroken
+from magpieshift.lab.simulated.fanout_judge import RuleBrokenError
 from magpieshift.lab.simulated.fanout_outputs import OpenStream, SendMessage
 from magpieshift.lab.simulated.fanout_processes import Router, Source
 from magpieshift.relay import fanout, staleness_bound
@@ -298,7 +298,7 @@
     def test_each_defect_is_found(self) -> None:
         for plant, scenario in PLANTED:
             with self.subTest(plant.__name__):
-                with plant(), self.assertRaises(RuleBroken) as found:
+                with plant(), self.assertRaises(RuleBrokenError) as found:
                     if scenario:
                         explore(next(known for known in SCENARIOS if known.name == scenario))
                     for seed in range(MOST_HISTORIES):
@@ -315,7 +315,7 @@
                 self.assertGreater(leased_for_us(*rates), FRESHNESS_LEASE_US // 2)
 
     def test_forgetting_the_drift_is_found(self) -> None:
-        with forget_the_drift(), self.assertRaises(RuleBroken):
+        with forget_the_drift(), self.assertRaises(RuleBrokenError):
             for rates in RATES:
                 leased_for_us(*rates)
 
@@ -325,8 +325,8 @@
 
 
 def leased_for_us(follower_rate: float, server_rate: float) -> int:
-    """How long a router holds its lease that a source has proven at once and then never again. ``RuleBroken``
-    where it is leased in a moment in which the source does not count it."""
+    """How long a router holds its lease that a source has proven at once and then never again.
+    ``RuleBrokenError`` where it is leased in a moment in which the source does not count it."""
 
     def by_router(now_us: int) -> int:
         return now_us + int(now_us * follower_rate)
@@ -351,7 +351,7 @@
     while router.copy_age_limit(by_router(now_us)) == 0:
         (status,) = source.fanout.status(by_source(now_us))
         if not status.may_hold_lease:
-            raise RuleBroken(f"watermark: leased after {now_us - began_us} us, and not counted")
+            raise RuleBrokenError(f"watermark: leased after {now_us - began_us} us, and not counted")
         now_us += STEP_US
     return now_us - began_us
 
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -19,7 +19,7 @@
 from magpieshift.lab.simulated.fleet import Fleet
 from magpieshift.lab.simulated.fleet_state import SECOND_US, FleetSize
 from magpieshift.lab.simulated.second_counters import SecondCounters
-from magpieshift.lab.simulated.time import RouterClock, Time
+from magpieshift.lab.simulated.time import RouterClock, SimulatedTime
 from magpieshift.lab.simulated.upstreams import SimulatedUpstreams
 from magpieshift.policy.events import Endpoint, EndpointState
 from magpieshift.policy.outcomes import Outcome
@@ -29,7 +29,7 @@
 
 class Clocks(unittest.TestCase):
     def test_who_sleeps_catches_up_in_order_and_the_dead_do_nothing(self) -> None:
-        time, done = Time(), list[str]()
+        time, done = SimulatedTime(), list[str]()
         clock, dead = RouterClock(time), RouterClock(time)
         clock.after(SECOND_US, lambda: done.append("one"))
         clock.after(2 * SECOND_US, lambda: done.append("two")).cancel()
@@ -44,7 +44,7 @@
 
 class Models(unittest.TestCase):
     def setUp(self) -> None:
-        self.time, self.account = Time(), SecondCounters()
+        self.time, self.account = SimulatedTime(), SecondCounters()
         self.stores = SimulatedUpstreams(self.time, lambda: self.account)
         self.stores.links[1] = ZoneLink(self.time, 1000.0)
         for ident, kind, zone in (("box", 0, 1), ("hub", 1, 0), ("origin", 2, 0)):
