--- a/tests/interoperability.py
+++ b/tests/interoperability.py
@@ -45,11 +45,11 @@
 
 async def replace_with(cluster: Cluster, name: str, program: Sequence[str]) -> None:
     """Replace a router's process by one of another program, as operators do."""
-    place = cluster.routers[name]
-    old = place.process
+    router = cluster.routers[name]
+    old = router.process
     assert old is not None
     await cluster.start_successor(name, free_ports(1)[0], (), program)
-    log = cluster.folder / f"{name}.{place.starts}.log"
+    log = cluster.folder / f"{name}.{router.starts}.log"
 
     async def ready() -> bool:
         return "event=ready " in log.read_text(errors="replace")
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -23,7 +23,7 @@
 
 class Processes(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        asyncio.get_running_loop().set_debug(False)  # which would slow all stand-ins down by half
+        asyncio.get_running_loop().set_debug(False)  # debug mode slows all emulators down by half
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
         self.cluster = await self.enterAsyncContext(
@@ -37,30 +37,30 @@
         )
         return list(views.values())
 
-    async def all_say(self, about: str, standing: str) -> None:
+    async def wait_for_state(self, about: str, standing: str) -> None:
         async def true() -> bool:
             views = await self.others(about)
             return bool(views) and all(self.cluster.member_state(view, about) == standing for view in views)
 
         await self.cluster.wait_until(true, f"all hold {about} for {standing}", 60.0)
 
-    async def all_read(self, about: str, state: str) -> None:
-        """Others read of it what it is in the middle of, and hold it for alive."""
+    async def wait_for_own_state(self, about: str, state: str) -> None:
+        """Wait until all others have this state of it by its own record, and hold it to be alive."""
 
         async def true() -> bool:
             rows = [row for view in await self.others(about) for row in view["members"]]  # type: ignore[attr-defined]
-            said = {(row["state"], row["standing"]) for row in rows if row["name"] == about}
-            return said == {(state, "alive")}
+            seen = {(row["state"], row["standing"]) for row in rows if row["name"] == about}
+            return seen == {(state, "alive")}
 
         await self.cluster.wait_until(true, f"all read of {about} that it is {state}", 60.0)
 
-    async def together(self) -> None:
+    async def wait_for_agreement(self) -> None:
         await self.cluster.wait_until(
             lambda: self.cluster.views_agree(), "all agree, and nobody is gone who lives", 60.0
         )
 
     async def removed(self) -> set[str]:
-        """Whom anybody ever held for gone, by the logs."""
+        """The routers that any router ever held to be dead, by the logs."""
         found = set()
         for log in Path(self.folder.name).glob("*.log"):
             for line in log.read_text(errors="replace").splitlines():
@@ -72,7 +72,7 @@
         cluster, names = self.cluster, self.names
         await cluster.start(*names)
         await cluster.wait_until_serving(*names)
-        await self.together()
+        await self.wait_for_agreement()
         cluster.start_load()
 
         with self.subTest("one stands still, then three at once"):
@@ -80,10 +80,10 @@
                 for name in sleepers:
                     cluster.pause(name)
                 for name in sleepers:
-                    await self.all_say(name, "suspected") if len(sleepers) == 1 else None
+                    await self.wait_for_state(name, "suspected") if len(sleepers) == 1 else None
                 for name in sleepers:
                     cluster.resume(name)
-                await self.together()
+                await self.wait_for_agreement()
             self.assertEqual(await self.removed(), set())
 
         with self.subTest("all stand still, each at its own moment, and a fifth of all is lost"):
@@ -97,24 +97,24 @@
 
             await asyncio.gather(*(nap(number, name) for number, name in enumerate(names)))
             cluster.network.remove_fault("lossy")
-            await self.together()
+            await self.wait_for_agreement()
             self.assertEqual(await self.removed(), set())
 
         with self.subTest("one empties and comes back, another is replaced"):
             self.assertEqual(await cluster.call("r3", "LAMEDUCK"), "OK lame-duck")
-            await self.all_read("r3", "lame-duck")
+            await self.wait_for_own_state("r3", "lame-duck")
             self.assertEqual(await cluster.call("r3", "REJOIN"), "OK serving")
             await cluster.replace("r1")
-            await self.all_read("r3", "serving")
-            await self.together()
+            await self.wait_for_own_state("r3", "serving")
+            await self.wait_for_agreement()
             self.assertEqual(await self.removed(), set())
 
         with self.subTest("one hears but is not heard"):
             cluster.network.add_fault("mute", "r2", ALL, LinkFault(cut=True))
-            await self.all_say("r2", "gone")
+            await self.wait_for_state("r2", "gone")
             self.assertEqual(await self.removed(), {"r2"})
             cluster.network.remove_fault("mute")
-            await self.together()
+            await self.wait_for_agreement()
 
         with self.subTest("one is heard but does not hear"):
             cluster.network.add_fault("deaf", ALL, "r3", LinkFault(cut=True))
@@ -125,7 +125,7 @@
 
             await cluster.wait_until(cut_off, "r3 knows that it hears nobody")
             cluster.network.remove_fault("deaf")
-            await self.together()
+            await self.wait_for_agreement()
             self.assertEqual(await self.removed(), {"r2"})
 
         with self.subTest("one hears only half of the others, while another dies"):
@@ -133,7 +133,7 @@
                 cluster.network.add_fault("half deaf", name, "r4", LinkFault(cut=True))
             cluster.kill("r6")
             await cluster.wait_for_exit("r6")
-            await self.all_say("r6", "gone")
+            await self.wait_for_state("r6", "gone")
             self.assertEqual(await self.removed(), {"r2", "r6"})
 
         with self.subTest("two halves, as shares are growing, with a leave in one of them"):
@@ -151,7 +151,7 @@
             await cluster.stop("r7")
             await cluster.wait_until(parted, "each half is by itself", 60.0)
             cluster.network.remove_fault("halves")
-            await self.together()
+            await self.wait_for_agreement()
 
         with self.subTest("four more killed at once, and all started again under their names"):
             killed = names[2:6]
@@ -163,7 +163,7 @@
             await cluster.wait_for_exit(*killed)
             await cluster.start("r6", "r7", *killed)
             await cluster.wait_until_serving("r6", "r7", *killed)
-            await self.together()
+            await self.wait_for_agreement()
             after = await cluster.membership_view("r0")
             assert after is not None
             for row in after["members"]:
@@ -257,7 +257,7 @@
                     path.write_text(scenario.format_scenario(run))
                     self.assertEqual(scenario.load_file(str(path)), run)
 
-    def test_a_scenario_with_mistakes_is_told_all_of_them(self) -> None:
+    def test_all_mistakes_of_a_scenario_are_reported(self) -> None:
         with self.assertRaises(UnusableDocumentError) as caught:
             scenario.load(
                 {
--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -28,20 +28,21 @@
         )
         self.names = list(self.cluster.routers)
 
-    async def left(self) -> dict[str, list[str]]:
-        """Which stores each router that answers leaves to others."""
-        told = await asyncio.gather(*(self.cluster.overload_view(name) for name in self.names))
-        return {name: said["left"] for name, said in zip(self.names, told, strict=True) if said}
+    async def offloaded(self) -> dict[str, list[str]]:
+        """The endpoints that each router that answers leaves to others."""
+        views = await asyncio.gather(*(self.cluster.overload_view(name) for name in self.names))
+        return {name: view["left"] for name, view in zip(self.names, views, strict=True) if view}
 
-    async def until_left(self, store: str, least: int, what: str) -> None:
+    async def until_offloaded(self, endpoint: str, min_routers: int, description: str) -> None:
         async def true() -> bool:
-            return sum(store in stores for stores in (await self.left()).values()) >= least
+            offloaded = await self.offloaded()
+            return sum(endpoint in endpoints for endpoints in offloaded.values()) >= min_routers
 
-        await self.cluster.wait_until(true, what, 60.0)
+        await self.cluster.wait_until(true, description, 60.0)
 
     async def until_none(self, what: str) -> None:
         async def true() -> bool:
-            left = await self.left()
+            left = await self.offloaded()
             return len(left) == ROUTERS and not any(left.values())
 
         await self.cluster.wait_until(true, what, 60.0)
@@ -57,10 +58,10 @@
         with self.subTest("it dies, and the list says so late"):
             late = asyncio.ensure_future(cluster.endpoints.fail("late-list", for_s=20.0))
             death = asyncio.ensure_future(cluster.endpoints.fail("die", "hub1", 15.0))
-            await self.until_left(hub.ident, 2, "routers leave it to others")
+            await self.until_offloaded(hub.ident, 2, "routers leave it to others")
             most = 0
             for _ in range(10):
-                left = await self.left()
+                left = await self.offloaded()
                 most = max(most, sum(hub.ident in stores for stores in left.values()))
                 await asyncio.sleep(0.2)
             self.assertLessEqual(most, ROUTERS - TRIERS)
@@ -109,23 +110,23 @@
                 starving = asyncio.ensure_future(self.starve(cluster, "r1"))
 
                 async def handing() -> bool:
-                    told = await cluster.overload_view("r1")
-                    return told is not None and told["handed"] > 0
+                    view = await cluster.overload_view("r1")
+                    return view is not None and view["handed"] > 0
 
                 await cluster.wait_until(handing, "r1 hands clients over", 60.0)
-                told = [await cluster.overload_view(name) for name in names if name != "r1"]
-                self.assertEqual([said["over"] for said in told if said], [False] * 3)
+                views = [await cluster.overload_view(name) for name in names if name != "r1"]
+                self.assertEqual([view["over"] for view in views if view], [False] * 3)
                 starving.cancel()
                 await asyncio.wait([starving])
 
                 async def over() -> bool:
-                    told = await cluster.overload_view("r1")
-                    return told is not None and not told["over"]
+                    view = await cluster.overload_view("r1")
+                    return view is not None and not view["over"]
 
                 await cluster.wait_until(over, "r1 hands nothing over any more", 60.0)
-                told_at_end = await cluster.overload_view("r1")
-                assert told_at_end is not None
-                self.assertLessEqual(told_at_end["changes"], 2)
+                view_at_end = await cluster.overload_view("r1")
+                assert view_at_end is not None
+                self.assertLessEqual(view_at_end["changes"], 2)
                 counted = await cluster.finish()
                 self.assertEqual((cluster.violations, cluster.unexpected_exits), ([], []))
                 self.assertEqual((counted["lost"], counted["doubles"]), (0, 0))
--- a/tests/rollout/test_processes.py
+++ b/tests/rollout/test_processes.py
@@ -76,17 +76,19 @@
         with self.subTest("an older coordinator is turned down, and what it starts does not serve"):
             with self.assertRaises(TermSupersededError):
                 await Executor(plan, 1, process_starter(cluster)).replace_process("r0", OLD_LABEL)
-            place = cluster.routers["r0"]
+            router = cluster.routers["r0"]
             door = next(iter(await executor.read_processes("r0")))
             self.assertRegex(
                 str(await send_admin_command(door, "AS 1 END")), "term 1 is over, the latest is 2"
             )
-            serving, place.process = place.process, None
-            free = next(port for port in place.admin_ports if port != door[1])
+            serving = router.process
+            router.process = None
+            free = next(port for port in router.admin_ports if port != door[1])
             await cluster.start_successor("r0", free, ("--label", OLD_LABEL, "--term", "1"))
-            assert place.process is not None
-            self.assertEqual(await asyncio.wait_for(place.process.wait(), 30.0), 2)
-            place.process, place.console = serving, door[1]
+            assert router.process is not None
+            self.assertEqual(await asyncio.wait_for(router.process.wait(), 30.0), 2)
+            router.process = serving
+            router.admin_port = door[1]
             self.assertEqual(await self.labels(executor), {name: [NEW_LABEL] for name in cluster.routers})
         await self.end()
 
