--- a/magpieshift/lab/emulators/emulated.py
+++ b/magpieshift/lab/emulators/emulated.py
@@ -160,7 +160,8 @@
         """Carry one fault out, from its beginning to its end.
 
         ``what`` is a scenario's word; ``by`` is milliseconds of delay or a share of answers. A fault at a
-        place that isn't there does nothing.
+        place that isn't there does nothing, nor does "drain" or "die" at the origin or at a process that is
+        down.
         """
         endpoint = self.places.get(place)
         if what == "late-list":
--- a/magpieshift/lab/emulators/emulator.py
+++ b/magpieshift/lab/emulators/emulator.py
@@ -72,7 +72,8 @@
         self.failed_answer_fraction = 0.0
         """Fault: this share of answers is an error."""
         self.running = asyncio.Event()
-        """Cleared while the process is paused, as by SIGSTOP."""
+        """Cleared while it hangs: no request or fill is worked on, but connections are read and health checks
+        are still answered."""
         self.running.set()
         self.hits = 0
         """Requests answered from a stored copy."""
--- a/magpieshift/lab/emulators/load.py
+++ b/magpieshift/lab/emulators/load.py
@@ -1,7 +1,8 @@
 """Emulated clients with open arrivals: each session fetches the parts of an object one after another.
 
 A rejected request is retried once after its Retry-After, marked as a retry, and a write keeps its idempotency
-key. The draws depend on the seed only, so that two routers see the same sessions.
+key. The times of sessions and their objects depend on the seed only; classes, numbers of parts and ids are
+drawn in the order in which answers come, so that two runs differ in them.
 """
 
 from __future__ import annotations
--- a/magpieshift/lab/emulators/protocol_checker.py
+++ b/magpieshift/lab/emulators/protocol_checker.py
@@ -74,7 +74,10 @@
             )
 
     def check_slow_start(self, endpoint: str, work_s: float, capacity_s: float) -> None:
-        """An endpoint in slow start was sent ``work_s`` of work within a second and can do ``capacity_s``."""
+        """An endpoint in slow start was sent ``work_s`` of work within a second.
+
+        Above ``capacity_s``, a multiple of what it can do now, it is overloaded.
+        """
         if work_s > capacity_s:
             self.record_violation(
                 "cold store", f"{endpoint} was sent {work_s:.2f} s of work in 1 s, and bears {capacity_s:.2f}"
--- a/magpieshift/lab/experiments/membership_exploration.py
+++ b/magpieshift/lab/experiments/membership_exploration.py
@@ -2,8 +2,8 @@
 
 Three failure detectors and the datagrams between them. In each step of two seconds one of all transitions is
 taken: no fault, one member asleep, mute or deaf, one direction cut, one restarted, messages a step late. Of
-states with equal keys only the first is continued. From each, steps without faults must bring agreement,
-with no living member removed.
+states with equal keys only the first is continued. From each, steps without faults must bring one view with
+all members present. States in which a living member is held to be dead are only counted.
 """
 
 from __future__ import annotations
@@ -205,7 +205,7 @@
 
 
 def explore(max_states: int, spoil: Callable[[Fleet], None] = lambda fleet: None) -> Exploration:
-    """Explore so many different states, the nearest first.
+    """Explore at least so many different states if there are so many, the nearest first.
 
     ``spoil`` may change the first one, to see that what it breaks is found.
     """
--- a/magpieshift/lab/experiments/membership_network.py
+++ b/magpieshift/lab/experiments/membership_network.py
@@ -1,8 +1,8 @@
 """Membership on a simulated network: the same state machines, thousands of seconds in one.
 
 Everything is one heap of events under one fake clock, drawn from one seed: the same seed gives the same
-history. A process that is paused takes its ticks and its datagrams when it resumes, as a real one does from
-its socket's buffer.
+history. A process that is paused takes one tick when it resumes, and the datagrams that came meanwhile, at
+most ``SOCKET_BUFFER_DATAGRAMS``, as a real one does from its socket's buffer.
 """
 
 from __future__ import annotations
--- a/magpieshift/lab/experiments/membership_trial.py
+++ b/magpieshift/lab/experiments/membership_trial.py
@@ -84,8 +84,8 @@
 ) -> Outcome:
     """Play one fleet's trial.
 
-    It is quiet for its cost; then come loss and pauses of up to 5 s, then so many deaths, then a partition
-    into halves and its healing.
+    It is quiet for its cost; then come loss and pauses of up to 5 s, then ``deaths`` deaths, at most a third
+    of the routers, then a partition into halves and its healing.
     """
     began = time.perf_counter()
     network = started_network(FleetSettings(routers, tuning=tuning or DetectorTuning()), seed)
--- a/magpieshift/lab/experiments/overload.py
+++ b/magpieshift/lab/experiments/overload.py
@@ -36,7 +36,7 @@
 
 
 def _kill_routers(fleet: Fleet) -> None:
-    """Seven of ten routers die at once, and come back at 2 s, all at once."""
+    """Seven of ten routers die at once, and come back 2 s later, all at once."""
     names = sorted(fleet.routers)
     dead = fleet.rand.sample(names, len(names) * 7 // 10)
     for name in dead:
@@ -56,7 +56,7 @@
 
 
 def _fail_half_of_requests(fleet: Fleet) -> None:
-    """A cache in each zone answers every second request with an error."""
+    """A cache in each zone answers each request with an error, with a probability of one half."""
     for zone in range(fleet.size.zones):
         fleet.upstreams.by_name[f"box-{zone}-0"].error_probability = 0.5
 
@@ -85,11 +85,11 @@
 def _remove_faults(fleet: Fleet) -> None:
     """Load, endpoints and errors are as before."""
     fleet.rate = fleet.size.design_rate * fleet.size.load_factor
-    for ident, store in fleet.upstreams.by_name.items():
-        store.error_probability = 0.0
-        store.slowdowns.clear()
-        if store.is_failing:
-            fleet.set_condition(ident, EndpointCondition.RUNNING)
+    for name, endpoint in fleet.upstreams.by_name.items():
+        endpoint.error_probability = 0.0
+        endpoint.slowdowns.clear()
+        if endpoint.is_failing:
+            fleet.set_condition(name, EndpointCondition.RUNNING)
 
 
 @dataclass(frozen=True)
@@ -99,7 +99,7 @@
     fault: Fault
     duration_s: int
     changes: dict[str, float] = field(default_factory=dict)
-    """Fields of the fleet's form that differ."""
+    """Fields of ``FleetSize`` that differ in this scenario."""
     digests_lost: float = 0.0
     """Share of the routers' gossip that is lost."""
 
@@ -129,17 +129,18 @@
     """Work that reached endpoints over requests, against the same in the baseline, in the worst window from
     the fault on."""
     tries_per_s: float = 0.0
-    """Attempts that reached failing endpoints, from a second after they began to fail."""
+    """Attempts and fills a second that reached failing endpoints, from a second after the fault began until
+    it ended."""
     back_to_95_s: float = 0.0
     """Seconds after the fault until the fleet had recovered."""
     refused_then_served: float = 0.0
-    """Share of rejected requests that another router served."""
+    """Share of requests rejected or failed at least once that another router then served."""
     goodput: float = 0.0
     """Share of requests served in time, from the fault on."""
     worst_class: float = 0.0
     """The same of the request class that fares worst."""
     refused: float = 0.0
-    """Attempts of clients that were rejected, over requests."""
+    """Answers "rejected" or "failed" to clients, over requests."""
     talk_per_s: float = 0.0
     """Gossip datagrams of one router a second."""
     talk_bytes_per_s: float = 0.0
--- a/magpieshift/lab/fault_injection/checks.py
+++ b/magpieshift/lab/fault_injection/checks.py
@@ -1,7 +1,8 @@
 """What is checked of a fleet of processes from outside: one class for each invariant.
 
 A check observes the fleet now and then while it runs, and is asked at the end for the violations it saw. The
-rules at the endpoints are ``emulator.Rules``, which all endpoints and routers of a run have in common.
+rules at the endpoints are in ``emulators.protocol_checker.ProtocolChecker``, which all endpoints and clients
+of a run have in common.
 """
 
 from __future__ import annotations
@@ -59,7 +60,7 @@
     """One invariant."""
 
     def observe(self, fleet: ObservedFleet, views: Mapping[str, Mapping[str, Any]]) -> None:
-        """Observe the fleet at this moment, with the membership views of those that answered."""
+        """Observe the fleet at this moment; ``views`` are membership views by router, if any."""
         ...
 
     def violations(self, fleet: ObservedFleet) -> list[str]:
@@ -139,7 +140,7 @@
     """From when on a process may use which quota."""
 
     at_s: float
-    """Time in seconds on the clock of the routers' logs."""
+    """Time in seconds on the steady clock, by which the routers log ``at_us``."""
     quota: float
     """Share of the whole, 0 to 1."""
     log_name: str
--- a/magpieshift/lab/fault_injection/cluster.py
+++ b/magpieshift/lab/fault_injection/cluster.py
@@ -57,7 +57,8 @@
     """Owner of the endpoints, the network, the clients and all router processes.
 
     ``solo_quota``, ``digests`` and ``hand_over`` are the members' settings ``alone``, ``digests`` and
-    ``hand-over``; ``seed_count`` routers are named in ``seeds``. ``requests_per_s`` is each client's rate.
+    ``hand-over``; ``seed_count`` routers are named in ``seeds``. ``requests_per_s`` is the rate of all
+    clients of one router together.
     ``slack_s`` is granted beyond the time limits of the rules: more than the platform's where a verdict must
     not hang on how busy the machine is. ``clocks`` names the routers whose clocks can be set.
     """
@@ -87,7 +88,7 @@
         """The faults between processes."""
         self.switch = Switch(seed, self.network)
         self.rules = ProtocolChecker(slack_s, self._known_at)
-        """ProtocolChecker that all endpoints and clients of the run check together."""
+        """The protocol's rules, checked at all endpoints and clients of the run together."""
         self.checks: list[checks.Check] = checks.standard_checks()
         self.loads: dict[str, LoadGenerator] = {}
         """Clients by the router that they ask first."""
@@ -206,7 +207,7 @@
         return [example for load in self.loads.values() for example in load.unanswered_examples]
 
     def max_total_quota(self) -> tuple[float, float]:
-        """Return the most that all quotas in use came to at any instant, and when (Unix time in seconds)."""
+        """Return the most that all quotas in use came to at an instant, and when (steady clock, seconds)."""
         return checks.QuotaCheck().max_total(self)
 
     def _known_at(self, request_id: str, announced_s: float) -> float:
--- a/magpieshift/lab/fault_injection/outages.py
+++ b/magpieshift/lab/fault_injection/outages.py
@@ -51,7 +51,7 @@
             spans[-1] = spans[-1][0], time.monotonic()
 
     def process_halted(self, name: str, start: int) -> None:
-        """From now on this process of the router does nothing any more."""
+        """From now on this process of the router does nothing, until ``process_resumed`` if ever."""
         self.halts.append(Halt(name, start, time.monotonic(), ENDLESS))
 
     def process_resumed(self, name: str) -> None:
@@ -73,7 +73,8 @@
     def known_at(self, name: str, announced_s: float) -> float:
         """Return when this router could know what was announced at that Unix time in seconds.
 
-        One that was cut off from the change log, or could not answer, knew only afterwards.
+        One that was cut off from the change log, or could not answer, knew only ``CATCH_UP_S`` afterwards; so
+        did one to which it was announced up to ``CATCH_UP_S`` before or after that.
         """
         unix_offset_s = time.time() - time.monotonic()
         spans = self._cut_off.get(name, []) + self._unavailable.get(name, [])
--- a/magpieshift/lab/fault_injection/processes.py
+++ b/magpieshift/lab/fault_injection/processes.py
@@ -74,6 +74,7 @@
         """Start routers, all at once; wait for nothing.
 
         ``arguments`` are added to the ``run`` command; ``program`` replaces the testbed's own command.
+        A router named in ``clocks`` runs ``skewed_clock`` in any case, which accepts no ``arguments``.
         """
         for name in names:
             router = self.routers[name]
--- a/magpieshift/lab/fault_injection/random_runs.py
+++ b/magpieshift/lab/fault_injection/random_runs.py
@@ -2,7 +2,7 @@
 
 Faults are drawn so that many begin while the fleet still recovers from another, and so that the run can be
 judged afterwards: each ends, no router has two of its own at a time, no more than half of the routers and
-never all endpoints of a kind are away at once, and nothing is wrong in the last quarter.
+never all endpoints of a kind that has several are away at once, and nothing is wrong in the last quarter.
 """
 
 from __future__ import annotations
--- a/magpieshift/lab/fault_injection/scenario.py
+++ b/magpieshift/lab/fault_injection/scenario.py
@@ -87,7 +87,8 @@
     start_s: float
     """Seconds from the scenario's beginning."""
     duration_s: float
-    """Seconds that it lasts."""
+    """Seconds that it lasts; a drain lasts that long (at least ``emulated.MIN_DRAIN_S``), and then the place
+    is empty for as long again."""
     component: str
     """The router or the endpoint's place that it happens to; empty for a fault on links."""
     source: str
--- a/magpieshift/lab/scale/memory.py
+++ b/magpieshift/lab/scale/memory.py
@@ -30,7 +30,8 @@
 
 
 def check(routers: int, processes: int, caches: int, of_mb: float = 0.0) -> None:
-    """``ConfigError`` where a run would take more than ``MAX_MEMORY_FRACTION`` of the machine's memory."""
+    """``ConfigError`` where a run would take more than ``MAX_MEMORY_FRACTION`` of the machine's memory, or
+    more than ``MAX_PROCESSES`` processes."""
     limit_mb = MAX_MEMORY_FRACTION * (of_mb or machine_mb())
     wanted_mb = needed_mb(routers, processes, caches)
     if wanted_mb > limit_mb:
--- a/magpieshift/lab/scale/messages.py
+++ b/magpieshift/lab/scale/messages.py
@@ -51,8 +51,8 @@
 
 
 class StartWorker(BaseModel):
-    """To a worker: be ready for hollow routers. ``drop_every`` plants a fault for tests: each router passes
-    over every so manieth purge; 0 for none."""
+    """To a worker: be ready for hollow routers. ``drop_every`` plants a fault for tests: each router skips
+    every ``drop_every``-th purge; 0 for none."""
 
     kind: Literal["start-worker"] = "start-worker"
     caches: int
--- a/magpieshift/lab/scale/result.py
+++ b/magpieshift/lab/scale/result.py
@@ -45,7 +45,7 @@
     purges: int = 0
     versions: int = 0
     workers: int = 0
-    worker_busy_max_percent: float | None = None  # of a core, over two seconds: above 90, times are ours
+    worker_busy_max_percent: float | None = None  # of a core, over 2 s; above 90, waiting here counts
     control_cpu_percent_by: dict[str, float] = field(default_factory=dict)
     network_cpu_percent: float | None = None
     purges_by_lease: int = 0  # applied by a router without a lease, which bounds copies instead
--- a/magpieshift/lab/simulated/endpoints.py
+++ b/magpieshift/lab/simulated/endpoints.py
@@ -152,7 +152,7 @@
         self._idle_at_us = 0  # when the last transfer ends
 
     def transfer(self, work: Work, size_kb: float, then: Callable[[], None]) -> None:
-        """Transfer so much, and call ``then`` unless the work was cancelled."""
+        """Transfer so much; call ``then`` unless the work was cancelled: it keeps its time on the link."""
         start_us = max(self._idle_at_us, self._time.now_us)
         self._idle_at_us = start_us + int(US_PER_S * size_kb / self.kb_per_s)
         work.event = self._time.at(self._idle_at_us, lambda: None if work.is_over else then())
--- a/magpieshift/lab/simulated/fanout_tier_state.py
+++ b/magpieshift/lab/simulated/fanout_tier_state.py
@@ -12,7 +12,8 @@
 ROUTERS = ("E1", "E2")
 FOLLOWERS = (*RELAYS, *ROUTERS)
 PROCESS_NAMES = (SOURCE, *FOLLOWERS)
-# Each follower's clock differs from its server's by the whole drift that the protocol allows.
+# Of the drift that the protocol allows between two clocks: half between the source and a relay, all of it
+# between R1 and E1 and between R2 and E2, none between R1 and E2 or R2 and E1.
 CLOCK_DRIFTS = {
     "S": 0.0,
     "R1": CLOCK_DRIFT / 2,
--- a/magpieshift/lab/simulated/fleet_clients.py
+++ b/magpieshift/lab/simulated/fleet_clients.py
@@ -160,7 +160,10 @@
         self._retry(intent, response.retry_after_us, router.name)
 
     def _retry(self, intent: ClientIntent, retry_after_us: int, rejected_by: str) -> None:
-        """Retry after a wait, unless the client gives up; ``rejected_by`` is empty after a failure."""
+        """Retry after a wait, unless the client gives up; ``rejected_by`` is empty where no answer came.
+
+        An answer "failed" counts as a rejection.
+        """
         gives_up_at_us = intent.wanted_by_us + MAX_RETRY_AFTER_WANTED_US
         if intent.attempts >= self._size.max_attempts or self._time.now_us > gives_up_at_us:
             self._record.counters(self._time).abandoned += 1
--- a/magpieshift/lab/simulated/fleet_state.py
+++ b/magpieshift/lab/simulated/fleet_state.py
@@ -52,8 +52,8 @@
     """What is counted over the whole of a run."""
 
     by_second: list[SecondCounters] = field(default_factory=list)
-    rejected_then_served: int = 0  # requests that another router served after a rejection
-    rejected_requests: int = 0  # requests rejected at least once
+    rejected_then_served: int = 0  # served by another router after a rejection
+    rejected_requests: int = 0  # answered "rejected" or "failed" at least once
     violations: list[str] = field(default_factory=list)  # requests with no response, or with two
 
     def counters(self, time: SimulatedTime) -> SecondCounters:
--- a/magpieshift/lab/simulated/second_counters.py
+++ b/magpieshift/lab/simulated/second_counters.py
@@ -21,7 +21,7 @@
     client_retries: int = 0
     served_in_time: int = 0  # first made in this second, and answered within the wanted time
     served_late: int = 0  # first made in this second
-    rejections: int = 0  # of requests and of client retries
+    rejections: int = 0  # answers "rejected" or "failed", to requests and to retries
     abandoned: int = 0  # requests whose client has no retry left
     attempts: int = 0  # that reached an endpoint, as a cache or directly
     fills: int = 0  # that reached a parent or the origin through a cache
--- a/magpieshift/lab/simulated/upstreams.py
+++ b/magpieshift/lab/simulated/upstreams.py
@@ -2,7 +2,8 @@
 
 A cache serves a cached object in a slot, and fills a miss, in no slot, through its zone's link from the
 source that the request names; a parent serves what it has cached and fetches the rest from the origin; the
-origin has every object. Each rejects above its queue. Work stops when the request is cancelled.
+origin has every object. Each rejects above its queue. Work stops when the request is cancelled,
+but a transfer keeps its time on the link.
 """
 
 from __future__ import annotations
@@ -37,7 +38,10 @@
         return self.by_name[ORIGIN]
 
     def send(self, request: UpstreamRequest, done: Done) -> Work:
-        """Send a router's request to its endpoint; ``done`` is called once, unless the work is ended."""
+        """Send a router's request to its endpoint; ``done`` is called at most once.
+
+        It is not called after the work is ended, nor where an endpoint on the way is unresponsive.
+        """
         work = Work()
         endpoint = self.by_name[request.endpoint.name]
 
@@ -183,7 +187,11 @@
         self._is_alive = is_alive  # of the router: a dead one hears no result
 
     def start(self, request: UpstreamRequest, done: Done) -> SimulatedExchange:
-        """Send a request; ``done`` is called once, unless it is cancelled or the router has died."""
+        """Send a request; ``done`` is called at most once.
+
+        It is not called where the request is cancelled, the router has died, or an endpoint on the way is
+        unresponsive.
+        """
 
         def finished(result: AttemptResult) -> None:
             if self._is_alive():
--- a/magpieshift/policy/settings.py
+++ b/magpieshift/policy/settings.py
@@ -70,8 +70,7 @@
     router_count: int
     """Routers in all zones; what all share is divided by it."""
     router_index: int
-    """Which of all routers this one is; no rule uses it."""
-    """Of this router, from 0, among those of all zones."""
+    """This router's number, from 0, among the routers of all zones; no rule uses it."""
     zone_hub: tuple[int, ...]
     """By zone, the hub zone to which it is attached."""
     zone_router_counts: tuple[int, ...]
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -20,8 +20,8 @@
 from magpieshift.control.stored_versions import StoredVersion, read_store
 from magpieshift.control.version_records import VersionRecord, VersionState
 from magpieshift.control.version_store import VersionStore
-from magpieshift.lab.emulators import peers
 from magpieshift.lab.experiments.versions import Plan, play
+from magpieshift.lab.fault_injection.ports import free_ports
 from tests.control.test_schema import EXAMPLE
 from tests.real.exchange import PATIENCE_S, ROOT, config
 
@@ -85,7 +85,8 @@
         from magpieshift import parse
 
         data = to_data(parse(config(ports)).document)
-        return data | {"listen": f"127.0.0.1:{peers.free_port()}"}
+        (port,) = free_ports(1)  # not an ephemeral one: a router that starts again must find it free
+        return data | {"listen": f"127.0.0.1:{port}"}
 
 
 class Killed(FolderCase):
@@ -152,7 +153,8 @@
                     self.assertTrue(line, text)
                     text += line.decode()
         finally:
-            process.kill()
+            if process.returncode is None:
+                process.kill()
             await process.wait()
         return text
 
--- a/tests/relay/test_drivers.py
+++ b/tests/relay/test_drivers.py
@@ -247,8 +247,8 @@
         late = RawFollower(await serving)
         self.addAsyncCleanup(late.close)
         newer = Epoch(source.log.epoch.term + 1, 1)
-        await late.join("late", newer, 7)
         with self.assertLogs("magpieshift.relay", logging.ERROR), self.assertRaises(SourceSupersededError):
+            await late.join("late", newer, 7)
             await running
         self.assertIs(await late.code(), grpc.StatusCode.FAILED_PRECONDITION)
 
