--- a/magpieshift/rollout/canary_analysis.py
+++ b/magpieshift/rollout/canary_analysis.py
@@ -1,8 +1,8 @@
-"""Whether the new side does worse than the old, beside it, at the same time. Counters and the time go in; no
-I/O.
+"""Canary analysis: decides whether the new side is worse than the old side running at the same time. Its
+inputs are counters and the time; it does no I/O.
 
 Success rates are compared by ``weighted_difference``, processor time by ``cpu_comparison``, memory by
-``memory_trend``, and processes that go away or take no requests by ``process_losses``.
+``memory_trend``, and lost or idle processes by ``process_losses``.
 """
 
 from __future__ import annotations
@@ -25,51 +25,55 @@
 from magpieshift.rollout.weighted_difference import WeightedDifference
 
 RARE_CLASS_FRACTION = 0.05
-"""Of all requests: a class below that delays nothing, but stops what is clearly worse."""
+"""Fraction of all requests below which a class is rare. A rare class does not delay a stage, but fails it if
+it is clearly worse."""
 SLOPE_SIGMAS = 4.0
-"""Standard errors by which a process's slope must exceed the bound."""
+"""Standard errors by which the slope of a process's memory must exceed the allowed growth."""
 COMMON_FAULT_FRACTION = 0.8
-"""Of what the old side usually serves: below it something strikes both sides."""
+"""If the old side's success rate falls below this fraction of its usual rate, a fault common to both sides is
+assumed."""
 MIN_RATE_REQUESTS = 10
-"""On the old side in one round, for its rate to be learned from."""
+"""Minimum requests on the old side in a round for its success rate to be used."""
 SLOW_LEARNING = 0.05
-"""Weight of a round below the usual rate: what is usual is learned from good rounds."""
+"""Smoothing weight of a round below the usual rate. Smaller than that of a round above it, so that the usual
+rate follows good rounds."""
 FAST_LEARNING = 0.2
-"""Weight of a round above it."""
+"""Smoothing weight of a round at or above the usual rate."""
 
 
 class CanaryAnalysis:
-    """Compares two sides, by label, through one stage."""
+    """Compares the new and the old side during one stage."""
 
     def __init__(
         self, tolerances: Tolerances, new: str, old: str, zones: Mapping[str, str], now_us: int
     ) -> None:
-        """``new`` and ``old`` are the labels of the sides, ``zones`` the zone of each router."""
+        """``new`` and ``old`` are the labels of the sides, ``zones`` gives the zone of each router."""
         self.differences: dict[str, WeightedDifference] = {}
-        """Of success rates, by class."""
+        """Difference of the success rates by request class."""
         self.reason = ""
-        """Why the last verdict is what it is, for people."""
+        """Reason of the last verdict, shown to operators."""
         self._tolerances = tolerances
         self._new = new
         self._old = old
         self._zones = zones
-        # success rate of the old side: smoothed, and of the last round that had enough requests
+        # success rate of the old side: smoothed, and that of the last round with enough requests
         self._usual_rate = 0.0
         self._recent_rate = 0.0
         self._totals = {new: SideTotals(), old: SideTotals()}
         self._routers: dict[str, RouterObservation] = {}
-        # by side and incarnation
+        # memory samples by label and incarnation
         self._memory: dict[tuple[str, str], MemoryTrend] = {}
         self._cpu = CpuComparison(new, old, now_us)
 
     # --- observations
 
     def expect_restart(self, router: str) -> None:
-        """This router's process is being replaced: that it goes is no failure of its side."""
+        """Forget this router's observation, because its process is being replaced: that it ends is not a loss
+        of its side."""
         self._routers.pop(router, None)
 
     def record_round(self, now_us: int, answers: Mapping[str, ProcessCounters | None]) -> None:
-        """One round of looks at all routers; None for one that did not answer."""
+        """Add one round of readings of all routers; None for a router that did not answer."""
         deltas: dict[tuple[str, str], list[CounterDelta]] = {}
         for router, counters in answers.items():
             observation = self._routers.setdefault(router, RouterObservation(now_us))
@@ -95,7 +99,8 @@
     def _record_answer(
         self, observation: RouterObservation, counters: ProcessCounters, now_us: int
     ) -> CounterDelta | None:
-        """What the router's process did since the last round; None if another side's process ran there."""
+        """The router's counters since its last answer; None for the first one, and after a change of
+        sides."""
         side = counters.label
         before = observation.counters
         delta = None
@@ -114,7 +119,7 @@
         return delta
 
     def _compare_rates(self, deltas: Mapping[tuple[str, str], Sequence[CounterDelta]]) -> None:
-        """Add a round to the differences, zone by zone and class by class."""
+        """Add a round to the differences of success rates, for each zone and request class."""
         requests_old = 0
         served_old = 0
         for zone in sorted({zone for zone, _ in deltas}):  # sums of floats depend on the order
@@ -135,27 +140,28 @@
         weight = SLOW_LEARNING if rate < self._usual_rate else FAST_LEARNING
         self._usual_rate += weight * (rate - self._usual_rate) if self._usual_rate else rate
 
-    # --- what follows from them
+    # --- verdict
 
     def verdict(self, now_us: int, next_fraction: float = 1.0) -> Verdict:
-        """What is known by now; ``reason`` says it in words. ``next_fraction`` is the fraction of the fleet
-        that will be new in the next stage: before a few routers change less must be known than before all do,
-        as the same loss there costs the fleet less."""
+        """The current verdict; ``reason`` explains it. ``next_fraction`` is the fraction of the fleet that
+        runs the new build in the next stage. The tolerance is divided by it when a loss is to be ruled out:
+        before a small stage a less certain result suffices, because the same loss affects less of the
+        fleet."""
         reason = self._worse_reason(now_us)
         if reason:
             self.reason = reason
             return Verdict.WORSE
         if self._usual_rate and self._recent_rate < COMMON_FAULT_FRACTION * self._usual_rate:
             self.reason = (
-                f"the old side itself serves {self._recent_rate:.3f}, usually {self._usual_rate:.3f}"
+                f"the old side's success rate fell to {self._recent_rate:.3f}, usually {self._usual_rate:.3f}"
             )
             return Verdict.COMMON_FAULT
         undecided = self._undecided_reason(next_fraction)
-        self.reason = undecided or "no class worse by more than the plan allows"
+        self.reason = undecided or "no request class is worse by more than the plan allows"
         return Verdict.UNDECIDED if undecided else Verdict.NO_WORSE
 
     def _worse_reason(self, now_us: int) -> str:
-        """Why the new side is surely worse; else empty."""
+        """Reason if the new side is significantly worse; else empty."""
         new = self._totals[self._new]
         old = self._totals[self._old]
         new_routers = [router for router in self._routers.values() if router.side == self._new]
@@ -168,7 +174,8 @@
         )
 
     def _error_rate(self) -> float:
-        """How often each class may be wrong, so that all together keep to the plan."""
+        """Error rate allowed for each class, so that all classes together keep half of the plan's
+        false-positive rate."""
         return self._tolerances.false_positive_rate / max(1, len(self.differences)) / 2
 
     def _rate_reason(self) -> str:
@@ -178,28 +185,27 @@
                 rate_new = difference.served_new / difference.requests_new
                 rate_old = difference.served_old / difference.requests_old
                 return (
-                    f"{name}: served in time {rate_new:.4f} of {difference.requests_new}, "
-                    f"the old side {rate_old:.4f}; "
+                    f"{name}: served in time {rate_new:.4f} of {difference.requests_new} requests "
+                    "on the new side, "
+                    f"{rate_old:.4f} on the old side; "
                     f"worse by {-highest:.4f} to {-lowest:.4f}"
                 )
         return ""
 
     def _undecided_reason(self, next_fraction: float) -> str:
-        """Why it is not known yet that the new side does no worse; empty if it is."""
+        """Reason if it is not yet known that the new side is no worse; else empty."""
         total = sum(each.requests_new + each.requests_old for each in self.differences.values())
         if not total:
-            return "nothing was asked"
+            return "no requests yet"
         for name, difference in sorted(self.differences.items()):
             if difference.requests_new + difference.requests_old < RARE_CLASS_FRACTION * total:
                 continue
             lowest, _ = difference.confidence_interval(self._error_rate())
             if difference.requests_new < MIN_REQUESTS:
-                return (
-                    f"{name}: {difference.requests_new} requests on the new side, {MIN_REQUESTS} are needed"
-                )
+                return f"{name}: {difference.requests_new} of {MIN_REQUESTS} needed requests on the new side"
             allowed = self._tolerances.success_rate / max(next_fraction, 1e-6)
             if lowest < -allowed:
-                return f"{name}: may be worse by {-lowest:.4f}, allowed is {allowed:.4f}"
+                return f"{name}: may be worse by up to {-lowest:.4f}, allowed is {allowed:.4f}"
         return ""
 
     def _memory_reason(self) -> str:
@@ -222,12 +228,13 @@
         ]
         if 2 * len(leaking) > len(new):
             return (
-                f"memory of new processes grows by {max(leaking):.2f} MB a minute, of old ones by {usual:.2f}"
+                f"memory of new processes grows by up to {max(leaking):.2f} MB per minute, "
+                f"of old ones by {usual:.2f}"
             )
         return ""
 
     def as_data(self) -> dict[str, object]:
-        """Figures side by side, for the status; its keys stand here alone."""
+        """Figures of both sides for the status; their keys are defined only here."""
         classes = {
             name: {
                 "new": [difference.served_new, difference.requests_new],
@@ -246,6 +253,6 @@
 
 
 def _sum_class(deltas: Sequence[CounterDelta], name: str) -> tuple[int, int]:
-    """Requests of a class that ended, and those served in time."""
+    """Sum of a class's requests that ended, and of those served in time."""
     counts = [delta.classes[name] for delta in deltas if name in delta.classes]
     return sum(each.requests for each in counts), sum(each.served for each in counts)
--- a/magpieshift/rollout/coordinator.py
+++ b/magpieshift/rollout/coordinator.py
@@ -1,15 +1,15 @@
-"""Changes a fleet in stages: which router is next, when a stage has passed, when to stop and roll back.
+"""Decides which router is changed next, when a stage has passed, and when to stop or roll back.
 
-A state machine without I/O: what was observed, what came of steps, and the time go in; records to write and
-steps to take come out.
+A state machine without I/O: its inputs are observations, outcomes of steps and the time, its outputs are
+records to write and steps to carry out.
 
-Every decision is recorded before it is carried out, and all that a resumed coordinator knows is what was
-recorded (``replay``). What runs where is never taken from there: it is looked at, and a step is "make this
-router run that label", which does nothing if it does so already. So a step that was done and not recorded is
-found done, and one that was broken off is taken up.
+Every decision is recorded before it is carried out, and a resumed coordinator restores its state only from
+the records (``replay``). Which build a router runs is not restored but observed. A step means "make this
+router run that label" and does nothing if the router runs it already. So a step that was done but not
+recorded is found done, and an interrupted one is repeated.
 
-One step at a time. Before each, all routers that do not answer are counted as unreachable, the one to be
-changed as well; with more than the plan allows, nothing is begun.
+Only one step runs at a time. Before it starts, the unreachable routers and the one to be changed are counted;
+if they are more than the plan allows, the step does not start.
 """
 
 from __future__ import annotations
@@ -35,68 +35,72 @@
 from magpieshift.rollout.verdict import Verdict
 
 STEP_RETRY_DELAY_US = 5_000_000
-"""Before a step that failed is tried once more: a process's start takes less."""
+"""Delay before a failed step is retried: longer than the start of a process."""
 MAX_STEP_ATTEMPTS = 3
-"""Of one step while advancing; rolling back, it is tried until it works."""
+"""Maximum failed attempts to change one router while advancing. While rolling back there is no limit."""
 
 
 class Coordinator:
-    """One run of a rollout under one fencing term. Times are of the monotonic clock."""
+    """One run of a rollout under one fencing term. Times are microseconds of the monotonic clock."""
 
     def __init__(self, plan: Plan, term: int, now_us: int, records: Iterable[JournalRecord] = ()) -> None:
-        """``JournalMismatchError`` if the records are of another plan, or of a term as late as this one."""
+        """Raises ``JournalMismatchError`` if the records belong to another plan, or have this term or a later
+        one."""
         self.plan = plan
-        """What is carried out."""
+        """Plan that is carried out."""
         self.term = term
-        """The fencing term of this run."""
+        """Fencing term of this run."""
         self.state = replay(records)
-        """What is recorded."""
+        """Progress according to the journal."""
         if self.state.plan_digest and self.state.plan_digest != plan.digest:
             raise JournalMismatchError(
-                f"the journal is of plan {self.state.plan_digest}, this is {plan.digest}"
+                f"the journal belongs to plan {self.state.plan_digest}, but this plan is {plan.digest}"
             )
         if self.state.term >= term:
             raise JournalMismatchError(
-                f"term {term} is not later than {self.state.term}, which the journal is of"
+                f"found term {self.state.term} in the journal, expected one below the new term {term}"
             )
         self.routers = {name: RouterView() for name in plan.routers}
-        """What is seen, by router."""
+        """Last observation of each router, by name."""
         self.superseded = False
-        """Whether another coordinator goes on under a later term."""
+        """Whether another coordinator has taken over under a later term, or the journal can no longer be
+        written."""
         self.verdict = Verdict.UNDECIDED
-        """The last one heard."""
+        """Verdict of the last tick."""
         self.waiting_reason = ""
-        """Why nothing is done now, for people."""
+        """Why no step is taken at present, shown to operators; empty if nothing is waited for."""
         self._began_us = now_us
-        # since when all routers of the stage are as they should be
+        # since when every router runs its target label; None while one does not
         self._complete_since_us: int | None = None
-        # of that, the time that counts
+        # bake time of the stage so far, without periods of a common fault
         self._baked_us = 0
         self._last_tick_us = now_us
-        # earliest next attempt, by router
+        # earliest time of the next attempt, by router
         self._not_before_us: dict[str, int] = {}
         # the step in flight
         self._step: ReplaceProcess | None = None
 
     def begin(self) -> list[Instruction]:
-        """To be carried out first. A rollout that was held goes on: that was decided by resuming it."""
+        """The first instructions of this run. Resuming a held rollout means that it advances again."""
         started = Started(self.term, self.plan.digest, self.plan.name)
         instructions: list[Instruction] = [RecordDecision(started), BeginStage(self.stage.name)]
         unfinished = self.state.unfinished_step
         if unfinished is not None:
-            # nobody knows how far it came: what runs there will be seen, and it is begun anew if need be
-            failed = StepFailed(unfinished.step, unfinished.router, unfinished.label, "broken off", self.term)
+            # its outcome is unknown: the router is observed, and a new step is started if needed
+            failed = StepFailed(
+                unfinished.step, unfinished.router, unfinished.label, "interrupted", self.term
+            )
             instructions.append(RecordDecision(failed))
             self.state.unfinished_step = None
         if self.state.phase is RolloutPhase.HELD:
             instructions += self._change_phase(RolloutPhase.ADVANCING, "resumed")
         return instructions
 
-    # --- what can be asked
+    # --- queries
 
     @property
     def stage(self) -> Stage:
-        """The stage under way, or the last."""
+        """The current stage, or the last one after all have passed."""
         return self.plan.stages[min(self.state.stage_index, len(self.plan.stages) - 1)]
 
     @property
@@ -106,7 +110,7 @@
 
     @property
     def next_fraction(self) -> float:
-        """The fraction of the fleet that is new once the next stage is complete."""
+        """Fraction of the fleet that runs the new build once the next stage is complete."""
         following = self.plan.stages[min(self.state.stage_index + 1, len(self.plan.stages) - 1)]
         return len(following.targets) / len(self.plan.routers)
 
@@ -116,7 +120,8 @@
         return self.plan.new.label if is_new else self.plan.old.label
 
     def unreachable(self, now_us: int) -> list[str]:
-        """Routers that have not answered for long, or never since this coordinator began."""
+        """Routers without an answer for ``UNREACHABLE_AFTER_US``, counted from the start of this coordinator
+        if they have not answered yet."""
         return sorted(
             name
             for name, view in self.routers.items()
@@ -126,7 +131,8 @@
     # --- events
 
     def record_labels(self, now_us: int, router: str, labels: frozenset[str]) -> None:
-        """The labels that serve at a router: none if nothing answered, two while one replaces the other."""
+        """Record the labels of a router's processes: none if no process answered, two while one replaces the
+        other."""
         if not labels:
             return
         view = self.routers[router]
@@ -135,7 +141,7 @@
         view.label = next(iter(labels)) if len(labels) == 1 else view.label
 
     def step_finished(self, now_us: int, step: int, failure: str = "") -> list[Instruction]:
-        """What came of a step; ``failure`` says why it failed, empty if it did not."""
+        """Record the outcome of a step; ``failure`` is the reason if it failed, empty if it succeeded."""
         if self._step is None or self._step.step != step:
             return []
         router = self._step.router
@@ -152,22 +158,24 @@
         instructions: list[Instruction] = [RecordDecision(failed)]
         attempts = self.state.failed_attempts[router]
         if self.state.phase is RolloutPhase.ADVANCING and attempts >= MAX_STEP_ATTEMPTS:
-            instructions += self._stop_by_plan(f"{router} could not be changed {attempts} times: {failure}")
+            instructions += self._stop_by_plan(
+                f"{router}: replacing the process failed {attempts} times: {failure}"
+            )
         return instructions
 
     def supersede(self, reason: str) -> None:
-        """Another coordinator goes on, or nothing can be recorded any more: this one does nothing more."""
+        """Stop this coordinator, because another has taken over or the journal cannot be written."""
         self.superseded = True
         self.waiting_reason = reason
 
     def pause(self, paused: bool) -> list[Instruction]:
-        """People pause the rollout, or let it go on."""
+        """Pause or continue the rollout at an operator's request."""
         record = PauseChanged(paused, self.term)
         self.state.apply(record)
         return [RecordDecision(record)]
 
     def stop(self, reason: str, roll_back: bool) -> list[Instruction]:
-        """People stop the rollout where it stands, or roll it back."""
+        """Hold the rollout or roll it back at an operator's request."""
         phase = RolloutPhase.ROLLING_BACK if roll_back else RolloutPhase.HELD
         unchanged = {RolloutPhase.ROLLING_BACK, phase}
         if self.is_over or self.state.phase in unchanged:
@@ -175,8 +183,8 @@
         return self._change_phase(phase, reason)
 
     def tick(self, now_us: int, verdict: Verdict, reason: str) -> list[Instruction]:
-        """To be called now and then, after ``record_labels`` of all; with what the analysis finds by now, and
-        why."""
+        """Decide what happens next. Called periodically, after ``record_labels`` for all routers, with the
+        current verdict of the canary analysis and its reason."""
         since_us = now_us - self._last_tick_us
         self._last_tick_us = now_us
         if self.is_over or self._step is not None:
@@ -198,10 +206,10 @@
             return instructions
         return instructions + self._bake(now_us, since_us, verdict, reason)
 
-    # --- inside
+    # --- decisions
 
     def _stop_by_plan(self, reason: str) -> list[Instruction]:
-        """The plan says what follows when a stage does worse."""
+        """Roll back or hold, as the plan says for a failure."""
         roll_back = self.plan.on_failure is OnFailure.ROLL_BACK
         return self._change_phase(RolloutPhase.ROLLING_BACK if roll_back else RolloutPhase.HELD, reason)
 
@@ -213,23 +221,24 @@
         return [RecordDecision(record)]
 
     def _next_step(self, now_us: int, verdict: Verdict) -> list[Instruction] | None:
-        """The next step; None if nothing is to be changed, or if (``waiting_reason``) it cannot be now."""
+        """The next step; None if no router needs a change, or if no step may start now (see
+        ``waiting_reason``)."""
         unreachable = self.unreachable(now_us)
         candidates = self._routers_to_change(unreachable)
         if not candidates:
             return None
         if len(unreachable) + 1 > self.plan.max_unreachable:
             self.waiting_reason = (
-                f"away: {', '.join(unreachable)}; "
-                f"{self.plan.max_unreachable} may be, the next to change included"
+                f"unreachable: {', '.join(unreachable)}; "
+                f"at most {self.plan.max_unreachable} may be unavailable, including the next one to change"
             )
             return None
         if verdict is Verdict.COMMON_FAULT and self.state.phase is RolloutPhase.ADVANCING:
-            self.waiting_reason = "something strikes old and new alike"
+            self.waiting_reason = "a common fault affects the old and the new side"
             return None
         ready = [name for name in candidates if now_us >= self._not_before_us.get(name, 0)]
         if not ready:
-            self.waiting_reason = f"{candidates[0]} is tried again soon"
+            self.waiting_reason = f"{candidates[0]}: waiting to retry a failed step"
             return None
         step = ReplaceProcess(self.state.last_step + 1, ready[0], self.target_label(ready[0]))
         started = StepStarted(step.step, step.router, step.label, self.term)
@@ -238,8 +247,8 @@
         return [RecordDecision(started), step]
 
     def _routers_to_change(self, unreachable: list[str]) -> list[str]:
-        """The routers that answer and do not run what they should, those of the stage first. Says in
-        ``waiting_reason`` what is missing if there is none."""
+        """Reachable routers that do not run their target label, those of the stage first. Sets
+        ``waiting_reason`` if the stage or the rollback waits for an observation."""
         self.waiting_reason = ""
         targets = self.stage.targets if self.state.phase is RolloutPhase.ADVANCING else ()
         others = [name for name in self.routers if name not in targets]
@@ -247,36 +256,37 @@
         for name in (*targets, *others):
             view = self.routers[name]
             if view.seen_us is None and name not in unreachable:
-                self.waiting_reason = f"{name} has not been looked at yet"
+                self.waiting_reason = f"{name} has not answered yet"
             elif name not in unreachable and (view.two_processes or view.label != self.target_label(name)):
                 candidates.append(name)
         rolling_back = self.state.phase is RolloutPhase.ROLLING_BACK
         missing = [name for name in unreachable if name in targets or rolling_back]
         if not candidates and missing and not self.waiting_reason:
-            self.waiting_reason = f"away: {', '.join(missing)}"
+            self.waiting_reason = f"unreachable: {', '.join(missing)}"
         return candidates
 
     def _bake(self, now_us: int, since_us: int, verdict: Verdict, reason: str) -> list[Instruction]:
-        """All routers are as they should be: for how long, and is it known that they do no worse?"""
+        """Called when every router runs its target label: count the bake time, and end, pass or hold the
+        stage if its time and the verdict allow."""
         if self.state.phase is RolloutPhase.ROLLING_BACK:
-            return self._end(f"put back: {self.state.reason}")
+            return self._end(f"rolled back: {self.state.reason}")
         if self._complete_since_us is None:
             self._complete_since_us = now_us
             self._baked_us = 0
-        elif verdict is not Verdict.COMMON_FAULT:  # time in which something strikes all shows nothing
+        elif verdict is not Verdict.COMMON_FAULT:  # during a common fault the sides cannot be compared
             self._baked_us += since_us
         stage = self.stage
         if self._baked_us < stage.bake_s * 1e6:
-            self.waiting_reason = f"stage {stage.name} is being looked at"
+            self.waiting_reason = f"stage {stage.name}: within the minimum bake time"
             return []
         is_last = len(stage.targets) == len(self.plan.routers)
-        # with nobody left to compare with, that nothing was found worse in its time is all there can be
+        # in a stage of all routers there is no old side left to compare with, so an undecided verdict passes
         if verdict is Verdict.NO_WORSE or (is_last and verdict is Verdict.UNDECIDED):
             return self._pass_stage(stage, reason)
         if self._baked_us >= stage.max_bake_s * 1e6:
-            # not shown to be worse, nor that it is not: that is for people to decide
+            # neither worse nor no worse has been shown: an operator has to decide
             return self._change_phase(
-                RolloutPhase.HELD, f"stage {stage.name}: not known in {stage.max_bake_s:g} s: {reason}"
+                RolloutPhase.HELD, f"stage {stage.name}: undecided after {stage.max_bake_s:g} s: {reason}"
             )
         self.waiting_reason = f"stage {stage.name}: {verdict.value}: {reason}"
         return []
@@ -290,6 +300,6 @@
         return [RecordDecision(passed), BeginStage(self.stage.name)]
 
     def _end(self, reason: str) -> list[Instruction]:
-        """The rollout is over. The status goes on to say why the phase changed before."""
+        """End the rollout. The state keeps the reason of the previous phase change, for the status."""
         self.state.phase = RolloutPhase.ENDED
         return [RecordDecision(PhaseChanged(RolloutPhase.ENDED, reason, self.term))]
--- a/magpieshift/rollout/errors.py
+++ b/magpieshift/rollout/errors.py
@@ -1,4 +1,4 @@
-"""Errors of rollouts."""
+"""Errors that a rollout raises."""
 
 from __future__ import annotations
 
@@ -6,28 +6,29 @@
 
 
 class RolloutError(MagpieshiftError):
-    """The base of all errors of rollouts."""
+    """Base class of all rollout errors."""
 
 
 class JournalError(RolloutError):
-    """The journal cannot be used; the text says why, in one line."""
+    """The journal cannot be read or written; the message gives the reason in one line."""
 
 
 class JournalMismatchError(RolloutError, ValueError):
-    """The journal is of another plan, or of a term as late as this one."""
+    """The journal belongs to another plan, or its latest term is not below the term of this run."""
 
 
 class StepFailedError(RolloutError):
-    """A step did not work; the text says why."""
+    """A step failed; the message gives the reason."""
 
 
 class TermUnknownError(RolloutError):
-    """Too few routers tell the latest term, so a new one could be one that another coordinator has."""
+    """Fewer than a majority of routers reported their term, so a new term could collide with that of another
+    coordinator."""
 
 
 class TermSupersededError(RolloutError):
-    """A router knows a later term: another coordinator goes on."""
+    """A router knows a later term: another coordinator has taken over."""
 
 
 class UnreadableCountersError(RolloutError):
-    """A router's answer holds no counters; the text says what was found."""
+    """A router's answer contains no readable counters; the message shows what was found."""
--- a/magpieshift/rollout/executor.py
+++ b/magpieshift/rollout/executor.py
@@ -1,5 +1,5 @@
-"""Carries out a coordinator's steps: admin commands to routers, and the replacement of processes. A thin
-driver; what is to be done and when is the coordinator's."""
+"""Carries out a coordinator's steps: sends admin commands to routers and replaces their processes. What is
+done, and when, is decided by the coordinator."""
 
 from __future__ import annotations
 
@@ -25,23 +25,25 @@
 log = logging.getLogger(__name__)
 
 POLL_INTERVAL_S = 0.1
-"""Between two looks whether a process serves, or has ended: a small part of its start."""
+"""Polling interval while waiting for a process to serve or to end: short compared with its start."""
 MAX_REASON_LENGTH = 200
-"""Characters of a command's last line of errors."""
+"""Maximum characters of a start command's last error line that a failure shows."""
 SERVING = "serving"
-"""The state of a process that takes requests."""
+"""Lifecycle state of a process that takes requests."""
 SUPERSEDED_MARK = " is over, the latest is "
-"""In the reason of a router that knows a later term, see ``extensions.fencing``."""
+"""Part of the rejection by a router that knows a later term, see ``extensions.fencing``."""
 MAX_SHOWN_REFUSALS = 3
-"""In the failure of a step; all are in the log."""
+"""Maximum number of routers whose answers an error shows; the log has all rejections."""
 
 StartProcess = Callable[[RouterPlace, Address, Build, int], Awaitable[None]]
-"""Starts a process of a build at a router, with an admin address and a term."""
+"""Starts a process of a build at a router, with the given admin address and term."""
 
 
 async def start_by_command(router: RouterPlace, server: Address, build: Build, term: int) -> None:
-    """Start a process by the plan's command, which returns once it is on its way; ``StepFailedError`` if
-    not."""
+    """Start a process with the build's start command, which returns without waiting for the process to serve.
+
+    Raises ``StepFailedError`` if the command cannot be run or fails.
+    """
     words = [
         word.format(name=router.name, label=build.label, term=term, console="{}:{}".format(*server))
         for word in shlex.split(build.start_command)
@@ -55,27 +57,29 @@
             start_new_session=True,
         )
     except OSError as err:
-        raise StepFailedError(f"{words[0]} cannot be started: {err.strerror or err}") from err
+        raise StepFailedError(f"start command {words[0]} cannot be run: {err.strerror or err}") from err
     _, errors = await process.communicate()
     if process.returncode:
         last = errors.decode("utf-8", "replace").strip().splitlines()[-1:] or [""]
-        raise StepFailedError(f"{words[0]} ended with {process.returncode}: {last[0][:MAX_REASON_LENGTH]}")
+        raise StepFailedError(
+            f"start command {words[0]} ended with status {process.returncode}: {last[0][:MAX_REASON_LENGTH]}"
+        )
 
 
 @dataclass(frozen=True)
 class RouterProcesses:
-    """What the admin addresses of one router hold."""
+    """Processes found at the admin addresses of one router."""
 
     counters: dict[Address, ProcessCounters] = field(default_factory=dict)
-    """Of the processes that tell them, by address."""
+    """Counters of the processes that report them, by address."""
     unreadable: dict[Address, str] = field(default_factory=dict)
-    """Why a process that answers does not tell them, by address."""
+    """Reason why a process that answered reports no readable counters, by address."""
     free: list[Address] = field(default_factory=list)
-    """The addresses where nothing listens."""
+    """Addresses at which no process listens."""
 
 
 def _routers_text(answers: dict[str, list[AdminAnswer]]) -> str:
-    """What routers that did not succeed answered, for an error; empty where all did."""
+    """Answers of the routers at which no process succeeded, for an error message; empty if there are none."""
     shown = [
         f"{name} {answer}"
         for name, all_answers in answers.items()
@@ -87,20 +91,20 @@
 
 
 class Executor:
-    """Acts at routers in one term's name."""
+    """Sends commands to routers and replaces their processes under one fencing term."""
 
     def __init__(self, plan: Plan, term: int, start: StartProcess = start_by_command) -> None:
-        """``start`` starts processes."""
+        """``start`` starts a process at a router."""
         self._plan = plan
         self._term = term
         self._start = start
 
     async def read_processes(self, router: str) -> dict[Address, ProcessCounters]:
-        """The processes of a router that tell their counters, by their admin addresses."""
+        """Counters of a router's processes that report them, by admin address."""
         return (await self._inspect(router)).counters
 
     async def _inspect(self, router: str) -> RouterProcesses:
-        """Ask for counters at all admin addresses of a router."""
+        """Read the counters at all admin addresses of a router."""
         servers = self._plan.routers[router].admin_addresses
         answers = await asyncio.gather(*(send_admin_command(server, "FIGURES") for server in servers))
         found = RouterProcesses()
@@ -113,7 +117,7 @@
 
     @staticmethod
     def _read_counters(router: str, server: Address, answer: AdminAnswer, found: RouterProcesses) -> None:
-        """Enter what a process answered to FIGURES."""
+        """Add a process's answer to FIGURES to ``found``."""
         try:
             if answer.refused:
                 raise UnreadableCountersError(str(answer))
@@ -123,8 +127,9 @@
             found.unreadable[server] = str(err)
 
     async def latest_term(self) -> int:
-        """The latest term that more than half of the plan's routers tell. A term is in force once more than
-        half hold it, so one of these has heard of it. ``TermUnknownError`` if too few tell theirs."""
+        """The highest term reported by a majority of the plan's routers. A term is in force once a majority
+        holds it, and two majorities overlap, so this is at least the term in force. Raises
+        ``TermUnknownError`` if fewer than a majority report their term."""
         answers = await self._ask_all_routers("TERM")
         terms = {
             name: max(int(answer.text) for answer in told)
@@ -133,20 +138,21 @@
         }
         if not self._is_majority(len(terms)):
             raise TermUnknownError(
-                f"{len(terms)} of {len(answers)} routers tell their term, more than half must: "
+                f"{len(terms)} of {len(answers)} routers reported their term, expected more than half: "
                 + _routers_text(answers)
             )
         return max(terms.values())
 
     async def announce_term(self) -> None:
-        """Announce this term to all routers, and make sure that more than half of them go by it: of two
-        coordinators that could at once, one hears of the other. ``TermSupersededError``, or
-        ``StepFailedError`` if too few take it."""
+        """Announce this term to all routers, and check that a majority accepts it. As two majorities overlap,
+        the older of two concurrent coordinators is rejected by at least one router. Raises
+        ``TermSupersededError`` if a router knows a later term, ``StepFailedError`` if fewer than a majority
+        accept."""
         answers = await self._ask_all_routers(f"AS {self._term} PING")
         taken = sum(any(answer.succeeded for answer in each) for each in answers.values())
         if not self._is_majority(taken):
             raise StepFailedError(
-                f"{taken} of {len(answers)} routers go by term {self._term}, more than half must: "
+                f"{taken} of {len(answers)} routers accepted term {self._term}, expected more than half: "
                 + _routers_text(answers)
             )
 
@@ -154,7 +160,7 @@
         return 2 * count > len(self._plan.routers)
 
     async def _ask_all_routers(self, command: str) -> dict[str, list[AdminAnswer]]:
-        """The answers of all admin addresses, by router."""
+        """Send a command to all admin addresses; the answers by router."""
 
         async def ask_router(router: RouterPlace) -> list[AdminAnswer]:
             return await asyncio.gather(*(self._ask(server, command) for server in router.admin_addresses))
@@ -164,13 +170,13 @@
         return dict(zip(routers, answers, strict=True))
 
     async def _ask_in_term(self, server: Address, command: str) -> AdminAnswer:
-        """The answer to a command in this term's name."""
+        """Send a command under this term; the answer."""
         return await self._ask(server, f"AS {self._term} {command}")
 
     @staticmethod
     async def _ask(server: Address, command: str) -> AdminAnswer:
-        """The answer to a command; a refusal is logged. ``TermSupersededError`` if a later term is known
-        there."""
+        """Send a command; the answer. A rejection is logged. Raises ``TermSupersededError`` if the router
+        knows a later term."""
         answer = await send_admin_command(server, command)
         if answer.refused:
             where = "{}:{}".format(*server)
@@ -182,15 +188,19 @@
         return answer
 
     async def replace_process(self, router: str, label: str) -> None:
-        """Make this router run that label, and it alone; if it does already, nothing is done.
-        ``StepFailedError`` if it did not work: then the old process still serves, unless it was gone
-        before."""
+        """Make this router run the build with this label and no other; does nothing if it does so already.
+
+        Raises ``StepFailedError`` on failure. If the new process does not serve, the old one is not ended.
+        """
         await self.announce_term()
         place = self._plan.routers[router]
         build = self._plan.new if label == self._plan.new.label else self._plan.old
         found = await self._inspect(router)
-        for server, reason in found.unreadable.items():  # of an unknown build, so neither kept nor ended
-            raise StepFailedError("{}:{} is held by a process of unknown label: ".format(*server) + reason)
+        # a process of unknown label is neither kept nor ended
+        for server, reason in found.unreadable.items():
+            raise StepFailedError(
+                "admin address {}:{} is used by a process of unknown label: ".format(*server) + reason
+            )
         if not any(counters.label == label for counters in found.counters.values()):
             await self._start(place, self._free_address(found), build, self._term)
             await self._wait_until_serving(router, label)
@@ -200,13 +210,13 @@
 
     @staticmethod
     def _free_address(found: RouterProcesses) -> Address:
-        """Where a process may be started; ``StepFailedError`` where all addresses are held."""
+        """An admin address for a new process; raises ``StepFailedError`` if all are in use."""
         if not found.free:
-            raise StepFailedError("all admin addresses are held, and by no process of the wanted label")
+            raise StepFailedError("all admin addresses are in use, but none by a process of the target label")
         return found.free[-1]
 
     async def _wait_until_serving(self, router: str, label: str) -> None:
-        """Wait until a process of that label serves."""
+        """Wait until a process of this label serves; raises ``StepFailedError`` after the step time-out."""
         timeout_s = self._plan.step_timeout_s
         try:
             async with asyncio.timeout(timeout_s):
@@ -215,9 +225,10 @@
         except TimeoutError:
             failure = f"{label} did not serve within {timeout_s:g} s"
             for server, counters in (await self.read_processes(router)).items():
-                if counters.label == label:  # it is there and does not serve: it must not begin to later
+                # end a process that was started but does not serve, so that it does not start serving later
+                if counters.label == label:
                     answer = await self._ask_in_term(server, "END")
-                    failure += "" if answer.succeeded else f", and its end was not taken ({answer})"
+                    failure += "" if answer.succeeded else f", and its END command failed ({answer})"
             raise StepFailedError(failure) from None
 
     async def _is_serving(self, router: str, label: str) -> bool:
@@ -225,13 +236,14 @@
         return any(each.label == label and each.state == SERVING for each in processes.values())
 
     async def _end_process(self, server: Address) -> None:
-        """Have a process end as planned, and wait until nothing listens at its address."""
+        """Tell a process to end, and wait until nothing listens at its address; raises ``StepFailedError`` if
+        it rejects the command or is late."""
         timeout_s = self._plan.step_timeout_s
         try:
             async with asyncio.timeout(timeout_s):
                 while not (answer := await self._ask_in_term(server, "END")).is_address_free:
                     if answer.refused:
-                        raise StepFailedError(f"the process before refused to end: {answer.text}")
+                        raise StepFailedError(f"the replaced process rejected END: {answer.text}")
                     await asyncio.sleep(POLL_INTERVAL_S)
         except TimeoutError:
-            raise StepFailedError(f"the process before did not end within {timeout_s:g} s") from None
+            raise StepFailedError(f"the replaced process did not end within {timeout_s:g} s") from None
--- a/magpieshift/rollout/instructions.py
+++ b/magpieshift/rollout/instructions.py
@@ -1,4 +1,4 @@
-"""What a coordinator wants done, in order."""
+"""Instructions that a coordinator issues, to be carried out in order."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordDecision:
-    """Write this record through to the journal, before anything that follows."""
+    """Append this record to the journal and sync it before carrying out any later instruction."""
 
     record: JournalRecord
-    """What was decided."""
+    """The decision to record."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReplaceProcess:
-    """Make this router run that build; answered by ``Coordinator.step_finished``. If it runs already, nothing
-    is to be done."""
+    """Replace the router's process by one of the given build; the outcome goes to
+    ``Coordinator.step_finished``. Does nothing if the router runs that build already."""
 
     step: int
     """Number of the step."""
     router: str
     """Name of the router."""
     label: str
-    """Of the build."""
+    """Label of the build that the router is to run."""
 
 
 @dataclass(frozen=True, slots=True)
 class BeginStage:
-    """A new stage: the canary analysis begins anew."""
+    """Start a stage with a new canary analysis."""
 
     stage: str
     """Name of the stage."""
--- a/magpieshift/rollout/journal.py
+++ b/magpieshift/rollout/journal.py
@@ -1,8 +1,9 @@
-"""What a coordinator has decided, on disk: an append-only file of checksummed records, each written through
-before anything is done by it. One coordinator may hold a folder open; reading needs nothing.
+"""Journal of a coordinator's decisions: an append-only file of checksummed records, each synced to disk
+before the decision is carried out. Only one coordinator may have a folder open for writing; readers need no
+lock.
 
-A record that a crash tore off was never acted on, and is cut away when the file is opened to be written. A
-damaged one in the middle is a reason to stop: what rests on it is not known.
+A record torn off by a crash was never acted on, and is truncated when the file is opened for writing. A
+damaged record followed by valid ones is an error, because the later ones may depend on it.
 """
 
 from __future__ import annotations
@@ -29,22 +30,24 @@
 LOCK_FILE = "rollout.lock"
 JOURNAL_HEADER = b"magpieshift rollout 1\n"
 MARK = b"\xabMR\x01"
-"""With which each record begins; no JSON text holds its first byte."""
+"""First bytes of each record; ASCII JSON never contains the first of them."""
 CLOSED = -1
-"""In place of a descriptor."""
+"""Value of a file descriptor that is not open."""
 
 
 def encode_row(row: Mapping[str, Any]) -> bytes:
-    """The bytes of one record."""
+    """Encode one record as bytes."""
     return encode_record(MARK, json.dumps(row, separators=(",", ":")).encode())
 
 
 def parse_journal(data: bytes) -> tuple[list[dict[str, Any]], int]:
-    """The rows in a file's bytes, and up to where they are complete; ``JournalError`` if one in the middle is
-    damaged, for then a later one may rest on what is not known."""
+    """Parse a journal file's bytes into its rows and the offset of the end of the last complete record.
+
+    Raises ``JournalError`` if a damaged record is followed by a valid one, which may depend on it.
+    """
     if not data.startswith(JOURNAL_HEADER):
         if JOURNAL_HEADER.startswith(data):
-            return [], 0  # torn off as it was made
+            return [], 0  # torn off when the file was created
         raise JournalError(f"{JOURNAL_FILE} begins with {data[:12]!r}, expected {JOURNAL_HEADER!r}")
     rows: list[dict[str, Any]] = []
     end = len(JOURNAL_HEADER)
@@ -54,32 +57,34 @@
     later = end + 1
     while (later := data.find(MARK, later)) >= 0:
         if payload_at(data, later) is not None:
-            raise JournalError(f"{JOURNAL_FILE} is damaged at byte {end}, and whole again at {later}")
+            raise JournalError(
+                f"{JOURNAL_FILE} is damaged at byte {end}, but has a valid record at byte {later}"
+            )
         later += 1
     return rows, end
 
 
 def read_rows(folder: str | Path) -> list[dict[str, Any]]:
-    """The rows of a folder's journal, without touching it; none if there is no journal."""
+    """Read the rows of a folder's journal without locking or changing it; empty if there is no journal."""
     try:
         return parse_journal((Path(folder) / JOURNAL_FILE).read_bytes())[0]
     except FileNotFoundError:
         return []
     except OSError as err:
-        raise JournalError(f"{folder}: {err.strerror or err}") from err
+        raise JournalError(f"{folder}: the journal cannot be read: {err.strerror or err}") from err
 
 
 class Journal:
-    """The owner of a folder; ``close`` gives it back."""
+    """A journal open for writing; holds the folder's lock until ``close``."""
 
     def __init__(self, folder: str | Path) -> None:
-        """Open it for writing; ``JournalError`` if that cannot be."""
+        """Open the folder's journal for writing; raises ``JournalError`` if that fails."""
         self.rows: list[dict[str, Any]] = []
-        """All records, as they stand on disk."""
+        """All records in their form on disk."""
         self._folder = Path(folder)
         self._file = CLOSED
         self._lock = CLOSED
-        # up to where records stand
+        # length in bytes of the file's valid part
         self._size = 0
         try:
             self._open()
@@ -105,7 +110,8 @@
             os.ftruncate(self._file, self._size)
 
     def append(self, row: Mapping[str, Any]) -> None:
-        """Write a record through; ``JournalError`` if that failed, and then nothing may be done by it."""
+        """Append a record and sync it to disk; raises ``JournalError`` if that fails, in which case the
+        decision must not be carried out."""
         try:
             self._write_through(encode_row(row))
         except OSError as err:
@@ -118,7 +124,7 @@
         self._size += len(data)
 
     def close(self) -> None:
-        """Give the folder back."""
+        """Close the files and release the folder's lock."""
         for descriptor in (self._file, self._lock):
             if descriptor != CLOSED:
                 os.close(descriptor)
--- a/magpieshift/rollout/memory_trend.py
+++ b/magpieshift/rollout/memory_trend.py
@@ -1,4 +1,4 @@
-"""How fast a process's memory grows, by the slope of its own line."""
+"""Memory growth of a process, as the slope of a least-squares fit."""
 
 from __future__ import annotations
 
@@ -7,40 +7,42 @@
 from typing import NamedTuple
 
 MEMORY_SETTLE_US = 30_000_000
-"""After a start memory grows by itself: what is younger is not counted."""
+"""Process age below which samples are ignored, as memory always grows after a start."""
 MIN_SLOPE_SPAN_US = 60_000_000
-"""A shorter line has no slope."""
+"""Minimum time between the first and the last sample for a slope."""
 MAX_SAMPLES = 600
-"""Of one process; then each second one is dropped."""
+"""Maximum number of samples of one process; beyond it, every second sample is dropped."""
 SLOPE_PARTS = 8
-"""Neighbouring samples tell the same: the error is counted from so many parts of the line."""
+"""Number of parts whose averages are fitted. Neighbouring samples are correlated, so a standard error
+computed from single samples would be too small."""
 
 
 class Slope(NamedTuple):
-    """How fast memory grows."""
+    """Slope of a process's memory over time."""
 
     mb_per_min: float
-    """The slope of the line of least squares."""
+    """Slope of the least-squares fit, in MB per minute."""
     error: float
-    """Its standard error, in the same unit."""
+    """Standard error of the slope, in MB per minute."""
 
 
 @dataclass
 class MemoryTrend:
-    """One process's memory over its time."""
+    """Memory samples of one process."""
 
     samples: list[tuple[float, float]] = field(default_factory=list)
-    """Minutes since the start, and MB."""
+    """Pairs of process age in minutes and resident memory in MB."""
 
     def add(self, up_us: int, rss_kb: int) -> None:
-        """A look at the process, which has run for ``up_us``; ``rss_kb`` is 0 if its system does not tell."""
+        """Add a sample of a process that has run for ``up_us``; ``rss_kb`` is 0 if the operating system does
+        not report it."""
         if rss_kb and up_us >= MEMORY_SETTLE_US:
             self.samples.append((up_us / 60e6, rss_kb / 1024))
             if len(self.samples) > MAX_SAMPLES:
                 self.samples = self.samples[::2]
 
     def slope(self) -> Slope | None:
-        """The slope and its error; None while the line is too short."""
+        """The slope and its standard error; None while the samples are too few or span too short a time."""
         samples = self.samples
         if len(samples) < 2 * SLOPE_PARTS or samples[-1][0] - samples[0][0] < MIN_SLOPE_SPAN_US / 60e6:
             return None
--- a/magpieshift/rollout/plan.py
+++ b/magpieshift/rollout/plan.py
@@ -1,4 +1,5 @@
-"""A rollout's plan: what is to change, where, in which stages, and what must not get worse by it."""
+"""A rollout's plan: the new and the old build, the routers, the stages, and how much worse the new side may
+be."""
 
 from __future__ import annotations
 
@@ -10,7 +11,7 @@
 
 
 class OnFailure(Enum):
-    """What follows when a stage does worse; the value is the plan file's word."""
+    """What happens when the new side is worse or a step keeps failing; the value is the plan file's word."""
 
     ROLL_BACK = "back"
     HOLD = "hold"
@@ -18,75 +19,75 @@
 
 @dataclass(frozen=True)
 class RouterPlace:
-    """Where one router runs."""
+    """Zone and admin addresses of one router."""
 
     name: str
-    """Of the router."""
+    """Name of the router."""
     zone: str
-    """In which it stands; ``-`` if the plan names none."""
+    """Zone of the router; ``-`` if the plan names none."""
     admin_addresses: tuple[Address, Address]
-    """A process and its successor each have one."""
+    """Two admin addresses, so that a process and its successor can run at the same time."""
 
 
 @dataclass(frozen=True)
 class Build:
-    """What the processes of one side run."""
+    """The software version that the processes of one side run."""
 
     label: str
-    """Which they report of themselves."""
+    """Label that a process of this build reports in its counters."""
     start_command: str
-    """Starts one; names in braces are filled in."""
+    """Command that starts a process; ``plan_form.PLACEHOLDERS`` in braces are filled in."""
 
 
 @dataclass(frozen=True)
 class Stage:
-    """How far a stage goes."""
+    """The routers that a stage changes, and its bake times."""
 
     name: str
-    """Of the stage."""
+    """Name of the stage."""
     targets: tuple[str, ...]
-    """The routers that are new at its end, those of earlier stages included."""
+    """Routers that run the new build at the end of the stage, including those of earlier stages."""
     bake_s: float
-    """At least so long with all of them new."""
+    """Minimum bake time, in seconds, with all targets running the new build."""
     max_bake_s: float
-    """And then at most so long until it is known whether they do worse."""
+    """Bake time, in seconds, after which an undecided stage is held."""
 
 
 @dataclass(frozen=True)
 class Tolerances:
-    """By how much the new side may be worse."""
+    """How much worse than the old side the new side may be."""
 
     success_rate: float = 0.01
-    """Fraction of requests served in time, of any class."""
+    """Allowed drop in the fraction of requests served in time, for each request class."""
     cpu: float = 0.15
-    """Processor time a request, as a fraction of the old side's."""
+    """Allowed increase in processor time per request, as a fraction of the old side's."""
     memory_mb_per_min: float = 0.5
-    """Growth of a process's memory."""
+    """Allowed growth of a process's memory beyond the old side's median."""
     false_positive_rate: float = 0.01
-    """How often, at most, a side that is no worse may be stopped."""
+    """Upper bound on the probability that a new side that is no worse is stopped."""
 
 
 @dataclass(frozen=True)
 class Plan:
-    """A checked plan."""
+    """A plan that has passed all checks."""
 
     name: str
-    """Of the rollout."""
+    """Name of the rollout."""
     new: Build
-    """What is rolled out."""
+    """Build that is rolled out."""
     old: Build
-    """What ran before."""
+    """Build that is replaced, and restored by a rollback."""
     routers: Mapping[str, RouterPlace]
-    """By name."""
+    """Routers by name."""
     stages: tuple[Stage, ...]
-    """In order, each larger than the one before."""
+    """Stages in order; each has more targets than the one before."""
     tolerances: Tolerances
-    """What must not get worse by more."""
+    """How much worse the new side may be."""
     max_unreachable: int
-    """Routers that may be away at one time, the one to be changed included."""
+    """Maximum number of routers unavailable at one time, including the one being changed."""
     step_timeout_s: float
-    """For the start and for the end of a process."""
+    """Time-out in seconds for a process to start serving, and for one to end."""
     on_failure: OnFailure
-    """What follows when a stage does worse."""
+    """What happens when a stage is found worse or a step keeps failing."""
     digest: str = ""
-    """Of the plan file's content."""
+    """Digest of the plan file's content."""
--- a/magpieshift/rollout/plan_form.py
+++ b/magpieshift/rollout/plan_form.py
@@ -1,5 +1,5 @@
-"""What may stand in a plan file: its entries, their types, bounds and defaults. The file's words stand here
-alone."""
+"""Schema of a plan file: its entries with their types, bounds and defaults. The keys of the file are defined
+only here."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from magpieshift.control.validation import Form, Seconds
 
 PLAN_HEAD = "rollout"
-"""The word with which a plan file begins."""
+"""First word of a plan file's S-expression."""
 MAX_ROUTERS = 2000
-"""Ten times the product's fleet."""
+"""Maximum number of routers in a plan: ten times the size of the production fleet."""
 MAX_STAGES = 32
-"""More than anybody watches."""
+"""Maximum number of stages in a plan: more than an operator would follow."""
 PLACEHOLDERS = ("name", "label", "term", "console")
-"""What a start command may name in braces."""
+"""Names that a start command may contain in braces."""
 
 Word = Annotated[str, Field(pattern=r"^[!-~]{1,64}$")]
 Share = Annotated[float, Field(gt=0, le=1)]
 
 
 class SideForm(Form):
-    """One build: its label and the command that starts a process of it."""
+    """One build: its label and the command that starts one of its processes."""
 
     label: Word
     start: Annotated[str, Field(min_length=1, max_length=4096)]
@@ -37,7 +37,7 @@
 
 
 class StageForm(Form):
-    """One stage: how many routers are new, of which zone, and for how long."""
+    """One stage: how many routers run the new build, in which zone, and the minimum and maximum bake time."""
 
     share: Share | None = None
     routers: Annotated[int, Field(ge=1)] | None = None
@@ -47,7 +47,7 @@
 
 
 class WorseForm(Form):
-    """By how much the new side may be worse."""
+    """How much worse than the old side the new side may be."""
 
     served: Annotated[float, Field(gt=0, lt=1)] = 0.01
     processor: Annotated[float, Field(gt=0, le=10)] = 0.15
@@ -56,7 +56,7 @@
 
 
 class PlanForm(Form):
-    """A whole plan file."""
+    """The entries of a plan file."""
 
     name: Word
     new: SideForm
--- a/magpieshift/rollout/plan_reader.py
+++ b/magpieshift/rollout/plan_reader.py
@@ -18,8 +18,10 @@
 
 
 def load_plan(data: Mapping[str, Any], lines: Lines | None = None) -> Plan:
-    """A checked plan; ``UnusableDocumentError`` with all that is wrong in it. ``lines`` says where entries
-    stand."""
+    """Check a plan file's data and return the plan. ``lines`` gives the line of each entry.
+
+    Raises ``UnusableDocumentError`` with every problem found.
+    """
     lines = lines or {}
     form = validate_form(PlanForm, data, lines)
     checker = _PlanChecker(form, lines)
@@ -27,7 +29,9 @@
     checker.check_builds()
     stages = checker.stages()
     if form.most_away >= len(form.routers):
-        checker.report(("most-away",), form.most_away, f"less than the {len(form.routers)} routers")
+        checker.report(
+            ("most-away",), form.most_away, f"fewer than the {len(form.routers)} routers of the plan"
+        )
     if checker.problems:
         raise UnusableDocumentError(checker.problems)
     worse_by = form.worse_by
@@ -48,13 +52,16 @@
 
 
 def load_plan_file(path: str | Path) -> Plan:
-    """Read a plan; ``ConfigError`` if it cannot be read, ``UnusableDocumentError`` if it cannot be used."""
+    """Read and check a plan file.
+
+    Raises ``ConfigError`` if the file cannot be read, ``UnusableDocumentError`` if its content is invalid.
+    """
     tree = sexp.parse(read_text(path), str(path), PLAN_HEAD)
     return load_plan(tree.data, tree.lines)
 
 
 class _PlanChecker:
-    """Turns a form into a plan's parts, and collects what does not fit together in it."""
+    """Builds a plan's routers and stages from a form, and collects inconsistencies between its entries."""
 
     def __init__(self, form: PlanForm, lines: Lines) -> None:
         self.problems: list[Problem] = []
@@ -63,12 +70,13 @@
         self._zones = {name: row.zone for name, row in form.routers.items()}
 
     def report(self, path: tuple[str, ...], found: object, expected: str) -> None:
-        """An entry that cannot be used; its line is that of the nearest entry round it that has one."""
+        """Add a problem with an entry. Its line is that of the nearest enclosing entry with a known line, the
+        entry itself included."""
         line = nearest_line(path, self._lines)
         self.problems.append(Problem(" ".join(path), line, sexp.shorten(found), expected))
 
     def routers(self) -> dict[str, RouterPlace]:
-        """The routers; no two have an address in common."""
+        """The routers by name; an address that is used twice is reported as a problem."""
         routers: dict[str, RouterPlace] = {}
         owners: dict[Address, str] = {}
         for name, row in self._form.routers.items():
@@ -84,19 +92,19 @@
             try:
                 found = parse_address(text, "doors")
             except ConfigError:
-                self.report(path, text, "two of host:port")
+                self.report(path, text, "two addresses as host:port")
                 continue
             addresses.append(found)
             owner = owners.setdefault(found, name)
             if owner != name or addresses.count(found) > 1:
-                self.report(path, text, f"an address that {owner} does not have")
+                self.report(path, text, f"an address not yet used by {owner}")
         return addresses
 
     def check_builds(self) -> None:
-        """Labels must differ, and commands may name only what is known."""
+        """Check that the labels differ and that the start commands use only known placeholders."""
         form = self._form
         if form.new.label == form.old.label:
-            self.report(("new", "label"), form.new.label, "another than that of old")
+            self.report(("new", "label"), form.new.label, "a label other than that of the old build")
         self._check_command("new", form.new)
         self._check_command("old", form.old)
 
@@ -105,10 +113,10 @@
             build.start.format(**dict.fromkeys(PLACEHOLDERS, "x"))
         except (KeyError, IndexError, ValueError):
             expected = "only " + ", ".join(f"{{{placeholder}}}" for placeholder in PLACEHOLDERS)
-            self.report((side, "start"), build.start, f"{expected} in braces")
+            self.report((side, "start"), build.start, f"{expected} as placeholders")
 
     def stages(self) -> tuple[Stage, ...]:
-        """The stages; each must add routers to those before it."""
+        """The stages in order; each must add routers to those of the stages before it."""
         order = _change_order(list(self._form.routers), self._zones, self._form.name)
         targets: list[str] = []
         stages: list[Stage] = []
@@ -121,20 +129,21 @@
             missing = max(0, count - sum(router in targets for router in eligible))
             targets += [router for router in eligible if router not in targets][:missing]
             if len(targets) == before:
-                self.report(("stages", name), f"{count} routers", "more than the stages before it")
+                self.report(("stages", name), f"{count} routers", "more routers than in the stages before it")
             stages.append(Stage(name, tuple(targets), form.soak_s, form.most_s))
         return tuple(stages)
 
     def _eligible(self, form: StageForm, order: list[str]) -> list[str]:
-        """The routers of the stage's zone, in the order in which they are changed."""
+        """The routers that the stage may change (those of its zone, if it has one), in change order."""
         return [router for router in order if form.zone is None or self._zones[router] == form.zone]
 
     def _router_count(self, name: str, form: StageForm, eligible: list[str]) -> int | None:
-        """How many of them are new in the stage; None if that cannot be told."""
+        """Number of eligible routers that run the new build in the stage; None, with a problem added, if the
+        form is invalid."""
         path = ("stages", name)
         if (form.share is None) == (form.routers is None):
-            found = "share and routers" if form.share else "neither"
-            self.report(path, found, "share or routers")
+            found = "both share and routers" if form.share else "neither share nor routers"
+            self.report(path, found, "either share or routers")
             return None
         zones = set(self._zones.values())
         if form.zone is not None and form.zone not in zones:
@@ -142,14 +151,18 @@
             return None
         count = form.routers if form.routers is not None else math.ceil((form.share or 0) * len(eligible))
         if count > len(eligible):
-            self.report((*path, "routers"), count, f"at most {len(eligible)}")
+            self.report((*path, "routers"), count, f"at most the {len(eligible)} eligible routers")
             return None
         return count
 
 
 def _change_order(names: list[str], zones: Mapping[str, str], seed: str) -> list[str]:
-    """The order in which routers are changed: zone by turn, so that each zone has old and new beside each
-    other for as long as that can be; within a zone by a hash, so that no plan prefers the same ones."""
+    """The order in which routers are changed.
+
+    Zones take turns, so that each zone has old and new routers to compare for as long as possible. Within a
+    zone the order is by a hash seeded with the plan's name, so that different plans start with different
+    routers.
+    """
     by_zone: dict[str, list[str]] = {}
     for name in sorted(names, key=lambda n: hashlib.blake2b(f"{seed} {n}".encode()).digest()):
         by_zone.setdefault(zones[name], []).append(name)
--- a/magpieshift/rollout/process_counters.py
+++ b/magpieshift/rollout/process_counters.py
@@ -1,4 +1,4 @@
-"""Routers' own counters as they come from admin servers, and what was counted between two looks."""
+"""Counters that routers report through their admin servers, and the difference between two readings."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 from magpieshift.rollout.errors import UnreadableCountersError
 
 MAX_CLASSES = 64
-"""Read of one answer: one that holds more is not read on."""
+"""Maximum number of request classes whose counts are read from one answer."""
 MAX_SHOWN_LENGTH = 80
-"""Characters of an unreadable answer that an error shows."""
+"""Maximum characters of an unreadable answer that an error shows."""
 
 
 @dataclass(frozen=True)
 class RequestCounts:
-    """How requests of one class have ended."""
+    """Requests of one class by outcome."""
 
     requests: int
-    """All that ended."""
+    """All requests that ended."""
     served: int
-    """Served in time."""
+    """Served within the latency objective."""
     late: int = 0
     """Served after the latency objective."""
     rejected: int = 0
-    """Rejected under load."""
+    """Rejected because of overload."""
     failed: int = 0
     """Answered with an error."""
     abandoned: int = 0
-    """Given up by their clients."""
+    """Abandoned by their clients before the end."""
 
     def since(self, earlier: RequestCounts) -> RequestCounts:
-        """What was counted since an earlier look; no less than 0."""
+        """Difference to an earlier reading, with negative values replaced by 0."""
         return RequestCounts(
             max(0, self.requests - earlier.requests),
             max(0, self.served - earlier.served),
@@ -45,39 +45,41 @@
 
 
 NO_REQUESTS = RequestCounts(0, 0)
-"""Of a class that was not there before."""
+"""Earlier counts of a class that an earlier reading did not contain."""
 
 
 @dataclass(frozen=True)
 class ProcessCounters:
-    """One look at one process. Counters are since its start."""
+    """One reading of a process's counters, which count from its start."""
 
     label: str
-    """Of its build."""
+    """Label of its build."""
     incarnation: str
-    """New with each start."""
+    """Identifies one run of the process; different after each start."""
     state: str
-    """Of its lifecycle."""
+    """Lifecycle state, such as ``serving``."""
     up_us: int
-    """Since its start."""
+    """Time since its start, in microseconds."""
     classes: Mapping[str, RequestCounts]
-    """By class of requests."""
+    """Counts by request class."""
     cpu_us: int
-    """Processor time."""
+    """Processor time since its start, in microseconds."""
     rss_kb: int = 0
-    """Resident memory; 0 if its system does not tell."""
+    """Resident memory; 0 if the operating system does not report it."""
     descriptors: int = 0
-    """Open files and sockets; 0 if its system does not tell."""
+    """Open files and sockets; 0 if the operating system does not report them."""
     settings_version: int = 0
-    """Number of the settings in force."""
+    """Version number of the settings in force."""
     latency: Mapping[str, str] = field(default_factory=dict)
-    """By class, encoded histograms."""
+    """Encoded latency histograms by request class."""
 
 
 def parse_counters(text: str) -> ProcessCounters:
-    """An admin server's answer to FIGURES, without its OK; ``UnreadableCountersError`` if it is none. What a
-    later version adds is passed over, and what an earlier one lacks is 0. The answer's names stand here
-    alone."""
+    """Parse an admin server's answer to FIGURES, without the leading OK.
+
+    Keys that a later version adds are ignored, and counters that an earlier version lacks are 0. The keys of
+    the answer are defined only here. Raises ``UnreadableCountersError`` if the text is not such an answer.
+    """
     try:
         raw = json.loads(text)
         classes = {str(name): _parse_counts(row) for name, row in list(raw["classes"].items())[:MAX_CLASSES]}
@@ -96,7 +98,9 @@
         )
     except (ValueError, KeyError, TypeError, AttributeError) as err:
         shown = f"{text[:MAX_SHOWN_LENGTH]!r}"
-        raise UnreadableCountersError(f"found {shown}: {type(err).__name__}") from None
+        raise UnreadableCountersError(
+            f"found {shown}, expected a JSON object of counters: {type(err).__name__}"
+        ) from None
 
 
 def _parse_counts(row: Mapping[str, Any]) -> RequestCounts:
@@ -106,26 +110,27 @@
 
 @dataclass(frozen=True)
 class CounterDelta:
-    """What one process did between two looks."""
+    """Difference between two readings of a router's process counters."""
 
     classes: Mapping[str, RequestCounts]
-    """By class of requests."""
+    """Counts by request class."""
     cpu_us: int
-    """Processor time."""
+    """Processor time used, in microseconds."""
     duration_us: int
-    """For which it ran."""
+    """Running time covered, in microseconds."""
     same_process: bool = True
-    """False if it was restarted meanwhile: then only what it did since is known."""
+    """False if the process was restarted in between; the difference then covers only the time since the
+    restart."""
 
     @property
     def requests(self) -> int:
-        """Requests of all classes that ended."""
+        """Number of requests of all classes that ended."""
         return sum(counts.requests for counts in self.classes.values())
 
 
 def counter_delta(before: ProcessCounters, after: ProcessCounters) -> CounterDelta:
-    """What was counted between two looks: counters of one incarnation only rise, those of another begin at
-    0."""
+    """Difference between two readings. Counters of the same incarnation only increase; those of another
+    incarnation started at 0, so the later reading itself is the difference."""
     same_process = before.incarnation == after.incarnation
     earlier: Mapping[str, RequestCounts] = before.classes if same_process else {}
     classes = {name: counts.since(earlier.get(name, NO_REQUESTS)) for name, counts in after.classes.items()}
--- a/magpieshift/rollout/records.py
+++ b/magpieshift/rollout/records.py
@@ -1,7 +1,7 @@
-"""What a coordinator decides, as the records of its journal, and their form on disk.
+"""Journal records of a coordinator's decisions, and their form on disk.
 
-The keys and words on disk stand here alone, and stay as they are: a journal of an earlier version must
-resume.
+The keys and values on disk are defined only here and must not change: a rollout must be resumable from the
+journal of an earlier version.
 """
 
 from __future__ import annotations
@@ -12,114 +12,114 @@
 from typing import Any
 
 Row = Mapping[str, Any]
-"""A record as it stands on disk."""
+"""A record in its form on disk."""
 
 
 class RolloutPhase(Enum):
-    """Where a rollout is going; the value is its word on disk and in the status."""
+    """Phase of a rollout; the value is written to the journal and the status."""
 
     ADVANCING = "forward"
     ROLLING_BACK = "back"
     HELD = "hold"
-    """Stopped where it stands, until people resume it."""
+    """Stopped without a rollback, until an operator resumes it."""
     ENDED = "ended"
 
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """A coordinator has begun, or gone on."""
+    """A coordinator has started or resumed the rollout."""
 
     term: int
-    """Its fencing term."""
+    """Fencing term of the coordinator."""
     plan_digest: str
-    """Of the plan that it carries out."""
+    """Digest of the plan that it carries out."""
     plan_name: str = ""
-    """The plan's name, for people."""
+    """Name of the plan, shown to operators."""
 
 
 @dataclass(frozen=True, slots=True)
 class StepStarted:
-    """A router is about to be changed."""
+    """The coordinator is about to replace a router's process."""
 
     step: int
     """Number of the step, from 1."""
     router: str
     """Name of the router."""
     label: str
-    """Of the build that it is to run."""
+    """Label of the build that the router is to run."""
     term: int = 0
-    """Of the coordinator."""
+    """Fencing term of the coordinator."""
 
 
 @dataclass(frozen=True, slots=True)
 class StepDone:
-    """A router was changed."""
+    """A router's process was replaced."""
 
     step: int
     """Number of the step."""
     router: str
     """Name of the router."""
     label: str
-    """Of the build that it runs."""
+    """Label of the build that the router now runs."""
     term: int = 0
-    """Of the coordinator."""
+    """Fencing term of the coordinator."""
 
 
 @dataclass(frozen=True, slots=True)
 class StepFailed:
-    """A router could not be changed."""
+    """An attempt to replace a router's process failed."""
 
     step: int
     """Number of the step."""
     router: str
     """Name of the router."""
     label: str
-    """Of the build that it was to run."""
+    """Label of the build that the router was to run."""
     reason: str
-    """Why it failed."""
+    """Why the attempt failed."""
     term: int = 0
-    """Of the coordinator."""
+    """Fencing term of the coordinator."""
 
 
 @dataclass(frozen=True, slots=True)
 class StagePassed:
-    """The new side did no worse through a stage."""
+    """A stage has passed: the new side was not found worse during its bake."""
 
     stage: str = ""
     """Name of the stage."""
     reason: str = ""
-    """What the analysis said."""
+    """Reason given by the canary analysis."""
     term: int = 0
-    """Of the coordinator."""
+    """Fencing term of the coordinator."""
 
 
 @dataclass(frozen=True, slots=True)
 class PhaseChanged:
-    """The rollout goes another way, or ends."""
+    """The rollout has entered another phase."""
 
     phase: RolloutPhase
-    """From now on."""
+    """The new phase."""
     reason: str
-    """Why."""
+    """Why the phase changed."""
     term: int = 0
-    """Of the coordinator."""
+    """Fencing term of the coordinator."""
 
 
 @dataclass(frozen=True, slots=True)
 class PauseChanged:
-    """People have paused the rollout, or let it go on."""
+    """An operator has paused or continued the rollout."""
 
     paused: bool
-    """From now on."""
+    """Whether the rollout is paused from now on."""
     term: int = 0
-    """Of the coordinator."""
+    """Fencing term of the coordinator."""
 
 
 JournalRecord = Started | StepStarted | StepDone | StepFailed | StagePassed | PhaseChanged | PauseChanged
 
 
 def to_row(record: JournalRecord) -> dict[str, Any]:
-    """A record's form on disk."""
+    """Convert a record to its form on disk."""
     match record:
         case Started():
             return {
@@ -147,7 +147,7 @@
 
 
 def from_row(row: Row) -> JournalRecord | None:
-    """The record of a row on disk; None for a kind that this version does not know."""
+    """Convert a row on disk to its record; None for a record kind unknown to this version."""
     term = int(row.get("term", 0))
     step = (int(row.get("step", 0)), str(row.get("router", "")), str(row.get("label", "")))
     reason = str(row.get("why", ""))
@@ -170,5 +170,5 @@
 
 
 def from_rows(rows: Iterable[Row]) -> list[JournalRecord]:
-    """The records of a journal, without those of kinds that this version does not know."""
+    """Convert a journal's rows to records, skipping record kinds unknown to this version."""
     return [record for row in rows if (record := from_row(row)) is not None]
--- a/magpieshift/rollout/rollout_state.py
+++ b/magpieshift/rollout/rollout_state.py
@@ -1,4 +1,4 @@
-"""Where a rollout stands, as the records of its journal give it, and what is seen of its routers."""
+"""Progress of a rollout as replayed from its journal, and the observed state of its routers."""
 
 from __future__ import annotations
 
@@ -20,29 +20,29 @@
 
 @dataclass
 class RolloutState:
-    """What the records say. What runs where is never taken from them: it is looked at."""
+    """Progress according to the journal. Which build a router runs is not derived from it, but observed."""
 
     phase: RolloutPhase = RolloutPhase.ADVANCING
-    """Where the rollout is going."""
+    """Current phase of the rollout."""
     stage_index: int = 0
-    """Of the stage under way; the number of stages once all have passed."""
+    """Index of the current stage; the number of stages once all have passed."""
     last_step: int = 0
-    """Number of the last step that was begun."""
+    """Number of the last step that was started."""
     paused: bool = False
-    """Whether people have paused it."""
+    """Whether an operator has paused the rollout."""
     unfinished_step: StepStarted | None = None
-    """A step without a recorded outcome."""
+    """The step that was started and has no recorded outcome, if any."""
     reason: str = ""
-    """Why the phase changed last."""
+    """Reason of the last phase change."""
     failed_attempts: dict[str, int] = field(default_factory=dict)
-    """Attempts that failed in this phase since the last success, by router."""
+    """Failed attempts in this phase since the router's last success, by router."""
     term: int = 0
-    """The latest fencing term."""
+    """Latest fencing term in the journal."""
     plan_digest: str = ""
-    """Of the plan that the journal is of; empty in an empty journal."""
+    """Digest of the plan that the journal belongs to; empty for an empty journal."""
 
     def apply(self, record: JournalRecord) -> None:
-        """Take in the next record."""
+        """Update the state with the next record."""
         match record:
             case Started():
                 self.term = max(self.term, record.term)
@@ -68,18 +68,18 @@
 
 @dataclass(slots=True)
 class RouterView:
-    """What is seen of one router."""
+    """Last observation of one router."""
 
     label: str = ""
-    """Of the build that serves there, as last seen."""
+    """Label of the build that the router ran when last observed with one label; empty before that."""
     two_processes: bool = False
-    """Whether one process was replacing another when last seen."""
+    """Whether processes of two builds ran when the router last answered, one replacing the other."""
     seen_us: int | None = None
-    """When it last answered."""
+    """Time of the last answer, in microseconds; None if there was none."""
 
 
 def replay(records: Iterable[JournalRecord]) -> RolloutState:
-    """The state after all records."""
+    """The state after applying all records."""
     state = RolloutState()
     for record in records:
         state.apply(record)
--- a/magpieshift/rollout/runner.py
+++ b/magpieshift/rollout/runner.py
@@ -1,4 +1,4 @@
-"""A rollout carried out: observation, analysis, coordinator, journal and executor round one loop."""
+"""Runs a rollout: a loop that connects observation, canary analysis, coordinator, journal and executor."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 log = logging.getLogger(__name__)
 
 ROUND_S = 1.0
-"""Between two rounds of looks: an admin server answers within one second."""
+"""Interval between two rounds of observations: an admin server answers within one second."""
 
 
 def _now_us() -> int:
@@ -33,7 +33,7 @@
 
 
 class RolloutRunner:
-    """Carries out one plan with one folder."""
+    """Carries out one plan with its state in one folder."""
 
     def __init__(
         self,
@@ -43,8 +43,8 @@
         on_status: Callable[[Mapping[str, Any]], None] = lambda status: None,
         roll_back: bool = False,
     ) -> None:
-        """``start`` starts processes, ``on_status`` gets the status after each round; ``roll_back``: whatever
-        was in flight, put all back."""
+        """``start`` starts a process at a router, ``on_status`` receives the status after each round;
+        ``roll_back`` starts with a rollback, whatever the journal says."""
         self._plan = plan
         self._folder = StateFolder(folder)
         self._start = start
@@ -52,9 +52,12 @@
         self._roll_back = roll_back
 
     async def run(self) -> Mapping[str, Any]:
-        """Begin, or go on with what the folder's journal holds, to the end; the last status. ``JournalError``
-        if the journal cannot be used or written, ``JournalMismatchError`` if it is of another plan,
-        ``TermUnknownError`` if too few routers tell their term."""
+        """Start the rollout, or resume it from the folder's journal, and run it until it is over or held.
+
+        Returns the last status. Raises ``JournalError`` if the journal cannot be read or written,
+        ``JournalMismatchError`` if it belongs to another plan, ``TermUnknownError`` if fewer than a majority
+        of routers report their term.
+        """
         journal = Journal(self._folder.path)
         try:
             self._folder.clear_request()
@@ -70,13 +73,13 @@
             journal.close()
 
     async def _next_term(self, journal: Journal) -> int:
-        """A term above every one that is in force at routers, or that the journal knows."""
+        """A term above all terms that routers report or the journal contains."""
         latest = await Executor(self._plan, 0).latest_term()
         return 1 + max([latest, *(int(row.get("term", 0)) for row in journal.rows)])
 
 
 class _Run:
-    """One coordinator at work; owner of the step in flight."""
+    """One run of a coordinator; owns the task of the step in flight."""
 
     def __init__(
         self,
@@ -92,15 +95,15 @@
         self._journal = journal
         self._folder = folder
         self._on_status = on_status
-        # replaced with each stage
+        # replaced at the start of each stage
         self._analysis = self._new_analysis()
         self._stepping: asyncio.Task[None] | None = None
 
     async def to_end(self, roll_back: bool) -> Mapping[str, Any]:
-        """Work until the rollout is over, held or superseded; the last status."""
+        """Run until the rollout is over, held or superseded; returns the last status."""
         coordinator = self._coordinator
         try:
-            # an older coordinator that wakes from now on is rejected wherever it goes
+            # from now on routers reject the commands of an older coordinator
             await self._executor.announce_term()
         except StepFailedError as err:
             log.warning("term not announced", extra=fields(reason=err))
@@ -109,7 +112,7 @@
             return self._publish(Verdict.UNDECIDED)
         await self._execute(coordinator.begin())
         if roll_back:
-            await self._execute(coordinator.stop("asked for on resuming", roll_back=True))
+            await self._execute(coordinator.stop("rollback requested on resuming", roll_back=True))
         while not coordinator.is_over:
             began_s = time.monotonic()
             await self._round()
@@ -119,7 +122,7 @@
         return self._publish(coordinator.verdict)
 
     async def stop(self) -> None:
-        """Break off the step in flight."""
+        """Cancel the step in flight."""
         if self._stepping is not None:
             self._stepping.cancel()
             await asyncio.wait([self._stepping])
@@ -130,7 +133,7 @@
         return CanaryAnalysis(plan.tolerances, plan.new.label, plan.old.label, zones, _now_us())
 
     async def _round(self) -> None:
-        """Look at all routers, and do what follows."""
+        """Observe all routers, and carry out the coordinator's instructions."""
         coordinator = self._coordinator
         await self._observe()
         now_us = _now_us()
@@ -150,23 +153,24 @@
             self._coordinator.record_labels(now_us, name, labels)
             serving = [counters for counters in processes.values() if counters.state == SERVING]
             if len(processes) > 1:
-                self._analysis.expect_restart(name)  # one takes over from the other
+                self._analysis.expect_restart(name)  # one process is replacing the other
             elif serving or not processes:
                 answers[name] = serving[0] if serving else None
         self._analysis.record_round(now_us, answers)
 
     def _requested_instructions(self) -> list[Instruction]:
-        """What follows from what people have requested since the last round."""
+        """Instructions for the action that an operator has requested since the last round."""
         action = self._folder.take_request()
         if action is None:
             return []
         if action.request in (Request.PAUSE, Request.GO_ON):
             return self._coordinator.pause(action.request is Request.PAUSE)
         roll_back = action.request is Request.ROLL_BACK
-        return self._coordinator.stop(action.reason or "asked for", roll_back)
+        return self._coordinator.stop(action.reason or "requested by an operator", roll_back)
 
     async def _execute(self, instructions: list[Instruction]) -> None:
-        """Carry out, in order: what rests on a record is not begun unless that is written."""
+        """Carry out instructions in order. If a record cannot be written, the instructions after it are not
+        carried out."""
         for instruction in instructions:
             match instruction:
                 case RecordDecision(record=record):
@@ -192,7 +196,7 @@
             self._stepping = None
             self._coordinator.supersede(str(err))
             return
-        except Exception as err:  # a fault of ours fails the step, and must not end the loop
+        except Exception as err:  # an unexpected error fails the step, but must not end the loop
             log.exception("step failed")
             failure = f"{type(err).__name__}: {err}"
         self._analysis.expect_restart(step.router)
@@ -200,12 +204,11 @@
         try:
             await self._execute(self._coordinator.step_finished(_now_us(), step.step, failure))
         except JournalError as err:
-            self._coordinator.supersede(
-                str(err)
-            )  # nothing can be recorded any more: nothing is done any more
+            # without a journal no further decision may be carried out
+            self._coordinator.supersede(str(err))
 
     def _publish(self, verdict: Verdict) -> Mapping[str, Any]:
-        """Write the status, and return it."""
+        """Write the status and a line of history, and return the status."""
         status = make_status(self._coordinator, self._analysis, verdict, _now_us())
         self._folder.write_status(status)
         self._folder.append_history(status)
--- a/magpieshift/rollout/state_folder.py
+++ b/magpieshift/rollout/state_folder.py
@@ -1,5 +1,5 @@
-"""A rollout's folder beside its journal: the status, the history for the report, and what people request. The
-names and keys in these files stand here alone."""
+"""Files of a rollout's folder other than its journal: the status, the history for the report, and the action
+requested by an operator. Their names and keys are defined only here."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 REQUEST_FILE = "asked"
 HISTORY_FILE = "history.jsonl"
 MAX_HISTORY_BYTES = 64 << 20
-"""Some days of rounds; then nothing more is added."""
+"""Maximum size of the history, enough for some days of rounds; then no more lines are added."""
 MAX_SHOWN_LENGTH = 40
-"""Characters of an unknown request that are logged."""
+"""Maximum characters of an unknown request that are logged."""
 
 
 class Request(Enum):
-    """What people may ask of a coordinator; the value is the command's word."""
+    """Action that an operator may request of a coordinator; the value is the name of the command."""
 
     PAUSE = "pause"
     GO_ON = "go-on"
@@ -40,28 +40,29 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestedAction:
-    """What people have asked for."""
+    """An action requested by an operator."""
 
     request: Request
-    """What is to be done."""
+    """The requested action."""
     reason: str
-    """Why, for the journal; may be empty."""
+    """Reason for the journal; may be empty."""
 
 
 class StateFolder:
-    """The folder of one rollout."""
+    """Reads and writes the files in the folder of one rollout."""
 
     def __init__(self, path: Path) -> None:
-        """The folder need not exist yet."""
+        """``path`` is the folder; it need not exist yet."""
         self.path = path
-        """Of the folder."""
+        """Path of the folder."""
 
     def clear_request(self) -> None:
-        """Forget a request to an earlier coordinator."""
+        """Remove a request made to an earlier coordinator."""
         (self.path / REQUEST_FILE).unlink(missing_ok=True)
 
     def take_request(self) -> RequestedAction | None:
-        """What people have asked for since the last call."""
+        """Remove and return the action requested since the last call; None if there is none or it is
+        unknown."""
         path = self.path / REQUEST_FILE
         try:
             word, _, reason = path.read_text().strip().partition(" ")
@@ -77,13 +78,13 @@
         return RequestedAction(request, reason)
 
     def write_status(self, status: Mapping[str, Any]) -> None:
-        """Replace the status in one step, so that readers never find half of one."""
+        """Replace the status file atomically, so that readers never see a partial one."""
         path = self.path / f"{STATUS_FILE}.{os.getpid()}"
         path.write_text(json.dumps(status, indent=1))
         path.replace(self.path / STATUS_FILE)
 
     def append_history(self, status: Mapping[str, Any]) -> None:
-        """Add a line for the report; it is no loss that matters if that cannot be written."""
+        """Add a line to the history for the report. A failure to write is logged but otherwise ignored."""
         classes = {
             name: [*row["new"], *row["old"], *row["between"]]
             for name, row in status["figures"]["classes"].items()
@@ -107,7 +108,8 @@
 
 
 def request_action(folder: Path, word: str, reason: str = "") -> None:
-    """Ask something of the coordinator that works in this folder, at its next round."""
+    """Request an action of the coordinator that uses this folder; it is read in the coordinator's next
+    round."""
     path = folder / f"{REQUEST_FILE}.{os.getpid()}"
     path.write_text(f"{word} {reason}\n")
     path.replace(folder / REQUEST_FILE)
@@ -116,7 +118,7 @@
 def make_status(
     coordinator: Coordinator, analysis: CanaryAnalysis, verdict: Verdict, now_us: int
 ) -> dict[str, Any]:
-    """Where a rollout stands, for people and their tools."""
+    """Status of a rollout, for operators and their tools."""
     plan = coordinator.plan
     state = coordinator.state
     labels = {name: view.label for name, view in coordinator.routers.items()}
--- a/magpieshift/rollout/verdict.py
+++ b/magpieshift/rollout/verdict.py
@@ -1,4 +1,4 @@
-"""What a canary analysis may find."""
+"""The possible results of a canary analysis."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Verdict(Enum):
-    """What is known of the new side; the value is its word in the status."""
+    """Result of comparing the new side with the old one; the value is written to the status."""
 
     UNDECIDED = "not known yet"
     NO_WORSE = "no worse"
--- a/magpieshift/rollout/weighted_difference.py
+++ b/magpieshift/rollout/weighted_difference.py
@@ -1,11 +1,12 @@
-"""The difference between two success rates, with an interval that holds at all times at once.
+"""The difference between two success rates, with a confidence sequence: an interval valid at all times at
+once.
 
-Each round gives what either side was asked and served since the last. The difference of the two rates is
-weighted as in Mantel and Haenszel's test, so that zones and moments of different load count by what they can
-tell, and what strikes both sides alike at a moment drops out. The sum of weighted differences has an interval
-that holds at all times at once (the normal mixture of Robbins): it may be looked at after each round without
-being wrong more often than the plan allows. The larger of the variance that single requests have and the one
-that was seen between rounds counts: requests that fail together tell less.
+Each round adds the requests that either side ended and served since the previous round. The difference of the
+two rates is weighted as in the Mantel-Haenszel test, so that zones and rounds of different load count by the
+information they carry, and a fault that affects both sides of a round equally cancels out. The interval of
+the weighted mean is Robbins' normal mixture, so it may be evaluated after each round without exceeding the
+plan's false-positive rate. It uses the larger of two variances, that of independent requests and that
+observed between rounds, because requests that fail together carry less information.
 """
 
 from __future__ import annotations
@@ -14,28 +15,32 @@
 from dataclasses import dataclass
 
 PRIOR_REQUESTS = 20.0
-"""Requests at the usual rate that a moment's rate is drawn to; fewer let chance move the
-weights, more hide an outage from them."""
+"""Pseudo-requests at the long-run success rate that are added to the recent counts when the variance is
+estimated. With fewer, chance moves the weights; with more, the weights do not follow an outage."""
 RECENT_DECAY = 0.8
-"""Of recent counts, from one round to the next; nearer to 1 follows an outage later."""
+"""Decay factor of the recent counts per round; closer to 1, the weights follow an outage later."""
 MIN_VARIANCE = 0.01
-"""Of one request: that none has failed yet does not say that none will."""
+"""Lower bound of the estimated variance of one request's outcome: no failure so far does not mean that none
+will follow."""
 MIXTURE_WEIGHT = 20_000.0
-"""Weight about which Robbins' interval is narrowest: some hundred requests a side. Larger
-decides later and more sharply."""
+"""Sum of weights near which Robbins' interval is narrowest; a few hundred requests per side reach it. A
+larger value gives later decisions and narrower final intervals."""
 
 
 @dataclass
 class WeightedDifference:
-    """Of one class: differences of the rates, new less old, each weighted by what it can tell: the requests
-    of both sides, over the variance that one request lately had. So times at which all do badly, when chance
-    is largest, count least. A weight goes by what came before it alone: one that knew its own outcome would
-    bend the sum."""
+    """Weighted differences of success rates (new minus old) of one request class.
+
+    The weight of a round follows from the requests of both sides, divided by the recent variance of one
+    request's outcome, so rounds in which both sides do badly, when chance is largest, count least. The
+    variance is estimated from earlier rounds only: a weight that depended on the round's own outcome would
+    bias the sum.
+    """
 
     total: float = 0.0
     """Sum of the weighted differences."""
     weight: float = 0.0
-    """Sum of the weights, and the variance of the total if single requests fail by themselves."""
+    """Sum of the weights, which is also the variance of the total if requests fail independently."""
     squares: float = 0.0
     """Sum of the squared weighted differences."""
     crossed: float = 0.0
@@ -51,12 +56,12 @@
     served_old: int = 0
     """Requests served in time on the old side."""
     recent_requests: float = 0.0
-    """Requests of both sides, decaying."""
+    """Exponentially decaying count of the requests of both sides."""
     recent_served: float = 0.0
-    """Requests served in time on both sides, decaying."""
+    """Exponentially decaying count of the requests that both sides served in time."""
 
     def add(self, requests_new: int, served_new: int, requests_old: int, served_old: int) -> None:
-        """What both sides did in one zone since the last round."""
+        """Add the counts of both sides in one zone since the previous round."""
         requests_before = self.requests_new + self.requests_old
         usual_rate = (self.served_new + self.served_old) / requests_before if requests_before else 1.0
         rate = (self.recent_served + PRIOR_REQUESTS * usual_rate) / (self.recent_requests + PRIOR_REQUESTS)
@@ -78,8 +83,8 @@
         self.weights += weight * weight
 
     def confidence_interval(self, error_rate: float) -> tuple[float, float]:
-        """The difference of the rates, at least and at most: right at all times at once, but for a fraction
-        ``error_rate`` of all comparisons."""
+        """Lower and upper bound of the difference of the rates (new minus old). With probability
+        1 - ``error_rate`` the intervals of all rounds contain the true difference."""
         if not self.weight:
             return -1.0, 1.0
         mean = self.total / self.weight
--- a/tests/rollout/test_coordinator.py
+++ b/tests/rollout/test_coordinator.py
@@ -69,7 +69,7 @@
         for _ in range(30):
             self.bench.step()
         self.assertEqual(set(self.bench.labels.values()), {"v6"})
-        self.assertIn("away", self.bench.coordinator.waiting_reason)
+        self.assertIn("unreachable", self.bench.coordinator.waiting_reason)
         self.bench.dark = set()
         self.bench.run()
         self.assertEqual(set(self.bench.labels.values()), {"v7"})
@@ -82,7 +82,7 @@
         self.bench.start()
         self.bench.run()
         self.assertEqual(set(self.bench.labels.values()), {"v6"})
-        self.assertIn("could not be changed 3 times", replay(self.bench.records).reason)
+        self.assertIn("replacing the process failed 3 times", replay(self.bench.records).reason)
 
     def test_pause_stop_and_trouble(self) -> None:
         self.bench.start()
--- a/tests/rollout/test_executor.py
+++ b/tests/rollout/test_executor.py
@@ -124,7 +124,7 @@
         """Guards against a process started at the address of one that hangs."""
         old = figures_line("old", "serving")
         executor = await self.executor({"r0": [{"FIGURES": old, "PING": "OK serving"}, {}]})
-        with self.assertRaisesRegex(StepFailedError, "all admin addresses are held"):
+        with self.assertRaisesRegex(StepFailedError, "all admin addresses are in use"):
             await executor.replace_process("r0", "new")
         self.assertEqual(self.routers.started, [])
 
@@ -136,7 +136,7 @@
         executor = await self.executor({"r0": [old, new]})
         with (
             self.assertLogs("magpieshift.rollout.executor", "WARNING") as logged,
-            self.assertRaisesRegex(StepFailedError, f"refused to end: {reason}"),
+            self.assertRaisesRegex(StepFailedError, f"rejected END: {reason}"),
         ):
             await executor.replace_process("r0", "new")
         self.assertEqual(sum(line.endswith("END") for _, line in self.routers.commands), 1)
--- a/tests/rollout/test_processes.py
+++ b/tests/rollout/test_processes.py
@@ -118,7 +118,7 @@
         self.assertEqual(await cluster.call(by_hand, "LAMEDUCK"), lame_duck)
 
         async def waits() -> bool:
-            return any("away" in why and still in why for why in seen)
+            return any("unreachable" in why and still in why for why in seen)
 
         await cluster.wait_until(waits, "it is away, and nothing is begun", 90.0)
         cluster.resume(still)
@@ -128,7 +128,10 @@
 
     async def test_one_that_cannot_start_is_put_back_and_one_that_says_no_to_some_as_well(self) -> None:
         cluster = self.cluster
-        for defect, by, why in (("no-start", 0.0, "could not be changed"), ("worse", 0.6, "served in time")):
+        for defect, by, why in (
+            ("no-start", 0.0, "replacing the process failed"),
+            ("worse", 0.6, "served in time"),
+        ):
             with self.subTest(defect):
                 plan = plan_for(cluster, **{"step-s": 2.0 if defect == "no-start" else 15.0, "name": defect})
                 state = self.folder / defect
