--- a/magpieshift/rollout/runner.py
+++ b/magpieshift/rollout/runner.py
@@ -106,7 +106,7 @@
             # from now on routers reject the commands of an older coordinator
             await self._executor.announce_term()
         except StepFailedError as err:
-            log.warning("term not announced", extra=fields(reason=err))
+            log.warning("fencing term not accepted by a majority", extra=fields(reason=err))
         except TermSupersededError as err:
             coordinator.supersede(str(err))
             return self._publish(Verdict.UNDECIDED)
@@ -184,7 +184,9 @@
     def _record(self, record: JournalRecord) -> None:
         row = to_row(record)
         self._journal.append(row | {"at": round(time.time(), 3)})
-        log.info("decision recorded", extra=fields(**{name: row[name] for name in row if name != "plan"}))
+        log.info(
+            "rollout decision recorded", extra=fields(**{name: row[name] for name in row if name != "plan"})
+        )
 
     async def _step(self, step: ReplaceProcess) -> None:
         failure = ""
@@ -197,7 +199,7 @@
             self._coordinator.supersede(str(err))
             return
         except Exception as err:  # an unexpected error fails the step, but must not end the loop
-            log.exception("step failed")
+            log.exception("rollout step raised an exception")
             failure = f"{type(err).__name__}: {err}"
         self._analysis.expect_restart(step.router)
         self._stepping = None
--- a/magpieshift/rollout/state_folder.py
+++ b/magpieshift/rollout/state_folder.py
@@ -72,9 +72,9 @@
         try:
             request = Request(word)
         except ValueError:
-            log.warning("requested action not known", extra=fields(found=word[:MAX_SHOWN_LENGTH]))
+            log.warning("unknown rollout action requested", extra=fields(found=word[:MAX_SHOWN_LENGTH]))
             return None
-        log.info("action requested", extra=fields(action=word, reason=reason))
+        log.info("rollout action requested", extra=fields(action=word, reason=reason))
         return RequestedAction(request, reason)
 
     def write_status(self, status: Mapping[str, Any]) -> None:
@@ -104,7 +104,7 @@
                 if file.tell() < MAX_HISTORY_BYTES:
                     file.write(json.dumps(row, separators=(",", ":")) + "\n")
         except OSError as err:
-            log.warning("history not written", extra=fields(reason=err.strerror or err))
+            log.warning("rollout history not written", extra=fields(reason=err.strerror or err))
 
 
 def request_action(folder: Path, word: str, reason: str = "") -> None:
