--- a/magpieshift/rollout/canary_analysis.py
+++ b/magpieshift/rollout/canary_analysis.py
@@ -34,10 +34,10 @@
 assumed."""
 MIN_RATE_REQUESTS = 10
 """Minimum requests on the old side in a round for its success rate to be used."""
-SLOW_LEARNING = 0.05
+FALLING_RATE_WEIGHT = 0.05
 """Smoothing weight of a round below the usual rate. Smaller than that of a round above it, so that the usual
 rate follows good rounds."""
-FAST_LEARNING = 0.2
+RISING_RATE_WEIGHT = 0.2
 """Smoothing weight of a round at or above the usual rate."""
 
 
@@ -78,7 +78,7 @@
         for router, counters in answers.items():
             observation = self._routers.setdefault(router, RouterObservation(now_us))
             if counters is None:
-                self._record_silence(observation, now_us)
+                self._record_no_answer(observation, now_us)
             elif counters.label in (self._new, self._old):
                 delta = self._record_answer(observation, counters, now_us)
                 if delta is not None and delta.same_process:
@@ -90,7 +90,7 @@
             self._cpu.add(side, of_side)
         self._cpu.close_block(now_us)
 
-    def _record_silence(self, observation: RouterObservation, now_us: int) -> None:
+    def _record_no_answer(self, observation: RouterObservation, now_us: int) -> None:
         silent_us = now_us - observation.last_heard_us
         if observation.side and not observation.is_lost and silent_us >= UNREACHABLE_AFTER_US:
             observation.is_lost = True
@@ -133,11 +133,11 @@
                 requests_old += old[0]
                 served_old += old[1]
         if requests_old >= MIN_RATE_REQUESTS:
-            self._learn_rate(served_old / requests_old)
+            self._update_usual_rate(served_old / requests_old)
 
-    def _learn_rate(self, rate: float) -> None:
+    def _update_usual_rate(self, rate: float) -> None:
         self._recent_rate = rate
-        weight = SLOW_LEARNING if rate < self._usual_rate else FAST_LEARNING
+        weight = FALLING_RATE_WEIGHT if rate < self._usual_rate else RISING_RATE_WEIGHT
         self._usual_rate += weight * (rate - self._usual_rate) if self._usual_rate else rate
 
     # --- verdict
@@ -169,18 +169,18 @@
             losses_reason(new, old, new_routers, self._tolerances.false_positive_rate, now_us)
             or idle_reason(new, old)
             or self._rate_reason()
-            or self._cpu.worse_than(self._tolerances.cpu)
+            or self._cpu.worse_reason(self._tolerances.cpu)
             or self._memory_reason()
         )
 
-    def _error_rate(self) -> float:
+    def _class_error_rate(self) -> float:
         """Error rate allowed for each class, so that all classes together keep half of the plan's
         false-positive rate."""
         return self._tolerances.false_positive_rate / max(1, len(self.differences)) / 2
 
     def _rate_reason(self) -> str:
         for name, difference in sorted(self.differences.items()):
-            lowest, highest = difference.confidence_interval(self._error_rate())
+            lowest, highest = difference.confidence_interval(self._class_error_rate())
             if difference.requests_new >= MIN_REQUESTS and highest < -self._tolerances.success_rate:
                 rate_new = difference.served_new / difference.requests_new
                 rate_old = difference.served_old / difference.requests_old
@@ -200,7 +200,7 @@
         for name, difference in sorted(self.differences.items()):
             if difference.requests_new + difference.requests_old < RARE_CLASS_FRACTION * total:
                 continue
-            lowest, _ = difference.confidence_interval(self._error_rate())
+            lowest, _ = difference.confidence_interval(self._class_error_rate())
             if difference.requests_new < MIN_REQUESTS:
                 return f"{name}: {difference.requests_new} of {MIN_REQUESTS} needed requests on the new side"
             allowed = self._tolerances.success_rate / max(next_fraction, 1e-6)
@@ -239,7 +239,9 @@
             name: {
                 "new": [difference.served_new, difference.requests_new],
                 "old": [difference.served_old, difference.requests_old],
-                "between": [round(edge, 4) for edge in difference.confidence_interval(self._error_rate())],
+                "between": [
+                    round(edge, 4) for edge in difference.confidence_interval(self._class_error_rate())
+                ],
             }
             for name, difference in sorted(self.differences.items())
         }
--- a/magpieshift/rollout/coordinator.py
+++ b/magpieshift/rollout/coordinator.py
@@ -69,14 +69,14 @@
         """Verdict of the last tick."""
         self.waiting_reason = ""
         """Why no step is taken at present, shown to operators; empty if nothing is waited for."""
-        self._began_us = now_us
+        self._start_us = now_us
         # since when every router runs its target label; None while one does not
         self._complete_since_us: int | None = None
         # bake time of the stage so far, without periods of a common fault
         self._baked_us = 0
         self._last_tick_us = now_us
         # earliest time of the next attempt, by router
-        self._not_before_us: dict[str, int] = {}
+        self._next_attempt_us: dict[str, int] = {}
         # the step in flight
         self._step: ReplaceProcess | None = None
 
@@ -125,7 +125,8 @@
         return sorted(
             name
             for name, view in self.routers.items()
-            if now_us - (view.seen_us if view.seen_us is not None else self._began_us) >= UNREACHABLE_AFTER_US
+            if now_us - (view.last_answer_us if view.last_answer_us is not None else self._start_us)
+            >= UNREACHABLE_AFTER_US
         )
 
     # --- events
@@ -136,7 +137,7 @@
         if not labels:
             return
         view = self.routers[router]
-        view.seen_us = now_us
+        view.last_answer_us = now_us
         view.two_processes = len(labels) > 1
         view.label = next(iter(labels)) if len(labels) == 1 else view.label
 
@@ -154,11 +155,11 @@
             return [RecordDecision(done)]
         failed = StepFailed(step, router, label, failure, self.term)
         self.state.apply(failed)
-        self._not_before_us[router] = now_us + STEP_RETRY_DELAY_US
+        self._next_attempt_us[router] = now_us + STEP_RETRY_DELAY_US
         instructions: list[Instruction] = [RecordDecision(failed)]
         attempts = self.state.failed_attempts[router]
         if self.state.phase is RolloutPhase.ADVANCING and attempts >= MAX_STEP_ATTEMPTS:
-            instructions += self._stop_by_plan(
+            instructions += self._apply_on_failure(
                 f"{router}: replacing the process failed {attempts} times: {failure}"
             )
         return instructions
@@ -185,14 +186,14 @@
     def tick(self, now_us: int, verdict: Verdict, reason: str) -> list[Instruction]:
         """Decide what happens next. Called periodically, after ``record_labels`` for all routers, with the
         current verdict of the canary analysis and its reason."""
-        since_us = now_us - self._last_tick_us
+        elapsed_us = now_us - self._last_tick_us
         self._last_tick_us = now_us
         if self.is_over or self._step is not None:
             return []
         self.verdict = verdict
         instructions: list[Instruction] = []
         if self.state.phase is RolloutPhase.ADVANCING and verdict is Verdict.WORSE:
-            instructions += self._stop_by_plan(f"stage {self.stage.name}: {reason}")
+            instructions += self._apply_on_failure(f"stage {self.stage.name}: {reason}")
         if self.state.phase is RolloutPhase.HELD:
             self.waiting_reason = f"stopped: {self.state.reason}"
             return instructions
@@ -204,11 +205,11 @@
             return [*instructions, *step]
         if self.waiting_reason:
             return instructions
-        return instructions + self._bake(now_us, since_us, verdict, reason)
+        return instructions + self._bake(now_us, elapsed_us, verdict, reason)
 
     # --- decisions
 
-    def _stop_by_plan(self, reason: str) -> list[Instruction]:
+    def _apply_on_failure(self, reason: str) -> list[Instruction]:
         """Roll back or hold, as the plan says for a failure."""
         roll_back = self.plan.on_failure is OnFailure.ROLL_BACK
         return self._change_phase(RolloutPhase.ROLLING_BACK if roll_back else RolloutPhase.HELD, reason)
@@ -216,7 +217,7 @@
     def _change_phase(self, phase: RolloutPhase, reason: str) -> list[Instruction]:
         record = PhaseChanged(phase, reason, self.term)
         self.state.apply(record)
-        self._not_before_us.clear()
+        self._next_attempt_us.clear()
         self._complete_since_us = None
         return [RecordDecision(record)]
 
@@ -236,7 +237,7 @@
         if verdict is Verdict.COMMON_FAULT and self.state.phase is RolloutPhase.ADVANCING:
             self.waiting_reason = "a common fault affects the old and the new side"
             return None
-        ready = [name for name in candidates if now_us >= self._not_before_us.get(name, 0)]
+        ready = [name for name in candidates if now_us >= self._next_attempt_us.get(name, 0)]
         if not ready:
             self.waiting_reason = f"{candidates[0]}: waiting to retry a failed step"
             return None
@@ -255,7 +256,7 @@
         candidates: list[str] = []
         for name in (*targets, *others):
             view = self.routers[name]
-            if view.seen_us is None and name not in unreachable:
+            if view.last_answer_us is None and name not in unreachable:
                 self.waiting_reason = f"{name} has not answered yet"
             elif name not in unreachable and (view.two_processes or view.label != self.target_label(name)):
                 candidates.append(name)
@@ -265,7 +266,7 @@
             self.waiting_reason = f"unreachable: {', '.join(missing)}"
         return candidates
 
-    def _bake(self, now_us: int, since_us: int, verdict: Verdict, reason: str) -> list[Instruction]:
+    def _bake(self, now_us: int, elapsed_us: int, verdict: Verdict, reason: str) -> list[Instruction]:
         """Called when every router runs its target label: count the bake time, and end, pass or hold the
         stage if its time and the verdict allow."""
         if self.state.phase is RolloutPhase.ROLLING_BACK:
@@ -274,7 +275,7 @@
             self._complete_since_us = now_us
             self._baked_us = 0
         elif verdict is not Verdict.COMMON_FAULT:  # during a common fault the sides cannot be compared
-            self._baked_us += since_us
+            self._baked_us += elapsed_us
         stage = self.stage
         if self._baked_us < stage.bake_s * 1e6:
             self.waiting_reason = f"stage {stage.name}: within the minimum bake time"
--- a/magpieshift/rollout/cpu_comparison.py
+++ b/magpieshift/rollout/cpu_comparison.py
@@ -40,7 +40,7 @@
         self._new = new
         self._old = old
         self._block = {new: _BlockSums(), old: _BlockSums()}
-        self._block_began_us = now_us
+        self._block_start_us = now_us
 
     def add(self, side: str, deltas: Iterable[CounterDelta]) -> None:
         """Add the counters of a side's processes since the previous round."""
@@ -51,7 +51,7 @@
 
     def close_block(self, now_us: int) -> None:
         """Close the current block if it has lasted ``BLOCK_US``, and start the next one."""
-        if now_us - self._block_began_us < BLOCK_US:
+        if now_us - self._block_start_us < BLOCK_US:
             return
         new = self._block[self._new]
         old = self._block[self._old]
@@ -59,14 +59,14 @@
             self.ratios.append((new.cpu_us / new.requests) / (old.cpu_us / old.requests))
             del self.ratios[:-MAX_SAMPLES]
         self._block = {self._new: _BlockSums(), self._old: _BlockSums()}
-        self._block_began_us = now_us
+        self._block_start_us = now_us
 
     @property
     def mean(self) -> float | None:
         """Mean ratio over the blocks; None before the first one."""
         return sum(self.ratios) / len(self.ratios) if self.ratios else None
 
-    def worse_than(self, tolerance: float) -> str:
+    def worse_reason(self, tolerance: float) -> str:
         """Reason if the new side significantly exceeds ``1 + tolerance`` times the old side's processor time
         per request; else empty."""
         ratios = self.ratios
--- a/magpieshift/rollout/executor.py
+++ b/magpieshift/rollout/executor.py
@@ -32,7 +32,7 @@
 """Lifecycle state of a process that takes requests."""
 SUPERSEDED_MARK = " is over, the latest is "
 """Part of the rejection by a router that knows a later term, see ``extensions.fencing``."""
-MAX_SHOWN_REFUSALS = 3
+MAX_SHOWN_ROUTERS = 3
 """Maximum number of routers whose answers an error shows; the log has all rejections."""
 
 StartProcess = Callable[[RouterPlace, Address, Build, int], Awaitable[None]]
@@ -78,7 +78,7 @@
     """Addresses at which no process listens."""
 
 
-def _routers_text(answers: dict[str, list[AdminAnswer]]) -> str:
+def _failed_answers_text(answers: dict[str, list[AdminAnswer]]) -> str:
     """Answers of the routers at which no process succeeded, for an error message; empty if there are none."""
     shown = [
         f"{name} {answer}"
@@ -86,8 +86,8 @@
         if not any(answer.succeeded for answer in all_answers)
         for answer in all_answers[:1]
     ]
-    more = f" and {len(shown) - MAX_SHOWN_REFUSALS} more" if len(shown) > MAX_SHOWN_REFUSALS else ""
-    return "; ".join(shown[:MAX_SHOWN_REFUSALS]) + more
+    more = f" and {len(shown) - MAX_SHOWN_ROUTERS} more" if len(shown) > MAX_SHOWN_ROUTERS else ""
+    return "; ".join(shown[:MAX_SHOWN_ROUTERS]) + more
 
 
 class Executor:
@@ -132,14 +132,14 @@
         ``TermUnknownError`` if fewer than a majority report their term."""
         answers = await self._ask_all_routers("TERM")
         terms = {
-            name: max(int(answer.text) for answer in told)
+            name: max(int(answer.text) for answer in reported)
             for name, all_answers in answers.items()
-            if (told := [a for a in all_answers if a.succeeded and a.text.isdecimal()])
+            if (reported := [a for a in all_answers if a.succeeded and a.text.isdecimal()])
         }
         if not self._is_majority(len(terms)):
             raise TermUnknownError(
                 f"{len(terms)} of {len(answers)} routers reported their term, expected more than half: "
-                + _routers_text(answers)
+                + _failed_answers_text(answers)
             )
         return max(terms.values())
 
@@ -149,11 +149,11 @@
         ``TermSupersededError`` if a router knows a later term, ``StepFailedError`` if fewer than a majority
         accept."""
         answers = await self._ask_all_routers(f"AS {self._term} PING")
-        taken = sum(any(answer.succeeded for answer in each) for each in answers.values())
-        if not self._is_majority(taken):
+        accepted = sum(any(answer.succeeded for answer in each) for each in answers.values())
+        if not self._is_majority(accepted):
             raise StepFailedError(
-                f"{taken} of {len(answers)} routers accepted term {self._term}, expected more than half: "
-                + _routers_text(answers)
+                f"{accepted} of {len(answers)} routers accepted term {self._term}, expected more than half: "
+                + _failed_answers_text(answers)
             )
 
     def _is_majority(self, count: int) -> bool:
--- a/magpieshift/rollout/journal.py
+++ b/magpieshift/rollout/journal.py
@@ -29,15 +29,15 @@
 JOURNAL_FILE = "rollout.log"
 LOCK_FILE = "rollout.lock"
 JOURNAL_HEADER = b"magpieshift rollout 1\n"
-MARK = b"\xabMR\x01"
+RECORD_MARK = b"\xabMR\x01"
 """First bytes of each record; ASCII JSON never contains the first of them."""
-CLOSED = -1
+CLOSED_DESCRIPTOR = -1
 """Value of a file descriptor that is not open."""
 
 
 def encode_row(row: Mapping[str, Any]) -> bytes:
     """Encode one record as bytes."""
-    return encode_record(MARK, json.dumps(row, separators=(",", ":")).encode())
+    return encode_record(RECORD_MARK, json.dumps(row, separators=(",", ":")).encode())
 
 
 def parse_journal(data: bytes) -> tuple[list[dict[str, Any]], int]:
@@ -51,11 +51,13 @@
         raise JournalError(f"{JOURNAL_FILE} begins with {data[:12]!r}, expected {JOURNAL_HEADER!r}")
     rows: list[dict[str, Any]] = []
     end = len(JOURNAL_HEADER)
-    while data[end : end + len(MARK)] == MARK and (payload := payload_at(data, end)) is not None:
+    while (
+        data[end : end + len(RECORD_MARK)] == RECORD_MARK and (payload := payload_at(data, end)) is not None
+    ):
         rows.append(json.loads(payload))
         end += RECORD_HEADER.size + len(payload)
     later = end + 1
-    while (later := data.find(MARK, later)) >= 0:
+    while (later := data.find(RECORD_MARK, later)) >= 0:
         if payload_at(data, later) is not None:
             raise JournalError(
                 f"{JOURNAL_FILE} is damaged at byte {end}, but has a valid record at byte {later}"
@@ -82,8 +84,8 @@
         self.rows: list[dict[str, Any]] = []
         """All records in their form on disk."""
         self._folder = Path(folder)
-        self._file = CLOSED
-        self._lock = CLOSED
+        self._file = CLOSED_DESCRIPTOR
+        self._lock = CLOSED_DESCRIPTOR
         # length in bytes of the file's valid part
         self._size = 0
         try:
@@ -126,7 +128,7 @@
     def close(self) -> None:
         """Close the files and release the folder's lock."""
         for descriptor in (self._file, self._lock):
-            if descriptor != CLOSED:
+            if descriptor != CLOSED_DESCRIPTOR:
                 os.close(descriptor)
-        self._file = CLOSED
-        self._lock = CLOSED
+        self._file = CLOSED_DESCRIPTOR
+        self._lock = CLOSED_DESCRIPTOR
--- a/magpieshift/rollout/plan_form.py
+++ b/magpieshift/rollout/plan_form.py
@@ -18,14 +18,14 @@
 PLACEHOLDERS = ("name", "label", "term", "console")
 """Names that a start command may contain in braces."""
 
-Word = Annotated[str, Field(pattern=r"^[!-~]{1,64}$")]
-Share = Annotated[float, Field(gt=0, le=1)]
+Identifier = Annotated[str, Field(pattern=r"^[!-~]{1,64}$")]
+Fraction = Annotated[float, Field(gt=0, le=1)]
 
 
-class SideForm(Form):
+class BuildForm(Form):
     """One build: its label and the command that starts one of its processes."""
 
-    label: Word
+    label: Identifier
     start: Annotated[str, Field(min_length=1, max_length=4096)]
 
 
@@ -33,20 +33,20 @@
     """One router: its two admin addresses and its zone."""
 
     doors: Annotated[list[str], Field(min_length=2, max_length=2)]
-    zone: Word = "-"
+    zone: Identifier = "-"
 
 
 class StageForm(Form):
     """One stage: how many routers run the new build, in which zone, and the minimum and maximum bake time."""
 
-    share: Share | None = None
+    share: Fraction | None = None
     routers: Annotated[int, Field(ge=1)] | None = None
-    zone: Word | None = None
+    zone: Identifier | None = None
     soak_s: Seconds = 60.0
     most_s: Annotated[float, Field(gt=0, le=86_400)] = 1_800.0
 
 
-class WorseForm(Form):
+class TolerancesForm(Form):
     """How much worse than the old side the new side may be."""
 
     served: Annotated[float, Field(gt=0, lt=1)] = 0.01
@@ -58,12 +58,12 @@
 class PlanForm(Form):
     """The entries of a plan file."""
 
-    name: Word
-    new: SideForm
-    old: SideForm
-    routers: Annotated[dict[Word, RouterForm], Field(min_length=2, max_length=MAX_ROUTERS)]
-    stages: Annotated[dict[Word, StageForm], Field(min_length=1, max_length=MAX_STAGES)]
-    worse_by: WorseForm = WorseForm()
+    name: Identifier
+    new: BuildForm
+    old: BuildForm
+    routers: Annotated[dict[Identifier, RouterForm], Field(min_length=2, max_length=MAX_ROUTERS)]
+    stages: Annotated[dict[Identifier, StageForm], Field(min_length=1, max_length=MAX_STAGES)]
+    worse_by: TolerancesForm = TolerancesForm()
     most_away: Annotated[int, Field(ge=1)] = 1
     step_s: Annotated[float, Field(gt=0, le=3_600)] = 30.0
     on_stop: Literal["back", "hold"] = "back"
--- a/magpieshift/rollout/plan_reader.py
+++ b/magpieshift/rollout/plan_reader.py
@@ -14,7 +14,7 @@
 from magpieshift.control.errors import Problem, UnusableDocumentError
 from magpieshift.control.validation import Lines, nearest_line, validate_form
 from magpieshift.rollout.plan import Build, OnFailure, Plan, RouterPlace, Stage, Tolerances
-from magpieshift.rollout.plan_form import PLACEHOLDERS, PLAN_HEAD, PlanForm, SideForm, StageForm
+from magpieshift.rollout.plan_form import PLACEHOLDERS, PLAN_HEAD, BuildForm, PlanForm, StageForm
 
 
 def load_plan(data: Mapping[str, Any], lines: Lines | None = None) -> Plan:
@@ -29,7 +29,7 @@
     checker.check_builds()
     stages = checker.stages()
     if form.most_away >= len(form.routers):
-        checker.report(
+        checker.add_problem(
             ("most-away",), form.most_away, f"fewer than the {len(form.routers)} routers of the plan"
         )
     if checker.problems:
@@ -69,7 +69,7 @@
         self._lines = lines
         self._zones = {name: row.zone for name, row in form.routers.items()}
 
-    def report(self, path: tuple[str, ...], found: object, expected: str) -> None:
+    def add_problem(self, path: tuple[str, ...], found: object, expected: str) -> None:
         """Add a problem with an entry. Its line is that of the nearest enclosing entry with a known line, the
         entry itself included."""
         line = nearest_line(path, self._lines)
@@ -92,28 +92,28 @@
             try:
                 found = parse_address(text, "doors")
             except ConfigError:
-                self.report(path, text, "two addresses as host:port")
+                self.add_problem(path, text, "two addresses as host:port")
                 continue
             addresses.append(found)
             owner = owners.setdefault(found, name)
             if owner != name or addresses.count(found) > 1:
-                self.report(path, text, f"an address not yet used by {owner}")
+                self.add_problem(path, text, f"an address not yet used by {owner}")
         return addresses
 
     def check_builds(self) -> None:
         """Check that the labels differ and that the start commands use only known placeholders."""
         form = self._form
         if form.new.label == form.old.label:
-            self.report(("new", "label"), form.new.label, "a label other than that of the old build")
+            self.add_problem(("new", "label"), form.new.label, "a label other than that of the old build")
         self._check_command("new", form.new)
         self._check_command("old", form.old)
 
-    def _check_command(self, side: str, build: SideForm) -> None:
+    def _check_command(self, side: str, build: BuildForm) -> None:
         try:
             build.start.format(**dict.fromkeys(PLACEHOLDERS, "x"))
         except (KeyError, IndexError, ValueError):
             expected = "only " + ", ".join(f"{{{placeholder}}}" for placeholder in PLACEHOLDERS)
-            self.report((side, "start"), build.start, f"{expected} as placeholders")
+            self.add_problem((side, "start"), build.start, f"{expected} as placeholders")
 
     def stages(self) -> tuple[Stage, ...]:
         """The stages in order; each must add routers to those of the stages before it."""
@@ -129,7 +129,9 @@
             missing = max(0, count - sum(router in targets for router in eligible))
             targets += [router for router in eligible if router not in targets][:missing]
             if len(targets) == before:
-                self.report(("stages", name), f"{count} routers", "more routers than in the stages before it")
+                self.add_problem(
+                    ("stages", name), f"{count} routers", "more routers than in the stages before it"
+                )
             stages.append(Stage(name, tuple(targets), form.soak_s, form.most_s))
         return tuple(stages)
 
@@ -143,15 +145,15 @@
         path = ("stages", name)
         if (form.share is None) == (form.routers is None):
             found = "both share and routers" if form.share else "neither share nor routers"
-            self.report(path, found, "either share or routers")
+            self.add_problem(path, found, "either share or routers")
             return None
         zones = set(self._zones.values())
         if form.zone is not None and form.zone not in zones:
-            self.report((*path, "zone"), form.zone, "one of " + ", ".join(sorted(zones)))
+            self.add_problem((*path, "zone"), form.zone, "one of " + ", ".join(sorted(zones)))
             return None
         count = form.routers if form.routers is not None else math.ceil((form.share or 0) * len(eligible))
         if count > len(eligible):
-            self.report((*path, "routers"), count, f"at most the {len(eligible)} eligible routers")
+            self.add_problem((*path, "routers"), count, f"at most the {len(eligible)} eligible routers")
             return None
         return count
 
--- a/magpieshift/rollout/rollout_state.py
+++ b/magpieshift/rollout/rollout_state.py
@@ -74,7 +74,7 @@
     """Label of the build that the router ran when last observed with one label; empty before that."""
     two_processes: bool = False
     """Whether processes of two builds ran when the router last answered, one replacing the other."""
-    seen_us: int | None = None
+    last_answer_us: int | None = None
     """Time of the last answer, in microseconds; None if there was none."""
 
 
--- a/magpieshift/rollout/runner.py
+++ b/magpieshift/rollout/runner.py
@@ -24,7 +24,7 @@
 
 log = logging.getLogger(__name__)
 
-ROUND_S = 1.0
+ROUND_INTERVAL_S = 1.0
 """Interval between two rounds of observations: an admin server answers within one second."""
 
 
@@ -66,7 +66,7 @@
             coordinator = Coordinator(self._plan, term, _now_us(), from_rows(journal.rows))
             run = _Run(coordinator, executor, journal, self._folder, self._on_status)
             try:
-                return await run.to_end(self._roll_back)
+                return await run.run_to_end(self._roll_back)
             finally:
                 await run.stop()
         finally:
@@ -97,9 +97,9 @@
         self._on_status = on_status
         # replaced at the start of each stage
         self._analysis = self._new_analysis()
-        self._stepping: asyncio.Task[None] | None = None
+        self._step_task: asyncio.Task[None] | None = None
 
-    async def to_end(self, roll_back: bool) -> Mapping[str, Any]:
+    async def run_to_end(self, roll_back: bool) -> Mapping[str, Any]:
         """Run until the rollout is over, held or superseded; returns the last status."""
         coordinator = self._coordinator
         try:
@@ -116,16 +116,16 @@
         while not coordinator.is_over:
             began_s = time.monotonic()
             await self._round()
-            if coordinator.state.phase is RolloutPhase.HELD and self._stepping is None:
+            if coordinator.state.phase is RolloutPhase.HELD and self._step_task is None:
                 break
-            await asyncio.sleep(max(0.0, ROUND_S - (time.monotonic() - began_s)))
+            await asyncio.sleep(max(0.0, ROUND_INTERVAL_S - (time.monotonic() - began_s)))
         return self._publish(coordinator.verdict)
 
     async def stop(self) -> None:
         """Cancel the step in flight."""
-        if self._stepping is not None:
-            self._stepping.cancel()
-            await asyncio.wait([self._stepping])
+        if self._step_task is not None:
+            self._step_task.cancel()
+            await asyncio.wait([self._step_task])
 
     def _new_analysis(self) -> CanaryAnalysis:
         plan = self._plan
@@ -179,7 +179,7 @@
                     self._analysis = self._new_analysis()
                 case ReplaceProcess():
                     self._analysis.expect_restart(instruction.router)
-                    self._stepping = asyncio.ensure_future(self._step(instruction))
+                    self._step_task = asyncio.ensure_future(self._step(instruction))
 
     def _record(self, record: JournalRecord) -> None:
         row = to_row(record)
@@ -195,14 +195,14 @@
         except StepFailedError as err:
             failure = str(err)
         except TermSupersededError as err:
-            self._stepping = None
+            self._step_task = None
             self._coordinator.supersede(str(err))
             return
         except Exception as err:  # an unexpected error fails the step, but must not end the loop
             log.exception("rollout step raised an exception")
             failure = f"{type(err).__name__}: {err}"
         self._analysis.expect_restart(step.router)
-        self._stepping = None
+        self._step_task = None
         try:
             await self._execute(self._coordinator.step_finished(_now_us(), step.step, failure))
         except JournalError as err:
--- a/magpieshift/rollout/weighted_difference.py
+++ b/magpieshift/rollout/weighted_difference.py
@@ -37,15 +37,15 @@
     bias the sum.
     """
 
-    total: float = 0.0
+    weighted_sum: float = 0.0
     """Sum of the weighted differences."""
-    weight: float = 0.0
-    """Sum of the weights, which is also the variance of the total if requests fail independently."""
-    squares: float = 0.0
+    weight_sum: float = 0.0
+    """Sum of the weights, which is also the variance of ``weighted_sum`` if requests fail independently."""
+    weighted_square_sum: float = 0.0
     """Sum of the squared weighted differences."""
-    crossed: float = 0.0
+    weight_product_sum: float = 0.0
     """Sum of the weighted differences times their weights."""
-    weights: float = 0.0
+    weight_square_sum: float = 0.0
     """Sum of the squared weights."""
     requests_new: int = 0
     """Requests on the new side."""
@@ -76,22 +76,26 @@
             return
         weight = requests_new * requests_old / (requests_new + requests_old) / variance
         weighted = weight * (served_new / requests_new - served_old / requests_old)
-        self.total += weighted
-        self.weight += weight
-        self.squares += weighted * weighted
-        self.crossed += weight * weighted
-        self.weights += weight * weight
+        self.weighted_sum += weighted
+        self.weight_sum += weight
+        self.weighted_square_sum += weighted * weighted
+        self.weight_product_sum += weight * weighted
+        self.weight_square_sum += weight * weight
 
     def confidence_interval(self, error_rate: float) -> tuple[float, float]:
         """Lower and upper bound of the difference of the rates (new minus old). With probability
         1 - ``error_rate`` the intervals of all rounds contain the true difference."""
-        if not self.weight:
+        if not self.weight_sum:
             return -1.0, 1.0
-        mean = self.total / self.weight
-        observed = self.squares - 2 * mean * self.crossed + mean * mean * self.weights
-        variance = max(self.weight, observed)
-        mixture = MIXTURE_WEIGHT * variance / self.weight
+        mean = self.weighted_sum / self.weight_sum
+        observed = (
+            self.weighted_square_sum
+            - 2 * mean * self.weight_product_sum
+            + mean * mean * self.weight_square_sum
+        )
+        variance = max(self.weight_sum, observed)
+        mixture = MIXTURE_WEIGHT * variance / self.weight_sum
         radius = math.sqrt(
             (variance + mixture) * math.log((variance + mixture) / (mixture * error_rate * error_rate))
         )
-        return mean - radius / self.weight, mean + radius / self.weight
+        return mean - radius / self.weight_sum, mean + radius / self.weight_sum
