--- a/magpieshift/rollout/coordinator.py
+++ b/magpieshift/rollout/coordinator.py
@@ -37,7 +37,8 @@
 STEP_RETRY_DELAY_US = 5_000_000
 """Delay before a failed step is retried: longer than the start of a process."""
 MAX_STEP_ATTEMPTS = 3
-"""Maximum failed attempts to change one router while advancing. While rolling back there is no limit."""
+"""Failed attempts to change one router after which an advancing rollout stops; a rollback retries without
+limit."""
 
 
 class Coordinator:
@@ -70,7 +71,7 @@
         self.waiting_reason = ""
         """Why no step is taken at present, shown to operators; empty if nothing is waited for."""
         self._start_us = now_us
-        # since when every router runs its target label; None while one does not
+        # since when no router of the stage needs a change; None while one does
         self._complete_since_us: int | None = None
         # bake time of the stage so far, without periods of a common fault
         self._baked_us = 0
@@ -267,8 +268,8 @@
         return candidates
 
     def _bake(self, now_us: int, elapsed_us: int, verdict: Verdict, reason: str) -> list[Instruction]:
-        """Called when every router runs its target label: count the bake time, and end, pass or hold the
-        stage if its time and the verdict allow."""
+        """Called when no router needs a change: end a rollback, or count the bake time and pass or hold the
+        stage, depending on that time and the verdict."""
         if self.state.phase is RolloutPhase.ROLLING_BACK:
             return self._end(f"rolled back: {self.state.reason}")
         if self._complete_since_us is None:
--- a/tests/rollout/pieces.py
+++ b/tests/rollout/pieces.py
@@ -1,4 +1,4 @@
-"""What tests of rollouts share: a plan, and a coordinator at a bench."""
+"""Shared by the rollout tests: a plan, and a harness that runs a coordinator on simulated routers."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Bench:
-    """A coordinator, routers that do what its steps ask for, and a journal in memory."""
+    """Runs a coordinator with a journal in memory and simulated routers that carry out its steps."""
 
     def __init__(self, wanted: Plan) -> None:
         self.plan, self.now, self.term = wanted, 0, 0
@@ -46,13 +46,13 @@
         self.dark: set[str] = set()
         self.fails: set[str] = set()
         self.pending: list[ReplaceProcess] = []
-        self.writes_left = 1 << 30  # then it is killed
+        self.writes_left = 1 << 30  # records until the coordinator is killed
         self.most_away = 0
         self.fences = dict.fromkeys(wanted.routers, 0)
-        self.acts: list[int] = []  # terms, in the order in which they changed anything
+        self.acts: list[int] = []  # the term of each change to a router, in order
 
     def hold(self, term: int) -> str:
-        """As the executor does before each step."""
+        """Announce a term to the reachable routers, as the executor does before each step."""
         here = [name for name in self.fences if name not in self.dark]
         if any(self.fences[name] > term for name in here):
             return "over"
@@ -61,12 +61,12 @@
         return "" if 2 * len(here) > len(self.fences) else "too few answer"
 
     def carry_out(self, coordinator: Coordinator, step: ReplaceProcess) -> list[Instruction]:
-        """One step, in its coordinator's term."""
+        """Carry out one step under its coordinator's term, and report the outcome to the coordinator."""
         held = self.hold(coordinator.term)
         if held == "over":
             coordinator.supersede("over")
             return []
-        failed = held or ("drawn" if step.router in self.fails | self.dark else "")
+        failed = held or ("step failed" if step.router in self.fails | self.dark else "")
         if not failed:
             self.labels[step.router] = step.label
             self.acts.append(coordinator.term)
@@ -80,7 +80,8 @@
         self.do(self.coordinator.begin())
 
     def do(self, actions: list[Instruction]) -> bool:
-        """False once it is killed: right before a record is kept."""
+        """Carry out instructions; False if the coordinator is killed, which happens right before a record is
+        written."""
         for action in actions:
             if isinstance(action, RecordDecision):
                 if self.writes_left <= 0:
@@ -94,7 +95,8 @@
         return True
 
     def step(self, verdict: Verdict = Verdict.NO_WORSE, why: str = "") -> bool:
-        """A second, in which a step that is pending is carried out."""
+        """Simulate one second: observe the routers, carry out pending steps and call ``tick``. False if the
+        coordinator is killed."""
         self.now += SECOND
         for name, label in self.labels.items():
             self.coordinator.record_labels(
@@ -111,6 +113,6 @@
         for _ in range(most):
             if self.coordinator.is_over or self.coordinator.state.phase == RolloutPhase.HELD:
                 return True
-            if not self.step(verdict, "told to"):
+            if not self.step(verdict, "test verdict"):
                 return False
-        raise AssertionError(f"no end: {self.coordinator.waiting_reason}")
+        raise AssertionError(f"the rollout did not end within {most} s: {self.coordinator.waiting_reason}")
--- a/tests/rollout/test_canary_analysis.py
+++ b/tests/rollout/test_canary_analysis.py
@@ -1,4 +1,4 @@
-"""Two sides compared: rates, processor time, memory, and processes that go away."""
+"""The canary analysis: success rates, processor time, memory and lost processes of two sides."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class CanaryAnalysisTest(unittest.TestCase):
-    """Two routers of each side, a look a second."""
+    """Two routers on each side, observed once a second."""
 
     def setUp(self) -> None:
         zones = dict.fromkeys(("n0", "n1", "o0", "o1"), "a")
@@ -88,7 +88,7 @@
 
     def test_one_lost_process_may_be_chance_two_are_not_and_a_side_without_any_is_waited_for(self) -> None:
         self.looks(40, 0.97, 0.97)
-        self.lives["n0"] = "2"  # began anew by itself
+        self.lives["n0"] = "2"  # restarted by itself
         self.assertNotEqual(self.looks(1, 0.97, 0.97), Verdict.WORSE)
         for life in "3456789abc":
             self.lives["n0"] = life
@@ -118,8 +118,8 @@
                 parse_counters(odd)
 
     def test_looking_all_the_time_does_not_make_it_lie(self) -> None:
-        """Equal sides, looked at after each of 400 moments: of 300 such runs few ever exclude no
-        difference."""
+        """Equal sides whose interval is evaluated after each of 400 rounds: at most 5% of 300 such runs may
+        ever exclude a difference of 0."""
         wrong = 0
         for seed in range(300):
             rand, sums = random.Random(seed), WeightedDifference()
--- a/tests/rollout/test_coordinator.py
+++ b/tests/rollout/test_coordinator.py
@@ -1,4 +1,4 @@
-"""A coordinator: its stages, its end after a kill at any record, and all short histories of two."""
+"""The coordinator: its stages, a kill before any record, and all short histories with two coordinators."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         self.bench.start()
         self.bench.run(Verdict.UNDECIDED)
         self.assertEqual(replay(self.bench.records).phase, RolloutPhase.HELD)
-        self.bench.start()  # who resumes it has decided
+        self.bench.start()  # resuming a held rollout lets it advance
         self.assertEqual(self.bench.coordinator.state.phase, RolloutPhase.ADVANCING)
 
     def test_killed_before_any_record_and_resumed_it_comes_to_the_same_end(self) -> None:
@@ -73,7 +73,7 @@
         self.bench.dark = set()
         self.bench.run()
         self.assertEqual(set(self.bench.labels.values()), {"v7"})
-        self.bench.labels[first] = "v6"  # it died, and was started as it once was
+        self.bench.labels[first] = "v6"  # its process crashed and was restarted with the old build
         self.bench.start()
         self.assertTrue(self.bench.coordinator.is_over)
 
@@ -109,7 +109,8 @@
 
 
 class Explored(unittest.TestCase):
-    """All histories of two coordinators and three routers to a depth: crashes, lost answers, silence."""
+    """All histories of five events with three routers and concurrent coordinators: crashes, takeovers, an
+    unreachable router, older coordinators that resume."""
 
     def test_never_two_terms_act_never_too_many_away_and_always_an_end(self) -> None:
         small = a_plan(
@@ -126,7 +127,8 @@
                 match event:
                     case "crash":
                         bench.start()
-                    case "second":  # another takes over while the first one stands still with a step in hand
+                    case "second":
+                        # another coordinator takes over while the first is paused with a step in flight
                         older.append((bench.coordinator, bench.pending))
                         bench.start()
                     case "dark":
@@ -145,7 +147,9 @@
                 seen.add(
                     (event, state.phase, state.stage_index, tuple(sorted(bench.labels.items())), bool(older))
                 )
-                self.assertEqual(bench.acts, sorted(bench.acts), "a term acted after a later one had")
+                self.assertEqual(
+                    bench.acts, sorted(bench.acts), "an older term changed a router after a later term had"
+                )
                 self.assertLessEqual(bench.most_away, small.max_unreachable + len(bench.dark))
             bench.dark = set()
             bench.run()
--- a/tests/rollout/test_executor.py
+++ b/tests/rollout/test_executor.py
@@ -1,4 +1,4 @@
-"""How the executor speaks to routers in one term's name."""
+"""The executor: admin commands under a fencing term and the replacement of processes."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 ROUTERS = 3
 SERVERS_PER_ROUTER = 2
 STEP_S = 1.0
-"""The time of a step, in seconds; the least that a plan allows."""
+"""Step time-out in seconds, short so that tests of a late process are fast."""
 
 
 def figures_line(label: str, state: str) -> str:
-    """An answer to FIGURES of a process of this label and state."""
+    """Answer to FIGURES of a process with this label and state."""
     row = {"label": label, "incarnation": "1", "state": state, "up_us": 1, "classes": {}}
     return f"OK {json.dumps(row)}"
 
 
 class AnnounceTerm(unittest.IsolatedAsyncioTestCase):
     async def announced(self, answer: str) -> None:
-        """Announce a term to routers that all give this answer."""
+        """Announce a term to routers that all return this answer."""
         servers = []
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -50,28 +50,29 @@
         await self.announced("OK serving")
 
     async def test_routers_that_cannot_keep_the_term_are_not_counted(self) -> None:
-        """A router whose folder is full forgets the term at once: an older coordinator would be obeyed there,
-        so that two could change the fleet. It must not count among those that go by the term."""
+        """A router that cannot store the term, for example on a full disk, would still obey an older
+        coordinator, so that two coordinators could change the fleet. It must not count towards the
+        majority."""
         with self.assertRaises(StepFailedError):
             await self.announced("ERR AS not now: the term cannot be kept: No space left on device")
 
 
 class ScriptedRouters:
-    """Routers whose admin servers answer each command from a table; an address without one is closed."""
+    """Routers whose admin servers answer each command from a table; an address without a table is closed."""
 
     def __init__(self) -> None:
         self.commands: list[tuple[str, str]] = []
-        """Each command that came: the router, and the line."""
+        """Each command received: the router and the line."""
         self.started: list[str] = []
-        """The routers where a process was started."""
+        """Routers at which a process was started."""
         self._servers: list[asyncio.Server] = []
 
     async def open(self, answers: dict[str, list[dict[str, str] | None]]) -> Plan:
-        """A plan of these routers; each admin address has its answers by command, None where it is closed."""
+        """Start the admin servers and return a plan for these routers. Each admin address has a table of
+        answers by command, or None if it is closed."""
         doors: dict[str, list[str]] = {name: [] for name in answers}
-        closed_ports = iter(
-            free_ports(SERVERS_PER_ROUTER * len(answers))
-        )  # of one call, so that none is twice
+        # reserved in one call, so that no port occurs twice
+        closed_ports = iter(free_ports(SERVERS_PER_ROUTER * len(answers)))
         for name, addresses in answers.items():
             for table in [*addresses, None][:SERVERS_PER_ROUTER]:
                 port = next(closed_ports) if table is None else await self._listen(name, table)
@@ -99,7 +100,8 @@
 
 
 class RefusedCommands(unittest.IsolatedAsyncioTestCase):
-    """An answer counts by its status: a refusal is no consent, and an address that answers is occupied."""
+    """An answer is judged by its status: a rejected command has not been carried out, and an address that
+    answers is in use."""
 
     def setUp(self) -> None:
         self.routers = ScriptedRouters()
@@ -110,7 +112,7 @@
         return Executor(await self.routers.open(answers | others), 5, self.routers.start)
 
     async def test_an_address_that_refuses_to_tell_its_counters_is_not_taken_for_a_free_one(self) -> None:
-        """Guards against a second process started beside one that answers ERR to FIGURES."""
+        """Guards against starting a second process beside one that answers ERR to FIGURES."""
         table = {"FIGURES": "ERR FIGURES not now: starting", "PING": "OK serving"}
         cases: list[list[dict[str, str] | None]] = [[table, table], [table, None], [None, table]]
         for addresses in cases:
@@ -121,7 +123,7 @@
                 self.assertEqual(self.routers.started, [])
 
     async def test_an_address_that_stays_silent_is_not_taken_for_a_free_one(self) -> None:
-        """Guards against a process started at the address of one that hangs."""
+        """Guards against starting a process at the admin address of one that hangs."""
         old = figures_line("old", "serving")
         executor = await self.executor({"r0": [{"FIGURES": old, "PING": "OK serving"}, {}]})
         with self.assertRaisesRegex(StepFailedError, "all admin addresses are in use"):
@@ -129,7 +131,7 @@
         self.assertEqual(self.routers.started, [])
 
     async def test_an_end_that_is_refused_fails_the_step_at_once_with_the_reason(self) -> None:
-        """Guards against a refused END asked again until the step's time is over, and told as a late end."""
+        """Guards against repeating a rejected END until the step time-out and reporting it as a late end."""
         reason = "AS not now: the term cannot be kept: No space left on device"
         old = {"FIGURES": figures_line("old", "serving"), "PING": "OK serving", "END": f"ERR {reason}"}
         new = {"FIGURES": figures_line("new", "serving"), "PING": "OK serving"}
@@ -143,7 +145,7 @@
         self.assertEqual(logged.records[0].getMessage(), "admin command refused")
 
     async def test_a_process_that_hangs_has_not_ended(self) -> None:
-        """Guards against a silent process taken for one that has ended."""
+        """Guards against treating a process that does not answer as ended."""
         old = {"FIGURES": figures_line("old", "serving"), "PING": "OK serving"}
         new = {"FIGURES": figures_line("new", "serving"), "PING": "OK serving"}
         executor = await self.executor({"r0": [old, new]})
@@ -151,7 +153,7 @@
             await executor.replace_process("r0", "new")
 
     async def test_a_term_that_is_refused_is_not_taken_for_none(self) -> None:
-        """Guards against a coordinator that begins at or below a term which routers hold but cannot tell."""
+        """Guards against a coordinator that starts at or below a term that routers hold but cannot report."""
         refused = {"TERM": "ERR TERM not now: the term cannot be read: Input/output error"}
         executor = await self.executor({"r0": [refused], "r1": [refused], "r2": [{"TERM": "OK 4"}]})
         with self.assertRaisesRegex(TermUnknownError, "1 of 3 routers .*r0 refused: .*Input/output error"):
--- a/tests/rollout/test_journal.py
+++ b/tests/rollout/test_journal.py
@@ -1,4 +1,4 @@
-"""A coordinator's journal: torn, damaged, locked, and of an earlier version."""
+"""The coordinator's journal: torn, damaged, locked, and written by an earlier version."""
 
 from __future__ import annotations
 
@@ -73,8 +73,8 @@
 
 
 class EarlierVersion(unittest.TestCase):
-    """A coordinator of 723f792 was killed in the middle of a rollout; the one that resumes it is of this
-    version. The journals were written by that version's coordinator, for the plan in ``pieces``."""
+    """Resumes rollouts whose coordinator, of version 723f792, was killed midway. That version wrote the
+    journals, for the plan in ``pieces``."""
 
     def opened(self, name: str) -> Journal:
         folder = tempfile.TemporaryDirectory()
--- a/tests/rollout/test_plan_reader.py
+++ b/tests/rollout/test_plan_reader.py
@@ -1,4 +1,4 @@
-"""Plan files."""
+"""Reading and checking plan files."""
 
 from __future__ import annotations
 
--- a/tests/rollout/test_processes.py
+++ b/tests/rollout/test_processes.py
@@ -1,4 +1,5 @@
-"""Rollouts of real routers under load: a good one, broken off and resumed; one that cannot start; terms."""
+"""Rollouts of real router processes under load: interruption and resumption, unreachable routers, defective
+builds and fencing terms."""
 
 from __future__ import annotations
 
@@ -63,8 +64,8 @@
         async def changed() -> bool:
             return any(record["what"] == "intent" for record in read_rows(state))
 
-        await cluster.wait_until(changed, "the first step is begun", 60.0)
-        first.cancel()  # in the middle of it
+        await cluster.wait_until(changed, "the first step has started", 60.0)
+        first.cancel()  # during the first step
         await asyncio.wait([first])
         status = await asyncio.wait_for(RolloutRunner(plan, state, process_starter(cluster)).run(), 120.0)
         self.assertEqual((status["way"], status["new"]), ("ended", sorted(cluster.routers)), status)
@@ -75,7 +76,7 @@
         self.assertIn("data:image/png;base64,", report)
         steps = [record["step"] for record in read_rows(state) if record["what"] == "done"]
         self.assertEqual(len(steps), len(set(steps)))
-        with self.subTest("an older coordinator is turned down, and what it starts does not serve"):
+        with self.subTest("an older coordinator is rejected, and a process that it starts does not serve"):
             with self.assertRaises(TermSupersededError):
                 await Executor(plan, 1, process_starter(cluster)).replace_process("r0", OLD_LABEL)
             router = cluster.routers["r0"]
@@ -110,8 +111,8 @@
         async def begun() -> bool:
             return any(record["what"] == "done" for record in read_rows(state))
 
-        await cluster.wait_until(begun, "the first has been changed", 60.0)
-        # the last to be changed, so that no step is under way there, and the first, which is changed already
+        await cluster.wait_until(begun, "the first router has been changed", 60.0)
+        # the last router has no step in flight yet, and the first one is already changed
         by_hand, *_, still = plan.stages[0].targets
         cluster.pause(still)
         lame_duck = AdminAnswer(AnswerStatus.SUCCEEDED, "lame-duck")
@@ -120,7 +121,7 @@
         async def waits() -> bool:
             return any("unreachable" in why and still in why for why in seen)
 
-        await cluster.wait_until(waits, "it is away, and nothing is begun", 90.0)
+        await cluster.wait_until(waits, "the router is unreachable, and no step starts", 90.0)
         cluster.resume(still)
         status = await asyncio.wait_for(running, 120.0)
         self.assertEqual((status["way"], status["new"]), ("ended", sorted(cluster.routers)), status)
--- a/tests/rollout/test_simulated.py
+++ b/tests/rollout/test_simulated.py
@@ -1,4 +1,4 @@
-"""Whole rollouts on a fake clock."""
+"""Complete simulated rollouts on a fake clock."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
                 self.assertLessEqual(out.most_away, plan_of(16).max_unreachable)
 
     def test_a_seed_gives_the_same_rollout_in_every_process(self) -> None:
-        """Sets of words come in another order in each process: what is summed must not go by it."""
+        """Guards against sums that depend on the iteration order of a set of strings, which differs between
+        processes."""
         code = "from magpieshift.lab.simulated.rollout import play; print(play('worse-class', 24, 3))"
         found = {
             subprocess.run(
