--- a/tests/rollout/pieces.py
+++ b/tests/rollout/pieces.py
@@ -13,8 +13,8 @@
 from magpieshift.rollout.records import JournalRecord, RolloutPhase
 from magpieshift.rollout.verdict import Verdict
 
-SECOND = 1_000_000
-TEXT = """
+SECOND_US = 1_000_000
+PLAN_TEXT = """
 (rollout
   (name new-7)
   (new (label v7) (start "/opt/edge/start {name} {label} {term} {console}"))
@@ -31,88 +31,90 @@
 """
 
 
-def a_plan(**changes: Any) -> Plan:
-    tree = parse(TEXT, "plan", PLAN_HEAD)
+def make_plan(**changes: Any) -> Plan:
+    tree = parse(PLAN_TEXT, "plan", PLAN_HEAD)
     return load_plan(tree.data | changes, tree.lines)
 
 
-class Bench:
+class CoordinatorHarness:
     """Runs a coordinator with a journal in memory and simulated routers that carry out its steps."""
 
-    def __init__(self, wanted: Plan) -> None:
-        self.plan, self.now, self.term = wanted, 0, 0
+    def __init__(self, plan: Plan) -> None:
+        self.plan, self.now_us, self.term = plan, 0, 0
         self.records: list[JournalRecord] = []
-        self.labels = dict.fromkeys(wanted.routers, "v6")
-        self.dark: set[str] = set()
-        self.fails: set[str] = set()
+        self.labels = dict.fromkeys(plan.routers, "v6")
+        self.unreachable: set[str] = set()
+        self.failing: set[str] = set()
         self.pending: list[ReplaceProcess] = []
         self.writes_left = 1 << 30  # records until the coordinator is killed
-        self.most_away = 0
-        self.fences = dict.fromkeys(wanted.routers, 0)
-        self.acts: list[int] = []  # the term of each change to a router, in order
+        self.max_unavailable = 0
+        self.router_terms = dict.fromkeys(plan.routers, 0)
+        self.acting_terms: list[int] = []  # the term of each change to a router, in order
 
-    def hold(self, term: int) -> str:
+    def announce_term(self, term: int) -> str:
         """Announce a term to the reachable routers, as the executor does before each step."""
-        here = [name for name in self.fences if name not in self.dark]
-        if any(self.fences[name] > term for name in here):
+        reachable = [name for name in self.router_terms if name not in self.unreachable]
+        if any(self.router_terms[name] > term for name in reachable):
             return "over"
-        for name in here:
-            self.fences[name] = term
-        return "" if 2 * len(here) > len(self.fences) else "too few answer"
+        for name in reachable:
+            self.router_terms[name] = term
+        return "" if 2 * len(reachable) > len(self.router_terms) else "too few answer"
 
     def carry_out(self, coordinator: Coordinator, step: ReplaceProcess) -> list[Instruction]:
         """Carry out one step under its coordinator's term, and report the outcome to the coordinator."""
-        held = self.hold(coordinator.term)
-        if held == "over":
+        rejection = self.announce_term(coordinator.term)
+        if rejection == "over":
             coordinator.supersede("over")
             return []
-        failed = held or ("step failed" if step.router in self.fails | self.dark else "")
-        if not failed:
+        failure = rejection or ("step failed" if step.router in self.failing | self.unreachable else "")
+        if not failure:
             self.labels[step.router] = step.label
-            self.acts.append(coordinator.term)
-        return coordinator.step_finished(self.now, step.step, failed)
+            self.acting_terms.append(coordinator.term)
+        return coordinator.step_finished(self.now_us, step.step, failure)
 
-    def start(self) -> None:
+    def start_coordinator(self) -> None:
         self.term += 1
-        self.coordinator = Coordinator(self.plan, self.term, self.now, list(self.records))
+        self.coordinator = Coordinator(self.plan, self.term, self.now_us, list(self.records))
         self.pending = []
-        self.hold(self.term)
-        self.do(self.coordinator.begin())
+        self.announce_term(self.term)
+        self.execute(self.coordinator.begin())
 
-    def do(self, actions: list[Instruction]) -> bool:
+    def execute(self, instructions: list[Instruction]) -> bool:
         """Carry out instructions; False if the coordinator is killed, which happens right before a record is
         written."""
-        for action in actions:
-            if isinstance(action, RecordDecision):
+        for instruction in instructions:
+            if isinstance(instruction, RecordDecision):
                 if self.writes_left <= 0:
                     return False
                 self.writes_left -= 1
-                self.records.append(action.record)
-            elif isinstance(action, ReplaceProcess):
-                self.pending.append(action)
+                self.records.append(instruction.record)
+            elif isinstance(instruction, ReplaceProcess):
+                self.pending.append(instruction)
             else:
-                assert isinstance(action, BeginStage)
+                assert isinstance(instruction, BeginStage)
         return True
 
-    def step(self, verdict: Verdict = Verdict.NO_WORSE, why: str = "") -> bool:
+    def run_second(self, verdict: Verdict = Verdict.NO_WORSE, reason: str = "") -> bool:
         """Simulate one second: observe the routers, carry out pending steps and call ``tick``. False if the
         coordinator is killed."""
-        self.now += SECOND
+        self.now_us += SECOND_US
         for name, label in self.labels.items():
             self.coordinator.record_labels(
-                self.now, name, frozenset() if name in self.dark else frozenset({label})
+                self.now_us, name, frozenset() if name in self.unreachable else frozenset({label})
             )
         while self.pending:
             step = self.pending.pop()
-            self.most_away = max(self.most_away, 1 + len(self.dark - {step.router}))
-            if not self.do(self.carry_out(self.coordinator, step)):
+            self.max_unavailable = max(self.max_unavailable, 1 + len(self.unreachable - {step.router}))
+            if not self.execute(self.carry_out(self.coordinator, step)):
                 return False
-        return self.do(self.coordinator.tick(self.now, verdict, why))
+        return self.execute(self.coordinator.tick(self.now_us, verdict, reason))
 
-    def run(self, verdict: Verdict = Verdict.NO_WORSE, most: int = 400) -> bool:
-        for _ in range(most):
+    def run(self, verdict: Verdict = Verdict.NO_WORSE, max_seconds: int = 400) -> bool:
+        for _ in range(max_seconds):
             if self.coordinator.is_over or self.coordinator.state.phase == RolloutPhase.HELD:
                 return True
-            if not self.step(verdict, "test verdict"):
+            if not self.run_second(verdict, "test verdict"):
                 return False
-        raise AssertionError(f"the rollout did not end within {most} s: {self.coordinator.waiting_reason}")
+        raise AssertionError(
+            f"the rollout did not end within {max_seconds} s: {self.coordinator.waiting_reason}"
+        )
--- a/tests/rollout/test_canary_analysis.py
+++ b/tests/rollout/test_canary_analysis.py
@@ -17,14 +17,14 @@
 from magpieshift.rollout.process_losses import ALL_LOST_AFTER_US, UNREACHABLE_AFTER_US
 from magpieshift.rollout.verdict import Verdict
 from magpieshift.rollout.weighted_difference import WeightedDifference
-from tests.rollout.pieces import SECOND
+from tests.rollout.pieces import SECOND_US
 
 
-def figures(
-    side: str, asked: int, served: int, up_s: float, life: str = "1", cpu: int = 0, mb: float = 30
+def make_counters(
+    side: str, requests: int, served: int, up_s: float, incarnation: str = "1", cpu: int = 0, mb: float = 30
 ) -> ProcessCounters:
-    classes = {"picture": RequestCounts(asked, served)}
-    return ProcessCounters(side, life, "serving", int(up_s * SECOND), classes, cpu, int(mb * 1024))
+    classes = {"picture": RequestCounts(requests, served)}
+    return ProcessCounters(side, incarnation, "serving", int(up_s * SECOND_US), classes, cpu, int(mb * 1024))
 
 
 class CanaryAnalysisTest(unittest.TestCase):
@@ -35,10 +35,10 @@
         self.analysis = CanaryAnalysis(Tolerances(), "new", "old", zones, 0)
         self.rand = random.Random(1)
         self.sums: dict[str, list[float]] = {name: [0, 0, 0.0, 30.0] for name in zones}
-        self.lives = dict.fromkeys(zones, "1")
-        self.now = 0
+        self.incarnations = dict.fromkeys(zones, "1")
+        self.now_us = 0
 
-    def looks(
+    def run_rounds(
         self,
         count: int,
         new: float,
@@ -46,91 +46,98 @@
         cpu: float = 1.0,
         leak: float = 0.0,
         rate: int = 50,
-        gone: tuple[str, ...] = (),
+        unreachable: tuple[str, ...] = (),
     ) -> Verdict:
         for _ in range(count):
-            self.now += SECOND
+            self.now_us += SECOND_US
             answers: dict[str, ProcessCounters | None] = {}
             for name, sums in self.sums.items():
-                fresh = name.startswith("n")
+                is_new = name.startswith("n")
                 sums[0] += rate
-                sums[1] += sum(self.rand.random() < (new if fresh else old) for _ in range(rate))
-                sums[2] += rate * 1000 * (cpu if fresh else 1.0) * self.rand.uniform(0.8, 1.2)
-                sums[3] += leak / 60 if fresh else 0.0
-                side, mb = "new" if fresh else "old", sums[3] + self.rand.uniform(-0.1, 0.1)
+                sums[1] += sum(self.rand.random() < (new if is_new else old) for _ in range(rate))
+                sums[2] += rate * 1000 * (cpu if is_new else 1.0) * self.rand.uniform(0.8, 1.2)
+                sums[3] += leak / 60 if is_new else 0.0
+                side, mb = "new" if is_new else "old", sums[3] + self.rand.uniform(-0.1, 0.1)
                 counts = int(sums[0]), int(sums[1])
-                told = figures(side, *counts, self.now / SECOND, self.lives[name], int(sums[2]), mb)
-                answers[name] = None if name in gone else told
-            self.analysis.record_round(self.now, answers)
-        return self.analysis.verdict(self.now)
-
-    def test_few_samples_are_no_pass(self) -> None:
-        self.assertEqual(self.looks(2, 1.0, 1.0), Verdict.UNDECIDED)
+                counters = make_counters(
+                    side, *counts, self.now_us / SECOND_US, self.incarnations[name], int(sums[2]), mb
+                )
+                answers[name] = None if name in unreachable else counters
+            self.analysis.record_round(self.now_us, answers)
+        return self.analysis.verdict(self.now_us)
+
+    def test_few_samples_leave_the_verdict_undecided(self) -> None:
+        self.assertEqual(self.run_rounds(2, 1.0, 1.0), Verdict.UNDECIDED)
         self.assertIn("needed", self.analysis.reason)
 
-    def test_the_same_passes_and_what_is_worse_does_not(self) -> None:
-        self.assertEqual(self.looks(300, 0.97, 0.97), Verdict.NO_WORSE)
+    def test_equal_sides_pass_and_a_worse_new_side_does_not(self) -> None:
+        self.assertEqual(self.run_rounds(300, 0.97, 0.97), Verdict.NO_WORSE)
         self.setUp()
-        self.assertEqual(self.looks(300, 0.94, 0.97), Verdict.WORSE)
+        self.assertEqual(self.run_rounds(300, 0.94, 0.97), Verdict.WORSE)
         self.assertIn("served in time", self.analysis.reason)
 
-    def test_what_strikes_both_alike_is_not_worse_and_stops_no_pass_for_good(self) -> None:
-        self.looks(60, 0.97, 0.97)
-        self.assertEqual(self.looks(20, 0.4, 0.4), Verdict.COMMON_FAULT)
-        self.assertEqual(self.looks(300, 0.97, 0.97), Verdict.NO_WORSE)
+    def test_a_common_fault_is_not_worse_and_only_delays_a_pass(self) -> None:
+        self.run_rounds(60, 0.97, 0.97)
+        self.assertEqual(self.run_rounds(20, 0.4, 0.4), Verdict.COMMON_FAULT)
+        self.assertEqual(self.run_rounds(300, 0.97, 0.97), Verdict.NO_WORSE)
 
-    def test_processor_time_memory_and_idleness(self) -> None:
-        self.assertEqual(self.looks(120, 0.97, 0.97, cpu=1.4), Verdict.WORSE)
+    def test_higher_processor_time_and_memory_growth_are_worse(self) -> None:
+        self.assertEqual(self.run_rounds(120, 0.97, 0.97, cpu=1.4), Verdict.WORSE)
         self.assertIn("processor", self.analysis.reason)
         self.setUp()
-        self.assertEqual(self.looks(150, 0.97, 0.97, leak=1.5), Verdict.WORSE)
+        self.assertEqual(self.run_rounds(150, 0.97, 0.97, leak=1.5), Verdict.WORSE)
         self.assertIn("memory", self.analysis.reason)
 
-    def test_one_lost_process_may_be_chance_two_are_not_and_a_side_without_any_is_waited_for(self) -> None:
-        self.looks(40, 0.97, 0.97)
-        self.lives["n0"] = "2"  # restarted by itself
-        self.assertNotEqual(self.looks(1, 0.97, 0.97), Verdict.WORSE)
-        for life in "3456789abc":
-            self.lives["n0"] = life
-            self.looks(1, 0.97, 0.97)
-        self.assertEqual(self.analysis.verdict(self.now), Verdict.WORSE)
+    def test_repeated_losses_and_the_loss_of_a_whole_side_are_worse_but_one_loss_is_not(self) -> None:
+        self.run_rounds(40, 0.97, 0.97)
+        self.incarnations["n0"] = "2"  # restarted by itself
+        self.assertNotEqual(self.run_rounds(1, 0.97, 0.97), Verdict.WORSE)
+        for incarnation in "3456789abc":
+            self.incarnations["n0"] = incarnation
+            self.run_rounds(1, 0.97, 0.97)
+        self.assertEqual(self.analysis.verdict(self.now_us), Verdict.WORSE)
         self.setUp()
-        self.looks(20, 0.97, 0.97)
+        self.run_rounds(20, 0.97, 0.97)
         both = ("n0", "n1")
         self.assertNotEqual(
-            self.looks(UNREACHABLE_AFTER_US // SECOND + 1, 0.97, 0.97, gone=both[:1]), Verdict.WORSE
+            self.run_rounds(UNREACHABLE_AFTER_US // SECOND_US + 1, 0.97, 0.97, unreachable=both[:1]),
+            Verdict.WORSE,
+        )
+        self.assertEqual(
+            self.run_rounds(ALL_LOST_AFTER_US // SECOND_US + 1, 0.97, 0.97, unreachable=both), Verdict.WORSE
         )
-        self.assertEqual(self.looks(ALL_LOST_AFTER_US // SECOND + 1, 0.97, 0.97, gone=both), Verdict.WORSE)
 
-    def test_a_restart_is_never_a_gain(self) -> None:
-        before, after = figures("new", 100, 90, 50), figures("new", 10, 9, 5, life="2")
+    def test_a_restarted_process_counts_from_zero(self) -> None:
+        before, after = make_counters("new", 100, 90, 50), make_counters("new", 10, 9, 5, incarnation="2")
         self.assertEqual(
             (counter_delta(before, after).requests, counter_delta(before, after).same_process), (10, False)
         )
-        self.assertEqual(counter_delta(before, figures("new", 130, 100, 60)).classes["picture"].served, 10)
+        self.assertEqual(
+            counter_delta(before, make_counters("new", 130, 100, 60)).classes["picture"].served, 10
+        )
 
-    def test_figures_of_other_versions_and_odd_ones(self) -> None:
+    def test_counters_of_other_versions_are_read_and_malformed_ones_rejected(self) -> None:
         line = '{"label":"x","incarnation":"1","up_us":5,"classes":{"a":{"asked":3,"later":9}},"new":[1]}'
         self.assertEqual(parse_counters(line).classes["a"], RequestCounts(3, 0))
-        half = '{"label":"x","incarnation":"1","up_us":"y","classes":{}}'
-        for odd in ("", "ERR no", "[]", '{"label":1}', half):
-            with self.subTest(odd), self.assertRaises(UnreadableCountersError):
-                parse_counters(odd)
+        invalid_number = '{"label":"x","incarnation":"1","up_us":"y","classes":{}}'
+        for malformed in ("", "ERR no", "[]", '{"label":1}', invalid_number):
+            with self.subTest(malformed), self.assertRaises(UnreadableCountersError):
+                parse_counters(malformed)
 
-    def test_looking_all_the_time_does_not_make_it_lie(self) -> None:
+    def test_the_interval_stays_valid_when_evaluated_every_round(self) -> None:
         """Equal sides whose interval is evaluated after each of 400 rounds: at most 5% of 300 such runs may
         ever exclude a difference of 0."""
-        wrong = 0
+        false_positives = 0
         for seed in range(300):
             rand, sums = random.Random(seed), WeightedDifference()
             for _ in range(400):
                 rows = [sum(rand.random() < 0.95 for _ in range(10)) for _ in range(2)]
                 sums.add(10, rows[0], 10, rows[1])
-                least, most = sums.confidence_interval(0.05)
-                if least > 0 or most < 0:
-                    wrong += 1
+                lowest, highest = sums.confidence_interval(0.05)
+                if lowest > 0 or highest < 0:
+                    false_positives += 1
                     break
-        self.assertLessEqual(wrong, 300 * 0.05)
+        self.assertLessEqual(false_positives, 300 * 0.05)
 
 
 if __name__ == "__main__":
--- a/tests/rollout/test_executor.py
+++ b/tests/rollout/test_executor.py
@@ -11,22 +11,22 @@
 from magpieshift.rollout.errors import StepFailedError, TermUnknownError
 from magpieshift.rollout.executor import Executor
 from magpieshift.rollout.plan import Build, Plan, RouterPlace
-from tests.rollout.pieces import a_plan
+from tests.rollout.pieces import make_plan
 
 ROUTERS = 3
 SERVERS_PER_ROUTER = 2
-STEP_S = 1.0
+STEP_TIMEOUT_S = 1.0
 """Step time-out in seconds, short so that tests of a late process are fast."""
 
 
-def figures_line(label: str, state: str) -> str:
+def counters_answer(label: str, state: str) -> str:
     """Answer to FIGURES of a process with this label and state."""
     row = {"label": label, "incarnation": "1", "state": state, "up_us": 1, "classes": {}}
     return f"OK {json.dumps(row)}"
 
 
 class AnnounceTerm(unittest.IsolatedAsyncioTestCase):
-    async def announced(self, answer: str) -> None:
+    async def announce_to_routers(self, answer: str) -> None:
         """Announce a term to routers that all return this answer."""
         servers = []
 
@@ -41,20 +41,20 @@
         routers = {f"r{i}": {"doors": addresses[2 * i : 2 * i + 2], "zone": "a"} for i in range(ROUTERS)}
         stages = {"all": {"share": 1.0}}
         try:
-            await Executor(a_plan(routers=routers, stages=stages), term=5).announce_term()
+            await Executor(make_plan(routers=routers, stages=stages), term=5).announce_term()
         finally:
             for server in servers:
                 server.close()
 
-    async def test_routers_that_take_the_term_are_enough(self) -> None:
-        await self.announced("OK serving")
+    async def test_routers_that_accept_the_term_are_enough(self) -> None:
+        await self.announce_to_routers("OK serving")
 
-    async def test_routers_that_cannot_keep_the_term_are_not_counted(self) -> None:
+    async def test_routers_that_cannot_store_the_term_are_not_counted(self) -> None:
         """A router that cannot store the term, for example on a full disk, would still obey an older
         coordinator, so that two coordinators could change the fleet. It must not count towards the
         majority."""
         with self.assertRaises(StepFailedError):
-            await self.announced("ERR AS not now: the term cannot be kept: No space left on device")
+            await self.announce_to_routers("ERR AS not now: the term cannot be kept: No space left on device")
 
 
 class ScriptedRouters:
@@ -78,7 +78,7 @@
                 port = next(closed_ports) if table is None else await self._listen(name, table)
                 doors[name].append(f"127.0.0.1:{port}")
         routers = {name: {"doors": addresses, "zone": "a"} for name, addresses in doors.items()}
-        return a_plan(routers=routers, stages={"all": {"share": 1.0}}, **{"step-s": STEP_S})
+        return make_plan(routers=routers, stages={"all": {"share": 1.0}}, **{"step-s": STEP_TIMEOUT_S})
 
     async def _listen(self, name: str, table: dict[str, str]) -> int:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -111,7 +111,7 @@
         others = {name: [{"PING": "OK serving"}, None] for name in ("r1", "r2") if name not in answers}
         return Executor(await self.routers.open(answers | others), 5, self.routers.start)
 
-    async def test_an_address_that_refuses_to_tell_its_counters_is_not_taken_for_a_free_one(self) -> None:
+    async def test_an_address_that_rejects_the_counters_command_is_not_considered_free(self) -> None:
         """Guards against starting a second process beside one that answers ERR to FIGURES."""
         table = {"FIGURES": "ERR FIGURES not now: starting", "PING": "OK serving"}
         cases: list[list[dict[str, str] | None]] = [[table, table], [table, None], [None, table]]
@@ -122,19 +122,19 @@
                     await executor.replace_process("r0", "new")
                 self.assertEqual(self.routers.started, [])
 
-    async def test_an_address_that_stays_silent_is_not_taken_for_a_free_one(self) -> None:
+    async def test_an_address_that_does_not_answer_is_not_considered_free(self) -> None:
         """Guards against starting a process at the admin address of one that hangs."""
-        old = figures_line("old", "serving")
+        old = counters_answer("old", "serving")
         executor = await self.executor({"r0": [{"FIGURES": old, "PING": "OK serving"}, {}]})
         with self.assertRaisesRegex(StepFailedError, "all admin addresses are in use"):
             await executor.replace_process("r0", "new")
         self.assertEqual(self.routers.started, [])
 
-    async def test_an_end_that_is_refused_fails_the_step_at_once_with_the_reason(self) -> None:
+    async def test_a_rejected_end_command_fails_the_step_at_once_with_the_reason(self) -> None:
         """Guards against repeating a rejected END until the step time-out and reporting it as a late end."""
         reason = "AS not now: the term cannot be kept: No space left on device"
-        old = {"FIGURES": figures_line("old", "serving"), "PING": "OK serving", "END": f"ERR {reason}"}
-        new = {"FIGURES": figures_line("new", "serving"), "PING": "OK serving"}
+        old = {"FIGURES": counters_answer("old", "serving"), "PING": "OK serving", "END": f"ERR {reason}"}
+        new = {"FIGURES": counters_answer("new", "serving"), "PING": "OK serving"}
         executor = await self.executor({"r0": [old, new]})
         with (
             self.assertLogs("magpieshift.rollout.executor", "WARNING") as logged,
@@ -146,20 +146,20 @@
 
     async def test_a_process_that_hangs_has_not_ended(self) -> None:
         """Guards against treating a process that does not answer as ended."""
-        old = {"FIGURES": figures_line("old", "serving"), "PING": "OK serving"}
-        new = {"FIGURES": figures_line("new", "serving"), "PING": "OK serving"}
+        old = {"FIGURES": counters_answer("old", "serving"), "PING": "OK serving"}
+        new = {"FIGURES": counters_answer("new", "serving"), "PING": "OK serving"}
         executor = await self.executor({"r0": [old, new]})
         with self.assertRaisesRegex(StepFailedError, "did not end within"):
             await executor.replace_process("r0", "new")
 
-    async def test_a_term_that_is_refused_is_not_taken_for_none(self) -> None:
+    async def test_a_rejected_term_command_does_not_count_as_no_term(self) -> None:
         """Guards against a coordinator that starts at or below a term that routers hold but cannot report."""
         refused = {"TERM": "ERR TERM not now: the term cannot be read: Input/output error"}
         executor = await self.executor({"r0": [refused], "r1": [refused], "r2": [{"TERM": "OK 4"}]})
         with self.assertRaisesRegex(TermUnknownError, "1 of 3 routers .*r0 refused: .*Input/output error"):
             await executor.latest_term()
 
-    async def test_a_majority_that_tells_its_term_is_enough(self) -> None:
+    async def test_a_majority_that_reports_its_term_is_enough(self) -> None:
         refused = {"TERM": "ERR TERM not now: the term cannot be read"}
         executor = await self.executor(
             {"r0": [refused], "r1": [{"TERM": "OK 7"}, None], "r2": [{"TERM": "OK 4"}]}
--- a/tests/rollout/test_plan_reader.py
+++ b/tests/rollout/test_plan_reader.py
@@ -11,37 +11,37 @@
 from magpieshift.rollout.plan import Tolerances
 from magpieshift.rollout.plan_form import PLAN_HEAD
 from magpieshift.rollout.plan_reader import load_plan, load_plan_file
-from tests.rollout.pieces import TEXT, a_plan
+from tests.rollout.pieces import PLAN_TEXT, make_plan
 
 
-class Plans(unittest.TestCase):
+class PlanReaderTest(unittest.TestCase):
     def test_stages_grow_and_zones_take_turns(self) -> None:
-        found = a_plan()
-        self.assertEqual([len(stage.targets) for stage in found.stages], [1, 2, 4])
-        for less, more in zip(found.stages, found.stages[1:], strict=False):
+        plan = make_plan()
+        self.assertEqual([len(stage.targets) for stage in plan.stages], [1, 2, 4])
+        for less, more in zip(plan.stages, plan.stages[1:], strict=False):
             self.assertEqual(more.targets[: len(less.targets)], less.targets)
-        zones = {found.routers[name].zone for name in found.stages[1].targets}
+        zones = {plan.routers[name].zone for name in plan.stages[1].targets}
         self.assertEqual(zones, {"a", "b"})
 
     def test_the_documented_example_can_be_used(self) -> None:
-        found = load_plan_file(Path(__file__).resolve().parents[2] / "deploy" / "rollout.sexp")
-        self.assertEqual(found.tolerances, Tolerances())
+        plan = load_plan_file(Path(__file__).resolve().parents[2] / "deploy" / "rollout.sexp")
+        self.assertEqual(plan.tolerances, Tolerances())
 
     def test_all_mistakes_are_reported_with_their_place(self) -> None:
-        wrong = TEXT.replace("v7", "v6").replace("{console}", "{door}").replace("7007", "7000")
+        wrong = PLAN_TEXT.replace("v7", "v6").replace("{console}", "{door}").replace("7007", "7000")
         wrong = wrong.replace("(share 0.5)", "(routers 9)").replace("(share 1)", "(zone c)")
         with self.assertRaises(UnusableDocumentError) as caught:
             tree = parse(wrong, "plan", PLAN_HEAD)
             load_plan(tree.data, tree.lines)
         places = {problem.where for problem in caught.exception.problems}
-        wanted = {"routers r3 doors", "new label", "new start", "old start", "stages all"}
-        wanted.add("stages half routers")
-        self.assertLessEqual(wanted, places)
+        expected = {"routers r3 doors", "new label", "new start", "old start", "stages all"}
+        expected.add("stages half routers")
+        self.assertLessEqual(expected, places)
         self.assertTrue(all(problem.line for problem in caught.exception.problems))
         odd: list[dict[str, Any]] = [{"most-away": 4}, {"stages": {}}, {"new": {"label": "x"}}, {"odd": 1}]
         for changes in odd:
             with self.subTest(changes), self.assertRaises(UnusableDocumentError):
-                a_plan(**changes)
+                make_plan(**changes)
 
 
 if __name__ == "__main__":
--- a/tests/rollout/test_simulated.py
+++ b/tests/rollout/test_simulated.py
@@ -13,7 +13,7 @@
 
 
 class Simulated(unittest.TestCase):
-    def test_good_ones_pass_and_bad_ones_are_put_back(self) -> None:
+    def test_good_builds_pass_and_bad_ones_are_rolled_back(self) -> None:
         for name in ("same", "same-with-outage", "worse-zone", "late-crash", "mute", "no-start", "leak"):
             with self.subTest(name):
                 out = lab.play(name, 16, 3)
