--- a/magpieshift/rollout/plan_form.py
+++ b/magpieshift/rollout/plan_form.py
@@ -12,7 +12,7 @@
 PLAN_HEAD = "rollout"
 """First word of a plan file's S-expression."""
 MAX_ROUTERS = 2000
-"""Maximum number of routers in a plan: ten times the size of the production fleet."""
+"""Maximum number of routers in a plan: ten times the size of the product's fleet."""
 MAX_STAGES = 32
 """Maximum number of stages in a plan: more than an operator would follow."""
 PLACEHOLDERS = ("name", "label", "term", "console")
--- a/magpieshift/rollout/process_losses.py
+++ b/magpieshift/rollout/process_losses.py
@@ -14,8 +14,8 @@
 ALL_LOST_AFTER_US = 60_000_000
 """Time after which a side whose processes are all lost is found worse: twice the default step time-out."""
 LOSS_ERROR_FRACTION = 0.1
-"""Fraction of the plan's false-positive rate at which the loss test is significant. Small, because the test
-is repeated with each further lost process."""
+"""Factor that turns the plan's false-positive rate into the significance level of the loss test. Small,
+because the test is repeated with each further lost process."""
 MIN_COMPARED_US = 10_000_000
 """Minimum running time, summed over all processes of a side, before its request rate is compared."""
 MIN_REQUESTS = 200
--- a/magpieshift/rollout/weighted_difference.py
+++ b/magpieshift/rollout/weighted_difference.py
@@ -16,7 +16,7 @@
 
 PRIOR_REQUESTS = 20.0
 """Pseudo-requests at the long-run success rate that are added to the recent counts when the variance is
-estimated. With fewer, chance moves the weights; with more, the weights do not follow an outage."""
+estimated. With fewer, chance moves the weights; with more, an outage hardly lowers them."""
 RECENT_DECAY = 0.8
 """Decay factor of the recent counts per round; closer to 1, the weights follow an outage later."""
 MIN_VARIANCE = 0.01
@@ -84,7 +84,7 @@
 
     def confidence_interval(self, error_rate: float) -> tuple[float, float]:
         """Lower and upper bound of the difference of the rates (new minus old). With probability
-        1 - ``error_rate`` the intervals of all rounds contain the true difference."""
+        1 - ``error_rate`` at least, the intervals of all rounds contain the true difference."""
         if not self.weight_sum:
             return -1.0, 1.0
         mean = self.weighted_sum / self.weight_sum
