--- a/tests/rollout/test_simulated.py
+++ b/tests/rollout/test_simulated.py
@@ -1,4 +1,4 @@
-"""Whole rollouts on a fake clock."""
+"""Complete simulated rollouts on a fake clock."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Simulated(unittest.TestCase):
-    def test_good_ones_pass_and_bad_ones_are_put_back(self) -> None:
+    def test_good_builds_pass_and_bad_ones_are_rolled_back(self) -> None:
         for name in ("same", "same-with-outage", "worse-zone", "late-crash", "mute", "no-start", "leak"):
             with self.subTest(name):
                 out = lab.play(name, 16, 3)
@@ -21,7 +21,8 @@
                 self.assertLessEqual(out.most_away, plan_of(16).max_unreachable)
 
     def test_a_seed_gives_the_same_rollout_in_every_process(self) -> None:
-        """Sets of words come in another order in each process: what is summed must not go by it."""
+        """Guards against sums that depend on the iteration order of a set of strings, which differs between
+        processes."""
         code = "from magpieshift.lab.simulated.rollout import play; print(play('worse-class', 24, 3))"
         found = {
             subprocess.run(
