--- a/magpieshift/policy/__init__.py
+++ b/magpieshift/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of a request router for caches that fill from parent caches and an origin."""
+"""The policy of a request router in front of caches that fill from parent caches and an origin."""
--- a/magpieshift/policy/actions.py
+++ b/magpieshift/policy/actions.py
@@ -1,4 +1,5 @@
-"""What a policy asks for. Times are whole microseconds; endpoints and requests are numbers (``events``)."""
+"""Actions that a policy returns. Times are whole microseconds; endpoints and requests are identified by
+number, as in ``events``."""
 
 from __future__ import annotations
 
@@ -10,16 +11,16 @@
     """Bits of ``SendCacheRequest.flags``."""
 
     COALESCE_FILL = 1
-    """Wait for a fill of the same part that is already running."""
+    """If a fill of the same part is already running, wait for it."""
     SOURCE_CACHED_ONLY = 2
-    """The source gives only what it holds, and does not fetch."""
+    """The source answers only from what it holds, and does not fetch."""
     PARENT_DOES_NOT_STORE = 4
     REVALIDATE = 8
 
 
 @dataclass(slots=True)
 class SendPlainRequest:
-    """An attempt that asks an endpoint for what it holds; carries no bound on the copy's age."""
+    """An attempt that names no fill source and no maximum age of a copy."""
 
     request_id: int
     endpoint: int
@@ -28,24 +29,24 @@
 
 @dataclass(slots=True)
 class SendCacheRequest:
-    """An attempt that names the source of a fill, the retention rank and the oldest copy that will do."""
+    """An attempt that names the source of a fill, the retention rank and the maximum age of a copy."""
 
     request_id: int
     endpoint: int
     timeout_us: int
     source: int
-    """Where a miss is filled from; the endpoint itself for no fill."""
+    """Where a miss is filled from; the endpoint itself: no fill."""
     retention_rank: int
-    """How highly the copy is kept; 0 for not at all."""
+    """Priority with which the cache retains the copy; 0: the copy is not stored."""
     max_age_us: int
-    """The oldest copy that will do; 0 for the class's own bound."""
+    """Maximum age of an acceptable copy; 0: the class's own ``max_age_us`` applies."""
     flags: int
     """A sum of ``CacheRequestFlag``."""
 
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: rejected; trying again later is harmless."""
+    """Final answer: rejected. A retry by the client does no harm."""
 
     request_id: int
     retry_after_us: int
@@ -53,7 +54,7 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: failed, with no promise about its effect."""
+    """Final answer: failed. The request may or may not have taken effect."""
 
     request_id: int
 
@@ -76,7 +77,7 @@
 
 @dataclass(slots=True)
 class StartHealthCheck:
-    """Check on an endpoint; a ``HealthCheckEnded`` event follows."""
+    """Start a health check of an endpoint; a ``HealthCheckEnded`` event follows."""
 
     endpoint: int
 
@@ -90,7 +91,7 @@
 
 @dataclass(slots=True)
 class SendPeerMessage:
-    """Send bytes to another instance, or with ``peer`` None to all."""
+    """Send a message to another router instance, or to all if ``peer`` is None."""
 
     peer: int | None
     body: bytes
@@ -98,21 +99,21 @@
 
 @dataclass(slots=True)
 class WriteLog:
-    """A line for the report."""
+    """Write one line to the log."""
 
     text: str
 
 
 @dataclass(slots=True)
 class SubscribeToEndpointList:
-    """Turn endpoint list changes on or off, where they must be asked for."""
+    """Subscribe to endpoint list changes or unsubscribe, see ``Settings.must_subscribe``."""
 
     enabled: bool
 
 
 @dataclass(slots=True)
 class FetchEndpointList:
-    """Ask once for the complete endpoint list."""
+    """Fetch the complete endpoint list once."""
 
 
 Action = (
--- a/magpieshift/policy/adaptive_timeout.py
+++ b/magpieshift/policy/adaptive_timeout.py
@@ -1,8 +1,8 @@
-"""After how long an answer is taken for lost, so that the request can be sent again in time.
+"""Calculates the time after which an answer is taken for lost, so that the request can be retried in time.
 
-The timer follows RFC 6298: the running mean of answer times plus a multiple of their mean deviation. It
-applies only where answers do get lost, where the class permits a repeat, and within a budget that good
-answers earn.
+The timeout follows RFC 6298: the running mean of answer times plus a multiple of their mean deviation. It
+applies only if answers do get lost, if the request class permits a repeat, and within a budget that
+successful answers refill.
 """
 
 from __future__ import annotations
@@ -21,33 +21,33 @@
 )
 
 MIN_SAMPLES = 10
-"""Answers that a mean needs before a timer rests on it: those that ``SAMPLE_WEIGHT`` lets count."""
+"""Answers needed before a timeout is derived from their mean: the number that ``SAMPLE_WEIGHT`` averages
+over."""
 DEVIATIONS = 4
-"""Mean deviations above the mean, the K of RFC 6298."""
+"""Multiple of the mean deviation that is added to the mean: K in RFC 6298."""
 MIN_OBJECTIVE_FRACTION = 0.6
-"""The shortest timer, as a fraction of the latency objective. Smaller repeats answers that
-would have come."""
+"""Minimum timeout as a fraction of the latency objective. A smaller one retries requests whose answers would
+still arrive."""
 MAX_DEVIATION = 0.1
-"""Fraction of the latency objective; answers that vary more give no timer. Larger takes
-queueing for loss."""
+"""Maximum mean deviation as a fraction of the latency objective; above it there is no timeout. A larger one
+takes queueing delay for loss."""
 BUDGET_PER_ANSWER = 0.1
-"""What each good answer adds to the retry budget: repeats add at most a tenth to the load, as in gRPC's retry
-throttling."""
+"""Added to the retry budget by each successful answer, so that retries add at most a tenth to the load, as in
+gRPC's retry throttling."""
 MIN_LOSS_RATE = 0.005
-"""Share of answers lost above which late ones are taken for lost. Smaller repeats where
-nothing is lost."""
+"""Loss rate above which late answers are taken for lost. A smaller one retries although nothing is lost."""
 LOSS_SAMPLE_WEIGHT = 0.01
-"""Weight of a new sample in the loss rate: a share this small needs some hundred answers."""
+"""Weight of a new sample in the loss rate: about 100 answers are needed to estimate a rate this small."""
 MAX_LOSS_SLOWDOWN = 0.2
-"""Times the service time; an answer that did not come from a cache slower than this is late, not lost.
-Larger repeats requests at caches that are busy."""
+"""Slowdown of a cache, in multiples of the service time, from which a missing answer is taken for late
+instead of lost. A larger one retries requests at busy caches."""
 DEDUPLICATION_WINDOW_FRACTION = 0.5
-"""With an idempotency key the timer ends within this part of the deduplication window, so that the repeat
-lies within it too."""
+"""With an idempotency key the timeout must be shorter than this fraction of the deduplication window, so that
+the repeat is within the window too."""
 
 
 def record(times: AnswerTimes, fraction: float) -> None:
-    """Take in an answer that took this fraction of its latency objective."""
+    """Add an answer time, given as a fraction of the answer's latency objective."""
     weight = max(SAMPLE_WEIGHT, 1 / (times.samples + 1))
     if times.samples:
         times.deviation += weight * (abs(fraction - times.mean) - times.deviation)
@@ -56,14 +56,16 @@
 
 
 def lost_after(times: AnswerTimes) -> float:
-    """After what fraction of its objective an answer is taken for lost; infinite where answers vary much."""
+    """Fraction of its objective after which an answer is taken for lost; infinite with too few answers, or if
+    they vary too much."""
     if times.samples < MIN_SAMPLES or times.deviation > MAX_DEVIATION:
         return math.inf
     return max(MIN_OBJECTIVE_FRACTION, times.mean + DEVIATIONS * times.deviation)
 
 
 def timeout_us(state: RouterState, pending: PendingRequest, times: AnswerTimes, objective_us: float) -> int:
-    """The time an attempt sent now is given: all that is left, or until its answer is taken for lost."""
+    """Timeout of an attempt sent now: until its answer is taken for lost, or else all the time that is
+    left."""
     left_us = pending.answer_by_us - state.settings.tick_us - state.now_us
     if state.loss_rate <= MIN_LOSS_RATE or state.retry_budget < 1 or pending.was_interrupted:
         return left_us
@@ -75,7 +77,7 @@
 
 
 def _repeat_window_us(pending: PendingRequest, left_us: int) -> float:
-    """Within what time from now a repeat can be sent that the class permits."""
+    """Time from now within which the request class permits a repeat."""
     match pending.request_class.idempotency:
         case Idempotency.IDEMPOTENT:
             return left_us
@@ -85,18 +87,19 @@
 
 
 def have_others_answered(attempt: Attempt) -> bool:
-    """Whether all that the attempt depends on have answered others since: then they are not silent."""
+    """Whether all endpoints that the attempt depends on have answered other attempts since it was sent."""
     return all(each.last_heard_us > attempt.sent_us for each in attempt.involved)
 
 
 def record_answer(state: RouterState, attempt: Attempt, is_ok: bool, fraction: float) -> None:
-    """Learn from an attempt that ended well or timed out, after this fraction of its objective."""
+    """Update the retry budget, answer times and loss rate after an attempt that succeeded or timed out;
+    ``fraction`` is its latency divided by its objective."""
     if is_ok:
         state.retry_budget = min(MAX_RETRY_BUDGET, state.retry_budget + BUDGET_PER_ANSWER)
     else:
         state.retry_budget = state.retry_budget - 1
     is_lost = not is_ok and slowdown(attempt.endpoint) < MAX_LOSS_SLOWDOWN and have_others_answered(attempt)
-    if not is_lost:  # an answer that never came says nothing of how long answers take
+    if not is_lost:  # a lost answer is no sample of answer times
         record(attempt.answer_times, fraction)
     if is_ok or is_lost:
         state.loss_rate += LOSS_SAMPLE_WEIGHT * (is_lost - state.loss_rate)
--- a/magpieshift/policy/admission.py
+++ b/magpieshift/policy/admission.py
@@ -1,9 +1,9 @@
-"""How many fills a source gets at once, and which requests wait for one.
+"""Limits the attempts in flight at each source, and queues requests that have to wait for a slot.
 
-Each router limits what it has in flight at a source, by kind of work. A request above the limit waits in the
-source's queue as long as its turn comes within its objective; else the next source is tried. It leaves the
-queue by one of two exits: a slot, or the time at which a fill would be too late (``RouterState.timers``). A
-router with nothing in flight at a source may always send one attempt (the free pass).
+Each router limits its own attempts in flight at a source, by kind of work. A request above the limit is put
+into the source's queue if it can be expected to start in time for its latency objective; else the next source
+is tried. It leaves the queue when a slot becomes free, or at the latest start time that could still meet the
+objective (``RouterState.timers``). A router with nothing in flight at a source may always send one attempt.
 """
 
 from __future__ import annotations
@@ -29,23 +29,23 @@
 )
 
 INITIAL_LIMIT = 4
-"""Attempts in flight that a source is good for from each router until it has shown more (the operators'
-design); more routers than this share its square."""
+"""Concurrency limit of each router at a source without a recent peak, as in the operators' design. If there
+are more routers than this, they share the square of this number, but each has a limit of at least 1."""
 PEAK_MEMORY_US = 10_000_000
-"""How long a source's peak counts after it was last reached (the operators' design)."""
+"""How long a source's peak counts after it was last reached, as in the operators' design."""
 ON_TIME_FRACTION = 0.7
-"""Of the latency objective: fills that took less raise the limit. Larger raises it until
-answers are late, which all routers see only a fill's time afterwards."""
+"""Fraction of the latency objective; attempts that took less raise the limit. A larger fraction raises it
+until answers are late, which the routers notice only after the duration of a fill."""
 LATE_DIVISOR = 2
-"""The limit after a late fill, as TCP halves its window."""
+"""A late fill divides the source's peak by this, as TCP halves its congestion window."""
 LINK_HEADROOM = 1.25
-"""Fills counted for each that is under way on the zone's link: more begin while one runs.
-Larger rejects sooner on a narrow link."""
+"""Factor on the number of fills in flight on the zone's link, as more of them start while one runs. A larger
+factor rejects sooner on a narrow link."""
 
 
 def concurrency_limit(state: RouterState, source: EndpointRecord, work_kind: int) -> int:
-    """Attempts of a kind that this router may have in flight at a source: one more than the most that it
-    lately answered in time."""
+    """Attempts of a kind that this router may have in flight at a source: one more than the recent peak with
+    which answers were in time."""
     peak, reached_us = source.concurrency_peaks[work_kind]
     if reached_us and state.now_us <= reached_us + PEAK_MEMORY_US:
         return 1 + peak
@@ -55,7 +55,7 @@
 def admit(state: RouterState, pending: PendingRequest) -> EndpointRecord | None:
     """The source at which the request's fill, lookup or write may start now.
 
-    None where it was put into a source's queue (``pending.queued_source``), or where no source takes it.
+    None if the request was put into a source's queue (``pending.queued_source``), or if no source admits it.
     """
     if not does_link_permit(state, pending):
         return None
@@ -79,7 +79,8 @@
 
 
 def work_kind_at(state: RouterState, pending: PendingRequest, source: EndpointRecord) -> int:
-    """What the request takes of a source: above its limit of fills, what a parent holds need not wait."""
+    """The kind of work to request of a source. At a parent that is at its limit of fills it is a lookup, so
+    that a copy that the parent holds need not wait for a slot."""
     if pending.request_class.is_write:
         return WRITE
     may_hold_copy = (
@@ -91,7 +92,8 @@
 
 
 def does_link_permit(state: RouterState, pending: PendingRequest) -> bool:
-    """Whether the zone's link brings the answer within its objective, shared with all fills under way."""
+    """Whether the zone's link, shared with all fills in flight, can transfer the answer within its
+    objective."""
     settings = state.settings
     fills = LINK_HEADROOM * settings.zone_router_counts[settings.zone] * (state.fills_in_flight + 1)
     link_kb_per_s = settings.zone_link_kb_per_s[settings.zone] or math.inf
@@ -103,9 +105,10 @@
 def _is_usable(
     state: RouterState, pending: PendingRequest, source: EndpointRecord, duration_us: float
 ) -> bool:
-    """Whether the source may be sent this request, and can answer in time; a listed origin is the last
-    resort, ejected or not."""
-    has_turn = may_send_now(state, source)  # first, and always: it also skips turns that went unused
+    """Whether the request may be sent to the source and be answered in time. A ready origin is the last
+    resort and is used even while ejected."""
+    # always called, before the other conditions, because it also skips unused turns
+    has_turn = may_send_now(state, source)
     if (
         not has_turn
         or not is_repeat_permitted_at(pending, source)
@@ -129,10 +132,10 @@
 def release_queue(
     state: RouterState, source: EndpointRecord, advance: Callable[[PendingRequest], None]
 ) -> None:
-    """Let waiting requests go on while there are slots, or all of them where the source is down.
+    """Advance queued requests while the source has free slots, or all of them if it is unavailable.
 
-    The newest goes first: the oldest has the least of its objective left, and woken first all would be late.
-    ``advance`` judges each anew, as if nobody waited.
+    The newest request is advanced first: with the oldest first, which has the least time left, all would be
+    late. The queue is empty during each call of ``advance``, so that the requests left in it are not counted.
     """
     if not source.queue:
         return
@@ -151,14 +154,14 @@
 
 
 def leave_queue(pending: PendingRequest) -> None:
-    """Take a request that is over out of the queue it may wait in."""
+    """Remove a request that is over from its queue, if it is in one."""
     if pending.queued_source is not None:
         pending.queued_source.queue.pop(pending.request.request_id, None)
 
 
 def record_fill(state: RouterState, attempt: Attempt, event: AttemptEnded, fraction: float) -> None:
-    """Learn from an attempt that ended well or timed out, after this fraction of its objective: a source is
-    worked as hard as it answers in time."""
+    """Update the concurrency peak of the source and the mean fill time after an attempt that succeeded or
+    timed out; ``fraction`` is its latency divided by its objective."""
     source = attempt.source
     if source is None:
         return
@@ -169,7 +172,7 @@
     if event.outcome != Outcome.OK:
         source.concurrency_peaks[kind] = (0, state.now_us)
         return
-    if fraction > 1 and request.size_kb:  # late, and not just big: the objective knows the size
+    if fraction > 1 and request.size_kb:  # late, and not merely large: the objective allows for a known size
         source.concurrency_peaks[kind] = (peak // LATE_DIVISOR, state.now_us)
     elif fraction < ON_TIME_FRACTION and (in_flight >= peak or state.now_us > reached_us + PEAK_MEMORY_US):
         source.concurrency_peaks[kind] = (in_flight, state.now_us)
--- a/magpieshift/policy/attempt_results.py
+++ b/magpieshift/policy/attempt_results.py
@@ -1,4 +1,4 @@
-"""What an attempt's end leads to: slots come back, the rules learn, and the request goes on or is over."""
+"""Handles the end of an attempt: releases its slots, updates statistics, and advances or ends its request."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 from magpieshift.policy.state import LOOKUP, Attempt, EndpointRecord, PendingRequest, RouterState
 
 MAX_COALESCED_LOOKUPS = 2
-"""Attempts; a cache whose fill of the same part is under way for another router is asked so often before
-this router fills it too. Larger waits longer for a fill that may fail."""
+"""Attempts that may find another router's fill of the same part in progress before this router starts a fill
+itself. A larger number waits longer for a fill that may fail."""
 LOOKUP_INTERVAL_FRACTION = 0.5
-"""Of the mean fill time, between two such lookups: the fill found under way is half done on average."""
+"""Interval between two such lookups as a fraction of the mean fill time: a fill found in progress is half
+done on average."""
 SMALLEST_OBJECTIVE_US = 1.0
-"""Microseconds; a guard against an objective of 0, by which would be divided."""
+"""Lower bound of an objective in microseconds, which avoids a division by 0."""
 
 
 def attempt_ended(state: RouterState, event: AttemptEnded) -> None:
-    """Take in an attempt's end; one that is not known any more changes nothing."""
+    """Process the end of an attempt; an unknown attempt is ignored."""
     attempt = state.attempts.pop((event.request_id, event.attempt), None)
     if attempt is None:
         return
@@ -29,7 +30,7 @@
     _learn(state, attempt, event)
     _release_slots(state, attempt)
     if event.outcome == Outcome.OK and pending.suspect not in (None, attempt.endpoint):
-        # another endpoint could use the request: the error was the first one's fault
+        # another endpoint answered the request: the first endpoint was at fault
         _record_failure(state, pending.suspect, outlier_detection.FAILURE_WEIGHT)
     if pending.first_execution is None and event.outcome not in NEVER_RAN:
         pending.first_execution = (attempt.endpoint, attempt.sent_us)
@@ -42,20 +43,20 @@
 
 
 def _learn(state: RouterState, attempt: Attempt, event: AttemptEnded) -> None:
-    """Let the rules' running figures follow an attempt."""
+    """Update the running statistics of the rules with the result of an attempt."""
     is_ok = event.outcome == Outcome.OK
     if is_ok or event.outcome == Outcome.TIMEOUT:
         fraction = event.latency_us / max(SMALLEST_OBJECTIVE_US, attempt.latency_objective_us)
         adaptive_timeout.record_answer(state, attempt, is_ok, fraction)
         if attempt.source is not None:
             admission.record_fill(state, attempt, event, fraction)
-        else:  # a hit is as slow as its cache, whatever fills do
+        else:  # a lookup tells how slow the cache is, a fill does not
             latency.record_hit(state, attempt, event)
     outlier_detection.record_answer(state, attempt, event.outcome)
 
 
 def _release_slots(state: RouterState, attempt: Attempt) -> None:
-    """Give back, once, what the attempt took."""
+    """Release the slots of the attempt at its endpoint and source."""
     for endpoint in attempt.involved:
         endpoint.in_flight -= 1
     if attempt.source is not None:
@@ -64,13 +65,14 @@
 
 
 def _record_failure(state: RouterState, endpoint: EndpointRecord, weight: float) -> None:
-    """Count a failure; what waits at an endpoint that is ejected by it goes on elsewhere."""
+    """Count a failure; if it ejects the endpoint, advance the requests queued there."""
     if outlier_detection.record_failure(state, endpoint, weight):
         release_queue(state, endpoint)
 
 
 def _continue(state: RouterState, pending: PendingRequest, attempt: Attempt, event: AttemptEnded) -> None:
-    """An attempt failed and its request is still to be answered: attribute the failure and go on."""
+    """After a failed attempt of a request without a final answer: attribute the failure, then advance or end
+    the request."""
     outcome = event.outcome
     if outcome in (Outcome.SUPERSEDED, Outcome.CANCELLED):
         return end_request(state, pending)
@@ -86,14 +88,14 @@
         and not pending.was_interrupted
         and adaptive_timeout.have_others_answered(attempt)
     ):
-        pending.was_interrupted = True  # sent once more: an endpoint that answers others is well
+        pending.was_interrupted = True  # retry there too: an endpoint that answers other attempts is healthy
     elif outcome == Outcome.RESET:
         _connection_reset(state, pending, attempt.endpoint)
     elif outcome == Outcome.ERROR and event.cache_status == CacheStatus.NONE:
-        if pending.suspect is not None:  # two endpoints could not use it: the request is at fault
+        if pending.suspect is not None:  # two endpoints answered with an error: the request is at fault
             return end_request(state, pending)
         pending.suspect = attempt.endpoint
-        if not pending.request_class.is_write:  # a write has nowhere else to go
+        if not pending.request_class.is_write:  # a write can only go to the origin
             pending.failed_endpoints.add(attempt.endpoint.entry.number)
     else:
         _attribute_failure(state, pending, attempt, event)
@@ -101,14 +103,15 @@
 
 
 def _schedule_lookup(state: RouterState, pending: PendingRequest) -> None:
-    """Ask the cache again when another router's fill may be done."""
+    """Schedule another lookup at the cache, when the fill of another router may be complete."""
     fill_time_us = state.fill_times_us[pending.request.class_index]
     pending.next_lookup_us = state.now_us + int(fill_time_us * LOOKUP_INTERVAL_FRACTION)
     heapq.heappush(state.timers, (pending.next_lookup_us, pending.request.request_id))
 
 
 def _connection_reset(state: RouterState, pending: PendingRequest, endpoint: EndpointRecord) -> None:
-    """Let the endpoint be asked once more: it may hold the copy, and if it is down a connect fails."""
+    """Count a failure, but permit one retry at the endpoint: it may hold the copy, and if it is down the
+    connect will fail."""
     if pending.was_interrupted:
         pending.failed_endpoints.add(endpoint.entry.number)
     pending.was_interrupted = True
@@ -118,7 +121,7 @@
 def _attribute_failure(
     state: RouterState, pending: PendingRequest, attempt: Attempt, event: AttemptEnded
 ) -> None:
-    """Count the failure against the endpoint at fault, and keep this request away from it."""
+    """Count the failure against the endpoint at fault, and send no further attempt of this request there."""
     at_fault = outlier_detection.endpoint_at_fault(state, attempt, event)
     if event.outcome != Outcome.MISS:
         pending.failed_endpoints.add(at_fault.entry.number)
--- a/magpieshift/policy/endpoint_list.py
+++ b/magpieshift/policy/endpoint_list.py
@@ -1,4 +1,5 @@
-"""The endpoint list: which endpoints are kept, in which role, and what a restart or a departure clears."""
+"""Applies updates of the endpoint list: adds endpoints by role, and drops the state of removed or restarted
+ones."""
 
 from __future__ import annotations
 
@@ -12,7 +13,7 @@
 
 
 def list_received(state: RouterState, event: EndpointListReceived) -> None:
-    """Take in a complete list or changes; a list that could not be had leaves the former one in force."""
+    """Apply a complete list or changes; after a failed fetch the previous list stays in force."""
     if event.kind == EndpointListKind.FAILED:
         state.subscribed = not state.settings.must_subscribe
     listed = {entry.number: entry for entry in event.endpoints}
@@ -25,7 +26,7 @@
 
 
 def _remove(state: RouterState, endpoint: EndpointRecord) -> None:
-    """Forget an endpoint; attempts in flight keep what they need of it, and waiting fills go on."""
+    """Remove an endpoint and advance the requests queued there; attempts in flight keep its record."""
     for table in (state.endpoints, state.caches, state.parents, state.origins):
         table.pop(endpoint.entry.number, None)
     endpoint.entry = replace(endpoint.entry, state=EndpointState.REMOVED)
@@ -33,7 +34,7 @@
 
 
 def _table_for(state: RouterState, entry: Endpoint) -> dict[int, EndpointRecord] | None:
-    """The table an entry belongs in; None if it may not be sent requests."""
+    """The table for an entry; None if no requests may be sent to the endpoint."""
     if entry.state == EndpointState.REMOVED:
         return None
     if entry.kind == state.settings.origin_kind:
@@ -44,7 +45,8 @@
 
 
 def _update(state: RouterState, entry: Endpoint) -> None:
-    """Add or change one endpoint; a process that started anew has no past."""
+    """Add or update one endpoint; its former state is dropped if its process restarted or its role
+    changed."""
     table = _table_for(state, entry)
     known = state.endpoints.get(entry.number)
     if known is not None and (
--- a/magpieshift/policy/errors.py
+++ b/magpieshift/policy/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the simulator's adapter; the policy itself raises none of its own."""
+"""The errors of the simulator adapter; the policy itself defines none."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class SimulatorError(MagpieshiftError):
-    """The simulator sent something that cannot be used; the text is one plain line."""
+    """The simulator sent invalid input; the message is a single line."""
 
 
 class WireError(SimulatorError):
-    """A frame does not follow the wire; the text says where and how."""
+    """A frame does not follow the simulator's protocol; the message names the offset and the problem."""
 
 
 class SettingsError(SimulatorError):
-    """A needed setting is missing or cannot be read; the text names it."""
+    """A required setting is missing or cannot be parsed; the message names it."""
--- a/magpieshift/policy/events.py
+++ b/magpieshift/policy/events.py
@@ -1,7 +1,8 @@
-"""What a policy is told. Times are whole microseconds; an absent value is zero.
+"""Events that a policy receives. Times are whole microseconds; an absent value is zero.
 
-An endpoint (a cache, a parent cache or the origin) is a plain number that stays the same when its process
-restarts. A request is the number that the router gave it; its attempts are numbered from 0.
+An endpoint (a cache, a parent cache or the origin) is identified by a number that stays the same when its
+process restarts. A request is identified by the number that the router gave it; its attempts are numbered
+from 0.
 """
 
 from __future__ import annotations
@@ -24,13 +25,13 @@
     """What an endpoint list event holds."""
 
     DELTA = 0
-    """The changed entries alone."""
+    """Only the changed entries."""
     COMPLETE = 1
-    """Every endpoint; those left out are gone."""
+    """Every endpoint; those left out are removed."""
     CACHED = 2
     """Every endpoint as last known, possibly out of date."""
     FAILED = 3
-    """The list could not be had; the former one stays."""
+    """The list could not be fetched; the previous one stays in force."""
 
 
 @dataclass(slots=True)
@@ -40,48 +41,49 @@
     number: int
     """Its address and port as one number."""
     zone: int
-    """By number."""
+    """Number of its zone."""
     kind: int
     """Cache, parent or origin: see ``Settings.parent_kind`` and ``origin_kind``."""
     cell: int
-    """Endpoints of one cell may discard each other's repeats, see ``DeduplicationScope``."""
+    """Number of its cell. Endpoints of one cell may discard each other's repeats, see
+    ``DeduplicationScope``."""
     state: EndpointState
     weight: float
-    """Its capacity or a live weight, see ``Settings.weights_are_sizes``."""
+    """Its capacity in concurrent requests or a live weight, see ``Settings.weights_are_sizes``."""
     started_us: int
     """When its process started, on the policy's clock; 0 where that is not known."""
 
 
 @dataclass(slots=True)
 class EndpointListReceived:
-    """The list of endpoints, complete or as changes."""
+    """An update of the endpoint list, complete or as changes."""
 
     kind: EndpointListKind
     version: int
-    """Of the list."""
+    """Version of the list."""
     endpoints: tuple[Endpoint, ...]
 
 
 @dataclass(slots=True)
 class RequestReceived:
-    """A client's request; exactly one final answer is now owed for it."""
+    """A client's request. It gets exactly one final answer, unless the client disconnects first."""
 
     request_id: int
     class_index: int
-    """Its class's number."""
+    """Number of its class."""
     tenant: int
     object_key: int
-    """The object's number; 0 for none."""
+    """Number of the requested object; 0: none."""
     time_left_us: int
-    """From now until the client gives up."""
+    """Time from now until the client gives up."""
     size_kb: float
     """Size of the answer; 0 where that is not known."""
     group: int
-    """The group of objects by which it may be purged."""
+    """Number of the group with which the object may be purged."""
     part: int
-    """Of the object, from 0."""
+    """Number of the requested part of the object, from 0."""
     is_repeat: bool
-    """Whether the client sent it before."""
+    """Whether it is the client's retry of an earlier request."""
     is_write: bool
 
 
@@ -92,7 +94,7 @@
     request_id: int
     endpoint: int
     latency_us: int
-    """From when the attempt was sent."""
+    """Time since the attempt was sent."""
     attempt: int
 
 
@@ -103,37 +105,37 @@
     request_id: int
     outcome: Outcome
     latency_us: int
-    """From when the attempt was sent."""
+    """Time since the attempt was sent."""
     fill_wait_us: int
     """Part of the latency that the cache spent waiting for its fill."""
     request_closed: bool
-    """Whether the request itself is over."""
+    """Whether the request itself is over too, and needs no further attempt or answer."""
     cache_status: int
-    """A ``CacheStatus``, or a number that this version does not know."""
+    """A ``CacheStatus``, or a number that this version does not define."""
     endpoint: int
     attempt: int
-    """Its number, from 0."""
+    """Number of the attempt, from 0."""
     load: tuple[float, ...]
     """The endpoint's load report, by ``Settings.load_report_columns``."""
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client left; nothing more is owed."""
+    """The client disconnected; its request needs no answer any more."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer of this instance came due."""
+    """A timer that this instance set has fired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """What a health check found."""
+    """The result of a health check."""
 
     endpoint: int
     outcome: Outcome
@@ -144,7 +146,7 @@
 
 @dataclass(slots=True)
 class PeerMessageReceived:
-    """Bytes from another instance."""
+    """A message from another router instance."""
 
     sender: int
     body: bytes
@@ -155,10 +157,10 @@
     """An object, or with no key a whole group, was purged at the origin some time ago."""
 
     object_key: int
-    """0: the whole group."""
+    """Number of the purged object; 0: the whole group."""
     group: int
     age_us: int
-    """How long ago it was made at the origin."""
+    """Time since the purge was made at the origin."""
 
 
 Event = (
--- a/magpieshift/policy/forwarding.py
+++ b/magpieshift/policy/forwarding.py
@@ -1,7 +1,8 @@
-"""The next step of a request with no attempt in flight, and the start and the end that it may lead to.
+"""Chooses the next step of a request that has no attempt in flight, starts attempts, and ends requests.
 
-A request is looked up at its cache; on a miss the cache fills from a parent or the origin, under the limits
-of ``admission``. It ends here when no attempt is permitted or none would come in time.
+A request is first looked up at its cache; on a miss the cache fills from a parent or the origin, within the
+limits of ``admission``. The request is ended here when no further attempt is permitted or none could be
+answered in time.
 """
 
 from __future__ import annotations
@@ -32,11 +33,11 @@
 )
 
 NOT_RETAINED, RETAINED = range(2)
-"""Retention ranks of a copy at its cache; a write's answer is not kept."""
+"""Values of ``SendCacheRequest.retention_rank``; the answer to a write is not retained."""
 
 
 def advance(state: RouterState, pending: PendingRequest) -> None:
-    """Look up, fill, wait or end."""
+    """Send a lookup, start or enqueue a fill, or end the request."""
     is_write = pending.request_class.is_write
     may_bypass = state.settings.may_bypass_caches
     cache = None if is_write and may_bypass else choose_cache(state, pending)
@@ -46,7 +47,7 @@
         cache is None
         or is_write
         or pending.missed_cache is cache
-        or permitted_rate(state, cache) < math.inf  # a cache that warms up holds little: no lookup first
+        or permitted_rate(state, cache) < math.inf  # a warming cache holds little: no lookup first
     ):
         return _fill(state, pending, cache)
     if pending.missed_cache is None and not can_meet_objective(state, pending, cache):
@@ -55,7 +56,7 @@
 
 
 def _may_attempt(state: RouterState, pending: PendingRequest) -> bool:
-    """Whether the class permits a further attempt, and one can still be answered."""
+    """Whether a further attempt is permitted, and there is enough time left for its answer."""
     request_class = pending.request_class
     tick_us = state.settings.tick_us
     needed_us = tick_us if request_class.is_write else state.service_times_us[pending.request.class_index]
@@ -73,7 +74,8 @@
 
 
 def _fill(state: RouterState, pending: PendingRequest, cache: EndpointRecord | None) -> None:
-    """Send to the cache, or without one directly, with a source that admits it; else wait or end."""
+    """Send a fill through the cache, or directly to the source if there is no cache. If no source admits the
+    fill now, the request is in a queue or is ended."""
     source = admission.admit(state, pending)
     if source is not None:
         _send(state, pending, cache or source, source)
@@ -84,7 +86,7 @@
 def _send(
     state: RouterState, pending: PendingRequest, endpoint: EndpointRecord, source: EndpointRecord | None
 ) -> None:
-    """Start an attempt, and count it wherever it takes a slot."""
+    """Start an attempt, and count it at the endpoint and at its source."""
     request = pending.request
     class_index = request.class_index
     key = (class_index, source is not None)
@@ -124,8 +126,8 @@
     source: EndpointRecord | None,
     timeout: int,
 ) -> SendPlainRequest | SendCacheRequest:
-    """The attempt as the endpoint is asked: the origin plainly, caches and parents with a source, a bound on
-    the copy's age, and flags."""
+    """The action that sends the attempt: ``SendPlainRequest`` to the origin, ``SendCacheRequest`` to caches
+    and parents."""
     request_id = pending.request.request_id
     number = endpoint.entry.number
     settings = state.settings
@@ -133,7 +135,7 @@
         return SendPlainRequest(request_id, number, timeout)
     is_lookup = pending.work_kind == LOOKUP
     named = source or endpoint
-    if source is endpoint and not is_lookup:  # a parent that is asked directly needs the origin named
+    if source is endpoint and not is_lookup:  # a direct fill at a parent must name the origin as its source
         named = _ready_origin(state) or endpoint
     rank = NOT_RETAINED if pending.request_class.is_write else RETAINED
     flags = 0
@@ -156,17 +158,17 @@
 
 
 def release_queue(state: RouterState, source: EndpointRecord) -> None:
-    """Let requests that wait at a source go on; see ``admission.release_queue``."""
+    """Advance requests queued at a source; see ``admission.release_queue``."""
     if source.queue:
         admission.release_queue(state, source, lambda pending: advance(state, pending))
 
 
 def end_request(state: RouterState, pending: PendingRequest) -> None:
-    """Give the final answer: rejected where a client's retry does no harm, else failed."""
+    """Give the final answer: a rejection if a retry by the client does no harm, else a failure."""
     request_id = pending.request.request_id
     fill_time_us = state.fill_times_us[pending.request.class_index]
     spare_us = pending.objective_due_us - fill_time_us - state.now_us
-    # drawn for a failure as well: the order of draws is part of the decisions
+    # drawn for a failure as well: decisions depend on the order of draws
     retry_after_us = rejection.retry_after_us(spare_us, state.settings.max_retry_after_us, state.random)
     may_have_run = pending.first_execution is not None or pending.attempt_in_flight >= 0
     if rejection.may_reject(pending.request_class, may_have_run):
@@ -179,6 +181,6 @@
 
 
 def forget_request(state: RouterState, pending: PendingRequest) -> None:
-    """Drop a request that is over; an attempt of it in flight gives its slots back when it ends."""
+    """Remove a request that is over; an attempt still in flight releases its slots when it ends."""
     state.requests.pop(pending.request.request_id, None)
     admission.leave_queue(pending)
--- a/magpieshift/policy/hashing.py
+++ b/magpieshift/policy/hashing.py
@@ -1,4 +1,4 @@
-"""The hash by which all routers place an object alike."""
+"""The hash function with which all routers place an object on the same endpoints."""
 
 from __future__ import annotations
 
--- a/magpieshift/policy/health_override.py
+++ b/magpieshift/policy/health_override.py
@@ -1,8 +1,8 @@
-"""What other routers report of endpoints' health, applied to a running policy.
+"""Applies health information about endpoints from other routers to a running policy.
 
-An override ejects an endpoint for longer, or readmits it sooner, than its own failures have it. What this
-router saw itself stays, and so does the rule that an endpoint that failed gets one attempt at a time. No
-I/O, and it cannot fail.
+An override ejects an endpoint for longer, or readmits it sooner, than the failures seen by this router would.
+It does not change the failure rate observed by this router, nor the rule that an endpoint above the ejection
+threshold gets one attempt at a time. It does no I/O and cannot fail.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Eject:
-    """Send the endpoint nothing for ``duration_us``."""
+    """Send no attempts to the endpoint for ``duration_us``."""
 
     endpoint: int
     duration_us: int
@@ -36,10 +36,11 @@
 
 
 def endpoint_health(router: RouterState) -> Iterator[tuple[int, bool, int, int]]:
-    """Of each listed endpoint: its number, whether its failure rate is above the ejection threshold, and when
-    it last failed and last was of use (microseconds on the policy's clock; -1: never).
+    """The number of each listed endpoint, whether its failure rate is above the ejection threshold, and the
+    times of its last failure and last success (microseconds on the policy's clock; -1: never).
 
-    A cache that answers with errors is heard, and of no use; a source is heard in good answers alone.
+    The last success of a cache is its last hit, because ``last_heard_us`` includes errors. A parent or
+    origin, as a source, is heard only in successful answers, so its ``last_heard_us`` counts too.
     """
     settings = router.settings
     for number, endpoint in router.endpoints.items():
@@ -50,8 +51,8 @@
 
 
 def apply_overrides(router: RouterState, now_us: int, overrides: Iterable[HealthOverride]) -> None:
-    """Let overrides count from ``now_us`` on, on the policy's clock; those of endpoints that are not listed
-    are dropped."""
+    """Apply overrides as of ``now_us`` on the policy's clock; those for endpoints that are not listed are
+    ignored."""
     for override in overrides:
         endpoint = router.endpoints.get(override.endpoint)
         if endpoint is None:
--- a/magpieshift/policy/invalidation.py
+++ b/magpieshift/policy/invalidation.py
@@ -1,10 +1,10 @@
-"""Purges that copies in caches may still predate, and the largest age of a copy that will do.
+"""Keeps recent purges, and derives from them the maximum age of an acceptable copy.
 
 Caches drop purged copies by themselves within the propagation time; until then a request must bound the age
-of the copy it takes. The table is a plain dictionary, which captures hold as it is: when each purge was
-made at the origin (microseconds), objects under ``(1, key)``, groups under ``(0, group)``. It is searched
-for expired entries only when it has doubled since the last time, so that adding one takes constant time on
-average.
+of an acceptable copy. The table is a plain dictionary, and captures hold it in that form: the time at which
+each purge was made at the origin (microseconds), objects under ``(1, key)``, groups under ``(0, group)``. It
+is searched for expired entries only when its size has doubled since the last search, so that adding one takes
+constant time on average.
 """
 
 from __future__ import annotations
@@ -14,24 +14,25 @@
 Purges = dict[tuple[int, int], int]
 
 MIN_SWEEP_ENTRIES = 64
-"""A smaller table is not searched for expired entries."""
+"""Table size below which it is not searched for expired entries."""
 GROUP, OBJECT = range(2)
-"""First part of a table's key."""
+"""First element of a key in the table."""
 RETENTION_MULTIPLE = 2
-"""Times the propagation time that a purge is kept, which covers fills that were under way when it was
+"""Multiple of the propagation time for which a purge is kept; it covers fills in progress when the purge was
 made."""
 NEVER_US = -1
-"""Before any time at which a purge is made."""
+"""A time before that of any purge."""
 
 
 def record_purge(purges: Purges, object_key: int, group: int, purged_us: int) -> None:
-    """Take in a purge of an object or, with ``object_key`` 0, of a group."""
+    """Record a purge of an object or, with ``object_key`` 0, of a group."""
     purged = (OBJECT, object_key) if object_key else (GROUP, group)
     purges[purged] = max(purged_us, purges.get(purged, 0))
 
 
 def sweep(purges: Purges, sweep_size: int, now_us: int, propagation_us: int) -> int:
-    """Drop expired entries once the table has ``sweep_size``; returns the size at which to do so next."""
+    """Drop expired entries if the table has at least ``sweep_size`` entries; returns the size for the next
+    sweep."""
     if len(purges) < sweep_size:
         return sweep_size
     expired_us = now_us - RETENTION_MULTIPLE * propagation_us
@@ -43,8 +44,8 @@
 def max_copy_age_us(
     purges: Purges, request: RequestReceived, class_max_age_us: int, now_us: int, propagation_us: int
 ) -> int:
-    """The largest age of a copy that will do: the class's own (0 for no bound) unless the object or its group
-    was purged lately; then at least 1, as 0 would mean the class's own."""
+    """Maximum age of an acceptable copy: that of the class (0: no bound), or the time since a recent purge of
+    the object or its group if that is shorter; then at least 1, as 0 would mean that of the class."""
     purged_us = max(
         purges.get((OBJECT, request.object_key), NEVER_US), purges.get((GROUP, request.group), NEVER_US)
     )
--- a/magpieshift/policy/latency.py
+++ b/magpieshift/policy/latency.py
@@ -1,7 +1,8 @@
-"""Latency objectives, and caches that are too slow to meet them.
+"""Calculates latency objectives, and detects caches that are too slow to meet them.
 
-A cache's slowdown is how much longer its hits took lately than sending them takes by itself. Above a
-threshold its link is full, and each further attempt makes all of them slower.
+The service time of an answer is the time to send it without other load. A cache's slowdown is the excess of
+its recent hits' latency over their service time, in multiples of the service time. Above a threshold the
+cache's link is taken to be full, so that each further attempt slows down all of them.
 """
 
 from __future__ import annotations
@@ -14,37 +15,37 @@
 from magpieshift.policy.state import SAMPLE_WEIGHT, Attempt, EndpointRecord, PendingRequest, RouterState
 
 SLOWDOWN_CAUTION = 2
-"""The slowdown seen counts so many times: what is sent now meets that of what is already on its way.
-Larger rejects sooner at a slow cache."""
+"""Factor on the measured slowdown when the latency of a hit is predicted, because attempts already in flight
+will slow the new one down further. A larger factor rejects sooner at a slow cache."""
 FULL_LINK_SLOWDOWN = 0.8
-"""Times the service time; above it a link is taken to be full, and the slowdown to grow with what is in
-flight. Smaller calls busy links full."""
+"""Slowdown above which a link is taken to be full, so that the slowdown grows in proportion to the attempts
+in flight. A smaller one takes busy links for full."""
 SLOWDOWN_MEMORY_US = 8_000_000
-"""Time constant in which a slowdown that no hit confirms fades: a cache that restarted has misses alone to
-show. Larger keeps a cache shut for longer after its last hit."""
+"""Time constant of the decay of a slowdown after the last hit: a cache that restarted gives only misses,
+which do not update its slowdown. A larger one avoids a cache for longer after its last hit."""
 MAX_EXCESS_SLOWDOWN = 2.0
-"""Times the service time; a cache slower than the median by so much gets one attempt at a time.
-Smaller moves requests off a cache for less."""
+"""Slowdown in excess of that of the median cache, above which a cache gets one attempt at a time; see
+``placement.choose_cache``. A smaller one moves requests off a cache sooner."""
 RISE_DIVISOR = 20
-"""Where sizes are not known, a hit that takes longer than the service time moves it by this part of what a
-faster one does, so that it stays near the least that hits take. Smaller takes a cache's
-slowness for its objects' size."""
+"""If sizes are not known, a hit slower than the mean service time changes the mean with a weight divided by
+this, so that it stays near the fastest hits. With a smaller divisor the slowness of a cache would be taken
+for large objects."""
 
 
 def objective_us(request_class: RequestClass, service_time_us: float) -> float:
-    """The latency objective of an answer whose sending takes ``service_time_us`` by itself."""
+    """The latency objective of an answer with the given service time."""
     return request_class.latency_objective_us + request_class.latency_objective_stretch * service_time_us
 
 
 def draw_service_time_us(state: RouterState, request: RequestReceived) -> float:
-    """Time that sending the answer takes by itself: by its size or, where that is not known, drawn from an
-    exponential distribution round the class's mean."""
+    """Service time of the answer: from its size or, if that is not known, drawn from an exponential
+    distribution with the mean of the class."""
     known_us = request.size_kb * state.us_per_kb
     return known_us or state.service_times_us[request.class_index] * state.random.expovariate(1.0)
 
 
 def record_size(state: RouterState, request: RequestReceived, service_time_us: float) -> None:
-    """Take a request's known size into its class's mean service time."""
+    """Update the mean service time of the class if the request's size is known."""
     if request.size_kb:
         mean_us = state.service_times_us[request.class_index]
         sample_us = min(service_time_us, request.time_left_us)
@@ -52,15 +53,15 @@
 
 
 def slowdown(endpoint: EndpointRecord) -> float:
-    """By how much hits took longer lately than sending them, in multiples of that."""
+    """Excess of the latency of recent hits over their service time, in multiples of the service time."""
     if not endpoint.expected_time_sum_us:
         return 0.0
     return max(0.0, endpoint.hit_time_sum_us / endpoint.expected_time_sum_us - 1)
 
 
 def slowdown_at(endpoint: EndpointRecord, in_flight: int) -> float:
-    """The slowdown with so many attempts in flight: in proportion to them for a full link, at most what was
-    seen for one with room."""
+    """Expected slowdown with ``in_flight`` attempts in flight: proportional to them if the link is full, else
+    at most the measured slowdown."""
     if not endpoint.weighted_in_flight_sum_us:
         return 0.0
     found = slowdown(endpoint)
@@ -69,7 +70,7 @@
 
 
 def can_meet_objective(state: RouterState, pending: PendingRequest, cache: EndpointRecord) -> bool:
-    """Whether a hit at the cache comes within the objective, as slow as its hits were lately."""
+    """Whether a hit at the cache is expected within the objective, given the slowdown of recent hits."""
     fading = math.exp((cache.last_hit_us - state.now_us) / SLOWDOWN_MEMORY_US)
     expected_slowdown = slowdown_at(cache, cache.in_flight + 1) * fading
     service_time_us = pending.service_time_us
@@ -79,7 +80,8 @@
 
 
 def record_hit(state: RouterState, attempt: Attempt, event: AttemptEnded) -> None:
-    """Learn from a cache hit how slow its cache is, and where sizes are not known how long hits take."""
+    """Update the cache's slowdown after a hit and, if sizes are not known, the mean service time of the
+    class."""
     if event.outcome != Outcome.OK or event.cache_status not in (CacheStatus.NONE, CacheStatus.HIT):
         return
     endpoint = attempt.endpoint
--- a/magpieshift/policy/outcomes.py
+++ b/magpieshift/policy/outcomes.py
@@ -1,4 +1,4 @@
-"""How attempts end, and what a cache says of the copy or of the fill."""
+"""Outcomes of attempts, and the cache status that an answer reports."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt ended. The numbers are those of the simulator's wire and of captures."""
+    """How an attempt ended. The simulator's protocol and captures use these numbers."""
 
     OK = 1
-    """The endpoint answered with the object, or with the word that the client's copy is current."""
+    """The endpoint answered with the object, or that the client's copy is current."""
     ERROR = 2
     """The endpoint answered with an error; the request may have taken effect."""
     OVERLOADED = 3
-    """The endpoint was full and did not begin."""
+    """The endpoint was overloaded and did not execute the request."""
     TIMEOUT = 4
-    """No answer in the time that the attempt was given."""
+    """No answer arrived within the attempt's timeout."""
     CONNECT_FAILED = 5
-    """No connection came up in time; nothing was written."""
+    """No connection was established in time; nothing was written."""
     RESET = 6
     """The connection ended after the request was written."""
     CANCELLED = 7
-    """The router called the attempt off."""
+    """The router cancelled the attempt."""
     SUPERSEDED = 8
-    """The request was over, out of time or out of attempts: nothing was written."""
+    """Nothing was written because the request was over, or had no time or attempts left."""
     MISS = 9
     """The endpoint does not hold the copy, and was not asked to fetch it."""
 
@@ -33,7 +33,7 @@
 
 
 class CacheStatus(IntEnum):
-    """What an answer tells of the copy or of the fill, where the deployment's caches report it."""
+    """What an answer reports about the copy or the fill, in deployments whose caches report it."""
 
     NONE = 0
     HIT = 1
@@ -41,13 +41,13 @@
     FILLED = 2
     """Fetched from the source that the request named."""
     FILLED_BY_ORIGIN = 3
-    """Fetched by that source from the origin in turn."""
+    """Fetched from the source that the request named, which fetched it from the origin."""
     COALESCED = 4
-    """Waited for a fill of the same part that was already running, or found one running."""
+    """Waited for a fill of the same part that was already running; with a miss: found one running."""
     STALE = 5
-    """Served a copy past its fresh time."""
+    """Served from a copy that was no longer fresh."""
     SOURCE_REJECTED = 6
-    """The source was full."""
+    """The source was overloaded and rejected the fill."""
     SOURCE_LOST = 7
     """The source did not answer, or its connection broke."""
     SOURCE_MISS = 8
--- a/magpieshift/policy/outlier_detection.py
+++ b/magpieshift/policy/outlier_detection.py
@@ -1,7 +1,8 @@
-"""Endpoints that fail: whose fault a failure is, when they are ejected, and how they come back.
+"""Attributes failures to endpoints, ejects failing endpoints and readmits them.
 
-Each failure moves an endpoint's running failure rate; above a threshold it is ejected for a random time, and
-then gets one attempt at a time until good answers have brought the rate down to the threshold again.
+Each failure raises an endpoint's running failure rate. Above a threshold the endpoint is ejected for a random
+time, and then gets one attempt at a time until successful answers have brought the rate down to the threshold
+again.
 """
 
 from __future__ import annotations
@@ -11,28 +12,28 @@
 from magpieshift.policy.state import SAMPLE_WEIGHT, Attempt, EndpointRecord, RouterState
 
 UNANSWERED = (Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.CANCELLED, Outcome.SUPERSEDED)
-"""The outcomes in which an endpoint said nothing."""
+"""The outcomes without any answer from the endpoint."""
 EJECTION_FAILURE_RATE = 0.4
-"""Running share of failures above which an endpoint is ejected. Smaller ejects for
-chance."""
+"""Failure rate above which an endpoint is ejected. A smaller one ejects for a few random failures."""
 EJECTION_US = 1_000_000
-"""Base of an ejection's length: it is multiplied by 0.67 just above the threshold to 4 where all fails, and
-by a random 1 to 2, so that routers do not all come back at once: 0.67 to 8 s.
-Smaller sends more attempts to what is down."""
+"""Base duration of an ejection. It is multiplied by 0.67 (failure rate just above the threshold) to 4 (all
+attempts fail), and by a random factor from 1 to 2 so that routers do not all return at once; the result is
+0.67 to 8 s. A smaller base sends more attempts to endpoints that are down."""
 MAX_EJECTION_MULTIPLE = 4
-"""Bound of the first of those factors, which grows while what is then tried fails."""
+"""Maximum of the first factor, which grows as long as attempts after an ejection fail."""
 FAILURE_WEIGHT = 2 * SAMPLE_WEIGHT
-"""How far one failure moves the failure rate towards 1, and one good answer towards 0: three failures in a
-row eject a healthy endpoint."""
+"""Weight with which one failure moves the failure rate towards 1, and one successful answer towards 0: three
+failures in a row eject a healthy endpoint."""
 OVERLOAD_WEIGHT = SAMPLE_WEIGHT
-"""The same for an endpoint that was full: that passes sooner."""
+"""Weight of a failure because the endpoint was overloaded, which is usually over sooner."""
 SILENCE_WEIGHT = 0.5
-"""The same for one that has answered nobody since the attempt was sent: it ejects at once."""
+"""Weight of a failure of an endpoint that has answered no attempt since the failed one was sent: a single one
+ejects a healthy endpoint."""
 
 
 def is_available(state: RouterState, endpoint: EndpointRecord) -> bool:
-    """Whether the endpoint may be sent an attempt: one whose failure rate is above
-    the threshold gets one at a time."""
+    """Whether the endpoint may be sent an attempt: it is ready and not ejected, and if its failure rate is
+    above the threshold, no other attempt is in flight there."""
     is_on_trial = endpoint.failure_rate > EJECTION_FAILURE_RATE and endpoint.in_flight > 0
     return (
         endpoint.entry.state == EndpointState.READY
@@ -42,9 +43,10 @@
 
 
 def record_failure(state: RouterState, endpoint: EndpointRecord, weight: float) -> bool:
-    """Count a failure against the endpoint; returns whether it is ejected by it.
+    """Count a failure against the endpoint; returns whether this ejects it.
 
-    Only one counts at an instant: a connection that breaks fails all that is in flight on it.
+    Only one failure counts at the same ``now_us``: a connection that breaks fails all attempts in flight on
+    it.
     """
     if endpoint.last_failure_us == state.now_us:
         return False
@@ -52,15 +54,16 @@
     endpoint.failure_rate += weight * (1 - endpoint.failure_rate)
     if endpoint.failure_rate <= EJECTION_FAILURE_RATE or state.now_us < endpoint.ejected_until_us:
         return False
-    least_good_rate = EJECTION_FAILURE_RATE / MAX_EJECTION_MULTIPLE  # caps the multiple, also at a rate of 1
+    # bounds the multiple, also at a failure rate of 1
+    least_good_rate = EJECTION_FAILURE_RATE / MAX_EJECTION_MULTIPLE
     multiple = EJECTION_FAILURE_RATE / max(least_good_rate, 1 - endpoint.failure_rate)
-    spread = 1 + state.random.random()  # many routers must not try it all at once
+    spread = 1 + state.random.random()  # so that routers do not all retry the endpoint at once
     endpoint.ejected_until_us = state.now_us + int(EJECTION_US * (multiple * spread))
     return True
 
 
 def record_answer(state: RouterState, attempt: Attempt, outcome: Outcome) -> None:
-    """Note who answered, and let good answers bring failure rates down."""
+    """Record which endpoints answered, and lower the failure rates after a successful answer or a miss."""
     is_ok = outcome == Outcome.OK
     for endpoint in attempt.involved:
         is_target = endpoint is attempt.endpoint
@@ -73,8 +76,8 @@
 def endpoint_at_fault(state: RouterState, attempt: Attempt, event: AttemptEnded) -> EndpointRecord:
     """The endpoint that a failure counts against.
 
-    A fill is sent after the cache itself answered with a miss, so a failure is its source's, unless the cache
-    says otherwise.
+    A fill is sent after the cache itself answered with a miss, so a failure counts against the source, unless
+    the cache status or a broken connection shows otherwise.
     """
     is_cache_itself = (
         state.settings.reports_cache_status
@@ -89,7 +92,7 @@
 
 
 def failure_weight(attempt: Attempt, event: AttemptEnded, at_fault: EndpointRecord) -> float:
-    """How much a failure counts against the endpoint at fault."""
+    """Weight with which a failure counts against the endpoint at fault."""
     is_silent = event.outcome in UNANSWERED or (
         at_fault is attempt.source and event.cache_status == CacheStatus.SOURCE_LOST
     )
--- a/magpieshift/policy/placement.py
+++ b/magpieshift/policy/placement.py
@@ -1,7 +1,7 @@
-"""Where an object belongs: its cache, and its parents in their order.
+"""Chooses the cache of an object and the order of its fill sources.
 
-Both follow weighted rendezvous hashing (Thaler and Ravishankar 1998), so that all routers choose alike and an
-endpoint that comes or goes moves only the objects that are its own.
+Both use rendezvous hashing (Thaler and Ravishankar 1998), weighted for caches, so that all routers make the
+same choice and an endpoint that is added or removed moves only its own objects.
 """
 
 from __future__ import annotations
@@ -18,34 +18,40 @@
 from magpieshift.policy.state import EndpointRecord, PendingRequest, RouterState
 
 MAX_LOAD_DEVIATIONS = 1.4
-"""Square roots of a cache's part of what is in flight, above which it passes requests on.
-Smaller spreads load more evenly and hits fewer copies."""
+"""A cache is overloaded when its attempts in flight exceed its share by this many square roots of the share.
+A smaller number spreads load more evenly but gives fewer cache hits."""
 MIN_SPILL_IN_FLIGHT = 4
-"""Attempts; below this a cache passes nothing on, whatever its part. As above."""
+"""Attempts in flight below which a cache is not overloaded, whatever its share. A smaller number spreads load
+more evenly but gives fewer cache hits."""
 PARENTS_TRIED = 2
-"""The first parent of an object, and the second when the first is full or down (the operators' design)."""
+"""Number of parents of an object: the second is tried when the first is full or down, as in the operators'
+design."""
 MIN_WEIGHT = 1e-6
-"""Listed weight; an endpoint listed with none is chosen last, and divides nothing by 0."""
+"""Lower bound of a listed weight: an endpoint listed with 0 is chosen last, and a division by 0 is
+avoided."""
 
 WITHIN_LOAD = 1
-"""Fitness of a cache with no more in flight than its part, or of a slow one that is idle."""
+"""Fitness of a cache within its share of the attempts in flight, or of a slow cache that is idle."""
 OVERLOADED = 0
-"""Fitness of a cache with more in flight than its part."""
+"""Fitness of a cache above its share of the attempts in flight."""
 UNFIT = -1
-"""Fitness of a slow cache that is busy, or could not meet the objective."""
+"""Fitness of a slow cache that has an attempt in flight or could not meet the objective."""
 MISSED_BONUS = 2
-"""Added to the fitness of the cache that missed, so that it comes first, for its fill."""
+"""Added to the fitness of the cache that answered the lookup with a miss, so that the fill goes through
+it."""
 
 
 def is_repeat_permitted_at(pending: PendingRequest, endpoint: EndpointRecord) -> bool:
-    """Whether the endpoint would discard a repeat of what may already have run."""
+    """Whether the endpoint may be sent the request: either no earlier attempt can have run, or the endpoint
+    would discard a repeat of the first that may have."""
     first = pending.first_execution
     return first is None or retry.is_within_scope(pending.request_class, first[0].entry, endpoint.entry)
 
 
 def choose_cache(state: RouterState, pending: PendingRequest) -> EndpointRecord | None:
-    """The object's cache among the ready ones: healthy before failing, within their load before above it,
-    then by weighted rendezvous; None where the caches can and had better be bypassed."""
+    """The cache for a request: of the ready ones, an available cache before an unavailable one, then the one
+    with the highest fitness, then by weighted rendezvous hashing. None if no cache is suitable; if caches may
+    be bypassed, an unavailable or ``UNFIT`` one is not."""
     ready = [each for each in state.caches.values() if each.entry.state == EndpointState.READY]
     slowdowns = [slowdown(each) for each in ready]
     median = sorted(slowdowns)[(len(ready) - 1) // 2] if ready else 0.0
@@ -79,7 +85,8 @@
 
 
 def _load_fitness(cache: EndpointRecord, expected: float) -> int:
-    """Whether the cache has no more in flight than expected of its weight, chance included."""
+    """Fitness of a cache by its attempts in flight, compared with those expected for its weight plus random
+    variation."""
     is_within = cache.in_flight < max(
         MIN_SPILL_IN_FLIGHT, expected + MAX_LOAD_DEVIATIONS * math.sqrt(expected)
     )
@@ -87,15 +94,15 @@
 
 
 def _slow_cache_fitness(state: RouterState, pending: PendingRequest, cache: EndpointRecord) -> int:
-    """A slow cache gets one attempt at a time, to learn when it is well again."""
+    """Fitness of a slow cache: it gets one attempt at a time, which shows when it has recovered."""
     if cache.in_flight == 0 and can_meet_objective(state, pending, cache):
         return WITHIN_LOAD
     return UNFIT
 
 
 def fill_sources(state: RouterState, pending: PendingRequest) -> list[EndpointRecord]:
-    """Where a fill may come from, in order: first and second parent in a hash order over all listed ones,
-    then the origin; a write goes to the origin alone."""
+    """The sources of a fill in order of preference: two parents by rendezvous hashing over all listed ones,
+    then the origin. A write only goes to the origin."""
     origins = list(state.origins.values())
     if pending.request_class.is_write:
         return origins
--- a/magpieshift/policy/reconfigure.py
+++ b/magpieshift/policy/reconfigure.py
@@ -1,7 +1,7 @@
-"""Other settings for a running policy.
+"""Replaces the settings of a running policy.
 
-What it has learned stays, and pending requests keep the class they came under
-(``PendingRequest.request_class``). No I/O, and it cannot fail: the settings were checked before
+Statistics are kept, and pending requests keep the class with which they arrived
+(``PendingRequest.request_class``). It does no I/O and cannot fail: the settings were validated before
 (``magpieshift.config_transaction``).
 """
 
@@ -14,7 +14,7 @@
 
 
 def reconfigure(router: RouterState, settings: Settings, fresh: Set[int]) -> None:
-    """Put ``settings`` in force; ``fresh`` are the numbers of classes of which nothing learned holds."""
+    """Put ``settings`` in force; ``fresh`` has the numbers of the classes whose statistics are reset."""
     count = len(settings.classes)
     _replace_fresh(router.service_times_us, initial_service_times_us(settings), fresh)
     _replace_fresh(router.fill_times_us, [0.0] * count, fresh)
@@ -27,7 +27,7 @@
 
 
 def _replace_fresh(learned: list[float], initial: list[float], fresh: Set[int]) -> None:
-    """Put the initial figure in place of fresh and new classes', and drop those of classes that are gone."""
+    """Set the values of fresh and new classes to the initial ones, and drop those of removed classes."""
     learned[:] = [
         figure if index in fresh or index >= len(learned) else learned[index]
         for index, figure in enumerate(initial)
--- a/magpieshift/policy/rejection.py
+++ b/magpieshift/policy/rejection.py
@@ -1,6 +1,6 @@
-"""How a request that gets no answer from upstream ends: rejected, or failed.
+"""Decides whether a request without an answer from upstream is rejected or failed.
 
-A rejection promises the client that trying again does no harm, and says when. A failure promises nothing.
+A rejection tells the client that a retry does no harm, and when to retry. A failure tells neither.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 from magpieshift.policy.settings import DeduplicationScope, Idempotency, RequestClass
 
 MAX_SPARE_FRACTION = 0.5
-"""A retry is placed at random in this first part of the time in which it could still meet the objective.
-Larger values spread retries more and miss the objective more often."""
+"""A retry is placed at random within this first fraction of the time in which it could still meet the
+objective. A larger fraction spreads retries more, but more of them miss the objective."""
 
 
 def may_reject(request_class: RequestClass, may_have_run: bool) -> bool:
-    """Whether a client's retry does no harm.
+    """Whether a retry by the client does no harm.
 
-    ``may_have_run``: an attempt may have taken effect, or may still.
+    ``may_have_run``: whether an attempt may have taken effect, or may still do so.
     """
     if not may_have_run or request_class.idempotency == Idempotency.IDEMPOTENT:
         return True
@@ -26,10 +26,11 @@
 
 
 def retry_after_us(spare_us: float, max_retry_after_us: int, generator: random.Random) -> int:
-    """When a rejected client should come back, in microseconds.
+    """Retry-After of a rejection, in microseconds.
 
-    ``spare_us`` is the time in which a retry could still begin and meet the objective: the retry is placed
-    at random within it. Without any, the client stays away for as long as it may be told to.
+    ``retry_window_us`` is the time from now within which a retry could start and still meet the objective:
+    the retry is placed at random in its first part. If it is not positive, the maximum Retry-After is
+    returned.
     """
     if spare_us > 0:
         return int(spare_us * generator.random() * MAX_SPARE_FRACTION)
--- a/magpieshift/policy/retry.py
+++ b/magpieshift/policy/retry.py
@@ -1,9 +1,9 @@
-"""Whether a request may have a further attempt.
+"""Decides whether a request may have a further attempt.
 
-What may have run already is repeated only if its class says that a repeat does no harm: always for an
-idempotent request, and for one with an idempotency key at the endpoints that discard repeats together
-(deduplication scope) as long as they remember the first (deduplication window). The engine asks the same
-rules again right before it sends.
+A request that may have run already is repeated only if its class says that a repeat does no harm: always if
+it is idempotent; with an idempotency key, only at the endpoints that discard each other's repeats
+(deduplication scope) and only while they remember the first attempt (deduplication window). The engine checks
+the same rules again right before it sends.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 def is_repeat_permitted(
     request_class: RequestClass, first_sent_us: int | None, now_us: int, tick_us: int
 ) -> bool:
-    """Whether the class permits an execution at ``now_us``.
+    """Whether the class permits another attempt at ``now_us``.
 
-    ``first_sent_us`` is when the first attempt that may have run was sent; None if none may have. One tick is
-    left for the attempt to arrive within the deduplication window.
+    ``first_sent_us`` is when the first attempt that may have run was sent; None if no attempt can have run.
+    One tick is reserved so that the attempt arrives within the deduplication window.
     """
     if first_sent_us is None or request_class.idempotency == Idempotency.IDEMPOTENT:
         return True
@@ -28,7 +28,8 @@
 
 
 def is_within_scope(request_class: RequestClass, first: Endpoint, candidate: Endpoint) -> bool:
-    """Whether ``candidate`` discards a repeat of what may have run at ``first``, or need not."""
+    """Whether ``candidate`` discards a repeat of a request that may have run at ``first``; always true if the
+    class is idempotent, where no repeat has to be discarded."""
     if request_class.idempotency == Idempotency.IDEMPOTENT:
         return True
     match request_class.deduplication_scope:
@@ -42,5 +43,5 @@
 def is_exhausted(
     attempts_started: int, max_attempts: int, now_us: int, needed_us: float, answer_by_us: int
 ) -> bool:
-    """Whether no attempt is left, or ``needed_us`` no longer fits before the final answer is due."""
+    """Whether all attempts are used, or less than ``needed_us`` is left until ``answer_by_us``."""
     return attempts_started >= max_attempts or now_us + needed_us >= answer_by_us
--- a/magpieshift/policy/router_policy.py
+++ b/magpieshift/policy/router_policy.py
@@ -1,7 +1,7 @@
 """The decisions of one router instance: events in, actions out.
 
-This is the entry: it hands each event to the module whose rule it concerns, and keeps the one timer. A
-request's way through the rules is in ``docs/decisions.md``.
+This is the entry point: it dispatches each event to the module whose rule it concerns, and keeps one timer
+set for all requests. ``docs/decisions.md`` describes the path of a request through the rules.
 """
 
 from __future__ import annotations
@@ -28,16 +28,17 @@
 from magpieshift.policy.state import PendingRequest, RouterState
 
 ANSWER_MARGIN_TICKS = 2
-"""A final answer is given so many ticks before the client gives up: one for the timer, one for the way."""
+"""Ticks between the final answer and the client's deadline: one for the timer's delay, one for delivery of
+the answer."""
 NO_DEADLINE_US = (1 << 64) - 1
-"""Added to a deadline that no longer runs; larger than any time."""
+"""Added to a request's ``answer_by_us`` to disable it; larger than any timestamp."""
 
 
 class RouterPolicy(RouterState):
-    """The decisions of one router instance. It does no I/O, and all its state is in ``RouterState``."""
+    """The policy of one router instance. It does no I/O, and all its state is in ``RouterState``."""
 
     def handle(self, now_us: int, events: Iterable[Event]) -> list[Action]:
-        """Take in what happened at ``now_us``; return what to do, in order."""
+        """Process the events of a batch received at ``now_us``; return the resulting actions in order."""
         self.now_us = now_us
         self.actions = [] if self.subscribed else [SubscribeToEndpointList(True)]
         self.subscribed = True
@@ -49,9 +50,9 @@
         return self.actions
 
     def _set_timer(self) -> None:
-        """Ask for a timer event when the next request is to be looked at, unless one comes sooner."""
+        """Set a timer for the earliest entry of ``timers``, unless one that fires no later is already set."""
         timers = self.timers
-        # those of requests that are over: each would cause a batch of its own
+        # entries of requests that are over: each would cause a timer event with nothing to do
         while timers and timers[0][1] not in self.requests:
             heapq.heappop(timers)
         if timers and (self.next_timer_us <= self.now_us or timers[0][0] < self.next_timer_us):
@@ -67,7 +68,7 @@
     pending = PendingRequest(event, request_class, answer_by_us, service_time_us)
     state.requests[event.request_id] = pending
     at_least_us = max(service_time_us, state.service_times_us[event.class_index])
-    # summed from the left, time first: another order of floats gives other decisions
+    # keep the order of the addition: another order rounds differently and changes decisions
     pending.objective_due_us = (
         state.now_us
         + request_class.latency_objective_us
@@ -80,7 +81,7 @@
 
 def _response_started(state: RouterState, event: ResponseStarted) -> None:
     pending = state.requests.get(event.request_id)
-    if pending is not None:  # a streamed answer has begun: its deadline no longer runs
+    if pending is not None:  # a streamed answer has begun: the deadline for the answer no longer applies
         pending.answer_by_us += NO_DEADLINE_US
 
 
@@ -91,7 +92,8 @@
 
 
 def _timer_fired(state: RouterState, event: TimerFired) -> None:
-    """Look at each request whose time has come: it is over, or its cache is asked again."""
+    """Process all due entries of ``timers``: end a request whose queue time or deadline has passed, and
+    repeat a lookup that was scheduled for now."""
     while state.timers and state.timers[0][0] <= state.now_us:
         _, request_id = heapq.heappop(state.timers)
         pending = state.requests.get(request_id)
@@ -120,4 +122,5 @@
     EndpointListReceived: list_received,
     PurgeReceived: _purge_received,
 }
-"""Health checks and messages from peers decide nothing."""
+"""The handler for each event class. Health check results and peer messages have none: no decision depends on
+them."""
--- a/magpieshift/policy/settings.py
+++ b/magpieshift/policy/settings.py
@@ -1,4 +1,4 @@
-"""The settings that a policy decides by. Times are whole microseconds, rates kilobytes a second."""
+"""The settings of a policy. Times are whole microseconds, rates are kilobytes per second."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class Idempotency(IntEnum):
-    """What running a request twice may do."""
+    """Whether a request may be executed twice."""
 
     IDEMPOTENT = 0
-    """Running it again does no harm."""
+    """Executing it again does no harm."""
     WITH_KEY = 1
-    """Endpoints discard a repeat by its idempotency key, within a time and a scope."""
+    """Endpoints discard a repeat by its idempotency key, within the deduplication window and scope."""
     NOT_IDEMPOTENT = 2
-    """Running it again may take effect twice."""
+    """Executing it again may take effect twice."""
 
 
 class DeduplicationScope(IntEnum):
@@ -27,95 +27,101 @@
 
 @dataclass(slots=True)
 class RequestClass:
-    """The figures of one class of requests."""
+    """The settings of one class of requests."""
 
     idempotency: Idempotency
-    """What running a request twice may do."""
+    """Whether its requests may be executed twice."""
     deduplication_scope: DeduplicationScope
-    """Which endpoints discard each other's repeats, with an idempotency key."""
+    """Which endpoints discard each other's repeats; applies to ``Idempotency.WITH_KEY``."""
     deduplication_us: int
-    """How long after the first attempt a repeat is still discarded."""
+    """Deduplication window: how long after the first attempt a repeat is still discarded."""
     latency_objective_us: int
-    """Time within which an answer earns its full weight, besides the stretch."""
+    """Fixed part of the latency objective, within which an answer earns its full weight."""
     latency_objective_stretch: float
-    """What the objective grows by, in multiples of the time that sending the answer takes by itself."""
+    """Variable part of the latency objective, as a multiple of the time to send the answer without other
+    load."""
     deadline_us: int
-    """After so long the client has given up."""
+    """Time after which the client gives up."""
     priority_weight: float
-    """What an answer within the objective earns; this and its kin below are used by no rule."""
+    """What an answer within the objective earns. No rule uses this, ``late_priority_weight`` or
+    ``stale_priority_weight``."""
     late_priority_weight: float
-    """What an answer between objective and deadline earns, as a fraction of the weight."""
+    """What an answer between objective and deadline earns, as a fraction of ``priority_weight``."""
     is_stream: bool
-    """Whether its answers may be streamed: they begin long before they end. No rule uses it."""
+    """Whether its answers may be streamed, so that they begin long before they end. No rule uses it."""
     is_write: bool
-    """Whether it changes the object; it goes to the origin."""
+    """Whether its requests change the object; these are sent to the origin."""
     in_parts: bool
     """Whether the class's objects have several parts; no rule uses it."""
     max_age_us: int
-    """How long a copy is fresh; 0: until it is purged."""
+    """Time for which a copy is fresh; 0: until it is purged."""
     stale_grace_us: int
-    """How long past that a copy may still be served; caches apply it, no rule here does."""
+    """Time after ``max_age_us`` for which a stale copy may still be served. Caches apply it; no rule uses
+    it."""
     stale_priority_weight: float
-    """What a stale copy earns, as a fraction of the weight."""
+    """What a stale copy earns, as a fraction of ``priority_weight``."""
 
 
 @dataclass(slots=True)
 class Settings:
-    """What a policy instance is given at its start."""
+    """The settings of a policy instance."""
 
     classes: tuple[RequestClass, ...]
-    """By class number."""
+    """The request classes, by class number."""
     zone: int
-    """The router's own zone, by number."""
+    """Number of the router's own zone."""
     router_count: int
-    """Routers in all zones; what all share is divided by it."""
+    """Number of routers in all zones, among which shared limits are divided."""
     router_index: int
     """This router's number, from 0, among the routers of all zones; no rule uses it."""
     zone_hub: tuple[int, ...]
-    """By zone, the hub zone to which it is attached."""
+    """The hub zone to which each zone is attached, by zone number."""
     zone_router_counts: tuple[int, ...]
-    """By zone, the routers in it."""
+    """Number of routers in each zone, by zone number."""
     zone_link_kb_per_s: tuple[float, ...]
-    """By zone, what its link in carries; 0 for no bound."""
+    """Bandwidth of the link into each zone, by zone number; 0: unlimited."""
     parent_kind: int
     """The kind of endpoint that is a parent cache."""
     origin_kind: int
     """The kind of endpoint that is the origin."""
     tick_us: int
-    """The shortest time between two batches of events."""
+    """Minimum time between two batches of events."""
     client_kb_per_s: float
-    """What a client's connection takes; 0 where that is not known."""
+    """Bandwidth of a client's connection; 0: not known."""
     weights_are_sizes: bool
-    """Whether an endpoint's listed weight is its capacity in requests at once; else it is a live weight."""
+    """Whether an endpoint's listed weight is its capacity in concurrent requests; else it is a live
+    weight."""
     answer_slack_us: int
-    """How late a final answer may be; no rule uses it: answers come before the deadline."""
+    """How long after the deadline a final answer is still accepted. No rule uses it: the policy answers
+    before the deadline."""
     drain_grace_us: int
-    """After the notice of a drain nothing new may go to the endpoint beyond this; no rule uses it: a drain is
-    obeyed at once."""
+    """Time after the notice of a drain for which new attempts may still be sent to the endpoint. No rule uses
+    it: the policy stops sending at once."""
     slow_start_fraction: float
-    """Part of its capacity that a cache bears right after its start."""
+    """Fraction of its capacity that a cache has right after its start."""
     slow_start_us: int
-    """How long it takes a cache from there to its whole capacity."""
+    """Time from the start of a cache until it has its full capacity."""
     overload_multiple: float
-    """A warming cache falls over when it is sent so many times what it bears."""
+    """Multiple of its current capacity at which a warming cache fails from overload."""
     overload_window_us: int
-    """The time over which that is counted."""
+    """Window over which the load is measured against ``overload_multiple``."""
     parent_slow_start_fraction: float
-    """As ``slow_start_fraction``, of a parent."""
+    """``slow_start_fraction`` of a parent."""
     parent_slow_start_us: int
-    """As ``slow_start_us``, of a parent."""
+    """``slow_start_us`` of a parent."""
     parent_overload_multiple: float
-    """As ``overload_multiple``, of a parent."""
+    """``overload_multiple`` of a parent."""
     purge_grace_us: int
-    """From its notice a purge must be obeyed within this; no rule uses it: ages count from the purge."""
+    """Time after the notice of a purge within which it must take effect. No rule uses it: the policy bounds
+    the age of copies from the time of the purge."""
     purge_propagation_us: int
-    """Within this caches and parents have dropped purged copies by themselves."""
+    """Time after a purge within which caches and parents drop purged copies by themselves."""
     connect_timeout_us: int
-    """After so long without a connection an attempt ends."""
+    """Time after which an attempt without a connection ends."""
     max_attempts: int
-    """Attempts a request may have, the first included."""
+    """Maximum number of attempts of a request, the first included."""
     max_retry_after_us: int
-    """The longest time that a rejected client may be told to stay away."""
+    """Maximum Retry-After of a rejection."""
     can_cancel_attempts: bool
     """Whether ``CancelAttempt`` has an effect."""
     can_check_health: bool
@@ -123,16 +129,16 @@
     can_message_peers: bool
     """Whether ``SendPeerMessage`` has an effect."""
     may_bypass_caches: bool
-    """Whether a parent or the origin may be asked directly."""
+    """Whether attempts may be sent directly to a parent or the origin."""
     hedged_requests: bool
     """Whether an idempotent request may have two attempts in flight."""
     coalesces_fills: bool
-    """Whether caches let a request wait for a fill of the same part that is running."""
+    """Whether a cache can let a request wait for a running fill of the same part."""
     siblings: bool
-    """Whether caches can fill from each other; no rule uses it, sources are parents and the origin."""
+    """Whether caches can fill from each other. No rule uses it: sources are parents and the origin."""
     reports_cache_status: bool
     """Whether every answer carries a cache status."""
     must_subscribe: bool
-    """Whether the endpoint list has to be asked for."""
+    """Whether changes of the endpoint list arrive only after a subscription."""
     load_report_columns: tuple[str, ...]
-    """What the values of a load report are, in their order."""
+    """Names of the values of a load report, in order."""
--- a/magpieshift/policy/simulator.py
+++ b/magpieshift/policy/simulator.py
@@ -1,6 +1,7 @@
-"""The simulator's adapter: plays the policy on its wire, over standard input and output.
+"""The simulator adapter: runs the policy behind the simulator's protocol, over standard input and output.
 
-It decides nothing: frames in, one ``RouterPolicy`` an instance, frames out.
+It decodes frames of events, passes them to the ``RouterPolicy`` of each instance, and encodes the actions as
+a reply frame. It makes no decisions.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
 
 
 class Simulator:
-    """The instances of this process, by number; they share nothing but the pipe."""
+    """The router instances of this process, by number; they share only the connection to the simulator."""
 
     def __init__(self) -> None:
         self.routers: dict[int, RouterPolicy] = {}
 
     def answer(self, frame: EventFrame) -> bytes:
-        """One reply for one batch; each instance's events stay in order."""
+        """Process a batch and return its reply frame; the order of each instance's events is kept."""
         reply = ReplyFrame(frame.number)
         pending: dict[int, list[Event]] = {}
         for instance, event in frame.events():
@@ -54,7 +55,7 @@
             return
         try:
             actions = router.handle(now_us, events)
-        except Exception as err:  # a fault of the policy: it is reported, and the other instances go on
+        except Exception as err:  # a fault in the policy: report it and go on with the other instances
             traceback.print_exc(file=sys.stderr)
             reply.add_error(instance, f"{type(err).__name__}: {err}")
             return
@@ -63,23 +64,26 @@
 
 
 def read_frame(stream: BinaryIO) -> EventFrame | None:
-    """The next batch, or None at a clean end of input; ``WireError`` at any other."""
+    """The next batch, or None if the input ends between frames; raises ``WireError`` if it ends inside
+    one."""
     header = stream.read(FRAME_HEADER.size)
     if not header:
         return None
     if len(header) < FRAME_HEADER.size:
-        raise WireError(f"offset {len(header)}: input ends inside a batch header")
+        raise WireError(
+            f"offset {len(header)}: input ends inside the frame header of {FRAME_HEADER.size} bytes"
+        )
     number, length = FRAME_HEADER.unpack(header)
     body = stream.read(length)
     if len(body) < length:
         offset = FRAME_HEADER.size + len(body)
-        raise WireError(f"batch {number}: offset {offset}: input ends inside the frame")
+        raise WireError(f"batch {number}: offset {offset}: input ends inside a frame body of {length} bytes")
     return EventFrame(number, body)
 
 
 def main() -> int:
-    """Answer batches until the input ends; returns the exit code."""
-    gc.freeze()  # what was imported lives as long as the process: not to be searched again and again
+    """Process batches until the input ends; returns the exit code."""
+    gc.freeze()  # imported objects live as long as the process: exclude them from garbage collection
     simulator = Simulator()
     try:
         while (frame := read_frame(sys.stdin.buffer)) is not None:
--- a/magpieshift/policy/simulator_codec.py
+++ b/magpieshift/policy/simulator_codec.py
@@ -1,8 +1,8 @@
-"""Frames of the simulator's wire to the policy's events. Numbers are little-endian, but for endpoints,
-which are an address and a port as on the network.
+"""Decodes frames of the simulator's protocol into the policy's events. Numbers are little-endian, except for
+endpoints, which are an address and a port in network byte order.
 
-A frame holds records of one size and a tail to which they refer for what has no fixed length. Replies are
-written by ``simulator_reply``.
+A frame holds records of a fixed size, and a tail with the data of variable length to which the records refer.
+``simulator_reply`` encodes the replies.
 """
 
 from __future__ import annotations
@@ -33,20 +33,20 @@
 LIST_ENTRY_BYTES = 24
 ENDPOINT_BYTES = 6
 FRAME_HEADER = struct.Struct("<II")
-"""Number and length of a frame."""
+"""Number of the frame, and length of the rest of it in bytes."""
 BATCH_HEADER = struct.Struct("<IQ")
-"""Count of records, and the time."""
+"""Number of records, and the time in microseconds."""
 HEADER_OFFSET = FRAME_HEADER.size
-"""Offsets in errors count from the frame's begin."""
+"""Added to offsets in the body: error messages count offsets from the start of the frame."""
 MAX_LOAD_VALUES = 4
 REPEAT_MARK = 2
 WRITE_MARK = 4
-"""Bits of a request's marks."""
+"""Bits of a request's flags."""
 
 
 @dataclass(slots=True)
 class Boot:
-    """An instance starts; its settings are still text (``simulator_settings``)."""
+    """A router instance starts. ``simulator_settings`` parses the text of its settings."""
 
     seed: int
     text: str
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class Stop:
-    """An instance was killed."""
+    """A router instance was killed."""
 
 
 Decoded = Event | Boot | Stop
@@ -66,12 +66,15 @@
 
 
 class EventFrame:
-    """One batch: its events, by the instance that gets them."""
+    """A batch of events, each for one router instance."""
 
     def __init__(self, number: int, body: bytes) -> None:
-        """``WireError`` where the body is too short for what it says it holds."""
+        """Raises ``WireError`` if the body is shorter than its header and the number of records require."""
         if len(body) < BATCH_HEADER.size:
-            raise WireError(f"batch {number}: offset {HEADER_OFFSET}: header cut short at {len(body)} bytes")
+            raise WireError(
+                f"batch {number}: offset {HEADER_OFFSET}: "
+                f"found {len(body)} bytes, expected a batch header of {BATCH_HEADER.size} bytes"
+            )
         self.number = number
         self.now_us = 0
         self._body = body
@@ -80,11 +83,11 @@
         if self._tail > len(body):
             raise WireError(
                 f"batch {number}: offset {HEADER_OFFSET}: "
-                f"{self._count} records do not fit in {len(body)} bytes"
+                f"{self._count} records of {EVENT_BYTES} bytes do not fit in a body of {len(body)} bytes"
             )
 
     def events(self) -> list[tuple[int, Decoded]]:
-        """Instances and their events, in order."""
+        """All events in order, each with the number of its instance."""
         return [self._event(BATCH_HEADER.size + index * EVENT_BYTES) for index in range(self._count)]
 
     def _event(self, offset: int) -> tuple[int, Decoded]:
@@ -99,12 +102,15 @@
             raise WireError(f"{place}: event code {raw[0]}: {err}") from err
 
     def from_tail(self, raw: bytes, offset: int, unit_bytes: int = 1) -> bytes:
-        """What a record refers to in the tail: where it starts there, and its length in units."""
+        """The data in the tail to which a record refers by start and length, the length in units of
+        ``unit_bytes``."""
         start, length = struct.unpack_from("<II", raw, offset)
         first = self._tail + start
         end = first + length * unit_bytes
         if end > len(self._body):
-            raise ValueError(f"tail reference {start}+{length} lies outside the frame")
+            raise ValueError(
+                f"reference to {length * unit_bytes} bytes at tail offset {start} lies outside the frame"
+            )
         return self._body[first:end]
 
 
@@ -169,7 +175,7 @@
 def _load_report(raw: bytes, offset: int) -> tuple[float, ...]:
     count = raw[offset]
     if count > MAX_LOAD_VALUES:
-        raise ValueError(f"load report of {count} values")
+        raise ValueError(f"load report of {count} values, at most {MAX_LOAD_VALUES} allowed")
     values: tuple[float, ...] = struct.unpack_from(f"<{count}f", raw, offset + 1)
     return values
 
@@ -212,4 +218,5 @@
     9: _stop,
     10: _purge,
 }
-"""By an event's code, its first byte; the instance's number follows, and the fields from offset 5."""
+"""Decoders by event code. A record starts with the code in one byte and the instance's number in four; the
+fields follow from offset 5."""
--- a/magpieshift/policy/simulator_reply.py
+++ b/magpieshift/policy/simulator_reply.py
@@ -1,4 +1,5 @@
-"""The policy's actions to frames of the simulator's wire, whose form is that of ``simulator_codec``."""
+"""Encodes the policy's actions as reply frames of the simulator's protocol, in the form described in
+``simulator_codec``."""
 
 from __future__ import annotations
 
@@ -27,16 +28,16 @@
 ERROR_ACTION = 9
 """Code of the record that reports an error of an instance."""
 ALL_PEERS = 0xFFFFFFFF
-"""In place of a peer's number."""
+"""Sent as the peer's number to address all peers."""
 
 
 def endpoint_bytes(endpoint: int) -> bytes:
-    """The address and port of an endpoint."""
+    """Encode an endpoint as its address and port."""
     return endpoint.to_bytes(ENDPOINT_BYTES, "big")
 
 
 class ReplyFrame:
-    """Collects the actions of one batch."""
+    """Collects and encodes the actions that reply to one batch."""
 
     def __init__(self, number: int) -> None:
         self._number = number
@@ -44,7 +45,7 @@
         self._tail = bytearray()
 
     def put_in_tail(self, data: bytes) -> bytes:
-        """Add to the tail; returns the reference by which a record names it."""
+        """Append data to the tail; returns the reference to it for a record."""
         reference = struct.pack("<II", len(self._tail), len(data))
         self._tail += data
         return reference
@@ -63,7 +64,7 @@
         self._records.append(record.ljust(ACTION_BYTES, b"\0"))
 
     def encode(self) -> bytes:
-        """The whole frame."""
+        """Encode the complete frame."""
         body = b"".join(self._records) + bytes(self._tail)
         return struct.pack("<III", self._number, len(body) + 4, len(self._records)) + body
 
@@ -137,4 +138,4 @@
     FetchEndpointList: (11, _no_fields),
     SendCacheRequest: (12, _send_cache),
 }
-"""By an action's class, its code and how its fields are written."""
+"""The code and the field encoder for each action class."""
--- a/magpieshift/policy/simulator_settings.py
+++ b/magpieshift/policy/simulator_settings.py
@@ -1,4 +1,5 @@
-"""The simulator's settings text, the one place that knows its keys: a line ``path=value`` a setting."""
+"""Parses the simulator's settings text, with a line ``path=value`` for each setting. Only this module knows
+the keys."""
 
 from __future__ import annotations
 
@@ -21,11 +22,11 @@
     "cell": DeduplicationScope.CELL,
 }
 SIZED_WEIGHTS = ("nominal", "rough")
-"""Values of ``Weights`` with which an endpoint's weight is its capacity in requests at once."""
+"""Values of ``Weights`` for which an endpoint's weight is its capacity in concurrent requests."""
 
 
 class _SettingsText:
-    """Settings by path; the first that cannot be read is named."""
+    """Settings by path; ``SettingsError`` names the first that is missing or invalid."""
 
     def __init__(self, text: str) -> None:
         self._values = dict(line.split("=", 1) for line in text.splitlines() if "=" in line)
@@ -34,16 +35,16 @@
         return path in self._values
 
     def read(self, path: str, convert: Callable[[str], T]) -> T:
-        """One value; ``SettingsError`` where it is missing or ``convert`` cannot read it."""
+        """One value; raises ``SettingsError`` if it is missing or ``convert`` fails."""
         if path not in self._values:
             raise SettingsError(f"setting {path} is missing")
         try:
             return convert(self._values[path])
         except (ValueError, KeyError) as err:
-            raise SettingsError(f"setting {path} cannot be read: {self._values[path]!r}") from err
+            raise SettingsError(f"setting {path} has an invalid value: {self._values[path]!r}") from err
 
     def read_list(self, path: str, convert: Callable[[str], T]) -> tuple[T, ...]:
-        """A list of plain values; an empty text is an empty list."""
+        """A comma-separated list; an empty text is an empty list."""
         return self.read(path, lambda text: tuple(convert(v) for v in text.split(",")) if text else ())
 
 
@@ -52,12 +53,13 @@
 
 
 def _integer(text: str) -> int:
-    """A whole number, which the simulator may write with a fraction or an exponent."""
+    """An integer, which the simulator may write with a fraction or an exponent."""
     return int(float(text))
 
 
 def parse_settings(text: str) -> Settings:
-    """The settings of a boot event; unknown keys are skipped. ``SettingsError`` names what is wrong."""
+    """Parse the settings of a boot event, ignoring unknown keys; raises ``SettingsError`` for the first that
+    is missing or invalid."""
     settings = _SettingsText(text)
     read = settings.read
     return Settings(
@@ -101,7 +103,7 @@
 
 
 def _request_class(settings: _SettingsText, index: int) -> RequestClass:
-    """One class: some of its settings are lists over all classes, in ``Specifics``."""
+    """Parse one request class; some of its settings are lists over all classes, under ``Specifics``."""
     read = settings.read
     read_list = settings.read_list
     prefix = f"Classes.{index}."
--- a/magpieshift/policy/slow_start.py
+++ b/magpieshift/policy/slow_start.py
@@ -1,8 +1,8 @@
-"""How much a cache or parent that started lately may be sent.
+"""Limits the attempts sent to a cache or parent that started recently.
 
-An endpoint warms up over a time that the settings give, and falls over when it is sent more than a multiple
-of what it bears at that moment. All routers learn of it at once and share what it bears; each spaces its
-own attempts evenly, from a random begin.
+An endpoint warms up over a time given in the settings, and fails if it is sent more than a multiple of its
+current capacity. All routers learn of a new endpoint at once and share its capacity; each spaces its own
+attempts evenly, starting at a random time.
 """
 
 from __future__ import annotations
@@ -12,21 +12,23 @@
 from magpieshift.policy.state import EndpointRecord, RouterState
 
 MAX_BUDGET_FRACTION = 0.5
-"""Of a warming endpoint's budget at most; routers that have yet to hear of its start use the rest.
-Larger warms up sooner and pushes over more often."""
+"""Maximum fraction of a warming endpoint's budget that is used; the rest is for routers that do not know of
+its restart yet. A larger fraction warms up sooner and overloads endpoints more often."""
 CHANCE_SIGMAS = 3
-"""Standard deviations of chance that the budget must still cover, when many routers send at random: the sum
-of independent senders is about Poisson, whose deviation is the square root of its mean."""
+"""Standard deviations above the mean that the budget must cover when many routers send independently: the sum
+of independent senders is about Poisson, whose standard deviation is the square root of its mean."""
 MIN_RAMP_FRACTION = 0.001
-"""Of the whole capacity; keeps the rate above 0 where the settings let an endpoint begin at none."""
+"""Minimum fraction of the full capacity; keeps the rate above 0 if the settings let an endpoint start at
+0."""
 MIN_WEIGHT = 0.1
-"""Requests at once; an endpoint that is listed with no weight still gets some."""
+"""Minimum capacity in concurrent requests, so that an endpoint listed with weight 0 still gets some."""
 SMALLEST_MEAN_US = 1.0
-"""Microseconds; a guard against service times of 0, by which would be divided."""
+"""Lower bound of a mean service time in microseconds, which avoids a division by 0."""
 
 
 def permitted_rate(state: RouterState, endpoint: EndpointRecord) -> float:
-    """Work a microsecond that this router may send the endpoint; infinite once it is warm."""
+    """Load that this router may send the endpoint, in microseconds of service time per microsecond; infinite
+    once it is warm."""
     settings = state.settings
     entry = endpoint.entry
     if not entry.started_us or entry.kind == settings.origin_kind:
@@ -41,16 +43,16 @@
     routers = max(1, settings.router_count if is_parent else settings.zone_router_counts[entry.zone])
     ramp = max(first + (1 - first) * age_us / duration_us, MIN_RAMP_FRACTION)
     limit = _capacity(state, endpoint, is_parent, routers) * multiple * ramp
-    # the most attempts in the window in which an endpoint falls over
+    # the most attempts within the overload window that do not overload the endpoint
     budget = limit * settings.overload_window_us / max(SMALLEST_MEAN_US, *state.service_times_us)
-    # the mean whose chance, at so many deviations, just fills the budget
+    # the mean at which mean + POISSON_SIGMAS * sqrt(mean) equals the budget
     mean = ((math.sqrt(CHANCE_SIGMAS**2 + 4 * budget) - CHANCE_SIGMAS) / 2) ** 2
     return limit / routers * min(MAX_BUDGET_FRACTION, mean / budget)
 
 
 def _capacity(state: RouterState, endpoint: EndpointRecord, is_parent: bool, routers: int) -> float:
-    """Requests at once that the endpoint bears when warm: its listed size or, where weights are none, what
-    others of its kind carry for all routers on average."""
+    """Capacity of the endpoint when warm, in concurrent requests: its listed weight or, if weights are no
+    sizes, the estimated average of attempts in flight from all routers at endpoints of its kind."""
     if state.settings.weights_are_sizes:
         return max(endpoint.entry.weight, MIN_WEIGHT)
     peers = state.parents if is_parent else state.caches
@@ -58,10 +60,10 @@
 
 
 def may_send_now(state: RouterState, endpoint: EndpointRecord) -> bool:
-    """Whether the endpoint may be sent something now.
+    """Whether the endpoint may be sent an attempt now.
 
-    Turns at a warming endpoint that went unused are not saved up for a common burst: those older than the
-    window in which it falls over are skipped.
+    Unused turns at a warming endpoint older than the overload window are skipped, so that routers do not save
+    them up and send a burst together.
     """
     interval_us = max(state.service_times_us) / permitted_rate(state, endpoint)  # 0 once it is warm
     if interval_us:
@@ -72,13 +74,13 @@
 
 
 def delay_first_attempt(state: RouterState, endpoint: EndpointRecord) -> None:
-    """Let a new endpoint's first attempt wait for a random part of the interval: all routers hear of it at
-    once."""
+    """Delay the first attempt at a new endpoint by a random part of the interval, because all routers learn
+    of the endpoint at once."""
     interval_us = max(state.service_times_us) / permitted_rate(state, endpoint)
     endpoint.next_warming_us = state.now_us + int(state.random.random() * interval_us)
 
 
 def count_attempt(state: RouterState, endpoint: EndpointRecord, class_index: int) -> None:
-    """Note that the endpoint is sent an attempt of a class now."""
+    """Record that the endpoint is sent an attempt of a class now."""
     interval_us = int(state.service_times_us[class_index] / permitted_rate(state, endpoint))
     endpoint.next_warming_us = max(endpoint.next_warming_us, state.now_us) + interval_us
--- a/magpieshift/policy/state.py
+++ b/magpieshift/policy/state.py
@@ -1,8 +1,8 @@
-"""What a router remembers of endpoints, requests and attempts; the rules that use it are modules of their
-own.
+"""The state of a router: endpoints, requests and attempts. The rules that use it are in the other modules of
+this package.
 
-Captures hold all of this as a keyframe: every attribute but ``RouterState.actions`` is recorded, in its
-order, under the name that ``magpieshift.capture.recorded_names`` gives it.
+A keyframe in a capture holds this whole state: every attribute except ``RouterState.actions`` is recorded, in
+order of definition, under the name that ``magpieshift.capture.recorded_names`` gives it.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 from magpieshift.policy.settings import RequestClass, Settings
 
 SAMPLE_WEIGHT = 0.1
-"""Weight of a new sample in running means, which so rest on the last ten or so. Larger
-follows changes sooner and chance more."""
+"""Weight of a new sample in running means, which thus average about the last ten samples. A larger weight
+follows changes sooner, and also random variation."""
 MAX_RETRY_BUDGET = 10.0
-"""Answers: as many may be taken for lost in a row, before good answers earn more (``adaptive_timeout``).
-Larger sends more repeats into an outage."""
+"""Maximum of ``RouterState.retry_budget``: timeouts in a row that it covers before successful answers must
+refill it (``adaptive_timeout``). A larger budget sends more repeats into an outage."""
 WORK_KINDS = range(3)
 WRITE, LOOKUP, FILL = WORK_KINDS
-"""What an attempt takes of its source; each kind is counted and limited by itself. Plain integers, as
-captures hold them: a write, a lookup that only gives what the source holds, a fill that it may have to
-fetch."""
+"""The kinds of work that an attempt can request of its source: a write, a lookup that the source answers only
+from what it holds, or a fill that it may have to fetch. Each kind is counted and limited separately. Plain
+integers, because captures hold them as such."""
 
 
 @dataclass(slots=True)
 class AnswerTimes:
-    """How long answers take, each as a fraction of its latency objective."""
+    """Statistics of answer times, each as a fraction of its latency objective."""
 
     samples: int = 0
-    """Answers taken in."""
+    """Number of answers included."""
     mean: float = 0.0
     """Running mean."""
     deviation: float = 0.0
@@ -42,39 +42,42 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointRecord:
-    """An endpoint as this router sees it: its listing, its health, and the fills it is the source of."""
+    """An endpoint as this router sees it: its list entry, its health, and the fills of which it is the
+    source."""
 
     entry: Endpoint
     """Its entry in the endpoint list."""
     hash_salt: int
     """Hash of its number, for rendezvous hashing."""
     failure_rate: float = 0.0
-    """Running share of failures among its answers."""
+    """Running share of failures among the attempts that depended on it."""
     ejected_until_us: int = 0
-    """It is sent nothing before; 0: it was never ejected."""
+    """It gets no attempts before this time; 0: it was never ejected."""
     last_failure_us: int = -1
-    """-1: never, as in ``last_heard_us``."""
+    """Time of the last failure counted against it; -1: never."""
     in_flight: int = 0
     """Attempts in flight that depend on it, as cache or as source."""
     last_heard_us: int = -1
-    """When it last answered, whatever it said."""
+    """When it last answered; -1: never. Any answer counts for the endpoint to which an attempt was sent, only
+    a successful one for the attempt's source."""
     in_flight_by_kind: list[int] = field(default_factory=lambda: [0 for _ in WORK_KINDS])
-    """Attempts in flight from it as source, by kind of work."""
+    """Attempts in flight of which it is the source, by kind of work."""
     concurrency_peaks: list[tuple[int, int]] = field(default_factory=lambda: [(0, 0) for _ in WORK_KINDS])
-    """By kind of work, the most in flight that it answered well within the objective, and when (microseconds;
-    0: never)."""
+    """By kind of work, the most attempts in flight with which it answered well within the objective, and when
+    that was or was last lowered (microseconds; 0: never). See ``admission.record_fill``."""
     queue: dict[int, PendingRequest] = field(default_factory=dict)
-    """Requests that wait for a slot at it as source, by request id, the oldest first."""
+    """Requests that wait for a slot at it as their source, by request id, oldest first."""
     answer_times: dict[tuple[int, bool], AnswerTimes] = field(default_factory=dict)
-    """By class number and whether the attempt names a source."""
+    """Answer times, by class number and whether the attempt names a source."""
     next_warming_us: int = 0
-    """While it warms up: when it may be sent the next attempt."""
+    """During slow start: the earliest time at which it may be sent the next attempt."""
     hit_time_sum_us: float = 0.0
-    """Decaying sum over its cache hits: the time that they took."""
+    """Decaying sum of the latencies of its cache hits."""
     expected_time_sum_us: float = 0.0
-    """The same of the time that sending them takes by itself."""
+    """Decaying sum of the service times of the same hits: of the time to send each without other load."""
     weighted_in_flight_sum_us: float = 0.0
-    """The same of that time multiplied by the attempts in flight at it, the hit's own included."""
+    """Decaying sum of the same service times, each multiplied by the attempts in flight at the endpoint when
+    the attempt was sent, itself included."""
     last_hit_us: int = 0
     """When its last cache hit ended; 0: never."""
 
@@ -85,41 +88,43 @@
 
     request: RequestReceived
     request_class: RequestClass
-    """The class as it was when the request came; a reconfiguration does not change it."""
+    """The class as it was when the request arrived; a reconfiguration does not change it."""
     answer_by_us: int
-    """When the final answer is given at the latest."""
+    """Deadline for the final answer."""
     service_time_us: float
-    """Time that sending the answer takes by itself; drawn at random where sizes are not known."""
+    """Time to send the answer without other load; drawn at random where sizes are not known."""
     attempts_started: int = 0
     attempt_in_flight: int = -1
     """Number of the attempt in flight; -1: none."""
     first_execution: tuple[EndpointRecord, int] | None = None
     """The first attempt that may have run: its endpoint, and when it was sent (microseconds)."""
     failed_endpoints: set[int] = field(default_factory=set)
-    """Numbers of endpoints that get no further attempt of this request."""
+    """Numbers of the endpoints to which no further attempt of this request is sent."""
     suspect: EndpointRecord | None = None
-    """It answered with an error; the next endpoint's answer says whether the request or it is at fault."""
+    """The endpoint that answered with an error; the answer of the next endpoint tells whether this one or the
+    request is at fault."""
     was_interrupted: bool = False
-    """A connection broke under it, or its answer was taken for lost."""
+    """Whether one of its attempts ended with a connection reset, or its answer was taken for lost."""
     missed_cache: EndpointRecord | None = None
-    """The cache that does not hold the copy."""
+    """The cache that answered its lookup with a miss."""
     queued_source: EndpointRecord | None = None
-    """The source in whose queue it waits."""
+    """The source in whose queue the request waits."""
     work_kind: int = FILL
-    """What it takes of the source at which it waits or runs."""
+    """The kind of work that it requests of the source at which it waits or runs."""
     lookup_misses: set[int] = field(default_factory=set)
-    """Numbers of the parents that do not hold the copy."""
+    """Numbers of the parents that answered a lookup with a miss."""
     queued_until_us: int = 0
-    """When it leaves the queue at the latest."""
+    """Time at which it must leave the queue."""
     objective_due_us: float = 0.0
-    """When its latency objective is missed; its size is taken to be the mean at least."""
+    """Time by which an answer meets the latency objective, calculated with at least the mean service time of
+    the class."""
     next_lookup_us: int = 0
-    """When to ask its cache again for what another router is filling."""
+    """When to repeat the lookup at its cache, which another router is filling."""
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """An attempt in flight; it outlives its request, so that its slot is given back exactly once."""
+    """An attempt in flight. It outlives its request, so that its slots are released exactly once."""
 
     pending: PendingRequest
     """The request it is for."""
@@ -128,67 +133,69 @@
     source: EndpointRecord | None
     """Where a miss is filled from; None: a lookup of what the endpoint holds."""
     involved: tuple[EndpointRecord, ...]
-    """Endpoint and source, each once."""
+    """The endpoint and, if it is another endpoint, the source."""
     sent_us: int
     answer_times: AnswerTimes
-    """Those that its duration counts among."""
+    """The statistics to which its latency is added."""
     latency_objective_us: float
     in_flight_at_start: int
     """Attempts in flight at the endpoint, this one included."""
     work_kind: int
-    """The kind in which it counts at its source."""
+    """The kind of work as which it counts at its source."""
 
 
 class RouterState:
-    """All that the policy of one router instance remembers."""
+    """The complete state of the policy of one router instance."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
-        """The only source of chance; the order of draws is part of the decisions."""
+        """The only source of randomness; decisions depend on the order of draws."""
         self.now_us = 0
         """Time of the batch being handled."""
         self.next_timer_us = 0
-        """When the timer last asked for comes due."""
+        """When the timer that was set last fires."""
         self.fills_in_flight = 0
         """Attempts in flight that name a source."""
         self.actions: list[Action] = []
-        """What the batch being handled has led to so far."""
+        """Actions that the batch being handled has produced so far."""
         self.endpoints: dict[int, EndpointRecord] = {}
-        """All that may be sent requests, by number; each is in one of the three tables below as well."""
+        """All endpoints to which attempts may be sent, by number; each is also in one of the three tables
+        below."""
         self.caches: dict[int, EndpointRecord] = {}
-        """Caches of the own zone; those of other zones may not be sent requests, and are not kept."""
+        """Caches of the router's own zone, by number; caches of other zones may not be sent requests."""
         self.parents: dict[int, EndpointRecord] = {}
         self.origins: dict[int, EndpointRecord] = {}
         self.requests: dict[int, PendingRequest] = {}
-        """By request id."""
+        """Requests that still have to be answered, by request id."""
         self.attempts: dict[tuple[int, int], Attempt] = {}
-        """Attempts in flight, by request id and number."""
+        """Attempts in flight, by request id and attempt number."""
         self.purges: dict[tuple[int, int], int] = {}
-        """See ``invalidation``."""
+        """Recent purges; see ``invalidation``."""
         self.purge_sweep_size = MIN_SWEEP_ENTRIES
-        """Entries of ``purges`` at which it is next searched for expired ones."""
+        """Size of ``purges`` at which it is next searched for expired entries."""
         self.timers: list[tuple[int, int]] = []
-        """A heap of times (microseconds) and ids of the requests to look at then."""
+        """Heap of due times (microseconds), each with the id of the request to process then."""
         self.loss_rate = 0.0
-        """Running share of answers that never came from endpoints that answered others since."""
+        """Running share of attempts that timed out although their endpoints answered other attempts
+        meanwhile."""
         self.retry_budget = MAX_RETRY_BUDGET
-        """How many answers may be taken for lost."""
+        """Number of answers that may still be taken for lost; it is below 1 when exhausted."""
         self.service_times_us = initial_service_times_us(settings)
-        """By class number, the mean time that sending an answer takes by itself."""
+        """Mean service time by class number: the time to send an answer without other load."""
         self.fill_times_us = [0.0] * len(settings.classes)
-        """By class number, the mean time of good fills."""
+        """Mean latency of successful fills, by class number."""
         self.us_per_kb = us_per_kb(settings)
-        """Time that a client's connection takes for a kilobyte; 0 where that is not known."""
+        """Time to send a kilobyte over a client's connection; 0: not known."""
         self.subscribed = not settings.must_subscribe
-        """Whether changes of the endpoint list are on their way without being asked for."""
+        """Whether changes of the endpoint list arrive without a further subscription."""
 
 
 def initial_service_times_us(settings: Settings) -> list[float]:
-    """By class number, what sending an answer is taken to take until answers have shown it."""
+    """Mean service times by class number, as assumed until requests or answers provide better ones."""
     return [each.latency_objective_us / (1 + each.latency_objective_stretch) for each in settings.classes]
 
 
 def us_per_kb(settings: Settings) -> float:
-    """Microseconds that a client's connection takes for a kilobyte; 0 where that is not known."""
+    """Microseconds to send a kilobyte over a client's connection; 0: not known."""
     return 1e6 / settings.client_kb_per_s if settings.client_kb_per_s else 0.0
