--- a/magpieshift/policy/adaptive_timeout.py
+++ b/magpieshift/policy/adaptive_timeout.py
@@ -46,7 +46,7 @@
 the repeat is within the window too."""
 
 
-def record(times: AnswerTimes, fraction: float) -> None:
+def record_answer_time(times: AnswerTimes, fraction: float) -> None:
     """Add an answer time, given as a fraction of the answer's latency objective."""
     weight = max(SAMPLE_WEIGHT, 1 / (times.samples + 1))
     if times.samples:
@@ -55,7 +55,7 @@
     times.samples = times.samples + 1
 
 
-def lost_after(times: AnswerTimes) -> float:
+def loss_timeout_fraction(times: AnswerTimes) -> float:
     """Fraction of its objective after which an answer is taken for lost; infinite with too few answers, or if
     they vary too much."""
     if times.samples < MIN_SAMPLES or times.deviation > MAX_DEVIATION:
@@ -69,10 +69,10 @@
     left_us = pending.answer_by_us - state.settings.tick_us - state.now_us
     if state.loss_rate <= MIN_LOSS_RATE or state.retry_budget < 1 or pending.was_interrupted:
         return left_us
-    lost_us = objective_us * lost_after(times)
-    retry_needs_us = state.service_times_us[pending.request.class_index]
-    if lost_us < min(_repeat_window_us(pending, left_us), left_us - retry_needs_us):
-        return int(lost_us)
+    loss_timeout_us = objective_us * loss_timeout_fraction(times)
+    retry_time_us = state.service_times_us[pending.request.class_index]
+    if loss_timeout_us < min(_repeat_window_us(pending, left_us), left_us - retry_time_us):
+        return int(loss_timeout_us)
     return left_us
 
 
@@ -86,7 +86,7 @@
     return 0
 
 
-def have_others_answered(attempt: Attempt) -> bool:
+def have_all_answered_since(attempt: Attempt) -> bool:
     """Whether all endpoints that the attempt depends on have answered other attempts since it was sent."""
     return all(each.last_heard_us > attempt.sent_us for each in attempt.involved)
 
@@ -98,8 +98,10 @@
         state.retry_budget = min(MAX_RETRY_BUDGET, state.retry_budget + BUDGET_PER_ANSWER)
     else:
         state.retry_budget = state.retry_budget - 1
-    is_lost = not is_ok and slowdown(attempt.endpoint) < MAX_LOSS_SLOWDOWN and have_others_answered(attempt)
+    is_lost = (
+        not is_ok and slowdown(attempt.endpoint) < MAX_LOSS_SLOWDOWN and have_all_answered_since(attempt)
+    )
     if not is_lost:  # a lost answer is no sample of answer times
-        record(attempt.answer_times, fraction)
+        record_answer_time(attempt.answer_times, fraction)
     if is_ok or is_lost:
         state.loss_rate += LOSS_SAMPLE_WEIGHT * (is_lost - state.loss_rate)
--- a/magpieshift/policy/admission.py
+++ b/magpieshift/policy/admission.py
@@ -31,12 +31,12 @@
 INITIAL_LIMIT = 4
 """Concurrency limit of each router at a source without a recent peak, as in the operators' design. If there
 are more routers than this, they share the square of this number, but each has a limit of at least 1."""
-PEAK_MEMORY_US = 10_000_000
+PEAK_EXPIRY_US = 10_000_000
 """How long a source's peak counts after it was last reached, as in the operators' design."""
 ON_TIME_FRACTION = 0.7
 """Fraction of the latency objective; attempts that took less raise the limit. A larger fraction raises it
 until answers are late, which the routers notice only after the duration of a fill."""
-LATE_DIVISOR = 2
+LATE_FILL_DIVISOR = 2
 """A late fill divides the source's peak by this, as TCP halves its congestion window."""
 LINK_HEADROOM = 1.25
 """Factor on the number of fills in flight on the zone's link, as more of them start while one runs. A larger
@@ -47,7 +47,7 @@
     """Attempts of a kind that this router may have in flight at a source: one more than the recent peak with
     which answers were in time."""
     peak, reached_us = source.concurrency_peaks[work_kind]
-    if reached_us and state.now_us <= reached_us + PEAK_MEMORY_US:
+    if reached_us and state.now_us <= reached_us + PEAK_EXPIRY_US:
         return 1 + peak
     return min(INITIAL_LIMIT, max(1, INITIAL_LIMIT**2 // max(1, state.settings.router_count)))
 
@@ -57,7 +57,7 @@
 
     None if the request was put into a source's queue (``pending.queued_source``), or if no source admits it.
     """
-    if not does_link_permit(state, pending):
+    if not has_link_capacity(state, pending):
         return None
     class_index = pending.request.class_index
     for source in fill_sources(state, pending):
@@ -70,10 +70,14 @@
         waiting = sum(each.work_kind == kind for each in source.queue.values())
         if in_flight == 0 or (in_flight < limit and not waiting):
             return source
-        latest_us = int(min(pending.objective_due_us, pending.answer_by_us) - duration_us)
-        turn_us = state.now_us + duration_us * (waiting + 1) / limit
-        if turn_us <= latest_us and waiting < limit and permitted_rate(state, source) == math.inf:
-            _enqueue(state, pending, source, latest_us)
+        latest_start_us = int(min(pending.objective_due_us, pending.answer_by_us) - duration_us)
+        expected_start_us = state.now_us + duration_us * (waiting + 1) / limit
+        if (
+            expected_start_us <= latest_start_us
+            and waiting < limit
+            and permitted_rate(state, source) == math.inf
+        ):
+            _enqueue(state, pending, source, latest_start_us)
             return None
     return None
 
@@ -91,7 +95,7 @@
     return FILL
 
 
-def does_link_permit(state: RouterState, pending: PendingRequest) -> bool:
+def has_link_capacity(state: RouterState, pending: PendingRequest) -> bool:
     """Whether the zone's link, shared with all fills in flight, can transfer the answer within its
     objective."""
     settings = state.settings
@@ -122,11 +126,13 @@
     return is_last_resort or is_available(state, source)
 
 
-def _enqueue(state: RouterState, pending: PendingRequest, source: EndpointRecord, latest_us: int) -> None:
+def _enqueue(
+    state: RouterState, pending: PendingRequest, source: EndpointRecord, latest_start_us: int
+) -> None:
     pending.queued_source = source
-    pending.queued_until_us = latest_us
+    pending.queued_until_us = latest_start_us
     source.queue[pending.request.request_id] = pending
-    heapq.heappush(state.timers, (latest_us, pending.request.request_id))
+    heapq.heappush(state.timers, (latest_start_us, pending.request.request_id))
 
 
 def release_queue(
@@ -153,7 +159,7 @@
             source.queue = waiting | source.queue
 
 
-def leave_queue(pending: PendingRequest) -> None:
+def remove_from_queue(pending: PendingRequest) -> None:
     """Remove a request that is over from its queue, if it is in one."""
     if pending.queued_source is not None:
         pending.queued_source.queue.pop(pending.request.request_id, None)
@@ -173,8 +179,8 @@
         source.concurrency_peaks[kind] = (0, state.now_us)
         return
     if fraction > 1 and request.size_kb:  # late, and not merely large: the objective allows for a known size
-        source.concurrency_peaks[kind] = (peak // LATE_DIVISOR, state.now_us)
-    elif fraction < ON_TIME_FRACTION and (in_flight >= peak or state.now_us > reached_us + PEAK_MEMORY_US):
+        source.concurrency_peaks[kind] = (peak // LATE_FILL_DIVISOR, state.now_us)
+    elif fraction < ON_TIME_FRACTION and (in_flight >= peak or state.now_us > reached_us + PEAK_EXPIRY_US):
         source.concurrency_peaks[kind] = (in_flight, state.now_us)
     if kind != LOOKUP:
         mean_us = state.fill_times_us[request.class_index]
--- a/magpieshift/policy/attempt_results.py
+++ b/magpieshift/policy/attempt_results.py
@@ -16,7 +16,7 @@
 LOOKUP_INTERVAL_FRACTION = 0.5
 """Interval between two such lookups as a fraction of the mean fill time: a fill found in progress is half
 done on average."""
-SMALLEST_OBJECTIVE_US = 1.0
+MIN_OBJECTIVE_US = 1.0
 """Lower bound of an objective in microseconds, which avoids a division by 0."""
 
 
@@ -27,7 +27,7 @@
         return
     pending = attempt.pending
     pending.attempt_in_flight = -1
-    _learn(state, attempt, event)
+    _update_statistics(state, attempt, event)
     _release_slots(state, attempt)
     if event.outcome == Outcome.OK and pending.suspect not in (None, attempt.endpoint):
         # another endpoint answered the request: the first endpoint was at fault
@@ -37,16 +37,16 @@
     if event.request_closed or event.request_id not in state.requests:
         forget_request(state, pending)
     else:
-        _continue(state, pending, attempt, event)
+        _handle_failed_attempt(state, pending, attempt, event)
     if attempt.source is not None:
         release_queue(state, attempt.source)
 
 
-def _learn(state: RouterState, attempt: Attempt, event: AttemptEnded) -> None:
+def _update_statistics(state: RouterState, attempt: Attempt, event: AttemptEnded) -> None:
     """Update the running statistics of the rules with the result of an attempt."""
     is_ok = event.outcome == Outcome.OK
     if is_ok or event.outcome == Outcome.TIMEOUT:
-        fraction = event.latency_us / max(SMALLEST_OBJECTIVE_US, attempt.latency_objective_us)
+        fraction = event.latency_us / max(MIN_OBJECTIVE_US, attempt.latency_objective_us)
         adaptive_timeout.record_answer(state, attempt, is_ok, fraction)
         if attempt.source is not None:
             admission.record_fill(state, attempt, event, fraction)
@@ -70,7 +70,9 @@
         release_queue(state, endpoint)
 
 
-def _continue(state: RouterState, pending: PendingRequest, attempt: Attempt, event: AttemptEnded) -> None:
+def _handle_failed_attempt(
+    state: RouterState, pending: PendingRequest, attempt: Attempt, event: AttemptEnded
+) -> None:
     """After a failed attempt of a request without a final answer: attribute the failure, then advance or end
     the request."""
     outcome = event.outcome
@@ -86,7 +88,7 @@
     elif (
         outcome == Outcome.TIMEOUT
         and not pending.was_interrupted
-        and adaptive_timeout.have_others_answered(attempt)
+        and adaptive_timeout.have_all_answered_since(attempt)
     ):
         pending.was_interrupted = True  # retry there too: an endpoint that answers other attempts is healthy
     elif outcome == Outcome.RESET:
--- a/magpieshift/policy/endpoint_list.py
+++ b/magpieshift/policy/endpoint_list.py
@@ -12,7 +12,7 @@
 from magpieshift.policy.state import EndpointRecord, RouterState
 
 
-def list_received(state: RouterState, event: EndpointListReceived) -> None:
+def endpoint_list_received(state: RouterState, event: EndpointListReceived) -> None:
     """Apply a complete list or changes; after a failed fetch the previous list stays in force."""
     if event.kind == EndpointListKind.FAILED:
         state.subscribed = not state.settings.must_subscribe
--- a/magpieshift/policy/forwarding.py
+++ b/magpieshift/policy/forwarding.py
@@ -134,9 +134,9 @@
     if endpoint.entry.kind == settings.origin_kind:
         return SendPlainRequest(request_id, number, timeout)
     is_lookup = pending.work_kind == LOOKUP
-    named = source or endpoint
+    named_source = source or endpoint
     if source is endpoint and not is_lookup:  # a direct fill at a parent must name the origin as its source
-        named = _ready_origin(state) or endpoint
+        named_source = _ready_origin(state) or endpoint
     rank = NOT_RETAINED if pending.request_class.is_write else RETAINED
     flags = 0
     if settings.coalesces_fills and rank:
@@ -150,7 +150,7 @@
         state.now_us,
         settings.purge_propagation_us,
     )
-    return SendCacheRequest(request_id, number, timeout, named.entry.number, rank, max_age_us, flags)
+    return SendCacheRequest(request_id, number, timeout, named_source.entry.number, rank, max_age_us, flags)
 
 
 def _ready_origin(state: RouterState) -> EndpointRecord | None:
@@ -167,9 +167,11 @@
     """Give the final answer: a rejection if a retry by the client does no harm, else a failure."""
     request_id = pending.request.request_id
     fill_time_us = state.fill_times_us[pending.request.class_index]
-    spare_us = pending.objective_due_us - fill_time_us - state.now_us
+    retry_window_us = pending.objective_due_us - fill_time_us - state.now_us
     # drawn for a failure as well: decisions depend on the order of draws
-    retry_after_us = rejection.retry_after_us(spare_us, state.settings.max_retry_after_us, state.random)
+    retry_after_us = rejection.retry_after_us(
+        retry_window_us, state.settings.max_retry_after_us, state.random
+    )
     may_have_run = pending.first_execution is not None or pending.attempt_in_flight >= 0
     if rejection.may_reject(pending.request_class, may_have_run):
         state.actions.append(RejectRequest(request_id, retry_after_us))
@@ -183,4 +185,4 @@
 def forget_request(state: RouterState, pending: PendingRequest) -> None:
     """Remove a request that is over; an attempt still in flight releases its slots when it ends."""
     state.requests.pop(pending.request.request_id, None)
-    admission.leave_queue(pending)
+    admission.remove_from_queue(pending)
--- a/magpieshift/policy/latency.py
+++ b/magpieshift/policy/latency.py
@@ -14,19 +14,19 @@
 from magpieshift.policy.settings import RequestClass
 from magpieshift.policy.state import SAMPLE_WEIGHT, Attempt, EndpointRecord, PendingRequest, RouterState
 
-SLOWDOWN_CAUTION = 2
+SLOWDOWN_SAFETY_FACTOR = 2
 """Factor on the measured slowdown when the latency of a hit is predicted, because attempts already in flight
 will slow the new one down further. A larger factor rejects sooner at a slow cache."""
 FULL_LINK_SLOWDOWN = 0.8
 """Slowdown above which a link is taken to be full, so that the slowdown grows in proportion to the attempts
 in flight. A smaller one takes busy links for full."""
-SLOWDOWN_MEMORY_US = 8_000_000
+SLOWDOWN_DECAY_US = 8_000_000
 """Time constant of the decay of a slowdown after the last hit: a cache that restarted gives only misses,
 which do not update its slowdown. A larger one avoids a cache for longer after its last hit."""
 MAX_EXCESS_SLOWDOWN = 2.0
 """Slowdown in excess of that of the median cache, above which a cache gets one attempt at a time; see
 ``placement.choose_cache``. A smaller one moves requests off a cache sooner."""
-RISE_DIVISOR = 20
+INCREASE_DIVISOR = 20
 """If sizes are not known, a hit slower than the mean service time changes the mean with a weight divided by
 this, so that it stays near the fastest hits. With a smaller divisor the slowness of a cache would be taken
 for large objects."""
@@ -64,17 +64,17 @@
     at most the measured slowdown."""
     if not endpoint.weighted_in_flight_sum_us:
         return 0.0
-    found = slowdown(endpoint)
+    measured = slowdown(endpoint)
     load = in_flight * endpoint.expected_time_sum_us / endpoint.weighted_in_flight_sum_us
-    return found * (load if found > FULL_LINK_SLOWDOWN else min(1.0, load))
+    return measured * (load if measured > FULL_LINK_SLOWDOWN else min(1.0, load))
 
 
 def can_meet_objective(state: RouterState, pending: PendingRequest, cache: EndpointRecord) -> bool:
     """Whether a hit at the cache is expected within the objective, given the slowdown of recent hits."""
-    fading = math.exp((cache.last_hit_us - state.now_us) / SLOWDOWN_MEMORY_US)
-    expected_slowdown = slowdown_at(cache, cache.in_flight + 1) * fading
+    decay_since_hit = math.exp((cache.last_hit_us - state.now_us) / SLOWDOWN_DECAY_US)
+    expected_slowdown = slowdown_at(cache, cache.in_flight + 1) * decay_since_hit
     service_time_us = pending.service_time_us
-    return service_time_us * (1 + SLOWDOWN_CAUTION * expected_slowdown) <= objective_us(
+    return service_time_us * (1 + SLOWDOWN_SAFETY_FACTOR * expected_slowdown) <= objective_us(
         pending.request_class, service_time_us
     )
 
@@ -90,7 +90,7 @@
     expected_us = request.size_kb * state.us_per_kb or mean_us
     if not request.size_kb:
         excess_us = event.latency_us - mean_us
-        weight = SAMPLE_WEIGHT if excess_us < 0 else SAMPLE_WEIGHT / RISE_DIVISOR
+        weight = SAMPLE_WEIGHT if excess_us < 0 else SAMPLE_WEIGHT / INCREASE_DIVISOR
         state.service_times_us[request.class_index] += weight * excess_us
     decay = 1 - SAMPLE_WEIGHT
     endpoint.last_hit_us = state.now_us
--- a/magpieshift/policy/outlier_detection.py
+++ b/magpieshift/policy/outlier_detection.py
@@ -26,7 +26,7 @@
 failures in a row eject a healthy endpoint."""
 OVERLOAD_WEIGHT = SAMPLE_WEIGHT
 """Weight of a failure because the endpoint was overloaded, which is usually over sooner."""
-SILENCE_WEIGHT = 0.5
+UNRESPONSIVE_WEIGHT = 0.5
 """Weight of a failure of an endpoint that has answered no attempt since the failed one was sent: a single one
 ejects a healthy endpoint."""
 
@@ -34,11 +34,11 @@
 def is_available(state: RouterState, endpoint: EndpointRecord) -> bool:
     """Whether the endpoint may be sent an attempt: it is ready and not ejected, and if its failure rate is
     above the threshold, no other attempt is in flight there."""
-    is_on_trial = endpoint.failure_rate > EJECTION_FAILURE_RATE and endpoint.in_flight > 0
+    is_trial_in_flight = endpoint.failure_rate > EJECTION_FAILURE_RATE and endpoint.in_flight > 0
     return (
         endpoint.entry.state == EndpointState.READY
         and state.now_us >= endpoint.ejected_until_us
-        and not is_on_trial
+        and not is_trial_in_flight
     )
 
 
@@ -55,10 +55,10 @@
     if endpoint.failure_rate <= EJECTION_FAILURE_RATE or state.now_us < endpoint.ejected_until_us:
         return False
     # bounds the multiple, also at a failure rate of 1
-    least_good_rate = EJECTION_FAILURE_RATE / MAX_EJECTION_MULTIPLE
-    multiple = EJECTION_FAILURE_RATE / max(least_good_rate, 1 - endpoint.failure_rate)
-    spread = 1 + state.random.random()  # so that routers do not all retry the endpoint at once
-    endpoint.ejected_until_us = state.now_us + int(EJECTION_US * (multiple * spread))
+    min_success_rate = EJECTION_FAILURE_RATE / MAX_EJECTION_MULTIPLE
+    multiple = EJECTION_FAILURE_RATE / max(min_success_rate, 1 - endpoint.failure_rate)
+    jitter = 1 + state.random.random()  # so that routers do not all retry the endpoint at once
+    endpoint.ejected_until_us = state.now_us + int(EJECTION_US * (multiple * jitter))
     return True
 
 
@@ -93,11 +93,11 @@
 
 def failure_weight(attempt: Attempt, event: AttemptEnded, at_fault: EndpointRecord) -> float:
     """Weight with which a failure counts against the endpoint at fault."""
-    is_silent = event.outcome in UNANSWERED or (
+    is_unresponsive = event.outcome in UNANSWERED or (
         at_fault is attempt.source and event.cache_status == CacheStatus.SOURCE_LOST
     )
-    if is_silent and at_fault.last_heard_us <= attempt.sent_us:
-        return SILENCE_WEIGHT
+    if is_unresponsive and at_fault.last_heard_us <= attempt.sent_us:
+        return UNRESPONSIVE_WEIGHT
     if event.outcome != Outcome.OVERLOADED:
         return FAILURE_WEIGHT
     # a cache with no capacity to fill still serves what it holds
--- a/magpieshift/policy/placement.py
+++ b/magpieshift/policy/placement.py
@@ -58,19 +58,19 @@
     max_slowdown = MAX_EXCESS_SLOWDOWN + 2 * median
     in_flight = 0
     total_weight = 0.0
-    for cache, found in zip(ready, slowdowns, strict=True):
-        if found <= max_slowdown:
+    for cache, cache_slowdown in zip(ready, slowdowns, strict=True):
+        if cache_slowdown <= max_slowdown:
             in_flight += cache.in_flight
             total_weight += cache.entry.weight
     in_flight_per_weight = in_flight / max(total_weight, MIN_WEIGHT)
     object_hash = mix(pending.request.object_key) + pending.request.part
     best = None
     best_rank: tuple[bool, int, float] = (state.settings.may_bypass_caches, 0, -1.0)
-    for cache, found in zip(ready, slowdowns, strict=True):
+    for cache, cache_slowdown in zip(ready, slowdowns, strict=True):
         if cache.entry.number in pending.failed_endpoints:
             continue
         weight = max(cache.entry.weight, MIN_WEIGHT)
-        if found <= max_slowdown:
+        if cache_slowdown <= max_slowdown:
             fitness = _load_fitness(cache, in_flight_per_weight * weight)
         else:
             fitness = _slow_cache_fitness(state, pending, cache)
--- a/magpieshift/policy/reconfigure.py
+++ b/magpieshift/policy/reconfigure.py
@@ -16,8 +16,8 @@
 def reconfigure(router: RouterState, settings: Settings, fresh: Set[int]) -> None:
     """Put ``settings`` in force; ``fresh`` has the numbers of the classes whose statistics are reset."""
     count = len(settings.classes)
-    _replace_fresh(router.service_times_us, initial_service_times_us(settings), fresh)
-    _replace_fresh(router.fill_times_us, [0.0] * count, fresh)
+    _reset_statistics(router.service_times_us, initial_service_times_us(settings), fresh)
+    _reset_statistics(router.fill_times_us, [0.0] * count, fresh)
     if fresh or count < len(router.settings.classes):
         for endpoint in router.endpoints.values():
             for key in [key for key in endpoint.answer_times if key[0] in fresh or key[0] >= count]:
@@ -26,9 +26,9 @@
     router.us_per_kb = us_per_kb(settings)
 
 
-def _replace_fresh(learned: list[float], initial: list[float], fresh: Set[int]) -> None:
+def _reset_statistics(learned: list[float], initial: list[float], fresh: Set[int]) -> None:
     """Set the values of fresh and new classes to the initial ones, and drop those of removed classes."""
     learned[:] = [
-        figure if index in fresh or index >= len(learned) else learned[index]
-        for index, figure in enumerate(initial)
+        value if index in fresh or index >= len(learned) else learned[index]
+        for index, value in enumerate(initial)
     ]
--- a/magpieshift/policy/rejection.py
+++ b/magpieshift/policy/rejection.py
@@ -9,7 +9,7 @@
 
 from magpieshift.policy.settings import DeduplicationScope, Idempotency, RequestClass
 
-MAX_SPARE_FRACTION = 0.5
+MAX_RETRY_WINDOW_FRACTION = 0.5
 """A retry is placed at random within this first fraction of the time in which it could still meet the
 objective. A larger fraction spreads retries more, but more of them miss the objective."""
 
@@ -25,13 +25,13 @@
     return with_key and request_class.deduplication_scope == DeduplicationScope.ALL
 
 
-def retry_after_us(spare_us: float, max_retry_after_us: int, generator: random.Random) -> int:
+def retry_after_us(retry_window_us: float, max_retry_after_us: int, generator: random.Random) -> int:
     """Retry-After of a rejection, in microseconds.
 
     ``retry_window_us`` is the time from now within which a retry could start and still meet the objective:
     the retry is placed at random in its first part. If it is not positive, the maximum Retry-After is
     returned.
     """
-    if spare_us > 0:
-        return int(spare_us * generator.random() * MAX_SPARE_FRACTION)
+    if retry_window_us > 0:
+        return int(retry_window_us * generator.random() * MAX_RETRY_WINDOW_FRACTION)
     return int(max_retry_after_us)
--- a/magpieshift/policy/router_policy.py
+++ b/magpieshift/policy/router_policy.py
@@ -13,7 +13,7 @@
 from magpieshift.policy import invalidation, latency
 from magpieshift.policy.actions import Action, SetTimer, SubscribeToEndpointList
 from magpieshift.policy.attempt_results import attempt_ended
-from magpieshift.policy.endpoint_list import list_received
+from magpieshift.policy.endpoint_list import endpoint_list_received
 from magpieshift.policy.events import (
     AttemptEnded,
     ClientDisconnected,
@@ -67,12 +67,12 @@
     answer_by_us = state.now_us + event.time_left_us - margin_us
     pending = PendingRequest(event, request_class, answer_by_us, service_time_us)
     state.requests[event.request_id] = pending
-    at_least_us = max(service_time_us, state.service_times_us[event.class_index])
+    assumed_service_time_us = max(service_time_us, state.service_times_us[event.class_index])
     # keep the order of the addition: another order rounds differently and changes decisions
     pending.objective_due_us = (
         state.now_us
         + request_class.latency_objective_us
-        + request_class.latency_objective_stretch * at_least_us
+        + request_class.latency_objective_stretch * assumed_service_time_us
     )
     latency.record_size(state, event, service_time_us)
     heapq.heappush(state.timers, (answer_by_us, event.request_id))
@@ -119,7 +119,7 @@
     ResponseStarted: _response_started,
     ClientDisconnected: _client_disconnected,
     TimerFired: _timer_fired,
-    EndpointListReceived: list_received,
+    EndpointListReceived: endpoint_list_received,
     PurgeReceived: _purge_received,
 }
 """The handler for each event class. Health check results and peer messages have none: no decision depends on
--- a/magpieshift/policy/simulator_codec.py
+++ b/magpieshift/policy/simulator_codec.py
@@ -39,8 +39,8 @@
 HEADER_OFFSET = FRAME_HEADER.size
 """Added to offsets in the body: error messages count offsets from the start of the frame."""
 MAX_LOAD_VALUES = 4
-REPEAT_MARK = 2
-WRITE_MARK = 4
+REPEAT_FLAG = 2
+WRITE_FLAG = 4
 """Bits of a request's flags."""
 
 
@@ -133,7 +133,7 @@
 
 
 def _request(frame: EventFrame, raw: bytes) -> RequestReceived:
-    request_id, class_index, tenant, object_key, time_left_us, size_kb, group, part, marks = (
+    request_id, class_index, tenant, object_key, time_left_us, size_kb, group, part, flags = (
         struct.unpack_from("<IBIQIfffH", raw, 5)
     )
     return RequestReceived(
@@ -145,8 +145,8 @@
         size_kb,
         int(group),
         int(part),
-        bool(marks & REPEAT_MARK),
-        bool(marks & WRITE_MARK),
+        bool(flags & REPEAT_FLAG),
+        bool(flags & WRITE_FLAG),
     )
 
 
--- a/magpieshift/policy/slow_start.py
+++ b/magpieshift/policy/slow_start.py
@@ -14,7 +14,7 @@
 MAX_BUDGET_FRACTION = 0.5
 """Maximum fraction of a warming endpoint's budget that is used; the rest is for routers that do not know of
 its restart yet. A larger fraction warms up sooner and overloads endpoints more often."""
-CHANCE_SIGMAS = 3
+POISSON_SIGMAS = 3
 """Standard deviations above the mean that the budget must cover when many routers send independently: the sum
 of independent senders is about Poisson, whose standard deviation is the square root of its mean."""
 MIN_RAMP_FRACTION = 0.001
@@ -22,7 +22,7 @@
 0."""
 MIN_WEIGHT = 0.1
 """Minimum capacity in concurrent requests, so that an endpoint listed with weight 0 still gets some."""
-SMALLEST_MEAN_US = 1.0
+MIN_SERVICE_TIME_US = 1.0
 """Lower bound of a mean service time in microseconds, which avoids a division by 0."""
 
 
@@ -38,15 +38,15 @@
     age_us = max(state.now_us - entry.started_us, 0)
     if age_us >= duration_us:
         return math.inf
-    first = settings.parent_slow_start_fraction if is_parent else settings.slow_start_fraction
+    initial_fraction = settings.parent_slow_start_fraction if is_parent else settings.slow_start_fraction
     multiple = settings.parent_overload_multiple if is_parent else settings.overload_multiple
     routers = max(1, settings.router_count if is_parent else settings.zone_router_counts[entry.zone])
-    ramp = max(first + (1 - first) * age_us / duration_us, MIN_RAMP_FRACTION)
+    ramp = max(initial_fraction + (1 - initial_fraction) * age_us / duration_us, MIN_RAMP_FRACTION)
     limit = _capacity(state, endpoint, is_parent, routers) * multiple * ramp
     # the most attempts within the overload window that do not overload the endpoint
-    budget = limit * settings.overload_window_us / max(SMALLEST_MEAN_US, *state.service_times_us)
+    budget = limit * settings.overload_window_us / max(MIN_SERVICE_TIME_US, *state.service_times_us)
     # the mean at which mean + POISSON_SIGMAS * sqrt(mean) equals the budget
-    mean = ((math.sqrt(CHANCE_SIGMAS**2 + 4 * budget) - CHANCE_SIGMAS) / 2) ** 2
+    mean = ((math.sqrt(POISSON_SIGMAS**2 + 4 * budget) - POISSON_SIGMAS) / 2) ** 2
     return limit / routers * min(MAX_BUDGET_FRACTION, mean / budget)
 
 
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -20,7 +20,7 @@
     TimerFired,
 )
 from magpieshift.policy.outcomes import CacheStatus, Outcome
-from magpieshift.policy.outlier_detection import SILENCE_WEIGHT, record_failure
+from magpieshift.policy.outlier_detection import UNRESPONSIVE_WEIGHT, record_failure
 from magpieshift.policy.placement import fill_sources
 from magpieshift.policy.settings import RequestClass
 from magpieshift.policy.state import FILL, PendingRequest
@@ -192,5 +192,5 @@
     endpoint = world.router.parents[PARENTS[0]]
     for _ in range(100):
         world.now = world.router.now_us = max(world.now, endpoint.ejected_until_us)
-        record_failure(world.router, endpoint, SILENCE_WEIGHT)
+        record_failure(world.router, endpoint, UNRESPONSIVE_WEIGHT)
     assert endpoint.failure_rate == 1.0 and endpoint.ejected_until_us - world.now <= 8 * SECOND
