--- a/tests/policy/differential/record.py
+++ b/tests/policy/differential/record.py
@@ -1,12 +1,13 @@
-"""Records what the policy of version 723f792 decides in a random world, for ``test_former_decisions``.
+"""Records the decisions of the policy of version 723f792 in a random simulation, for
+``test_former_decisions``.
 
-It runs on a checkout of that version, whose policy is the package ``molecleat``, and imports nothing else:
+It runs in a checkout of that version, whose policy is the package ``molecleat``, and imports only from there:
 
     cd CHECKOUT && PYTHONPATH=. python THIS_FILE OUTPUT
 
-The world is closed: what the policy asks for comes back as events, from endpoints that hit, miss, slow down,
-refuse, fall silent, break connections and restart. Each line of the output is one step, in JSON; events and
-actions carry the class names of that version and their fields by position:
+The simulation is closed: each action of the policy leads to events, from endpoints that hit, miss, slow down,
+reject, stop answering, break connections and restart. Each line of the output is one step, in JSON; events
+and actions are written with the class names of that version and their fields in order:
 
 - ``["boot", settings text, seed]``: a new instance;
 - ``["batch", now_us, events, actions, CRC-32 of the simulator's reply frame]``;
@@ -77,7 +78,7 @@
 
 
 def request_class(**changes: object) -> dict[str, object]:
-    """The settings of one request class."""
+    """The settings of one request class, with changed values."""
     base: dict[str, object] = {
         "Effect": "free",
         "Group": "all",
@@ -102,7 +103,7 @@
 
 
 def settings_text(classes: list[dict[str, object]], **changes: str) -> str:
-    """A deployment's settings in the simulator's form."""
+    """The settings of a deployment in the text form of the simulator."""
     values: dict[str, object] = dict(COMMON)
     values.update({key.replace("__", "."): value for key, value in changes.items()})
     values["Classes.count"] = len(classes)
@@ -131,7 +132,7 @@
     request_class(**WRITE, Group="cell"),
 ]
 DEPLOYMENTS: dict[str, tuple[list[dict[str, object]], dict[str, str], float]] = {
-    # name: classes, settings that differ, requests a second
+    # name: request classes, changed settings, requests per second
     "shops": (SHOPS, {}, 260.0),
     "quotes": (
         QUOTES,
@@ -165,7 +166,8 @@
 
 
 def plain(value: Any) -> Any:
-    """A value of an event or action as JSON, classes as a list of their name and fields."""
+    """Convert a value of an event or action for JSON; an object becomes a list of its class name and
+    fields."""
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
         fields = [plain(getattr(value, field.name)) for field in dataclasses.fields(value)]
         return [type(value).__name__, *fields]
@@ -179,7 +181,7 @@
 
 
 class World:
-    """One instance of the former policy, and all that it deals with."""
+    """An instance of the former policy, with simulated clients and endpoints."""
 
     def __init__(self, name: str, seed: int) -> None:
         self.classes, changes, self.rate = DEPLOYMENTS[name]
@@ -197,7 +199,7 @@
         self.router = control.Router(self.wire.parse_settings(text), seed)
         self.sized = "Specifics__ClientKbPerS" in changes
         self.now_us = FIRST_US
-        self.due: list[tuple[int, int, Any]] = []  # events to come, by time and number
+        self.due: list[tuple[int, int, Any]] = []  # future events, by time and sequence number
         self.numbered = 0
         self.last_request = 0
         self.open: dict[int, Any] = {}
@@ -205,7 +207,7 @@
         self.in_flight: dict[tuple[int, int], int] = {}
         self.endpoints: dict[int, Any] = {}
         self.conditions: dict[int, str] = {}
-        self.holds: set[tuple[int, int]] = set()  # what each cache or parent holds
+        self.holds: set[tuple[int, int]] = set()  # copies, as pairs of endpoint number and object key
         self.batches = 0
         self.seen: Counter[str] = Counter()
         for number in (*range(11, 17), 18, 19, 21, 22, 23, 31):
@@ -224,7 +226,7 @@
         heapq.heappush(self.due, (self.now_us + max(1, int(delay_us)), self.numbered, event))
 
     def run(self, batches: int) -> None:
-        """Play so many batches, with all that happens beside them."""
+        """Run the simulation for a number of batches."""
         self.list_all(self.interface.ListKind.CACHED)
         self.arrive()
         self.later(SECOND_US / 20, lambda: self.disturb())
@@ -265,7 +267,7 @@
             self.act(action)
 
     def act(self, action: Any) -> None:
-        """Do what the policy asked for."""
+        """Perform an action of the policy."""
         match type(action).__name__:
             case "SetTimer":
                 self.later(action.delay_us, self.interface.Elapsed(action.token))
@@ -291,7 +293,7 @@
         return of.Ended(ident, of.Outcome(outcome), took_us, waited_us, closed, note, endpoint, attempt, load)
 
     def send(self, action: Any) -> None:
-        """Start an attempt, and settle how and when it ends."""
+        """Start an attempt, and choose its outcome and duration."""
         attempt = self.attempts.get(action.id, 0)
         self.attempts[action.id] = attempt + 1
         self.in_flight[action.id, attempt] = action.store
@@ -300,7 +302,7 @@
         source = action.source if is_get and action.source != action.store else 0
         outcome, note, took_us = self.answer(request, action.store, source, is_get and bool(action.mode & 2))
         if outcome == TIMEOUT or took_us >= action.timeout_us:
-            # on a busy platform the policy's own timer is first
+            # now and then the timeout is late, so that the policy's own timer fires first
             late_us = 8000 if self.random.random() < 0.1 else 0
             outcome, note, took_us = TIMEOUT, 0, action.timeout_us + late_us
         stream = self.classes[request.cls]["Stream"] == "true"
@@ -360,7 +362,7 @@
         return OK, FILLED if draw < 0.5 else FILLED_BY_ORIGIN, int(took_us * 1.5)
 
     def arrive(self) -> Any:
-        """A client's request, and the next one after it; the load swings, and sometimes jumps."""
+        """A new request, which also schedules the next one; the request rate varies, with peaks."""
         second = (self.now_us - FIRST_US) / 1e6
         rate = self.rate * (2.5 if second % 5 > 4 else 0.6 + 0.4 * (second % 3))
         self.later(self.random.expovariate(rate) * 1e6, self.arrive)
@@ -376,7 +378,7 @@
             cls = min(draw.randrange(2 * len(self.classes)), len(self.classes) - 1)
             cls = draw.randrange(len(self.classes)) if cls == len(self.classes) - 1 else cls
             key = min(draw.getrandbits(6), draw.getrandbits(6)) * 0x9E3779B97F4A7C15 % (1 << 64)
-            # in eighths, which the wire's four bytes hold exactly
+            # multiples of 1/8, which the protocol's 32-bit floats represent exactly
             size = round(8 * draw.expovariate(1 / 40) + 8) / 8 if self.sized else 0.0
             patience = draw.choice([40_000, 300_000, 1_000_000, int(str(self.classes[cls]["GiveUpUs"]))])
             write = self.classes[cls]["ClassWrite"] == "true"
@@ -397,7 +399,7 @@
         self.later(1, self.interface.StoreList(kind, self.numbered, entries))
 
     def disturb(self) -> None:
-        """Something changes in the world, some twenty times a second."""
+        """Make a random change to the simulated system, about twenty times per second."""
         self.later(self.random.expovariate(20) * SECOND_US, lambda: self.disturb())
         draw = self.random.random()
         number = self.random.choice(list(self.endpoints))
@@ -437,7 +439,7 @@
             self.reconfigure()
 
     def restart(self, number: int) -> None:
-        """A process starts anew: it holds nothing, and warms up."""
+        """Restart an endpoint: it loses all copies and warms up."""
         of = self.interface
         self.holds = {held for held in self.holds if held[0] != number}
         started_us = self.now_us - self.random.randrange(500_000)
@@ -459,7 +461,7 @@
         self.seen["override"] += 1
 
     def reconfigure(self) -> None:
-        """Settings change in force; sometimes a class is new to what was learned."""
+        """Change the settings; sometimes the statistics of a class are reset."""
         self.changes["Caps__MaxRetryAfterUs"] = str(self.random.choice([300_000, 500_000]))
         self.changes["Specifics__ZoneBalancers"] = self.random.choice(["0,2,1", "0,3,1"])
         fresh = [self.random.randrange(len(self.classes))] if self.random.random() < 0.5 else []
@@ -474,7 +476,7 @@
 
 
 def main() -> None:
-    """Record every deployment and print what occurred in each."""
+    """Record every deployment and print how often each kind of event occurred."""
     lines: list[str] = []
     for name in DEPLOYMENTS:
         world = World(name, 7)
--- a/tests/policy/differential/test_former_decisions.py
+++ b/tests/policy/differential/test_former_decisions.py
@@ -1,12 +1,13 @@
-"""The policy decides what version 723f792 decided, event by event.
+"""Checks that the policy makes the same decisions as version 723f792, event by event.
 
-The policy was split into a module a rule after that version. The story this guards against: a rule that was
-moved draws once more from the random generator, or judges one comparison otherwise, and a router under load
-then sends a request elsewhere than its neighbours of the former version do.
+The policy was split into one module per rule after that version. This guards against a changed rule, for
+example one that draws an additional random number or has a changed comparison, so that a router under load
+sends a request elsewhere than the routers of the former version do.
 
 ``decisions.jsonl.xz`` was recorded from the policy of 723f792 (package ``molecleat``) by ``record.py``, run
-in a checkout of that version; its form is told there. It holds 18,000 batches of four deployments in
-a random world, with queues, ejections, warming endpoints, restarts, reconfigurations and health overrides.
+in a checkout of that version; the format is described there. It holds 18,000 batches of four deployments in
+a random simulation, with queues, ejections, warming endpoints, restarts, reconfigurations and health
+overrides.
 """
 
 from __future__ import annotations
@@ -35,25 +36,25 @@
 FIXTURE = Path(__file__).with_name("decisions.jsonl.xz")
 POLICY = own()
 INSTANCE = 4
-"""The number under which the recording encoded its replies."""
+"""The instance number in the recorded reply frames."""
 
 
 def steps() -> Iterator[list[Any]]:
-    """The recorded steps in order."""
+    """All recorded steps in order."""
     with lzma.open(FIXTURE, "rt", encoding="utf-8") as lines:
         for line in lines:
             yield json.loads(line)
 
 
 def endpoint(recorded: list[Any]) -> Any:
-    """One entry of a recorded endpoint list."""
+    """Convert an entry of a recorded endpoint list to this version's class."""
     _, number, zone, kind, cell, state_number, weight, started_us = recorded
     phase = POLICY.class_named("Phase")(state_number)
     return POLICY.class_named("Entry")(number, zone, kind, cell, phase, weight, started_us)
 
 
 def event(recorded: list[Any]) -> Any:
-    """An event of this policy."""
+    """Convert a recorded event to this version's class."""
     name, *values = recorded
     match name:
         case "StoreList":
@@ -68,19 +69,20 @@
 
 
 def plain(action: Any) -> list[Any]:
-    """An action in the recorded form."""
+    """Convert an action to the recorded form."""
     name = POLICY.names.recorded_class(type(action).__name__)
     return [name, *(getattr(action, field.name) for field in dataclasses.fields(action))]
 
 
 def override(recorded: list[Any]) -> HealthOverride:
-    """An override of this policy."""
+    """Convert a recorded health override to this version's class."""
     name, *values = recorded
     return Eject(*values) if name == "Leave" else Readmit(*values)
 
 
 def test_every_batch_gives_the_same_actions_and_every_keyframe_the_same_bytes() -> None:
-    """Actions in their order, the simulator's reply to the byte, and the whole state at intervals."""
+    """Compares the actions and the simulator's reply frame of each batch, and the complete state at
+    intervals."""
     router: RouterPolicy | None = None
     batch = 0
     states = 0
@@ -111,17 +113,17 @@
             data = state.encode(state.snapshot(router))
             assert hashlib.blake2b(data, digest_size=12).hexdigest() == step[0], f"state after batch {batch}"
         else:
-            raise AssertionError(f"found step {kind!r}, expected one that record.py tells of")
+            raise AssertionError(f"found step {kind!r}, expected one of those described in record.py")
     assert states > 100
 
 
 def address(endpoint: int) -> bytes:
-    """An endpoint's address and port."""
+    """Encode an endpoint as its address and port."""
     return endpoint.to_bytes(6, "big")
 
 
 def wire_record(recorded: list[Any], tail: bytearray) -> bytes:
-    """A recorded event as the simulator sends it; what has no fixed length goes to the tail."""
+    """Encode a recorded event as the simulator does; data of variable length is appended to the tail."""
     name, *values = recorded
     match name:
         case "StoreList":
@@ -159,17 +161,17 @@
             return struct.pack("<BIHII", 8, INSTANCE, values[0], len(tail) - len(body), len(body))
         case "Purged":
             return struct.pack("<BIQHI", 10, INSTANCE, *values)
-    raise AssertionError(f"found event {name!r}, expected one that the simulator sends")
+    raise AssertionError(f"found event {name!r}, expected one that the simulator can send")
 
 
 def wire_frame(number: int, now_us: int, records: list[bytes], tail: bytes) -> EventFrame:
-    """A batch as the simulator sends it, without the frame's header."""
+    """A batch as the simulator sends it, without the frame header."""
     packed = b"".join(record.ljust(EVENT_BYTES, b"\0") for record in records)
     return EventFrame(number, struct.pack("<IQ", len(records), now_us) + packed + tail)
 
 
 def test_the_simulator_is_answered_with_the_same_bytes() -> None:
-    """The same events by way of the wire: the adapter reads them, and its replies are those of 723f792."""
+    """Sends the same events through the simulator adapter; its reply frames must be those of 723f792."""
     simulator = Simulator()
     batch = 0
     tail = bytearray()
@@ -197,7 +199,7 @@
 
 
 def test_the_recording_holds_every_kind_of_event_and_of_outcome() -> None:
-    """A guard of the guard: what never occurs in it is not compared."""
+    """Ensures that the comparison covers all cases: what is not in the recording is not compared."""
     events: set[str] = set()
     outcomes: set[int] = set()
     lists: set[int] = set()
--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -1,4 +1,4 @@
-"""A small world for the policy alone: settings, endpoints and a router that knows them."""
+"""Helpers for tests of the policy: settings, an endpoint list, and a router that has received the list."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def a_class(**changes: object) -> RequestClass:
-    """An idempotent class, with other figures for some."""
+    """An idempotent request class, with changed fields."""
     base = RequestClass(
         idempotency=Idempotency.IDEMPOTENT,
         deduplication_scope=DeduplicationScope.ALL,
@@ -52,7 +52,7 @@
 
 
 def settings(*classes: RequestClass, **changes: object) -> Settings:
-    """A router of zone 1 beside another, zone 0 as its hub, with other figures for some."""
+    """Settings of one of the two routers of zone 1, whose hub is zone 0, with changed fields."""
     base = Settings(
         classes=classes or (a_class(),),
         zone=1,
@@ -95,7 +95,8 @@
 
 
 def entry(number: int, kind: int, **changes: object) -> Endpoint:
-    """An endpoint's entry in the list; caches are in the router's own zone, the others in the hub's."""
+    """An entry of the endpoint list: caches are in the router's own zone, parents and the origin in the
+    hub's."""
     zone = 1 if kind == CACHE else 0
     base = Endpoint(number, zone, kind, number, EndpointState.READY, 10.0, 0)
     return replace(base, **changes)  # type: ignore[arg-type]
@@ -107,7 +108,7 @@
 
 
 def complete_list(**changes: Endpoint) -> EndpointListReceived:
-    """Three caches, three parents and the origin, with other entries for some."""
+    """A list of three caches, three parents and the origin; ``changes`` adds or replaces entries."""
     endpoints = {number: entry(number, CACHE) for number in CACHES}
     endpoints |= {number: entry(number, PARENT) for number in PARENTS}
     endpoints[THE_ORIGIN] = entry(THE_ORIGIN, ORIGIN)
@@ -116,13 +117,13 @@
 
 
 def is_only_rejection_of(actions: list[Action], request_id: int) -> bool:
-    """Whether this request is rejected, and nothing else happens; its Retry-After is tested elsewhere."""
+    """Whether the only action is the rejection of this request, with any Retry-After."""
     found = [each.request_id if isinstance(each, RejectRequest) else each for each in actions]
     return found == [request_id]
 
 
 class World:
-    """A router and its clock; its methods return only the actions that are not timers."""
+    """A router and its clock. The methods return all actions except ``SetTimer``."""
 
     def __init__(self, config: Settings | None = None, listed: EndpointListReceived | None = None) -> None:
         self.router = RouterPolicy(config or settings(), 7)
@@ -131,7 +132,7 @@
         self.receive(listed or complete_list())
 
     def receive(self, *events: Event, after: int = 0) -> list[Action]:
-        """Some events, so many microseconds after the last."""
+        """Pass events to the router, ``after`` microseconds after the previous ones."""
         self.now += after
         actions = self.router.handle(self.now, events)
         return [each for each in actions if not isinstance(each, SetTimer)]
@@ -139,7 +140,7 @@
     def request(
         self, key: int = 5, class_index: int = 0, time_left_us: int = 4 * SECOND, **more: object
     ) -> list[Action]:
-        """A request comes; its id is ``next_id - 1`` afterwards."""
+        """Pass a new request to the router; its id is ``next_id - 1`` afterwards."""
         base = RequestReceived(self.next_id, class_index, 0, key, time_left_us, 0.0, 3, 0, False, False)
         self.next_id += 1
         return self.receive(replace(base, **more))  # type: ignore[arg-type]
@@ -147,7 +148,7 @@
     def end_attempt(
         self, sent: Action, outcome: Outcome, attempt: int, after: int = 1000, cache_status: int = 0
     ) -> list[Action]:
-        """An attempt ends, so many microseconds after it was sent."""
+        """End an attempt, ``after`` microseconds after the previous events, with that latency."""
         assert isinstance(sent, SendPlainRequest | SendCacheRequest)
         is_closed = outcome == Outcome.OK
         event = AttemptEnded(
@@ -156,8 +157,8 @@
         return self.receive(event, after=after)
 
     def fill(self, key: int = 5, **more: object) -> Action:
-        """A request that its cache lacks, and each parent that is asked what it holds: the fill that
-        follows, or whatever else does."""
+        """Send a request that misses at its cache and in lookups at parents; returns the action after these
+        misses: the fill, a rejection, or ``WriteLog("queued")`` if there was none."""
         (first,) = self.request(key, **more)  # type: ignore[arg-type]
         attempt = 1
         actions = self.end_attempt(first, Outcome.MISS, 0)
--- a/tests/policy/test_deployments.py
+++ b/tests/policy/test_deployments.py
@@ -1,6 +1,6 @@
-"""What was mended for one deployment holds for the other: the module on the settings of both, in small.
+"""Runs the rules with the settings of two deployments, so that a fix for one also holds for the other.
 
-The figures are those of the two sites' pages, each at one value of its range; nothing depends on a name.
+The values are from the pages of the two sites, one value from each range; nothing depends on the names.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 )
 
 MS = 1_000
-LINK = 1_000.0  # KB a second
+LINK = 1_000.0  # KB per second
 FREE = {
     "latency_objective_us": 500 * MS,
     "latency_objective_stretch": 2.0,
@@ -122,9 +122,9 @@
             fills = [world.fill() for _ in range(40)]
             sources = [f.source for f in fills if isinstance(f, SendCacheRequest)]
             self.assertEqual((len(set(sources)), sources[-1]), (3, THE_ORIGIN))
-            held = [type(f) for f in fills]
-            self.assertIn(WriteLog, held)  # in a queue
-            self.assertIn(RejectRequest, held)
+            action_types = [type(f) for f in fills]
+            self.assertIn(WriteLog, action_types)  # queued
+            self.assertIn(RejectRequest, action_types)
             self.assertTrue(world.end_attempt(fills[0], Outcome.OK, 1, after=100 * MS))
 
     def test_writes_and_fills_do_not_wait_for_each_other(self) -> None:
@@ -170,7 +170,7 @@
             self.assertGreater(len(endpoints), 1)
 
     def test_no_second_attempt_goes_out_while_one_is(self) -> None:
-        """Not even where the settings allow it: copies earned nothing (findings)."""
+        """Not even if the settings allow hedged requests: they brought no gain (findings)."""
         for world in self.each():
             (asked,) = world.request()
             for _ in range(30):
@@ -189,9 +189,8 @@
                 assert isinstance(again, RejectRequest)
                 times.add(again.retry_after_us)
             self.assertGreater(len(times), 4)
-            self.assertLessEqual(
-                max(times), world.router.settings.classes[0].latency_objective_us
-            )  # half of what the mean has
+            # half of the time that a request of mean size has
+            self.assertLessEqual(max(times), world.router.settings.classes[0].latency_objective_us)
 
     def test_a_drained_endpoint_gets_nothing_as_cache_or_source(self) -> None:
         for world in self.each():
@@ -220,7 +219,8 @@
             self.assertLessEqual(self.sent(asked).max_age_us, 40 * MS)
 
     def test_routers_together_keep_a_new_endpoints_budget(self) -> None:
-        """Work sent within the rule's time by all routers of the zone, as if all had their whole part."""
+        """The load that all routers of the zone send within the overload window, if each uses its whole
+        share, stays below the capacity of the warming endpoint."""
         for world in self.each(zone_router_counts=(0, 4), router_count=4):
             cfg = world.router.settings
             new = entry(CACHES[0], CACHE, started_us=world.now)
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -1,4 +1,4 @@
-"""What many routers do together: several of them on one clock, what they say counted over all."""
+"""Tests of many routers together: they share a clock, and their actions are counted in total."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def fleet(size: int, *classes: RequestClass, **changes: object) -> list[World]:
-    """Routers that share nothing, each with a random source of its own."""
+    """Independent routers, each with its own random seed."""
     worlds = []
     for number in range(size):
         config = settings(
@@ -41,14 +41,15 @@
 
 
 def refusals(world: World, key: int = 5) -> list[RejectRequest]:
-    """Misses of one object until its queue is full; those turned away."""
+    """The rejections of 60 misses of one object, which fill its queues."""
     said = [world.fill(key, size_kb=100.0) for _ in range(60)]
     return [action for action in said if isinstance(action, RejectRequest)]
 
 
 def test_clients_rejected_by_all_routers_at_once_come_back_spread_and_in_time() -> None:
-    """Spread over half of the time in which an answer is of use: who is turned away again can return once
-    more (Kayal's overloaded days: all of that time cost 0.017)."""
+    """Retries are spread over half of the time in which they can meet the objective, so that a client
+    rejected twice can retry once more (overload scenarios of the Kayal site: using all of that time cost
+    0.017)."""
     for long in (
         a_class(latency_objective_us=2 * SECOND, latency_objective_stretch=0.0),
         a_class(latency_objective_us=SECOND, latency_objective_stretch=10.0),
@@ -69,7 +70,8 @@
 
 
 def test_a_dead_parent_is_tried_by_a_fleet_now_and_then_not_all_the_time() -> None:
-    """The list says ready for ten seconds more, and each fill tried there costs a client its time."""
+    """The endpoint list still shows the parent as ready for ten seconds, and each fill attempted there delays
+    a client."""
     tried = []
     for size in (1, 4, 40):
         worlds, times = fleet(size), []
@@ -87,12 +89,12 @@
         late = [at for at in times if at > 5 * SECOND]
         tried.append(len(late) / size)
         busiest = max(sum(1 for at in late if now <= at < now + 200_000) for now in late) if late else 0
-        assert busiest <= size / 4 + 2  # they do not come all at once
-    assert max(tried) <= 1.5  # of each router in five seconds, in a fleet of any size
+        assert busiest <= size / 4 + 2  # attempts of the routers are spread over time
+    assert max(tried) <= 1.5  # attempts of each router in five seconds, with any number of routers
 
 
 def test_a_request_waits_for_a_source_only_if_its_turn_comes_in_time() -> None:
-    """Or requests wait with one slow parent until it is too late, while the next source stands idle."""
+    """Otherwise requests wait at one slow parent until it is too late, while the next source is idle."""
     for size in (1, 4, 40):
         for fill_ms, waits in ((50, True), (250, False)):
             for world in fleet(size, a_class(latency_objective_stretch=0.0)):
@@ -103,7 +105,8 @@
 
 
 def test_a_limit_is_raised_only_while_fills_are_well_within_their_objective() -> None:
-    """All routers raise their caps until answers are late, and see it only after a fill's time."""
+    """Otherwise all routers raise their limits until answers are late, and notice only after the duration of
+    a fill."""
     for size in (1, 4, 40):
         for share, grows in ((0.4, True), (0.8, False)):
             together = 0
@@ -136,8 +139,8 @@
 
 
 def test_odd_fleets_raise_nothing_and_every_request_gets_one_answer() -> None:
-    """One cache or none, no parent, no router count, lists that are empty, repeated, out of order, or say
-    nothing of size and start."""
+    """One cache or none, no parent, a router count of 0, and lists that are empty, repeated or out of order,
+    or have no weights and start times."""
     cache, parent, origin = entry(11, 0), entry(21, 1), entry(31, 2)
     bare = [replace(e, weight=0.0, started_us=0) for e in (cache, parent, origin)]
     new = [replace(e, weight=0.0, started_us=100 * SECOND) for e in (cache, parent)]
@@ -187,7 +190,7 @@
 
 
 def test_an_endpoint_that_stays_silent_is_ejected_for_a_bounded_time() -> None:
-    """Its share of failures comes to be exactly one, which nothing may be divided by."""
+    """Its failure rate rounds to exactly 1, so that dividing by the success rate would be a division by 0."""
     world = World()
     endpoint = world.router.parents[PARENTS[0]]
     for _ in range(100):
--- a/tests/policy/test_invalidation.py
+++ b/tests/policy/test_invalidation.py
@@ -1,4 +1,5 @@
-"""The table of purges: against a plain model, bounded, and as quick at any rate."""
+"""Tests of the purge table: compared with a simple model, bounded in size, and equally fast at any purge
+rate."""
 
 from __future__ import annotations
 
@@ -57,7 +58,8 @@
                     self.assertEqual(found, min(bounds, default=0))
 
     def test_the_table_is_swept_only_when_it_has_doubled(self) -> None:
-        """It was gone through for each purge, which cost four times as much a second at twice the rate."""
+        """Sweeping the table for each purge would cost four times as much per second at twice the purge
+        rate."""
         router = RouterPolicy(settings(), 1)
         kept_s = 2 * router.settings.purge_propagation_us / 1e6
         rate, gone_through, largest = 440, 0, 0
--- a/tests/policy/test_path.py
+++ b/tests/policy/test_path.py
@@ -1,4 +1,4 @@
-"""The ordinary path: ask, fill under the cap, hold, spill, refuse."""
+"""Tests of the usual path of a request: lookup, fill within the limit, queue, next source, rejection."""
 
 import pytest
 
@@ -56,10 +56,8 @@
     fills = [world.fill() for _ in range(6)]
     assert [isinstance(f, SendCacheRequest) for f in fills] == [True] * 4 + [False] * 2
     woken = world.end_attempt(fills[0], Outcome.OK, 1)
-    assert [type(a) for a in woken] == [
-        SendCacheRequest,
-        SendCacheRequest,
-    ]  # a slot came back and the cap doubled
+    # a slot was released and the limit was raised by one
+    assert [type(a) for a in woken] == [SendCacheRequest, SendCacheRequest]
 
 
 def test_a_full_queue_spills_to_the_second_parent_then_the_origin() -> None:
@@ -71,8 +69,8 @@
 
 
 def test_writes_do_not_wait_behind_fills_nor_fills_behind_writes() -> None:
-    """Fills that spilled to the origin held its slots and queue for seconds, and a fifth of the writes, which
-    take a tenth of the time and have nowhere else to go, were refused at once (retune 3, a release)."""
+    """Fills sent on to the origin occupied its slots and queue for seconds. A fifth of the writes, which take
+    a tenth of the time and can only go to the origin, were rejected at once (retune 3, a release)."""
     world = World(settings(a_class(), a_class(is_write=True)))
     while not isinstance(world.fill(), RejectRequest):
         pass  # all sources are full, and so are their queues
@@ -80,7 +78,7 @@
     assert [type(a) for a in writes] == [SendPlainRequest] * 4 + [type(None)] * 4 + [RejectRequest]
     assert isinstance(writes[0], SendPlainRequest)
     woken = world.end_attempt(writes[0], Outcome.OK, 0, after=SECOND // 4)
-    assert any(isinstance(action, SendPlainRequest) for action in woken)  # the slot is a write's again
+    assert any(isinstance(action, SendPlainRequest) for action in woken)  # a slot for writes was released
 
 
 def test_the_queue_timeout_rejects() -> None:
@@ -92,7 +90,7 @@
 
 
 def test_a_cache_with_far_more_than_its_part_passes_the_excess_on() -> None:
-    """A hot part jammed its one cache while its neighbours idled (incident i8e715a)."""
+    """A hot part overloaded its one cache while the other caches were idle (incident i8e715a)."""
     world = World()
     endpoints = {
         a.endpoint for _ in range(12) for a in world.request(key=9) if isinstance(a, SendCacheRequest)
@@ -101,26 +99,28 @@
 
 
 def test_a_late_fill_does_not_raise_the_limit() -> None:
-    """A slowing source was handed ever more as long as answers came at all (incident i0e1bf3)."""
+    """A source that became slower was sent more and more as long as it answered at all (incident i0e1bf3)."""
     world = World()
     fills = [world.fill() for _ in range(6)]
     assert len(world.end_attempt(fills[0], Outcome.OK, 1, after=2 * SECOND)) == 1
 
 
 def test_a_slow_attempt_is_left_alone_while_its_client_waits() -> None:
-    """Calling it off starts the same fill again elsewhere while the first runs on (incident i620dab)."""
+    """Cancelling it would start the same fill elsewhere while the first one still runs (incident i620dab)."""
     world = World()
     world.request()
     assert world.receive(TimerFired(0), after=int(3.9 * SECOND)) == []
 
 
 def test_nothing_is_sent_with_too_little_time_left() -> None:
-    """Late attempts only fed the jams (incident i144f8c): the mean sending time must fit."""
+    """Attempts that ended too late only added to an overload (incident i144f8c): the mean service time must
+    fit into the time left."""
     assert is_only_rejection_of(World().request(time_left_us=100_000), 1)
 
 
 def test_a_cache_out_of_fill_places_keeps_its_hits() -> None:
-    """Its refusals of fills had it passed over, hits and all (incident i3a0fa9)."""
+    """When its rejections of fills counted as failures, it was ejected and its hits were lost too (incident
+    i3a0fa9)."""
     world = World()
     for _ in range(12):
         fill = world.fill()
@@ -133,7 +133,8 @@
 
 
 def test_the_newest_waiting_fill_goes_first(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The oldest has the least of its aim left; woken first, all came late (overload days)."""
+    """The oldest has the least of its objective left; when it was released first, all answers were late
+    (overload scenarios)."""
     world = World()
     fills = [world.fill() for _ in range(7)]
     assert [isinstance(f, SendCacheRequest) for f in fills] == [True] * 4 + [False] * 3
@@ -143,7 +144,7 @@
 
 
 def test_a_miss_that_is_being_filled_is_asked_for_again_twice_at_most() -> None:
-    """Where caches join no fills, routers filled the same part side by side (nila-later)."""
+    """If caches do not coalesce fills, several routers filled the same part at once (scenario nila-later)."""
     world = World(settings(coalesces_fills=False))
     (first,) = world.request()
     assert world.end_attempt(first, Outcome.MISS, 0, cache_status=CacheStatus.COALESCED) == []
@@ -156,18 +157,19 @@
 
 
 def test_a_fill_is_queued_no_longer_than_it_can_meet_its_objective() -> None:
-    """What was held for half the client's patience came back late and kept a slot (nila-later)."""
+    """Requests queued for half of the client's deadline were answered late and occupied a slot (scenario
+    nila-later)."""
     world = World()
     world.router.fill_times_us[0] = 100_000.0
     for _ in range(5):
         world.fill()
-    assert (
-        world.router.requests[5].queued_until_us - world.now < 450_000
-    )  # the aim is 0.45 s, the patience 4 s
+    # the objective is 0.45 s, the deadline 4 s
+    assert world.router.requests[5].queued_until_us - world.now < 450_000
 
 
 def test_nothing_is_queued_for_a_warming_source() -> None:
-    """Its pace lets those behind wait in vain (arena big-1, parents back after a lost hub)."""
+    """It is sent so few attempts that queued requests would wait in vain (scenario big-1, parents that
+    restarted after the loss of a hub)."""
     world = World()
     home = world.fill(9)
     assert isinstance(home, SendCacheRequest)
@@ -189,20 +191,23 @@
 
 
 def test_what_a_parent_holds_is_had_while_fills_wait_for_a_slow_origin() -> None:
-    """With the origin 2 to 5 times slower the fills through a parent held all its slots, and the half of all
-    misses that it could have answered at once was refused (Kayal big-6: 28 fills in time in 5 s, of 900)."""
-    for notes in (True, False):  # answers tell all, or only whether it was a hit
+    """With the origin 2 to 5 times slower, fills through a parent occupied all its slots, and the half of all
+    misses that the parent could have answered at once was rejected (Kayal site, scenario big-6: 28 of 900
+    fills in time within 5 s)."""
+    for notes in (True, False):  # whether answers report a cache status
         world = World(settings(a_class(latency_objective_us=SECOND), reports_cache_status=notes))
-        home = [world.fill() for _ in range(4)][0]  # at their cap, and the origin does not answer
+        # the limit of fills is reached, and the origin does not answer
+        home = [world.fill() for _ in range(4)][0]
         (asked,) = world.request()
         (look,) = looks(world.end_attempt(asked, Outcome.MISS, 0))
         assert isinstance(home, SendCacheRequest) and look.source == home.source
         world.end_attempt(look, Outcome.OK, 1, after=20_000, cache_status=CacheStatus.FILLED)
         (asked,) = world.request()
         (look,) = looks(world.end_attempt(asked, Outcome.MISS, 0))
-        assert world.end_attempt(look, Outcome.MISS, 1) == []  # it lacks it: now it waits for a slot of fills
+        # a miss at the parent: now it waits for a fill slot
+        assert world.end_attempt(look, Outcome.MISS, 1) == []
         assert world.router.requests[look.request_id].queued_source is world.router.endpoints[home.source]
-        assert world.router.endpoints[home.source].failure_rate == 0  # and that speaks against nobody
+        assert world.router.endpoints[home.source].failure_rate == 0  # a miss is no failure
         (woken,) = world.end_attempt(home, Outcome.OK, 1, after=300_000, cache_status=CacheStatus.FILLED)
         assert (
             isinstance(woken, SendCacheRequest) and woken.request_id == look.request_id and not looks([woken])
@@ -210,7 +215,8 @@
 
 
 def test_a_lookup_past_the_caches_names_the_parent_itself() -> None:
-    """Straight at a parent only itself or the origin may be named; itself is what asks for no fill."""
+    """A request sent directly to a parent may name only that parent or the origin as its source; with the
+    parent there is no fill."""
     world = World(listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(21, PARENT), entry(31, 2))))
     for _ in range(4):
         (straight,) = world.request()
@@ -220,22 +226,24 @@
 
 
 def test_a_fill_that_the_zones_link_cannot_bring_in_time_is_rejected_at_once() -> None:
-    """With a branch's caches new, each fill was let in that its source could bear, and the branch's link that
-    they all share brought every one too late (Kayal trouble-11)."""
-    for routers, fit in ((1, 3), (2, 1)):  # a link of 100 KB in 100 ms, and what others on it may be doing
+    """With empty caches in one zone, each fill was admitted that its source had capacity for, and the link
+    into the zone, which all of them share, delivered every answer too late (Kayal site, scenario
+    trouble-11)."""
+    for routers, fit in ((1, 3), (2, 1)):  # a link of 100 KB in 100 ms, shared with other routers
         world = World(settings(zone_router_counts=(0, routers), zone_link_kb_per_s=(0.0, 1000.0)))
-        fills = [world.fill(key, size_kb=100.0) for key in range(1, 8)]  # wanted within 0.4 s
+        fills = [world.fill(key, size_kb=100.0) for key in range(1, 8)]  # the objective is 0.4 s
         assert [type(f) for f in fills] == [SendCacheRequest] * fit + [RejectRequest] * (7 - fit)
-        small = world.fill(9, size_kb=10.0)  # there is room for a small one
+        small = world.fill(9, size_kb=10.0)  # the link has capacity for a small one
         assert isinstance(small, SendCacheRequest) and isinstance(fills[0], SendCacheRequest)
         world.end_attempt(small, Outcome.OK, 1, after=10_000)
         world.end_attempt(fills[0], Outcome.OK, 1, after=50_000)
-        assert isinstance(world.fill(1, size_kb=100.0), SendCacheRequest)  # and again once one is through
+        # admitted again after one has ended
+        assert isinstance(world.fill(1, size_kb=100.0), SendCacheRequest)
 
 
 def test_a_late_fill_halves_the_limit_down_to_the_free_pass() -> None:
-    """It fell to the floor at most, four fills of each router that the origin brought too late, all of them
-    (Kayal trouble-3, the origin slow)."""
+    """When the limit fell to its initial value at most, each router kept four fills in flight, which a slow
+    origin all answered too late (Kayal site, scenario trouble-3)."""
     world = World(settings(a_class(latency_objective_us=SECOND)))
     first, caps = world.fill(5, size_kb=10.0), []
     assert isinstance(first, SendCacheRequest)
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -1,4 +1,4 @@
-"""Whatever lawful but hostile events come, the promises of the module hold."""
+"""Property tests: the guarantees of the policy hold for random valid sequences of events."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -48,7 +48,7 @@
 
 
 class Referee:
-    """Feeds a router and checks each action as it comes."""
+    """Passes random events to a router and checks each action that it returns."""
 
     def __init__(self) -> None:
         self.router, self.now = RouterPolicy(CONFIG, 3), SECOND
@@ -70,9 +70,8 @@
         for action in actions:
             self.check(action)
         for endpoint in self.router.endpoints.values():
-            for lane, (peak, _) in enumerate(
-                endpoint.concurrency_peaks
-            ):  # each waits apart, within a bound of its own
+            # the queue of each kind of work has its own bound
+            for lane, (peak, _) in enumerate(endpoint.concurrency_peaks):
                 bound = max(INITIAL_LIMIT, 1 + peak)
                 waiting, at = (
                     sum(j.work_kind == lane for j in endpoint.queue.values()),
@@ -99,9 +98,9 @@
                 assert by_all or cls.idempotency == Idempotency.IDEMPOTENT
 
     def check_send(self, action: SendPlainRequest | SendCacheRequest) -> None:
-        assert action.request_id in self.open, "a send for a request that is over"
+        assert action.request_id in self.open, "an attempt was sent for a request that is over"
         cls, leg = CLASSES[self.open[action.request_id].class_index], self.legs[action.request_id]
-        assert not any(i == action.request_id for i, _ in self.out), "two attempts out at once"
+        assert not any(i == action.request_id for i, _ in self.out), "two attempts are in flight at once"
         assert leg < CONFIG.max_attempts
         assert action.timeout_us > 0 and self.now + action.timeout_us < self.deadline[action.request_id]
         assert action.endpoint not in self.unwelcome
@@ -151,7 +150,7 @@
             self.feed(ClientDisconnected(ident))
 
     def wait(self, pick: int) -> None:
-        """Time passes; every timer comes at its hour."""
+        """Advance the clock; each timer fires when it is due."""
         until = self.now + pick * 100
         while (due := min((t for t in self.timers if t <= until), default=None)) is not None:
             self.timers.remove(due)
@@ -175,7 +174,7 @@
 @given(steps)
 def test_promises_hold_under_any_valid_events(script: list[tuple[str, int]]) -> None:
     referee = play(script)
-    assert not referee.open, "a request was lost"
+    assert not referee.open, "a request got no final answer"
     assert not referee.router.requests and not referee.router.attempts
     for endpoint in referee.router.endpoints.values():
         assert not any(endpoint.in_flight_by_kind) and endpoint.in_flight == 0 and not endpoint.queue
--- a/tests/policy/test_retry.py
+++ b/tests/policy/test_retry.py
@@ -1,4 +1,4 @@
-"""The rules of retries and rejections by themselves, as the policy and the engine's guard both ask them."""
+"""Tests of the rules for retries and rejections, which both the policy and the engine check."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         (Idempotency.IDEMPOTENT, 100 * WINDOW_US, True),
         (Idempotency.WITH_KEY, 0, True),
         (Idempotency.WITH_KEY, WINDOW_US - TICK_US - 1, True),
-        (Idempotency.WITH_KEY, WINDOW_US - TICK_US, False),  # it would come when the key is forgotten
+        (Idempotency.WITH_KEY, WINDOW_US - TICK_US, False),  # it would arrive after the key has expired
         (Idempotency.NOT_IDEMPOTENT, 0, False),
     ],
 )
@@ -50,7 +50,9 @@
     other = entry(12, CACHE, zone=zone, cell=cell)
     with_key = a_class(idempotency=Idempotency.WITH_KEY, deduplication_scope=scope)
     assert retry.is_within_scope(with_key, first, other) == within
-    assert retry.is_within_scope(a_class(deduplication_scope=scope), first, other), "idempotent: anywhere"
+    assert retry.is_within_scope(a_class(deduplication_scope=scope), first, other), (
+        "idempotent requests may be repeated anywhere"
+    )
 
 
 def test_attempts_and_time_run_out() -> None:
@@ -64,7 +66,11 @@
     [
         (Idempotency.IDEMPOTENT, DeduplicationScope.CELL, True),
         (Idempotency.WITH_KEY, DeduplicationScope.ALL, True),
-        (Idempotency.WITH_KEY, DeduplicationScope.ZONE, False),  # the client's retry may land elsewhere
+        (
+            Idempotency.WITH_KEY,
+            DeduplicationScope.ZONE,
+            False,
+        ),  # the client's retry may reach an endpoint outside the scope
         (Idempotency.WITH_KEY, DeduplicationScope.CELL, False),
         (Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, False),
     ],
@@ -83,4 +89,4 @@
     assert 0 <= min(drawn) < 2_000 and 48_000 < max(drawn) < 50_000
     before = generator.getstate()
     assert rejection.retry_after_us(0.0, 500_000, generator) == 500_000
-    assert generator.getstate() == before, "without time left nothing is drawn"
+    assert generator.getstate() == before, "no random number is drawn without a retry window"
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,4 +1,4 @@
-"""The guards of the five rules, at their edges."""
+"""Tests of the five guarantees of the policy in edge cases."""
 
 import pytest
 
@@ -47,7 +47,7 @@
     return EndpointListReceived(EndpointListKind.DELTA, 2, entries)
 
 
-# rule 1: no request lost
+# rule 1: each request gets exactly one final answer
 
 
 def test_the_clients_own_time_left_is_the_deadline() -> None:
@@ -90,7 +90,7 @@
     assert world.router.endpoints[fill.source].in_flight_by_kind[FILL] == world.router.fills_in_flight == 0
 
 
-# rule 2: no effect twice
+# rule 2: no request takes effect twice
 
 
 def test_a_repeat_with_a_key_goes_only_within_its_window() -> None:
@@ -98,7 +98,8 @@
     (first,) = world.request()
     assert isinstance(first, SendPlainRequest) and first.endpoint == THE_ORIGIN
     late = world.end_attempt(first, Outcome.ERROR, 0, after=2 * SECOND)
-    assert is_only_rejection_of(late, 1)  # the group is 'all': a refusal is lawful, a send is not
+    # the scope is ``ALL``: a rejection is permitted, another attempt is not
+    assert is_only_rejection_of(late, 1)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
@@ -132,7 +133,7 @@
             return
         assert isinstance(actions[0], SendCacheRequest)
         if scope == DeduplicationScope.CELL:
-            assert actions[0].endpoint == first.endpoint  # each endpoint of this world is a cell of its own
+            assert actions[0].endpoint == first.endpoint  # each endpoint of the test list has its own cell
         first = actions[0]
     pytest.fail("no final answer")
 
@@ -144,7 +145,7 @@
     assert is_only_rejection_of(world.end_attempt(second, Outcome.ERROR, 1), 1)
 
 
-# rule 3: drains kept
+# rule 3: draining endpoints get no new attempts
 
 
 @pytest.mark.parametrize("phase", [EndpointState.DRAINING, EndpointState.REMOVED])
@@ -178,7 +179,7 @@
     assert isinstance(moved, SendCacheRequest) and moved.source != fills[0].source
 
 
-# rule 4: no warming endpoint pushed over
+# rule 4: warming endpoints are not overloaded
 
 
 def test_a_warming_parent_is_sent_less_than_its_budget() -> None:
@@ -202,7 +203,7 @@
     assert isinstance(sent, SendCacheRequest) and sent.source in (*PARENTS, THE_ORIGIN)
 
 
-# rule 5: purges kept
+# rule 5: purged copies are not accepted
 
 
 def age(world: World, **request: int) -> int:
--- a/tests/policy/test_scale.py
+++ b/tests/policy/test_scale.py
@@ -1,4 +1,4 @@
-"""What holds when the fleet is large: work per request, memory, and what many routers add up to."""
+"""Tests of large installations: work per request, memory, and the total load from many routers."""
 
 import itertools
 
@@ -42,7 +42,7 @@
 
 
 def test_caches_of_other_zones_are_not_even_known() -> None:
-    """A request can then never touch them, however many are listed."""
+    """So the work per request does not depend on the number of caches in other zones."""
     world = World(settings(zone_router_counts=(0, 2, 2)))
     world.receive(delta(*(entry(1000 + i, CACHE, zone=2) for i in range(500))))
     assert len(world.router.endpoints) == len(CACHES + PARENTS) + 1
@@ -69,7 +69,8 @@
 
 
 def sends_while_warming(routers: int, config: Settings, kind: int, endpoint: int) -> list[int]:
-    """When ``routers`` side by side, each kept busy, send to one endpoint they all hear of at once."""
+    """Times at which independent busy routers send attempts to a new endpoint of which they all learn at
+    once."""
     now, ident, sent = 100 * SECOND, 0, []
     fleet = [RouterPolicy(config, seed) for seed in range(routers)]
     new = entry(endpoint, kind, started_us=now)
@@ -91,7 +92,8 @@
 
 
 def test_many_routers_together_keep_a_new_endpoints_budget() -> None:
-    """All are told of it at once and none sees the others: the sum in any window stays under the rule."""
+    """All routers learn of the endpoint at once and do not know of each other's attempts; their total load in
+    any window must stay within the endpoint's budget."""
     for routers in (2, 20, 120):
         config = settings(router_count=routers, zone_router_counts=(0, routers))
         sent = sends_while_warming(routers, config, CACHE, 99)
@@ -106,12 +108,12 @@
                 / config.slow_start_fraction
             )
             assert window * work <= budget * grown
-    assert sent, "a warming endpoint must still get something"
+    assert sent, "a warming endpoint got no attempts"
 
 
 def burst(count: int, config: Settings, kind: int, weight: float, seed: int) -> list[int]:
-    """When routers, of which some start anew meanwhile, send to a warming endpoint that lay idle for 8 s
-    and is then wanted by all at once, over and over."""
+    """Times at which routers send attempts to a warming endpoint that was idle for 8 s and then gets requests
+    from all of them at once. A tenth of the routers restart from time to time."""
     start, sent, ident = 100 * SECOND, list[int](), 0
     new = entry(99, kind, started_us=start, weight=weight)
     listed = (entry(CACHES[0], CACHE), entry(31, ORIGIN), new)
@@ -119,7 +121,7 @@
     for router in fleet:
         router.handle(start, [EndpointListReceived(EndpointListKind.CACHED, 1, listed)])
     for now in range(start + 8 * SECOND, start + 11 * SECOND, 50_000):
-        if (now - start) // 50_000 % 20 == 7:  # three times a tenth of them
+        if (now - start) // 50_000 % 20 == 7:  # a tenth of the routers restart, three times
             for i in range(0, count, 10):
                 fleet[i] = RouterPolicy(config, seed * 1000 + now // 50_000 + i)
                 fleet[i].handle(now, [EndpointListReceived(EndpointListKind.CACHED, 1, listed)])
@@ -136,7 +138,8 @@
 
 
 def test_turns_at_a_warming_endpoint_are_not_saved_up_for_a_burst() -> None:
-    """Of a budget of 12 calls 30 were used in one instant: each router had saved one up."""
+    """With a budget of 12 attempts, 30 were sent at the same time: each router had saved up an unused
+    turn."""
     sent = 0
     for routers, kind, weight, fall_us, seed in itertools.product(
         (4, 20, 30), (CACHE, PARENT), (1.0, 4.0, 10.0), (200_000, SECOND), range(2)
@@ -158,7 +161,7 @@
             bears = weight * 2.5 * (0.2 + 0.8 * (begun - 100 * SECOND) / (20 * SECOND))
             budget = bears * fall_us / max(RouterPolicy(config, 0).service_times_us)
             assert calls <= budget + 2 * budget**0.5 + 2, (routers, kind, weight, fall_us, seed)
-    assert sent > 1000, "a warming endpoint must still get something"
+    assert sent > 1000, "warming endpoints got too few attempts"
 
 
 def test_a_warming_parent_is_shared_by_all_routers() -> None:
@@ -195,7 +198,7 @@
 
 
 def test_the_floor_of_the_limit_is_shared_and_the_free_pass_stays() -> None:
-    """One fill each is what many routers keep; four each would be hundreds at one parent."""
+    """With many routers each keeps a limit of one fill; four each would be hundreds at one parent."""
     for routers, each in ((2, 4), (8, 2), (120, 1)):
         world = World(settings(router_count=routers, zone_router_counts=(0, routers)))
         fills = [world.fill(part=part) for part in range(each + 1)]
@@ -212,14 +215,14 @@
 
 
 def slow_hits(world: World, times: int) -> None:
-    """Hits of 100 KB, a tenth of a second by themselves, that take eight times as long."""
+    """Cache hits of 100 KB with a service time of 0.1 s that take eight times as long."""
     for key in range(times):
         for sent in (a for a in world.request(key, size_kb=100.0) if isinstance(a, SendCacheRequest)):
             world.end_attempt(sent, Outcome.OK, 0, after=800_000, cache_status=CacheStatus.HIT)
 
 
 def test_what_a_slow_cache_cannot_send_in_time_is_rejected_at_once() -> None:
-    """The aim is 0.3 s and once the sending time; at eight times slower 100 KB would take 0.8 s."""
+    """The objective is 0.3 s plus the service time; at an eightfold latency 100 KB would take 0.8 s."""
     world = World(
         listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
     )
@@ -253,15 +256,15 @@
 
 
 def test_sizes_unknown_the_sending_time_is_the_least_lately_seen() -> None:
-    """Or a cache that is slow for long would come to be held for a quick one."""
+    """Otherwise a cache that stays slow would in time be taken for a fast one."""
     config = settings(a_class(latency_objective_us=300_000, latency_objective_stretch=2.0))
     world = World(
         config, EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
     )
-    is_only_rejection_of = 0
+    rejected = 0
     for key in range(300):
         actions = world.request(key)
-        is_only_rejection_of += isinstance(actions[0], RejectRequest)
+        rejected += isinstance(actions[0], RejectRequest)
         if isinstance(actions[0], SendCacheRequest):
             world.end_attempt(
                 actions[0],
@@ -271,12 +274,12 @@
                 cache_status=CacheStatus.HIT,
             )
         if key < 40:
-            assert is_only_rejection_of == 0
-    assert 50 < is_only_rejection_of < 290
+            assert rejected == 0
+    assert 50 < rejected < 290
 
 
 def test_a_slow_cache_without_hits_does_not_stay_shut() -> None:
-    """One that restarted empty has misses alone to show (incident i872645)."""
+    """A cache that restarted empty has only misses, which do not update its slowdown (incident i872645)."""
     world = World(
         listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
     )
@@ -287,7 +290,7 @@
 
 
 def test_lost_answers_count_against_an_endpoint_and_are_forgiven() -> None:
-    """Probes would be answered; the outcomes alone tell, and let go once answers come."""
+    """Health checks would succeed; only the outcomes of attempts show the failure, and later the recovery."""
     world = World()
     (first,) = world.request(5)
     assert isinstance(first, SendCacheRequest)
@@ -304,7 +307,7 @@
 
 
 def test_a_request_that_two_endpoints_cannot_use_speaks_against_neither() -> None:
-    """Bad clients' requests had all endpoints passed over, one after the other (rude day)."""
+    """Invalid requests of bad clients had all endpoints ejected one after the other (scenario "rude day")."""
     world = World()
     for key in range(20):
         (first,) = world.request(key)
@@ -329,7 +332,8 @@
 
 
 def test_a_connection_reset_is_one_failure_and_its_requests_ask_the_endpoint_again() -> None:
-    """One unreadable answer took four requests along, and a healthy cache was shut for it (garbled day)."""
+    """One malformed answer broke a connection with four requests, and a healthy cache was ejected for it
+    (scenario "garbled day")."""
     world = World()
     asked = [a for _ in range(4) for a in world.request(5) if isinstance(a, SendCacheRequest)]
     (endpoint,) = {a.endpoint for a in asked}
@@ -355,7 +359,7 @@
 
 
 def test_what_was_slow_in_a_crowd_is_not_rejected_when_the_crowd_has_gone() -> None:
-    """A cache was taken for as slow as under its last load, ten seconds after it had nothing left to do."""
+    """A cache was still taken for as slow as under its last load ten seconds after it had become idle."""
     world = World(
         listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
     )
@@ -372,7 +376,8 @@
 
 
 def test_a_cache_much_slower_than_its_neighbours_gets_one_request_at_a_time() -> None:
-    """Its part was refused for as long as it was slow, while the others had room (reload day)."""
+    """All requests for its objects were rejected as long as it was slow, while the other caches had capacity
+    (scenario "reload day")."""
     world = World()
     slow = world.router.endpoints[CACHES[0]]
     slow.hit_time_sum_us, slow.expected_time_sum_us, slow.weighted_in_flight_sum_us, slow.last_hit_us = (
@@ -399,7 +404,7 @@
 
 
 def test_settings_of_zero_do_not_raise() -> None:
-    """A cold share of nothing, or a class with no time at all, once divided by zero."""
+    """A slow start fraction of 0 and a latency objective of 0 each caused a division by zero."""
     config = settings(
         a_class(latency_objective_us=0), slow_start_fraction=0.0, parent_slow_start_fraction=0.0
     )
@@ -409,8 +414,8 @@
 
 
 def test_many_routers_land_one_fill_each_at_most_on_a_parent_that_answers_none() -> None:
-    """Ten misses of one object at each of 120 routers: first parent, second, origin get a free pass each, and
-    the parents one look each at what they hold."""
+    """Ten misses of one object at each of 120 routers: each router has one fill in flight at the first
+    parent, the second and the origin, and one lookup at each of the two parents."""
     config, now = settings(router_count=120, zone_router_counts=(0, 120)), 100 * SECOND
     landed: dict[tuple[int, bool], int] = {}
     for seed in range(120):
@@ -429,7 +434,8 @@
 
 
 def test_a_request_that_is_over_keeps_no_timer() -> None:
-    """Each woke the router once more at its deadline, 900 times a second (rate day)."""
+    """Each left a timer that woke the router at the request's deadline, 900 times per second (scenario
+    "rate day")."""
     world = World()
     (sent,) = world.request()
     world.end_attempt(sent, Outcome.OK, 0)
@@ -437,7 +443,8 @@
 
 
 def test_a_cache_a_little_over_its_part_keeps_its_own() -> None:
-    """Each request passed on is a miss elsewhere: at one deviation, too many were (quiet day)."""
+    """Each request sent to another cache is a miss there; with a limit of one deviation there were too many
+    (scenario "quiet day")."""
     world = World()
     for other in CACHES[1:]:
         world.router.endpoints[other].in_flight = 30
@@ -452,7 +459,8 @@
 
 
 def test_once_answers_get_lost_late_ones_are_retried_in_time_within_a_budget() -> None:
-    """They never came, from endpoints that answered all others, and their clients waited (re32f6e)."""
+    """Answers were lost from endpoints that answered all other attempts, and the clients waited until their
+    deadline (re32f6e)."""
     world = World(
         listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
     )
@@ -468,22 +476,23 @@
     for key in range(20):
         hit(ask(key))
     first = ask(1)
-    assert first.timeout_us > 3 * SECOND  # nothing was ever lost: a slow answer is waited for
+    assert first.timeout_us > 3 * SECOND  # no answer was lost so far: no early timeout
     hit(ask(2))
     world.end_attempt(first, Outcome.TIMEOUT, 0, after=first.timeout_us)
     world.receive(ClientDisconnected(first.request_id))
     second = ask(3)
-    assert second.timeout_us < 400_000  # of an aim of 0.4 s
+    assert second.timeout_us < 400_000  # the objective is 0.4 s
     hit(ask(4))
     (again,) = world.end_attempt(second, Outcome.TIMEOUT, 0, after=second.timeout_us)
     assert isinstance(again, SendCacheRequest) and again.endpoint == 11 and again.timeout_us > 3 * SECOND
     assert world.router.endpoints[11].failure_rate == 0
-    world.router.retry_budget = 0.5  # what may be taken for lost is used up
+    world.router.retry_budget = 0.5  # the retry budget is exhausted
     assert ask(5).timeout_us > 3 * SECOND
 
 
 def test_more_in_flight_than_was_measured_does_not_make_a_cache_slower_than_it_was() -> None:
-    """With little in flight a slight slowness grew tenfold in a burst, and calm days lost a hundredth."""
+    """A small slowdown measured with few attempts in flight was scaled up tenfold in a burst; scenarios with
+    light load lost one percent by it."""
     world = World()
     cache = world.router.endpoints[CACHES[0]]
     cache.hit_time_sum_us, cache.expected_time_sum_us, cache.weighted_in_flight_sum_us = (
--- a/tests/policy/test_simulator.py
+++ b/tests/policy/test_simulator.py
@@ -1,4 +1,4 @@
-"""The adapter: frames in and out, and what it says of bad input."""
+"""Tests of the simulator adapter: request and reply frames, and error messages for invalid input."""
 
 from __future__ import annotations
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,8 +1,8 @@
-"""The deploy file names the decisions, and the decisions keep to themselves.
+"""Checks that the deploy files list the rule modules of the policy, and that these are short and isolated.
 
-Operators read what ``policy`` in ``deploy/balancer.toml`` lists to know what decides. So the list has to be
-complete and short to read: every module that decides, nothing else, none of them long, and none that reaches
-for a clock, for input or output, or for the router around it.
+Operators read the modules listed as ``policy`` in ``deploy/balancer.toml`` to learn how decisions are made.
+So the list must have every module that decides and no other. None of the modules may be long, read a clock,
+do I/O, or import the rest of the router.
 """
 
 import ast
@@ -24,7 +24,7 @@
     "actions.py",
     "outcomes.py",
 }
-"""What the decisions are told and say, and the simulator's wire: these decide nothing."""
+"""Modules that define the policy's inputs and outputs, and the simulator adapter: these decide nothing."""
 ALLOWED_IMPORTS = {
     "__future__",
     "collections",
@@ -36,11 +36,11 @@
     "random",
     "typing",
 }
-"""Of the standard library: nothing here reads a clock, a file or a socket."""
+"""Modules of the standard library that read no clock, file or socket."""
 
 
 def deciding() -> list[Path]:
-    """The modules that decide."""
+    """The modules of the policy that decide."""
     return sorted(path for path in POLICY.glob("*.py") if path.name not in PLUMBING)
 
 
