--- a/tests/policy/test_deployments.py
+++ b/tests/policy/test_deployments.py
@@ -45,7 +45,7 @@
 
 MS = 1_000
 LINK = 1_000.0  # KB per second
-FREE = {
+READ = {
     "latency_objective_us": 500 * MS,
     "latency_objective_stretch": 2.0,
     "deadline_us": 5 * SECOND,
@@ -68,7 +68,7 @@
 }
 DEPLOYMENTS: dict[str, tuple[list[RequestClass], dict[str, Any]]] = {
     "shops": (
-        [a_class(**FREE), a_class(**WRITE)],
+        [a_class(**READ), a_class(**WRITE)],
         SHARED
         | {
             "can_check_health": True,
@@ -84,10 +84,10 @@
     ),
     "branches": (
         [
-            a_class(**FREE | {"deadline_us": 6 * SECOND}),
+            a_class(**READ | {"deadline_us": 6 * SECOND}),
             a_class(**WRITE | {"latency_objective_us": 600 * MS}),
             a_class(
-                **FREE | {"latency_objective_us": 400 * MS, "deadline_us": 3 * SECOND, "priority_weight": 1.0}
+                **READ | {"latency_objective_us": 400 * MS, "deadline_us": 3 * SECOND, "priority_weight": 1.0}
             ),
         ],
         SHARED
@@ -107,7 +107,7 @@
 }
 
 
-class Both(unittest.TestCase):
+class DeploymentTest(unittest.TestCase):
     def each(self, **changes: Any) -> Iterator[World]:
         for name, (classes, figures) in DEPLOYMENTS.items():
             with self.subTest(name):
@@ -133,15 +133,15 @@
                 pass
             self.assertIsInstance(world.request(class_index=1)[0], SendPlainRequest)
 
-    def test_what_a_parent_holds_is_had_while_fills_wait(self) -> None:
+    def test_copies_at_a_parent_are_served_while_fills_wait(self) -> None:
         for world in self.each():
-            home = self.sent([world.fill() for _ in range(4)][0])
-            (asked,) = world.request()
-            (look,) = world.end_attempt(asked, Outcome.MISS, 0)
-            self.assertTrue(self.sent(look).flags & CacheRequestFlag.SOURCE_CACHED_ONLY)
-            self.assertEqual(self.sent(look).source, home.source)
+            first_fill = self.sent([world.fill() for _ in range(4)][0])
+            (first,) = world.request()
+            (lookup,) = world.end_attempt(first, Outcome.MISS, 0)
+            self.assertTrue(self.sent(lookup).flags & CacheRequestFlag.SOURCE_CACHED_ONLY)
+            self.assertEqual(self.sent(lookup).source, first_fill.source)
 
-    def test_a_full_link_in_rejects_at_once(self) -> None:
+    def test_a_full_zone_link_rejects_at_once(self) -> None:
         for world in self.each(zone_link_kb_per_s=(0.0, LINK)):
             fills = [world.fill(key, size_kb=300.0) for key in range(1, 12)]
             self.assertIsInstance(fills[0], SendCacheRequest)
@@ -154,32 +154,32 @@
             source = world.router.endpoints[fill.source]
             world.end_attempt(fill, Outcome.OK, 1)
             source.concurrency_peaks[FILL] = (8, world.now)
-            caps = []
+            limits = []
             for _ in range(4):
-                (asked,) = world.request(5, size_kb=10.0)
-                (fill,) = map(self.sent, world.end_attempt(asked, Outcome.MISS, 0))
+                (first,) = world.request(5, size_kb=10.0)
+                (fill,) = map(self.sent, world.end_attempt(first, Outcome.MISS, 0))
                 world.end_attempt(fill, Outcome.OK, 1, after=2 * SECOND, cache_status=CacheStatus.FILLED)
-                caps.append(concurrency_limit(world.router, source, FILL))
-            self.assertEqual(caps, [5, 3, 2, 1])
+                limits.append(concurrency_limit(world.router, source, FILL))
+            self.assertEqual(limits, [5, 3, 2, 1])
 
-    def test_a_hot_part_is_passed_on(self) -> None:
+    def test_requests_for_a_hot_part_are_spread_over_caches(self) -> None:
         for world in self.each():
             endpoints = {
                 a.endpoint for _ in range(12) for a in world.request(key=9) if isinstance(a, SendCacheRequest)
             }
             self.assertGreater(len(endpoints), 1)
 
-    def test_no_second_attempt_goes_out_while_one_is(self) -> None:
+    def test_no_second_attempt_is_sent_while_one_is_in_flight(self) -> None:
         """Not even if the settings allow hedged requests: they brought no gain (findings)."""
         for world in self.each():
-            (asked,) = world.request()
+            (first,) = world.request()
             for _ in range(30):
                 actions = world.receive(TimerFired(0), after=100 * MS)
                 self.assertEqual(
                     [a for a in actions if isinstance(a, SendCacheRequest | SendPlainRequest)], []
                 )
 
-    def test_a_time_to_return_is_of_use_and_drawn(self) -> None:
+    def test_retry_after_is_random_and_leaves_time_for_a_retry(self) -> None:
         for world in self.each():
             while not isinstance(fill := world.fill(), RejectRequest):
                 pass
@@ -194,14 +194,14 @@
 
     def test_a_drained_endpoint_gets_nothing_as_cache_or_source(self) -> None:
         for world in self.each():
-            gone = [entry(CACHES[0], CACHE), entry(PARENTS[0], PARENT)]
+            draining = [entry(CACHES[0], CACHE), entry(PARENTS[0], PARENT)]
             world.receive(
                 EndpointListReceived(
                     EndpointListKind.DELTA,
                     2,
                     tuple(
                         Endpoint(e.number, e.zone, e.kind, e.cell, EndpointState.DRAINING, e.weight, 0)
-                        for e in gone
+                        for e in draining
                     ),
                 )
             )
@@ -212,11 +212,11 @@
                     self.assertNotIn(PARENTS[0], (fill.endpoint, fill.source))
                     world.end_attempt(fill, Outcome.OK, 1, after=50 * MS)
 
-    def test_no_copy_from_before_a_purge(self) -> None:
+    def test_no_copy_older_than_a_purge_is_accepted(self) -> None:
         for world in self.each():
             world.receive(PurgeReceived(5, 0, 40 * MS))
-            (asked,) = world.request(5)
-            self.assertLessEqual(self.sent(asked).max_age_us, 40 * MS)
+            (first,) = world.request(5)
+            self.assertLessEqual(self.sent(first).max_age_us, 40 * MS)
 
     def test_routers_together_keep_a_new_endpoints_budget(self) -> None:
         """The load that all routers of the zone send within the overload window, if each uses its whole
@@ -234,8 +234,8 @@
                         world.end_attempt(action, Outcome.OK, 0, after=0)
             self.assertGreater(sent, 0)
             work_us = 4 * sent * world.router.service_times_us[0]
-            bears_us = new.weight * cfg.overload_multiple * cfg.slow_start_fraction * cfg.overload_window_us
-            self.assertLess(work_us, bears_us)
+            budget_us = new.weight * cfg.overload_multiple * cfg.slow_start_fraction * cfg.overload_window_us
+            self.assertLess(work_us, budget_us)
 
     def test_an_overloaded_origin_is_avoided_and_not_ejected(self) -> None:
         for world in self.each():
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -40,23 +40,25 @@
     return worlds
 
 
-def refusals(world: World, key: int = 5) -> list[RejectRequest]:
+def rejections(world: World, key: int = 5) -> list[RejectRequest]:
     """The rejections of 60 misses of one object, which fill its queues."""
-    said = [world.fill(key, size_kb=100.0) for _ in range(60)]
-    return [action for action in said if isinstance(action, RejectRequest)]
+    actions = [world.fill(key, size_kb=100.0) for _ in range(60)]
+    return [action for action in actions if isinstance(action, RejectRequest)]
 
 
-def test_clients_rejected_by_all_routers_at_once_come_back_spread_and_in_time() -> None:
+def test_clients_rejected_by_all_routers_at_once_retry_at_spread_times_and_in_time() -> None:
     """Retries are spread over half of the time in which they can meet the objective, so that a client
     rejected twice can retry once more (overload scenarios of the Kayal site: using all of that time cost
     0.017)."""
-    for long in (
+    for request_class in (
         a_class(latency_objective_us=2 * SECOND, latency_objective_stretch=0.0),
         a_class(latency_objective_us=SECOND, latency_objective_stretch=10.0),
     ):
         for size in (1, 4, 40):
-            told = [refusals(world) for world in fleet(size, long, max_retry_after_us=5 * SECOND)]
-            waits = sorted(no.retry_after_us for each in told for no in each)
+            received = [
+                rejections(world) for world in fleet(size, request_class, max_retry_after_us=5 * SECOND)
+            ]
+            waits = sorted(rejection.retry_after_us for each in received for rejection in each)
             assert len(waits) >= size and 0.7 * SECOND < waits[-1] < 1 * SECOND
             window = SECOND // 4
             most = max(sum(1 for w in waits if at <= w < at + window) for at in waits)
@@ -65,32 +67,38 @@
 
 def test_a_rejection_too_late_for_the_objective_has_the_longest_retry_after() -> None:
     (world,) = fleet(1, a_class(latency_objective_us=300_000, latency_objective_stretch=0.0))
-    (no,) = world.end_attempt(world.fill(size_kb=100.0), Outcome.OVERLOADED, 1, after=4 * SECOND - 10_000)
-    assert isinstance(no, RejectRequest) and no.retry_after_us == world.router.settings.max_retry_after_us
+    (rejection,) = world.end_attempt(
+        world.fill(size_kb=100.0), Outcome.OVERLOADED, 1, after=4 * SECOND - 10_000
+    )
+    assert (
+        isinstance(rejection, RejectRequest)
+        and rejection.retry_after_us == world.router.settings.max_retry_after_us
+    )
 
 
-def test_a_dead_parent_is_tried_by_a_fleet_now_and_then_not_all_the_time() -> None:
+def test_many_routers_retry_a_dead_parent_only_occasionally() -> None:
     """The endpoint list still shows the parent as ready for ten seconds, and each fill attempted there delays
     a client."""
-    tried = []
+    late_attempts_per_router = []
     for size in (1, 4, 40):
         worlds, times = fleet(size), []
         for world in worlds:
             start = world.now
             while world.now < start + 10 * SECOND:
-                sent, leg = world.fill(world.next_id, size_kb=100.0), 1
+                sent, attempt = world.fill(world.next_id, size_kb=100.0), 1
                 while isinstance(sent, SendCacheRequest) and sent.source == PARENTS[0]:
                     times.append(world.now - start)
                     after = world.end_attempt(
-                        sent, Outcome.OVERLOADED, leg, after=50_000, cache_status=CacheStatus.SOURCE_LOST
+                        sent, Outcome.OVERLOADED, attempt, after=50_000, cache_status=CacheStatus.SOURCE_LOST
                     )
-                    sent, leg = after[0], leg + 1
-                world.end_attempt(sent, Outcome.OK, leg, after=150_000, cache_status=CacheStatus.FILLED)
+                    sent, attempt = after[0], attempt + 1
+                world.end_attempt(sent, Outcome.OK, attempt, after=150_000, cache_status=CacheStatus.FILLED)
         late = [at for at in times if at > 5 * SECOND]
-        tried.append(len(late) / size)
+        late_attempts_per_router.append(len(late) / size)
         busiest = max(sum(1 for at in late if now <= at < now + 200_000) for now in late) if late else 0
         assert busiest <= size / 4 + 2  # attempts of the routers are spread over time
-    assert max(tried) <= 1.5  # attempts of each router in five seconds, with any number of routers
+    # attempts of each router in five seconds, with any number of routers
+    assert max(late_attempts_per_router) <= 1.5
 
 
 def test_a_request_waits_for_a_source_only_if_its_turn_comes_in_time() -> None:
@@ -108,37 +116,37 @@
     """Otherwise all routers raise their limits until answers are late, and notice only after the duration of
     a fill."""
     for size in (1, 4, 40):
-        for share, grows in ((0.4, True), (0.8, False)):
-            together = 0
+        for fraction, grows in ((0.4, True), (0.8, False)):
+            limit_sum = 0
             for world in fleet(size, a_class(latency_objective_us=SECOND, latency_objective_stretch=0.0)):
                 for _ in range(6):
-                    room = concurrency_limit(world.router, world.router.parents[PARENTS[0]], FILL)
+                    limit = concurrency_limit(world.router, world.router.parents[PARENTS[0]], FILL)
                     keys = [
                         key
                         for key in range(5, 200)
-                        if fill_sources(world.router, _job(world, key))[0].hash_salt
+                        if fill_sources(world.router, _pending_request(world, key))[0].hash_salt
                         == world.router.parents[PARENTS[0]].hash_salt
-                    ][:room]
+                    ][:limit]
                     sent = [world.fill(key, size_kb=10.0) for key in keys]
-                    world.now += int(share * SECOND)
+                    world.now += int(fraction * SECOND)
                     for fill in sent:
                         assert isinstance(fill, SendCacheRequest)
-                        took, cache = int(share * SECOND), fill.endpoint
+                        took, cache = int(fraction * SECOND), fill.endpoint
                         ended = AttemptEnded(
                             fill.request_id, Outcome.OK, took, 0, True, CacheStatus.FILLED, cache, 1, ()
                         )
                         world.receive(ended)
-                together += concurrency_limit(world.router, world.router.parents[PARENTS[0]], FILL)
-            floor = size * max(1, min(4, 16 // size))
-            assert (together > floor) == grows
+                limit_sum += concurrency_limit(world.router, world.router.parents[PARENTS[0]], FILL)
+            initial_limit_sum = size * max(1, min(4, 16 // size))
+            assert (limit_sum > initial_limit_sum) == grows
 
 
-def _job(world: World, key: int) -> PendingRequest:
+def _pending_request(world: World, key: int) -> PendingRequest:
     request = RequestReceived(0, 0, 0, key, SECOND, 10.0, 0, 0, False, False)
     return PendingRequest(request, world.router.settings.classes[0], 0, 0.0)
 
 
-def test_odd_fleets_raise_nothing_and_every_request_gets_one_answer() -> None:
+def test_unusual_endpoint_lists_raise_nothing_and_every_request_gets_one_answer() -> None:
     """One cache or none, no parent, a router count of 0, and lists that are empty, repeated or out of order,
     or have no weights and start times."""
     cache, parent, origin = entry(11, 0), entry(21, 1), entry(31, 2)
@@ -153,37 +161,37 @@
         [*new, origin],
         [origin, cache] * 2,
     )
-    for routers, here in ((0, 0), (1, 1), (40, 7)):
+    for routers, zone_routers in ((0, 0), (1, 1), (40, 7)):
         for entries in lists:
             for kind in (EndpointListKind.COMPLETE, EndpointListKind.DELTA):
-                told = EndpointListReceived(kind, 1, tuple(entries))
+                received = EndpointListReceived(kind, 1, tuple(entries))
                 older = EndpointListReceived(kind, 0, tuple(reversed(entries)))
-                world = World(settings(router_count=routers, zone_router_counts=(0, here)), told)
-                world.receive(told)
+                world = World(settings(router_count=routers, zone_router_counts=(0, zone_routers)), received)
+                world.receive(received)
                 world.receive(older)
                 answers = 0
                 out: dict[int, SendCacheRequest | SendPlainRequest] = {}
                 for _ in range(8):
-                    said = world.request(size_kb=10.0)
-                    answers += sum(isinstance(a, RejectRequest | FailRequest) for a in said)
+                    actions = world.request(size_kb=10.0)
+                    answers += sum(isinstance(a, RejectRequest | FailRequest) for a in actions)
                     out |= {
-                        a.request_id: a for a in said if isinstance(a, SendCacheRequest | SendPlainRequest)
+                        a.request_id: a for a in actions if isinstance(a, SendCacheRequest | SendPlainRequest)
                     }
                 for _ in range(12):
                     for sent in list(out.values()):
-                        leg = world.router.requests[sent.request_id].attempts_started - 1
+                        attempt = world.router.requests[sent.request_id].attempts_started - 1
                         del out[sent.request_id]
-                        said = world.end_attempt(sent, Outcome.OVERLOADED, leg)
-                        answers += sum(isinstance(a, RejectRequest | FailRequest) for a in said)
+                        actions = world.end_attempt(sent, Outcome.OVERLOADED, attempt)
+                        answers += sum(isinstance(a, RejectRequest | FailRequest) for a in actions)
                         out |= {
                             a.request_id: a
-                            for a in said
+                            for a in actions
                             if isinstance(a, SendCacheRequest | SendPlainRequest)
                         }
-                    said = world.receive(TimerFired(0), after=SECOND)
-                    answers += sum(isinstance(a, RejectRequest | FailRequest) for a in said)
+                    actions = world.receive(TimerFired(0), after=SECOND)
+                    answers += sum(isinstance(a, RejectRequest | FailRequest) for a in actions)
                     out |= {
-                        a.request_id: a for a in said if isinstance(a, SendCacheRequest | SendPlainRequest)
+                        a.request_id: a for a in actions if isinstance(a, SendCacheRequest | SendPlainRequest)
                     }
                     out = {ident: a for ident, a in out.items() if ident in world.router.requests}
                 assert answers == 8 and not world.router.requests
--- a/tests/policy/test_path.py
+++ b/tests/policy/test_path.py
@@ -27,7 +27,7 @@
 )
 
 
-def test_first_asks_the_cache_for_what_it_holds() -> None:
+def test_the_first_attempt_is_a_lookup_at_the_cache() -> None:
     (sent,) = World().request()
     assert isinstance(sent, SendCacheRequest)
     assert sent.endpoint in CACHES and sent.source == sent.endpoint
@@ -35,13 +35,13 @@
 
 def test_a_miss_is_filled_from_a_parent_through_the_same_cache() -> None:
     world = World()
-    (asked,) = world.request()
-    (fill,) = world.end_attempt(asked, Outcome.MISS, 0)
-    assert isinstance(fill, SendCacheRequest) and isinstance(asked, SendCacheRequest)
-    assert fill.endpoint == asked.endpoint and fill.source in PARENTS
+    (first,) = world.request()
+    (fill,) = world.end_attempt(first, Outcome.MISS, 0)
+    assert isinstance(fill, SendCacheRequest) and isinstance(first, SendCacheRequest)
+    assert fill.endpoint == first.endpoint and fill.source in PARENTS
 
 
-def test_every_zone_agrees_on_an_objects_parent() -> None:
+def test_routers_choose_the_same_parent_for_an_object() -> None:
     one, other = World(), World()
     for key in range(20):
         a, b = one.fill(key), other.fill(key)
@@ -55,9 +55,9 @@
     world = World()
     fills = [world.fill() for _ in range(6)]
     assert [isinstance(f, SendCacheRequest) for f in fills] == [True] * 4 + [False] * 2
-    woken = world.end_attempt(fills[0], Outcome.OK, 1)
+    released = world.end_attempt(fills[0], Outcome.OK, 1)
     # a slot was released and the limit was raised by one
-    assert [type(a) for a in woken] == [SendCacheRequest, SendCacheRequest]
+    assert [type(a) for a in released] == [SendCacheRequest, SendCacheRequest]
 
 
 def test_a_full_queue_spills_to_the_second_parent_then_the_origin() -> None:
@@ -77,8 +77,8 @@
     writes = [actions[0] if (actions := world.request(class_index=1)) else None for _ in range(9)]
     assert [type(a) for a in writes] == [SendPlainRequest] * 4 + [type(None)] * 4 + [RejectRequest]
     assert isinstance(writes[0], SendPlainRequest)
-    woken = world.end_attempt(writes[0], Outcome.OK, 0, after=SECOND // 4)
-    assert any(isinstance(action, SendPlainRequest) for action in woken)  # a slot for writes was released
+    released = world.end_attempt(writes[0], Outcome.OK, 0, after=SECOND // 4)
+    assert any(isinstance(action, SendPlainRequest) for action in released)  # a slot for writes was released
 
 
 def test_the_queue_timeout_rejects() -> None:
@@ -89,7 +89,7 @@
     assert RejectRequest(5, 500_000) in actions
 
 
-def test_a_cache_with_far_more_than_its_part_passes_the_excess_on() -> None:
+def test_requests_far_above_a_caches_share_go_to_other_caches() -> None:
     """A hot part overloaded its one cache while the other caches were idle (incident i8e715a)."""
     world = World()
     endpoints = {
@@ -105,7 +105,7 @@
     assert len(world.end_attempt(fills[0], Outcome.OK, 1, after=2 * SECOND)) == 1
 
 
-def test_a_slow_attempt_is_left_alone_while_its_client_waits() -> None:
+def test_a_slow_attempt_is_not_cancelled_before_the_deadline() -> None:
     """Cancelling it would start the same fill elsewhere while the first one still runs (incident i620dab)."""
     world = World()
     world.request()
@@ -118,7 +118,7 @@
     assert is_only_rejection_of(World().request(time_left_us=100_000), 1)
 
 
-def test_a_cache_out_of_fill_places_keeps_its_hits() -> None:
+def test_a_cache_without_fill_capacity_still_gets_lookups() -> None:
     """When its rejections of fills counted as failures, it was ejected and its hits were lost too (incident
     i3a0fa9)."""
     world = World()
@@ -139,11 +139,11 @@
     fills = [world.fill() for _ in range(7)]
     assert [isinstance(f, SendCacheRequest) for f in fills] == [True] * 4 + [False] * 3
     monkeypatch.setattr(admission, "concurrency_limit", lambda state, source, work_kind: 4)
-    (woken,) = world.end_attempt(fills[0], Outcome.OK, 1)
-    assert isinstance(woken, SendCacheRequest) and woken.request_id == 7
+    (released,) = world.end_attempt(fills[0], Outcome.OK, 1)
+    assert isinstance(released, SendCacheRequest) and released.request_id == 7
 
 
-def test_a_miss_that_is_being_filled_is_asked_for_again_twice_at_most() -> None:
+def test_the_lookup_of_a_part_that_is_being_filled_is_repeated_twice_at_most() -> None:
     """If caches do not coalesce fills, several routers filled the same part at once (scenario nila-later)."""
     world = World(settings(coalesces_fills=False))
     (first,) = world.request()
@@ -171,18 +171,20 @@
     """It is sent so few attempts that queued requests would wait in vain (scenario big-1, parents that
     restarted after the loss of a hub)."""
     world = World()
-    home = world.fill(9)
-    assert isinstance(home, SendCacheRequest)
+    first_fill = world.fill(9)
+    assert isinstance(first_fill, SendCacheRequest)
     world.receive(
-        EndpointListReceived(EndpointListKind.DELTA, 2, (entry(home.source, PARENT, started_us=world.now),))
+        EndpointListReceived(
+            EndpointListKind.DELTA, 2, (entry(first_fill.source, PARENT, started_us=world.now),)
+        )
     )
     world.receive(TimerFired(0), after=10 * SECOND)
     fills = [world.fill(9, part=part) for part in range(3)]
-    assert sum(isinstance(f, SendCacheRequest) and f.source == home.source for f in fills) == 1
-    assert not world.router.endpoints[home.source].queue
+    assert sum(isinstance(f, SendCacheRequest) and f.source == first_fill.source for f in fills) == 1
+    assert not world.router.endpoints[first_fill.source].queue
 
 
-def looks(actions: list[Action]) -> list[SendCacheRequest]:
+def cache_only_lookups(actions: list[Action]) -> list[SendCacheRequest]:
     return [
         a
         for a in actions
@@ -190,49 +192,60 @@
     ]
 
 
-def test_what_a_parent_holds_is_had_while_fills_wait_for_a_slow_origin() -> None:
+def test_copies_at_a_parent_are_served_while_fills_wait_for_a_slow_origin() -> None:
     """With the origin 2 to 5 times slower, fills through a parent occupied all its slots, and the half of all
     misses that the parent could have answered at once was rejected (Kayal site, scenario big-6: 28 of 900
     fills in time within 5 s)."""
-    for notes in (True, False):  # whether answers report a cache status
-        world = World(settings(a_class(latency_objective_us=SECOND), reports_cache_status=notes))
+    for reports_status in (True, False):  # whether answers report a cache status
+        world = World(settings(a_class(latency_objective_us=SECOND), reports_cache_status=reports_status))
         # the limit of fills is reached, and the origin does not answer
-        home = [world.fill() for _ in range(4)][0]
-        (asked,) = world.request()
-        (look,) = looks(world.end_attempt(asked, Outcome.MISS, 0))
-        assert isinstance(home, SendCacheRequest) and look.source == home.source
-        world.end_attempt(look, Outcome.OK, 1, after=20_000, cache_status=CacheStatus.FILLED)
-        (asked,) = world.request()
-        (look,) = looks(world.end_attempt(asked, Outcome.MISS, 0))
+        first_fill = [world.fill() for _ in range(4)][0]
+        (first,) = world.request()
+        (lookup,) = cache_only_lookups(world.end_attempt(first, Outcome.MISS, 0))
+        assert isinstance(first_fill, SendCacheRequest) and lookup.source == first_fill.source
+        world.end_attempt(lookup, Outcome.OK, 1, after=20_000, cache_status=CacheStatus.FILLED)
+        (first,) = world.request()
+        (lookup,) = cache_only_lookups(world.end_attempt(first, Outcome.MISS, 0))
         # a miss at the parent: now it waits for a fill slot
-        assert world.end_attempt(look, Outcome.MISS, 1) == []
-        assert world.router.requests[look.request_id].queued_source is world.router.endpoints[home.source]
-        assert world.router.endpoints[home.source].failure_rate == 0  # a miss is no failure
-        (woken,) = world.end_attempt(home, Outcome.OK, 1, after=300_000, cache_status=CacheStatus.FILLED)
+        assert world.end_attempt(lookup, Outcome.MISS, 1) == []
+        assert (
+            world.router.requests[lookup.request_id].queued_source
+            is world.router.endpoints[first_fill.source]
+        )
+        assert world.router.endpoints[first_fill.source].failure_rate == 0  # a miss is no failure
+        (released,) = world.end_attempt(
+            first_fill, Outcome.OK, 1, after=300_000, cache_status=CacheStatus.FILLED
+        )
         assert (
-            isinstance(woken, SendCacheRequest) and woken.request_id == look.request_id and not looks([woken])
+            isinstance(released, SendCacheRequest)
+            and released.request_id == lookup.request_id
+            and not cache_only_lookups([released])
         )
 
 
-def test_a_lookup_past_the_caches_names_the_parent_itself() -> None:
+def test_a_direct_lookup_at_a_parent_names_the_parent_as_its_source() -> None:
     """A request sent directly to a parent may name only that parent or the origin as its source; with the
     parent there is no fill."""
     world = World(listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(21, PARENT), entry(31, 2))))
     for _ in range(4):
-        (straight,) = world.request()
-        assert isinstance(straight, SendCacheRequest) and (straight.endpoint, straight.source) == (21, 31)
-    (look,) = world.request()
-    assert isinstance(look, SendCacheRequest) and look.endpoint == look.source == 21 and looks([look])
+        (direct,) = world.request()
+        assert isinstance(direct, SendCacheRequest) and (direct.endpoint, direct.source) == (21, 31)
+    (lookup,) = world.request()
+    assert (
+        isinstance(lookup, SendCacheRequest)
+        and lookup.endpoint == lookup.source == 21
+        and cache_only_lookups([lookup])
+    )
 
 
 def test_a_fill_that_the_zones_link_cannot_bring_in_time_is_rejected_at_once() -> None:
     """With empty caches in one zone, each fill was admitted that its source had capacity for, and the link
     into the zone, which all of them share, delivered every answer too late (Kayal site, scenario
     trouble-11)."""
-    for routers, fit in ((1, 3), (2, 1)):  # a link of 100 KB in 100 ms, shared with other routers
+    for routers, admitted in ((1, 3), (2, 1)):  # a link of 100 KB in 100 ms, shared with other routers
         world = World(settings(zone_router_counts=(0, routers), zone_link_kb_per_s=(0.0, 1000.0)))
         fills = [world.fill(key, size_kb=100.0) for key in range(1, 8)]  # the objective is 0.4 s
-        assert [type(f) for f in fills] == [SendCacheRequest] * fit + [RejectRequest] * (7 - fit)
+        assert [type(f) for f in fills] == [SendCacheRequest] * admitted + [RejectRequest] * (7 - admitted)
         small = world.fill(9, size_kb=10.0)  # the link has capacity for a small one
         assert isinstance(small, SendCacheRequest) and isinstance(fills[0], SendCacheRequest)
         world.end_attempt(small, Outcome.OK, 1, after=10_000)
@@ -241,18 +254,18 @@
         assert isinstance(world.fill(1, size_kb=100.0), SendCacheRequest)
 
 
-def test_a_late_fill_halves_the_limit_down_to_the_free_pass() -> None:
+def test_a_late_fill_halves_the_limit_down_to_one() -> None:
     """When the limit fell to its initial value at most, each router kept four fills in flight, which a slow
     origin all answered too late (Kayal site, scenario trouble-3)."""
     world = World(settings(a_class(latency_objective_us=SECOND)))
-    first, caps = world.fill(5, size_kb=10.0), []
+    first, limits = world.fill(5, size_kb=10.0), []
     assert isinstance(first, SendCacheRequest)
     source = world.router.endpoints[first.source]
     world.end_attempt(first, Outcome.OK, 1)
     source.concurrency_peaks[FILL] = (8, world.now)
     for share in (1.5, 1.5, 1.5, 1.5, 0.5):
-        (asked,) = world.request(5, size_kb=10.0)
-        (fill,) = world.end_attempt(asked, Outcome.MISS, 0)
+        (first,) = world.request(5, size_kb=10.0)
+        (fill,) = world.end_attempt(first, Outcome.MISS, 0)
         world.end_attempt(fill, Outcome.OK, 1, after=int(share * SECOND), cache_status=CacheStatus.FILLED)
-        caps.append(admission.concurrency_limit(world.router, source, FILL))
-    assert caps == [5, 3, 2, 1, 2]
+        limits.append(admission.concurrency_limit(world.router, source, FILL))
+    assert limits == [5, 3, 2, 1, 2]
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -43,7 +43,7 @@
 UNSAFE_WRITE = a_class(idempotency=Idempotency.NOT_IDEMPOTENT, is_write=True)
 
 
-def change(*entries: Endpoint) -> EndpointListReceived:
+def delta(*entries: Endpoint) -> EndpointListReceived:
     return EndpointListReceived(EndpointListKind.DELTA, 2, entries)
 
 
@@ -70,7 +70,7 @@
     assert is_only_rejection_of(world.request(), 1)
 
 
-def test_unknown_outcomes_timers_and_disconnects_are_passed_over() -> None:
+def test_unknown_outcomes_timers_and_disconnects_are_ignored() -> None:
     world = World()
     gone = AttemptEnded(77, Outcome.OK, 1, 0, True, 0, CACHES[0], 0, ())
     assert (
@@ -79,7 +79,7 @@
     )
 
 
-def test_a_slot_comes_back_after_the_client_left() -> None:
+def test_slots_are_released_after_the_client_disconnected() -> None:
     world = World()
     fill = world.fill()
     assert isinstance(fill, SendCacheRequest)
@@ -127,8 +127,8 @@
     world = World(settings(keyed))
     (first,) = world.request()
     assert isinstance(first, SendCacheRequest)
-    for leg in range(6):
-        actions = world.end_attempt(first, Outcome.ERROR, leg)
+    for attempt in range(6):
+        actions = world.end_attempt(first, Outcome.ERROR, attempt)
         if isinstance(actions[0], FailRequest):
             return
         assert isinstance(actions[0], SendCacheRequest)
@@ -148,10 +148,10 @@
 # rule 3: draining endpoints get no new attempts
 
 
-@pytest.mark.parametrize("phase", [EndpointState.DRAINING, EndpointState.REMOVED])
-def test_nothing_goes_to_or_through_a_draining_endpoint(phase: EndpointState) -> None:
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
+def test_nothing_goes_to_or_through_a_draining_endpoint(state: EndpointState) -> None:
     world = World()
-    world.receive(change(entry(CACHES[0], CACHE, state=phase), entry(PARENTS[0], PARENT, state=phase)))
+    world.receive(delta(entry(CACHES[0], CACHE, state=state), entry(PARENTS[0], PARENT, state=state)))
     for key in range(40):
         fill = world.fill(key)
         if isinstance(fill, SendCacheRequest):
@@ -175,7 +175,7 @@
     world = World()
     fills = [world.fill() for _ in range(5)]
     assert isinstance(fills[0], SendCacheRequest) and isinstance(fills[4], WriteLog)
-    (moved,) = world.receive(change(entry(fills[0].source, PARENT, state=EndpointState.DRAINING)))
+    (moved,) = world.receive(delta(entry(fills[0].source, PARENT, state=EndpointState.DRAINING)))
     assert isinstance(moved, SendCacheRequest) and moved.source != fills[0].source
 
 
@@ -195,9 +195,9 @@
     assert sent <= 2 * 0.13 * 10 / 0.3 / 2
 
 
-def test_a_warming_cache_is_not_asked_and_then_filled() -> None:
-    cold = {str(s): entry(s, CACHE, started_us=100 * SECOND - 1) for s in CACHES}
-    world = World(listed=complete_list(**cold))
+def test_a_warming_cache_gets_a_fill_without_a_lookup() -> None:
+    warming = {str(s): entry(s, CACHE, started_us=100 * SECOND - 1) for s in CACHES}
+    world = World(listed=complete_list(**warming))
     world.receive(after=2 * SECOND)
     (sent,) = world.request()
     assert isinstance(sent, SendCacheRequest) and sent.source in (*PARENTS, THE_ORIGIN)
@@ -206,43 +206,43 @@
 # rule 5: purged copies are not accepted
 
 
-def age(world: World, **request: int) -> int:
+def max_copy_age_us(world: World, **request: int) -> int:
     (sent,) = world.request(**request)
     assert isinstance(sent, SendCacheRequest)
     return sent.max_age_us
 
 
-def test_no_copy_older_than_a_purge_will_do() -> None:
+def test_no_copy_older_than_a_purge_is_accepted() -> None:
     world = World()
     world.receive(PurgeReceived(5, 3, 200_000))
-    assert 0 < age(world, object_key=5) < 200_000
-    assert age(world, object_key=6) == 0
+    assert 0 < max_copy_age_us(world, object_key=5) < 200_000
+    assert max_copy_age_us(world, object_key=6) == 0
     world.receive(after=SECOND)
-    assert 1_000_000 < age(world, object_key=5) < 1_200_000
+    assert 1_000_000 < max_copy_age_us(world, object_key=5) < 1_200_000
 
 
-def test_a_purge_just_made_never_becomes_the_default_bound() -> None:
+def test_a_purge_made_now_does_not_give_the_default_max_age() -> None:
     world = World()
     world.receive(PurgeReceived(5, 3, 0))
-    assert age(world, object_key=5) == 1
+    assert max_copy_age_us(world, object_key=5) == 1
 
 
 def test_a_group_purge_covers_its_objects() -> None:
     world = World()
     world.receive(PurgeReceived(0, 3, 100_000))
-    assert 0 < age(world, object_key=1, group=3) < 100_000
-    assert age(world, object_key=1, group=4) == 0
+    assert 0 < max_copy_age_us(world, object_key=1, group=3) < 100_000
+    assert max_copy_age_us(world, object_key=1, group=4) == 0
 
 
-def test_the_fresh_time_bounds_the_age_too() -> None:
+def test_the_max_age_of_the_class_bounds_the_copy_age_too() -> None:
     world = World(settings(a_class(max_age_us=50_000)))
     world.receive(PurgeReceived(5, 3, 100_000))
-    assert age(world, object_key=5) == 50_000
+    assert max_copy_age_us(world, object_key=5) == 50_000
 
 
-def test_a_repeated_request_is_judged_at_its_own_send() -> None:
+def test_the_max_age_is_calculated_anew_for_each_attempt() -> None:
     world = World()
     (first,) = world.request()
     world.receive(PurgeReceived(5, 3, 100_000))
-    (again,) = world.end_attempt(first, Outcome.ERROR, 0)
-    assert isinstance(again, SendCacheRequest) and 0 < again.max_age_us <= 101_000
+    (retried,) = world.end_attempt(first, Outcome.ERROR, 0)
+    assert isinstance(retried, SendCacheRequest) and 0 < retried.max_age_us <= 101_000
--- a/tests/policy/test_scale.py
+++ b/tests/policy/test_scale.py
@@ -41,14 +41,14 @@
     return EndpointListReceived(EndpointListKind.DELTA, 2, entries)
 
 
-def test_caches_of_other_zones_are_not_even_known() -> None:
+def test_caches_of_other_zones_are_not_stored() -> None:
     """So the work per request does not depend on the number of caches in other zones."""
     world = World(settings(zone_router_counts=(0, 2, 2)))
     world.receive(delta(*(entry(1000 + i, CACHE, zone=2) for i in range(500))))
     assert len(world.router.endpoints) == len(CACHES + PARENTS) + 1
 
 
-def test_a_departed_endpoint_is_forgotten_and_its_slot_comes_back() -> None:
+def test_a_removed_endpoint_is_dropped_and_its_slot_released() -> None:
     world = World()
     fill = world.fill()
     assert isinstance(fill, SendCacheRequest)
@@ -68,7 +68,7 @@
     world.request()
 
 
-def sends_while_warming(routers: int, config: Settings, kind: int, endpoint: int) -> list[int]:
+def attempt_times_while_warming(routers: int, config: Settings, kind: int, endpoint: int) -> list[int]:
     """Times at which independent busy routers send attempts to a new endpoint of which they all learn at
     once."""
     now, ident, sent = 100 * SECOND, 0, []
@@ -96,7 +96,7 @@
     any window must stay within the endpoint's budget."""
     for routers in (2, 20, 120):
         config = settings(router_count=routers, zone_router_counts=(0, routers))
-        sent = sends_while_warming(routers, config, CACHE, 99)
+        sent = attempt_times_while_warming(routers, config, CACHE, 99)
         work = max(RouterPolicy(config, 0).service_times_us)
         budget = config.overload_multiple * config.slow_start_fraction * 10.0 * config.overload_window_us
         for start in sent:
@@ -111,7 +111,9 @@
     assert sent, "a warming endpoint got no attempts"
 
 
-def burst(count: int, config: Settings, kind: int, weight: float, seed: int) -> list[int]:
+def attempt_times_after_idling(
+    count: int, config: Settings, kind: int, weight: float, seed: int
+) -> list[int]:
     """Times at which routers send attempts to a warming endpoint that was idle for 8 s and then gets requests
     from all of them at once. A tenth of the routers restart from time to time."""
     start, sent, ident = 100 * SECOND, list[int](), 0
@@ -141,7 +143,7 @@
     """With a budget of 12 attempts, 30 were sent at the same time: each router had saved up an unused
     turn."""
     sent = 0
-    for routers, kind, weight, fall_us, seed in itertools.product(
+    for routers, kind, weight, overload_window_us, seed in itertools.product(
         (4, 20, 30), (CACHE, PARENT), (1.0, 4.0, 10.0), (200_000, SECOND), range(2)
     ):
         config = settings(
@@ -150,26 +152,26 @@
             slow_start_fraction=0.2,
             slow_start_us=20 * SECOND,
             overload_multiple=2.5,
-            overload_window_us=fall_us,
+            overload_window_us=overload_window_us,
             parent_slow_start_fraction=0.2,
             parent_overload_multiple=2.5,
         )
-        times = burst(routers, config, kind, weight, seed)
+        times = attempt_times_after_idling(routers, config, kind, weight, seed)
         sent += len(times)
-        for begun in times:
-            calls = sum(begun <= at < begun + fall_us for at in times)
-            bears = weight * 2.5 * (0.2 + 0.8 * (begun - 100 * SECOND) / (20 * SECOND))
-            budget = bears * fall_us / max(RouterPolicy(config, 0).service_times_us)
-            assert calls <= budget + 2 * budget**0.5 + 2, (routers, kind, weight, fall_us, seed)
+        for start in times:
+            calls = sum(start <= at < start + overload_window_us for at in times)
+            capacity = weight * 2.5 * (0.2 + 0.8 * (start - 100 * SECOND) / (20 * SECOND))
+            budget = capacity * overload_window_us / max(RouterPolicy(config, 0).service_times_us)
+            assert calls <= budget + 2 * budget**0.5 + 2, (routers, kind, weight, overload_window_us, seed)
     assert sent > 1000, "warming endpoints got too few attempts"
 
 
-def test_a_warming_parent_is_shared_by_all_routers() -> None:
+def test_the_budget_of_a_warming_parent_is_shared_by_all_routers() -> None:
     config = settings(router_count=120, zone_router_counts=(0, 4))
-    assert len(sends_while_warming(4, config, PARENT, 99)) <= 4
+    assert len(attempt_times_while_warming(4, config, PARENT, 99)) <= 4
 
 
-def test_sizes_unknown_a_warming_endpoint_gets_its_part_of_what_warm_ones_answer() -> None:
+def test_without_sizes_a_warming_endpoint_gets_a_share_of_what_warm_ones_answer() -> None:
     busy, idle = (World(settings(weights_are_sizes=False)) for _ in range(2))
     for world in (busy, idle):
         for key in range(200 if world is busy else 0):
@@ -180,7 +182,7 @@
     assert rates[0] > 2 * rates[1] > 0
 
 
-def test_an_old_purge_told_first_does_not_raise_and_hides_no_later_one() -> None:
+def test_an_old_purge_received_first_does_not_raise_and_hides_no_later_one() -> None:
     world = World()
     world.receive(
         PurgeReceived(0, 3, 60 * SECOND), PurgeReceived(0, 4, SECOND), PurgeReceived(0, 3, 2 * SECOND)
@@ -197,7 +199,7 @@
     assert len(world.router.endpoints) == 6
 
 
-def test_the_floor_of_the_limit_is_shared_and_the_free_pass_stays() -> None:
+def test_the_initial_limit_is_shared_but_at_least_one() -> None:
     """With many routers each keeps a limit of one fill; four each would be hundreds at one parent."""
     for routers, each in ((2, 4), (8, 2), (120, 1)):
         world = World(settings(router_count=routers, zone_router_counts=(0, routers)))
@@ -232,7 +234,7 @@
     assert isinstance(small, SendCacheRequest)
 
 
-def test_it_lets_go_as_small_answers_come_back_in_their_time() -> None:
+def test_a_slow_cache_recovers_after_small_answers_without_delay() -> None:
     world = World(
         listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
     )
@@ -244,7 +246,7 @@
     assert isinstance(sent, SendCacheRequest)
 
 
-def test_slow_fills_say_nothing_of_the_cache() -> None:
+def test_slow_fills_do_not_count_as_slowdown_of_the_cache() -> None:
     world = World(
         listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
     )
@@ -255,7 +257,7 @@
     assert isinstance(world.request(5, size_kb=100.0)[0], SendCacheRequest)
 
 
-def test_sizes_unknown_the_sending_time_is_the_least_lately_seen() -> None:
+def test_without_sizes_the_service_time_follows_the_fastest_recent_hits() -> None:
     """Otherwise a cache that stays slow would in time be taken for a fast one."""
     config = settings(a_class(latency_objective_us=300_000, latency_objective_stretch=2.0))
     world = World(
@@ -278,7 +280,7 @@
     assert 50 < rejected < 290
 
 
-def test_a_slow_cache_without_hits_does_not_stay_shut() -> None:
+def test_a_slow_cache_without_hits_is_used_again() -> None:
     """A cache that restarted empty has only misses, which do not update its slowdown (incident i872645)."""
     world = World(
         listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
@@ -289,7 +291,7 @@
     assert isinstance(world.request(5, size_kb=100.0)[-1], SendCacheRequest)
 
 
-def test_lost_answers_count_against_an_endpoint_and_are_forgiven() -> None:
+def test_lost_answers_eject_an_endpoint_until_it_answers_again() -> None:
     """Health checks would succeed; only the outcomes of attempts show the failure, and later the recovery."""
     world = World()
     (first,) = world.request(5)
@@ -306,7 +308,7 @@
     assert is_available(world.router, endpoint) and endpoint.failure_rate < 0.41
 
 
-def test_a_request_that_two_endpoints_cannot_use_speaks_against_neither() -> None:
+def test_errors_of_two_endpoints_for_one_request_count_against_neither() -> None:
     """Invalid requests of bad clients had all endpoints ejected one after the other (scenario "rude day")."""
     world = World()
     for key in range(20):
@@ -321,7 +323,7 @@
     assert all(endpoint.failure_rate == 0 for endpoint in world.router.endpoints.values())
 
 
-def test_a_request_that_the_next_endpoint_serves_speaks_against_the_first() -> None:
+def test_an_error_counts_against_the_endpoint_if_the_next_one_answers() -> None:
     world = World()
     (first,) = world.request()
     (second,) = world.end_attempt(first, Outcome.ERROR, 0)
@@ -331,44 +333,44 @@
     assert bad == {first.endpoint}
 
 
-def test_a_connection_reset_is_one_failure_and_its_requests_ask_the_endpoint_again() -> None:
+def test_a_connection_reset_is_one_failure_and_its_requests_are_retried_there() -> None:
     """One malformed answer broke a connection with four requests, and a healthy cache was ejected for it
     (scenario "garbled day")."""
     world = World()
-    asked = [a for _ in range(4) for a in world.request(5) if isinstance(a, SendCacheRequest)]
-    (endpoint,) = {a.endpoint for a in asked}
-    ends = [AttemptEnded(a.request_id, Outcome.RESET, 1000, 0, False, 0, endpoint, 0, ()) for a in asked]
-    again = world.receive(*ends, after=1000)
-    assert [a.endpoint for a in again if isinstance(a, SendCacheRequest)] == [endpoint] * 4
+    attempts = [a for _ in range(4) for a in world.request(5) if isinstance(a, SendCacheRequest)]
+    (endpoint,) = {a.endpoint for a in attempts}
+    ends = [AttemptEnded(a.request_id, Outcome.RESET, 1000, 0, False, 0, endpoint, 0, ()) for a in attempts]
+    retried = world.receive(*ends, after=1000)
+    assert [a.endpoint for a in retried if isinstance(a, SendCacheRequest)] == [endpoint] * 4
     assert is_available(world.router, world.router.endpoints[endpoint])
 
 
-def test_a_write_that_broke_off_goes_out_once_more() -> None:
+def test_a_write_is_retried_once_after_a_connection_reset() -> None:
     world = World(settings(a_class(idempotency=Idempotency.WITH_KEY, is_write=True)))
     (first,) = world.request()
-    (again,) = world.end_attempt(first, Outcome.RESET, 0)
-    assert isinstance(again, SendPlainRequest) and again.endpoint == THE_ORIGIN
-    assert isinstance(world.end_attempt(again, Outcome.RESET, 1)[0], RejectRequest)
+    (retried,) = world.end_attempt(first, Outcome.RESET, 0)
+    assert isinstance(retried, SendPlainRequest) and retried.endpoint == THE_ORIGIN
+    assert isinstance(world.end_attempt(retried, Outcome.RESET, 1)[0], RejectRequest)
 
 
-def test_a_size_that_a_client_claims_is_not_learnt_from() -> None:
+def test_a_huge_size_claimed_by_a_client_does_not_distort_the_service_time() -> None:
     world = World()
     for _ in range(20):
         world.request(5, size_kb=1e9)
     assert isinstance(world.request(6)[0], SendCacheRequest)
 
 
-def test_what_was_slow_in_a_crowd_is_not_rejected_when_the_crowd_has_gone() -> None:
+def test_a_cache_that_was_slow_under_load_is_used_again_when_idle() -> None:
     """A cache was still taken for as slow as under its last load ten seconds after it had become idle."""
     world = World(
         listed=EndpointListReceived(EndpointListKind.CACHED, 1, (entry(11, CACHE), entry(31, ORIGIN)))
     )
-    crowd = [
+    attempts = [
         a for key in range(20) for a in world.request(key, size_kb=100.0) if isinstance(a, SendCacheRequest)
     ]
     ends = [
         AttemptEnded(a.request_id, Outcome.OK, 800_000, 0, True, CacheStatus.HIT, a.endpoint, 0, ())
-        for a in crowd
+        for a in attempts
     ]
     world.receive(*ends, after=800_000)
     assert len(ends) == 20 and slowdown(world.router.endpoints[11]) > 6
@@ -393,7 +395,7 @@
     assert all(isinstance(a, SendCacheRequest) and a.endpoint != CACHES[0] for a in big)
 
 
-def test_waves_of_drains_leave_nothing_behind() -> None:
+def test_drained_and_removed_endpoints_are_dropped() -> None:
     world = World()
     for wave in range(20):
         world.receive(delta(entry(100 + wave, CACHE, started_us=world.now)), after=SECOND)
@@ -413,11 +415,11 @@
     world.request(5)
 
 
-def test_many_routers_land_one_fill_each_at_most_on_a_parent_that_answers_none() -> None:
+def test_each_router_has_one_fill_at_most_in_flight_at_a_source_that_does_not_answer() -> None:
     """Ten misses of one object at each of 120 routers: each router has one fill in flight at the first
     parent, the second and the origin, and one lookup at each of the two parents."""
     config, now = settings(router_count=120, zone_router_counts=(0, 120)), 100 * SECOND
-    landed: dict[tuple[int, bool], int] = {}
+    fills_and_lookups: dict[tuple[int, bool], int] = {}
     for seed in range(120):
         router = RouterPolicy(config, seed)
         router.handle(now, [complete_list()])
@@ -428,9 +430,9 @@
             for action in router.handle(now, [miss]):
                 if isinstance(action, SendCacheRequest):
                     at = action.source, bool(action.flags & CacheRequestFlag.SOURCE_CACHED_ONLY)
-                    landed[at] = landed.get(at, 0) + 1
-    assert sorted(look for _, look in landed) == [False] * 3 + [True] * 2
-    assert set(landed.values()) == {120}
+                    fills_and_lookups[at] = fills_and_lookups.get(at, 0) + 1
+    assert sorted(is_lookup for _, is_lookup in fills_and_lookups) == [False] * 3 + [True] * 2
+    assert set(fills_and_lookups.values()) == {120}
 
 
 def test_a_request_that_is_over_keeps_no_timer() -> None:
@@ -442,7 +444,7 @@
     assert world.router.timers == []
 
 
-def test_a_cache_a_little_over_its_part_keeps_its_own() -> None:
+def test_a_cache_slightly_above_its_share_keeps_its_objects() -> None:
     """Each request sent to another cache is a miss there; with a limit of one deviation there were too many
     (scenario "quiet day")."""
     world = World()
@@ -483,14 +485,16 @@
     second = ask(3)
     assert second.timeout_us < 400_000  # the objective is 0.4 s
     hit(ask(4))
-    (again,) = world.end_attempt(second, Outcome.TIMEOUT, 0, after=second.timeout_us)
-    assert isinstance(again, SendCacheRequest) and again.endpoint == 11 and again.timeout_us > 3 * SECOND
+    (retried,) = world.end_attempt(second, Outcome.TIMEOUT, 0, after=second.timeout_us)
+    assert (
+        isinstance(retried, SendCacheRequest) and retried.endpoint == 11 and retried.timeout_us > 3 * SECOND
+    )
     assert world.router.endpoints[11].failure_rate == 0
     world.router.retry_budget = 0.5  # the retry budget is exhausted
     assert ask(5).timeout_us > 3 * SECOND
 
 
-def test_more_in_flight_than_was_measured_does_not_make_a_cache_slower_than_it_was() -> None:
+def test_the_slowdown_of_a_cache_with_a_free_link_does_not_grow_with_its_load() -> None:
     """A small slowdown measured with few attempts in flight was scaled up tenfold in a burst; scenarios with
     light load lost one percent by it."""
     world = World()
