--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -62,11 +62,11 @@
 
 def taped(script: list[tuple[str, int]], recorder: Any) -> Any:
     """A random run, recorded."""
-    referee = random_runs.Referee()
-    router = referee.router
-    referee.router = Taped(router, recorder)  # type: ignore[assignment]
+    checker = random_runs.PolicyChecker()
+    router = checker.router
+    checker.router = Taped(router, recorder)  # type: ignore[assignment]
     for name, pick in script:
-        getattr(referee, name)(pick)
+        getattr(checker, name)(pick)
     return router
 
 
@@ -103,7 +103,7 @@
     @given(st.binary(max_size=80), st.integers(0, 5000))
     @settings(max_examples=80, deadline=None)
     def test_bytes_that_are_no_state(self, noise: bytes, at: int) -> None:
-        whole = state.encode(state.snapshot(random_runs.Referee().router))
+        whole = state.encode(state.snapshot(random_runs.PolicyChecker().router))
         for data in (
             noise,
             whole[: at % len(whole)],
@@ -174,11 +174,11 @@
     def test_segments_rotate_within_the_budget_and_each_replays_by_itself(self) -> None:
         recorder = self.recorder(segment_bytes=10_000, segment_s=60.0, budget_bytes=40_000)
         with mock.patch("magpieshift.capture.writer.POLL_S", 0.001):
-            referee = random_runs.Referee()
-            referee.router = Taped(referee.router, recorder)  # type: ignore[assignment]
+            checker = random_runs.PolicyChecker()
+            checker.router = Taped(checker.router, recorder)  # type: ignore[assignment]
             for i in range(400):
-                referee.ask(i)
-                referee.end(i)
+                checker.ask(i)
+                checker.end(i)
                 self.until(lambda: recorder.backlog == 0)
         recorder.stop()
         paths = segments.files(self.folder / "capture")
@@ -192,28 +192,28 @@
 
     def test_a_policy_that_raises_in_the_middle_of_a_batch(self) -> None:
         recorder = self.recorder()
-        referee = random_runs.Referee()
-        router = referee.router
-        referee.router = Taped(router, recorder)  # type: ignore[assignment]
-        referee.ask(1)
+        checker = random_runs.PolicyChecker()
+        router = checker.router
+        checker.router = Taped(router, recorder)  # type: ignore[assignment]
+        checker.ask(1)
         odd = RequestReceived(99, 77, 0, 5, 10**6, 0.0, 1, 0, False, False)  # there is no class 77
         good = RequestReceived(98, 0, 0, 5, 10**6, 0.0, 1, 0, False, False)
         with self.assertRaises(IndexError):
-            referee.router.handle(referee.now, [good, odd])
-        referee.end(0)
+            checker.router.handle(checker.now, [good, odd])
+        checker.end(0)
         recorder.stop()
         result = self.replayed()
         self.assertEqual((result.differences, result.raised), (0, 1))
 
     def test_time_that_stands_still_and_goes_back(self) -> None:
         recorder = self.recorder()
-        referee = random_runs.Referee()
-        referee.router = Taped(referee.router, recorder)  # type: ignore[assignment]
+        checker = random_runs.PolicyChecker()
+        checker.router = Taped(checker.router, recorder)  # type: ignore[assignment]
         for i in range(5):
-            referee.ask(i)  # in one microsecond
-        referee.now -= 10_000
-        referee.deadline = dict.fromkeys(referee.deadline, referee.now + 10**9)
-        referee.router.handle(referee.now, [PurgeReceived(3, 1, 5)])
+            checker.ask(i)  # in one microsecond
+        checker.now -= 10_000
+        checker.deadline = dict.fromkeys(checker.deadline, checker.now + 10**9)
+        checker.router.handle(checker.now, [PurgeReceived(3, 1, 5)])
         recorder.stop()
         self.assertEqual(self.replayed().differences, 0)
 
@@ -221,17 +221,17 @@
         from magpieshift.policy.reconfigure import reconfigure
 
         recorder = self.recorder()
-        referee = random_runs.Referee()
-        router = referee.router
-        referee.router = Taped(router, recorder)  # type: ignore[assignment]
+        checker = random_runs.PolicyChecker()
+        router = checker.router
+        checker.router = Taped(router, recorder)  # type: ignore[assignment]
         for i in range(10):
-            referee.ask(i)
+            checker.ask(i)
         new = make_settings(*random_runs.CLASSES, coalesces_fills=True, drain_grace_us=0, max_attempts=2)
         reconfigure(router, new, frozenset({1}))
         recorder.reconfigured(new, [1])
         for i in range(20):
-            referee.ask(i)
-            referee.end(3 * i)
+            checker.ask(i)
+            checker.end(3 * i)
         recorder.stop()
         result = self.replayed()
         self.assertEqual((result.differences, result.reconfigurations), (0, 1))
@@ -247,22 +247,22 @@
             return real(file, data)
 
         recorder = self.recorder()
-        referee = random_runs.Referee()
-        referee.router = Taped(referee.router, recorder)  # type: ignore[assignment]
+        checker = random_runs.PolicyChecker()
+        checker.router = Taped(checker.router, recorder)  # type: ignore[assignment]
         with (
             mock.patch("os.write", write),
             self.assertLogs("magpieshift.capture", "WARNING") as logs,
         ):
-            referee.ask(0)
+            checker.ask(0)
             self.until(stuck.is_set)
             for i in range(MAX_BACKLOG):
-                referee.purge(i)
+                checker.purge(i)
                 self.assertLess(recorder.backlog, MAX_BACKLOG + 10)
             self.assertGreater(recorder.dropped, 0)
             release.set()
             self.until(lambda: recorder.backlog == 0)
             for i in range(30):
-                referee.ask(i)
+                checker.ask(i)
             recorder.stop()
         result = self.replayed()
         self.assertEqual((result.differences, recorder.gaps), (0, 1))
@@ -273,20 +273,20 @@
     def test_a_full_disk_is_logged_once_and_recording_resumes_when_there_is_room(self) -> None:
         full = mock.patch("os.write", side_effect=OSError(28, "No space left on device"))
         recorder = self.recorder()
-        referee = random_runs.Referee()
-        referee.router = Taped(referee.router, recorder)  # type: ignore[assignment]
+        checker = random_runs.PolicyChecker()
+        checker.router = Taped(checker.router, recorder)  # type: ignore[assignment]
         with (
             self.assertLogs("magpieshift.capture", "WARNING") as logs,
             mock.patch("magpieshift.capture.writer.RETRY_S", 0.01),
         ):
             with full:
-                referee.ask(0)
+                checker.ask(0)
                 self.until(lambda: bool(recorder.failure))
                 for i in range(50):
-                    referee.ask(i)
+                    checker.ask(i)
             self.until(lambda: not recorder.failure)
             for i in range(20):
-                referee.end(i)
+                checker.end(i)
             recorder.stop()
         self.assertEqual(len([r for r in logs.records if r.message == "capture write failed"]), 1)
         result = self.replayed()
@@ -384,12 +384,12 @@
 
     def test_a_requests_story_is_explained(self) -> None:
         recorder = self.recorder()
-        referee = random_runs.Referee()
-        referee.router = Taped(referee.router, recorder)  # type: ignore[assignment]
+        checker = random_runs.PolicyChecker()
+        checker.router = Taped(checker.router, recorder)  # type: ignore[assignment]
         recorder.register_name(1, "00aa11bb22cc33dd")
-        referee.ask(4)
-        referee.end(8)
-        referee.end(0)
+        checker.ask(4)
+        checker.end(8)
+        checker.end(0)
         recorder.stop()
         number = explanation.find_request(self.read, "00aa11bb22cc33dd")
         lines = explanation.explain_request(self.read, number)
--- a/tests/overload/test_health_override.py
+++ b/tests/overload/test_health_override.py
@@ -13,51 +13,51 @@
 from magpieshift.policy.outcomes import Outcome
 from magpieshift.policy.outlier_detection import is_available
 from magpieshift.policy.router_policy import RouterPolicy
-from tests.policy.helpers import PARENTS, SECOND, World
+from tests.policy.helpers import PARENTS, SECOND, PolicyHarness
 
 
 class HealthOverrideTest(unittest.TestCase):
-    def parents(self, world: World) -> set[int]:
-        return {fill.source for key in range(30) if hasattr(fill := world.fill(key), "source")}
+    def parents(self, harness: PolicyHarness) -> set[int]:
+        return {fill.source for key in range(30) if hasattr(fill := harness.fill(key), "source")}
 
     def test_the_policy_ejects_an_endpoint_and_readmits_it(self) -> None:
-        world = World()
-        apply_overrides(world.router, world.now, [Eject(PARENTS[0], SECOND), Eject(999, SECOND)])
-        self.assertNotIn(PARENTS[0], self.parents(world))
-        world.now += SECOND
-        self.assertIn(PARENTS[0], self.parents(world))
-        world = World()
-        apply_overrides(world.router, world.now, [Eject(PARENTS[0], SECOND)])
-        apply_overrides(world.router, world.now, [Readmit(PARENTS[0], 0)])
-        self.assertIn(PARENTS[0], self.parents(world))
+        harness = PolicyHarness()
+        apply_overrides(harness.router, harness.now, [Eject(PARENTS[0], SECOND), Eject(999, SECOND)])
+        self.assertNotIn(PARENTS[0], self.parents(harness))
+        harness.now += SECOND
+        self.assertIn(PARENTS[0], self.parents(harness))
+        harness = PolicyHarness()
+        apply_overrides(harness.router, harness.now, [Eject(PARENTS[0], SECOND)])
+        apply_overrides(harness.router, harness.now, [Readmit(PARENTS[0], 0)])
+        self.assertIn(PARENTS[0], self.parents(harness))
 
     def test_a_prober_keeps_its_interval_and_probes_one_request_at_a_time(self) -> None:
-        world = World()
-        endpoint = world.router.endpoints[PARENTS[0]]
+        harness = PolicyHarness()
+        endpoint = harness.router.endpoints[PARENTS[0]]
         endpoint.failure_rate, endpoint.last_failure_us, endpoint.ejected_until_us = (
             0.9,
-            world.now,
-            world.now + 8 * SECOND,
+            harness.now,
+            harness.now + 8 * SECOND,
         )
-        apply_overrides(world.router, world.now, [Readmit(PARENTS[0], 0, SECOND)])
-        self.assertEqual(endpoint.ejected_until_us, world.now + SECOND)
-        world.now += SECOND
+        apply_overrides(harness.router, harness.now, [Readmit(PARENTS[0], 0, SECOND)])
+        self.assertEqual(endpoint.ejected_until_us, harness.now + SECOND)
+        harness.now += SECOND
         endpoint.in_flight = 1
-        self.assertFalse(is_available(world.router, endpoint))
+        self.assertFalse(is_available(harness.router, endpoint))
 
     def test_the_health_of_an_endpoint(self) -> None:
-        world = World()
-        health_by_number = {number: rest for number, *rest in endpoint_health(world.router)}
+        harness = PolicyHarness()
+        health_by_number = {number: rest for number, *rest in endpoint_health(harness.router)}
         self.assertEqual(health_by_number[PARENTS[0]], [False, -1, -1])
-        fill = world.fill(5)
+        fill = harness.fill(5)
         source = fill.source  # type: ignore[union-attr]
         for _ in range(3):
-            world.end_attempt(fill, Outcome.TIMEOUT, 1, after=SECOND)
-            fill = world.fill(5)
-        is_failing, failed, good = {number: rest for number, *rest in endpoint_health(world.router)}[source]
+            harness.end_attempt(fill, Outcome.TIMEOUT, 1, after=SECOND)
+            fill = harness.fill(5)
+        is_failing, failed, good = {number: rest for number, *rest in endpoint_health(harness.router)}[source]
         self.assertEqual((is_failing, good), (True, -1))
         self.assertGreater(failed, 0)
-        self.assertIsInstance(world.router, RouterPolicy)
+        self.assertIsInstance(harness.router, RouterPolicy)
 
 
 if __name__ == "__main__":
--- a/tests/policy/differential/record.py
+++ b/tests/policy/differential/record.py
@@ -180,7 +180,7 @@
     return value
 
 
-class World:
+class Simulation:
     """An instance of the former policy, with simulated clients and endpoints."""
 
     def __init__(self, name: str, seed: int) -> None:
@@ -199,15 +199,15 @@
         self.router = control.Router(self.wire.parse_settings(text), seed)
         self.sized = "Specifics__ClientKbPerS" in changes
         self.now_us = FIRST_US
-        self.due: list[tuple[int, int, Any]] = []  # future events, by time and sequence number
-        self.numbered = 0
+        self.scheduled: list[tuple[int, int, Any]] = []  # future events, by time and sequence number
+        self.sequence = 0
         self.last_request = 0
         self.open: dict[int, Any] = {}
         self.attempts: dict[int, int] = {}
         self.in_flight: dict[tuple[int, int], int] = {}
         self.endpoints: dict[int, Any] = {}
         self.conditions: dict[int, str] = {}
-        self.holds: set[tuple[int, int]] = set()  # copies, as pairs of endpoint number and object key
+        self.copies: set[tuple[int, int]] = set()  # copies, as pairs of endpoint number and object key
         self.batches = 0
         self.seen: Counter[str] = Counter()
         for number in (*range(11, 17), 18, 19, 21, 22, 23, 31):
@@ -221,21 +221,21 @@
     def write(self, *step: Any) -> None:
         self.lines.append(json.dumps(step, separators=(",", ":")))
 
-    def later(self, delay_us: float, event: Any) -> None:
-        self.numbered += 1
-        heapq.heappush(self.due, (self.now_us + max(1, int(delay_us)), self.numbered, event))
+    def schedule(self, delay_us: float, event: Any) -> None:
+        self.sequence += 1
+        heapq.heappush(self.scheduled, (self.now_us + max(1, int(delay_us)), self.sequence, event))
 
     def run(self, batches: int) -> None:
         """Run the simulation for a number of batches."""
         self.list_all(self.interface.ListKind.CACHED)
-        self.arrive()
-        self.later(SECOND_US / 20, lambda: self.disturb())
-        while self.batches < batches and self.due:
-            tick_us = self.due[0][0] // 2000 * 2000 + 2000
+        self.new_request()
+        self.schedule(SECOND_US / 20, lambda: self.change_randomly())
+        while self.batches < batches and self.scheduled:
+            tick_us = self.scheduled[0][0] // 2000 * 2000 + 2000
             self.now_us = max(self.now_us + 1, tick_us - self.random.randrange(3))
             events: list[Any] = []
-            while self.due and self.due[0][0] <= self.now_us and len(events) < 12:
-                happened = heapq.heappop(self.due)[2]
+            while self.scheduled and self.scheduled[0][0] <= self.now_us and len(events) < 12:
+                happened = heapq.heappop(self.scheduled)[2]
                 event = happened() if callable(happened) else happened
                 if event is not None:
                     events.append(event)
@@ -264,33 +264,37 @@
         self.seen["ejected"] += any(s.shun_until > self.now_us for s in self.router.stores.values())
         self.seen["warming"] += any(s.next_cold_us > self.now_us for s in self.router.stores.values())
         for action in actions:
-            self.act(action)
+            self.perform(action)
 
-    def act(self, action: Any) -> None:
+    def perform(self, action: Any) -> None:
         """Perform an action of the policy."""
         match type(action).__name__:
             case "SetTimer":
-                self.later(action.delay_us, self.interface.Elapsed(action.token))
+                self.schedule(action.delay_us, self.interface.Elapsed(action.token))
             case "Send" | "Get":
                 self.send(action)
             case "Refuse":
                 left = self.open.pop(action.id, None)
                 if left is not None and self.random.random() < 0.3:
-                    self.later(action.retry_after_us, lambda: self.request(left))
+                    self.schedule(action.retry_after_us, lambda: self.request(left))
             case "Fail":
                 self.open.pop(action.id, None)
             case "Cancel":
                 endpoint = self.in_flight.pop((action.id, action.attempt), 0)
                 if endpoint:
                     event = self.ended(action.id, CANCELLED, 0, endpoint, action.attempt, 5000)
-                    self.later(500, event)
+                    self.schedule(500, event)
 
-    def ended(self, ident: int, outcome: int, note: int, endpoint: int, attempt: int, took_us: int) -> Any:
+    def ended(
+        self, request_id: int, outcome: int, note: int, endpoint: int, attempt: int, latency_us: int
+    ) -> Any:
         of = self.interface
-        closed = outcome == OK or ident not in self.open
+        closed = outcome == OK or request_id not in self.open
         load = (0.5, 1.25) if self.random.random() < 0.05 else ()
-        waited_us = took_us // 2 if note in (FILLED, FILLED_BY_ORIGIN, COALESCED) else 0
-        return of.Ended(ident, of.Outcome(outcome), took_us, waited_us, closed, note, endpoint, attempt, load)
+        waited_us = latency_us // 2 if note in (FILLED, FILLED_BY_ORIGIN, COALESCED) else 0
+        return of.Ended(
+            request_id, of.Outcome(outcome), latency_us, waited_us, closed, note, endpoint, attempt, load
+        )
 
     def send(self, action: Any) -> None:
         """Start an attempt, and choose its outcome and duration."""
@@ -300,16 +304,18 @@
         request = self.open[action.id]
         is_get = type(action).__name__ == "Get"
         source = action.source if is_get and action.source != action.store else 0
-        outcome, note, took_us = self.answer(request, action.store, source, is_get and bool(action.mode & 2))
-        if outcome == TIMEOUT or took_us >= action.timeout_us:
+        outcome, note, latency_us = self.answer(
+            request, action.store, source, is_get and bool(action.mode & 2)
+        )
+        if outcome == TIMEOUT or latency_us >= action.timeout_us:
             # now and then the timeout is late, so that the policy's own timer fires first
             late_us = 8000 if self.random.random() < 0.1 else 0
-            outcome, note, took_us = TIMEOUT, 0, action.timeout_us + late_us
+            outcome, note, latency_us = TIMEOUT, 0, action.timeout_us + late_us
         stream = self.classes[request.cls]["Stream"] == "true"
         if outcome == OK and stream:
-            begun = self.interface.Begun(action.id, action.store, took_us // 2, attempt)
-            self.later(took_us / 2, lambda: begun if (action.id, attempt) in self.in_flight else None)
-            took_us += self.random.randrange(2 * SECOND_US)
+            begun = self.interface.Begun(action.id, action.store, latency_us // 2, attempt)
+            self.schedule(latency_us / 2, lambda: begun if (action.id, attempt) in self.in_flight else None)
+            latency_us += self.random.randrange(2 * SECOND_US)
 
         def end() -> Any:
             endpoint = self.in_flight.pop((action.id, attempt), 0)
@@ -319,61 +325,67 @@
             now_outcome = SUPERSEDED if known is None and self.random.random() < 0.3 else outcome
             if now_outcome == OK:
                 self.open.pop(action.id, None)
-            return self.ended(action.id, now_outcome, note, endpoint, attempt, took_us)
+            return self.ended(action.id, now_outcome, note, endpoint, attempt, latency_us)
 
-        self.later(took_us, end)
+        self.schedule(latency_us, end)
 
     def answer(self, request: Any, endpoint: int, source: int, cached_only: bool) -> tuple[int, int, int]:
         """Outcome, cache status and duration of one attempt."""
         draw = self.random.random()
-        took_us = int(self.random.expovariate(1 / 60_000)) + 2_000
+        latency_us = int(self.random.expovariate(1 / 60_000)) + 2_000
         if request.size_kb:
-            took_us = int(request.size_kb / 900 * 1e6 * (1 + 0.4 * draw)) + 2000
+            latency_us = int(request.size_kb / 900 * 1e6 * (1 + 0.4 * draw)) + 2000
         for number in (endpoint, source):
             condition = self.conditions.get(number, "well")
             if condition == "slow":
-                took_us *= 4
+                latency_us *= 4
             elif condition == "silent" or (condition == "loses" and draw < 0.2):
-                return TIMEOUT, 0, took_us
+                return TIMEOUT, 0, latency_us
             elif number == source and condition in ("errors", "refuses", "unreachable", "breaks"):
-                return ERROR, self.random.choice([SOURCE_LOST, SOURCE_REJECTED, ORIGIN_FAILED]), took_us
+                return ERROR, self.random.choice([SOURCE_LOST, SOURCE_REJECTED, ORIGIN_FAILED]), latency_us
             elif condition == "errors" and draw < 0.8:
-                return ERROR, 0, took_us
+                return ERROR, 0, latency_us
             elif condition == "refuses":
                 return OVERLOADED, self.random.choice([0, SOURCE_REJECTED]), 1500
             elif condition == "unreachable":
                 return CONNECT_FAILED, 0, 1000
             elif condition == "breaks" and draw < 0.7:
-                return RESET, 0, took_us // 3
+                return RESET, 0, latency_us // 3
             elif condition == "no room" and source:
                 return OVERLOADED, NO_CAPACITY, 1500
         if draw > 0.995:
-            return self.random.choice([ERROR, RESET, TIMEOUT, OVERLOADED]), self.random.randrange(12), took_us
-        held = (endpoint, request.key) in self.holds
-        if endpoint == 31 or (held and draw < 0.97):
-            return OK, self.random.choice([HIT, HIT, HIT, 0, STALE]) if endpoint != 31 else 0, took_us
+            return (
+                self.random.choice([ERROR, RESET, TIMEOUT, OVERLOADED]),
+                self.random.randrange(12),
+                latency_us,
+            )
+        is_held = (endpoint, request.key) in self.copies
+        if endpoint == 31 or (is_held and draw < 0.97):
+            return OK, self.random.choice([HIT, HIT, HIT, 0, STALE]) if endpoint != 31 else 0, latency_us
         if not source and endpoint < 20:
             return MISS, COALESCED if draw < 0.1 else 0, 1500
-        if cached_only and (source or endpoint, request.key) not in self.holds and draw < 0.5:
+        if cached_only and (source or endpoint, request.key) not in self.copies and draw < 0.5:
             return MISS, SOURCE_MISS, 3000
-        self.holds.add((endpoint, request.key))
+        self.copies.add((endpoint, request.key))
         if source:
-            self.holds.add((source, request.key))
-        return OK, FILLED if draw < 0.5 else FILLED_BY_ORIGIN, int(took_us * 1.5)
+            self.copies.add((source, request.key))
+        return OK, FILLED if draw < 0.5 else FILLED_BY_ORIGIN, int(latency_us * 1.5)
 
-    def arrive(self) -> Any:
+    def new_request(self) -> Any:
         """A new request, which also schedules the next one; the request rate varies, with peaks."""
         second = (self.now_us - FIRST_US) / 1e6
         rate = self.rate * (2.5 if second % 5 > 4 else 0.6 + 0.4 * (second % 3))
-        self.later(self.random.expovariate(rate) * 1e6, self.arrive)
+        self.schedule(self.random.expovariate(rate) * 1e6, self.new_request)
         return self.request(None)
 
-    def request(self, former: Any) -> Any:
+    def request(self, retried: Any) -> Any:
         draw = self.random
         self.last_request += 1
-        ident = self.last_request
-        if former is not None:
-            request = dataclasses.replace(former, id=ident, patience_us=former.patience_us // 2, repeat=True)
+        request_id = self.last_request
+        if retried is not None:
+            request = dataclasses.replace(
+                retried, id=request_id, patience_us=retried.patience_us // 2, repeat=True
+            )
         else:
             cls = min(draw.randrange(2 * len(self.classes)), len(self.classes) - 1)
             cls = draw.randrange(len(self.classes)) if cls == len(self.classes) - 1 else cls
@@ -384,23 +396,23 @@
             write = self.classes[cls]["ClassWrite"] == "true"
             part = draw.randrange(3) if self.classes[cls]["InPieces"] == "true" else 0
             request = self.interface.Request(
-                ident, cls, draw.randrange(3), key, patience, size, key % 5, part, False, write
+                request_id, cls, draw.randrange(3), key, patience, size, key % 5, part, False, write
             )
-        self.open[ident] = request
+        self.open[request_id] = request
         leaves = request.patience_us * (draw.random() if draw.random() < 0.05 else 1.0)
-        self.later(leaves, lambda: self.leave(ident))
+        self.schedule(leaves, lambda: self.leave(request_id))
         return request
 
-    def leave(self, ident: int) -> Any:
-        return self.interface.Hangup(ident) if self.open.pop(ident, None) is not None else None
+    def leave(self, request_id: int) -> Any:
+        return self.interface.Hangup(request_id) if self.open.pop(request_id, None) is not None else None
 
     def list_all(self, kind: Any) -> None:
         entries = tuple(self.endpoints.values())
-        self.later(1, self.interface.StoreList(kind, self.numbered, entries))
+        self.schedule(1, self.interface.StoreList(kind, self.sequence, entries))
 
-    def disturb(self) -> None:
+    def change_randomly(self) -> None:
         """Make a random change to the simulated system, about twenty times per second."""
-        self.later(self.random.expovariate(20) * SECOND_US, lambda: self.disturb())
+        self.schedule(self.random.expovariate(20) * SECOND_US, lambda: self.change_randomly())
         draw = self.random.random()
         number = self.random.choice(list(self.endpoints))
         of = self.interface
@@ -415,7 +427,7 @@
             entry = self.endpoints[number]
             phase = of.Phase(self.random.choice([0, 0, 1, 2])) if number != 31 else of.Phase(0)
             entry = self.endpoints[number] = dataclasses.replace(entry, phase=phase)
-            self.later(1, of.StoreList(of.ListKind.DELTA, self.numbered, (entry,)))
+            self.schedule(1, of.StoreList(of.ListKind.DELTA, self.sequence, (entry,)))
         elif draw < 0.76:
             kind = self.random.choice([1, 2])
             for other, entry in self.endpoints.items():
@@ -423,16 +435,16 @@
                     self.endpoints[other] = dataclasses.replace(entry, phase=of.Phase.READY)
             self.list_all(of.ListKind(kind))
         elif draw < 0.78:
-            self.later(1, of.StoreList(of.ListKind.FAILED, 0, ()))
+            self.schedule(1, of.StoreList(of.ListKind.FAILED, 0, ()))
         elif draw < 0.86:
             key = self.random.getrandbits(6) * 0x9E3779B97F4A7C15 % (1 << 64)
             whole_group = self.random.random() < 0.3
             age_us = self.random.randrange(400_000)
-            self.later(1, of.Purged(0 if whole_group else key, key % 5, age_us))
+            self.schedule(1, of.Purged(0 if whole_group else key, key % 5, age_us))
         elif draw < 0.9:
-            self.later(1, of.Probed(number, of.Outcome(self.random.choice([1, 4])), 900, (0.25,)))
+            self.schedule(1, of.Probed(number, of.Outcome(self.random.choice([1, 4])), 900, (0.25,)))
         elif draw < 0.93:
-            self.later(1, of.Message(2, b"from a peer"))
+            self.schedule(1, of.Message(2, b"from a peer"))
         elif draw < 0.97:
             self.override()
         else:
@@ -441,12 +453,12 @@
     def restart(self, number: int) -> None:
         """Restart an endpoint: it loses all copies and warms up."""
         of = self.interface
-        self.holds = {held for held in self.holds if held[0] != number}
+        self.copies = {copy for copy in self.copies if copy[0] != number}
         started_us = self.now_us - self.random.randrange(500_000)
         entry = dataclasses.replace(self.endpoints[number], up_since_us=started_us, phase=of.Phase.READY)
         self.endpoints[number] = entry
         self.conditions[number] = "well"
-        self.later(1, of.StoreList(of.ListKind.DELTA, self.numbered, (entry,)))
+        self.schedule(1, of.StoreList(of.ListKind.DELTA, self.sequence, (entry,)))
 
     def override(self) -> None:
         acts = []
@@ -479,11 +491,11 @@
     """Record every deployment and print how often each kind of event occurred."""
     lines: list[str] = []
     for name in DEPLOYMENTS:
-        world = World(name, 7)
-        world.run(4500)
-        world.write_state()
-        lines += world.lines
-        print(name, dict(sorted(world.seen.items())))
+        simulation = Simulation(name, 7)
+        simulation.run(4500)
+        simulation.write_state()
+        lines += simulation.lines
+        print(name, dict(sorted(simulation.seen.items())))
     data = "".join(line + "\n" for line in lines).encode()
     packed = lzma.compress(data, preset=9 | lzma.PRESET_EXTREME)
     Path(sys.argv[1]).write_bytes(packed)
--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -30,7 +30,7 @@
 SECOND = 1_000_000
 
 
-def a_class(**changes: object) -> RequestClass:
+def make_class(**changes: object) -> RequestClass:
     """An idempotent request class, with changed fields."""
     base = RequestClass(
         idempotency=Idempotency.IDEMPOTENT,
@@ -54,7 +54,7 @@
 def settings(*classes: RequestClass, **changes: object) -> Settings:
     """Settings of one of the two routers of zone 1, whose hub is zone 0, with changed fields."""
     base = Settings(
-        classes=classes or (a_class(),),
+        classes=classes or (make_class(),),
         zone=1,
         router_count=2,
         router_index=0,
@@ -104,14 +104,14 @@
 
 CACHES = (11, 12, 13)
 PARENTS = (21, 22, 23)
-THE_ORIGIN = 31
+ORIGIN_NUMBER = 31
 
 
 def complete_list(**changes: Endpoint) -> EndpointListReceived:
     """A list of three caches, three parents and the origin; ``changes`` adds or replaces entries."""
     endpoints = {number: entry(number, CACHE) for number in CACHES}
     endpoints |= {number: entry(number, PARENT) for number in PARENTS}
-    endpoints[THE_ORIGIN] = entry(THE_ORIGIN, ORIGIN)
+    endpoints[ORIGIN_NUMBER] = entry(ORIGIN_NUMBER, ORIGIN)
     endpoints |= {each.number: each for each in changes.values()}
     return EndpointListReceived(EndpointListKind.CACHED, 1, tuple(endpoints.values()))
 
@@ -122,7 +122,7 @@
     return found == [request_id]
 
 
-class World:
+class PolicyHarness:
     """A router and its clock. The methods return all actions except ``SetTimer``."""
 
     def __init__(self, config: Settings | None = None, listed: EndpointListReceived | None = None) -> None:
--- a/tests/policy/test_retry.py
+++ b/tests/policy/test_retry.py
@@ -8,7 +8,7 @@
 
 from magpieshift.policy import rejection, retry
 from magpieshift.policy.settings import DeduplicationScope, Idempotency
-from tests.policy.helpers import CACHE, SECOND, a_class, entry
+from tests.policy.helpers import CACHE, SECOND, entry, make_class
 
 TICK_US = 1000
 SENT_US = 50 * SECOND
@@ -28,7 +28,7 @@
 def test_a_repeat_is_permitted_by_class_and_window(
     idempotency: Idempotency, after_us: int, permitted: bool
 ) -> None:
-    request_class = a_class(idempotency=idempotency, deduplication_us=WINDOW_US)
+    request_class = make_class(idempotency=idempotency, deduplication_us=WINDOW_US)
     assert retry.is_repeat_permitted(request_class, SENT_US, SENT_US + after_us, TICK_US) == permitted
     assert retry.is_repeat_permitted(request_class, None, SENT_US + after_us, TICK_US)
 
@@ -48,9 +48,9 @@
 ) -> None:
     first = entry(11, CACHE, zone=1, cell=5)
     other = entry(12, CACHE, zone=zone, cell=cell)
-    with_key = a_class(idempotency=Idempotency.WITH_KEY, deduplication_scope=scope)
+    with_key = make_class(idempotency=Idempotency.WITH_KEY, deduplication_scope=scope)
     assert retry.is_within_scope(with_key, first, other) == within
-    assert retry.is_within_scope(a_class(deduplication_scope=scope), first, other), (
+    assert retry.is_within_scope(make_class(deduplication_scope=scope), first, other), (
         "idempotent requests may be repeated anywhere"
     )
 
@@ -78,7 +78,7 @@
 def test_what_may_have_run_is_rejected_only_if_a_retry_does_no_harm(
     idempotency: Idempotency, scope: DeduplicationScope, may_reject: bool
 ) -> None:
-    request_class = a_class(idempotency=idempotency, deduplication_scope=scope)
+    request_class = make_class(idempotency=idempotency, deduplication_scope=scope)
     assert rejection.may_reject(request_class, may_have_run=True) == may_reject
     assert rejection.may_reject(request_class, may_have_run=False)
 
