--- a/tests/policy/differential/test_former_decisions.py
+++ b/tests/policy/differential/test_former_decisions.py
@@ -39,7 +39,7 @@
 """The instance number in the recorded reply frames."""
 
 
-def steps() -> Iterator[list[Any]]:
+def recorded_steps() -> Iterator[list[Any]]:
     """All recorded steps in order."""
     with lzma.open(FIXTURE, "rt", encoding="utf-8") as lines:
         for line in lines:
@@ -53,7 +53,7 @@
     return POLICY.class_named("Entry")(number, zone, kind, cell, phase, weight, started_us)
 
 
-def event(recorded: list[Any]) -> Any:
+def to_event(recorded: list[Any]) -> Any:
     """Convert a recorded event to this version's class."""
     name, *values = recorded
     match name:
@@ -68,13 +68,13 @@
     return POLICY.class_named(name)(*values)
 
 
-def plain(action: Any) -> list[Any]:
+def to_recorded(action: Any) -> list[Any]:
     """Convert an action to the recorded form."""
     name = POLICY.names.recorded_class(type(action).__name__)
     return [name, *(getattr(action, field.name) for field in dataclasses.fields(action))]
 
 
-def override(recorded: list[Any]) -> HealthOverride:
+def to_override(recorded: list[Any]) -> HealthOverride:
     """Convert a recorded health override to this version's class."""
     name, *values = recorded
     return Eject(*values) if name == "Leave" else Readmit(*values)
@@ -86,7 +86,7 @@
     router: RouterPolicy | None = None
     batch = 0
     states = 0
-    for kind, *step in steps():
+    for kind, *step in recorded_steps():
         if kind == "boot":
             text, seed = step
             router = RouterPolicy(parse_settings(text), seed)
@@ -96,8 +96,8 @@
         if kind == "batch":
             batch += 1
             now_us, events, actions, checksum = step
-            found = router.handle(now_us, [event(each) for each in events])
-            assert [plain(action) for action in found] == actions, f"batch {batch}"
+            found = router.handle(now_us, [to_event(each) for each in events])
+            assert [to_recorded(action) for action in found] == actions, f"batch {batch}"
             reply = ReplyFrame(batch)
             for action in found:
                 reply.add(INSTANCE, action)
@@ -107,7 +107,7 @@
             reconfigure(router, parse_settings(text), frozenset(fresh))
         elif kind == "override":
             now_us, overrides = step
-            apply_overrides(router, now_us, [override(each) for each in overrides])
+            apply_overrides(router, now_us, [to_override(each) for each in overrides])
         elif kind == "state":
             states += 1
             data = state.encode(state.snapshot(router))
@@ -117,12 +117,12 @@
     assert states > 100
 
 
-def address(endpoint: int) -> bytes:
+def encode_address(endpoint: int) -> bytes:
     """Encode an endpoint as its address and port."""
     return endpoint.to_bytes(6, "big")
 
 
-def wire_record(recorded: list[Any], tail: bytearray) -> bytes:
+def encode_event(recorded: list[Any], tail: bytearray) -> bytes:
     """Encode a recorded event as the simulator does; data of variable length is appended to the tail."""
     name, *values = recorded
     match name:
@@ -130,22 +130,24 @@
             kind, version, entries = values
             start = len(tail)
             for _, number, zone, entry_kind, cell, state_number, weight, started_us in entries:
-                tail += address(number)
+                tail += encode_address(number)
                 tail += struct.pack("<HBHBfQ", zone, entry_kind, cell, state_number, weight, started_us)
             return struct.pack("<BIBQII", 1, INSTANCE, kind, version, start, len(entries))
         case "Request":
-            request_id, class_index, tenant, key, left_us, size_kb, group, part, is_repeat, is_write = values
+            request_id, class_index, tenant, key, time_left_us, size_kb, group, part, is_repeat, is_write = (
+                values
+            )
             marks = 2 * is_repeat + 4 * is_write
-            asked = (request_id, class_index, tenant, key, left_us, size_kb, group, part, marks)
-            return struct.pack("<BIIBIQIfffH", 2, INSTANCE, *asked)
+            request_fields = (request_id, class_index, tenant, key, time_left_us, size_kb, group, part, marks)
+            return struct.pack("<BIIBIQIfffH", 2, INSTANCE, *request_fields)
         case "Begun":
             request_id, number, latency_us, attempt = values
-            head = struct.pack("<BII", 3, INSTANCE, request_id) + address(number)
+            head = struct.pack("<BII", 3, INSTANCE, request_id) + encode_address(number)
             return head + struct.pack("<IH", latency_us, attempt)
         case "Ended":
             request_id, outcome, latency_us, wait_us, is_closed, status, number, attempt, load = values
             fields = (request_id, outcome, latency_us, wait_us, is_closed, status)
-            head = struct.pack("<BIIBIIBI", 4, INSTANCE, *fields) + address(number)
+            head = struct.pack("<BIIBIIBI", 4, INSTANCE, *fields) + encode_address(number)
             return head + struct.pack(f"<HB{len(load)}f", attempt, len(load), *load)
         case "Hangup":
             return struct.pack("<BII", 5, INSTANCE, *values)
@@ -153,7 +155,7 @@
             return struct.pack("<BIQ", 6, INSTANCE, *values)
         case "Probed":
             number, outcome, latency_us, load = values
-            head = struct.pack("<BI", 7, INSTANCE) + address(number)
+            head = struct.pack("<BI", 7, INSTANCE) + encode_address(number)
             return head + struct.pack(f"<BIB{len(load)}f", outcome, latency_us, len(load), *load)
         case "Message":
             body = bytes.fromhex(values[1])
@@ -164,7 +166,7 @@
     raise AssertionError(f"found event {name!r}, expected one that the simulator can send")
 
 
-def wire_frame(number: int, now_us: int, records: list[bytes], tail: bytes) -> EventFrame:
+def encode_batch(number: int, now_us: int, records: list[bytes], tail: bytes) -> EventFrame:
     """A batch as the simulator sends it, without the frame header."""
     packed = b"".join(record.ljust(EVENT_BYTES, b"\0") for record in records)
     return EventFrame(number, struct.pack("<IQ", len(records), now_us) + packed + tail)
@@ -176,7 +178,7 @@
     batch = 0
     tail = bytearray()
     records: list[bytes] = []
-    for kind, *step in steps():
+    for kind, *step in recorded_steps():
         if kind == "boot":
             text, seed = step
             tail += text.encode()
@@ -185,8 +187,8 @@
         elif kind == "batch":
             batch += 1
             now_us, events, _, checksum = step
-            records += [wire_record(each, tail) for each in events]
-            reply = simulator.answer(wire_frame(batch, now_us, records, bytes(tail)))
+            records += [encode_event(each, tail) for each in events]
+            reply = simulator.answer(encode_batch(batch, now_us, records, bytes(tail)))
             assert zlib.crc32(reply) == checksum, f"batch {batch}"
             records.clear()
             tail.clear()
@@ -195,7 +197,7 @@
             reconfigure(simulator.routers[INSTANCE], parse_settings(text), frozenset(fresh))
         elif kind == "override":
             now_us, overrides = step
-            apply_overrides(simulator.routers[INSTANCE], now_us, [override(each) for each in overrides])
+            apply_overrides(simulator.routers[INSTANCE], now_us, [to_override(each) for each in overrides])
 
 
 def test_the_recording_holds_every_kind_of_event_and_of_outcome() -> None:
@@ -206,7 +208,7 @@
     actions: set[str] = set()
     kinds: set[str] = set()
     cache_statuses: set[int] = set()
-    for kind, *step in steps():
+    for kind, *step in recorded_steps():
         kinds.add(kind)
         if kind != "batch":
             continue
--- a/tests/policy/test_simulator.py
+++ b/tests/policy/test_simulator.py
@@ -89,8 +89,8 @@
 
 def test_settings_are_read_and_unknown_keys_skipped() -> None:
     read = parse_settings(SETTINGS)
-    (cls,) = read.classes
-    assert (cls.idempotency, cls.deduplication_scope, cls.max_age_us) == (
+    (request_class,) = read.classes
+    assert (request_class.idempotency, request_class.deduplication_scope, request_class.max_age_us) == (
         Idempotency.WITH_KEY,
         DeduplicationScope.CELL,
         20_000_000,
@@ -102,20 +102,20 @@
 def test_a_missing_setting_is_named(key: str) -> None:
     text = "\n".join(line for line in SETTINGS.splitlines() if not line.startswith(key + "="))
     record, tail = boot(text)
-    done = run(frame([record], tail))
-    assert done.returncode == 0 and key.encode() in done.stdout and done.stdout[12] == 9
+    finished = run(frame([record], tail))
+    assert finished.returncode == 0 and key.encode() in finished.stdout and finished.stdout[12] == 9
 
 
 def test_an_exception_in_the_policy_is_reported_for_its_instance(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     def fail(self: object, now_us: int, events: object) -> None:
-        raise IndexError("no such store")
+        raise IndexError("no such endpoint")
 
     monkeypatch.setattr(RouterPolicy, "handle", fail)
     record, tail = boot(SETTINGS)
     reply = simulator.Simulator().answer(EventFrame(9, frame([record], tail)[8:]))
-    assert reply[12:17] == b"\x09\x04\0\0\0" and reply.endswith(b"IndexError: no such store")
+    assert reply[12:17] == b"\x09\x04\0\0\0" and reply.endswith(b"IndexError: no such endpoint")
     assert "Traceback" in capsys.readouterr().err
 
 
@@ -127,13 +127,13 @@
 def test_a_request_is_answered_with_an_attempt_at_its_cache() -> None:
     record, tail = boot(SETTINGS)
     cache = struct.pack("<4sHHBHBfQ", b"\x0a\x12\x4a\x07", 8080, 1, 0, 0, 0, 5.0, 0)
-    roster = struct.pack("<BIBQII", 1, 4, 2, 41, len(tail), 1)
+    endpoint_list = struct.pack("<BIBQII", 1, 4, 2, 41, len(tail), 1)
     request = struct.pack("<BIIBIQIfffH", 2, 4, 0x5D3A91C4, 0, 0, 99, 240_000, 640.0, 11.0, 3.0, 0)
-    done = run(frame([record, roster, request], tail + cache))
-    number, _, count = struct.unpack_from("<III", done.stdout)
-    code, who, ident, store, port = struct.unpack_from("<BII4sH", done.stdout, 12)
+    finished = run(frame([record, endpoint_list, request], tail + cache))
+    number, _, count = struct.unpack_from("<III", finished.stdout)
+    code, instance, ident, endpoint, port = struct.unpack_from("<BII4sH", finished.stdout, 12)
     assert (number, count) == (9, 2)
-    assert (code, who, ident, store, port) == (12, 4, 0x5D3A91C4, b"\x0a\x12\x4a\x07", 8080)
+    assert (code, instance, ident, endpoint, port) == (12, 4, 0x5D3A91C4, b"\x0a\x12\x4a\x07", 8080)
 
 
 def test_the_documented_outcome_is_decoded() -> None:
@@ -141,19 +141,19 @@
         "0403000000c4913a5d0144480000b824000001020000000a124a07931f00000352b81e3fcdcccc3e0000a03f00000000"
     )
     body = struct.pack("<IQ", 1, 5) + raw.ljust(48, b"\0")
-    ((who, event),) = EventFrame(1, body).events()
-    assert who == 3 and isinstance(event, AttemptEnded)
+    ((instance, event),) = EventFrame(1, body).events()
+    assert instance == 3 and isinstance(event, AttemptEnded)
     assert (event.outcome, event.request_closed, event.cache_status) == (Outcome.OK, True, 2)
     assert (event.latency_us, event.fill_wait_us, len(event.load)) == (18500, 9400, 3)
 
 
 def test_end_of_input_between_frames_is_clean() -> None:
-    done = run(frame([]))
-    assert (done.returncode, done.stderr, len(done.stdout)) == (0, b"", 12)
+    finished = run(frame([]))
+    assert (finished.returncode, finished.stderr, len(finished.stdout)) == (0, b"", 12)
 
 
 @pytest.mark.parametrize(
-    "data, said",
+    "data, message",
     [
         (frame([])[:5], b"header"),
         (frame([])[:-3], b"ends inside"),
@@ -162,7 +162,7 @@
         (struct.pack("<IIIQ", 9, 12, 5, 0), b"do not fit"),
     ],
 )
-def test_bad_frames_give_one_plain_line(data: bytes, said: bytes) -> None:
-    done = run(data)
-    assert done.returncode == 1 and said in done.stderr
-    assert done.stderr.count(b"\n") == 1 and b"Traceback" not in done.stderr
+def test_an_invalid_frame_gives_a_single_error_line(data: bytes, message: bytes) -> None:
+    finished = run(data)
+    assert finished.returncode == 1 and message in finished.stderr
+    assert finished.stderr.count(b"\n") == 1 and b"Traceback" not in finished.stderr
