--- a/magpieshift/policy/actions.py
+++ b/magpieshift/policy/actions.py
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a ``TimerFired`` event."""
+    """Request a ``TimerFired`` event after ``delay_us``."""
 
     delay_us: int
     token: int
--- a/magpieshift/policy/events.py
+++ b/magpieshift/policy/events.py
@@ -51,7 +51,7 @@
     weight: float
     """Its capacity in concurrent requests or a live weight, see ``Settings.weights_are_sizes``."""
     started_us: int
-    """When its process started, on the policy's clock; 0 where that is not known."""
+    """When its process started, on the policy's clock; 0: not known."""
 
 
 @dataclass(slots=True)
@@ -77,7 +77,7 @@
     time_left_us: int
     """Time from now until the client gives up."""
     size_kb: float
-    """Size of the answer; 0 where that is not known."""
+    """Size of the answer; 0: not known."""
     group: int
     """Number of the group with which the object may be purged."""
     part: int
--- a/magpieshift/policy/invalidation.py
+++ b/magpieshift/policy/invalidation.py
@@ -45,7 +45,8 @@
     purges: Purges, request: RequestReceived, class_max_age_us: int, now_us: int, propagation_us: int
 ) -> int:
     """Maximum age of an acceptable copy: that of the class (0: no bound), or the time since a recent purge of
-    the object or its group if that is shorter; then at least 1, as 0 would mean that of the class."""
+    the object or its group if that is shorter. The time since a purge is taken to be at least 1, as 0 would
+    mean the maximum age of the class."""
     purged_us = max(
         purges.get((OBJECT, request.object_key), NEVER_US), purges.get((GROUP, request.group), NEVER_US)
     )
--- a/magpieshift/policy/latency.py
+++ b/magpieshift/policy/latency.py
@@ -24,7 +24,7 @@
 """Time constant of the decay of a slowdown after the last hit: a cache that restarted gives only misses,
 which do not update its slowdown. A larger one avoids a cache for longer after its last hit."""
 MAX_EXCESS_SLOWDOWN = 2.0
-"""Slowdown in excess of that of the median cache, above which a cache gets one attempt at a time; see
+"""A cache whose slowdown exceeds twice the median slowdown by more than this gets one attempt at a time; see
 ``placement.choose_cache``. A smaller one moves requests off a cache sooner."""
 INCREASE_DIVISOR = 20
 """If sizes are not known, a hit slower than the mean service time changes the mean with a weight divided by
--- a/magpieshift/policy/state.py
+++ b/magpieshift/policy/state.py
@@ -37,7 +37,7 @@
     mean: float = 0.0
     """Running mean."""
     deviation: float = 0.0
-    """Running mean of the distance from the mean."""
+    """Running mean of the absolute deviation from the mean."""
 
 
 @dataclass(slots=True, eq=False)
@@ -92,7 +92,7 @@
     answer_by_us: int
     """Deadline for the final answer."""
     service_time_us: float
-    """Time to send the answer without other load; drawn at random where sizes are not known."""
+    """Time to send the answer without other load; drawn at random if sizes are not known."""
     attempts_started: int = 0
     attempt_in_flight: int = -1
     """Number of the attempt in flight; -1: none."""
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -202,7 +202,7 @@
 
 
 def test_an_endpoint_that_stays_silent_is_ejected_for_a_bounded_time() -> None:
-    """Its failure rate rounds to exactly 1, so that dividing by the success rate would be a division by 0."""
+    """The failure rate rounds to exactly 1, so that dividing by the success rate would be a division by 0."""
     harness = PolicyHarness()
     endpoint = harness.router.parents[PARENTS[0]]
     for _ in range(100):
--- a/tests/policy/test_path.py
+++ b/tests/policy/test_path.py
@@ -106,7 +106,8 @@
 
 
 def test_a_slow_attempt_is_not_cancelled_before_the_deadline() -> None:
-    """Cancelling it would start the same fill elsewhere while the first one still runs (incident i620dab)."""
+    """Cancelling a slow attempt would start the same fill elsewhere while the first one still runs (incident
+    i620dab)."""
     harness = PolicyHarness()
     harness.request()
     assert harness.receive(TimerFired(0), after=int(3.9 * SECOND)) == []
@@ -119,8 +120,8 @@
 
 
 def test_a_cache_without_fill_capacity_still_gets_lookups() -> None:
-    """When its rejections of fills counted as failures, it was ejected and its hits were lost too (incident
-    i3a0fa9)."""
+    """When a cache's rejections of fills counted as failures, it was ejected and its hits were lost too
+    (incident i3a0fa9)."""
     harness = PolicyHarness()
     for _ in range(12):
         fill = harness.fill()
@@ -133,8 +134,8 @@
 
 
 def test_the_newest_waiting_fill_goes_first(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The oldest has the least of its objective left; when it was released first, all answers were late
-    (overload scenarios)."""
+    """The oldest request has the least of its objective left; when it was released first, all answers were
+    late (overload scenarios)."""
     harness = PolicyHarness()
     fills = [harness.fill() for _ in range(7)]
     assert [isinstance(f, SendCacheRequest) for f in fills] == [True] * 4 + [False] * 3
@@ -168,8 +169,8 @@
 
 
 def test_nothing_is_queued_for_a_warming_source() -> None:
-    """It is sent so few attempts that queued requests would wait in vain (scenario big-1, parents that
-    restarted after the loss of a hub)."""
+    """A warming source is sent so few attempts that queued requests would wait in vain (scenario big-1,
+    parents that restarted after the loss of a hub)."""
     harness = PolicyHarness()
     first_fill = harness.fill(9)
     assert isinstance(first_fill, SendCacheRequest)
--- a/tests/policy/test_scale.py
+++ b/tests/policy/test_scale.py
@@ -438,8 +438,8 @@
 
 
 def test_a_request_that_is_over_keeps_no_timer() -> None:
-    """Each left a timer that woke the router at the request's deadline, 900 times per second (scenario
-    "rate day")."""
+    """Each finished request left a timer that woke the router at the request's deadline, 900 times per second
+    (scenario "rate day")."""
     harness = PolicyHarness()
     (sent,) = harness.request()
     harness.end_attempt(sent, Outcome.OK, 0)
