--- a/tests/policy/test_deployments.py
+++ b/tests/policy/test_deployments.py
@@ -225,19 +225,21 @@
         """The load that all routers of the zone send within the overload window, if each uses its whole
         share, stays below the capacity of the warming endpoint."""
         for harness in self.each(zone_router_counts=(0, 4), router_count=4):
-            cfg = harness.router.settings
+            config = harness.router.settings
             new = entry(CACHES[0], CACHE, started_us=harness.now)
             harness.receive(EndpointListReceived(EndpointListKind.DELTA, 2, (new,)))
             sent = 0
             for key in range(4_000):
-                harness.now += cfg.overload_window_us // 4_000
+                harness.now += config.overload_window_us // 4_000
                 for action in harness.request(key, size_kb=167.0):
                     if isinstance(action, SendCacheRequest):
                         sent += action.endpoint == new.number
                         harness.end_attempt(action, Outcome.OK, 0, after=0)
             self.assertGreater(sent, 0)
             work_us = 4 * sent * harness.router.service_times_us[0]
-            budget_us = new.weight * cfg.overload_multiple * cfg.slow_start_fraction * cfg.overload_window_us
+            budget_us = (
+                new.weight * config.overload_multiple * config.slow_start_fraction * config.overload_window_us
+            )
             self.assertLess(work_us, budget_us)
 
     def test_an_overloaded_origin_is_avoided_and_not_ejected(self) -> None:
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -133,9 +133,9 @@
                     harness.now += int(fraction * SECOND)
                     for fill in sent:
                         assert isinstance(fill, SendCacheRequest)
-                        took, cache = int(fraction * SECOND), fill.endpoint
+                        latency_us, cache = int(fraction * SECOND), fill.endpoint
                         ended = AttemptEnded(
-                            fill.request_id, Outcome.OK, took, 0, True, CacheStatus.FILLED, cache, 1, ()
+                            fill.request_id, Outcome.OK, latency_us, 0, True, CacheStatus.FILLED, cache, 1, ()
                         )
                         harness.receive(ended)
                 limit_sum += concurrency_limit(harness.router, harness.router.parents[PARENTS[0]], FILL)
@@ -197,7 +197,11 @@
                     out |= {
                         a.request_id: a for a in actions if isinstance(a, SendCacheRequest | SendPlainRequest)
                     }
-                    out = {ident: a for ident, a in out.items() if ident in harness.router.requests}
+                    out = {
+                        request_id: a
+                        for request_id, a in out.items()
+                        if request_id in harness.router.requests
+                    }
                 assert answers == 8 and not harness.router.requests
 
 
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -62,9 +62,9 @@
         self.not_ready: set[int] = set()
         self.timers: list[int] = []
         self.bounds: dict[tuple[int, int], int] = {}
-        self.feed(complete_list())
+        self.handle(complete_list())
 
-    def feed(self, *events: Event) -> None:
+    def handle(self, *events: Event) -> None:
         actions = self.router.handle(self.now, events)
         self.actions_by_batch.append(actions)
         for action in actions:
@@ -87,21 +87,21 @@
         elif isinstance(action, SendPlainRequest | SendCacheRequest):
             self.check_send(action)
         elif isinstance(action, RejectRequest | FailRequest):
-            cls = CLASSES[self.unanswered.pop(action.request_id).class_index]
+            request_class = CLASSES[self.unanswered.pop(action.request_id).class_index]
             assert self.now <= self.deadline[action.request_id]
             attempt_may_have_run = action.request_id in self.may_have_run or any(
                 i == action.request_id for i, _ in self.in_flight
             )
             if isinstance(action, RejectRequest) and attempt_may_have_run:
                 discarded_by_all = (
-                    cls.idempotency == Idempotency.WITH_KEY
-                    and cls.deduplication_scope == DeduplicationScope.ALL
+                    request_class.idempotency == Idempotency.WITH_KEY
+                    and request_class.deduplication_scope == DeduplicationScope.ALL
                 )
-                assert discarded_by_all or cls.idempotency == Idempotency.IDEMPOTENT
+                assert discarded_by_all or request_class.idempotency == Idempotency.IDEMPOTENT
 
     def check_send(self, action: SendPlainRequest | SendCacheRequest) -> None:
         assert action.request_id in self.unanswered, "an attempt was sent for a request that is over"
-        cls, attempt = (
+        request_class, attempt = (
             CLASSES[self.unanswered[action.request_id].class_index],
             self.attempts_started[action.request_id],
         )
@@ -113,9 +113,9 @@
         assert action.endpoint not in self.not_ready
         assert not isinstance(action, SendCacheRequest) or action.source not in self.not_ready
         if action.request_id in self.may_have_run:
-            assert cls.idempotency != Idempotency.NOT_IDEMPOTENT
-            if cls.idempotency == Idempotency.WITH_KEY:
-                assert self.now < self.may_have_run[action.request_id] + cls.deduplication_us
+            assert request_class.idempotency != Idempotency.NOT_IDEMPOTENT
+            if request_class.idempotency == Idempotency.WITH_KEY:
+                assert self.now < self.may_have_run[action.request_id] + request_class.deduplication_us
         self.in_flight[action.request_id, attempt] = action
         self.sent_at[action.request_id, attempt] = self.now
         self.attempts_started[action.request_id] = attempt + 1
@@ -131,7 +131,7 @@
             self.now + time_left_us,
             0,
         )
-        self.feed(request)
+        self.handle(request)
 
     def end(self, number: int) -> None:
         if not self.in_flight:
@@ -144,7 +144,7 @@
             request_closed = True
         if outcome not in NEVER_RAN:
             self.may_have_run.setdefault(request_id, self.sent_at[request_id, attempt])
-        self.feed(
+        self.handle(
             AttemptEnded(
                 request_id, outcome, 1000, 0, request_closed, number % 11, sent.endpoint, attempt, ()
             )
@@ -155,16 +155,16 @@
         (self.not_ready.discard if state == EndpointState.READY else self.not_ready.add)(endpoint)
         kind = CACHE if endpoint in CACHES else PARENT
         changed_entry = entry(endpoint, kind, state=state, started_us=self.now if number % 5 == 0 else 0)
-        self.feed(EndpointListReceived(EndpointListKind.DELTA, 2, (changed_entry,)))
+        self.handle(EndpointListReceived(EndpointListKind.DELTA, 2, (changed_entry,)))
 
     def purge(self, number: int) -> None:
-        self.feed(PurgeReceived(number % 7, number % 3, number * 10))
+        self.handle(PurgeReceived(number % 7, number % 3, number * 10))
 
     def disconnect(self, number: int) -> None:
         if self.unanswered:
             request_id = list(self.unanswered)[number % len(self.unanswered)]
             del self.unanswered[request_id]
-            self.feed(ClientDisconnected(request_id))
+            self.handle(ClientDisconnected(request_id))
 
     def wait(self, number: int) -> None:
         """Advance the clock; each timer fires when it is due."""
@@ -172,7 +172,7 @@
         while (due := min((t for t in self.timers if t <= until), default=None)) is not None:
             self.timers.remove(due)
             self.now = max(self.now, due)
-            self.feed(TimerFired(0))
+            self.handle(TimerFired(0))
         self.now = until
 
 
--- a/tests/policy/test_scale.py
+++ b/tests/policy/test_scale.py
@@ -71,7 +71,7 @@
 def attempt_times_while_warming(routers: int, config: Settings, kind: int, endpoint: int) -> list[int]:
     """Times at which independent busy routers send attempts to a new endpoint of which they all learn at
     once."""
-    now, ident, sent = 100 * SECOND, 0, []
+    now, request_id, sent = 100 * SECOND, 0, []
     fleet = [RouterPolicy(config, seed) for seed in range(routers)]
     new = entry(endpoint, kind, started_us=now)
     only = [entry(s, CACHE) for s in CACHES[:1]] + [entry(31, ORIGIN)]
@@ -80,13 +80,13 @@
     for _ in range(300):
         now += 20_000
         for router in fleet:
-            ident += 1
+            request_id += 1
             for action in router.handle(
-                now, [RequestReceived(ident, 0, 0, ident, 4 * SECOND, 0.0, 3, 0, False, False)]
+                now, [RequestReceived(request_id, 0, 0, request_id, 4 * SECOND, 0.0, 3, 0, False, False)]
             ):
                 if isinstance(action, SendPlainRequest | SendCacheRequest):
                     sent += [now] if endpoint in (action.endpoint, getattr(action, "source", 0)) else []
-                    ended = AttemptEnded(ident, Outcome.OK, 150_000, 0, True, 1, action.endpoint, 0, ())
+                    ended = AttemptEnded(request_id, Outcome.OK, 150_000, 0, True, 1, action.endpoint, 0, ())
                     router.handle(now, [ended])
     return sent
 
@@ -116,7 +116,7 @@
 ) -> list[int]:
     """Times at which routers send attempts to a warming endpoint that was idle for 8 s and then gets requests
     from all of them at once. A tenth of the routers restart from time to time."""
-    start, sent, ident = 100 * SECOND, list[int](), 0
+    start, sent, request_id = 100 * SECOND, list[int](), 0
     new = entry(99, kind, started_us=start, weight=weight)
     listed = (entry(CACHES[0], CACHE), entry(31, ORIGIN), new)
     fleet = [RouterPolicy(config, seed * 1000 + i) for i in range(count)]
@@ -129,12 +129,16 @@
                 fleet[i].handle(now, [EndpointListReceived(EndpointListKind.CACHED, 1, listed)])
         for router in fleet:
             for _ in range(4):
-                ident += 1
-                request = RequestReceived(ident, 0, 0, ident * 7919, 4 * SECOND, 0.0, 3, 0, False, False)
-                for act in router.handle(now, [request]):
-                    if isinstance(act, SendPlainRequest | SendCacheRequest):
-                        sent += [now] if 99 in (act.endpoint, getattr(act, "source", 0)) else []
-                        ended = AttemptEnded(ident, Outcome.OK, 150_000, 0, True, 1, act.endpoint, 0, ())
+                request_id += 1
+                request = RequestReceived(
+                    request_id, 0, 0, request_id * 7919, 4 * SECOND, 0.0, 3, 0, False, False
+                )
+                for action in router.handle(now, [request]):
+                    if isinstance(action, SendPlainRequest | SendCacheRequest):
+                        sent += [now] if 99 in (action.endpoint, getattr(action, "source", 0)) else []
+                        ended = AttemptEnded(
+                            request_id, Outcome.OK, 150_000, 0, True, 1, action.endpoint, 0, ()
+                        )
                         router.handle(now, [ended])
     return sent
 
@@ -425,10 +429,10 @@
     for seed in range(120):
         router = RouterPolicy(config, seed)
         router.handle(now, [complete_list()])
-        for ident in range(1, 11):
-            request = RequestReceived(ident, 0, 0, 5, 4 * SECOND, 0.0, 3, ident, False, False)
+        for request_id in range(1, 11):
+            request = RequestReceived(request_id, 0, 0, 5, 4 * SECOND, 0.0, 3, request_id, False, False)
             sent = next(a for a in router.handle(now, [request]) if isinstance(a, SendCacheRequest))
-            miss = AttemptEnded(ident, Outcome.MISS, 1000, 0, False, 0, sent.endpoint, 0, ())
+            miss = AttemptEnded(request_id, Outcome.MISS, 1000, 0, False, 0, sent.endpoint, 0, ())
             for action in router.handle(now, [miss]):
                 if isinstance(action, SendCacheRequest):
                     at = action.source, bool(action.flags & CacheRequestFlag.SOURCE_CACHED_ONLY)
--- a/tests/policy/test_simulator.py
+++ b/tests/policy/test_simulator.py
@@ -131,9 +131,9 @@
     request = struct.pack("<BIIBIQIfffH", 2, 4, 0x5D3A91C4, 0, 0, 99, 240_000, 640.0, 11.0, 3.0, 0)
     finished = run(frame([record, endpoint_list, request], tail + cache))
     number, _, count = struct.unpack_from("<III", finished.stdout)
-    code, instance, ident, endpoint, port = struct.unpack_from("<BII4sH", finished.stdout, 12)
+    code, instance, request_id, endpoint, port = struct.unpack_from("<BII4sH", finished.stdout, 12)
     assert (number, count) == (9, 2)
-    assert (code, instance, ident, endpoint, port) == (12, 4, 0x5D3A91C4, b"\x0a\x12\x4a\x07", 8080)
+    assert (code, instance, request_id, endpoint, port) == (12, 4, 0x5D3A91C4, b"\x0a\x12\x4a\x07", 8080)
 
 
 def test_the_documented_outcome_is_decoded() -> None:
