--- a/magpieshift/overload/__init__.py
+++ b/magpieshift/overload/__init__.py
@@ -1,4 +1,4 @@
-"""What routers do together where endpoints or routers are overloaded. State machines; no I/O.
+"""Cooperation of routers when endpoints or routers are overloaded. State machines; no I/O.
 
-Off unless the settings ask for it. A router that receives no reports does what it would do alone.
+Disabled unless the settings enable it. A router that receives no reports behaves as if it were disabled.
 """
--- a/magpieshift/overload/codec.py
+++ b/magpieshift/overload/codec.py
@@ -1,4 +1,4 @@
-"""Digests to protobuf bytes and back, and the one place of the protobuf's names."""
+"""Encodes and decodes digests as protobuf. The protobuf's field names are used in this module only."""
 
 from __future__ import annotations
 
@@ -9,20 +9,23 @@
 from magpieshift.overload.failure_reports import MAX_REPORTS_SENT
 from magpieshift.overload.wire import overload_pb2 as wire
 
-MAX_DIGEST_BYTES = 1_100  # leaves room for membership's own fields in a datagram of 1,400
-MAX_REPORTS_READ = 2 * MAX_REPORTS_SENT  # of one digest; a later version may send more than this one
-PRESSURE_UNITS = 1000  # pressure goes in thousandths
-MAX_WIRE_PRESSURE = 100_000  # in thousandths; beyond a hundred times capacity more says nothing
-MAX_WIRE_RATE = 1 << 31  # requests a second; bound of the wire's field
+MAX_DIGEST_BYTES = 1_100  # leaves space for the membership fields in a datagram of 1,400 bytes
+MAX_REPORTS_READ = 2 * MAX_REPORTS_SENT  # accepted in one digest: a later version may send more than this one
+PRESSURE_UNITS = 1000  # pressure is encoded in thousandths
+MAX_WIRE_PRESSURE = 100_000  # thousandths; larger values than 100 times the capacity make no difference
+MAX_WIRE_RATE = 1 << 31  # requests per second; limit of the protobuf field
 US_PER_MS = 1000
 
 
 class MalformedDigestError(MagpieshiftError):
-    """Bytes are no digest; the text says what was found and what was expected."""
+    """The bytes are not a valid digest; the message says what was found and what was expected."""
 
 
 def encode(digest: Digest) -> bytes:
-    """A digest as at most ``MAX_DIGEST_BYTES``: the oldest half of the reports gives way until it fits."""
+    """Encode a digest in at most ``MAX_DIGEST_BYTES``.
+
+    While it is too large, the older half of its reports is left out.
+    """
     reports = digest.reports
     while True:
         raw = wire.Digest(
@@ -44,12 +47,12 @@
 
 
 def decode(data: bytes) -> Digest:
-    """Bytes from anybody as a digest; ``MalformedDigestError`` where they are none."""
+    """Decode untrusted bytes; raises ``MalformedDigestError`` if they are not a digest."""
     raw = wire.Digest()
     try:
         raw.ParseFromString(data)
     except DecodeError as err:
-        raise MalformedDigestError(f"digest: {err}") from err
+        raise MalformedDigestError(f"digest: expected a protobuf Digest message, found: {err}") from err
     if len(raw.words) > MAX_REPORTS_READ:
         raise MalformedDigestError(
             f"digest: found {len(raw.words)} reports, expected at most {MAX_REPORTS_READ}"
--- a/magpieshift/overload/digest.py
+++ b/magpieshift/overload/digest.py
@@ -1,4 +1,4 @@
-"""What one router says to another about endpoints and about itself."""
+"""The gossip message by which a router reports failing endpoints and its own load to others."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FailureReport:
-    """That a router saw an endpoint fail, or recover, so long ago.
+    """A router's last observation of an endpoint: that it failed or that it had recovered.
 
-    Ages are sent in place of times, so no clocks are compared.
+    It carries an age in place of a time stamp, so that clocks of different routers are never compared.
     """
 
     endpoint: str
-    witness: str  # the router that saw it
-    failing: bool  # False: it had recovered
-    age_us: int
+    witness: str  # name of the router that made the observation
+    failing: bool  # False: the endpoint had recovered
+    age_us: int  # time since the observation
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,6 +23,6 @@
     """One gossip message."""
 
     reports: tuple[FailureReport, ...] = ()
-    pressure: float = 0.0  # of the sender: 1.0 is all that it can bear
-    request_rate: float = 0.0  # requests a second that it takes
-    is_offloading: bool = False  # it sends some of its clients to neighbours
+    pressure: float = 0.0  # the sender's load divided by its capacity
+    request_rate: float = 0.0  # requests per second that arrive at the sender
+    is_offloading: bool = False  # the sender offloads requests to its neighbours
--- a/magpieshift/overload/failure_reports.py
+++ b/magpieshift/overload/failure_reports.py
@@ -1,7 +1,7 @@
-"""Reports of failing endpoints, as one router holds them. A state machine of reports and time; no I/O.
+"""The reports of failing endpoints that one router holds. A state machine of reports and time; no I/O.
 
-Each router counts a report's age on from when it arrived. Only its witness renews a report, and reports that
-nobody renews expire.
+A report keeps ageing on the receiver's clock from its arrival. Only the router that witnessed the failure
+renews a report, and a report that is not renewed expires.
 """
 
 from __future__ import annotations
@@ -11,40 +11,41 @@
 
 from magpieshift.overload.digest import FailureReport
 
-REPORT_LIFETIME_US = 3_000_000  # from when the witness saw it: two renewals may be lost
-RENEW_INTERVAL_US = 1_000_000  # in which a witness reports again what still is so
-# A report that was passed on arrives older or younger by the ways it took, which differ by less than this.
+REPORT_LIFETIME_US = 3_000_000  # from the observation to expiry; survives the loss of two renewals
+RENEW_INTERVAL_US = 1_000_000  # at which a witness renews a report that still holds
+# A report counts as renewed only if its observation is later by at least this much: copies of one report that
+# arrive over different paths differ in age by less.
 MIN_AGE_CHANGE_US = RENEW_INTERVAL_US // 2
-MAX_ENDPOINTS = 64  # with reports: names from the network must not fill the memory
-MAX_WITNESSES = 8  # of one endpoint, the latest
-MAX_REPORTS_SENT = 24  # in one digest, which goes along in one datagram
-MAX_NAME_CHARACTERS = 64  # of an endpoint or a witness
+MAX_ENDPOINTS = 64  # for which reports are kept; bounds the memory that names from the network can take
+MAX_WITNESSES = 8  # reports kept for one endpoint, the latest ones
+MAX_REPORTS_SENT = 24  # reports in one digest, which has to fit into one datagram
+MAX_NAME_CHARACTERS = 64  # length limit for the name of an endpoint or a witness
 
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """A report as it is kept."""
+    """A report as stored, with the age converted to a time."""
 
     failing: bool
-    seen_us: int  # on the clock of the router that keeps it
+    seen_us: int  # time of the observation on the clock of the router that stores it
 
 
 class FailureReports:
-    """All that one router has seen and been told of failing endpoints."""
+    """One router's own observations of failing endpoints and those reported by others."""
 
     def __init__(self, own: str) -> None:
-        """``own`` is this router's name, as a witness."""
+        """``own`` is this router's name, under which it reports as a witness."""
         self.own = own
-        self.rejected = 0  # reports for which there was no room, or that make no sense
+        self.rejected = 0  # invalid reports, and those of endpoints in excess of MAX_ENDPOINTS
         self._by_endpoint: dict[str, dict[str, Observation]] = {}  # by endpoint and witness
 
     # --- recording
 
     def record_own(self, endpoint: str, failing: bool, age_us: int | None, now_us: int) -> bool:
-        """Record what this router saw last of an endpoint, so long ago; whether that is news.
+        """Record this router's last observation of an endpoint; returns whether it was stored as new.
 
-        ``age_us`` None: it saw nothing. That an endpoint works is news only while some report otherwise, or
-        it would be passed on for ever.
+        ``age_us`` is the time since the observation, or None if there was none. A success is stored only if
+        a report says that the endpoint fails; otherwise successes would be gossiped endlessly.
         """
         observations = self._by_endpoint.get(endpoint, {})
         is_reported = any(each.failing for each in observations.values() if self._counts(each, now_us))
@@ -57,9 +58,9 @@
         return self._keep(endpoint, self.own, Observation(failing, seen_us))
 
     def merge(self, reports: Iterable[FailureReport], now_us: int) -> bool:
-        """Take in another router's reports; whether any was news.
+        """Merge another router's reports; returns whether any of them was new.
 
-        Reports in this router's own name do not count: it knows better.
+        Reports that name this router as the witness are ignored: its own observations are more recent.
         """
         any_new = False
         for report in list(reports)[: 2 * MAX_REPORTS_SENT]:
@@ -86,7 +87,7 @@
         return observation.seen_us >= before.seen_us + MIN_AGE_CHANGE_US
 
     def _keep(self, endpoint: str, witness: str, observation: Observation) -> bool:
-        """Keep an observation; whether there was room for it."""
+        """Store an observation; returns False if a limit on endpoints or witnesses excluded it."""
         observations = self._by_endpoint.get(endpoint)
         if observations is None:
             if len(self._by_endpoint) >= MAX_ENDPOINTS:
@@ -100,7 +101,7 @@
         return witness in observations
 
     def expire(self, now_us: int) -> None:
-        """Drop the observations that count no more."""
+        """Drop the observations older than ``REPORT_LIFETIME_US``."""
         for endpoint in list(self._by_endpoint):
             current = self._current(endpoint, now_us)
             if current:
@@ -111,11 +112,11 @@
     # --- reading
 
     def endpoints(self) -> Iterable[str]:
-        """The endpoints of which there is any report."""
+        """The endpoints for which any report is stored."""
         return self._by_endpoint.keys()
 
     def failing_witnesses(self, endpoint: str, now_us: int) -> frozenset[str]:
-        """The routers that saw an endpoint fail later than anybody saw it work."""
+        """The routers whose report of a failure is later than every report that the endpoint works."""
         observations = self._current(endpoint, now_us)
         recovered_us = max((each.seen_us for each in observations.values() if not each.failing), default=-1)
         return frozenset(
@@ -123,11 +124,11 @@
         )
 
     def is_recovered(self, endpoint: str, now_us: int) -> bool:
-        """Whether the last that anybody saw of an endpoint is that it works."""
+        """Whether the latest report on an endpoint says that it works."""
         return bool(self._current(endpoint, now_us)) and not self.failing_witnesses(endpoint, now_us)
 
     def youngest(self, now_us: int) -> tuple[FailureReport, ...]:
-        """The reports to send: the youngest ones."""
+        """The most recent reports, as many as fit into one digest."""
         reports = [
             FailureReport(endpoint, witness, each.failing, max(0, now_us - each.seen_us))
             for endpoint in self._by_endpoint
@@ -137,7 +138,7 @@
         return tuple(reports[:MAX_REPORTS_SENT])
 
     def _current(self, endpoint: str, now_us: int) -> dict[str, Observation]:
-        """The observations of an endpoint that still count, by witness."""
+        """The unexpired observations of an endpoint, by witness."""
         observations: Mapping[str, Observation] = self._by_endpoint.get(endpoint, {})
         return {witness: each for witness, each in observations.items() if self._counts(each, now_us)}
 
--- a/magpieshift/overload/gossip.py
+++ b/magpieshift/overload/gossip.py
@@ -1,8 +1,9 @@
 """Gossip of failing endpoints and of routers' load. A state machine of digests and time; no I/O.
 
-Nothing is sent while no endpoint fails and no router is overloaded. News of an endpoint goes to a few members
-at random for some ticks, and from them on; mere renewals go to one a tick. An overloaded router tells its
-neighbours, the members of its zone, and they answer with their own load.
+Nothing is sent while no endpoint fails and no router is overloaded. After a change in what the reports say of
+an endpoint, a router sends its reports to ``FANOUT`` random members for ``URGENT_TICKS`` ticks, and its
+receivers do the same; otherwise it sends them to one random member a tick. An overloaded router reports its
+load to its neighbours, the members of its zone, and they answer with theirs.
 """
 
 from __future__ import annotations
@@ -17,25 +18,25 @@
 from magpieshift.overload.probe_election import EndpointHealth, ProbeElection
 from magpieshift.policy.health_override import HealthOverride
 
-GOSSIP_INTERVAL_US = 200_000  # between two ticks; shorter spreads news sooner and sends more
-FANOUT = 4  # members told of news in a tick
-URGENT_TICKS = 4  # in which news is told to so many; with the fan-out it has then reached hundreds
-NEIGHBOUR_FANOUT = 8  # neighbours told of this router's load
-NEIGHBOUR_INTERVAL_TICKS = 2  # between two reports of the load
-MAX_DIGESTS_PER_TICK = 64  # taken from all senders; a flood beyond is dropped
+GOSSIP_INTERVAL_US = 200_000  # between two ticks; a shorter one spreads changes sooner and sends more digests
+FANOUT = 4  # members that receive the reports in each tick after a change
+URGENT_TICKS = 4  # ticks after a change with that fan-out: enough to reach hundreds of routers
+NEIGHBOUR_FANOUT = 8  # neighbours that receive a load report
+NEIGHBOUR_INTERVAL_TICKS = 2  # between two load reports
+MAX_DIGESTS_PER_TICK = 64  # accepted from all senders together; the excess is dropped
 
 
 @dataclass(frozen=True, slots=True)
 class GossipActions:
-    """What a tick asks for."""
+    """The actions that result from a tick."""
 
-    overrides: list[HealthOverride]  # for the policy to apply
+    overrides: list[HealthOverride]  # ejections and readmissions for the policy to apply
     sends: list[tuple[str, Digest]]  # receiver's name and digest
-    offloading_changed: bool = False  # it has begun or ended
+    offloading_changed: bool = False  # this router has begun or ended offloading
 
 
 class Gossip:
-    """One router's part in the gossip."""
+    """The gossip state machine of one router."""
 
     def __init__(self, own: str, rand: random.Random, now_us: int = 0) -> None:
         self.own = own  # this router's name
@@ -45,16 +46,16 @@
         self.offloading = Offloading(now_us)
         self.sent_digests = 0
         self.received_digests = 0
-        self.dropped_digests = 0  # beyond MAX_DIGESTS_PER_TICK
-        self._urgent_ticks_left = 0  # in which news goes to FANOUT members
+        self.dropped_digests = 0  # received in excess of MAX_DIGESTS_PER_TICK
+        self._urgent_ticks_left = 0  # ticks in which reports still go to FANOUT members
         self._tick_count = 0
         self._received_this_tick = 0
-        # by endpoint, whether others see it fail and whether it has recovered: a change is news
+        # by endpoint: whether other routers report it as failing, and whether it is reported as recovered
         self._findings: dict[str, tuple[bool, bool]] = {}
         self._neighbour_overloaded_us: int | None = None  # when a neighbour last reported to be overloaded
 
     def receive(self, now_us: int, sender: str, digest: Digest, is_neighbour: bool) -> None:
-        """Take in a member's digest; ``is_neighbour`` where it is in this router's zone."""
+        """Process a member's digest; ``is_neighbour`` says whether the sender is in this router's zone."""
         self._received_this_tick += 1
         if self._received_this_tick > MAX_DIGESTS_PER_TICK:
             self.dropped_digests += 1
@@ -76,11 +77,11 @@
         pressure: float = 0.0,
         request_rate: float = 0.0,
     ) -> GossipActions:
-        """Advance by one tick, every ``GOSSIP_INTERVAL_US``.
+        """Advance by one tick; to be called every ``GOSSIP_INTERVAL_US``.
 
-        ``health`` is what this router knows of its endpoints, by name; ``present`` are the members present
-        and not suspect, this router included, and ``neighbours`` those of its zone; ``pressure`` and
-        ``request_rate`` are its own load.
+        ``health`` is this router's own view of its endpoints, by name. ``present`` are the members that are
+        present and not suspect, this router included; ``neighbours`` are those of its zone. ``pressure`` and
+        ``request_rate`` are this router's load.
         """
         self._tick_count += 1
         self._received_this_tick = 0
@@ -104,7 +105,7 @@
             self.reports.record_own(endpoint, own_view.is_failing, age_us, now_us)
 
     def _update_findings(self, now_us: int) -> bool:
-        """Make a change of what the reports say urgent; whether there are any reports."""
+        """Start the urgent ticks if the reports say something new; returns whether there are any reports."""
         findings = {
             endpoint: (
                 bool(self.reports.failing_witnesses(endpoint, now_us) - {self.own}),
--- a/magpieshift/overload/offloading.py
+++ b/magpieshift/overload/offloading.py
@@ -1,9 +1,10 @@
-"""Offloading: an overloaded router sends some clients to its neighbours, as many as those can bear.
+"""Offloading: an overloaded router diverts a fraction of its requests to neighbours with spare capacity.
 
 A state machine of load figures and time; no I/O. An offloaded request is rejected at once with a short
-Retry-After, and the client's retry goes to another router. A request is offloaded once at most: neither a
-retry nor a write is. Which requests go is decided by a hash of their object, so the same ones go while the
-fraction stays. Where no neighbour has lately reported spare capacity, none go.
+Retry-After, and the client's retry goes to another router. Retries and writes are never offloaded, so a
+request is offloaded at most once. The choice is by a hash of the requested object, so requests for the same
+objects are offloaded while the fraction is constant. Nothing is offloaded unless a neighbour has recently
+reported spare capacity.
 """
 
 from __future__ import annotations
@@ -11,56 +12,56 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-# Pressure is load by capacity: 1.0 is all that a router can bear.
-HIGH_PRESSURE = 0.9  # above it offloading begins; the gap to the lower mark is hysteresis
-LOW_PRESSURE = 0.6  # below it offloading ends, and neighbours have spare capacity up to it
-TARGET_PRESSURE = (HIGH_PRESSURE + LOW_PRESSURE) / 2  # what the fraction is steered to
-MIN_HIGH_US = 500_000  # above the high mark for this long before offloading begins: a burst does not count
-MIN_BEGIN_INTERVAL_US = 30_000_000  # between two beginnings: two changes a minute at most under steady load
-LOAD_LIFETIME_US = 2_000_000  # a neighbour's load report counts for this long
-MAX_OFFLOAD_FRACTION = 0.5  # of the requests, whatever the neighbours report
-MAX_NEIGHBOUR_FRACTION = 0.25  # of this router's rate to any one neighbour, which may report anything
-MAX_FRACTION_STEP = 0.1  # a tick; smaller follows load more slowly, larger swings
-MAX_NEIGHBOURS = 64  # names from the network must not fill the memory
-MIN_NEIGHBOUR_PRESSURE = 0.05  # assumed of an idle neighbour, whose capacity its rate does not show
-MIN_FRACTION = 1e-6  # less counts as none
-MIN_DIVISOR = 1e-9  # against division by zero
-HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # Knuth's multiplicative hashing: 2**64 by the golden ratio
+# Pressure is load divided by capacity: at 1.0 a router is fully loaded.
+HIGH_PRESSURE = 0.9  # threshold at which offloading begins; the gap to LOW_PRESSURE is hysteresis
+LOW_PRESSURE = 0.6  # threshold below which offloading ends; a neighbour's spare capacity is counted up to it
+TARGET_PRESSURE = (HIGH_PRESSURE + LOW_PRESSURE) / 2  # set point of the offloaded fraction's control loop
+MIN_HIGH_US = 500_000  # duration of high pressure before offloading begins, so that bursts do not start it
+MIN_BEGIN_INTERVAL_US = 30_000_000  # between two starts; limits steady load to two changes a minute
+LOAD_LIFETIME_US = 2_000_000  # after which a neighbour's load report expires
+MAX_OFFLOAD_FRACTION = 0.5  # of this router's requests, whatever the neighbours report
+MAX_NEIGHBOUR_FRACTION = 0.25  # of this router's request rate, per neighbour: its report may be wrong
+MAX_FRACTION_STEP = 0.1  # change per tick; smaller steps follow load more slowly, larger ones oscillate
+MAX_NEIGHBOURS = 64  # whose load is kept; bounds the memory that names from the network can take
+MIN_NEIGHBOUR_PRESSURE = 0.05  # assumed of an idle neighbour, whose request rate says nothing of its capacity
+MIN_FRACTION = 1e-6  # smaller fractions are set to zero
+MIN_DIVISOR = 1e-9  # prevents division by zero
+HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # Knuth's multiplicative hashing: 2**64 divided by the golden ratio
 HASH_MASK = 0xFFFFFFFFFFFFFFFF
 
 
 @dataclass(frozen=True, slots=True)
 class NeighbourLoad:
-    """What a neighbour reported of itself."""
+    """A neighbour's last load report."""
 
-    pressure: float  # 1.0 is all that it can bear
-    request_rate: float  # requests a second
+    pressure: float  # load divided by capacity
+    request_rate: float  # requests per second
     is_offloading: bool
-    heard_us: int  # when the report arrived
+    heard_us: int  # arrival time of the report
 
 
 class Offloading:
-    """Whether a router offloads, and what fraction of its requests."""
+    """Decides whether one router offloads, and which fraction of its requests."""
 
     def __init__(self, now_us: int = 0) -> None:
         self.is_active = False
-        self.fraction = 0.0  # of requests that may be offloaded, from 0 to 1
-        self.changes = 0  # beginnings and ends
-        self.reason = ""  # of the last change, for people
+        self.fraction = 0.0  # of the objects whose requests are offloaded, from 0 to 1
+        self.changes = 0  # number of starts and ends of offloading
+        self.reason = ""  # of the last change, for logs and admin answers
         self.offloaded_requests = 0
-        self._high_since_us: int | None = None  # when the pressure passed the high mark
+        self._high_since_us: int | None = None  # when the pressure reached HIGH_PRESSURE
         self._began_us = now_us - MIN_BEGIN_INTERVAL_US
         self._neighbours: dict[str, NeighbourLoad] = {}
 
     def update_neighbour(self, name: str, load: NeighbourLoad) -> None:
-        """A neighbour has reported its load."""
+        """Store the load that a neighbour has reported."""
         if name in self._neighbours or len(self._neighbours) < MAX_NEIGHBOURS:
             self._neighbours[name] = load
 
     def tick(self, now_us: int, pressure: float, request_rate: float, present: Collection[str]) -> bool:
-        """Adapt to this router's own load; whether offloading has begun or ended.
+        """Adjust the fraction to this router's load; returns whether offloading has begun or ended.
 
-        ``present`` are the names of the members of this router's zone.
+        ``present`` are the names of the members present in this router's zone.
         """
         self._neighbours = {
             name: load
@@ -78,7 +79,7 @@
         return has_changed
 
     def _update_state(self, now_us: int, pressure: float) -> None:
-        """Begin or end, by the two marks."""
+        """Begin or end offloading by the two pressure thresholds."""
         if pressure < HIGH_PRESSURE:
             self._high_since_us = None
         elif self._high_since_us is None:
@@ -97,7 +98,7 @@
             self.reason = f"pressure {pressure:.2f} for {high_for_us / 1e6:.1f} s"
 
     def _wanted_fraction(self, pressure: float, request_rate: float) -> float:
-        """The fraction that brings the pressure to its target, within what neighbours can take."""
+        """The fraction that brings the pressure to its target, limited by the neighbours' spare capacity."""
         if not self.is_active:
             return 0.0
         wanted = self.fraction + (pressure - TARGET_PRESSURE) / max(pressure, MIN_DIVISOR)
@@ -105,9 +106,9 @@
         return max(0.0, min(wanted, MAX_OFFLOAD_FRACTION, available))
 
     def spare_capacity(self, request_rate: float) -> float:
-        """Requests a second that this router may offload.
+        """Requests per second that this router may offload.
 
-        That is what neighbours can take up to the low mark, divided among all routers that offload.
+        It is the neighbours' spare capacity up to ``LOW_PRESSURE``, divided among all routers that offload.
         """
         offloading_routers = 1 + sum(load.is_offloading for load in self._neighbours.values())
         spare_total = 0.0
@@ -118,7 +119,7 @@
         return spare_total / offloading_routers
 
     def should_offload(self, object_number: int, is_retry: bool, is_write: bool) -> bool:
-        """Whether this request is offloaded; counts it if so."""
+        """Whether to offload this request; counts it if so."""
         if self.fraction <= 0 or is_retry or is_write:
             return False
         is_chosen = (object_number * HASH_MULTIPLIER & HASH_MASK) / 2**64 < self.fraction
--- a/magpieshift/overload/probe_election.py
+++ b/magpieshift/overload/probe_election.py
@@ -1,10 +1,11 @@
-"""Which routers probe a failing endpoint: a few, and the others go by what those find.
-
-A state machine of reports and time; no I/O. The probers are the first by a hash of endpoint and router, the
-same everywhere, of the members present. The others eject the endpoint while they are told that it fails, and
-readmit it at a random moment once it has recovered. Reports alone are bounded in what they can do: it takes
-two witnesses, a router with a recent success of its own ignores them, and they eject at most half of the
-endpoints of a group. Where no reports arrive, each router goes by what it sees itself.
+"""Probe election: a few routers probe a failing endpoint, and the others rely on their reports.
+
+A state machine of reports and time; no I/O. The probers are the present members with the highest hash of
+endpoint and router name, which every router computes alike. The other routers eject the endpoint while it is
+reported as failing, and readmit it after a random delay once it is reported as recovered. The effect of
+reports alone is limited: they need two witnesses, a router with a recent success of its own ignores them, and
+they eject at most half of the endpoints of a group. Without reports each router relies on its own
+observations.
 """
 
 from __future__ import annotations
@@ -17,27 +18,27 @@
 from magpieshift.overload.failure_reports import REPORT_LIFETIME_US, FailureReports
 from magpieshift.policy.health_override import Eject, HealthOverride, Readmit
 
-PROBERS = 2  # of one endpoint at a time: one may be slow or cut off
-PROBE_INTERVAL_US = 1_000_000  # of a prober after a failure, in place of its own growing backoff
-EJECTION_US = 1_500_000  # of one decision; renewed while the endpoint fails
-READMISSION_RAMP_US = 1_000_000  # within which all others readmit it: together they would overload it again
-MIN_WITNESSES = 2  # of a router that has not seen the failure itself: one alone may be at fault
-OWN_SUCCESS_LIFETIME_US = 1_000_000  # a success of this router's own counts for more than any report
+PROBERS = 2  # routers that probe one endpoint: one of them may be slow or disconnected
+PROBE_INTERVAL_US = 1_000_000  # between a failure and the next probe; replaces the prober's growing backoff
+EJECTION_US = 1_500_000  # duration of one ejection, which is renewed while the endpoint fails
+READMISSION_RAMP_US = 1_000_000  # maximum random delay of a readmission: all at once would overload it again
+MIN_WITNESSES = 2  # needed by a router that has not seen the failure itself: a single witness may be at fault
+OWN_SUCCESS_LIFETIME_US = 1_000_000  # during which this router's own success outweighs all reports
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointHealth:
-    """What this router itself knows of an endpoint."""
+    """This router's own observations of an endpoint."""
 
-    number: int  # by which the policy knows it
-    group: tuple[int, int]  # its kind and zone
-    has_high_failure_rate: bool  # above the rate at which this router ejects
-    failure_age_us: int | None  # since its last failure; None: never
-    success_age_us: int | None  # since it last was of use; None: never
+    number: int  # the endpoint's number in the policy
+    group: tuple[int, int]  # the endpoint's kind and zone
+    has_high_failure_rate: bool  # above the threshold of this router's outlier detection
+    failure_age_us: int | None  # time since its last failure; None: no failure was seen
+    success_age_us: int | None  # since its last cache hit or, for a source, last good answer; None: none seen
 
     @property
     def is_failing(self) -> bool:
-        """Whether it failed here lately, and has not succeeded since."""
+        """Whether the endpoint failed within ``REPORT_LIFETIME_US`` and has not succeeded since."""
         failure_age_us = self.failure_age_us
         if not self.has_high_failure_rate or failure_age_us is None or failure_age_us >= REPORT_LIFETIME_US:
             return False
@@ -45,23 +46,23 @@
 
 
 def election_rank(endpoint: str, router: str) -> int:
-    """The rank of a router in the election for an endpoint; the highest are the probers."""
+    """The rank of a router in the election for an endpoint; the highest ranks are the probers."""
     digest = hashlib.blake2b(f"{endpoint} {router}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
 
 class ProbeElection:
-    """One router's part in probing failing endpoints."""
+    """The probe election as computed by one router."""
 
     def __init__(self, own: str, rand: random.Random) -> None:
         self.own = own  # this router's name
         self._random = rand
-        self._ejected: set[str] = set()  # endpoints ejected here as others report them
-        self.probe_decisions = 0  # totals, for people
+        self._ejected: set[str] = set()  # endpoints that this router ejected because of reports
+        self.probe_decisions = 0  # totals, shown by the admin server
         self.ejection_decisions = 0
 
     def is_prober(self, endpoint: str, present: Collection[str]) -> bool:
-        """Whether this router is one of the probers, of the members present."""
+        """Whether this router is among the probers that the present members elect."""
         own_rank = election_rank(endpoint, self.own)
         return sum(election_rank(endpoint, name) > own_rank for name in present if name != self.own) < PROBERS
 
@@ -72,10 +73,10 @@
         present: Collection[str],
         health: Mapping[str, EndpointHealth],
     ) -> list[HealthOverride]:
-        """What to do about each endpoint that is reported.
+        """Decide for each reported endpoint whether to eject, probe or readmit it.
 
-        ``present`` are the members present and not suspect, this router included; ``health`` is of the
-        endpoints that this router may use.
+        ``present`` are the members that are present and not suspect, this router included; ``health`` is this
+        router's view of the endpoints that it may use.
         """
         overrides: list[HealthOverride] = []
         ejectable = self._ejectable_counts(health)
@@ -107,18 +108,18 @@
 
     @staticmethod
     def _is_credible(other_witnesses: int, own_view: EndpointHealth) -> bool:
-        """Whether reports by so many others are acted on."""
+        """Whether reports by this many other witnesses suffice to act on."""
         if own_view.is_failing:
-            return other_witnesses > 0  # with none this router's own backoff will do
+            return other_witnesses > 0  # without any, this router's own backoff applies
         success_age_us = own_view.success_age_us
         has_own_success = success_age_us is not None and success_age_us < OWN_SUCCESS_LIFETIME_US
         return other_witnesses >= MIN_WITNESSES and not has_own_success
 
     @staticmethod
     def _ejectable_counts(health: Mapping[str, EndpointHealth]) -> dict[tuple[int, int], int]:
-        """How many endpoints of each group may be ejected by report.
+        """The number of endpoints in each group that may be ejected because of reports alone.
 
-        That is half of the group, less those that fail by what this router has seen.
+        It is half of the group, less the endpoints that this router itself sees failing.
         """
         total: dict[tuple[int, int], int] = {}
         failing: dict[tuple[int, int], int] = {}
