--- a/magpieshift/membership/__init__.py
+++ b/magpieshift/membership/__init__.py
@@ -1,6 +1,7 @@
-"""Membership among routers: which are present, and what part of the whole each may use.
+"""Membership of the router fleet: which routers are present, and which quota of shared capacity each may use.
 
-State machines of messages and time: ``failure_detector`` monitors, reports and spreads, ``member_table``
-holds what is known, ``quota_lease`` deals out the whole by leases, ``codec`` is the form on the wire, and
-``driver`` does the I/O. A router that runs without membership imports none of it.
+State machines of messages and time: ``failure_detector`` monitors members, reports silent ones and
+disseminates updates, ``member_table`` holds this router's view, ``quota_lease`` distributes the shared
+capacity by leases, ``codec`` encodes datagrams, and ``driver`` does the I/O. A router without membership
+imports none of these modules.
 """
--- a/magpieshift/membership/admission.py
+++ b/magpieshift/membership/admission.py
@@ -1,4 +1,4 @@
-"""Which datagrams are admitted: those of the fleet, within a rate for each address, each once."""
+"""Admission of datagrams: drops those of other fleets, those in excess of a rate limit, and replayed ones."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from magpieshift.membership.member_table import MemberTable
 from magpieshift.membership.messages import Address, Datagram
 
-REPLAY_WINDOW = 64  # datagrams of a sender that may overtake each other, as in IPsec's window (RFC 4303)
+REPLAY_WINDOW = 64  # sequence numbers within which a sender's datagrams may be reordered (as in RFC 4303)
 RATE_PER_S = 200.0  # datagrams admitted from one address: a peer sends far fewer, a flood far more
-BURST_DATAGRAMS = 400.0  # two seconds of the rate, as arrive after a pause of this process
-MAX_EXTRA_ENTRIES = 1024  # kept beyond those of members, before idle ones are dropped
+BURST_DATAGRAMS = 400.0  # two seconds at that rate, which may arrive at once after a pause of this process
+MAX_EXTRA_ENTRIES = 1024  # entries kept in addition to those of members, before idle entries are dropped
 
 
 @dataclass(slots=True)
 class _ReplayWindow:
-    """The sequence numbers of one process that have arrived."""
+    """The sequence numbers that have arrived from one process."""
 
     highest: int = 0
-    seen_bits: int = 0  # bit n: ``highest - n`` has arrived; ``REPLAY_WINDOW`` bits
+    seen_bits: int = 0  # bit n is set if number ``highest - n`` has arrived; ``REPLAY_WINDOW`` bits
 
     def is_new(self, sequence_number: int) -> bool:
-        """Whether this number has not arrived yet; it has from now on."""
+        """Return whether this number has not arrived before, and record it as arrived."""
         if sequence_number > self.highest:
             shift = min(sequence_number - self.highest, REPLAY_WINDOW)
             self.seen_bits = (self.seen_bits << shift | 1) & ((1 << REPLAY_WINDOW) - 1)
@@ -36,17 +36,17 @@
 
 
 class DatagramAdmission:
-    """One router's filter of datagrams; what is dropped is counted by its reason."""
+    """Filters the datagrams that arrive at one router, and counts dropped ones by reason."""
 
     def __init__(self, fleet: str, view: MemberTable, counters: MembershipCounters) -> None:
         self._fleet = fleet
         self._view = view
         self._counters = counters
         self._replay_windows: dict[tuple[str, tuple[int, int]], _ReplayWindow] = {}  # by name and generation
-        self._rate_budgets: dict[Address, tuple[float, int]] = {}  # datagrams left, and when computed
+        self._rate_budgets: dict[Address, tuple[float, int]] = {}  # tokens left, and when computed
 
     def admits(self, now_us: int, source: Address, datagram: Datagram) -> bool:
-        """Whether to take in a datagram; notes each that is."""
+        """Return whether to process a datagram; if so, records its sequence number."""
         if datagram.fleet != self._fleet:
             self._counters.other_fleet += 1
             return False
@@ -56,7 +56,7 @@
         sender = datagram.sender
         own = self._view.own
         if sender.generation == own.generation and sender.name == own.name:
-            return False  # this process's own, come back
+            return False  # a datagram of this process itself
         key = sender.name, sender.generation
         window = self._replay_windows.get(key)
         if window is None:
@@ -71,14 +71,14 @@
         return True
 
     def _is_within_rate(self, now_us: int, source: Address) -> bool:
-        """A token bucket for each source address."""
+        """Take a token from the token bucket of a source address; returns whether there was one."""
         budget, computed_us = self._rate_budgets.get(source, (BURST_DATAGRAMS, now_us))
         budget = min(BURST_DATAGRAMS, budget + RATE_PER_S * (now_us - computed_us) / 1e6)
         self._rate_budgets[source] = max(budget - 1, 0.0), now_us
         return budget >= 1
 
     def forget_idle(self, idle_since_us: int) -> None:
-        """Where there are many, drop addresses silent since then, and processes that are no members."""
+        """If the tables are large, drop addresses that are idle since then, and processes of no member."""
         if len(self._rate_budgets) > 2 * MAX_EXTRA_ENTRIES:
             self._rate_budgets = {
                 address: budget
--- a/magpieshift/membership/codec.py
+++ b/magpieshift/membership/codec.py
@@ -1,6 +1,6 @@
-"""Datagrams to protobuf bytes and back, and the one place of the protobuf's names.
+"""Encodes and decodes datagrams as protobuf. The protobuf's field names are used in this module only.
 
-A datagram that cannot be used raises ``MalformedDatagramError`` and is never half taken.
+A datagram with any invalid field is rejected as a whole with ``MalformedDatagramError``.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 from magpieshift.membership.ring import DIGEST_BUCKETS
 from magpieshift.membership.wire import members_pb2 as wire
 
-MAX_DATAGRAM_BYTES = 1400  # below the Ethernet MTU of 1500 with headers: larger ones would be fragmented
-MAX_RECORDS = 64  # of each kind in one datagram: far more than a router writes
-MAX_QUOTA_PARTS = 16  # scopes in one lease message; a router writes two
-RECORD_CACHE_SIZE = 64  # records: a sender's own is encoded many times between two heartbeats
+MAX_DATAGRAM_BYTES = 1400  # fits the Ethernet MTU of 1500 with headers: larger ones would be fragmented
+MAX_RECORDS = 64  # records accepted of each kind in one datagram, far more than a router sends
+MAX_QUOTA_PARTS = 16  # scopes accepted in one lease message; a router sends two
+RECORD_CACHE_SIZE = 64  # encoded records: a sender's own is encoded many times between two heartbeats
 
 _WIRE_KINDS = {
     LeaseMessageKind.NONE: wire.Claim.NONE,
@@ -42,16 +42,19 @@
 
 
 class MalformedDatagramError(MagpieshiftError):
-    """Bytes are no datagram of a router; the text says what was found and what was expected."""
+    """The bytes are not a valid datagram; the message says what was found and what was expected."""
 
 
 def _seal(data: bytes) -> bytes:
-    """The seam for a message authentication code: here it would be added."""
+    """Extension point for a message authentication code, which would be appended here."""
     return data
 
 
 def _unseal(data: bytes) -> bytes:
-    """And here checked and taken off; ``MalformedDatagramError`` where it does not fit."""
+    """Extension point where a message authentication code would be verified and removed.
+
+    It would raise ``MalformedDatagramError`` for a code that does not match.
+    """
     return data
 
 
@@ -59,7 +62,10 @@
 
 
 def encode(datagram: Datagram) -> bytes:
-    """A datagram as at most ``MAX_DATAGRAM_BYTES``: half of the updates give way until it fits."""
+    """Encode a datagram in at most ``MAX_DATAGRAM_BYTES``.
+
+    While it is too large, the second half of its member records and of its suspicion reports is left out.
+    """
     members = datagram.members
     suspicions = datagram.suspicions
     while True:
@@ -133,7 +139,7 @@
 
 
 def decode(data: bytes) -> Datagram:
-    """Bytes from anybody as a datagram; ``MalformedDatagramError`` where they are none."""
+    """Decode untrusted bytes; raises ``MalformedDatagramError`` if they are not a valid datagram."""
     if len(data) > MAX_DATAGRAM_BYTES:
         raise MalformedDatagramError(
             f"datagram: found {len(data)} bytes, expected at most {MAX_DATAGRAM_BYTES}"
@@ -142,9 +148,12 @@
     try:
         raw.ParseFromString(_unseal(data))
     except DecodeError as err:
-        raise MalformedDatagramError(f"datagram: {err}") from err
+        raise MalformedDatagramError(f"datagram: expected a protobuf Datagram message, found: {err}") from err
     if len(raw.members) > MAX_RECORDS or len(raw.accusations) > MAX_RECORDS:
-        raise MalformedDatagramError(f"datagram: found more than {MAX_RECORDS} rows")
+        raise MalformedDatagramError(
+            f"datagram: found {len(raw.members)} members and {len(raw.accusations)} accusations, "
+            f"expected at most {MAX_RECORDS} of each"
+        )
     suspicions = tuple(_decode_suspicion(row) for row in raw.accusations)
     return Datagram(
         fleet=_text(raw.fleet, "fleet"),
@@ -160,7 +169,7 @@
 def _text(value: str, field: str, required: bool = True) -> str:
     if len(value) > MAX_TEXT_CHARACTERS or (required and not value) or not (value.isprintable() or not value):
         raise MalformedDatagramError(
-            f"{field}: found {len(value)} characters, expected 1 to {MAX_TEXT_CHARACTERS} that can be shown"
+            f"{field}: found {len(value)} characters, expected 1 to {MAX_TEXT_CHARACTERS} printable ones"
         )
     return value
 
@@ -190,7 +199,7 @@
 
 
 def _decode_body(raw: wire.Datagram) -> Body:
-    body: Body = None  # where there is none, or one of a later version
+    body: Body = None  # no body, or a body type of a later version
     match raw.WhichOneof("body"):
         case "ping":
             body = Ping(raw.ping.number)
@@ -201,7 +210,7 @@
         case "sync":
             if len(raw.sync.parts) != DIGEST_BUCKETS:
                 raise MalformedDatagramError(
-                    f"sync: found {len(raw.sync.parts)} parts, expected {DIGEST_BUCKETS}"
+                    f"sync: found {len(raw.sync.parts)} bucket digests, expected {DIGEST_BUCKETS}"
                 )
             body = Sync(tuple(raw.sync.parts), raw.sync.answer)
         case "claim":
@@ -214,8 +223,8 @@
 def _decode_lease_message(claim: wire.Claim) -> LeaseMessage:
     if len(claim.parts) > MAX_QUOTA_PARTS:
         raise MalformedDatagramError(
-            f"claim: found {len(claim.parts)} parts, expected at most {MAX_QUOTA_PARTS}"
+            f"claim: found {len(claim.parts)} quotas, expected at most {MAX_QUOTA_PARTS}"
         )
     quotas = tuple((_text(part.scope, "claim"), part.share) for part in claim.parts)
-    kind = _KINDS.get(claim.kind, LeaseMessageKind.NONE)  # NONE: of a later version
+    kind = _KINDS.get(claim.kind, LeaseMessageKind.NONE)  # NONE: a kind of a later version
     return LeaseMessage(claim.term, kind, claim.number, quotas)
--- a/magpieshift/membership/counters.py
+++ b/magpieshift/membership/counters.py
@@ -1,4 +1,4 @@
-"""Counters of one router's membership, under the names that the admin command MEMBERS shows."""
+"""Counters of one router's membership, named as in the answer of the admin command MEMBERS."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 @dataclass(slots=True)
 class MembershipCounters:
-    """Totals since the start of the process; datagrams unless said otherwise."""
+    """Totals since the start of the process. They count datagrams unless stated otherwise."""
 
     sent: int = 0
     taken: int = 0  # admitted
-    other_fleet: int = 0  # dropped: of another fleet
-    replayed: int = 0  # dropped: came again, or too late
-    flooded: int = 0  # dropped: beyond the rate of an address, or of a tick
-    malformed: int = 0  # dropped: not to be decoded
+    other_fleet: int = 0  # dropped: from another fleet
+    replayed: int = 0  # dropped: duplicate, or behind the replay window
+    flooded: int = 0  # dropped: in excess of the rate limit of an address, or of the limit per tick
+    malformed: int = 0  # dropped: could not be decoded
     slept: int = 0  # pauses of this process
-    conflicts: int = 0  # other processes found alive under this router's name
+    conflicts: int = 0  # live processes that were found under this router's name
--- a/magpieshift/membership/dissemination.py
+++ b/magpieshift/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Dissemination of updates, piggybacked on the datagrams that a router sends anyway (SWIM)."""
+"""Dissemination of updates, piggybacked on the datagrams that a router sends for other purposes (SWIM)."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from magpieshift.membership.messages import Address, Body, Datagram, SendDatagram
 from magpieshift.membership.update_queue import Update, UpdateKey, UpdateQueue
 
-# Of one datagram, so that it stays under 1,400 bytes and is not fragmented.
-MAX_MEMBERS_SENT = 8
-MAX_SUSPICIONS_SENT = 12
-MAX_UPDATES_EXAMINED = 32  # for one datagram: bounds its cost where many updates are stale
-RETRANSMIT_MULTIPLIER = 3  # SWIM's lambda: an update is sent this many times the logarithm of the members
+# Limits for one datagram, which keep it under 1,400 bytes so that it is not fragmented.
+MAX_MEMBERS_SENT = 8  # member records
+MAX_SUSPICIONS_SENT = 12  # suspicion reports
+MAX_UPDATES_EXAMINED = 32  # per datagram; bounds its cost when many queued updates are stale
+RETRANSMIT_MULTIPLIER = 3  # SWIM's lambda: an update is sent lambda * log2(members) times
 
 
 class Dissemination:
-    """The updates of one router, and which of them go along with the next datagram."""
+    """The updates that one router disseminates, and the choice of those for the next datagram."""
 
     def __init__(self, view: MemberTable) -> None:
         self._view = view
@@ -30,11 +30,11 @@
             self.spread_member(self._view.members[change.name].member)
 
     def spread_member(self, member: Member) -> None:
-        """Pass on a member's record."""
+        """Queue a member's record for dissemination."""
         self._enqueue(("m", member.name), member)
 
     def spread_suspicion(self, report: SuspicionReport) -> None:
-        """Pass on a suspicion report."""
+        """Queue a suspicion report for dissemination."""
         self._enqueue(("a", report.suspect, report.reporter), report)
 
     def _enqueue(self, key: UpdateKey, update: Update) -> None:
@@ -44,8 +44,9 @@
     def take_updates(self, counts: bool) -> tuple[tuple[Member, ...], tuple[SuspicionReport, ...]]:
         """The updates for the next datagram, the least often sent first.
 
-        They count as sent only where ``counts``, so where the receiver is likely to read them: when many
-        members die at once, most datagrams go to the dead, and updates would be used up on them.
+        They count as sent only if ``counts``, that is, if the receiver is likely to read them. When
+        many members die at once, most datagrams go to dead members and would use up the transmissions of the
+        updates.
         """
         members: list[Member] = []
         suspicions: list[SuspicionReport] = []
@@ -54,7 +55,7 @@
                 known = self._view.members.get(update.name)
                 if known is None or len(members) >= MAX_MEMBERS_SENT:
                     continue
-                members.append(known.member)  # the latest record of it
+                members.append(known.member)  # its latest record, which may be newer than the queued one
             else:
                 if not self._is_current(update):
                     self.updates.drop(key)
@@ -67,20 +68,20 @@
         return tuple(members), tuple(suspicions)
 
     def _is_current(self, report: SuspicionReport) -> bool:
-        """Whether a report still holds in this router's view."""
+        """Whether a report is still valid in this router's view."""
         known = self._view.members.get(report.suspect)
         return known is not None and (
             report.reporter in known.reporters or self._declared_dead_by_own(known, report)
         )
 
     def _declared_dead_by_own(self, known: KnownMember, report: SuspicionReport) -> bool:
-        """Whether the report is this router's own, about a member that it holds to be dead."""
+        """Whether the report is this router's own, about a member that it has declared dead."""
         is_own = report.reporter == self._view.own.name and report.incarnation == known.member.incarnation
         return is_own and known.state == MemberState.DEAD
 
 
 class Outbox:
-    """The datagrams of one router, numbered, until they are flushed."""
+    """Numbers the datagrams of one router and holds them until they are flushed."""
 
     def __init__(
         self, fleet: str, view: MemberTable, dissemination: Dissemination, counters: MembershipCounters
@@ -93,7 +94,7 @@
         self._sequence_number = 0  # of the last datagram
 
     def send_to(self, member: Member, body: Body) -> None:
-        """Queue a datagram for a member, at the address of its record."""
+        """Queue a datagram for a member, addressed as its record says."""
         known = self._view.members.get(member.name)
         is_healthy = known is not None and known.is_present and member.name not in self._view.under_suspicion
         self.send((member.host, member.port), body, counts=is_healthy)
@@ -103,8 +104,8 @@
     ) -> None:
         """Queue a datagram for an address.
 
-        ``records`` go along in front of what is passed on. ``counts`` says whether the receiver is likely to
-        read the datagram; see ``Dissemination.take_updates``.
+        ``records`` are included ahead of the piggybacked updates. ``counts`` says whether the
+        receiver is likely to read the datagram; see ``Dissemination.take_updates``.
         """
         members, suspicions = self._dissemination.take_updates(counts)
         self._sequence_number += 1
@@ -121,7 +122,7 @@
         self._counters.sent += 1
 
     def flush(self) -> list[SendDatagram]:
-        """Take out the queued datagrams."""
+        """Remove and return the queued datagrams."""
         unsent = self._unsent
         self._unsent = []
         return unsent
--- a/magpieshift/membership/driver.py
+++ b/magpieshift/membership/driver.py
@@ -1,4 +1,4 @@
-"""The one driver of membership's I/O: a UDP socket and a timer around the state machines."""
+"""The I/O of membership: a UDP socket and a timer that drive the state machines."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 log = logging.getLogger(__name__)
 
-MAX_DATAGRAMS_PER_TICK = 512  # read between two ticks; a flood beyond is dropped undecoded
+MAX_DATAGRAMS_PER_TICK = 512  # processed between two ticks; the excess is dropped without decoding
 
 
 def steady_us() -> int:
-    """A clock that never goes back and runs on while the process is stopped, in microseconds."""
+    """A monotonic clock in microseconds that keeps running while the process is paused."""
     return clock.source.steady_us()
 
 
 class MembershipDriver(asyncio.DatagramProtocol):
-    """Owner of the socket and of the timer.
+    """Owns the socket and the timer.
 
-    ``after_tick`` is called at the end of each tick. ``refresh_quota`` is called around everything that may
-    change the quota: what the router uses has to shrink before others are told that it did, and a lease that
-    expired during a pause must not pass for the one just granted.
+    ``after_tick`` is called at the end of each tick. ``refresh_quota`` is called before and after every
+    change of the quota: the router must reduce its usage before it confirms a smaller quota to others, and a
+    lease that expired during a pause must be seen as expired before a new one replaces it.
     """
 
     def __init__(
@@ -52,7 +52,10 @@
         detector.on_lease_message = self._receive_lease_message
 
     async def open(self, address: Address) -> Address:
-        """Bind and begin; the address bound. Raises ``OSError`` where that cannot be."""
+        """Bind the socket and start the timer; returns the bound address.
+
+        Raises ``OSError`` if the address cannot be bound.
+        """
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=address)
         self._transport = transport
@@ -73,7 +76,7 @@
     # --- receiving
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Decode and take in a datagram."""
+        """Decode and process a datagram."""
         self._datagrams_read += 1
         if self._datagrams_read > MAX_DATAGRAMS_PER_TICK:
             self.detector.counters.flooded += 1
@@ -87,11 +90,11 @@
             return
         try:
             self._transmit(self.detector.receive(self.now_us(), source, datagram))
-        except Exception:  # contains a fault that one datagram sets off: the others' membership goes on
+        except Exception:  # a datagram that triggers a bug must not end the membership of the other members
             log.exception("datagram failed", extra=fields(source="{}:{}".format(*source)))
 
     def error_received(self, exc: Exception) -> None:
-        """The system reports a datagram as undeliverable, as its receiver does not run."""
+        """Log an ICMP error for a datagram that was sent earlier: its receiver does not run."""
         log.debug("datagram not delivered", extra=fields(reason=exc))
 
     # --- time
@@ -107,8 +110,8 @@
                 self.detector.send(destination, message)
             self._transmit(self.detector.flush())
             self.after_tick()
-            self._transmit(self.detector.flush())  # the messages of other parts
-        except Exception:  # contains a fault of one tick: the timer goes on, and the next tick may do
+            self._transmit(self.detector.flush())  # the messages that after_tick queued
+        except Exception:  # a bug in one tick must not stop the timer: the next tick may succeed
             log.exception("tick failed")
 
     def _receive_lease_message(self, message: LeaseMessage, sender: Member, source: Address) -> None:
--- a/magpieshift/membership/failure_detector.py
+++ b/magpieshift/membership/failure_detector.py
@@ -1,11 +1,13 @@
 """SWIM-like failure detection among routers. A state machine of datagrams and time; no I/O.
 
-Each member monitors the next ``MONITORED_PEERS`` on a ring, pings each of them every round, and tries again
-through another member. It reports a member of which no heartbeat arrived for ``HEARTBEAT_TIMEOUT_US``, and
-reports spread. A member is suspect while ``SUSPICION_QUORUM`` different reporters hold, and dead once that
-has lasted ``SUSPICION_TIMEOUT_US``; each router decides by itself. Any later heartbeat clears all reports.
-
-A router that hears nobody, or was just paused, reports and declares nobody: the silence is its own.
+Each member monitors its next ``MONITORED_PEERS`` successors on a ring, pings each of them every round, and
+retries directly and through another member. It reports a member from which no heartbeat arrived for
+``HEARTBEAT_TIMEOUT_US``, and the reports are disseminated. A member is suspect while reports by
+``SUSPICION_QUORUM`` different members hold, and dead once it was suspect for ``SUSPICION_TIMEOUT_US``; each
+router decides this for itself. A later heartbeat of the member refutes the reports.
+
+A router that receives no datagrams or has just resumed from a pause neither reports members nor declares them
+dead, since it is then itself the cause of the silence.
 """
 
 from __future__ import annotations
@@ -46,24 +48,24 @@
 from magpieshift.membership.synchronization import Synchronization
 from magpieshift.membership.unknown_peers import UnknownPeers
 
-GOSSIP_TICKS = 2  # updates are sent every second tick
-GOSSIP_FANOUT = 2  # to so many members at random, while there are updates
-# The fan-out of a router that was lately reported itself: its heartbeat must reach others by more ways.
+GOSSIP_TICKS = 2  # ticks between two transmissions of updates
+GOSSIP_FANOUT = 2  # random members that receive each transmission, while there are updates
+# Fan-out of a router that was recently reported itself: its heartbeat has to reach the others by more paths.
 REPORTED_FANOUT = 6
-LEAVE_FANOUT = 2 * MONITORED_PEERS  # members at random told of a leave, besides the next on the ring
-BOOT_ID_SUFFIX_CHARACTERS = 9  # of a name taken in a conflict: "~" and eight digits
+LEAVE_FANOUT = 2 * MONITORED_PEERS  # random members notified of a leave, in addition to the ring successors
+BOOT_ID_SUFFIX_CHARACTERS = 9  # appended to the name that lost a name conflict: "~" and eight hex digits
 
 
 def _ignore_lease_message(message: LeaseMessage, sender: Member, source: Address) -> None:
-    """Receives lease messages where no quotas are leased."""
+    """Handles lease messages while no quota lease is attached: drops them."""
 
 
 def _ignore_extension_message(message: ExtensionMessage, sender: Member) -> None:
-    """Receives extension messages where no other part listens."""
+    """Handles extension messages while no extension is attached: drops them."""
 
 
 class FailureDetector:
-    """One router's part in the membership of a fleet."""
+    """The membership state machine of one router."""
 
     def __init__(
         self,
@@ -74,11 +76,11 @@
         rand: random.Random,
         tuning: DetectorTuning = DetectorTuning(),  # noqa: B008, it is frozen
     ) -> None:
-        """``own`` is this router's first record, ``seeds`` are addresses to join by."""
+        """``own`` is this router's first record; ``seeds`` are the addresses that it contacts to join."""
         self.view = MemberTable(own, now_us)
         self.counters = MembershipCounters()
-        self.superseded = False  # a successor goes on under this name: this process probes nobody
-        self.expects_successor = False  # a replacement is under way: another process is no conflict
+        self.superseded = False  # a successor process has taken over this name: this one stops probing
+        self.expects_successor = False  # during a replacement, a second process of this name is no conflict
         self.on_lease_message: Callable[[LeaseMessage, Member, Address], None] = _ignore_lease_message
         self.on_extension_message: Callable[[ExtensionMessage, Member], None] = _ignore_extension_message
         self._tuning = tuning
@@ -96,34 +98,34 @@
         self._unknown_peers = UnknownPeers(self._outbox, self._pings)
         self._indirect_pings = IndirectPings(self.view, self._outbox, self._pings)
         self._tick_count = 0
-        self._last_reported_us = -SUSPICION_TIMEOUT_US  # when a report of this router last arrived
+        self._last_reported_us = -SUSPICION_TIMEOUT_US  # when a report that suspects this router last arrived
 
     # --- reading
 
     @property
     def now_us(self) -> int:
-        """The time of the last tick or datagram."""
+        """The time of the last tick or received datagram."""
         return self._health.now_us
 
     @property
     def isolated(self) -> bool:
-        """Whether it has lately heard nobody, though others are present."""
+        """Whether no member's datagram arrived within the heartbeat timeout, although others are present."""
         return self._health.is_isolated(self.view.present_count)
 
     @property
     def locally_healthy(self) -> bool:
-        """Whether it may report others: it runs, and hears."""
+        """Whether this router may report others: it is not isolated and was not paused recently."""
         return self._health.is_healthy(self.view.present_count)
 
     @property
     def eligible_reporters(self) -> int:
-        """How many could report: alive members that this router does not report, itself included."""
+        """The number of possible reporters: alive members, this router included, that it does not report."""
         return self._suspicion.eligible_reporters
 
     # --- time
 
     def tick(self, now_us: int) -> list[SendDatagram]:
-        """Advance by one tick, every ``TICK_INTERVAL_US``; the datagrams to be sent."""
+        """Advance by one tick, to be called every ``TICK_INTERVAL_US``; returns the datagrams to send."""
         if self._health.tick(now_us):
             self._resume_from_pause()
         self._tick_count += 1
@@ -143,7 +145,7 @@
         return self.flush()
 
     def _resume_from_pause(self) -> None:
-        """What was missed during a pause is no silence of others: every suspicion begins anew."""
+        """Restart all suspicions: heartbeats that this process missed while paused were not missing."""
         self.counters.slept += 1
         if not self._tuning.local_health:
             return
@@ -154,7 +156,7 @@
             self.view.remove_suspicion(known.member.name, self.view.own.name)
 
     def _begin_round(self) -> None:
-        """Contact a member at random, absent seeds and dead members, and another process of this name."""
+        """Contact a random member, an absent seed, a dead member, and another process of this name."""
         for member in self._probing.random_members(1):
             self._probing.ping(self.now_us, member)
         self._reconnection.contact_absent_seed(self.now_us)
@@ -190,7 +192,7 @@
             self._outbox.send_to(member, None)
 
     def leave(self, now_us: int) -> list[SendDatagram]:
-        """Leave on purpose; the datagrams to be sent, to several members as each may be lost."""
+        """Leave the fleet; returns the datagrams to send, to several members because each may be lost."""
         self._health.now_us = now_us
         if not self.superseded:
             self.view.update_own(has_left=True)
@@ -204,7 +206,7 @@
         return self.flush()
 
     def update_own_record(self, **fields: object) -> None:
-        """Say new values of fields of this router's ``Member`` record; the load alone is not news."""
+        """Update fields of this router's ``Member`` record; a change of load alone is not disseminated."""
         own = self.view.own
         changes = {name: value for name, value in fields.items() if getattr(own, name) != value}
         if changes:
@@ -213,21 +215,21 @@
                 self._dissemination.spread_member(self.view.own)
 
     def send(self, destination: Address, body: Body) -> None:
-        """Queue a message of another state machine for the next flush."""
+        """Queue a message of another state machine, such as the quota lease, for the next flush."""
         self._outbox.send(destination, body)
 
     def send_extension_message(self, member: Member, topic: str, data: bytes) -> None:
-        """Queue a message of another part of the router for the next flush."""
+        """Queue an extension's message for the next flush."""
         self._outbox.send_to(member, ExtensionMessage(topic, data))
 
     def flush(self) -> list[SendDatagram]:
-        """Take out the queued datagrams."""
+        """Remove and return the queued datagrams."""
         return self._outbox.flush()
 
     # --- receiving
 
     def receive(self, now_us: int, source: Address, datagram: Datagram) -> list[SendDatagram]:
-        """Take in a datagram; the datagrams to be sent."""
+        """Process a datagram; returns the datagrams to send."""
         self._health.now_us = max(self.now_us, now_us)
         if not self._admission.admits(self.now_us, source, datagram):
             return []
@@ -243,7 +245,7 @@
         return self.flush()
 
     def _admit_sender(self, sender: Member, datagram: Datagram) -> bool:
-        """Whether the sender is a member; its record is merged if so, and it is challenged if not."""
+        """Return whether the sender is a present member; merges its record if so and challenges it if not."""
         if sender.name == self.view.own.name:
             self._name_conflict.observe(sender)
             return False
@@ -255,7 +257,7 @@
                 self._merger.merge_record(self.now_us, sender, "heard")
                 return self.view.members[sender.name].is_present
             if sender.generation < member.generation:
-                # an earlier start of it: it has to learn that its name is another's
+                # a process that was started earlier: tell it which process has its name now
                 self._outbox.send((sender.host, sender.port), None, (member,))
                 return False
         if self._unknown_peers.is_answer(datagram.body, sender):
@@ -284,7 +286,7 @@
                 self.on_extension_message(body, sender)
 
     def _yield_name(self, holder: Member) -> None:
-        """Leave this router's name to a later process that is alive under it."""
+        """Give up this router's name to a process that was started later and answered a ping."""
         if not self._name_conflict.confirm_alive(holder):
             return
         if self.expects_successor:
@@ -294,4 +296,4 @@
         own = self.view.own
         prefix = own.name[: MAX_TEXT_CHARACTERS - BOOT_ID_SUFFIX_CHARACTERS]
         self.view.rename_own(f"{prefix}~{own.boot_id:08x}", self.now_us)
-        self.view.merge(holder, self.now_us, "holds the name this router was given")
+        self.view.merge(holder, self.now_us, "started later under the name that this router had")
--- a/magpieshift/membership/indirect_pings.py
+++ b/magpieshift/membership/indirect_pings.py
@@ -1,4 +1,4 @@
-"""Acks, and pings made for other members (SWIM's indirect probe)."""
+"""Handling of acks, and pings on behalf of other members (SWIM's indirect probe)."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class IndirectPings:
-    """Pings members for others, and passes their acks on."""
+    """Pings members on behalf of others and forwards the acks."""
 
     def __init__(self, view: MemberTable, outbox: Outbox, pings: PendingPings) -> None:
         self._view = view
@@ -18,16 +18,16 @@
         self._pings = pings
 
     def ping_for(self, now_us: int, request: PingRequest, requester: Address) -> None:
-        """Ping the target of a request, where it is present."""
+        """Ping the target of a request, if it is present."""
         known = self._view.members.get(request.target)
         if known is not None and known.is_present:
             ping = PendingPing(request.target, now_us, requester=(requester, request.ping_id))
             self._outbox.send_to(known.member, Ping(self._pings.add(ping)))
 
     def receive_ack(self, ping_id: int, sender: Member) -> Member | None:
-        """Complete a ping, and pass the ack on where the ping was made for another member.
+        """Complete a ping, and forward the ack if the ping was sent on behalf of another member.
 
-        Returns the other process of this router's name where it is the one that answered.
+        Returns the other process with this router's name if it is the one that answered.
         """
         ping = self._pings.get(ping_id)
         if ping is None or ping.answered:
--- a/magpieshift/membership/member_table.py
+++ b/magpieshift/membership/member_table.py
@@ -1,8 +1,8 @@
-"""What one router knows of all members: its view. No I/O and no clock; times are microseconds, passed in.
+"""One router's view of the membership. No I/O and no clock; callers pass times in microseconds.
 
-Of two records of a name the later one holds; a suspicion report holds as long as no later heartbeat than its
-own is known. So a datagram that was delayed or repeated changes nothing, and a living member need not see a
-report to refute it: its next heartbeat, by whatever way it arrives, does.
+Of two records of one name the one with the higher version is valid. A suspicion report is valid until a later
+heartbeat of the suspect than the reported one is known. So a delayed or duplicated datagram changes nothing,
+and a live member need not see a report to refute it: its next heartbeat does, by whatever path it arrives.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from magpieshift.membership.rejoin_damping import is_rejoin_held_back
 from magpieshift.membership.ring import MemberRing
 
-MAX_REPORTERS = 8  # kept of one suspect: the quorum is smaller, so more would change nothing
-FORGET_AFTER_US = 600_000_000  # an absent member is forgotten then, and is new if it comes back
+MAX_REPORTERS = 8  # kept for one suspect: the quorum is smaller, so more reporters would change nothing
+FORGET_AFTER_US = 600_000_000  # retention of an absent member; one that returns later counts as new
 
 
 class MemberTable:
@@ -30,12 +30,12 @@
 
     def __init__(self, own: Member, now_us: int) -> None:
         self.own = own  # this router's latest record
-        self.version = 0  # changes of the view so far
+        self.version = 0  # number of changes of the view so far
         self.listeners: list[Callable[[MembershipChange], None]] = []
         self.members: dict[str, KnownMember] = {}  # by name, absent ones included
-        self.ring = MemberRing()  # the present ones
-        self.under_suspicion: set[str] = set()  # present ones that are reported, or suspect
-        self.rejected_records = 0  # for which there was no room
+        self.ring = MemberRing()  # the present members
+        self.under_suspicion: set[str] = set()  # names of present members that are reported or suspect
+        self.rejected_records = 0  # records of new members in excess of MAX_MEMBERS
         self._add(own, MemberState.ALIVE, now_us, "started")
 
     # --- reading
@@ -47,26 +47,30 @@
 
     @property
     def present_count(self) -> int:
-        """How many members are alive or suspect, this router included."""
+        """The number of alive and suspect members, this router included."""
         return len(self.ring)
 
     @property
     def has_absent_members(self) -> bool:
-        """Whether any dead or departed member is known."""
+        """Whether any member is known that is dead or has left."""
         return len(self.members) > self.present_count
 
     def present_members(self) -> list[KnownMember]:
-        """The alive and suspect members, this router included, by name."""
+        """The alive and suspect members, this router included, sorted by name."""
         return [self.members[name] for name in sorted(name for _, name in self.ring.positions)]
 
     def ring_successors(self, name: str) -> Iterator[KnownMember]:
-        """All other present members, once round the ring, beginning behind this name."""
+        """All other present members in ring order, beginning with the successor of this name."""
         return (self.members[other] for other in self.ring.successors(name))
 
     # --- records
 
     def merge(self, member: Member, now_us: int, reason: str) -> bool:
-        """Take in a record of another member; whether it said anything new."""
+        """Merge a record of another member.
+
+        Returns whether it changed the view's set of members or a member's process, address, heartbeat or
+        leave.
+        """
         known = self.members.get(member.name)
         if known is None:
             return self._merge_unknown(member, now_us, reason)
@@ -94,7 +98,7 @@
 
     def _merge_unknown(self, member: Member, now_us: int, reason: str) -> bool:
         if member.has_left:
-            return False  # it was never present in this view
+            return False  # the member was never present in this view
         if not self._make_room():
             self.rejected_records += 1
             return False
@@ -111,7 +115,7 @@
         )
 
     def update_own(self, **changes: object) -> Member:
-        """Change this router's own record, one heartbeat later; the new record."""
+        """Change this router's own record and increment its heartbeat; returns the new record."""
         known = self.members[self.own.name]
         own = replace(self.own, heartbeat=self.own.heartbeat + 1, **changes)  # type: ignore[arg-type]
         if own.generation != self.own.generation:
@@ -120,7 +124,7 @@
         return own
 
     def rename_own(self, name: str, now_us: int) -> None:
-        """Go on under another name, as this one belongs to another process."""
+        """Give this router another name, because a different process holds its present one."""
         known = self.members.pop(self.own.name)
         if known.is_present:
             self.ring.remove(known.member)
@@ -138,7 +142,7 @@
     # --- suspicions
 
     def add_suspicion(self, report: SuspicionReport) -> bool:
-        """Keep a report that nothing known refutes; whether it is new."""
+        """Store a report unless it is refuted or superfluous; returns whether it was stored as new."""
         known = self.members.get(report.suspect)
         if known is None or report.suspect == self.own.name or not known.is_present:
             return False
@@ -153,19 +157,19 @@
         return True
 
     def remove_suspicion(self, name: str, reporter: str) -> None:
-        """Drop what this reporter has reported of a member."""
+        """Remove this reporter's suspicion report of a member."""
         if known := self.members.get(name):
             known.reporters.pop(reporter, None)
             self._update_suspects(known)
 
     def set_state(self, name: str, state: MemberState, now_us: int, reason: str) -> None:
-        """Put a member in a state; nothing changes where it is in it."""
+        """Set the state of a member; no effect if it already has that state."""
         self._transition(self.members[name], state, now_us, reason)
 
     # --- bookkeeping
 
     def _make_room(self) -> bool:
-        """Whether a further member may be kept; the member that is absent longest makes room."""
+        """Return whether a member may be added; drops the member that is absent longest if necessary."""
         if self.present_count >= MAX_MEMBERS:
             return False
         if len(self.members) >= 2 * MAX_MEMBERS:
@@ -180,7 +184,7 @@
         self._notify(member.name, None, state, now_us, reason)
 
     def _transition(self, known: KnownMember, state: MemberState, now_us: int, reason: str) -> None:
-        """The one place where the state of a member changes."""
+        """Change the state of a member; every change of state goes through this method."""
         old_state = known.state
         was_present = known.is_present
         if old_state == state:
@@ -197,7 +201,7 @@
         self._notify(known.member.name, old_state, state, now_us, reason)
 
     def _update_suspects(self, known: KnownMember) -> None:
-        """Keep ``under_suspicion`` in step with one member."""
+        """Update ``under_suspicion`` for one member."""
         if known.is_present and (known.reporters or known.state == MemberState.SUSPECT):
             self.under_suspicion.add(known.member.name)
         else:
--- a/magpieshift/membership/messages.py
+++ b/magpieshift/membership/messages.py
@@ -1,4 +1,4 @@
-"""The datagrams between routers, as typed values; ``codec`` gives them their form on the wire."""
+"""The datagrams between routers as typed values; ``codec`` encodes and decodes them."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 class Ack:
     """The answer to a ``Ping`` or a ``PingRequest``."""
 
-    ping_id: int  # of the request it answers
-    target: str = ""  # the member pinged for the receiver; empty: the sender itself
+    ping_id: int  # id of the ping or ping request that it answers
+    target: str = ""  # the member that was pinged on the receiver's behalf; empty: the sender itself
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,38 +36,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Sync:
-    """Anti-entropy: the digests of the sender's view, answered with members of the buckets that differ."""
+    """Anti-entropy: the bucket digests of the sender's view; the answer has members of differing buckets."""
 
     bucket_digests: tuple[int, ...]
-    is_reply: bool = False  # a reply is not answered with digests again
+    is_reply: bool = False  # a reply is not answered with another ``Sync``
 
 
 class LeaseMessageKind(Enum):
-    """What a ``LeaseMessage`` says."""
+    """The types of ``LeaseMessage``."""
 
-    NONE = auto()  # of a later version; ignored
+    NONE = auto()  # a kind of a later version, which is ignored
     VOTE_REQUEST = auto()  # candidate to voter
-    VOTE = auto()  # voter to candidate: it votes for nobody else until its promise has run out
+    VOTE = auto()  # voter to candidate: the voter votes for no other candidate until its promise expires
     QUOTA_REQUEST = auto()  # holder to leader
     GRANT = auto()  # leader to holder
-    GRANT_ACCEPTED = auto()  # holder to leader: it uses no more than this now
+    GRANT_ACCEPTED = auto()  # holder to leader: the holder now uses no more than the granted quotas
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseMessage:
-    """A message of quota leases; see ``quota_lease``."""
+    """A message of the quota lease protocol; see ``quota_lease``."""
 
-    term: int  # of the leader; 0 in messages to it that belong to no term
+    term: int  # the leader's or candidate's term; 0 in messages from a holder
     kind: LeaseMessageKind
-    request_id: int = 0  # an answer carries that of its request
-    quotas: tuple[tuple[str, float], ...] = ()  # by scope, each a part of the pool from 0 to 1
+    request_id: int = 0  # in an answer, the id of the request that it answers
+    quotas: tuple[tuple[str, float], ...] = ()  # by scope, each a fraction of the pool from 0 to 1
 
 
 @dataclass(frozen=True, slots=True)
 class ExtensionMessage:
-    """A message of another part of the router, carried and not interpreted."""
+    """An extension's message, which membership transports without interpreting it."""
 
-    topic: str  # chooses the receiver
+    topic: str  # selects the extension that receives the message
     data: bytes
 
 
@@ -76,12 +76,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """One datagram, with the updates that travel along with it."""
+    """One datagram with its piggybacked updates."""
 
-    fleet: str  # datagrams of another fleet are dropped
-    sender: Member  # its record at the time of sending
-    sequence_number: int  # rises with each datagram of the process: a replayed one is dropped
-    view_digest: int  # of the sender's view
+    fleet: str  # name of the sender's fleet; datagrams of other fleets are dropped
+    sender: Member  # the sender's record at the time of sending
+    sequence_number: int  # rises with each datagram of the process, so that replayed ones can be dropped
+    view_digest: int  # digest of the sender's view
     body: Body = None
     members: tuple[Member, ...] = ()
     suspicions: tuple[SuspicionReport, ...] = ()
--- a/magpieshift/membership/probing.py
+++ b/magpieshift/membership/probing.py
@@ -1,4 +1,4 @@
-"""Direct and indirect probes (SWIM): which members a router monitors, and when it pings each."""
+"""Direct and indirect probes (SWIM): chooses the members that a router monitors and schedules their pings."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 from magpieshift.membership.messages import Ping, PingRequest
 from magpieshift.membership.pings import PendingPing, PendingPings
 
-TICK_INTERVAL_US = 100_000  # of the detector; shorter spreads load more evenly and costs more wake-ups
-TICKS_PER_ROUND = 8  # SWIM's protocol period, 0.8 s: each monitored member is pinged once in it
-RETRY_AFTER_TICKS = 2  # without an ack: longer than a round trip, and well within the round
-DRAWS_PER_MEMBER = 4  # tries to draw one random member that is neither excluded nor under suspicion
+# Of the failure detector; a shorter interval spreads the load more evenly and costs more wake-ups.
+TICK_INTERVAL_US = 100_000
+TICKS_PER_ROUND = 8  # SWIM's protocol period of 0.8 s, in which each monitored member is pinged once
+RETRY_AFTER_TICKS = 2  # until a ping without an ack is retried: more than a round trip, well within a round
+DRAWS_PER_MEMBER = 4  # random draws per wanted member, since excluded and suspected members are skipped
 
 
 class Probing:
-    """The members that one router monitors: the next ones on the ring."""
+    """Monitors this router's successors on the ring."""
 
     def __init__(
         self,
@@ -27,17 +28,17 @@
         rand: random.Random,
         min_monitored: int,
     ) -> None:
-        """``min_monitored``: healthy members to monitor, where there are so many."""
+        """``min_monitored`` is the number of healthy members to monitor, or all if there are fewer."""
         self._view = view
         self._outbox = outbox
         self._pings = pings
         self._random = rand
         self._min_monitored = min_monitored
-        self._chosen_for = (-1, -1)  # version of the view and count of suspects that the choice was made for
-        self.monitored_since: dict[str, int] = {}  # by name, since when; in the order of the ring
+        self._chosen_for = (-1, -1)  # view version and number of suspected members at the last choice
+        self.monitored_since: dict[str, int] = {}  # by name, in ring order: when monitoring began
 
     def tick(self, now_us: int, tick_in_round: int) -> None:
-        """Ping the members whose turn it is, and retry those that have not answered."""
+        """Ping the members that are scheduled for this tick, and retry those that have not answered."""
         self._choose_monitored(now_us)
         for place, name in enumerate(self.monitored_since):
             tick_of_ping = place % TICKS_PER_ROUND
@@ -47,9 +48,10 @@
                 self._retry(now_us, name)
 
     def _choose_monitored(self, now_us: int) -> None:
-        """Monitor the next members on the ring, in addition to those this router reports itself.
+        """Monitor ring successors until ``min_monitored`` are alive and not reported by this router.
 
-        So the survivors monitor more members where many died at once, and no survivor is left unmonitored.
+        So after many members died at once, the survivors monitor more members, and no survivor is
+        unmonitored.
         """
         chosen_for = self._view.version, len(self._view.under_suspicion)
         if chosen_for == self._chosen_for:
@@ -67,16 +69,16 @@
         self.monitored_since = monitored
 
     def _heard_this_round(self, now_us: int, name: str) -> bool:
-        """Whether its heartbeat rose within half a round: then no ping is needed."""
+        """Whether a new heartbeat arrived within the last half round, which makes a ping unnecessary."""
         return now_us - self._view.members[name].last_heartbeat_us < TICKS_PER_ROUND * TICK_INTERVAL_US // 2
 
     def ping(self, now_us: int, member: Member, name_holder: Member | None = None) -> None:
-        """Ping a member; ``name_holder`` where it is another process of this router's name."""
+        """Ping a member; ``name_holder`` is set if it is another process with this router's name."""
         ping_id = self._pings.add(PendingPing(member.name, now_us, name_holder=name_holder))
         self._outbox.send_to(member, Ping(ping_id))
 
     def _retry(self, now_us: int, name: str) -> None:
-        """Ping once more, directly and through another member."""
+        """Ping a member again, directly and through another member, unless it has been heard."""
         if self._heard_this_round(now_us, name):
             return
         self.ping(now_us, self._view.members[name].member)
@@ -85,7 +87,7 @@
             self._outbox.send_to(helper, PingRequest(ping_id, name))
 
     def random_members(self, count: int, excluded: str = "") -> list[Member]:
-        """Up to ``count`` other present members at random, none of them under suspicion."""
+        """Up to ``count`` random members among the other present ones that are not under suspicion."""
         positions = self._view.ring.positions
         own = self._view.own.name
         chosen = dict[str, Member]()
--- a/magpieshift/membership/quota_grants.py
+++ b/magpieshift/membership/quota_grants.py
@@ -1,7 +1,7 @@
-"""The leader's table of grants: what each holder may use of the pool, and until when.
+"""The leader's table of grants: the quotas of the pool that each holder may use, and their expiry.
 
-A grant is entered before it is sent, and shrinks only when its holder has confirmed that it uses less, or
-when it has expired by the slowest clock. So the sum of the grants of a scope never exceeds the pool.
+A grant is recorded before it is sent. It is reduced only when its holder has confirmed that it uses less, and
+removed when it has expired by the slowest clock. So the sum of a scope's grants never exceeds the pool.
 """
 
 from __future__ import annotations
@@ -10,31 +10,31 @@
 from dataclasses import dataclass
 
 HolderId = tuple[str, int]
-"""Name and boot id: one start of one router."""
+"""Name and boot id, which identify one process of a router."""
 
 
 @dataclass(slots=True)
 class Grant:
-    """What one holder may use; quotas by scope, each a part of the pool from 0 to 1."""
+    """The quotas of one holder by scope, each a fraction of the pool from 0 to 1."""
 
-    quotas: dict[str, float]  # reserved: the larger of what it had and what it was offered
+    quotas: dict[str, float]  # reserved quotas: the larger of the holder's previous and its offered quotas
     expires_us: int
     request_id: int = 0
-    offered_quotas: dict[str, float] | None = None  # until the holder has accepted them
+    offered_quotas: dict[str, float] | None = None  # None once the holder has accepted them
 
 
 class GrantTable:
-    """The grants of one leader, of one term."""
+    """The grants that one leader has made in its term."""
 
     def __init__(self) -> None:
         self.by_holder: dict[HolderId, Grant] = {}
 
     def clear(self) -> None:
-        """Begin a term."""
+        """Remove all grants, at the beginning of a term."""
         self.by_holder.clear()
 
     def expire(self, now_us: int) -> None:
-        """Drop the grants that have run out."""
+        """Remove the expired grants."""
         self.by_holder = {
             holder: grant for holder, grant in self.by_holder.items() if now_us < grant.expires_us
         }
@@ -47,7 +47,7 @@
         expires_us: int,
         request_id: int,
     ) -> dict[str, float]:
-        """Grant a holder its fair quotas, or less where others hold more; the quotas offered."""
+        """Grant a holder its fair quotas, or what of them is not granted to others; returns the offer."""
         before = self.by_holder.get(holder)
         held = before.quotas if before is not None and now_us < before.expires_us else {}
         offered = {
@@ -59,7 +59,7 @@
         return offered
 
     def accept(self, holder: HolderId, request_id: int) -> None:
-        """A holder uses no more than what it was offered: the rest is free for others."""
+        """Release the quotas beyond the offer, once the holder has confirmed that it uses no more."""
         grant = self.by_holder.get(holder)
         if grant is not None and grant.offered_quotas is not None and grant.request_id == request_id:
             grant.quotas = grant.offered_quotas
--- a/magpieshift/membership/quota_lease.py
+++ b/magpieshift/membership/quota_lease.py
@@ -1,21 +1,23 @@
-"""What part of the whole a router may use, by which members are present. A state machine; no I/O.
-
-The settings name a number of routers, and the part ``solo_quota`` of the whole that they divide evenly and
-use whatever happens. The rest is a pool that one leader deals out, by leases, to the members present. So a
-router that hears nobody falls back to what the settings give it, and what others may use beyond theirs has
-been granted to no one else.
-
-Why the parts in use never add up to more than the whole (all clocks run within ``MAX_CLOCK_DRIFT`` of each
-other, and no more processes run than the settings count or, where more are seen, members seen):
-
-- The parts of their own add up to ``solo_quota`` at most.
-- At most one leader grants: it needs the votes of a majority of the voters. A vote is good for a lease from
-  when it was requested, and the voter promises its vote to nobody else for that time and the drift. A voter
-  that has just started votes for nobody for as long, as it does not know what its predecessor promised.
+"""Quota leases: the quota of shared capacity that each router may use. A state machine; no I/O.
+
+A quota is a fraction of the capacity that all routers of a scope share. The settings give the number of
+routers and the fraction ``solo_quota``, which the routers divide evenly and may always use. The rest is a
+pool that one elected leader grants to the present members by leases. A router that is cut off therefore falls
+back to its share of ``solo_quota``, and what another router uses beyond its own share was granted to that
+router alone.
+
+Why the quotas in use never add up to more than 1 (provided that all clocks run within ``MAX_CLOCK_DRIFT`` of
+each other, and that no more processes run than the settings count or, if larger, than members were seen):
+
+- The shares of ``solo_quota`` add up to at most ``solo_quota``.
+- At most one leader grants, because it needs the votes of a majority of the voters. A vote is valid for one
+  lease duration from its request, and the voter votes for no other candidate during that time plus the drift.
+  A voter that has just started does not vote for the same time, as it does not know its predecessor's
+  promises.
 - The leader's grants never exceed the pool; see ``quota_grants``.
 - A new leader grants nothing until every grant of its predecessor must have expired.
-- A holder counts its lease from when it requested it, by the fastest clock, and reads the clock whenever it
-  uses its quota: after a pause it has nothing left but its own part.
+- A holder counts its lease from the time of its request, by the fastest clock, and reads the clock whenever
+  it uses its quota: after a long pause its lease has expired, and only its share of ``solo_quota`` is left.
 """
 
 from __future__ import annotations
@@ -28,23 +30,23 @@
 from magpieshift.membership.messages import Address, LeaseMessage, LeaseMessageKind
 from magpieshift.membership.quota_grants import Grant, GrantTable, HolderId
 
-FLEET_SCOPE = "all"  # the scope of what all routers divide
-ZONE_SCOPE_PREFIX = "zone "  # before the name of a zone: the scope of what its routers divide
-QUOTA_LEASE_US = (
-    6_000_000  # three renewals: two may be lost. Longer keeps a dead holder's quota unused for longer
-)
-RENEW_INTERVAL_US = 2_000_000
+FLEET_SCOPE = "all"  # the scope of capacity that all routers share
+ZONE_SCOPE_PREFIX = "zone "  # precedes a zone's name in the scope of capacity that the zone's routers share
+# Lease duration: three renewal intervals, so that two renewals may be lost. A longer lease keeps a dead
+# holder's quota unused for longer.
+QUOTA_LEASE_US = 6_000_000
+RENEW_INTERVAL_US = 2_000_000  # between two requests for votes and for a lease
 MAX_CLOCK_DRIFT = 0.02  # relative, between two clocks during a lease; far above that of working clocks
-PEAK_COUNT_MEMORY_US = 600_000_000  # members beyond those of the settings are allowed for this long
-TERM_BITS = 62  # of a random term, so that two leaders' differ
-RANDOM_REQUEST_BITS = 16  # low bits of a request id, so that it is not guessed
+PEAK_COUNT_MEMORY_US = 600_000_000  # how long the largest number of members seen reduces the solo quota
+TERM_BITS = 62  # length of a random term, so that the terms of two leaders differ
+RANDOM_REQUEST_BITS = 16  # random low bits of a request id, so that it cannot be guessed
 
 OutgoingMessages = list[tuple[Address, LeaseMessage]]
-"""Lease messages, each with its destination."""
+"""Lease messages with their destinations."""
 
 
 class QuotaLease:
-    """One router's part in the leases: as a voter, as leader, and as holder."""
+    """The quota lease state machine of one router, in its roles of voter, candidate, leader and holder."""
 
     def __init__(
         self,
@@ -55,24 +57,25 @@
         now_us: int,
         rand: random.Random,
     ) -> None:
-        """``router_counts`` are the routers of each scope that the settings count."""
+        """``router_counts`` is the number of routers of each scope according to the settings."""
         self.own = own
         self.voters = voters
         self.router_counts = dict(router_counts)
         self.solo_quota = solo_quota
         self._random = rand
-        self._peak_counts = dict.fromkeys(router_counts, (0, now_us))  # most members present, and when
-        self._view_version = -1  # of the view that the peak counts are of
+        # by scope: the largest number of members present in PEAK_COUNT_MEMORY_US, and when it was reached
+        self._peak_counts = dict.fromkeys(router_counts, (0, now_us))
+        self._view_version = -1  # version of the view that the peak counts were last updated from
         self._request_count = 0
-        self._requested_at_us: dict[int, int] = {}  # by id, when each unanswered request was sent
+        self._requested_at_us: dict[int, int] = {}  # by request id: when each unanswered request was sent
         self._last_renewal_us = now_us - RENEW_INTERVAL_US
         # as a voter
-        self.no_vote_until_us = now_us + self._longest()  # promises of a predecessor may hold until then
-        self._vote_promise: tuple[HolderId, int] | None = None  # the candidate voted for, and until when
+        self.no_vote_until_us = now_us + self._longest()  # a predecessor's promises may be valid until then
+        self._vote_promise: tuple[HolderId, int] | None = None  # the candidate voted for, and the expiry
         # as leader
-        self._term = 0  # 0: no candidate
-        self._votes: dict[str, int] = {}  # by voter, until when each is good
-        self._elected_us: int | None = None  # when the majority was reached
+        self._term = 0  # 0: this router is not a candidate
+        self._votes: dict[str, int] = {}  # by voter: when its vote expires
+        self._elected_us: int | None = None  # when this router last reached a majority
         self._grants = GrantTable()
         # as holder
         self._lease = Grant({}, 0)
@@ -80,31 +83,31 @@
 
     @staticmethod
     def _longest(duration_us: int = QUOTA_LEASE_US) -> int:
-        """The time that a duration may take by the slowest clock."""
+        """An upper bound of a duration, as this router's clock may measure it."""
         return int(duration_us * (1 + MAX_CLOCK_DRIFT))
 
     @staticmethod
     def _shortest(duration_us: int = QUOTA_LEASE_US) -> int:
-        """The time that a duration takes at least, by the fastest clock."""
+        """A lower bound of a duration, as this router's clock may measure it."""
         return int(duration_us * (1 - MAX_CLOCK_DRIFT))
 
     # --- as holder
 
     def quota(self, scope: str, now_us: int) -> float:
-        """The part of the whole, from 0 to 1, that may be used at this instant of what the scope divides."""
+        """The quota of a scope, from 0 to 1, that this router may use at this instant."""
         own = self.solo_quota / max(self.router_counts[scope], self._peak_counts[scope][0], 1)
         leased = self._lease.quotas.get(scope, 0.0) if now_us < self._lease.expires_us else 0.0
         return own + (1.0 - self.solo_quota) * leased
 
     @property
     def lease_expires_us(self) -> int:
-        """When the lease held runs out."""
+        """When the lease that this router holds expires."""
         return self._lease.expires_us
 
     # --- time
 
     def tick(self, now_us: int, view: MemberTable) -> OutgoingMessages:
-        """Renew votes and lease where that is due; the messages to be sent."""
+        """Renew votes and lease every ``RENEW_INTERVAL_US``; returns the messages to send."""
         if view.version != self._view_version:
             self._view_version = view.version
             self._update_peak_counts(now_us, view)
@@ -142,7 +145,7 @@
         return sum(1 for zone in zones if ZONE_SCOPE_PREFIX + zone == scope)
 
     def _choose_leader(self, view: MemberTable) -> Member | None:
-        """The leader as this router sees it: the first voter by name that is alive."""
+        """The leader in this router's view: the first alive voter in alphabetical order."""
         for name in sorted(self.voters):
             known = view.members.get(name)
             if known is not None and known.state == MemberState.ALIVE:
@@ -159,7 +162,7 @@
     def _send(
         self, receiver: Member, destination: Address, now_us: int, view: MemberTable, message: LeaseMessage
     ) -> OutgoingMessages:
-        """A message to a member; one to this router itself is received at once."""
+        """Address a message to a member; one to this router itself is processed at once instead."""
         if receiver.name == self.own.name:
             return self.receive(now_us, message, self.own, destination, view)
         return [(destination, message)]
@@ -169,7 +172,7 @@
     def receive(
         self, now_us: int, message: LeaseMessage, sender: Member, source: Address, view: MemberTable
     ) -> OutgoingMessages:
-        """Take in a message of a member; the messages to be sent."""
+        """Process a member's message; returns the messages to send."""
         reply: LeaseMessage | None = None
         match message.kind:
             case LeaseMessageKind.VOTE_REQUEST:
@@ -187,7 +190,7 @@
     def _receive_vote_request(
         self, now_us: int, message: LeaseMessage, sender: Member
     ) -> LeaseMessage | None:
-        """As a voter: promise the vote, unless it is promised to another."""
+        """As a voter: vote for the candidate, unless the vote is promised to another one."""
         if self.own.name not in self.voters or sender.name not in self.voters:
             return None
         candidate = sender.name, sender.boot_id
@@ -201,7 +204,7 @@
         return LeaseMessage(message.term, LeaseMessageKind.VOTE, message.request_id)
 
     def _receive_vote(self, now_us: int, message: LeaseMessage, sender: Member) -> None:
-        """As a candidate: count a vote, and begin a term with the majority."""
+        """As a candidate: count a vote, and become leader once a majority is reached."""
         requested_us = self._requested_at_us.get(message.request_id)
         if message.term != self._term or sender.name not in self.voters or requested_us is None:
             return
@@ -209,15 +212,16 @@
         good_until_us = requested_us + self._shortest()
         self._votes[sender.name] = max(self._votes.get(sender.name, 0), good_until_us)
         if not had_quorum and self._has_quorum(now_us):
-            # The majority may have lapsed unnoticed since a term of its own, and another leader have granted
-            # meanwhile: the grants it knows are not all, so it waits for all of them to expire.
+            # This router's earlier majority may have expired unnoticed, and another leader may have made
+            # grants since. Its table would lack those grants, so it starts empty and waits for all grants to
+            # expire.
             self._elected_us = now_us
             self._grants.clear()
 
     def _receive_quota_request(
         self, now_us: int, message: LeaseMessage, sender: Member, view: MemberTable
     ) -> LeaseMessage | None:
-        """As leader: grant the sender its fair part of the pool, as far as it is free."""
+        """As leader: grant the sender an equal share of the pool, or what of it is not granted to others."""
         if not self._may_grant(now_us):
             return None
         fair_quotas = {
@@ -231,10 +235,10 @@
         return LeaseMessage(self._term, LeaseMessageKind.GRANT, message.request_id, quotas)
 
     def _receive_grant(self, message: LeaseMessage) -> LeaseMessage | None:
-        """As holder: replace the lease, also by a smaller one, and confirm it."""
+        """As holder: replace the lease, even if the new one is smaller, and confirm it."""
         if self._requested_at_us.get(message.request_id, -1) < self._lease_requested_us:
-            # Overtaken on its way by the answer to a later request. The leader has reserved the later one's
-            # quotas only, so holding this one could exceed the whole.
+            # The grant for a later request arrived first. The leader has reserved only the later grant's
+            # quotas, so the sum of the quotas in use could exceed 1 if this one were used.
             return None
         requested_us = self._lease_requested_us = self._requested_at_us.pop(message.request_id)
         quotas = {scope: quota for scope, quota in message.quotas if 0.0 <= quota <= 1.0}
@@ -255,19 +259,22 @@
         return outgoing
 
     def _step_down(self) -> None:
-        """Another voter is before it. Its grants expire by themselves, and its next term waits for that."""
+        """End the candidacy: another voter is alive that precedes this one, or this router is not a voter.
+
+        Its grants are left to expire, for which its next term as leader waits.
+        """
         self._term = 0
         self._elected_us = None
         self._votes.clear()
 
     def _has_quorum(self, now_us: int) -> bool:
-        """Whether the votes of a majority are good at this instant."""
+        """Whether the votes of a majority of the voters are valid at this instant."""
         good_until_us = sorted(self._votes.values(), reverse=True)
         majority = len(self.voters) // 2 + 1
         return len(good_until_us) >= majority and now_us < good_until_us[majority - 1]
 
     def _may_grant(self, now_us: int) -> bool:
-        """Whether it leads, and every grant of a predecessor must have expired by the slowest clocks."""
+        """Whether this router leads, and all earlier grants must have expired even by the slowest clocks."""
         if self._elected_us is None or not self._has_quorum(now_us):
             return False
         return now_us - self._elected_us > self._longest(self._longest())
--- a/magpieshift/membership/reconnection.py
+++ b/magpieshift/membership/reconnection.py
@@ -1,4 +1,4 @@
-"""Contact with members that are not in the view: seeds at the start, and dead ones after a partition."""
+"""Contact with routers absent from the view: seeds at the start, and dead members after a partition."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from magpieshift.membership.messages import Address
 from magpieshift.membership.synchronization import Synchronization
 
-SEED_RETRY_INTERVAL_US = (
-    3_000_000  # of an absent seed, once there are members; a lone router tries each round
-)
-DEAD_PROBE_INTERVAL_US = 1_000_000  # of a dead member: two halves of a fleet find each other by these
+# Between two contacts of an absent seed while other members are present; a lone router retries every round.
+SEED_RETRY_INTERVAL_US = 3_000_000
+# Between two contacts of a dead member, by which two halves of a fleet rejoin after a partition.
+DEAD_PROBE_INTERVAL_US = 1_000_000
 
 
 class Reconnection:
-    """Sends comparisons of views to absent seeds and dead members."""
+    """Sends synchronization requests to absent seeds and dead members."""
 
     def __init__(
         self,
@@ -32,11 +32,11 @@
         self._synchronization = synchronization
         self._seeds = seeds
         self._random = rand
-        self._last_seed_us = 0  # when a seed was last due
-        self._last_dead_us = 0  # when a dead member was last due
+        self._last_seed_us = 0  # when an absent seed was last looked for
+        self._last_dead_us = 0  # when a dead member was last looked for
 
     def contact_absent_seed(self, now_us: int) -> None:
-        """Contact one seed that is not present, where one is due."""
+        """Contact one absent seed, if the retry interval has passed or this router is alone."""
         is_alone = self._view.present_count == 1
         if not self._seeds or not (is_alone or now_us - self._last_seed_us >= SEED_RETRY_INTERVAL_US):
             return
@@ -51,7 +51,7 @@
             self._outbox.send(self._random.choice(absent), self._synchronization.request())
 
     def contact_dead_member(self, now_us: int) -> None:
-        """Contact one dead member, where one is due: it may run, behind a partition that has healed."""
+        """Contact one dead member, if the interval has passed: it may run and a partition may have healed."""
         if not self._view.has_absent_members or now_us - self._last_dead_us < DEAD_PROBE_INTERVAL_US:
             return
         self._last_dead_us = now_us
--- a/magpieshift/membership/record_merger.py
+++ b/magpieshift/membership/record_merger.py
@@ -1,4 +1,4 @@
-"""Merging what other routers pass on into this router's view: records of members, and suspicion reports."""
+"""Merges member records and suspicion reports from other routers into this router's view."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def _passed_on_fields(member: Member) -> tuple[object, ...]:
-    """What is worth passing on when it changes; heartbeat and load change all the time."""
+    """The fields whose changes are disseminated; heartbeat and load change too often for it."""
     return (
         member.generation,
         member.host,
@@ -23,7 +23,7 @@
 
 
 class RecordMerger:
-    """Takes over from datagrams what is news to this router."""
+    """Merges the records and reports in datagrams that are new to this router."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._name_conflict = name_conflict
 
     def merge_record(self, now_us: int, member: Member, reason: str) -> None:
-        """Merge a record, and pass it on where more than its heartbeat and load is new."""
+        """Merge a record, and disseminate it if one of its ``_passed_on_fields`` has changed."""
         known = self._view.members.get(member.name)
         before = known.member if known is not None else None
         self._view.merge(member, now_us, reason)
@@ -49,12 +49,12 @@
             self._dissemination.spread_member(after.member)
 
     def merge_datagram(self, now_us: int, datagram: Datagram) -> bool:
-        """Merge all that a datagram passes on; whether it reports this router itself."""
+        """Merge a datagram's records and reports; returns whether one of them reports this router itself."""
         own = self._view.own
         is_reported = False
         for member in datagram.members:
             if member.name != own.name:
-                self.merge_record(now_us, member, f"told by {datagram.sender.name}")
+                self.merge_record(now_us, member, f"record received from {datagram.sender.name}")
             elif member.generation != own.generation:
                 self._name_conflict.observe(member)
         for report in datagram.suspicions:
@@ -70,6 +70,6 @@
             return
         member = known.member
         if report.incarnation != member.incarnation or report.heartbeat < member.heartbeat:
-            self._dissemination.spread_member(member)  # refutes it
+            self._dissemination.spread_member(member)  # the newer record refutes the report
         else:
             self._suspicion.add_report(report)
--- a/magpieshift/membership/rejoin_damping.py
+++ b/magpieshift/membership/rejoin_damping.py
@@ -1,26 +1,27 @@
-"""Damping of members that keep coming and going.
+"""Flap damping: delays the return of members that repeatedly die and rejoin.
 
-Each return moves quotas, routes and what others decide, for all. A member that has come back too often is
-therefore heard for a while before it counts as present again; the wait doubles with each return.
+Each return changes quotas, routes and the decisions of all other routers. A member that has returned too
+often therefore has to send heartbeats for some time before it counts as present; the wait doubles with each
+return.
 """
 
 from __future__ import annotations
 
 from magpieshift.membership.member import KnownMember
 
-REJOIN_MEMORY_US = 600_000_000  # returns count for this long; longer damps slower flapping
-FREE_REJOINS = 2  # returns within the memory that are not held back: a restart or two is ordinary
-MIN_STABLE_US = 5_000_000  # the first wait; longer delays a member that recovered
-MAX_STABLE_US = 60_000_000  # bound of the doubled wait, so that a member that recovered is not kept out
-MAX_HEARTBEAT_GAP_US = 3_000_000  # a longer silence begins the wait anew; above the heartbeat timeout
-MAX_DOUBLINGS = 8  # beyond it the wait is at its bound anyway
-MAX_REJOINS_KEPT = 16  # per member
+REJOIN_MEMORY_US = 600_000_000  # time for which a return counts; longer also damps slower flapping
+FREE_REJOINS = 2  # returns within that time without a wait, since one or two restarts are normal
+MIN_STABLE_US = 5_000_000  # the first wait; longer delays a member that has recovered
+MAX_STABLE_US = 60_000_000  # upper limit of the doubled wait, so that a recovered member is not kept out
+MAX_HEARTBEAT_GAP_US = 3_000_000  # a longer gap restarts the wait; exceeds the heartbeat timeout
+MAX_DOUBLINGS = 8  # more would not matter, as the wait has reached its upper limit by then
+MAX_REJOINS_KEPT = 16  # times of returns stored per member
 
 
 def is_rejoin_held_back(known: KnownMember, gap_us: int, now_us: int) -> bool:
-    """Whether a dead member that is heard again has to wait; notes the return where it has not.
+    """Whether a dead member that sends heartbeats again has to wait; records the return if it need not.
 
-    ``gap_us`` is the time since its heartbeat last rose.
+    ``gap_us`` is the time since its previous heartbeat arrived.
     """
     recent = tuple(rejoined for rejoined in known.rejoined_at_us if now_us - rejoined < REJOIN_MEMORY_US)
     excess = len(recent) - FREE_REJOINS
--- a/magpieshift/membership/ring.py
+++ b/magpieshift/membership/ring.py
@@ -1,4 +1,4 @@
-"""The present members in the order of the ring, with digests by which two views are compared."""
+"""The present members in ring order, with digests for comparing two views."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 from magpieshift.membership.member import Member, generation_hash, ring_position
 
-DIGEST_BUCKETS = (
-    16  # parts of a view with a digest each; more make synchronization finer and its datagram longer
-)
+# Buckets into which a view is divided, each with a digest. More buckets narrow down differences further and
+# make the synchronization datagram longer.
+DIGEST_BUCKETS = 16
 
 
 class MemberRing:
     """Names of the present members, ordered by the hash of their names."""
 
     def __init__(self) -> None:
-        self.positions: list[tuple[int, str]] = []  # sorted: position and name of each present member
-        self.bucket_digests = [0] * DIGEST_BUCKETS  # XOR of the generations of the members in each bucket
-        self._digest: int | None = None  # of all buckets; None: to be computed again
+        self.positions: list[tuple[int, str]] = []  # position and name of each present member, sorted
+        self.bucket_digests = [0] * DIGEST_BUCKETS  # XOR of the members' generation hashes in each bucket
+        self._digest: int | None = None  # digest of all buckets; None: has to be recomputed
 
     def __len__(self) -> int:
         return len(self.positions)
@@ -33,22 +33,22 @@
         return self._digest
 
     def add(self, member: Member) -> None:
-        """Enter a member that has become present."""
+        """Add a member that has become present."""
         insort(self.positions, (ring_position(member.name), member.name))
         self._toggle(member)
 
     def remove(self, member: Member) -> None:
-        """Take out a member that is present no more."""
+        """Remove a member that is no longer present."""
         self.positions.remove((ring_position(member.name), member.name))
         self._toggle(member)
 
     def replace(self, before: Member, after: Member) -> None:
-        """Count another process of the same name in the digests."""
+        """Replace the process of a name by another one in the digests."""
         self._toggle(before)
         self._toggle(after)
 
     def successors(self, name: str) -> Iterator[str]:
-        """All other names, once round the ring, beginning behind this one."""
+        """All other names in ring order, beginning with the successor of this one."""
         start = bisect_left(self.positions, (ring_position(name), name))
         size = len(self.positions)
         for step in range(size):
--- a/magpieshift/membership/suspicion.py
+++ b/magpieshift/membership/suspicion.py
@@ -9,26 +9,28 @@
 from magpieshift.membership.member import KnownMember, MemberState, SuspicionReport
 from magpieshift.membership.member_table import MemberTable
 
-MONITORED_PEERS = (
-    6  # that each member monitors, twice the quorum: half of a suspect's monitors may be cut off
+# Members that each member monitors: twice the quorum, so that half of a suspect's monitors may be cut off.
+MONITORED_PEERS = 6
+SUSPICION_QUORUM = (
+    3  # reporters needed to make a member suspect (Lifeguard's K); a single one may be at fault
 )
-SUSPICION_QUORUM = 3  # independent reporters that make a suspect (Lifeguard's K); one alone may be at fault
-# From suspect to dead: with the heartbeat timeout before it, longer than any pause of a process that has to
-# be borne. Longer keeps the quota of a dead router unused for longer; shorter removes paused ones.
+# From suspect to dead. Together with the preceding heartbeat timeout it exceeds the longest process pause
+# that has to be tolerated. Longer keeps a dead router's quota unused for longer; shorter removes paused
+# routers.
 SUSPICION_TIMEOUT_US = 6_600_000
 
 
 @dataclass(frozen=True, slots=True)
 class DetectorTuning:
-    """What experiments vary; the defaults are the product's."""
+    """Parameters that laboratory experiments vary; production routers use the defaults."""
 
     monitored_peers: int = MONITORED_PEERS
     suspicion_quorum: int = SUSPICION_QUORUM
-    local_health: bool = True  # Lifeguard's local health: an isolated or paused router declares nobody dead
+    local_health: bool = True  # Lifeguard's local health: isolated or paused routers declare no member dead
 
 
 class Suspicion:
-    """One router's decisions on the state of others. Decisions are not passed on, only reports are."""
+    """One router's decisions on the state of other members. Only reports are disseminated, not decisions."""
 
     def __init__(self, view: MemberTable, dissemination: Dissemination, tuning: DetectorTuning) -> None:
         self._view = view
@@ -37,24 +39,24 @@
 
     @property
     def eligible_reporters(self) -> int:
-        """How many could report: alive members that this router does not report, itself included."""
+        """The number of possible reporters: alive members, this router included, that it does not report."""
         return sum(self._is_eligible(self._view.members[name]) for _, name in self._view.ring.positions)
 
     def _is_eligible(self, known: KnownMember) -> bool:
         return known.state == MemberState.ALIVE and self._view.own.name not in known.reporters
 
     def add_report(self, report: SuspicionReport) -> None:
-        """Keep a report, this router's own or another's, and pass it on where it is new."""
+        """Store a report of this router or another one, and disseminate it if it is new."""
         if self._view.add_suspicion(report):
             self._dissemination.spread_suspicion(report)
 
     def report_silent(
         self, now_us: int, monitored_since: Mapping[str, int], resumed_us: int, timeout_us: int
     ) -> None:
-        """Report the monitored members of which no heartbeat arrived for the timeout.
+        """Report the monitored members from which no heartbeat arrived within the timeout.
 
-        ``monitored_since`` says since when each is monitored, ``resumed_us`` when this process last resumed
-        from a pause: silence before either does not count.
+        ``monitored_since`` gives the time at which the monitoring of each member began, ``resumed_us`` the
+        time at which this process last resumed from a pause. Silence before either of them does not count.
         """
         own = self._view.own.name
         for name, since_us in monitored_since.items():
@@ -65,7 +67,7 @@
                 self.add_report(SuspicionReport(name, member.incarnation, member.heartbeat, own))
 
     def update_states(self, now_us: int, may_declare_dead: bool) -> None:
-        """Move all members under suspicion between alive, suspect and dead."""
+        """Update the states of all members under suspicion: alive, suspect or dead."""
         if not self._view.under_suspicion:
             return
         quorum = max(1, min(self._tuning.suspicion_quorum, self.eligible_reporters))
@@ -75,10 +77,10 @@
             has_quorum = len(reporters) >= quorum
             suspected_for_us = now_us - known.state_since_us
             if known.state == MemberState.ALIVE and has_quorum:
-                reason = f"nothing heard since beat {known.member.heartbeat} by {', '.join(reporters)}"
+                reason = f"no heartbeat after {known.member.heartbeat} received by {', '.join(reporters)}"
                 self._view.set_state(name, MemberState.SUSPECT, now_us, reason)
             elif known.state == MemberState.SUSPECT and not has_quorum:
-                self._view.set_state(name, MemberState.ALIVE, now_us, "too few accuse it any more")
+                self._view.set_state(name, MemberState.ALIVE, now_us, "fewer reporters than the quorum")
             elif (
                 known.state == MemberState.SUSPECT
                 and may_declare_dead
--- a/magpieshift/membership/synchronization.py
+++ b/magpieshift/membership/synchronization.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: two views are compared bucket by bucket, and members of the buckets that differ are sent."""
+"""Anti-entropy: compares two views by their bucket digests and sends members of the buckets that differ."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 from magpieshift.membership.messages import Sync
 from magpieshift.membership.ring import DIGEST_BUCKETS
 
-SYNC_INTERVAL_US = 500_000  # between two requests to one member: its answer has come by then, or is lost
-MAX_SYNCED_MEMBERS = 12  # in one answer, which is one datagram
-MAX_EXTRA_NAMES = 1024  # kept beyond those of members, before all are dropped
-SUSPICION_RETRANSMITS = 2  # of a report that the other view seems to lack; it is not new to the rest
+SYNC_INTERVAL_US = 500_000  # between two requests to one member; a later answer counts as lost
+MAX_SYNCED_MEMBERS = 12  # member records in one answer, which is a single datagram
+MAX_EXTRA_NAMES = 1024  # names kept in addition to those of members, before all are dropped
+# Transmissions of a report that the other view seems to lack; few, as the other members know it already.
+SUSPICION_RETRANSMITS = 2
 
 
 class Synchronization:
-    """One router's comparisons of its view with those of others."""
+    """Compares one router's view with the views of others."""
 
     def __init__(
         self, view: MemberTable, dissemination: Dissemination, outbox: Outbox, rand: random.Random
@@ -26,14 +27,14 @@
         self._updates = dissemination.updates
         self._outbox = outbox
         self._random = rand
-        self._last_sync_us: dict[str, int] = {}  # by member's name, when it was last sent a request
+        self._last_sync_us: dict[str, int] = {}  # by member's name: when a request was last sent to it
 
     def request(self) -> Sync:
-        """The message to a member whose view may differ."""
+        """The request to a member whose view may differ."""
         return Sync(tuple(self._view.ring.bucket_digests))
 
     def synchronize(self, now_us: int, member: Member) -> None:
-        """Compare with a member whose view differs, unless that was done a moment ago."""
+        """Send a request to a member whose view differs, at most once per ``SYNC_INTERVAL_US``."""
         if now_us - self._last_sync_us.get(member.name, -SYNC_INTERVAL_US) < SYNC_INTERVAL_US:
             return
         if len(self._last_sync_us) > 2 * self._view.present_count + MAX_EXTRA_NAMES:
@@ -42,7 +43,7 @@
         self._outbox.send_to(member, self.request())
 
     def answer(self, sync: Sync, sender: Member) -> None:
-        """Send members of the buckets in which the sender's view differs."""
+        """Answer with members of the buckets in which the sender's view differs."""
         own_digests = self._view.ring.bucket_digests
         if len(sync.bucket_digests) != DIGEST_BUCKETS:
             return
@@ -59,17 +60,18 @@
         chosen = self._random.sample(candidates, min(len(candidates), MAX_SYNCED_MEMBERS))
         for known in chosen:
             self._pass_on_suspicions(known)
-        # dead members are not sent: the other's reporters will find them so, or they live
+        # Dead members are not sent: either the other side's reporters detect the failure, or the member
+        # lives.
         records = tuple(known.member for known in chosen if known.state != MemberState.DEAD)
         body = None if sync.is_reply else Sync(tuple(own_digests), is_reply=True)
         self._outbox.send((sender.host, sender.port), body, records)
 
     def _pass_on_suspicions(self, known: KnownMember) -> None:
-        """Pass on again what was reported of a member."""
+        """Queue the suspicion reports of a member for dissemination again."""
         member = known.member
         if known.state == MemberState.DEAD:
-            # A router that lacks one report would hold the dead member for alive for ever: routers that have
-            # declared it dead keep no reports. So each of them reports it in its own name.
+            # Routers that have declared a member dead keep no reports of it, so a router that lost one report
+            # would consider the member alive permanently. Therefore each of them reports it in its own name.
             own_name = self._view.own.name
             report = SuspicionReport(member.name, member.incarnation, member.heartbeat, own_name)
             self._updates.put(("a", report.suspect, report.reporter), report, SUSPICION_RETRANSMITS)
--- a/magpieshift/membership/unknown_peers.py
+++ b/magpieshift/membership/unknown_peers.py
@@ -1,7 +1,7 @@
-"""Peers that are not members yet: each has to answer a ping at the address it claims.
+"""Challenges for peers that are not members yet: each has to answer a ping at the address that it claims.
 
-Anybody can write any name into a datagram. A new name, a new process or a new address is therefore admitted
-only once the ack to a ping there returns the ping's id.
+The sender's name in a datagram can be forged. A new name, process or address is therefore admitted only after
+a ping to the claimed address was answered by an ack with the ping's id.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from magpieshift.membership.messages import Ack, Body, Ping
 from magpieshift.membership.pings import PendingPing, PendingPings
 
-MAX_UNKNOWN_PEERS = 64  # challenged at once: bounds what forged names can make this router send
+MAX_UNKNOWN_PEERS = 64  # concurrent challenges; bounds the pings that forged names can make this router send
 
 
 class UnknownPeers:
-    """The peers that one router has challenged, and that have not answered yet."""
+    """The peers that one router has challenged and that have not answered yet."""
 
     def __init__(self, outbox: Outbox, pings: PendingPings) -> None:
         self._outbox = outbox
@@ -30,7 +30,7 @@
             self._outbox.send((sender.host, sender.port), Ping(ping_id))
 
     def is_answer(self, body: Body, sender: Member) -> bool:
-        """Whether this is the ack of a challenged process, which is unknown no more."""
+        """Return whether this is the ack of a challenged process; if so, ends the challenge."""
         if not isinstance(body, Ack):
             return False
         ping = self._pings.get(body.ping_id)
@@ -40,6 +40,6 @@
         return True
 
     def forget(self, ping: PendingPing) -> None:
-        """A ping has timed out."""
+        """End the challenge of a ping that has timed out."""
         if ping.unknown_peer is not None:
             self._ping_ids.pop(ping.unknown_peer.name, None)
--- a/magpieshift/membership/update_queue.py
+++ b/magpieshift/membership/update_queue.py
@@ -1,4 +1,4 @@
-"""The queue of updates to pass on, least often sent first, as in SWIM's dissemination."""
+"""The queue of updates to disseminate, the least often sent first, as in SWIM."""
 
 from __future__ import annotations
 
@@ -6,26 +6,27 @@
 
 from magpieshift.membership.member import Member, SuspicionReport
 
-MAX_QUEUED_UPDATES = 4096  # twice the members a view holds; beyond it the most often sent ones give way
+MAX_QUEUED_UPDATES = 4096  # twice the members of a full view; when full, the most often sent one is dropped
 
 UpdateKey = tuple[str, ...]
-"""``("m", name)`` of a member's record, ``("a", suspect, reporter)`` of a suspicion report."""
+"""``("m", name)`` for a member's record, ``("a", suspect, reporter)`` for a suspicion report."""
 
 Update = Member | SuspicionReport
 
 
 class UpdateQueue:
-    """Updates to be sent a number of times each; the least often sent goes first.
+    """Updates with the number of transmissions left for each; the one with most left is sent first.
 
-    Every step costs the same however many there are: with hundreds joining at once there are thousands.
+    Each operation takes constant time, because hundreds of members that join at once queue thousands of
+    updates.
     """
 
     def __init__(self, max_size: int = MAX_QUEUED_UPDATES) -> None:
         self._max_size = max_size
         self._by_remaining: list[
             dict[UpdateKey, Update]
-        ] = []  # the index is how often each is to be sent yet
-        self._remaining: dict[UpdateKey, int] = {}  # the same count by key
+        ] = []  # the index is the number of transmissions left
+        self._remaining: dict[UpdateKey, int] = {}  # by key: the number of transmissions left
 
     def __len__(self) -> int:
         return len(self._remaining)
@@ -34,7 +35,7 @@
         return key in self._remaining
 
     def put(self, key: UpdateKey, update: Update, times: int) -> None:
-        """Queue an update to be sent so many times, in place of the one under this key."""
+        """Queue an update for ``times`` transmissions; it replaces a queued one with the same key."""
         self.drop(key)
         if len(self._remaining) >= self._max_size:
             self.drop(next(key for level in self._by_remaining for key in level))
@@ -49,7 +50,7 @@
         return list(islice(ordered, count))
 
     def mark_sent(self, key: UpdateKey) -> None:
-        """An update was sent once more; after its last time it is dropped."""
+        """Count a transmission of an update; drops the update after its last one."""
         remaining = self._remaining[key] - 1
         update = self._by_remaining[self._remaining[key]].pop(key)
         if remaining <= 0:
@@ -59,6 +60,6 @@
             self._remaining[key] = remaining
 
     def drop(self, key: UpdateKey) -> None:
-        """Send an update no more."""
+        """Remove an update from the queue, if it is queued."""
         if (remaining := self._remaining.pop(key, None)) is not None:
             del self._by_remaining[remaining][key]
