--- a/magpieshift/membership/name_conflict.py
+++ b/magpieshift/membership/name_conflict.py
@@ -23,10 +23,7 @@
         own = self._view.own
         if other.generation < own.generation:
             self._dissemination.spread_member(own)
-        elif (other.host, other.port) == (
-            own.host,
-            own.port,
-        ):  # this router's predecessor, whose clock was ahead
+        elif (other.host, other.port) == (own.host, own.port):  # the predecessor, whose clock was ahead
             self._supersede(other)
         elif self._other_process is None or self._other_process.generation < other.generation:
             self._other_process = other
