--- a/magpieshift/membership/codec.py
+++ b/magpieshift/membership/codec.py
@@ -38,7 +38,7 @@
     LeaseMessageKind.GRANT: wire.Claim.GRANT,
     LeaseMessageKind.GRANT_ACCEPTED: wire.Claim.RETURN,
 }
-_KINDS = {int(wire_kind): kind for kind, wire_kind in _WIRE_KINDS.items()}
+_LEASE_MESSAGE_KINDS = {int(wire_kind): kind for kind, wire_kind in _WIRE_KINDS.items()}
 
 
 class MalformedDatagramError(MagpieshiftError):
@@ -69,14 +69,14 @@
     members = datagram.members
     suspicions = datagram.suspicions
     while True:
-        data = _seal(_encode_whole(datagram, members, suspicions))
+        data = _seal(_encode_with_updates(datagram, members, suspicions))
         if len(data) <= MAX_DATAGRAM_BYTES or not (members or suspicions):
             return data
         members = members[: len(members) // 2]
         suspicions = suspicions[: len(suspicions) // 2]
 
 
-def _encode_whole(
+def _encode_with_updates(
     datagram: Datagram, members: tuple[Member, ...], suspicions: tuple[SuspicionReport, ...]
 ) -> bytes:
     raw = wire.Datagram(fleet=datagram.fleet, serial=datagram.sequence_number, view=datagram.view_digest)
@@ -226,5 +226,5 @@
             f"claim: found {len(claim.parts)} quotas, expected at most {MAX_QUOTA_PARTS}"
         )
     quotas = tuple((_text(part.scope, "claim"), part.share) for part in claim.parts)
-    kind = _KINDS.get(claim.kind, LeaseMessageKind.NONE)  # NONE: a kind of a later version
+    kind = _LEASE_MESSAGE_KINDS.get(claim.kind, LeaseMessageKind.NONE)  # NONE: a kind of a later version
     return LeaseMessage(claim.term, kind, claim.number, quotas)
--- a/magpieshift/membership/dissemination.py
+++ b/magpieshift/membership/dissemination.py
@@ -41,10 +41,10 @@
         times = RETRANSMIT_MULTIPLIER * math.ceil(math.log2(self._view.present_count + 2))
         self.updates.put(key, update, times)
 
-    def take_updates(self, counts: bool) -> tuple[tuple[Member, ...], tuple[SuspicionReport, ...]]:
+    def take_updates(self, counts_as_sent: bool) -> tuple[tuple[Member, ...], tuple[SuspicionReport, ...]]:
         """The updates for the next datagram, the least often sent first.
 
-        They count as sent only if ``counts``, that is, if the receiver is likely to read them. When
+        They count as sent only if ``counts_as_sent``, that is, if the receiver is likely to read them. When
         many members die at once, most datagrams go to dead members and would use up the transmissions of the
         updates.
         """
@@ -63,7 +63,7 @@
                 if len(suspicions) >= MAX_SUSPICIONS_SENT:
                     continue
                 suspicions.append(update)
-            if counts:
+            if counts_as_sent:
                 self.updates.mark_sent(key)
         return tuple(members), tuple(suspicions)
 
@@ -97,17 +97,17 @@
         """Queue a datagram for a member, addressed as its record says."""
         known = self._view.members.get(member.name)
         is_healthy = known is not None and known.is_present and member.name not in self._view.under_suspicion
-        self.send((member.host, member.port), body, counts=is_healthy)
+        self.send((member.host, member.port), body, counts_as_sent=is_healthy)
 
     def send(
-        self, destination: Address, body: Body, records: tuple[Member, ...] = (), counts: bool = True
+        self, destination: Address, body: Body, records: tuple[Member, ...] = (), counts_as_sent: bool = True
     ) -> None:
         """Queue a datagram for an address.
 
-        ``records`` are included ahead of the piggybacked updates. ``counts`` says whether the
+        ``records`` are included ahead of the piggybacked updates. ``counts_as_sent`` says whether the
         receiver is likely to read the datagram; see ``Dissemination.take_updates``.
         """
-        members, suspicions = self._dissemination.take_updates(counts)
+        members, suspicions = self._dissemination.take_updates(counts_as_sent)
         self._sequence_number += 1
         datagram = Datagram(
             self._fleet,
--- a/magpieshift/membership/failure_detector.py
+++ b/magpieshift/membership/failure_detector.py
@@ -48,7 +48,7 @@
 from magpieshift.membership.synchronization import Synchronization
 from magpieshift.membership.unknown_peers import UnknownPeers
 
-GOSSIP_TICKS = 2  # ticks between two transmissions of updates
+GOSSIP_INTERVAL_TICKS = 2  # ticks between two transmissions of updates
 GOSSIP_FANOUT = 2  # random members that receive each transmission, while there are updates
 # Fan-out of a router that was recently reported itself: its heartbeat has to reach the others by more paths.
 REPORTED_FANOUT = 6
@@ -139,7 +139,7 @@
         self._probing.tick(now_us, tick_in_round)
         if tick_in_round == 0:
             self._begin_round()
-        if self._tick_count % GOSSIP_TICKS == 0:
+        if self._tick_count % GOSSIP_INTERVAL_TICKS == 0:
             self._send_updates()
         self._update_states()
         return self.flush()
@@ -172,15 +172,15 @@
         self._admission.forget_idle(sent_before_us)
 
     def _update_states(self) -> None:
-        may_judge = self.locally_healthy or not self._tuning.local_health
-        if may_judge:
+        may_report = self.locally_healthy or not self._tuning.local_health
+        if may_report:
             self._suspicion.report_silent(
                 self.now_us,
                 self._probing.monitored_since,
                 self._health.resumed_us,
                 self._health.heartbeat_timeout_us,
             )
-        self._suspicion.update_states(self.now_us, may_judge)
+        self._suspicion.update_states(self.now_us, may_report)
 
     # --- sending
 
@@ -236,7 +236,7 @@
         sender = datagram.sender
         is_member = self._admit_sender(sender, datagram)
         if is_member:
-            self._health.hear()
+            self._health.record_datagram()
             if self._merger.merge_datagram(self.now_us, datagram):
                 self._last_reported_us = self.now_us
             if datagram.view_digest != self.view.digest:
--- a/magpieshift/membership/local_health.py
+++ b/magpieshift/membership/local_health.py
@@ -38,7 +38,7 @@
         """Record that the process has resumed from a pause."""
         self.resumed_us = self.now_us
 
-    def hear(self) -> None:
+    def record_datagram(self) -> None:
         """Record that a datagram of a member has arrived."""
         self._last_heard_us = self.now_us
 
--- a/magpieshift/membership/member_table.py
+++ b/magpieshift/membership/member_table.py
@@ -18,7 +18,7 @@
     MemberState,
     SuspicionReport,
 )
-from magpieshift.membership.rejoin_damping import is_rejoin_held_back
+from magpieshift.membership.rejoin_damping import is_rejoin_delayed
 from magpieshift.membership.ring import MemberRing
 
 MAX_REPORTERS = 8  # kept for one suspect: the quorum is smaller, so more reporters would change nothing
@@ -89,7 +89,7 @@
             gap_us = now_us - known.last_heartbeat_us
             known.last_heartbeat_us = now_us
             self._drop_refuted_reports(known, is_new_process)
-            if known.state == MemberState.DEAD and is_rejoin_held_back(known, gap_us, now_us):
+            if known.state == MemberState.DEAD and is_rejoin_delayed(known, gap_us, now_us):
                 return has_moved
             if known.state != MemberState.SUSPECT or not known.reporters:
                 self._transition(known, MemberState.ALIVE, now_us, reason)
--- a/magpieshift/membership/quota_lease.py
+++ b/magpieshift/membership/quota_lease.py
@@ -70,7 +70,7 @@
         self._requested_at_us: dict[int, int] = {}  # by request id: when each unanswered request was sent
         self._last_renewal_us = now_us - RENEW_INTERVAL_US
         # as a voter
-        self.no_vote_until_us = now_us + self._longest()  # a predecessor's promises may be valid until then
+        self.no_vote_until_us = now_us + self._max_duration()  # until a predecessor's promises have expired
         self._vote_promise: tuple[HolderId, int] | None = None  # the candidate voted for, and the expiry
         # as leader
         self._term = 0  # 0: this router is not a candidate
@@ -82,12 +82,12 @@
         self._lease_requested_us = now_us
 
     @staticmethod
-    def _longest(duration_us: int = QUOTA_LEASE_US) -> int:
+    def _max_duration(duration_us: int = QUOTA_LEASE_US) -> int:
         """An upper bound of a duration, as this router's clock may measure it."""
         return int(duration_us * (1 + MAX_CLOCK_DRIFT))
 
     @staticmethod
-    def _shortest(duration_us: int = QUOTA_LEASE_US) -> int:
+    def _min_duration(duration_us: int = QUOTA_LEASE_US) -> int:
         """A lower bound of a duration, as this router's clock may measure it."""
         return int(duration_us * (1 - MAX_CLOCK_DRIFT))
 
@@ -200,7 +200,7 @@
             promised_to, promised_until_us = self._vote_promise
             if now_us < promised_until_us and promised_to != candidate:
                 return None
-        self._vote_promise = candidate, now_us + self._longest()
+        self._vote_promise = candidate, now_us + self._max_duration()
         return LeaseMessage(message.term, LeaseMessageKind.VOTE, message.request_id)
 
     def _receive_vote(self, now_us: int, message: LeaseMessage, sender: Member) -> None:
@@ -209,7 +209,7 @@
         if message.term != self._term or sender.name not in self.voters or requested_us is None:
             return
         had_quorum = self._has_quorum(now_us)
-        good_until_us = requested_us + self._shortest()
+        good_until_us = requested_us + self._min_duration()
         self._votes[sender.name] = max(self._votes.get(sender.name, 0), good_until_us)
         if not had_quorum and self._has_quorum(now_us):
             # This router's earlier majority may have expired unnoticed, and another leader may have made
@@ -229,7 +229,7 @@
             for scope in (FLEET_SCOPE, ZONE_SCOPE_PREFIX + sender.zone)
         }
         holder = sender.name, sender.boot_id
-        expires_us = now_us + self._longest()
+        expires_us = now_us + self._max_duration()
         offered = self._grants.offer(now_us, holder, fair_quotas, expires_us, message.request_id)
         quotas = tuple(sorted(offered.items()))
         return LeaseMessage(self._term, LeaseMessageKind.GRANT, message.request_id, quotas)
@@ -242,7 +242,7 @@
             return None
         requested_us = self._lease_requested_us = self._requested_at_us.pop(message.request_id)
         quotas = {scope: quota for scope, quota in message.quotas if 0.0 <= quota <= 1.0}
-        self._lease = Grant(quotas, requested_us + self._shortest())
+        self._lease = Grant(quotas, requested_us + self._min_duration())
         return LeaseMessage(0, LeaseMessageKind.GRANT_ACCEPTED, message.request_id, message.quotas)
 
     # --- as candidate and leader
@@ -277,4 +277,4 @@
         """Whether this router leads, and all earlier grants must have expired even by the slowest clocks."""
         if self._elected_us is None or not self._has_quorum(now_us):
             return False
-        return now_us - self._elected_us > self._longest(self._longest())
+        return now_us - self._elected_us > self._max_duration(self._max_duration())
--- a/magpieshift/membership/record_merger.py
+++ b/magpieshift/membership/record_merger.py
@@ -10,7 +10,7 @@
 from magpieshift.membership.suspicion import Suspicion
 
 
-def _passed_on_fields(member: Member) -> tuple[object, ...]:
+def _disseminated_fields(member: Member) -> tuple[object, ...]:
     """The fields whose changes are disseminated; heartbeat and load change too often for it."""
     return (
         member.generation,
@@ -38,14 +38,14 @@
         self._name_conflict = name_conflict
 
     def merge_record(self, now_us: int, member: Member, reason: str) -> None:
-        """Merge a record, and disseminate it if one of its ``_passed_on_fields`` has changed."""
+        """Merge a record, and disseminate it if one of its ``_disseminated_fields`` has changed."""
         known = self._view.members.get(member.name)
         before = known.member if known is not None else None
         self._view.merge(member, now_us, reason)
         after = self._view.members.get(member.name)
         if before is None or after is None or after.member is before:
             return
-        if _passed_on_fields(before) != _passed_on_fields(after.member):
+        if _disseminated_fields(before) != _disseminated_fields(after.member):
             self._dissemination.spread_member(after.member)
 
     def merge_datagram(self, now_us: int, datagram: Datagram) -> bool:
--- a/magpieshift/overload/gossip.py
+++ b/magpieshift/overload/gossip.py
@@ -51,7 +51,7 @@
         self._tick_count = 0
         self._received_this_tick = 0
         # by endpoint: whether other routers report it as failing, and whether it is reported as recovered
-        self._findings: dict[str, tuple[bool, bool]] = {}
+        self._report_summaries: dict[str, tuple[bool, bool]] = {}
         self._neighbour_overloaded_us: int | None = None  # when a neighbour last reported to be overloaded
 
     def receive(self, now_us: int, sender: str, digest: Digest, is_neighbour: bool) -> None:
@@ -86,7 +86,7 @@
         self._tick_count += 1
         self._received_this_tick = 0
         self._record_own_health(now_us, health)
-        has_reports = self._update_findings(now_us)
+        has_reports = self._update_report_summaries(now_us)
         overrides = self.probe_election.decide(now_us, self.reports, present, health)
         changed = self.offloading.tick(now_us, pressure, request_rate, neighbours)
         sends: list[tuple[str, Digest]] = []
@@ -104,19 +104,19 @@
             age_us = own_view.failure_age_us if own_view.is_failing else own_view.success_age_us
             self.reports.record_own(endpoint, own_view.is_failing, age_us, now_us)
 
-    def _update_findings(self, now_us: int) -> bool:
+    def _update_report_summaries(self, now_us: int) -> bool:
         """Start the urgent ticks if the reports say something new; returns whether there are any reports."""
-        findings = {
+        summaries = {
             endpoint: (
                 bool(self.reports.failing_witnesses(endpoint, now_us) - {self.own}),
                 self.reports.is_recovered(endpoint, now_us),
             )
             for endpoint in self.reports.endpoints()
         }
-        if findings != self._findings:
-            self._findings = findings
+        if summaries != self._report_summaries:
+            self._report_summaries = summaries
             self._urgent_ticks_left = URGENT_TICKS
-        return bool(findings)
+        return bool(summaries)
 
     def _report_digests(self, now_us: int, present: Sequence[str]) -> list[tuple[str, Digest]]:
         others = [name for name in present if name != self.own]
@@ -130,8 +130,8 @@
         if self._tick_count % NEIGHBOUR_INTERVAL_TICKS != 0:
             return False
         heard_us = self._neighbour_overloaded_us
-        is_asked = heard_us is not None and now_us - heard_us < LOAD_LIFETIME_US
-        return pressure >= LOW_PRESSURE or self.offloading.is_active or is_asked
+        is_load_wanted = heard_us is not None and now_us - heard_us < LOAD_LIFETIME_US
+        return pressure >= LOW_PRESSURE or self.offloading.is_active or is_load_wanted
 
     def _load_digests(
         self, neighbours: Collection[str], pressure: float, request_rate: float
--- a/magpieshift/overload/offloading.py
+++ b/magpieshift/overload/offloading.py
@@ -16,7 +16,7 @@
 HIGH_PRESSURE = 0.9  # threshold at which offloading begins; the gap to LOW_PRESSURE is hysteresis
 LOW_PRESSURE = 0.6  # threshold below which offloading ends; a neighbour's spare capacity is counted up to it
 TARGET_PRESSURE = (HIGH_PRESSURE + LOW_PRESSURE) / 2  # set point of the offloaded fraction's control loop
-MIN_HIGH_US = 500_000  # duration of high pressure before offloading begins, so that bursts do not start it
+MIN_HIGH_DURATION_US = 500_000  # high pressure for this time starts offloading; shorter bursts do not
 MIN_BEGIN_INTERVAL_US = 30_000_000  # between two starts; limits steady load to two changes a minute
 LOAD_LIFETIME_US = 2_000_000  # after which a neighbour's load report expires
 MAX_OFFLOAD_FRACTION = 0.5  # of this router's requests, whatever the neighbours report
@@ -92,7 +92,7 @@
         if self._high_since_us is None or now_us - self._began_us < MIN_BEGIN_INTERVAL_US:
             return
         high_for_us = now_us - self._high_since_us
-        if high_for_us >= MIN_HIGH_US:
+        if high_for_us >= MIN_HIGH_DURATION_US:
             self.is_active = True
             self._began_us = now_us
             self.reason = f"pressure {pressure:.2f} for {high_for_us / 1e6:.1f} s"
--- a/tests/membership/test_explored.py
+++ b/tests/membership/test_explored.py
@@ -248,7 +248,7 @@
     def test_a_missing_rule_is_found(self) -> None:
         """The check can fail: each of these was left out once on purpose."""
         for what, broken in (
-            ("a new leader grants at once", {"_longest": staticmethod(lambda us=QUOTA_LEASE_US: 0)}),
+            ("a new leader grants at once", {"_max_duration": staticmethod(lambda us=QUOTA_LEASE_US: 0)}),
             ("a holder reads no clock", {"quota": quota_without_clock}),
         ):
             with self.subTest(what):
