--- a/magpieshift/membership/driver.py
+++ b/magpieshift/membership/driver.py
@@ -86,12 +86,12 @@
             datagram = decode(data)
         except MalformedDatagramError as err:
             self.detector.counters.malformed += 1
-            log.debug("datagram dropped", extra=fields(source="{}:{}".format(*source), reason=err))
+            log.debug("malformed datagram dropped", extra=fields(source="{}:{}".format(*source), reason=err))
             return
         try:
             self._transmit(self.detector.receive(self.now_us(), source, datagram))
         except Exception:  # a datagram that triggers a bug must not end the membership of the other members
-            log.exception("datagram failed", extra=fields(source="{}:{}".format(*source)))
+            log.exception("datagram processing failed", extra=fields(source="{}:{}".format(*source)))
 
     def error_received(self, exc: Exception) -> None:
         """Log an ICMP error for a datagram that was sent earlier: its receiver does not run."""
@@ -112,7 +112,7 @@
             self.after_tick()
             self._transmit(self.detector.flush())  # the messages that after_tick queued
         except Exception:  # a bug in one tick must not stop the timer: the next tick may succeed
-            log.exception("tick failed")
+            log.exception("membership tick failed")
 
     def _receive_lease_message(self, message: LeaseMessage, sender: Member, source: Address) -> None:
         self.refresh_quota()
