--- a/tests/membership/pieces.py
+++ b/tests/membership/pieces.py
@@ -1,4 +1,4 @@
-"""What the tests of membership share."""
+"""Helpers shared by the tests of the membership package."""
 
 from __future__ import annotations
 
@@ -13,5 +13,5 @@
 
 
 def moved_address(name: str) -> tuple[str, int]:
-    """The addresses of a fleet, but for r2, which now starts on another machine."""
+    """The address of a router; r2 gets a different one than before, as if it started on another machine."""
     return ("10.9.9." if name == "r2" else "10.0.0.") + name, lab.PORT
--- a/tests/membership/test_admission.py
+++ b/tests/membership/test_admission.py
@@ -1,4 +1,4 @@
-"""Datagrams from anybody: unknown peers, replays, floods and forged reports."""
+"""Untrusted datagrams: unknown peers, replays, floods and forged reports."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class UntrustedDatagramsTest(unittest.TestCase):
-    """Datagrams that anybody can send."""
+    """Datagrams that any host can send to a router."""
 
     def setUp(self) -> None:
         self.detector = FailureDetector(member("own"), "f", (), 0, random.Random(1))
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -1,4 +1,4 @@
-"""The form of datagrams on the wire."""
+"""Encoding and decoding of datagrams."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_explored.py
+++ b/tests/membership/test_explored.py
@@ -1,8 +1,8 @@
-"""Exhaustive exploration of three members: all orders of delivery, loss, pause and restart, to a depth.
+"""State space exploration of three members: reordering, loss, pauses and restarts, up to a number of states.
 
-The quota lease's state machine is small enough for it. Time goes in steps of a fifth of a lease; in each
-step any message on its way may be delivered or lost, and any process may sleep through the step or start
-anew. A state seen before is not gone through again.
+The state machine of the quota lease is small enough for it. Time advances in steps of a fifth of a lease. In
+each step a message in transit may be delivered, delayed or lost, and a process may be paused or restarted.
+States that were already visited are not expanded again.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class State:
-    """Three processes, what each takes the others for, and what is on its way."""
+    """Three processes, each one's view of the others, and the messages in transit."""
 
     def __init__(self) -> None:
         self.now = 0
@@ -56,7 +56,7 @@
         self.views[name] = view
 
     def key(self) -> bytes:
-        """Equal for states that go on alike: times count from now, numbers do not."""
+        """Equal for states with equal futures: times are relative to now, and request ids are left out."""
         rows = []
         for name in NAMES:
             s = self.leases[name]
@@ -96,7 +96,7 @@
 
 
 def successors(state: State) -> list[State]:
-    """Every way in which a step can go."""
+    """All states that can follow in one step."""
     found: list[State] = []
     packed = pickle.dumps(state, pickle.HIGHEST_PROTOCOL)
 
@@ -127,7 +127,7 @@
             kept = [m for m in new.in_transit if m[1] == name]
             new.in_transit = [m for m in new.in_transit if m[1] != name]
             new.deliver_all()
-            new.in_transit += kept  # it reads them when it wakes
+            new.in_transit += kept  # it receives them when it resumes
 
         def unheard(new: State, name: str = name) -> None:
             tick(new)
@@ -149,7 +149,7 @@
             all_well(new)
 
         def held_up(new: State, name: str = name) -> None:
-            """What goes to it stays on its way for a step; what was on its way is overtaken."""
+            """Delay the messages to this member by a step; messages delayed earlier are overtaken."""
             tick(new)
             kept = [m for m in new.in_transit if m[1] == name]
             new.in_transit = [m for m in new.in_transit if m[1] != name]
@@ -161,14 +161,14 @@
 
 
 def quota_without_clock(self: QuotaLease, scope: str, now_us: int) -> float:
-    """``QuotaLease.quota`` without the time."""
+    """``QuotaLease.quota`` without the check of the lease's expiry."""
     return self.solo_quota / self.router_counts[scope] + (1.0 - self.solo_quota) * self._lease.quotas.get(
         scope, 0.0
     )
 
 
 class DetectorExplorationTest(unittest.TestCase):
-    """The whole of it, 4,616 states by 101,574 steps, takes minutes: ``lab members --explore``."""
+    """The full exploration, 4,616 states in 101,574 steps, takes minutes: ``lab members --explore``."""
 
     def test_quiet_brings_agreement_after_every_history(self) -> None:
         found = explored.explore(300)
@@ -190,10 +190,12 @@
         self.random = random.Random(1)
 
     def explore(self, most: int, greedy: bool = False) -> tuple[int, float]:
-        """How many states were seen, and the most that shares came to: all to a depth, or, ``greedy``, deep
-        where most is in use."""
+        """Explore up to a number of states; returns their number and the largest sum of quotas in use.
+
+        The search is breadth-first, or, if ``greedy``, prefers states with a large sum of quotas in use.
+        """
         first = State()
-        for _ in range(24):  # until shares are dealt out: before that there is nothing to get wrong
+        for _ in range(24):  # until the quotas are granted: before that they cannot exceed 1
             first.now += STEP_US
             for name in NAMES:
                 first.send(name, first.leases[name].tick(first.now, first.views[name]))
@@ -246,7 +248,7 @@
         self.assertEqual(done, ["uses 0.133", "uses 0.283", said])
 
     def test_a_missing_rule_is_found(self) -> None:
-        """The check can fail: each of these was left out once on purpose."""
+        """Proves that the check can fail: one safety rule is disabled in each case."""
         for what, broken in (
             ("a new leader grants at once", {"_max_duration": staticmethod(lambda us=QUOTA_LEASE_US: 0)}),
             ("a holder reads no clock", {"quota": quota_without_clock}),
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""Failure detection on a simulated network, and what its probes cost."""
+"""Failure detection on a simulated network, and the cost of its probes."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class SimulatedFleetTest(unittest.TestCase):
-    """Hard cases, each on several seeds; the same machines run in real processes in ``test_processes``."""
+    """Faults on several seeds each; ``test_processes`` runs the same state machines in real processes."""
 
     SEEDS = range(2)
 
     def quiet(self, network: Network, within_s: int = 30) -> None:
-        """After quiet all agree, and nobody is gone who lives."""
-        self.assertTrue(network.run(network.now_us + within_s * SECOND, network.views_agree), "no agreement")
-        self.assertEqual(network.quota_excesses, 0, f"shares came to {network.max_total_quota}")
+        """Assert that all views agree within a time without faults, and that quotas never exceeded 1."""
+        self.assertTrue(network.run(network.now_us + within_s * SECOND, network.views_agree), "views differ")
+        self.assertEqual(network.quota_excesses, 0, f"the quotas added up to {network.max_total_quota}")
 
     def none_removed(self, network: Network, but: tuple[str, ...] = ()) -> None:
         wrong = [
@@ -51,7 +51,7 @@
             for name in ("r2", "r3", "r4"):
                 network.pause(name, 5 * SECOND)
             network.run(network.now_us + 8 * SECOND)
-            for number in range(8):  # all, at different moments
+            for number in range(8):  # all of them, at different times
                 when = network.now_us + network.rand.randrange(8 * SECOND)
                 network.schedule(when, partial(network.pause, f"r{number}", 5 * SECOND))
             network.run(network.now_us + 14 * SECOND)
@@ -73,11 +73,13 @@
                 network = started_network(FleetSettings(8), seed)
                 network.cut = (lambda a, b: b == "r3") if deaf else (lambda a, b: a == "r3")
                 network.run(network.now_us + 20 * SECOND)
-                self.none_removed(network, ("r3",))  # it removes nobody, and nobody but it is removed
+                # r3 declares no member dead, and only r3 may be declared dead.
+                self.none_removed(network, ("r3",))
                 odd = network.processes["r3"].detector
                 stands = {p.detector.view.members["r3"].state for p in network.living() if p.name != "r3"}
                 self.assertEqual(odd.isolated, deaf)
-                if deaf:  # it is heard, so it is there; it knows itself that it is cut off
+                # The others receive its heartbeats, so it stays present; it knows that it is isolated.
+                if deaf:
                     self.assertEqual((stands, odd.view.present_count), ({MemberState.ALIVE}, 8))
                 else:
                     self.assertEqual(stands, {MemberState.DEAD})
@@ -116,8 +118,8 @@
                 self.assertGreater(view.members[f"r{number}"].member.incarnation, before[f"r{number}"])
 
     def test_seven_of_ten_killed_for_good_are_dead_for_the_rest(self) -> None:
-        """News that was passed on to the dead was lost: a survivor heard of the others' accusations only when
-        their views were compared, half a minute later."""
+        """Guards against updates that are used up on datagrams to dead members: a survivor got the reports of
+        the others only by synchronization, half a minute later."""
         for seed in self.SEEDS:
             network = started_network(FleetSettings(10), seed)
             for number in range(3, 10):
@@ -125,14 +127,15 @@
             self.quiet(network, 30)
 
     def test_a_lost_report_is_sent_again_by_a_member_that_has_declared_the_suspect_dead(self) -> None:
-        """Two of three had removed a dead one and had no accusation left to pass on; the third, to which one
-        had been lost, held it for alive for ever (4 of 100 seeds of the case above)."""
+        """Guards against a dead member that one survivor considers alive permanently: one report to it was
+        lost, and the other two survivors had declared the member dead and so kept no reports to resend. It
+        happened on 4 of 100 seeds of the test above."""
         network = started_network(FleetSettings(10), 4)
         for number in range(3, 10):
             network.kill(f"r{number}")
         lacks = network.processes["r0"].detector.view
 
-        def forget() -> None:  # what r1 says of r9 never reaches r0 while r1 says it
+        def forget() -> None:  # r0 loses r1's reports of r9 until r1 has declared r9 dead
             if network.processes["r1"].detector.view.members["r9"].state != MemberState.DEAD:
                 lacks.remove_suspicion("r9", "r1")
                 network.schedule(network.now_us + 10_000, forget)
@@ -216,7 +219,7 @@
         network = started_network(FleetSettings(4), 1)
         network.kill("r2")
         held = network.now_us
-        network.now_us = 0  # the incarnation is made of the wall clock
+        network.now_us = 0  # the incarnation is derived from the wall clock
         process = network.start("r2")
         network.now_us = held
         self.quiet(network)
@@ -226,7 +229,7 @@
         )
 
     def test_without_local_health_a_paused_member_removes_others(self) -> None:
-        """The check can fail: the ablation shows it does."""
+        """Proves that the check for false removals can fail, by an ablation of local health."""
         found = 0
         for seed in range(4):
             network = started_network(
@@ -250,12 +253,13 @@
 
 class ProbeCostTest(unittest.TestCase):
     def test_a_member_that_was_just_heard_is_not_pinged(self) -> None:
-        """In a small fleet all watch each other: asking both ways cost twice the messages, 2% of a core."""
+        """In a small fleet all members monitor each other. Pinging in both directions doubled the number of
+        messages, which cost 2% of a core."""
         network = started_network(FleetSettings(8), 1)
         network.sent = 0
         network.run(network.now_us + 10 * SECOND)
         asked = network.sent / 10 / 8
-        self.assertLess(asked, 66)  # 70 if all are asked
+        self.assertLess(asked, 66)  # datagrams per second and member; 70 if every monitored member is pinged
 
 
 if __name__ == "__main__":
--- a/tests/membership/test_fault_injection.py
+++ b/tests/membership/test_fault_injection.py
@@ -1,4 +1,4 @@
-"""The fault-injection testbed itself: its network does what it says, and each of its checks can fail."""
+"""The fault-injection testbed itself: its network injects the faults, and each of its checks can fail."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Fleet:
-    """What checks are shown, as a test says."""
+    """A fake fleet for the checks, with the processes, halts and counts that a test sets."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -89,7 +89,7 @@
         self.fleet.log("r1.1", (1.0, 0.5), (3.1, 0.25))
         self.assertEqual(checks.QuotaCheck().max_total(self.fleet), (1.25, 3.0))
         self.assertEqual(len(checks.QuotaCheck().violations(self.fleet)), 1)
-        self.fleet.spans = [Halt("r1", 1, 2.5, float("inf"))]  # dead before the other grew
+        self.fleet.spans = [Halt("r1", 1, 2.5, float("inf"))]  # dead before the other's quota grew
         self.assertEqual(checks.QuotaCheck().violations(self.fleet), [])
 
     def test_shares_of_one_that_replaces_another(self) -> None:
@@ -106,7 +106,7 @@
             rules = ProtocolChecker(0.05, lambda ident, told, knew=knew: knew)  # type: ignore[misc]
             rules.drains_published_s["s-box1-1"] = told
             rules.attempt_started("00ab", "s-box1-1")
-            rules.endpoint_used("00ac", "s-box1-1", "named as its source")
+            rules.endpoint_used("00ac", "s-box1-1", "used as a fill source")
             self.assertEqual(rules.violations.get("drain", 0), broken)
 
     def test_a_second_attempt_is_one_unless_the_settings_allow_that_copy(self) -> None:
@@ -123,7 +123,8 @@
                     rules.attempt_started("00ab", store, "picture")
                 for store in stores:
                     rules.attempt_ended("00ab", store)
-                rules.attempt_started("00ab", "d", "picture")  # all have ended
+                # No hedged request: all earlier attempts have ended.
+                rules.attempt_started("00ab", "d", "picture")
                 self.assertEqual(rules.violations.get("second attempt", 0), broken)
 
     def test_which_classes_may_be_copied_is_read_from_the_settings(self) -> None:
@@ -137,7 +138,8 @@
         rules = ProtocolChecker(0.05)
         now = time.time()
         rules.purges_s["k"] = now - 2.0, now - 1.0
-        rules.copy_served("k", int((now - 3.0) * 1000), now - 0.9)  # asked before the rule binds
+        # Requested before the purge notice period has passed.
+        rules.copy_served("k", int((now - 3.0) * 1000), now - 0.9)
         self.assertEqual(rules.violations, {})
         rules.copy_served("k", int((now - 3.0) * 1000), now - 0.1)
         self.assertEqual(rules.violations, {"purge": 1})
@@ -190,7 +192,7 @@
             with self.assertRaises(ConnectionError):
                 async with asyncio.timeout(GENEROUS_S):
                     if await reader.read(1) == b"":
-                        raise AssertionError("an end in place of a reset")
+                        raise AssertionError("found the end of the stream, expected a connection reset")
             reader, writer = await asyncio.open_connection("127.0.0.1", self.relay.port)
         self.network.remove_fault("broken")
         writer.close()
@@ -210,7 +212,8 @@
             self.assertEqual(await reader.readexactly(3), b"one")
 
     async def test_a_reset_by_one_end_reaches_the_other_which_says_nothing_more(self) -> None:
-        """A client waited for the answer to a request that had crossed a close until its time was over."""
+        """Guards against a client that waits until its time limit for the answer to a request that was sent
+        while the router closed the connection: the relay did not forward the reset."""
 
         async def resets(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.read(1024)
@@ -227,7 +230,8 @@
         self.addCleanup(writer.close)
         writer.write(b"one")
         async with asyncio.timeout(GENEROUS_S):
-            with contextlib.suppress(ConnectionError):  # a reset, or an end: it has to be told of either
+            # The client has to see either a reset or the end of the stream.
+            with contextlib.suppress(ConnectionError):
                 self.assertEqual(await reader.read(1), b"")
 
     async def test_other_ways_are_left_alone(self) -> None:
@@ -241,11 +245,11 @@
 
 
 class Clients(unittest.IsolatedAsyncioTestCase):
-    """The laboratory's clients do what the protocol page says of clients: what they call lost is lost."""
+    """Laboratory clients follow the protocol page, so that requests they count as lost are really lost."""
 
     async def asyncSetUp(self) -> None:
-        self.asked: list[list[int]] = []  # streams, by connection
-        self.ways_out = ["tell", "drop"]  # what the router does on its first connections
+        self.asked: list[list[int]] = []  # stream ids of the requests on each connection
+        self.ways_out = ["tell", "drop"]  # on its first connections the router sends GO_AWAY, or closes
         self.server = await asyncio.start_server(self.router, "127.0.0.1", 0)
         self.addCleanup(self.server.close)
         self.client = ClientConnection(self.server.sockets[0].getsockname()[1], resend_window_s=GENEROUS_S)
@@ -270,10 +274,9 @@
         return answer if isinstance(answer, NoAnswer) else answer.code
 
     async def test_who_is_told_to_send_no_more_goes_on_elsewhere_and_sends_again_what_crossed(self) -> None:
-        self.assertEqual(await self.ask(), ResponseCode.OK)  # and is told to send no more
-        self.assertEqual(
-            await self.ask(), ResponseCode.OK
-        )  # crosses the end of the second, and goes on a third
+        self.assertEqual(await self.ask(), ResponseCode.OK)  # and receives GO_AWAY
+        # The router closes the second connection, and the client sends the request again on a third.
+        self.assertEqual(await self.ask(), ResponseCode.OK)
         self.assertEqual(await self.ask(), ResponseCode.OK)
         self.assertEqual(self.asked, [[1], [1], [1, 2]])
 
@@ -298,7 +301,7 @@
             clock = skewed_clock.SkewedTimeSource(path)
             steady, wall = clock.steady_us(), clock.unix_us()
             skewed_clock.write_clock(path, step_us=-5_000_000, rate=2.0)
-            self.assertEqual(clock.steady_us(), steady)  # a new rate bends from now on
+            self.assertEqual(clock.steady_us(), steady)  # a new rate applies from now on
             self.assertAlmostEqual(clock.unix_us(), wall - 5_000_000, delta=2)
             true.return_value += 1_000_000_000
             self.assertEqual(clock.steady_us(), steady + 2_000_000)
--- a/tests/membership/test_member_table.py
+++ b/tests/membership/test_member_table.py
@@ -1,4 +1,4 @@
-"""The view of one router: records, suspicion reports and rejoin damping."""
+"""One router's view: member records, suspicion reports and rejoin damping."""
 
 from __future__ import annotations
 
@@ -41,9 +41,11 @@
     def test_a_suspicion_report_holds_until_a_later_heartbeat_is_known(self) -> None:
         self.view.merge(member("a", heartbeat=4), 0, "")
         self.assertFalse(
-            self.view.add_suspicion(SuspicionReport("a", 5, 3, "b")), "a later beat is known already"
+            self.view.add_suspicion(SuspicionReport("a", 5, 3, "b")), "a later heartbeat is known already"
+        )
+        self.assertFalse(
+            self.view.add_suspicion(SuspicionReport("a", 4, 9, "b")), "of an earlier incarnation"
         )
-        self.assertFalse(self.view.add_suspicion(SuspicionReport("a", 4, 9, "b")), "of an earlier start")
         self.assertTrue(self.view.add_suspicion(SuspicionReport("a", 5, 4, "b")))
         self.assertEqual(self.view.under_suspicion, {"a"})
         self.view.merge(member("a", heartbeat=5), 1, "")
@@ -70,11 +72,11 @@
             waits.append((now - began) // 1_000_000 - 1)
         self.assertEqual(waits, [0, 0, 5, 10, 20, 40])
         view.set_state("b", MemberState.DEAD, now, "")
-        for step in range(30):  # heard again and again, but never for long
+        for step in range(30):  # each gap between heartbeats is longer than MAX_HEARTBEAT_GAP_US
             now += 4_000_000
             view.merge(member("b", heartbeat=beat + step + 1), now, "heard")
         self.assertEqual(view.members["b"].state, MemberState.DEAD)
-        now += 700_000_000  # and after long it is like any other
+        now += 700_000_000  # after REJOIN_MEMORY_US its returns no longer count
         view.merge(member("b", heartbeat=beat + 100), now, "heard")
         self.assertEqual(view.members["b"].state, MemberState.ALIVE)
 
--- a/tests/membership/test_ports.py
+++ b/tests/membership/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports for processes that tests start."""
+"""Allocation of ports for the processes that tests start."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 class FreePorts(unittest.TestCase):
     def test_none_is_given_twice_and_none_is_one_that_a_client_may_take(self) -> None:
-        """Guards against a process that finds its port taken when it starts, or starts again."""
+        """Guards against a process whose port is in use when it starts or restarts."""
         found = [*free_ports(20), *(free_port() for _ in range(20))]
         self.assertEqual(len(set(found)), len(found))
         self.assertTrue(all(FIRST_PORT <= port < LAST_PORT for port in found), found)
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -1,5 +1,7 @@
-"""Eight real routers under load, and the hard cases put between and into them. All waits are for events, with
-generous limits; what is asserted are invariants, never speeds."""
+"""Membership of eight real router processes under load, with injected faults.
+
+All waits are for events, with generous time limits; the tests assert invariants, never speeds.
+"""
 
 from __future__ import annotations
 
@@ -43,25 +45,27 @@
             views = await self.others(about)
             return bool(views) and all(self.cluster.member_state(view, about) == standing for view in views)
 
-        await self.cluster.wait_until(true, f"all hold {about} for {standing}", 60.0)
+        await self.cluster.wait_until(true, f"all other routers see {about} as {standing}", 60.0)
 
     async def wait_for_own_state(self, about: str, state: str) -> None:
-        """Wait until all others have this state of it by its own record, and hold it to be alive."""
+        """Wait until all others see this lifecycle state in its record, and see it as alive."""
 
         async def true() -> bool:
             rows = [row for view in await self.others(about) for row in view["members"]]  # type: ignore[attr-defined]
             seen = {(row["state"], row["standing"]) for row in rows if row["name"] == about}
             return seen == {(state, "alive")}
 
-        await self.cluster.wait_until(true, f"all read of {about} that it is {state}", 60.0)
+        await self.cluster.wait_until(
+            true, f"all other routers see the lifecycle state {state} of {about}", 60.0
+        )
 
     async def wait_for_agreement(self) -> None:
         await self.cluster.wait_until(
-            lambda: self.cluster.views_agree(), "all agree, and nobody is gone who lives", 60.0
+            lambda: self.cluster.views_agree(), "all views agree, with all live routers present", 60.0
         )
 
     async def removed(self) -> set[str]:
-        """The routers that any router ever held to be dead, by the logs."""
+        """The routers that any router ever declared dead, according to the logs."""
         found = set()
         for log in Path(self.folder.name).glob("*.log"):
             for line in log.read_text(errors="replace").splitlines():
@@ -76,7 +80,7 @@
         await self.wait_for_agreement()
         cluster.start_load()
 
-        with self.subTest("one stands still, then three at once"):
+        with self.subTest("one router is paused, then three at once"):
             for sleepers in (["r1"], ["r4", "r5", "r6"]):
                 for name in sleepers:
                     cluster.pause(name)
@@ -87,7 +91,7 @@
                 await self.wait_for_agreement()
             self.assertEqual(await self.removed(), set())
 
-        with self.subTest("all stand still, each at its own moment, and a fifth of all is lost"):
+        with self.subTest("all routers are paused, half a second apart, while 20% of datagrams are lost"):
             cluster.network.add_fault("lossy", ALL, ALL, LinkFault(loss_share=0.2))
 
             async def nap(number: int, name: str) -> None:
@@ -101,7 +105,7 @@
             await self.wait_for_agreement()
             self.assertEqual(await self.removed(), set())
 
-        with self.subTest("one empties and comes back, another is replaced"):
+        with self.subTest("one router enters lame duck and rejoins, another is replaced"):
             self.assertEqual(
                 await cluster.call("r3", "LAMEDUCK"), AdminAnswer(AnswerStatus.SUCCEEDED, "lame-duck")
             )
@@ -114,26 +118,26 @@
             await self.wait_for_agreement()
             self.assertEqual(await self.removed(), set())
 
-        with self.subTest("one hears but is not heard"):
+        with self.subTest("one router's datagrams are all lost, while it receives those of the others"):
             cluster.network.add_fault("mute", "r2", ALL, LinkFault(cut=True))
             await self.wait_for_state("r2", "gone")
             self.assertEqual(await self.removed(), {"r2"})
             cluster.network.remove_fault("mute")
             await self.wait_for_agreement()
 
-        with self.subTest("one is heard but does not hear"):
+        with self.subTest("one router receives no datagrams, while the others receive its datagrams"):
             cluster.network.add_fault("deaf", ALL, "r3", LinkFault(cut=True))
 
             async def cut_off() -> bool:
                 view = await cluster.membership_view("r3")
                 return view is not None and view["isolated"]
 
-            await cluster.wait_until(cut_off, "r3 knows that it hears nobody")
+            await cluster.wait_until(cut_off, "r3 reports that it is isolated")
             cluster.network.remove_fault("deaf")
             await self.wait_for_agreement()
             self.assertEqual(await self.removed(), {"r2"})
 
-        with self.subTest("one hears only half of the others, while another dies"):
+        with self.subTest("one router receives no datagrams from three others, while another dies"):
             for name in names[:3]:
                 cluster.network.add_fault("half deaf", name, "r4", LinkFault(cut=True))
             cluster.kill("r6")
@@ -141,7 +145,7 @@
             await self.wait_for_state("r6", "gone")
             self.assertEqual(await self.removed(), {"r2", "r6"})
 
-        with self.subTest("two halves, as shares are growing, with a leave in one of them"):
+        with self.subTest("a partition into halves while quotas grow, with a leave in one half"):
             cluster.network.remove_fault("half deaf")
             half = names[:4]
             for a in names:
@@ -154,11 +158,11 @@
                 return all(len(cluster.present_members(view)) <= ROUTERS // 2 for view in views.values())
 
             await cluster.stop("r7")
-            await cluster.wait_until(parted, "each half is by itself", 60.0)
+            await cluster.wait_until(parted, "each half sees only its own members", 60.0)
             cluster.network.remove_fault("halves")
             await self.wait_for_agreement()
 
-        with self.subTest("four more killed at once, and all started again under their names"):
+        with self.subTest("four more routers are killed at once, and all are restarted under their names"):
             killed = names[2:6]
             before = await cluster.membership_view("r0")
             assert before is not None
@@ -204,7 +208,7 @@
                     view = await cluster.membership_view(rest[-1])
                     return view is not None and len(cluster.present_members(view)) > 1
 
-                await cluster.wait_until(joining, "the last one has begun to join", 60.0)
+                await cluster.wait_until(joining, "the last router has begun to join", 60.0)
                 cluster.pause(rest[-1])
                 awake = [first, *rest[:-1]]
 
@@ -212,9 +216,9 @@
                     views = await cluster.membership_views(awake)
                     return all(set(awake) <= set(cluster.present_members(view)) for view in views.values())
 
-                await cluster.wait_until(others, "the others know each other", 60.0)
+                await cluster.wait_until(others, "the other routers see each other", 60.0)
                 cluster.resume(rest[-1])
-                await cluster.wait_until(lambda: cluster.views_agree(), "all agree", 60.0)
+                await cluster.wait_until(lambda: cluster.views_agree(), "all views agree", 60.0)
                 counted = await cluster.finish()
                 self.assertEqual((cluster.violations, cluster.unexpected_exits, counted["lost"]), ([], [], 0))
                 self.assertNotIn("after=gone", "".join(p.read_text() for p in Path(folder).glob("*.log")))
@@ -227,7 +231,8 @@
             async with Cluster(Path(folder), 2) as cluster:
                 await cluster.start("r1")
                 await cluster.wait_until_serving("r1")
-                (Path(folder) / "r1.sexp").write_text("(edge-router")  # the new one cannot start
+                # Invalid settings: the new process cannot start.
+                (Path(folder) / "r1.sexp").write_text("(edge-router")
                 with self.assertRaises(AssertionError):
                     await cluster.replace("r1", 3.0)
                 self.assertEqual(cluster.left_running(), 1)
--- a/tests/membership/test_quota_lease.py
+++ b/tests/membership/test_quota_lease.py
@@ -56,7 +56,8 @@
             network = started_network(FleetSettings(6), seed)
             network.run(network.now_us + 20 * SECOND)
             network.kill("r5")
-            network.run(network.now_us + 9 * SECOND + seed * SECOND // 2)  # gone about now: they grow
+            # r5 is declared dead about now, and the others' quotas grow.
+            network.run(network.now_us + 9 * SECOND + seed * SECOND // 2)
             network.cut = lambda a, b: (a in ("r0", "r1")) != (b in ("r0", "r1"))
             network.run(network.now_us + 20 * SECOND)
             network.cut = lambda a, b: False
--- a/tests/membership/test_random_runs.py
+++ b/tests/membership/test_random_runs.py
@@ -1,4 +1,4 @@
-"""Random scenarios, and how a failing one is shrunk."""
+"""Generation of random scenarios, and shrinking of a failing one."""
 
 from __future__ import annotations
 
--- a/tests/overload/pieces.py
+++ b/tests/overload/pieces.py
@@ -1,4 +1,4 @@
-"""What the tests of overload share."""
+"""Helpers shared by the tests of the overload package."""
 
 from __future__ import annotations
 
--- a/tests/overload/test_codec.py
+++ b/tests/overload/test_codec.py
@@ -1,4 +1,4 @@
-"""The form of digests on the wire."""
+"""Encoding and decoding of digests."""
 
 from __future__ import annotations
 
--- a/tests/overload/test_failure_reports.py
+++ b/tests/overload/test_failure_reports.py
@@ -1,4 +1,4 @@
-"""Reports of failing endpoints, as one router holds them."""
+"""The reports of failing endpoints that one router holds."""
 
 from __future__ import annotations
 
@@ -27,15 +27,14 @@
         self.reports.merge([failure("p", "a"), failure("p", "b", 1_000_000)], 10_000_000)
         self.assertEqual(self.reports.failing_witnesses("p", 10_000_000), {"a", "b"})
         self.reports.merge([FailureReport("p", "c", False, 500_000)], 10_000_000)
-        self.assertEqual(
-            self.reports.failing_witnesses("p", 10_000_000), {"a"}
-        )  # b saw it before c found it well
+        # c observed the recovery after the failure that b had seen
+        self.assertEqual(self.reports.failing_witnesses("p", 10_000_000), {"a"})
         self.assertEqual(self.reports.failing_witnesses("p", 10_000_000 + REPORT_LIFETIME_US), frozenset())
         self.reports.expire(10_000_000 + REPORT_LIFETIME_US)
         self.assertEqual(list(self.reports.endpoints()), [])
 
     def test_only_a_witness_renews_its_report(self) -> None:
-        """Passed on from one to the next for ever, a word must not stay young."""
+        """Guards against reports that two routers keep exchanging and thereby never expire."""
         other = FailureReports("b")
         self.reports.merge([failure("p", "a")], 0)
         for now in range(0, 2 * REPORT_LIFETIME_US, GOSSIP_INTERVAL_US):
--- a/tests/overload/test_gossip.py
+++ b/tests/overload/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip of failing endpoints and load among several routers."""
+"""Gossip of failing endpoints and of load among several routers."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
                     actions = router.tick(at, own.get(name, endpoints), NAMES)
                     last[name] = actions.overrides
                     for to, digest in actions.sends:
-                        if rand.random() > 0.3:  # a third is lost
+                        if rand.random() > 0.3:  # 30% of the digests are lost
                             routers[to].receive(at, name, codec.decode(codec.encode(digest)), False)
             return last
 
         bad = {name: {"p": health(1, failing=True), "q": health(2)} for name in ("r1", "r2")}
         overrides = turns(15, 0, bad)
-        self.assertTrue(all(overrides.values()), "each has heard of it")
+        self.assertTrue(all(overrides.values()), "every router ejects or probes the endpoint")
         self.assertEqual(
             sum(isinstance(actions[0], Readmit) for actions in overrides.values()), probe_election.PROBERS
         )
--- a/tests/overload/test_health_override.py
+++ b/tests/overload/test_health_override.py
@@ -1,4 +1,4 @@
-"""What the policy does with decisions on an endpoint's health."""
+"""How the policy applies health overrides (ejections and readmissions) to endpoints."""
 
 from __future__ import annotations
 
--- a/tests/overload/test_offloading.py
+++ b/tests/overload/test_offloading.py
@@ -1,4 +1,4 @@
-"""When a router offloads, and how much."""
+"""When a router offloads requests, and which fraction of them."""
 
 from __future__ import annotations
 
--- a/tests/overload/test_probe_election.py
+++ b/tests/overload/test_probe_election.py
@@ -1,4 +1,4 @@
-"""Which routers probe a failing endpoint."""
+"""The election of the routers that probe a failing endpoint."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
         others = {
             name for name in left if isinstance(self.judge(name, received, endpoints, left)[0], Readmit)
         }
-        self.assertEqual(len(others), probe_election.PROBERS)  # where those are gone the next take over
+        self.assertEqual(len(others), probe_election.PROBERS)  # the next ranks replace probers that are gone
 
     def test_reports_alone_take_two_witnesses_and_yield_to_an_own_success(self) -> None:
         endpoints = {"p": health(1), "q": health(2)}
@@ -81,7 +81,8 @@
             reports.merge([FailureReport("p", "a", False, 0)], 500_000)
             overrides = judge.decide(500_000, reports, NAMES, endpoints)
             back |= {act.delay_us for act in overrides if isinstance(act, Readmit)}
-            self.assertEqual(judge.decide(700_000, reports, NAMES, endpoints), [])  # told once
+            # The readmission is decided only once.
+            self.assertEqual(judge.decide(700_000, reports, NAMES, endpoints), [])
         self.assertGreaterEqual(len(back), len(NAMES) - probe_election.PROBERS)
         self.assertLessEqual(max(back), probe_election.READMISSION_RAMP_US)
 
--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -1,5 +1,4 @@
-"""Several real routers that tell each other of failing stores, with what can go wrong with that put between
-them."""
+"""Overload gossip and offloading among several real router processes, with injected faults."""
 
 from __future__ import annotations
 
@@ -29,7 +28,7 @@
         self.names = list(self.cluster.routers)
 
     async def offloaded(self) -> dict[str, list[str]]:
-        """The endpoints that each router that answers leaves to others."""
+        """By router that answers: the endpoints that it has ejected because of reports."""
         views = await asyncio.gather(*(self.cluster.overload_view(name) for name in self.names))
         return {name: view["left"] for name, view in zip(self.names, views, strict=True) if view}
 
@@ -55,10 +54,10 @@
         cluster.start_load()
         hub = cluster.endpoints.places["hub1"]
 
-        with self.subTest("it dies, and the list says so late"):
+        with self.subTest("the parent dies, and the endpoint list is updated late"):
             late = asyncio.ensure_future(cluster.endpoints.inject_fault("late-list", for_s=20.0))
             death = asyncio.ensure_future(cluster.endpoints.inject_fault("die", "hub1", 15.0))
-            await self.until_offloaded(hub.name, 2, "routers leave it to others")
+            await self.until_offloaded(hub.name, 2, "two routers have ejected the dead parent")
             most = 0
             for _ in range(10):
                 left = await self.offloaded()
@@ -66,27 +65,29 @@
                 await asyncio.sleep(0.2)
             self.assertLessEqual(most, ROUTERS - TRIERS)
 
-        with self.subTest("all digests are lost: each goes by itself, and the news is forgotten"):
+        with self.subTest("all digests are lost: each router decides alone, and the reports expire"):
             cluster.network.add_fault("mute", ALL, ALL, LinkFault(cut=True))
-            await self.until_none("nobody goes by old news")
+            await self.until_none("no router has endpoints ejected because of old reports")
             cluster.network.remove_fault("mute")
             await asyncio.gather(late, death)
 
-        with self.subTest("it is back, and nobody leaves anything to others"):
-            await cluster.wait_until(lambda: cluster.views_agree(), "all agree again", 60.0)
-            await self.until_none("all are well")
+        with self.subTest("the parent returns, and no endpoint is ejected because of reports"):
+            await cluster.wait_until(lambda: cluster.views_agree(), "all views agree again", 60.0)
+            await self.until_none("no router has ejected endpoints")
 
             async def asked() -> bool:
                 return cluster.endpoints.places["hub1"].name != hub.name and cluster.served_share() > 0.5
 
-            await cluster.wait_until(asked, "it is back and clients are served", 60.0)
+            await cluster.wait_until(asked, "the parent has returned and clients are served", 60.0)
 
-        with self.subTest("one that stood still wakes and acts on nothing it had heard"):
+        with self.subTest("a resumed router does not act on reports from before its pause"):
             cluster.pause("r1")
             await asyncio.sleep(5.0)
             cluster.resume("r1")
-            await cluster.wait_until(lambda: cluster.views_agree(), "all agree with it", 60.0)
-            await self.until_none("nothing is left over")
+            await cluster.wait_until(
+                lambda: cluster.views_agree(), "all views agree with the resumed router's", 60.0
+            )
+            await self.until_none("no router has ejected endpoints after the pause")
 
         counted = await cluster.finish()
         self.assertEqual((cluster.violations, cluster.unexpected_exits), ([], []))
@@ -113,7 +114,7 @@
                     view = await cluster.overload_view("r1")
                     return view is not None and view["handed"] > 0
 
-                await cluster.wait_until(handing, "r1 hands clients over", 60.0)
+                await cluster.wait_until(handing, "r1 offloads requests", 60.0)
                 views = [await cluster.overload_view(name) for name in names if name != "r1"]
                 self.assertEqual([view["over"] for view in views if view], [False] * 3)
                 starving.cancel()
@@ -123,7 +124,7 @@
                     view = await cluster.overload_view("r1")
                     return view is not None and not view["over"]
 
-                await cluster.wait_until(over, "r1 hands nothing over any more", 60.0)
+                await cluster.wait_until(over, "r1 has stopped offloading", 60.0)
                 view_at_end = await cluster.overload_view("r1")
                 assert view_at_end is not None
                 self.assertLessEqual(view_at_end["changes"], 2)
@@ -133,7 +134,7 @@
             self.assertEqual(cluster.left_running(), 0)
 
     async def starve(self, cluster: Cluster, name: str) -> None:
-        """A quarter of its processor time, in pieces."""
+        """Pause and resume a router repeatedly, so that it runs for a quarter of the time."""
         try:
             while True:
                 cluster.pause(name)
--- a/tests/overload/test_simulated_fleet.py
+++ b/tests/overload/test_simulated_fleet.py
@@ -1,4 +1,4 @@
-"""Gossip of overload in whole fleets, with the real engine and policy on a simulated clock."""
+"""Overload gossip in simulated fleets, with the real engine and policy."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SimulatedFleetTest(unittest.TestCase):
-    """Whole fleets on a fake clock, with the real engine and module."""
+    """Fleets of 12 routers on a simulated clock, with the real engine and overload gossip."""
 
     def test_a_dead_parent_is_probed_by_few_and_lost_digests_leave_each_router_to_itself(self) -> None:
         form = FleetSize(routers=12, zones=2, caches_per_zone=2, parents=3, seed=4)
@@ -19,7 +19,7 @@
         told = lab.play("parent-dead", form, lab.GossipSettings())
         lost = lab.play("parent-dead", form, lab.GossipSettings(loss=1.0))
         self.assertLess(told.tries_per_s, alone.tries_per_s / 2)
-        self.assertEqual(lost.tries_per_s, alone.tries_per_s)  # to the last: nothing was heeded
+        self.assertEqual(lost.tries_per_s, alone.tries_per_s)  # identical: no report had any effect
         for outcome in (alone, told, lost):
             self.assertEqual((outcome.rules_broken, outcome.back_to_95_s < 10), (0, True))
 
--- a/tests/test_overload_processes.py
+++ b/tests/test_overload_processes.py
@@ -1,4 +1,4 @@
-"""Too much, and too little to bear it, with several real routers: rules hold, and service comes back."""
+"""Overload of several real router processes: protocol rules hold, and service recovers after each fault."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
         async def well() -> bool:
             return self.cluster.served_share() >= BACK * usual
 
-        await asyncio.sleep(6.0)  # until the seconds looked at are those after it
-        await self.cluster.wait_until(well, f"service is back after {after}", 60.0)
+        await asyncio.sleep(6.0)  # until the window of served_share lies after the fault
+        await self.cluster.wait_until(well, f"service has recovered after {after}", 60.0)
 
     async def test_the_hard_cases_one_after_another(self) -> None:
         cluster, names = self.cluster, list(self.cluster.routers)
@@ -38,7 +38,7 @@
         usual = cluster.served_share()
         self.assertGreater(usual, 0.5)
 
-        with self.subTest("the origin is slow for all"):
+        with self.subTest("the origin is slow for all requests"):
             await cluster.endpoints.inject_fault("slow", "origin", 5.0, by=400)
             await self.back(usual, "a slow origin")
 
@@ -50,7 +50,9 @@
             await cluster.endpoints.inject_fault("err", "box1", 4.0, by=0.5)
             await self.back(usual, "errors")
 
-        with self.subTest("four of six are killed under load, and another stands still with full queues"):
+        with self.subTest(
+            "four of six routers are killed under load, and another is paused with full queues"
+        ):
             for name in names[2:]:
                 cluster.kill(name)
             await cluster.wait_for_exit(*names[2:])
@@ -60,7 +62,7 @@
             await asyncio.sleep(3.0)
             cluster.resume(names[1])
             await cluster.wait_until_serving(*names[2:])
-            await self.back(usual, "four are killed")
+            await self.back(usual, "four routers were killed")
 
         counted = await cluster.finish()
         self.assertEqual((cluster.violations, cluster.unexpected_exits), ([], []))
