--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -44,8 +44,8 @@
             self.assertEqual(codec.decode(codec.encode(sent)), sent)
 
     def test_a_datagram_stays_within_its_bound_whatever_updates_go_along(self) -> None:
-        many = tuple(member(f"n{i}" + "x" * 40, program_version="y" * 30) for i in range(200))
-        data = codec.encode(Datagram("f", member("a"), 1, 2, Ping(1), many))
+        updates = tuple(member(f"n{i}" + "x" * 40, program_version="y" * 30) for i in range(200))
+        data = codec.encode(Datagram("f", member("a"), 1, 2, Ping(1), updates))
         self.assertLessEqual(len(data), codec.MAX_DATAGRAM_BYTES)
         self.assertGreater(len(codec.decode(data).members), 0)
 
@@ -59,9 +59,15 @@
 
     def test_invalid_texts_and_numbers_are_rejected(self) -> None:
         long = "z" * 65
-        for odd in (member(""), member("a\nb"), member(long), member("a", port=0), member("a", zone=long)):
+        for invalid in (
+            member(""),
+            member("a\nb"),
+            member(long),
+            member("a", port=0),
+            member("a", zone=long),
+        ):
             with self.assertRaises(codec.MalformedDatagramError):
-                codec.decode(codec.encode(Datagram("f", odd, 1, 2)))
+                codec.decode(codec.encode(Datagram("f", invalid, 1, 2)))
 
 
 if __name__ == "__main__":
--- a/tests/membership/test_explored.py
+++ b/tests/membership/test_explored.py
@@ -15,7 +15,7 @@
 from unittest import mock
 
 from magpieshift.lab.experiments import membership_exploration as explored
-from magpieshift.membership import quota_lease as machine
+from magpieshift.membership import quota_lease as quota_lease_module
 from magpieshift.membership.driver import MembershipDriver
 from magpieshift.membership.failure_detector import FailureDetector
 from magpieshift.membership.member import Member, MemberState
@@ -76,19 +76,21 @@
                     tuple(self.views[name].members[o].state.value for o in NAMES),
                 )
             )
-        way = sorted((f, t, c.kind.value, c.request_id, c.term != 0, c.quotas) for f, t, c in self.in_transit)
-        return repr((rows, way)).encode()
+        in_transit = sorted(
+            (f, t, c.kind.value, c.request_id, c.term != 0, c.quotas) for f, t, c in self.in_transit
+        )
+        return repr((rows, in_transit)).encode()
 
     def in_use(self) -> float:
         return sum(self.leases[name].quota(FLEET_SCOPE, self.now) for name in NAMES)
 
-    def send(self, name: str, claims: list[tuple[Address, LeaseMessage]]) -> None:
-        self.in_transit += [(name, to[0], claim) for to, claim in claims]
+    def send(self, name: str, messages: list[tuple[Address, LeaseMessage]]) -> None:
+        self.in_transit += [(name, to[0], message) for to, message in messages]
 
     def deliver(self, index: int) -> None:
-        source, target, claim = self.in_transit.pop(index)
+        source, target, message = self.in_transit.pop(index)
         own = self.leases[source].own
-        self.send(target, self.leases[target].receive(self.now, claim, own, at(source), self.views[target]))
+        self.send(target, self.leases[target].receive(self.now, message, own, at(source), self.views[target]))
 
     def deliver_all(self, index: int = 0) -> None:
         while self.in_transit:
@@ -106,49 +108,49 @@
         change(new)  # type: ignore[operator]
         return new
 
-    def tick(new: State, asleep: tuple[str, ...] = ()) -> None:
+    def tick(new: State, paused_members: tuple[str, ...] = ()) -> None:
         for name in NAMES:
-            if name not in asleep:
+            if name not in paused_members:
                 new.send(name, new.leases[name].tick(new.now, new.views[name]))
 
-    def all_well(new: State) -> None:
+    def no_fault(new: State) -> None:
         tick(new)
         new.deliver_all()
 
-    def backwards(new: State) -> None:
+    def newest_first(new: State) -> None:
         tick(new)
         new.deliver_all(-1)
 
-    found += [go(all_well), go(backwards)]
+    found += [go(no_fault), go(newest_first)]
     for name in NAMES:
 
-        def sleeps(new: State, name: str = name) -> None:
+        def paused(new: State, name: str = name) -> None:
             tick(new, (name,))
             kept = [m for m in new.in_transit if m[1] == name]
             new.in_transit = [m for m in new.in_transit if m[1] != name]
             new.deliver_all()
             new.in_transit += kept  # it receives them when it resumes
 
-        def unheard(new: State, name: str = name) -> None:
+        def all_sent_lost(new: State, name: str = name) -> None:
             tick(new)
             while left := [m for m in new.in_transit if m[0] != name]:
                 new.deliver(new.in_transit.index(left[0]))
             new.in_transit = []
 
-        def starts(new: State, name: str = name) -> None:
+        def restarted(new: State, name: str = name) -> None:
             new.boots[name] += 1
             new.start(name)
-            all_well(new)
+            no_fault(new)
 
-        def taken_for_dead(new: State, name: str = name) -> None:
+        def dead_or_alive_again(new: State, name: str = name) -> None:
             for other in NAMES:
                 if other != name and new.views[other].members[name].is_present:
                     new.views[other].set_state(name, MemberState.DEAD, new.now, "")
                 elif other != name:
                     new.views[other].set_state(name, MemberState.ALIVE, new.now, "")
-            all_well(new)
+            no_fault(new)
 
-        def held_up(new: State, name: str = name) -> None:
+        def incoming_delayed(new: State, name: str = name) -> None:
             """Delay the messages to this member by a step; messages delayed earlier are overtaken."""
             tick(new)
             kept = [m for m in new.in_transit if m[1] == name]
@@ -156,7 +158,7 @@
             new.deliver_all(-1)
             new.in_transit += kept
 
-        found += [go(sleeps), go(unheard), go(starts), go(taken_for_dead), go(held_up)]
+        found += [go(paused), go(all_sent_lost), go(restarted), go(dead_or_alive_again), go(incoming_delayed)]
     return found
 
 
@@ -170,12 +172,12 @@
 class DetectorExplorationTest(unittest.TestCase):
     """The full exploration, 4,616 states in 101,574 steps, takes minutes: ``lab members --explore``."""
 
-    def test_quiet_brings_agreement_after_every_history(self) -> None:
+    def test_views_agree_after_every_history_followed_by_no_faults(self) -> None:
         found = explored.explore(300)
         self.assertGreaterEqual(found.states, 300)
         self.assertEqual(found.disagreements, [])
 
-    def test_a_restart_taken_for_its_predecessor_is_found(self) -> None:
+    def test_a_restart_with_the_incarnation_of_its_predecessor_is_found(self) -> None:
         def start(fleet: explored.Fleet, name: str) -> None:
             fleet.incarnations[name] = 1
             own = Member(name, *at(name), 1, 1)
@@ -189,7 +191,7 @@
     def setUp(self) -> None:
         self.random = random.Random(1)
 
-    def explore(self, most: int, greedy: bool = False) -> tuple[int, float]:
+    def explore(self, max_states: int, greedy: bool = False) -> tuple[int, float]:
         """Explore up to a number of states; returns their number and the largest sum of quotas in use.
 
         The search is breadth-first, or, if ``greedy``, prefers states with a large sum of quotas in use.
@@ -202,50 +204,54 @@
             first.deliver_all()
         self.assertAlmostEqual(first.in_use(), 1.0)
         order = itertools.count()
-        seen, worst = {first.key()}, 0.0
-        edge = [(0.0, next(order), 0, first)]
-        while edge and len(seen) < most:
-            _, _, depth, state = heapq.heappop(edge)
+        seen, max_in_use = {first.key()}, 0.0
+        frontier = [(0.0, next(order), 0, first)]
+        while frontier and len(seen) < max_states:
+            _, _, depth, state = heapq.heappop(frontier)
             for new in successors(state):
-                worst = max(worst, new.in_use())
+                max_in_use = max(max_in_use, new.in_use())
                 if (key := new.key()) not in seen:
                     seen.add(key)
                     rank = float(depth + 1) if not greedy else -new.in_use() - self.random.random() / 2
-                    heapq.heappush(edge, (rank, next(order), depth + 1, new))
-        return len(seen), worst
+                    heapq.heappush(frontier, (rank, next(order), depth + 1, new))
+        return len(seen), max_in_use
 
     def test_quotas_never_exceed_the_whole(self) -> None:
         for greedy in (False, True):
-            states, worst = self.explore(8_000, greedy)
+            states, max_in_use = self.explore(8_000, greedy)
             self.assertGreaterEqual(states, 8_000)
-            self.assertLessEqual(worst, 1.0 + 1e-9)
+            self.assertLessEqual(max_in_use, 1.0 + 1e-9)
 
     def test_a_grant_overtaken_by_a_smaller_one_is_not_held(self) -> None:
         own, other = Member("a", *at("a"), 1, 1), Member("b", *at("b"), 1, 1)
         view = MemberTable(own, 0)
         view.merge(other, 0, "")
         holder = QuotaLease(own, ("b",), {FLEET_SCOPE: 3}, 0.4, 0, random.Random(1))
-        wants = [holder.tick(now, view)[0][1] for now in (2_000_000, 4_000_000)]
-        for want, part in ((wants[1], 0.25), (wants[0], 0.5)):
-            grant = LeaseMessage(1, LeaseMessageKind.GRANT, want.request_id, ((FLEET_SCOPE, part),))
+        requests = [holder.tick(now, view)[0][1] for now in (2_000_000, 4_000_000)]
+        for request, quota in ((requests[1], 0.25), (requests[0], 0.5)):
+            grant = LeaseMessage(1, LeaseMessageKind.GRANT, request.request_id, ((FLEET_SCOPE, quota),))
             holder.receive(4_100_000, grant, other, at("b"), view)
         self.assertAlmostEqual(holder.quota(FLEET_SCOPE, 4_200_000), 0.4 / 3 + 0.6 * 0.25)
 
     def test_a_router_uses_less_before_it_accepts_a_smaller_grant(self) -> None:
-        done: list[str] = []
+        calls: list[str] = []
         own, other = Member("a", *at("a"), 1, 1), Member("b", *at("b"), 1, 1)
         detector = FailureDetector(own, "f", (), 0, random.Random(1))
         detector.view.merge(other, 0, "")
         holder = QuotaLease(own, ("b",), {FLEET_SCOPE: 3}, 0.4, 0, random.Random(1))
-        want = holder.tick(2_000_000, detector.view)[0][1]
+        request = holder.tick(2_000_000, detector.view)[0][1]
         driver = MembershipDriver(detector, holder, lambda: 2_100_000)
-        driver.refresh_quota = lambda: done.append(f"uses {holder.quota(FLEET_SCOPE, 2_100_000):.3f}")
-        detector.send = lambda destination, body: done.append(repr(body))  # type: ignore[method-assign]
+        driver.refresh_quota = lambda: calls.append(f"uses {holder.quota(FLEET_SCOPE, 2_100_000):.3f}")
+        detector.send = lambda destination, body: calls.append(repr(body))  # type: ignore[method-assign]
         detector.on_lease_message(
-            LeaseMessage(1, LeaseMessageKind.GRANT, want.request_id, ((FLEET_SCOPE, 0.25),)), other, at("b")
+            LeaseMessage(1, LeaseMessageKind.GRANT, request.request_id, ((FLEET_SCOPE, 0.25),)),
+            other,
+            at("b"),
+        )
+        confirmation = repr(
+            LeaseMessage(0, LeaseMessageKind.GRANT_ACCEPTED, request.request_id, ((FLEET_SCOPE, 0.25),))
         )
-        said = repr(LeaseMessage(0, LeaseMessageKind.GRANT_ACCEPTED, want.request_id, ((FLEET_SCOPE, 0.25),)))
-        self.assertEqual(done, ["uses 0.133", "uses 0.283", said])
+        self.assertEqual(calls, ["uses 0.133", "uses 0.283", confirmation])
 
     def test_a_missing_rule_is_found(self) -> None:
         """Proves that the check can fail: one safety rule is disabled in each case."""
@@ -254,15 +260,15 @@
             ("a holder reads no clock", {"quota": quota_without_clock}),
         ):
             with self.subTest(what):
-                kept = {name: machine.QuotaLease.__dict__[name] for name in broken}
+                kept = {name: quota_lease_module.QuotaLease.__dict__[name] for name in broken}
                 for name, value in broken.items():
-                    setattr(machine.QuotaLease, name, value)
+                    setattr(quota_lease_module.QuotaLease, name, value)
                 try:
-                    _, worst = self.explore(4_000, greedy=True)
+                    _, max_in_use = self.explore(4_000, greedy=True)
                 finally:
                     for name, value in kept.items():
-                        setattr(machine.QuotaLease, name, value)
-                self.assertGreater(worst, 1.0 + 1e-9)
+                        setattr(quota_lease_module.QuotaLease, name, value)
+                self.assertGreater(max_in_use, 1.0 + 1e-9)
 
 
 if __name__ == "__main__":
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -17,21 +17,21 @@
 
     SEEDS = range(2)
 
-    def quiet(self, network: Network, within_s: int = 30) -> None:
+    def assert_agreement(self, network: Network, within_s: int = 30) -> None:
         """Assert that all views agree within a time without faults, and that quotas never exceeded 1."""
         self.assertTrue(network.run(network.now_us + within_s * SECOND, network.views_agree), "views differ")
         self.assertEqual(network.quota_excesses, 0, f"the quotas added up to {network.max_total_quota}")
 
-    def none_removed(self, network: Network, but: tuple[str, ...] = ()) -> None:
-        wrong = [
+    def assert_none_removed(self, network: Network, excluded: tuple[str, ...] = ()) -> None:
+        false_removals_found = [
             (observed.observer, observed.change.name)
             for observed in network.changes
             if observed.change.new_state == MemberState.DEAD
             and network.processes[observed.change.name].alive
-            and observed.change.name not in but
-            and observed.observer not in but
+            and observed.change.name not in excluded
+            and observed.observer not in excluded
         ]
-        self.assertEqual(wrong, [])
+        self.assertEqual(false_removals_found, [])
 
     def test_sixteen_start_at_once_while_the_one_seed_is_down(self) -> None:
         for seed in self.SEEDS:
@@ -40,8 +40,8 @@
                 network.start(f"r{number}")
             network.run(10 * SECOND)
             network.start("r0")
-            self.quiet(network)
-            self.none_removed(network)
+            self.assert_agreement(network)
+            self.assert_none_removed(network)
 
     def test_pauses_of_five_seconds_remove_nobody(self) -> None:
         for seed in self.SEEDS:
@@ -55,8 +55,8 @@
                 when = network.now_us + network.rand.randrange(8 * SECOND)
                 network.schedule(when, partial(network.pause, f"r{number}", 5 * SECOND))
             network.run(network.now_us + 14 * SECOND)
-            self.none_removed(network)
-            self.quiet(network)
+            self.assert_none_removed(network)
+            self.assert_agreement(network)
 
     def test_a_pause_during_a_join(self) -> None:
         for seed in self.SEEDS:
@@ -64,8 +64,8 @@
             network.start("late")
             network.run(network.now_us + 100_000 * (seed % 30 + 1))
             network.pause("late", 5 * SECOND)
-            self.quiet(network)
-            self.none_removed(network)
+            self.assert_agreement(network)
+            self.assert_none_removed(network)
 
     def test_a_member_that_only_sends_and_one_that_only_receives(self) -> None:
         for seed in self.SEEDS:
@@ -74,33 +74,37 @@
                 network.cut = (lambda a, b: b == "r3") if deaf else (lambda a, b: a == "r3")
                 network.run(network.now_us + 20 * SECOND)
                 # r3 declares no member dead, and only r3 may be declared dead.
-                self.none_removed(network, ("r3",))
-                odd = network.processes["r3"].detector
-                stands = {p.detector.view.members["r3"].state for p in network.living() if p.name != "r3"}
-                self.assertEqual(odd.isolated, deaf)
+                self.assert_none_removed(network, ("r3",))
+                detector_of_r3 = network.processes["r3"].detector
+                states_of_r3 = {
+                    p.detector.view.members["r3"].state for p in network.living() if p.name != "r3"
+                }
+                self.assertEqual(detector_of_r3.isolated, deaf)
                 # The others receive its heartbeats, so it stays present; it knows that it is isolated.
                 if deaf:
-                    self.assertEqual((stands, odd.view.present_count), ({MemberState.ALIVE}, 8))
+                    self.assertEqual(
+                        (states_of_r3, detector_of_r3.view.present_count), ({MemberState.ALIVE}, 8)
+                    )
                 else:
-                    self.assertEqual(stands, {MemberState.DEAD})
+                    self.assertEqual(states_of_r3, {MemberState.DEAD})
                 network.cut = lambda a, b: False
-                self.quiet(network)
+                self.assert_agreement(network)
 
     def test_a_member_that_hears_half_of_the_others(self) -> None:
         for seed in self.SEEDS:
             network = started_network(FleetSettings(8), seed)
             network.cut = lambda a, b: b == "r3" and a in ("r0", "r1", "r2")
             network.run(network.now_us + 20 * SECOND)
-            self.none_removed(network)
+            self.assert_none_removed(network)
             network.cut = lambda a, b: False
-            self.quiet(network)
+            self.assert_agreement(network)
 
-    def test_one_direction_between_a_pair(self) -> None:
+    def test_a_one_way_cut_between_two_members_removes_nobody(self) -> None:
         for seed in self.SEEDS:
             network = started_network(FleetSettings(8), seed)
             network.cut = lambda a, b: (a, b) == ("r1", "r2")
             network.run(network.now_us + 20 * SECOND)
-            self.none_removed(network)
+            self.assert_none_removed(network)
             self.assertTrue(network.views_agree())
 
     def test_seven_of_ten_killed_and_started_again(self) -> None:
@@ -112,19 +116,19 @@
             network.run(network.now_us + int((1 + seed / 6) * SECOND))
             for number in range(3, 10):
                 network.start(f"r{number}")
-            self.quiet(network)
+            self.assert_agreement(network)
             view = network.processes["r0"].detector.view
             for number in range(3, 10):
                 self.assertGreater(view.members[f"r{number}"].member.incarnation, before[f"r{number}"])
 
-    def test_seven_of_ten_killed_for_good_are_dead_for_the_rest(self) -> None:
+    def test_seven_of_ten_killed_permanently_are_dead_in_all_views(self) -> None:
         """Guards against updates that are used up on datagrams to dead members: a survivor got the reports of
         the others only by synchronization, half a minute later."""
         for seed in self.SEEDS:
             network = started_network(FleetSettings(10), seed)
             for number in range(3, 10):
                 network.kill(f"r{number}")
-            self.quiet(network, 30)
+            self.assert_agreement(network, 30)
 
     def test_a_lost_report_is_sent_again_by_a_member_that_has_declared_the_suspect_dead(self) -> None:
         """Guards against a dead member that one survivor considers alive permanently: one report to it was
@@ -133,15 +137,15 @@
         network = started_network(FleetSettings(10), 4)
         for number in range(3, 10):
             network.kill(f"r{number}")
-        lacks = network.processes["r0"].detector.view
+        view_without_report = network.processes["r0"].detector.view
 
-        def forget() -> None:  # r0 loses r1's reports of r9 until r1 has declared r9 dead
+        def drop_report() -> None:  # r0 loses r1's reports of r9 until r1 has declared r9 dead
             if network.processes["r1"].detector.view.members["r9"].state != MemberState.DEAD:
-                lacks.remove_suspicion("r9", "r1")
-                network.schedule(network.now_us + 10_000, forget)
+                view_without_report.remove_suspicion("r9", "r1")
+                network.schedule(network.now_us + 10_000, drop_report)
 
-        forget()
-        self.quiet(network, 40)
+        drop_report()
+        self.assert_agreement(network, 40)
 
     def test_two_halves_with_a_join_and_a_leave_in_them(self) -> None:
         for seed in self.SEEDS:
@@ -153,15 +157,15 @@
             network.leave("r6")
             network.run(network.now_us + 15 * SECOND)
             network.cut = lambda a, b: False
-            self.quiet(network)
+            self.assert_agreement(network)
             for process in network.living():
                 self.assertNotIn("r6", [k.member.name for k in process.detector.view.present_members()])
 
     def test_a_leave_spreads_at_once_and_is_no_failure(self) -> None:
         network = started_network(FleetSettings(8), 1)
-        left = network.now_us
+        left_at_us = network.now_us
         network.leave("r5")
-        network.run(left + 2 * SECOND)
+        network.run(left_at_us + 2 * SECOND)
         for process in network.living():
             self.assertEqual(process.detector.view.members["r5"].state, MemberState.LEFT)
         self.assertFalse(
@@ -173,15 +177,15 @@
             network = started_network(FleetSettings(8), seed)
             network.loss, network.loss_at = 0.3, {"r2": 0.55}
             network.run(network.now_us + 60 * SECOND)
-            self.none_removed(network)
+            self.assert_none_removed(network)
             network.loss, network.loss_at = 0.0, {}
-            self.quiet(network)
+            self.assert_agreement(network)
 
     def test_delays_beyond_the_timeout_of_a_ping(self) -> None:
         network = started_network(FleetSettings(8), 1)
         network.delay_us = (800_000, 1_500_000)
         network.run(network.now_us + 30 * SECOND)
-        self.none_removed(network)
+        self.assert_none_removed(network)
 
     def test_two_processes_of_one_name_are_reported_and_both_stay(self) -> None:
         network = started_network(FleetSettings(4), 1)
@@ -192,11 +196,11 @@
         network.run(network.now_us + 15 * SECOND)
         self.assertEqual(first.detector.counters.conflicts, 1)
         self.assertEqual(second.detector.view.own.name, "r2")
-        alias = first.detector.view.own.name
-        self.assertTrue(alias.startswith("r2~"))
+        new_name = first.detector.view.own.name
+        self.assertTrue(new_name.startswith("r2~"))
         for process in (network.processes["r0"], network.processes["r1"], first, second):
             names = [known.member.name for known in process.detector.view.present_members()]
-            self.assertEqual(names, sorted(["r0", "r1", "r2", "r3", alias]))
+            self.assertEqual(names, sorted(["r0", "r1", "r2", "r3", new_name]))
 
     def test_a_replaced_process_is_superseded_and_is_no_conflict(self) -> None:
         network = started_network(FleetSettings(4), 1)
@@ -218,11 +222,11 @@
     def test_a_successor_whose_clock_is_behind_takes_its_name_back(self) -> None:
         network = started_network(FleetSettings(4), 1)
         network.kill("r2")
-        held = network.now_us
+        real_now_us = network.now_us
         network.now_us = 0  # the incarnation is derived from the wall clock
         process = network.start("r2")
-        network.now_us = held
-        self.quiet(network)
+        network.now_us = real_now_us
+        self.assert_agreement(network)
         self.assertEqual(
             network.processes["r0"].detector.view.members["r2"].member.boot_id,
             process.detector.view.own.boot_id,
@@ -258,8 +262,9 @@
         network = started_network(FleetSettings(8), 1)
         network.sent = 0
         network.run(network.now_us + 10 * SECOND)
-        asked = network.sent / 10 / 8
-        self.assertLess(asked, 66)  # datagrams per second and member; 70 if every monitored member is pinged
+        datagrams_per_s = network.sent / 10 / 8
+        # Datagrams per second and member: 70 if every monitored member is pinged.
+        self.assertLess(datagrams_per_s, 66)
 
 
 if __name__ == "__main__":
--- a/tests/membership/test_fault_injection.py
+++ b/tests/membership/test_fault_injection.py
@@ -25,10 +25,10 @@
 from magpieshift.lab.fault_injection.outages import Halt
 from magpieshift.lab.fault_injection.relay import Relay
 
-GENEROUS_S = 20.0
+WAIT_LIMIT_S = 20.0
 
 
-class Fleet:
+class FakeFleet:
     """A fake fleet for the checks, with the processes, halts and counts that a test sets."""
 
     def __init__(self, folder: Path) -> None:
@@ -54,27 +54,27 @@
         (self.folder / f"{name}.log").write_text("\n".join(lines))
 
 
-class Checks(unittest.TestCase):
+class ChecksTest(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.fleet = Fleet(Path(folder.name))
+        self.fleet = FakeFleet(Path(folder.name))
 
-    def test_answers(self) -> None:
+    def test_answer_check(self) -> None:
         self.assertEqual(checks.AnswerCheck().violations(self.fleet), [])
         for wrong in ({"lost": 1}, {"doubles": 1}, {"served": 5}):
             with self.subTest(wrong):
                 self.fleet.counts = {"sent": 100, "served": 90, "lost": 0, "doubles": 0} | wrong
                 self.assertEqual(len(checks.AnswerCheck().violations(self.fleet)), 1)
 
-    def test_logs(self) -> None:
+    def test_log_check(self) -> None:
         log = self.fleet.folder / "r0.1.log"
         log.write_text("all well\n")
         self.assertEqual(checks.LogCheck().violations(self.fleet), [])
         log.write_text("oh\nTraceback (most recent call last)\n")
         self.assertEqual(len(checks.LogCheck().violations(self.fleet)), 1)
 
-    def test_limits(self) -> None:
+    def test_resource_limit_check(self) -> None:
         self.fleet.processes = {"r0": os.getpid()}
         limits = checks.ResourceLimitCheck()
         limits.observe(self.fleet, {})
@@ -82,7 +82,7 @@
         with mock.patch.object(checks, "MAX_MEMORY_MB", 1), mock.patch.object(checks, "MAX_DESCRIPTORS", 1):
             self.assertEqual(len(limits.violations(self.fleet)), 2)
 
-    def test_shares(self) -> None:
+    def test_quota_check(self) -> None:
         self.fleet.log("r0.1", (1.0, 0.5), (3.0, 0.75))
         self.fleet.log("r1.1", (1.0, 0.5), (2.0, 0.25))
         self.assertEqual(checks.QuotaCheck().violations(self.fleet), [])
@@ -92,7 +92,7 @@
         self.fleet.spans = [Halt("r1", 1, 2.5, float("inf"))]  # dead before the other's quota grew
         self.assertEqual(checks.QuotaCheck().violations(self.fleet), [])
 
-    def test_shares_of_one_that_replaces_another(self) -> None:
+    def test_quotas_during_a_replacement(self) -> None:
         self.fleet.log("r0.1", (1.0, 0.6))
         self.fleet.log("r1.1", (1.0, 0.4), (3.0, 0.2))
         self.fleet.log("r1.2", (2.0, 0.2))
@@ -101,16 +101,16 @@
         self.assertEqual(len(checks.QuotaCheck().violations(self.fleet)), 1)
 
     def test_drains_count_from_when_the_router_could_know(self) -> None:
-        told = time.time() - 1.0
-        for knew, broken in ((told, 2), (time.time(), 0)):
-            rules = ProtocolChecker(0.05, lambda ident, told, knew=knew: knew)  # type: ignore[misc]
-            rules.drains_published_s["s-box1-1"] = told
+        published_s = time.time() - 1.0
+        for known_s, expected_violations in ((published_s, 2), (time.time(), 0)):
+            rules = ProtocolChecker(0.05, lambda ident, published_s, known_s=known_s: known_s)  # type: ignore[misc]
+            rules.drains_published_s["s-box1-1"] = published_s
             rules.attempt_started("00ab", "s-box1-1")
             rules.endpoint_used("00ac", "s-box1-1", "used as a fill source")
-            self.assertEqual(rules.violations.get("drain", 0), broken)
+            self.assertEqual(rules.violations.get("drain", 0), expected_violations)
 
-    def test_a_second_attempt_is_one_unless_the_settings_allow_that_copy(self) -> None:
-        for copies, stores, broken in (
+    def test_a_second_attempt_is_a_violation_unless_the_settings_allow_hedging(self) -> None:
+        for copies, stores, expected_violations in (
             ((), ("a", "b"), 1),
             (("picture",), ("a", "b"), 0),
             (("picture",), ("a", "a"), 1),
@@ -125,9 +125,9 @@
                     rules.attempt_ended("00ab", store)
                 # No hedged request: all earlier attempts have ended.
                 rules.attempt_started("00ab", "d", "picture")
-                self.assertEqual(rules.violations.get("second attempt", 0), broken)
+                self.assertEqual(rules.violations.get("second attempt", 0), expected_violations)
 
-    def test_which_classes_may_be_copied_is_read_from_the_settings(self) -> None:
+    def test_hedged_classes_are_read_from_the_settings(self) -> None:
         data = emulated.router_settings("r0", 1, 2)
         for allowed, wanted in ((False, set()), (True, {"picture"})):
             attempts = {**data.get("attempts", {}), "second-copies": allowed}
@@ -145,10 +145,10 @@
         self.assertEqual(rules.violations, {"purge": 1})
 
 
-class Streams(unittest.IsolatedAsyncioTestCase):
+class RelayTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.network = Network()
-        self.heard = b""
+        self.received = b""
         self.server = await asyncio.start_server(self.echo, "127.0.0.1", 0)
         self.relay = Relay(self.network, "r1", "box1", self.server.sockets[0].getsockname()[1])
         await self.relay.start()
@@ -157,13 +157,13 @@
 
     async def echo(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(1024):
-            self.heard += data
+            self.received += data
             writer.write(data)
         writer.close()
 
-    async def until(self, true: object) -> None:
-        async with asyncio.timeout(GENEROUS_S):
-            while not true():  # type: ignore[operator]
+    async def wait_until(self, is_reached: object) -> None:
+        async with asyncio.timeout(WAIT_LIMIT_S):
+            while not is_reached():  # type: ignore[operator]
                 await asyncio.sleep(0.01)
 
     async def test_each_direction_is_cut_by_itself_and_nothing_is_torn(self) -> None:
@@ -171,16 +171,16 @@
         self.addCleanup(writer.close)
         self.network.add_fault("deaf", "box1", ANY_ROUTER, LinkFault(cut=True))
         writer.write(b"one")
-        await self.until(lambda: self.heard == b"one")
+        await self.wait_until(lambda: self.received == b"one")
         self.network.add_fault("mute", "r1", "box1", LinkFault(cut=True))
         writer.write(b"two")
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(0.2):
                 await reader.readexactly(1)
-        self.assertEqual(self.heard, b"one")
+        self.assertEqual(self.received, b"one")
         self.network.remove_fault("deaf")
         self.network.remove_fault("mute")
-        async with asyncio.timeout(GENEROUS_S):
+        async with asyncio.timeout(WAIT_LIMIT_S):
             self.assertEqual(await reader.readexactly(6), b"onetwo")
 
     async def test_open_connections_are_reset_and_new_ones_at_once(self) -> None:
@@ -190,15 +190,15 @@
         self.network.add_fault("broken", "*", "box1", LinkFault(reset=True))
         for _ in range(2):
             with self.assertRaises(ConnectionError):
-                async with asyncio.timeout(GENEROUS_S):
+                async with asyncio.timeout(WAIT_LIMIT_S):
                     if await reader.read(1) == b"":
                         raise AssertionError("found the end of the stream, expected a connection reset")
             reader, writer = await asyncio.open_connection("127.0.0.1", self.relay.port)
         self.network.remove_fault("broken")
         writer.close()
-        await self.until(lambda: self.relay.open == 0)
+        await self.wait_until(lambda: self.relay.open == 0)
 
-    async def test_a_silent_peer_accepts_and_says_nothing(self) -> None:
+    async def test_a_silent_peer_accepts_and_forwards_nothing(self) -> None:
         self.network.add_fault("silent", "r1", "*", LinkFault(silent=True))
         reader, writer = await asyncio.open_connection("127.0.0.1", self.relay.port)
         self.addCleanup(writer.close)
@@ -206,19 +206,19 @@
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(0.2):
                 await reader.read(1)
-        self.assertEqual(self.heard, b"")
+        self.assertEqual(self.received, b"")
         self.network.remove_fault("silent")
-        async with asyncio.timeout(GENEROUS_S):
+        async with asyncio.timeout(WAIT_LIMIT_S):
             self.assertEqual(await reader.readexactly(3), b"one")
 
-    async def test_a_reset_by_one_end_reaches_the_other_which_says_nothing_more(self) -> None:
+    async def test_a_reset_by_one_end_is_forwarded_to_the_other(self) -> None:
         """Guards against a client that waits until its time limit for the answer to a request that was sent
         while the router closed the connection: the relay did not forward the reset."""
 
         async def resets(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.read(1024)
-            lingers = struct.pack("ii", 1, 0)
-            writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, lingers)
+            linger_option = struct.pack("ii", 1, 0)
+            writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger_option)
             writer.transport.abort()
 
         server = await asyncio.start_server(resets, "127.0.0.1", 0)
@@ -229,85 +229,85 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", relay.port)
         self.addCleanup(writer.close)
         writer.write(b"one")
-        async with asyncio.timeout(GENEROUS_S):
+        async with asyncio.timeout(WAIT_LIMIT_S):
             # The client has to see either a reset or the end of the stream.
             with contextlib.suppress(ConnectionError):
                 self.assertEqual(await reader.read(1), b"")
 
-    async def test_other_ways_are_left_alone(self) -> None:
+    async def test_faults_of_other_links_have_no_effect(self) -> None:
         for source, target in (("r2", "box1"), ("r1", "box2"), ("log", "r1"), (ANY_ROUTER, ANY_ROUTER)):
             self.network.add_fault("elsewhere", source, target, LinkFault(cut=True, reset=True, silent=True))
         reader, writer = await asyncio.open_connection("127.0.0.1", self.relay.port)
         self.addCleanup(writer.close)
         writer.write(b"one")
-        async with asyncio.timeout(GENEROUS_S):
+        async with asyncio.timeout(WAIT_LIMIT_S):
             self.assertEqual(await reader.readexactly(3), b"one")
 
 
-class Clients(unittest.IsolatedAsyncioTestCase):
+class ClientConnectionTest(unittest.IsolatedAsyncioTestCase):
     """Laboratory clients follow the protocol page, so that requests they count as lost are really lost."""
 
     async def asyncSetUp(self) -> None:
-        self.asked: list[list[int]] = []  # stream ids of the requests on each connection
-        self.ways_out = ["tell", "drop"]  # on its first connections the router sends GO_AWAY, or closes
+        self.streams_by_connection: list[list[int]] = []  # stream ids of the requests on each connection
+        self.endings = ["tell", "drop"]  # on its first connections the router sends GO_AWAY, or closes
         self.server = await asyncio.start_server(self.router, "127.0.0.1", 0)
         self.addCleanup(self.server.close)
-        self.client = ClientConnection(self.server.sockets[0].getsockname()[1], resend_window_s=GENEROUS_S)
+        self.client = ClientConnection(self.server.sockets[0].getsockname()[1], resend_window_s=WAIT_LIMIT_S)
         self.addCleanup(self.client.close)
 
     async def router(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         streams: list[int] = []
-        self.asked.append(streams)
-        parser, way = frames.FrameParser(), self.ways_out.pop(0) if self.ways_out else ""
+        self.streams_by_connection.append(streams)
+        parser, ending = frames.FrameParser(), self.endings.pop(0) if self.endings else ""
         while data := await reader.read(1024):
             for frame in parser.feed(data):
                 streams.append(frame.stream_id)
-                if way == "drop":
+                if ending == "drop":
                     writer.close()
                     return
-                told = frames.frame_head(FrameType.GO_AWAY, 0) if way == "tell" else b""
-                writer.write(told + frames.response_head(frame.stream_id, ResponseCode.OK, {}, 0))
+                go_away = frames.frame_head(FrameType.GO_AWAY, 0) if ending == "tell" else b""
+                writer.write(go_away + frames.response_head(frame.stream_id, ResponseCode.OK, {}, 0))
         writer.close()
 
     async def ask(self) -> object:
-        answer = await self.client.request({"i": "0" * 16, "o": "1" * 16}, b"", GENEROUS_S)
+        answer = await self.client.request({"i": "0" * 16, "o": "1" * 16}, b"", WAIT_LIMIT_S)
         return answer if isinstance(answer, NoAnswer) else answer.code
 
-    async def test_who_is_told_to_send_no_more_goes_on_elsewhere_and_sends_again_what_crossed(self) -> None:
+    async def test_a_client_reconnects_after_go_away_and_resends_a_request_that_crossed_a_close(self) -> None:
         self.assertEqual(await self.ask(), ResponseCode.OK)  # and receives GO_AWAY
         # The router closes the second connection, and the client sends the request again on a third.
         self.assertEqual(await self.ask(), ResponseCode.OK)
         self.assertEqual(await self.ask(), ResponseCode.OK)
-        self.assertEqual(self.asked, [[1], [1], [1, 2]])
+        self.assertEqual(self.streams_by_connection, [[1], [1], [1, 2]])
 
-    async def test_what_is_dropped_twice_or_long_after_it_was_sent_is_lost(self) -> None:
-        self.ways_out = ["drop", "drop", "drop"]
+    async def test_a_request_dropped_twice_or_after_the_resend_window_is_lost(self) -> None:
+        self.endings = ["drop", "drop", "drop"]
         self.assertEqual(await self.ask(), NoAnswer.CROSSED)
         self.client = ClientConnection(self.server.sockets[0].getsockname()[1], resend_window_s=0.0)
         self.assertEqual(await self.ask(), NoAnswer.ENDED)
-        self.assertEqual(self.asked, [[1]] * 3)
+        self.assertEqual(self.streams_by_connection, [[1]] * 3)
 
-    async def test_where_nobody_listens_nothing_was_sent(self) -> None:
+    async def test_without_a_listener_no_request_is_sent(self) -> None:
         self.server.close()
         self.assertEqual(await self.ask(), NoAnswer.UNREACHED)
 
 
-class Clocks(unittest.TestCase):
-    def test_a_bent_clock_never_goes_back_and_only_the_wall_clock_is_stepped(self) -> None:
-        with tempfile.TemporaryDirectory() as folder, mock.patch("time.monotonic_ns") as true:
+class SkewedClockTest(unittest.TestCase):
+    def test_a_skewed_clock_is_monotonic_and_only_the_wall_clock_is_stepped(self) -> None:
+        with tempfile.TemporaryDirectory() as folder, mock.patch("time.monotonic_ns") as monotonic_ns:
             path = Path(folder) / "clock"
-            true.return_value = 1_000_000_000
+            monotonic_ns.return_value = 1_000_000_000
             skewed_clock.write_clock(path)
             clock = skewed_clock.SkewedTimeSource(path)
             steady, wall = clock.steady_us(), clock.unix_us()
             skewed_clock.write_clock(path, step_us=-5_000_000, rate=2.0)
             self.assertEqual(clock.steady_us(), steady)  # a new rate applies from now on
             self.assertAlmostEqual(clock.unix_us(), wall - 5_000_000, delta=2)
-            true.return_value += 1_000_000_000
+            monotonic_ns.return_value += 1_000_000_000
             self.assertEqual(clock.steady_us(), steady + 2_000_000)
             skewed_clock.write_clock(path, rate=0.5)
             self.assertEqual(clock.steady_us(), steady + 2_000_000)
-            true.return_value += 1_000_000_000
+            monotonic_ns.return_value += 1_000_000_000
             self.assertEqual(clock.steady_us(), steady + 2_500_000)
             self.assertAlmostEqual(clock.unix_us(), wall + 2_500_000, delta=2)
 
--- a/tests/membership/test_member_table.py
+++ b/tests/membership/test_member_table.py
@@ -14,7 +14,7 @@
     def setUp(self) -> None:
         self.view = MemberTable(member("own"), 0)
 
-    def stands(self, name: str) -> MemberState:
+    def state_of(self, name: str) -> MemberState:
         return self.view.members[name].state
 
     def test_the_order_in_which_records_come_does_not_matter(self) -> None:
@@ -26,17 +26,17 @@
             member("b", heartbeat=2),
             member("b", incarnation=5, boot_id=9),
         ]
-        ends = set()
+        final_views = set()
         for seed in range(50):
             view = MemberTable(member("own"), 0)
             view.merge(member("a"), 0, "")
             view.merge(member("b"), 0, "")
             for record in random.Random(seed).sample(records, len(records)):
                 view.merge(record, 1, "")
-            ends.add(
+            final_views.add(
                 (view.digest, view.members["a"].member, view.members["b"].member, view.members["a"].state)
             )
-        self.assertEqual(len(ends), 1)
+        self.assertEqual(len(final_views), 1)
 
     def test_a_suspicion_report_holds_until_a_later_heartbeat_is_known(self) -> None:
         self.view.merge(member("a", heartbeat=4), 0, "")
@@ -55,29 +55,29 @@
         self.view.merge(member("a"), 0, "")
         self.view.merge(member("a", heartbeat=1, has_left=True), 1, "")
         self.view.merge(member("a", heartbeat=8), 2, "")
-        self.assertEqual(self.stands("a"), MemberState.LEFT)
+        self.assertEqual(self.state_of("a"), MemberState.LEFT)
         self.view.merge(member("a", incarnation=6), 3, "")
-        self.assertEqual(self.stands("a"), MemberState.ALIVE)
+        self.assertEqual(self.state_of("a"), MemberState.ALIVE)
 
     def test_a_member_that_keeps_returning_is_held_back_longer_each_time(self) -> None:
-        view, now, beat, waits = MemberTable(member("a"), 0), 0, 0, []
+        view, now, heartbeat_number, waits_s = MemberTable(member("a"), 0), 0, 0, []
         view.merge(member("b"), now, "")
         for _ in range(6):
             now += 20_000_000
             view.set_state("b", MemberState.DEAD, now, "")
-            began = now
+            began_us = now
             while view.members["b"].state == MemberState.DEAD:
-                now, beat = now + 1_000_000, beat + 1
-                view.merge(member("b", heartbeat=beat), now, "heard")
-            waits.append((now - began) // 1_000_000 - 1)
-        self.assertEqual(waits, [0, 0, 5, 10, 20, 40])
+                now, heartbeat_number = now + 1_000_000, heartbeat_number + 1
+                view.merge(member("b", heartbeat=heartbeat_number), now, "heard")
+            waits_s.append((now - began_us) // 1_000_000 - 1)
+        self.assertEqual(waits_s, [0, 0, 5, 10, 20, 40])
         view.set_state("b", MemberState.DEAD, now, "")
         for step in range(30):  # each gap between heartbeats is longer than MAX_HEARTBEAT_GAP_US
             now += 4_000_000
-            view.merge(member("b", heartbeat=beat + step + 1), now, "heard")
+            view.merge(member("b", heartbeat=heartbeat_number + step + 1), now, "heard")
         self.assertEqual(view.members["b"].state, MemberState.DEAD)
         now += 700_000_000  # after REJOIN_MEMORY_US its returns no longer count
-        view.merge(member("b", heartbeat=beat + 100), now, "heard")
+        view.merge(member("b", heartbeat=heartbeat_number + 100), now, "heard")
         self.assertEqual(view.members["b"].state, MemberState.ALIVE)
 
     def test_equal_views_have_equal_digests_and_others_not(self) -> None:
--- a/tests/membership/test_ports.py
+++ b/tests/membership/test_ports.py
@@ -7,8 +7,8 @@
 from magpieshift.lab.fault_injection.ports import FIRST_PORT, LAST_PORT, free_port, free_ports
 
 
-class FreePorts(unittest.TestCase):
-    def test_none_is_given_twice_and_none_is_one_that_a_client_may_take(self) -> None:
+class FreePortsTest(unittest.TestCase):
+    def test_ports_are_unique_and_outside_the_ephemeral_range(self) -> None:
         """Guards against a process whose port is in use when it starts or restarts."""
         found = [*free_ports(20), *(free_port() for _ in range(20))]
         self.assertEqual(len(set(found)), len(found))
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -18,13 +18,12 @@
 from magpieshift.lab.fault_injection import scenario
 from magpieshift.lab.fault_injection.built_in_scenarios import BUILT_IN_SCENARIOS
 from magpieshift.lab.fault_injection.cluster import Cluster
-from magpieshift.lab.fault_injection.network import ANY_ROUTER as ALL
-from magpieshift.lab.fault_injection.network import LinkFault
+from magpieshift.lab.fault_injection.network import ANY_ROUTER, LinkFault
 
 ROUTERS = 8
 
 
-class Processes(unittest.IsolatedAsyncioTestCase):
+class MembershipProcessesTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         asyncio.get_running_loop().set_debug(False)  # debug mode slows all emulators down by half
         self.folder = tempfile.TemporaryDirectory()
@@ -34,29 +33,33 @@
         )
         self.names = list(self.cluster.routers)
 
-    async def others(self, but: str) -> list[dict[str, object]]:
+    async def other_views(self, excluded: str) -> list[dict[str, object]]:
         views = await self.cluster.membership_views(
-            [n for n in self.names if n != but and self.cluster.routers[n].alive]
+            [n for n in self.names if n != excluded and self.cluster.routers[n].alive]
         )
         return list(views.values())
 
-    async def wait_for_state(self, about: str, standing: str) -> None:
-        async def true() -> bool:
-            views = await self.others(about)
-            return bool(views) and all(self.cluster.member_state(view, about) == standing for view in views)
+    async def wait_for_state(self, member_name: str, expected_state: str) -> None:
+        async def is_reached() -> bool:
+            views = await self.other_views(member_name)
+            return bool(views) and all(
+                self.cluster.member_state(view, member_name) == expected_state for view in views
+            )
 
-        await self.cluster.wait_until(true, f"all other routers see {about} as {standing}", 60.0)
+        await self.cluster.wait_until(
+            is_reached, f"all other routers see {member_name} as {expected_state}", 60.0
+        )
 
-    async def wait_for_own_state(self, about: str, state: str) -> None:
+    async def wait_for_own_state(self, member_name: str, state: str) -> None:
         """Wait until all others see this lifecycle state in its record, and see it as alive."""
 
-        async def true() -> bool:
-            rows = [row for view in await self.others(about) for row in view["members"]]  # type: ignore[attr-defined]
-            seen = {(row["state"], row["standing"]) for row in rows if row["name"] == about}
+        async def is_reached() -> bool:
+            rows = [row for view in await self.other_views(member_name) for row in view["members"]]  # type: ignore[attr-defined]
+            seen = {(row["state"], row["standing"]) for row in rows if row["name"] == member_name}
             return seen == {(state, "alive")}
 
         await self.cluster.wait_until(
-            true, f"all other routers see the lifecycle state {state} of {about}", 60.0
+            is_reached, f"all other routers see the lifecycle state {state} of {member_name}", 60.0
         )
 
     async def wait_for_agreement(self) -> None:
@@ -64,7 +67,7 @@
             lambda: self.cluster.views_agree(), "all views agree, with all live routers present", 60.0
         )
 
-    async def removed(self) -> set[str]:
+    async def declared_dead(self) -> set[str]:
         """The routers that any router ever declared dead, according to the logs."""
         found = set()
         for log in Path(self.folder.name).glob("*.log"):
@@ -73,7 +76,7 @@
                     found.add(line.partition(" name=")[2].split()[0])
         return found
 
-    async def test_the_hard_cases_one_after_another_under_load(self) -> None:
+    async def test_views_agree_after_each_fault_under_load(self) -> None:
         cluster, names = self.cluster, self.names
         await cluster.start(*names)
         await cluster.wait_until_serving(*names)
@@ -81,29 +84,29 @@
         cluster.start_load()
 
         with self.subTest("one router is paused, then three at once"):
-            for sleepers in (["r1"], ["r4", "r5", "r6"]):
-                for name in sleepers:
+            for paused in (["r1"], ["r4", "r5", "r6"]):
+                for name in paused:
                     cluster.pause(name)
-                for name in sleepers:
-                    await self.wait_for_state(name, "suspected") if len(sleepers) == 1 else None
-                for name in sleepers:
+                for name in paused:
+                    await self.wait_for_state(name, "suspected") if len(paused) == 1 else None
+                for name in paused:
                     cluster.resume(name)
                 await self.wait_for_agreement()
-            self.assertEqual(await self.removed(), set())
+            self.assertEqual(await self.declared_dead(), set())
 
         with self.subTest("all routers are paused, half a second apart, while 20% of datagrams are lost"):
-            cluster.network.add_fault("lossy", ALL, ALL, LinkFault(loss_share=0.2))
+            cluster.network.add_fault("lossy", ANY_ROUTER, ANY_ROUTER, LinkFault(loss_share=0.2))
 
-            async def nap(number: int, name: str) -> None:
+            async def pause_briefly(number: int, name: str) -> None:
                 await asyncio.sleep(number / 2)
                 cluster.pause(name)
                 await asyncio.sleep(4.0)
                 cluster.resume(name)
 
-            await asyncio.gather(*(nap(number, name) for number, name in enumerate(names)))
+            await asyncio.gather(*(pause_briefly(number, name) for number, name in enumerate(names)))
             cluster.network.remove_fault("lossy")
             await self.wait_for_agreement()
-            self.assertEqual(await self.removed(), set())
+            self.assertEqual(await self.declared_dead(), set())
 
         with self.subTest("one router enters lame duck and rejoins, another is replaced"):
             self.assertEqual(
@@ -116,26 +119,26 @@
             await cluster.replace("r1")
             await self.wait_for_own_state("r3", "serving")
             await self.wait_for_agreement()
-            self.assertEqual(await self.removed(), set())
+            self.assertEqual(await self.declared_dead(), set())
 
         with self.subTest("one router's datagrams are all lost, while it receives those of the others"):
-            cluster.network.add_fault("mute", "r2", ALL, LinkFault(cut=True))
+            cluster.network.add_fault("mute", "r2", ANY_ROUTER, LinkFault(cut=True))
             await self.wait_for_state("r2", "gone")
-            self.assertEqual(await self.removed(), {"r2"})
+            self.assertEqual(await self.declared_dead(), {"r2"})
             cluster.network.remove_fault("mute")
             await self.wait_for_agreement()
 
         with self.subTest("one router receives no datagrams, while the others receive its datagrams"):
-            cluster.network.add_fault("deaf", ALL, "r3", LinkFault(cut=True))
+            cluster.network.add_fault("deaf", ANY_ROUTER, "r3", LinkFault(cut=True))
 
-            async def cut_off() -> bool:
+            async def is_isolated() -> bool:
                 view = await cluster.membership_view("r3")
                 return view is not None and view["isolated"]
 
-            await cluster.wait_until(cut_off, "r3 reports that it is isolated")
+            await cluster.wait_until(is_isolated, "r3 reports that it is isolated")
             cluster.network.remove_fault("deaf")
             await self.wait_for_agreement()
-            self.assertEqual(await self.removed(), {"r2"})
+            self.assertEqual(await self.declared_dead(), {"r2"})
 
         with self.subTest("one router receives no datagrams from three others, while another dies"):
             for name in names[:3]:
@@ -143,7 +146,7 @@
             cluster.kill("r6")
             await cluster.wait_for_exit("r6")
             await self.wait_for_state("r6", "gone")
-            self.assertEqual(await self.removed(), {"r2", "r6"})
+            self.assertEqual(await self.declared_dead(), {"r2", "r6"})
 
         with self.subTest("a partition into halves while quotas grow, with a leave in one half"):
             cluster.network.remove_fault("half deaf")
@@ -153,12 +156,12 @@
                     if (a in half) != (b in half):
                         cluster.network.add_fault("halves", a, b, LinkFault(cut=True))
 
-            async def parted() -> bool:
+            async def is_partitioned() -> bool:
                 views = await cluster.membership_views()
                 return all(len(cluster.present_members(view)) <= ROUTERS // 2 for view in views.values())
 
             await cluster.stop("r7")
-            await cluster.wait_until(parted, "each half sees only its own members", 60.0)
+            await cluster.wait_until(is_partitioned, "each half sees only its own members", 60.0)
             cluster.network.remove_fault("halves")
             await self.wait_for_agreement()
 
@@ -179,16 +182,16 @@
                 if row["name"] in killed:
                     self.assertGreater(row["incarnation"], old[row["name"]])
 
-        counted = await cluster.finish()
+        request_counts = await cluster.finish()
         self.assertEqual((cluster.violations, cluster.unexpected_exits), ([], []))
-        self.assertEqual((counted["lost"], counted["doubles"]), (0, 0))
-        self.assertGreater(counted["served"], 100)
+        self.assertEqual((request_counts["lost"], request_counts["doubles"]), (0, 0))
+        self.assertGreater(request_counts["served"], 100)
         await cluster.close()
         self.assertEqual(cluster.left_running(), 0)
 
 
-class Starting(unittest.IsolatedAsyncioTestCase):
-    async def test_sixteen_start_while_their_one_seed_is_down_and_one_stands_still_as_it_joins(self) -> None:
+class JoinProcessesTest(unittest.IsolatedAsyncioTestCase):
+    async def test_sixteen_start_while_their_one_seed_is_down_and_one_is_paused_as_it_joins(self) -> None:
         asyncio.get_running_loop().set_debug(False)
         with tempfile.TemporaryDirectory() as folder:
             async with Cluster(Path(folder), 16, requests_per_s=3.0, slack_s=1.0, seed_count=1) as cluster:
@@ -212,20 +215,22 @@
                 cluster.pause(rest[-1])
                 awake = [first, *rest[:-1]]
 
-                async def others() -> bool:
+                async def others_see_each_other() -> bool:
                     views = await cluster.membership_views(awake)
                     return all(set(awake) <= set(cluster.present_members(view)) for view in views.values())
 
-                await cluster.wait_until(others, "the other routers see each other", 60.0)
+                await cluster.wait_until(others_see_each_other, "the other routers see each other", 60.0)
                 cluster.resume(rest[-1])
                 await cluster.wait_until(lambda: cluster.views_agree(), "all views agree", 60.0)
-                counted = await cluster.finish()
-                self.assertEqual((cluster.violations, cluster.unexpected_exits, counted["lost"]), ([], [], 0))
+                request_counts = await cluster.finish()
+                self.assertEqual(
+                    (cluster.violations, cluster.unexpected_exits, request_counts["lost"]), ([], [], 0)
+                )
                 self.assertNotIn("after=gone", "".join(p.read_text() for p in Path(folder).glob("*.log")))
             self.assertEqual(cluster.left_running(), 0)
 
 
-class Ending(unittest.IsolatedAsyncioTestCase):
+class ReplacementProcessesTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_replacement_that_fails_leaves_neither_of_the_two(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             async with Cluster(Path(folder), 2) as cluster:
@@ -239,8 +244,8 @@
             self.assertEqual(cluster.left_running(), 0)
 
 
-class Commands(unittest.TestCase):
-    def test_a_short_run_by_command_leaves_what_it_takes_to_play_it_again(self) -> None:
+class FleetRunCommandTest(unittest.TestCase):
+    def test_a_short_fleet_run_writes_the_files_to_repeat_it(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             words = ["lab", "fleet-run", "quiet", "--routers", "2", "--seed", "3", "--folder", folder]
             done = subprocess.run(
--- a/tests/membership/test_quota_lease.py
+++ b/tests/membership/test_quota_lease.py
@@ -15,16 +15,16 @@
         network = started_network(FleetSettings(6), 1)
         network.run(network.now_us + 30 * SECOND)
         for process in network.living():
-            share = process.quota_lease.quota(FLEET_SCOPE, process.clock(network.now_us))
-            self.assertAlmostEqual(share, 1 / 6, places=6)
+            quota = process.quota_lease.quota(FLEET_SCOPE, process.clock(network.now_us))
+            self.assertAlmostEqual(quota, 1 / 6, places=6)
 
     def test_a_dead_members_quota_goes_to_the_rest_and_comes_back(self) -> None:
         network = started_network(FleetSettings(6), 2)
         network.run(network.now_us + 30 * SECOND)
         network.kill("r5")
         network.run(network.now_us + 30 * SECOND)
-        shares = [p.quota_lease.quota(FLEET_SCOPE, p.clock(network.now_us)) for p in network.living()]
-        self.assertTrue(all(abs(share - (0.5 / 6 + 0.5 / 5)) < 1e-6 for share in shares), shares)
+        quotas = [p.quota_lease.quota(FLEET_SCOPE, p.clock(network.now_us)) for p in network.living()]
+        self.assertTrue(all(abs(quota - (0.5 / 6 + 0.5 / 5)) < 1e-6 for quota in quotas), quotas)
         network.start("r5")
         network.run(network.now_us + 40 * SECOND)
         self.assertTrue(
@@ -41,10 +41,13 @@
         for seed in range(3):
             network = started_network(FleetSettings(6), seed)
             network.run(network.now_us + 20 * SECOND)
-            network.cut = lambda a, b, who=f"r{seed}": who in (a, b)  # type: ignore[misc]
+            network.cut = lambda a, b, isolated=f"r{seed}": isolated in (a, b)  # type: ignore[misc]
             network.run(network.now_us + 10 * SECOND)
-            alone = network.processes[f"r{seed}"]
-            self.assertAlmostEqual(alone.quota_lease.quota(FLEET_SCOPE, alone.clock(network.now_us)), 0.5 / 6)
+            isolated_process = network.processes[f"r{seed}"]
+            self.assertAlmostEqual(
+                isolated_process.quota_lease.quota(FLEET_SCOPE, isolated_process.clock(network.now_us)),
+                0.5 / 6,
+            )
             network.run(network.now_us + 20 * SECOND)
             network.cut = lambda a, b: False
             network.run(network.now_us + 30 * SECOND)
@@ -69,9 +72,9 @@
         network = started_network(FleetSettings(4), 1)
         network.run(network.now_us + 30 * SECOND)
         process = network.processes["r1"]
-        slept = network.now_us
+        paused_at_us = network.now_us
         network.pause("r1", 8 * SECOND)
-        network.run(slept + 8 * SECOND - 1)
+        network.run(paused_at_us + 8 * SECOND - 1)
         now = process.clock(network.now_us)
         self.assertAlmostEqual(process.quota_lease.quota(FLEET_SCOPE, now), 0.5 / 4)
 
@@ -96,11 +99,11 @@
                         network.pause(name, rand.randrange(12 * SECOND))
                     case "kill" if network.processes[name].alive:
                         network.kill(name)
-                        again = network.now_us + rand.randrange(SECOND, 9 * SECOND)
-                        network.schedule(again, partial(network.start, name))
+                        restart_us = network.now_us + rand.randrange(SECOND, 9 * SECOND)
+                        network.schedule(restart_us, partial(network.start, name))
                     case "cut":
-                        ways = {(f"r{rand.randrange(5)}", f"r{rand.randrange(5)}") for _ in range(8)}
-                        network.cut = lambda a, b, ways=ways: (a, b) in ways  # type: ignore[misc]
+                        cut_links = {(f"r{rand.randrange(5)}", f"r{rand.randrange(5)}") for _ in range(8)}
+                        network.cut = lambda a, b, cut_links=cut_links: (a, b) in cut_links  # type: ignore[misc]
                     case "heal":
                         network.cut, network.loss = (lambda a, b: False), 0.0
                     case "lose":
--- a/tests/overload/test_gossip.py
+++ b/tests/overload/test_gossip.py
@@ -13,24 +13,27 @@
     HealthOverride,
     Readmit,
 )
-from tests.overload.pieces import NAMES, health
+from tests.overload.pieces import NAMES, health_view
 
 
 class GossipTest(unittest.TestCase):
     def test_nothing_is_sent_while_nothing_fails_and_no_router_is_overloaded(self) -> None:
         router = Gossip("r0", random.Random(1))
-        endpoints = {"p": health(1, good_us=5), "q": EndpointHealth(2, (1, 0), True, 50_000, 10_000)}
-        for turn in range(50):
-            actions = router.tick(turn * GOSSIP_INTERVAL_US, endpoints, NAMES, NAMES, 0.2, 50.0)
+        endpoints = {
+            "p": health_view(1, success_age_us=5),
+            "q": EndpointHealth(2, (1, 0), True, 50_000, 10_000),
+        }
+        for tick_number in range(50):
+            actions = router.tick(tick_number * GOSSIP_INTERVAL_US, endpoints, NAMES, NAMES, 0.2, 50.0)
             self.assertEqual((actions.overrides, actions.sends), ([], []))
 
-    def test_news_reaches_all_and_expires(self) -> None:
+    def test_failure_reports_reach_all_routers_and_expire(self) -> None:
         """Two routers see an endpoint fail; all others eject or probe it, until it has recovered."""
         rand = random.Random(3)
         routers = {name: Gossip(name, random.Random(name)) for name in NAMES}
-        endpoints = {"p": health(1), "q": health(2)}
+        endpoints = {"p": health_view(1), "q": health_view(2)}
 
-        def turns(
+        def run_ticks(
             count: int, start: int, own: dict[str, dict[str, EndpointHealth]]
         ) -> dict[str, list[HealthOverride]]:
             last: dict[str, list[HealthOverride]] = {}
@@ -43,13 +46,17 @@
                             routers[to].receive(at, name, codec.decode(codec.encode(digest)), False)
             return last
 
-        bad = {name: {"p": health(1, failing=True), "q": health(2)} for name in ("r1", "r2")}
-        overrides = turns(15, 0, bad)
+        failing_views = {
+            name: {"p": health_view(1, failing=True), "q": health_view(2)} for name in ("r1", "r2")
+        }
+        overrides = run_ticks(15, 0, failing_views)
         self.assertTrue(all(overrides.values()), "every router ejects or probes the endpoint")
         self.assertEqual(
             sum(isinstance(actions[0], Readmit) for actions in overrides.values()), probe_election.PROBERS
         )
-        overrides = turns(25, 15 * GOSSIP_INTERVAL_US, {"r3": {"p": health(1, good_us=0), "q": health(2)}})
+        overrides = run_ticks(
+            25, 15 * GOSSIP_INTERVAL_US, {"r3": {"p": health_view(1, success_age_us=0), "q": health_view(2)}}
+        )
         self.assertFalse(any(overrides.values()))
         self.assertTrue(all(not list(router.reports.endpoints()) for router in routers.values()))
 
@@ -59,20 +66,20 @@
             router.receive(0, "r1", Digest(), True)
         self.assertEqual((router.received_digests, router.dropped_digests), (gossip.MAX_DIGESTS_PER_TICK, 10))
 
-    def test_an_overloaded_router_hears_from_its_neighbours(self) -> None:
-        pressed, neighbour, distant = (Gossip(name, random.Random(name)) for name in ("r0", "r1", "r2"))
+    def test_an_overloaded_router_receives_load_reports_of_its_neighbours(self) -> None:
+        overloaded, neighbour, distant = (Gossip(name, random.Random(name)) for name in ("r0", "r1", "r2"))
         zone = ["r0", "r1"]
         for at in range(0, 10 * GOSSIP_INTERVAL_US, GOSSIP_INTERVAL_US):
             for router, neighbours, pressure in (
-                (pressed, zone, 2.0),
+                (overloaded, zone, 2.0),
                 (neighbour, zone, 0.1),
                 (distant, ["r2"], 0.1),
             ):
                 for to, digest in router.tick(at, {}, NAMES, neighbours, pressure, 50.0).sends:
-                    {"r0": pressed, "r1": neighbour, "r2": distant}[to].receive(
+                    {"r0": overloaded, "r1": neighbour, "r2": distant}[to].receive(
                         at, router.own, digest, to in zone
                     )
-        self.assertEqual(set(pressed.offloading._neighbours), {"r1"})
+        self.assertEqual(set(overloaded.offloading._neighbours), {"r1"})
         self.assertEqual(distant.sent_digests, 0)
 
 
--- a/tests/overload/test_health_override.py
+++ b/tests/overload/test_health_override.py
@@ -54,9 +54,11 @@
         for _ in range(3):
             world.end_attempt(fill, Outcome.TIMEOUT, 1, after=SECOND)
             fill = world.fill(5)
-        is_failing, failed, good = {number: rest for number, *rest in endpoint_health(world.router)}[source]
-        self.assertEqual((is_failing, good), (True, -1))
-        self.assertGreater(failed, 0)
+        is_failing, failure_us, success_us = {
+            number: rest for number, *rest in endpoint_health(world.router)
+        }[source]
+        self.assertEqual((is_failing, success_us), (True, -1))
+        self.assertGreater(failure_us, 0)
         self.assertIsInstance(world.router, RouterPolicy)
 
 
--- a/tests/overload/test_offloading.py
+++ b/tests/overload/test_offloading.py
@@ -18,73 +18,82 @@
     NeighbourLoad,
     Offloading,
 )
-from tests.overload.pieces import FEW
+from tests.overload.pieces import FEW_EXAMPLES
 
 
 class OffloadingTest(unittest.TestCase):
     def setUp(self) -> None:
         self.now = MIN_BEGIN_INTERVAL_US
         self.offloading = Offloading(0)
-        self.mates: dict[str, object] = {"a": None, "b": None}
+        self.neighbours: dict[str, object] = {"a": None, "b": None}
 
-    def turns(self, count: int, pressure: float, room: float | None = 0.1) -> None:
+    def run_ticks(self, count: int, pressure: float, neighbour_pressure: float | None = 0.1) -> None:
         for _ in range(count):
             self.now += GOSSIP_INTERVAL_US
-            if room is not None:
-                for name in self.mates:
-                    self.offloading.update_neighbour(name, NeighbourLoad(room, 100.0, False, self.now))
-            self.offloading.tick(self.now, pressure, 200.0, self.mates)
+            if neighbour_pressure is not None:
+                for name in self.neighbours:
+                    self.offloading.update_neighbour(
+                        name, NeighbourLoad(neighbour_pressure, 100.0, False, self.now)
+                    )
+            self.offloading.tick(self.now, pressure, 200.0, self.neighbours)
 
     def test_it_begins_after_sustained_pressure_grows_by_steps_and_ends(self) -> None:
-        self.turns(2, HIGH_PRESSURE + 0.1)
+        self.run_ticks(2, HIGH_PRESSURE + 0.1)
         self.assertFalse(self.offloading.is_active)
-        self.turns(10, HIGH_PRESSURE + 0.1)
+        self.run_ticks(10, HIGH_PRESSURE + 0.1)
         self.assertTrue(self.offloading.is_active)
         self.assertGreater(self.offloading.fraction, 0.0)
-        self.turns(30, LOW_PRESSURE - 0.3)
+        self.run_ticks(30, LOW_PRESSURE - 0.3)
         self.assertEqual((self.offloading.is_active, self.offloading.fraction), (False, 0.0))
 
     def test_nothing_is_offloaded_where_no_neighbour_has_spare_capacity(self) -> None:
-        for room in (None, LOW_PRESSURE, 1.2):
-            with self.subTest(room):
+        for neighbour_pressure in (None, LOW_PRESSURE, 1.2):
+            with self.subTest(neighbour_pressure):
                 self.setUp()
-                self.turns(30, 1.5, room)
+                self.run_ticks(30, 1.5, neighbour_pressure)
                 self.assertEqual(self.offloading.fraction, 0.0)
                 self.assertFalse(any(self.offloading.should_offload(key, False, False) for key in range(500)))
 
-    def test_a_neighbour_that_claims_to_be_idle_gets_a_bounded_part(self) -> None:
-        self.mates = {"liar": None}
+    def test_a_neighbour_that_claims_to_be_idle_receives_a_bounded_fraction(self) -> None:
+        self.neighbours = {"liar": None}
         for _ in range(200):
             self.now += GOSSIP_INTERVAL_US
             self.offloading.update_neighbour("liar", NeighbourLoad(0.0, 1e9, False, self.now))
-            self.offloading.tick(self.now, 3.0, 200.0, self.mates)
+            self.offloading.tick(self.now, 3.0, 200.0, self.neighbours)
         self.assertLessEqual(self.offloading.fraction, MAX_NEIGHBOUR_FRACTION + 1e-9)
 
-    def test_retries_and_writes_stay_and_the_same_objects_go(self) -> None:
+    def test_retries_and_writes_are_not_offloaded_and_the_same_objects_are(self) -> None:
         self.offloading.fraction = 0.3
         rand = random.Random(1)
         keys = [rand.getrandbits(64) for _ in range(2000)]
-        went = [key for key in keys if self.offloading.should_offload(key, False, False)]
-        self.assertAlmostEqual(len(went) / len(keys), 0.3, delta=0.05)
-        self.assertEqual(went, [key for key in keys if self.offloading.should_offload(key, False, False)])
-        self.assertFalse(any(self.offloading.should_offload(key, True, False) for key in went))
-        self.assertFalse(any(self.offloading.should_offload(key, False, True) for key in went))
+        offloaded = [key for key in keys if self.offloading.should_offload(key, False, False)]
+        self.assertAlmostEqual(len(offloaded) / len(keys), 0.3, delta=0.05)
+        self.assertEqual(
+            offloaded, [key for key in keys if self.offloading.should_offload(key, False, False)]
+        )
+        self.assertFalse(any(self.offloading.should_offload(key, True, False) for key in offloaded))
+        self.assertFalse(any(self.offloading.should_offload(key, False, True) for key in offloaded))
 
-    @FEW
+    @FEW_EXAMPLES
     @given(st.lists(st.floats(0, 3), min_size=1, max_size=300), st.floats(0, 2))
     def test_the_fraction_is_bounded_and_changes_twice_a_minute_at_most(
-        self, pressures: list[float], room: float
+        self, pressures: list[float], neighbour_pressure: float
     ) -> None:
         offloading, now = Offloading(0), MIN_BEGIN_INTERVAL_US
-        begun = []
+        start_times_us = []
         for pressure in pressures:
             now += GOSSIP_INTERVAL_US
-            offloading.update_neighbour("a", NeighbourLoad(room, 500.0, False, now))
+            offloading.update_neighbour("a", NeighbourLoad(neighbour_pressure, 500.0, False, now))
             if offloading.tick(now, pressure, 200.0, {"a": None}) and offloading.is_active:
-                begun.append(now)
+                start_times_us.append(now)
             self.assertTrue(0.0 <= offloading.fraction <= MAX_OFFLOAD_FRACTION)
             self.assertLessEqual(offloading.fraction, MAX_NEIGHBOUR_FRACTION + 1e-9)
-        self.assertTrue(all(b - a >= MIN_BEGIN_INTERVAL_US for a, b in zip(begun, begun[1:], strict=False)))
+        self.assertTrue(
+            all(
+                b - a >= MIN_BEGIN_INTERVAL_US
+                for a, b in zip(start_times_us, start_times_us[1:], strict=False)
+            )
+        )
 
 
 if __name__ == "__main__":
--- a/tests/overload/test_probe_election.py
+++ b/tests/overload/test_probe_election.py
@@ -19,21 +19,25 @@
     HealthOverride,
     Readmit,
 )
-from tests.overload.pieces import FEW, NAMES, failure, health
+from tests.overload.pieces import FEW_EXAMPLES, NAMES, failure_report, health_view
 
 
 class ProbeElectionTest(unittest.TestCase):
-    def judge(
-        self, own: str, received: list[FailureReport], endpoints: dict[str, EndpointHealth], here: list[str]
+    def decide(
+        self,
+        own: str,
+        reports_received: list[FailureReport],
+        endpoints: dict[str, EndpointHealth],
+        present: list[str],
     ) -> list[HealthOverride]:
         reports = FailureReports(own)
-        reports.merge(received, 0)
-        return ProbeElection(own, random.Random(1)).decide(0, reports, here, endpoints)
+        reports.merge(reports_received, 0)
+        return ProbeElection(own, random.Random(1)).decide(0, reports, present, endpoints)
 
-    def test_a_few_probe_and_all_agree_on_them(self) -> None:
-        received = [failure("p", "a"), failure("p", "b")]
-        endpoints = {"p": health(1, failing=True)} | {f"q{i}": health(i) for i in range(2, 6)}
-        overrides = {name: self.judge(name, received, endpoints, NAMES) for name in NAMES}
+    def test_a_few_routers_probe_and_all_agree_on_them(self) -> None:
+        reports_received = [failure_report("p", "a"), failure_report("p", "b")]
+        endpoints = {"p": health_view(1, failing=True)} | {f"q{i}": health_view(i) for i in range(2, 6)}
+        overrides = {name: self.decide(name, reports_received, endpoints, NAMES) for name in NAMES}
         probers = {name for name, actions in overrides.items() if isinstance(actions[0], Readmit)}
         self.assertEqual(len(probers), probe_election.PROBERS)
         self.assertTrue(
@@ -43,48 +47,58 @@
                 if n not in probers
             )
         )
-        left = [name for name in NAMES if name not in probers]
+        remaining = [name for name in NAMES if name not in probers]
         others = {
-            name for name in left if isinstance(self.judge(name, received, endpoints, left)[0], Readmit)
+            name
+            for name in remaining
+            if isinstance(self.decide(name, reports_received, endpoints, remaining)[0], Readmit)
         }
         self.assertEqual(len(others), probe_election.PROBERS)  # the next ranks replace probers that are gone
 
-    def test_reports_alone_take_two_witnesses_and_yield_to_an_own_success(self) -> None:
-        endpoints = {"p": health(1), "q": health(2)}
+    def test_reports_alone_need_two_witnesses_and_an_own_success_outweighs_them(self) -> None:
+        endpoints = {"p": health_view(1), "q": health_view(2)}
         for name in NAMES:
-            one = self.judge(name, [failure("p", "a")], endpoints, NAMES)
+            one = self.decide(name, [failure_report("p", "a")], endpoints, NAMES)
             self.assertEqual(one, [])
-            well = endpoints | {"p": health(1, good_us=probe_election.OWN_SUCCESS_LIFETIME_US - 1)}
-            two = [failure("p", "a"), failure("p", "b")]
-            self.assertEqual(self.judge(name, two, well, NAMES), [])
-            self.assertEqual(len(self.judge(name, two, endpoints, NAMES)), 1)
+            with_own_success = endpoints | {
+                "p": health_view(1, success_age_us=probe_election.OWN_SUCCESS_LIFETIME_US - 1)
+            }
+            two = [failure_report("p", "a"), failure_report("p", "b")]
+            self.assertEqual(self.decide(name, two, with_own_success, NAMES), [])
+            self.assertEqual(len(self.decide(name, two, endpoints, NAMES)), 1)
 
-    @FEW
+    @FEW_EXAMPLES
     @given(st.sets(st.integers(0, 9)), st.sets(st.integers(0, 9)), st.integers(1, 10))
     def test_false_reports_eject_half_of_a_group_at_most(
-        self, falsely_reported: set[int], bad: set[int], count: int
+        self, falsely_reported: set[int], failing_here: set[int], count: int
     ) -> None:
-        endpoints = {f"p{i}": health(i, failing=i in bad) for i in range(count)}
-        received = [failure(f"p{i}", who) for i in falsely_reported for who in ("liar", "other")]
+        endpoints = {f"p{i}": health_view(i, failing=i in failing_here) for i in range(count)}
+        reports_received = [
+            failure_report(f"p{i}", who) for i in falsely_reported for who in ("liar", "other")
+        ]
         for own in NAMES:
-            overrides = self.judge(own, received, endpoints, NAMES)
-            left = {act.endpoint for act in overrides if isinstance(act, Eject)} - bad
-            self.assertLessEqual(len(left), max(0, count // 2))
+            overrides = self.decide(own, reports_received, endpoints, NAMES)
+            wrongly_ejected = {
+                override.endpoint for override in overrides if isinstance(override, Eject)
+            } - failing_here
+            self.assertLessEqual(len(wrongly_ejected), max(0, count // 2))
 
-    def test_all_readmit_at_moments_of_their_own(self) -> None:
-        back = set()
+    def test_routers_readmit_after_different_random_delays(self) -> None:
+        readmission_delays_us = set()
         for name in NAMES:
-            reports, judge = FailureReports(name), ProbeElection(name, random.Random(name))
-            endpoints = {"p": health(1, failing=True), "q": health(2)}
-            reports.merge([failure("p", "a"), failure("p", "b")], 0)
-            judge.decide(0, reports, NAMES, endpoints)
+            reports, election = FailureReports(name), ProbeElection(name, random.Random(name))
+            endpoints = {"p": health_view(1, failing=True), "q": health_view(2)}
+            reports.merge([failure_report("p", "a"), failure_report("p", "b")], 0)
+            election.decide(0, reports, NAMES, endpoints)
             reports.merge([FailureReport("p", "a", False, 0)], 500_000)
-            overrides = judge.decide(500_000, reports, NAMES, endpoints)
-            back |= {act.delay_us for act in overrides if isinstance(act, Readmit)}
+            overrides = election.decide(500_000, reports, NAMES, endpoints)
+            readmission_delays_us |= {
+                override.delay_us for override in overrides if isinstance(override, Readmit)
+            }
             # The readmission is decided only once.
-            self.assertEqual(judge.decide(700_000, reports, NAMES, endpoints), [])
-        self.assertGreaterEqual(len(back), len(NAMES) - probe_election.PROBERS)
-        self.assertLessEqual(max(back), probe_election.READMISSION_RAMP_US)
+            self.assertEqual(election.decide(700_000, reports, NAMES, endpoints), [])
+        self.assertGreaterEqual(len(readmission_delays_us), len(NAMES) - probe_election.PROBERS)
+        self.assertLessEqual(max(readmission_delays_us), probe_election.READMISSION_RAMP_US)
 
 
 if __name__ == "__main__":
--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -8,14 +8,13 @@
 from pathlib import Path
 
 from magpieshift.lab.fault_injection.cluster import Cluster
-from magpieshift.lab.fault_injection.network import ANY_ROUTER as ALL
-from magpieshift.lab.fault_injection.network import LinkFault
+from magpieshift.lab.fault_injection.network import ANY_ROUTER, LinkFault
 
 ROUTERS = 6
-TRIERS = 2
+PROBERS = 2
 
 
-class Talk(unittest.IsolatedAsyncioTestCase):
+class OverloadGossipTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         asyncio.get_running_loop().set_debug(False)
         folder = tempfile.TemporaryDirectory()
@@ -27,58 +26,62 @@
         )
         self.names = list(self.cluster.routers)
 
-    async def offloaded(self) -> dict[str, list[str]]:
+    async def ejected_endpoints(self) -> dict[str, list[str]]:
         """By router that answers: the endpoints that it has ejected because of reports."""
         views = await asyncio.gather(*(self.cluster.overload_view(name) for name in self.names))
         return {name: view["left"] for name, view in zip(self.names, views, strict=True) if view}
 
-    async def until_offloaded(self, endpoint: str, min_routers: int, description: str) -> None:
-        async def true() -> bool:
-            offloaded = await self.offloaded()
-            return sum(endpoint in endpoints for endpoints in offloaded.values()) >= min_routers
+    async def wait_until_ejected(self, endpoint: str, min_routers: int, description: str) -> None:
+        async def is_reached() -> bool:
+            ejected_endpoints = await self.ejected_endpoints()
+            return sum(endpoint in endpoints for endpoints in ejected_endpoints.values()) >= min_routers
 
-        await self.cluster.wait_until(true, description, 60.0)
+        await self.cluster.wait_until(is_reached, description, 60.0)
 
-    async def until_none(self, what: str) -> None:
-        async def true() -> bool:
-            left = await self.offloaded()
-            return len(left) == ROUTERS and not any(left.values())
+    async def wait_until_none_ejected(self, description: str) -> None:
+        async def is_reached() -> bool:
+            ejected = await self.ejected_endpoints()
+            return len(ejected) == ROUTERS and not any(ejected.values())
 
-        await self.cluster.wait_until(true, what, 60.0)
+        await self.cluster.wait_until(is_reached, description, 60.0)
 
-    async def test_a_dead_parent_is_left_to_a_few_and_lost_digests_are_borne(self) -> None:
+    async def test_a_dead_parent_is_probed_by_few_and_loss_of_all_digests_is_tolerated(self) -> None:
         cluster, names = self.cluster, self.names
         await cluster.start(*names)
         await cluster.wait_until_serving(*names)
         await cluster.wait_until(lambda: cluster.views_agree(), "all agree", 60.0)
         cluster.start_load()
-        hub = cluster.endpoints.places["hub1"]
+        dead_parent = cluster.endpoints.places["hub1"]
 
         with self.subTest("the parent dies, and the endpoint list is updated late"):
-            late = asyncio.ensure_future(cluster.endpoints.inject_fault("late-list", for_s=20.0))
-            death = asyncio.ensure_future(cluster.endpoints.inject_fault("die", "hub1", 15.0))
-            await self.until_offloaded(hub.name, 2, "two routers have ejected the dead parent")
-            most = 0
+            late_list = asyncio.ensure_future(cluster.endpoints.inject_fault("late-list", for_s=20.0))
+            crash = asyncio.ensure_future(cluster.endpoints.inject_fault("die", "hub1", 15.0))
+            await self.wait_until_ejected(dead_parent.name, 2, "two routers have ejected the dead parent")
+            max_ejecting = 0
             for _ in range(10):
-                left = await self.offloaded()
-                most = max(most, sum(hub.name in stores for stores in left.values()))
+                ejected = await self.ejected_endpoints()
+                max_ejecting = max(
+                    max_ejecting, sum(dead_parent.name in stores for stores in ejected.values())
+                )
                 await asyncio.sleep(0.2)
-            self.assertLessEqual(most, ROUTERS - TRIERS)
+            self.assertLessEqual(max_ejecting, ROUTERS - PROBERS)
 
         with self.subTest("all digests are lost: each router decides alone, and the reports expire"):
-            cluster.network.add_fault("mute", ALL, ALL, LinkFault(cut=True))
-            await self.until_none("no router has endpoints ejected because of old reports")
+            cluster.network.add_fault("mute", ANY_ROUTER, ANY_ROUTER, LinkFault(cut=True))
+            await self.wait_until_none_ejected("no router has endpoints ejected because of old reports")
             cluster.network.remove_fault("mute")
-            await asyncio.gather(late, death)
+            await asyncio.gather(late_list, crash)
 
         with self.subTest("the parent returns, and no endpoint is ejected because of reports"):
             await cluster.wait_until(lambda: cluster.views_agree(), "all views agree again", 60.0)
-            await self.until_none("no router has ejected endpoints")
+            await self.wait_until_none_ejected("no router has ejected endpoints")
 
-            async def asked() -> bool:
-                return cluster.endpoints.places["hub1"].name != hub.name and cluster.served_share() > 0.5
+            async def has_returned() -> bool:
+                return (
+                    cluster.endpoints.places["hub1"].name != dead_parent.name and cluster.served_share() > 0.5
+                )
 
-            await cluster.wait_until(asked, "the parent has returned and clients are served", 60.0)
+            await cluster.wait_until(has_returned, "the parent has returned and clients are served", 60.0)
 
         with self.subTest("a resumed router does not act on reports from before its pause"):
             cluster.pause("r1")
@@ -87,17 +90,17 @@
             await cluster.wait_until(
                 lambda: cluster.views_agree(), "all views agree with the resumed router's", 60.0
             )
-            await self.until_none("no router has ejected endpoints after the pause")
+            await self.wait_until_none_ejected("no router has ejected endpoints after the pause")
 
-        counted = await cluster.finish()
+        request_counts = await cluster.finish()
         self.assertEqual((cluster.violations, cluster.unexpected_exits), ([], []))
-        self.assertEqual((counted["lost"], counted["doubles"]), (0, 0))
+        self.assertEqual((request_counts["lost"], request_counts["doubles"]), (0, 0))
         await cluster.close()
         self.assertEqual(cluster.left_running(), 0)
 
 
-class Relief(unittest.IsolatedAsyncioTestCase):
-    async def test_a_starved_router_sends_clients_to_its_neighbours_and_ends(self) -> None:
+class OffloadingProcessesTest(unittest.IsolatedAsyncioTestCase):
+    async def test_a_router_short_of_cpu_time_offloads_to_its_neighbours_and_stops(self) -> None:
         asyncio.get_running_loop().set_debug(False)
         with tempfile.TemporaryDirectory() as folder:
             async with Cluster(
@@ -108,32 +111,32 @@
                 await cluster.wait_until_serving(*names)
                 await cluster.wait_until(lambda: cluster.views_agree(), "all agree", 60.0)
                 cluster.start_load(roam=True)
-                starving = asyncio.ensure_future(self.starve(cluster, "r1"))
+                cpu_limit = asyncio.ensure_future(self.limit_cpu_time(cluster, "r1"))
 
-                async def handing() -> bool:
+                async def is_offloading() -> bool:
                     view = await cluster.overload_view("r1")
                     return view is not None and view["handed"] > 0
 
-                await cluster.wait_until(handing, "r1 offloads requests", 60.0)
+                await cluster.wait_until(is_offloading, "r1 offloads requests", 60.0)
                 views = [await cluster.overload_view(name) for name in names if name != "r1"]
                 self.assertEqual([view["over"] for view in views if view], [False] * 3)
-                starving.cancel()
-                await asyncio.wait([starving])
+                cpu_limit.cancel()
+                await asyncio.wait([cpu_limit])
 
-                async def over() -> bool:
+                async def has_stopped() -> bool:
                     view = await cluster.overload_view("r1")
                     return view is not None and not view["over"]
 
-                await cluster.wait_until(over, "r1 has stopped offloading", 60.0)
+                await cluster.wait_until(has_stopped, "r1 has stopped offloading", 60.0)
                 view_at_end = await cluster.overload_view("r1")
                 assert view_at_end is not None
                 self.assertLessEqual(view_at_end["changes"], 2)
-                counted = await cluster.finish()
+                request_counts = await cluster.finish()
                 self.assertEqual((cluster.violations, cluster.unexpected_exits), ([], []))
-                self.assertEqual((counted["lost"], counted["doubles"]), (0, 0))
+                self.assertEqual((request_counts["lost"], request_counts["doubles"]), (0, 0))
             self.assertEqual(cluster.left_running(), 0)
 
-    async def starve(self, cluster: Cluster, name: str) -> None:
+    async def limit_cpu_time(self, cluster: Cluster, name: str) -> None:
         """Pause and resume a router repeatedly, so that it runs for a quarter of the time."""
         try:
             while True:
--- a/tests/test_overload_processes.py
+++ b/tests/test_overload_processes.py
@@ -10,10 +10,10 @@
 from magpieshift.lab.fault_injection.cluster import Cluster
 
 ROUTERS = 6
-BACK = 0.95
+RECOVERED_SHARE = 0.95
 
 
-class Overload(unittest.IsolatedAsyncioTestCase):
+class OverloadTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         asyncio.get_running_loop().set_debug(False)
         folder = tempfile.TemporaryDirectory()
@@ -22,33 +22,33 @@
             Cluster(Path(folder.name), ROUTERS, requests_per_s=25.0, slack_s=1.0, boxes=3, hubs=2)
         )
 
-    async def back(self, usual: float, after: str) -> None:
-        async def well() -> bool:
-            return self.cluster.served_share() >= BACK * usual
+    async def wait_for_recovery(self, baseline_share: float, fault: str) -> None:
+        async def is_recovered() -> bool:
+            return self.cluster.served_share() >= RECOVERED_SHARE * baseline_share
 
         await asyncio.sleep(6.0)  # until the window of served_share lies after the fault
-        await self.cluster.wait_until(well, f"service has recovered after {after}", 60.0)
+        await self.cluster.wait_until(is_recovered, f"service has recovered after {fault}", 60.0)
 
-    async def test_the_hard_cases_one_after_another(self) -> None:
+    async def test_service_recovers_from_each_fault(self) -> None:
         cluster, names = self.cluster, list(self.cluster.routers)
         await cluster.start(*names)
         await cluster.wait_until_serving(*names)
         cluster.start_load()
         await asyncio.sleep(8.0)  # caches fill
-        usual = cluster.served_share()
-        self.assertGreater(usual, 0.5)
+        baseline_share = cluster.served_share()
+        self.assertGreater(baseline_share, 0.5)
 
         with self.subTest("the origin is slow for all requests"):
             await cluster.endpoints.inject_fault("slow", "origin", 5.0, by=400)
-            await self.back(usual, "a slow origin")
+            await self.wait_for_recovery(baseline_share, "a slow origin")
 
         with self.subTest("a parent dies and returns cold"):
             await cluster.endpoints.inject_fault("die", "hub1", 3.0)
-            await self.back(usual, "a dead parent")
+            await self.wait_for_recovery(baseline_share, "a dead parent")
 
         with self.subTest("a cache answers every second request with an error"):
             await cluster.endpoints.inject_fault("err", "box1", 4.0, by=0.5)
-            await self.back(usual, "errors")
+            await self.wait_for_recovery(baseline_share, "errors")
 
         with self.subTest(
             "four of six routers are killed under load, and another is paused with full queues"
@@ -62,11 +62,11 @@
             await asyncio.sleep(3.0)
             cluster.resume(names[1])
             await cluster.wait_until_serving(*names[2:])
-            await self.back(usual, "four routers were killed")
+            await self.wait_for_recovery(baseline_share, "four routers were killed")
 
-        counted = await cluster.finish()
+        request_counts = await cluster.finish()
         self.assertEqual((cluster.violations, cluster.unexpected_exits), ([], []))
-        self.assertEqual((counted["lost"], counted["doubles"]), (0, 0))
+        self.assertEqual((request_counts["lost"], request_counts["doubles"]), (0, 0))
         await cluster.close()
         self.assertEqual(cluster.left_running(), 0)
 
