--- a/magpieshift/membership/admission.py
+++ b/magpieshift/membership/admission.py
@@ -42,7 +42,9 @@
         self._fleet = fleet
         self._view = view
         self._counters = counters
-        self._replay_windows: dict[tuple[str, tuple[int, int]], _ReplayWindow] = {}  # by name and generation
+        self._replay_windows: dict[
+            tuple[str, tuple[int, int]], _ReplayWindow
+        ] = {}  # by sender's name and generation
         self._rate_budgets: dict[Address, tuple[float, int]] = {}  # tokens left, and when computed
 
     def admits(self, now_us: int, source: Address, datagram: Datagram) -> bool:
@@ -78,7 +80,7 @@
         return budget >= 1
 
     def forget_idle(self, idle_since_us: int) -> None:
-        """If the tables are large, drop addresses that are idle since then, and processes of no member."""
+        """Bound the tables: drop addresses idle since ``idle_since_us``, and processes of non-members."""
         if len(self._rate_budgets) > 2 * MAX_EXTRA_ENTRIES:
             self._rate_budgets = {
                 address: budget
--- a/magpieshift/membership/dissemination.py
+++ b/magpieshift/membership/dissemination.py
@@ -91,7 +91,7 @@
         self._dissemination = dissemination
         self._counters = counters
         self._unsent: list[SendDatagram] = []
-        self._sequence_number = 0  # of the last datagram
+        self._sequence_number = 0  # number of the last datagram
 
     def send_to(self, member: Member, body: Body) -> None:
         """Queue a datagram for a member, addressed as its record says."""
--- a/magpieshift/membership/driver.py
+++ b/magpieshift/membership/driver.py
@@ -48,7 +48,7 @@
         self.refresh_quota = refresh_quota
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._datagrams_read = 0  # since the last tick
+        self._datagrams_read = 0  # datagrams received since the last tick
         detector.on_lease_message = self._receive_lease_message
 
     async def open(self, address: Address) -> Address:
--- a/magpieshift/membership/failure_detector.py
+++ b/magpieshift/membership/failure_detector.py
@@ -145,7 +145,7 @@
         return self.flush()
 
     def _resume_from_pause(self) -> None:
-        """Restart all suspicions: heartbeats that this process missed while paused were not missing."""
+        """Restart all suspicions: this process may have missed heartbeats while it was paused."""
         self.counters.slept += 1
         if not self._tuning.local_health:
             return
--- a/magpieshift/membership/member.py
+++ b/magpieshift/membership/member.py
@@ -59,7 +59,7 @@
     """States that ``reporter`` has seen no later heartbeat of ``suspect`` than this one."""
 
     suspect: str
-    incarnation: int  # of the suspect
+    incarnation: int  # the suspect's incarnation
     heartbeat: int  # the suspect's last heartbeat that the reporter has seen
     reporter: str
 
@@ -73,7 +73,7 @@
     last_heartbeat_us: int  # when a new heartbeat last arrived
     state_since_us: int
     reporters: dict[str, int] = field(default_factory=dict)  # by reporter: the last heartbeat it has seen
-    reason: str = ""  # of the present state, for logs and admin answers
+    reason: str = ""  # reason of the present state, for logs and admin answers
     rejoined_at_us: tuple[int, ...] = ()  # times of its recent returns after it had been declared dead
     stable_since_us: int = -1  # start of uninterrupted heartbeats while its return is damped; -1: none yet
 
--- a/magpieshift/membership/probing.py
+++ b/magpieshift/membership/probing.py
@@ -10,7 +10,7 @@
 from magpieshift.membership.messages import Ping, PingRequest
 from magpieshift.membership.pings import PendingPing, PendingPings
 
-# Of the failure detector; a shorter interval spreads the load more evenly and costs more wake-ups.
+# Between two ticks of the failure detector; shorter spreads the load more evenly and costs more wake-ups.
 TICK_INTERVAL_US = 100_000
 TICKS_PER_ROUND = 8  # SWIM's protocol period of 0.8 s, in which each monitored member is pinged once
 RETRY_AFTER_TICKS = 2  # until a ping without an ack is retried: more than a round trip, well within a round
--- a/magpieshift/membership/synchronization.py
+++ b/magpieshift/membership/synchronization.py
@@ -10,7 +10,7 @@
 from magpieshift.membership.messages import Sync
 from magpieshift.membership.ring import DIGEST_BUCKETS
 
-SYNC_INTERVAL_US = 500_000  # between two requests to one member; a later answer counts as lost
+SYNC_INTERVAL_US = 500_000  # between two requests to one member: by then the answer has arrived or is lost
 MAX_SYNCED_MEMBERS = 12  # member records in one answer, which is a single datagram
 MAX_EXTRA_NAMES = 1024  # names kept in addition to those of members, before all are dropped
 # Transmissions of a report that the other view seems to lack; few, as the other members know it already.
--- a/magpieshift/overload/failure_reports.py
+++ b/magpieshift/overload/failure_reports.py
@@ -11,12 +11,12 @@
 
 from magpieshift.overload.digest import FailureReport
 
-REPORT_LIFETIME_US = 3_000_000  # from the observation to expiry; survives the loss of two renewals
-RENEW_INTERVAL_US = 1_000_000  # at which a witness renews a report that still holds
+REPORT_LIFETIME_US = 3_000_000  # from observation to expiry, so that two renewals may be lost
+RENEW_INTERVAL_US = 1_000_000  # between two renewals of a report by its witness
 # A report counts as renewed only if its observation is later by at least this much: copies of one report that
 # arrive over different paths differ in age by less.
 MIN_AGE_CHANGE_US = RENEW_INTERVAL_US // 2
-MAX_ENDPOINTS = 64  # for which reports are kept; bounds the memory that names from the network can take
+MAX_ENDPOINTS = 64  # endpoints with stored reports; bounds the memory that names from the network can take
 MAX_WITNESSES = 8  # reports kept for one endpoint, the latest ones
 MAX_REPORTS_SENT = 24  # reports in one digest, which has to fit into one datagram
 MAX_NAME_CHARACTERS = 64  # length limit for the name of an endpoint or a witness
--- a/magpieshift/overload/offloading.py
+++ b/magpieshift/overload/offloading.py
@@ -19,10 +19,12 @@
 MIN_HIGH_DURATION_US = 500_000  # high pressure for this time starts offloading; shorter bursts do not
 MIN_BEGIN_INTERVAL_US = 30_000_000  # between two starts; limits steady load to two changes a minute
 LOAD_LIFETIME_US = 2_000_000  # after which a neighbour's load report expires
-MAX_OFFLOAD_FRACTION = 0.5  # of this router's requests, whatever the neighbours report
-MAX_NEIGHBOUR_FRACTION = 0.25  # of this router's request rate, per neighbour: its report may be wrong
+MAX_OFFLOAD_FRACTION = 0.5  # largest offloaded fraction, whatever the neighbours report
+MAX_NEIGHBOUR_FRACTION = (
+    0.25  # of this router's request rate, offloaded to one neighbour: its report may be wrong
+)
 MAX_FRACTION_STEP = 0.1  # change per tick; smaller steps follow load more slowly, larger ones oscillate
-MAX_NEIGHBOURS = 64  # whose load is kept; bounds the memory that names from the network can take
+MAX_NEIGHBOURS = 64  # neighbours whose load is stored; bounds the memory that names from the network can take
 MIN_NEIGHBOUR_PRESSURE = 0.05  # assumed of an idle neighbour, whose request rate says nothing of its capacity
 MIN_FRACTION = 1e-6  # smaller fractions are set to zero
 MIN_DIVISOR = 1e-9  # prevents division by zero
@@ -47,7 +49,7 @@
         self.is_active = False
         self.fraction = 0.0  # of the objects whose requests are offloaded, from 0 to 1
         self.changes = 0  # number of starts and ends of offloading
-        self.reason = ""  # of the last change, for logs and admin answers
+        self.reason = ""  # reason of the last change, for logs and admin answers
         self.offloaded_requests = 0
         self._high_since_us: int | None = None  # when the pressure reached HIGH_PRESSURE
         self._began_us = now_us - MIN_BEGIN_INTERVAL_US
--- a/magpieshift/overload/probe_election.py
+++ b/magpieshift/overload/probe_election.py
@@ -23,7 +23,7 @@
 EJECTION_US = 1_500_000  # duration of one ejection, which is renewed while the endpoint fails
 READMISSION_RAMP_US = 1_000_000  # maximum random delay of a readmission: all at once would overload it again
 MIN_WITNESSES = 2  # needed by a router that has not seen the failure itself: a single witness may be at fault
-OWN_SUCCESS_LIFETIME_US = 1_000_000  # during which this router's own success outweighs all reports
+OWN_SUCCESS_LIFETIME_US = 1_000_000  # age up to which this router's own success outweighs all reports
 
 
 @dataclass(frozen=True, slots=True)
