--- a/tests/membership/test_explored.py
+++ b/tests/membership/test_explored.py
@@ -142,7 +142,7 @@
             new.start(name)
             no_fault(new)
 
-        def dead_or_alive_again(new: State, name: str = name) -> None:
+        def state_in_views_flipped(new: State, name: str = name) -> None:
             for other in NAMES:
                 if other != name and new.views[other].members[name].is_present:
                     new.views[other].set_state(name, MemberState.DEAD, new.now, "")
@@ -158,7 +158,13 @@
             new.deliver_all(-1)
             new.in_transit += kept
 
-        found += [go(paused), go(all_sent_lost), go(restarted), go(dead_or_alive_again), go(incoming_delayed)]
+        found += [
+            go(paused),
+            go(all_sent_lost),
+            go(restarted),
+            go(state_in_views_flipped),
+            go(incoming_delayed),
+        ]
     return found
 
 
@@ -216,7 +222,7 @@
                     heapq.heappush(frontier, (rank, next(order), depth + 1, new))
         return len(seen), max_in_use
 
-    def test_quotas_never_exceed_the_whole(self) -> None:
+    def test_quotas_in_use_never_add_up_to_more_than_one(self) -> None:
         for greedy in (False, True):
             states, max_in_use = self.explore(8_000, greedy)
             self.assertGreaterEqual(states, 8_000)
@@ -253,7 +259,7 @@
         )
         self.assertEqual(calls, ["uses 0.133", "uses 0.283", confirmation])
 
-    def test_a_missing_rule_is_found(self) -> None:
+    def test_a_disabled_safety_rule_is_found(self) -> None:
         """Proves that the check can fail: one safety rule is disabled in each case."""
         for what, broken in (
             ("a new leader grants at once", {"_max_duration": staticmethod(lambda us=QUOTA_LEASE_US: 0)}),
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -69,9 +69,9 @@
 
     def test_a_member_that_only_sends_and_one_that_only_receives(self) -> None:
         for seed in self.SEEDS:
-            for deaf in (True, False):
+            for receives_nothing in (True, False):
                 network = started_network(FleetSettings(8), seed)
-                network.cut = (lambda a, b: b == "r3") if deaf else (lambda a, b: a == "r3")
+                network.cut = (lambda a, b: b == "r3") if receives_nothing else (lambda a, b: a == "r3")
                 network.run(network.now_us + 20 * SECOND)
                 # r3 declares no member dead, and only r3 may be declared dead.
                 self.assert_none_removed(network, ("r3",))
@@ -79,9 +79,9 @@
                 states_of_r3 = {
                     p.detector.view.members["r3"].state for p in network.living() if p.name != "r3"
                 }
-                self.assertEqual(detector_of_r3.isolated, deaf)
+                self.assertEqual(detector_of_r3.isolated, receives_nothing)
                 # The others receive its heartbeats, so it stays present; it knows that it is isolated.
-                if deaf:
+                if receives_nothing:
                     self.assertEqual(
                         (states_of_r3, detector_of_r3.view.present_count), ({MemberState.ALIVE}, 8)
                     )
@@ -147,7 +147,7 @@
         drop_report()
         self.assert_agreement(network, 40)
 
-    def test_two_halves_with_a_join_and_a_leave_in_them(self) -> None:
+    def test_a_partition_into_halves_with_a_join_and_a_leave(self) -> None:
         for seed in self.SEEDS:
             network = started_network(FleetSettings(8), seed)
             half = {"r0", "r1", "r2", "r3", "new"}
--- a/tests/membership/test_fault_injection.py
+++ b/tests/membership/test_fault_injection.py
@@ -100,7 +100,7 @@
         self.fleet.log("r1.2", (2.0, 0.4))
         self.assertEqual(len(checks.QuotaCheck().violations(self.fleet)), 1)
 
-    def test_drains_count_from_when_the_router_could_know(self) -> None:
+    def test_a_drain_binds_a_router_from_when_it_could_know_of_it(self) -> None:
         published_s = time.time() - 1.0
         for known_s, expected_violations in ((published_s, 2), (time.time(), 0)):
             rules = ProtocolChecker(0.05, lambda ident, published_s, known_s=known_s: known_s)  # type: ignore[misc]
@@ -166,7 +166,7 @@
             while not is_reached():  # type: ignore[operator]
                 await asyncio.sleep(0.01)
 
-    async def test_each_direction_is_cut_by_itself_and_nothing_is_torn(self) -> None:
+    async def test_each_direction_is_cut_independently_and_no_data_is_lost(self) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.relay.port)
         self.addCleanup(writer.close)
         self.network.add_fault("deaf", "box1", ANY_ROUTER, LinkFault(cut=True))
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -231,7 +231,7 @@
 
 
 class ReplacementProcessesTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_replacement_that_fails_leaves_neither_of_the_two(self) -> None:
+    async def test_a_failed_replacement_leaves_no_process_running(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             async with Cluster(Path(folder), 2) as cluster:
                 await cluster.start("r1")
@@ -264,7 +264,7 @@
             self.assertEqual((again.duration_s, again.routers, again.seed), (10, 2, 3))
             self.assertLessEqual({"scenario.json", "verdict.json", "r0.sexp", "r0.1.log"}, left)
 
-    def test_every_scenario_that_is_left_behind_is_read_as_the_same(self) -> None:
+    def test_every_built_in_scenario_is_unchanged_after_writing_and_reading(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             for name, data in BUILT_IN_SCENARIOS.items():
                 with self.subTest(name):
--- a/tests/membership/test_quota_lease.py
+++ b/tests/membership/test_quota_lease.py
@@ -11,7 +11,7 @@
 
 
 class SimulatedQuotaTest(unittest.TestCase):
-    def test_with_all_present_each_has_what_the_settings_give(self) -> None:
+    def test_with_all_members_present_quotas_are_as_in_the_settings(self) -> None:
         network = started_network(FleetSettings(6), 1)
         network.run(network.now_us + 30 * SECOND)
         for process in network.living():
@@ -35,7 +35,7 @@
         )
         self.assertEqual(network.quota_excesses, 0)
 
-    def test_an_isolated_member_falls_back_to_its_solo_quota_and_the_sum_never_exceeds_the_whole(
+    def test_an_isolated_member_falls_back_to_its_solo_quota_and_the_sum_never_exceeds_one(
         self,
     ) -> None:
         for seed in range(3):
@@ -88,7 +88,7 @@
                 process.quota_lease.quota(FLEET_SCOPE, process.clock(network.now_us)), 1 / 6 + 1e-9
             )
 
-    def test_random_histories_never_use_more_than_the_whole(self) -> None:
+    def test_quotas_never_add_up_to_more_than_one_in_random_histories(self) -> None:
         for seed in range(5):
             network = started_network(FleetSettings(5), 100 + seed)
             rand = random.Random(seed)
