--- a/magpieshift/membership/suspicion.py
+++ b/magpieshift/membership/suspicion.py
@@ -11,9 +11,8 @@
 
 # Members that each member monitors: twice the quorum, so that half of a suspect's monitors may be cut off.
 MONITORED_PEERS = 6
-SUSPICION_QUORUM = (
-    3  # reporters needed to make a member suspect (Lifeguard's K); a single one may be at fault
-)
+# Reporters needed to make a member suspect (Lifeguard's K); a single reporter may be at fault.
+SUSPICION_QUORUM = 3
 # From suspect to dead. Together with the preceding heartbeat timeout it exceeds the longest process pause
 # that has to be tolerated. Longer keeps a dead router's quota unused for longer; shorter removes paused
 # routers.
--- a/magpieshift/overload/offloading.py
+++ b/magpieshift/overload/offloading.py
@@ -20,9 +20,8 @@
 MIN_BEGIN_INTERVAL_US = 30_000_000  # between two starts; limits steady load to two changes a minute
 LOAD_LIFETIME_US = 2_000_000  # after which a neighbour's load report expires
 MAX_OFFLOAD_FRACTION = 0.5  # largest offloaded fraction, whatever the neighbours report
-MAX_NEIGHBOUR_FRACTION = (
-    0.25  # of this router's request rate, offloaded to one neighbour: its report may be wrong
-)
+# Of this router's request rate, the largest fraction offloaded to one neighbour, whose report may be wrong.
+MAX_NEIGHBOUR_FRACTION = 0.25
 MAX_FRACTION_STEP = 0.1  # change per tick; smaller steps follow load more slowly, larger ones oscillate
 MAX_NEIGHBOURS = 64  # neighbours whose load is stored; bounds the memory that names from the network can take
 MIN_NEIGHBOUR_PRESSURE = 0.05  # assumed of an idle neighbour, whose request rate says nothing of its capacity
