--- a/magpieshift/overload/gossip.py
+++ b/magpieshift/overload/gossip.py
@@ -1,8 +1,9 @@
 """Gossip of failing endpoints and of routers' load. A state machine of digests and time; no I/O.
 
-Nothing is sent while no endpoint fails and no router is overloaded. News of an endpoint goes to a few members
-at random for some ticks, and from them on; mere renewals go to one a tick. An overloaded router tells its
-neighbours, the members of its zone, and they answer with their own load.
+Nothing is sent while no endpoint fails and no router is overloaded. After a change in what the reports say of
+an endpoint, a router sends its reports to ``FANOUT`` random members for ``URGENT_TICKS`` ticks, and its
+receivers do the same; otherwise it sends them to one random member a tick. An overloaded router reports its
+load to its neighbours, the members of its zone, and they answer with theirs.
 """
 
 from __future__ import annotations
@@ -17,25 +18,25 @@
 from magpieshift.overload.probe_election import EndpointHealth, ProbeElection
 from magpieshift.policy.health_override import HealthOverride
 
-GOSSIP_INTERVAL_US = 200_000  # between two ticks; shorter spreads news sooner and sends more
-FANOUT = 4  # members told of news in a tick
-URGENT_TICKS = 4  # in which news is told to so many; with the fan-out it has then reached hundreds
-NEIGHBOUR_FANOUT = 8  # neighbours told of this router's load
-NEIGHBOUR_INTERVAL_TICKS = 2  # between two reports of the load
-MAX_DIGESTS_PER_TICK = 64  # taken from all senders; a flood beyond is dropped
+GOSSIP_INTERVAL_US = 200_000  # between two ticks; a shorter one spreads changes sooner and sends more digests
+FANOUT = 4  # members that receive the reports in each tick after a change
+URGENT_TICKS = 4  # ticks after a change with that fan-out: enough to reach hundreds of routers
+NEIGHBOUR_FANOUT = 8  # neighbours that receive a load report
+NEIGHBOUR_INTERVAL_TICKS = 2  # between two load reports
+MAX_DIGESTS_PER_TICK = 64  # accepted from all senders together; the excess is dropped
 
 
 @dataclass(frozen=True, slots=True)
 class GossipActions:
-    """What a tick asks for."""
+    """The actions that result from a tick."""
 
-    overrides: list[HealthOverride]  # for the policy to apply
+    overrides: list[HealthOverride]  # ejections and readmissions for the policy to apply
     sends: list[tuple[str, Digest]]  # receiver's name and digest
-    offloading_changed: bool = False  # it has begun or ended
+    offloading_changed: bool = False  # this router has begun or ended offloading
 
 
 class Gossip:
-    """One router's part in the gossip."""
+    """The gossip state machine of one router."""
 
     def __init__(self, own: str, rand: random.Random, now_us: int = 0) -> None:
         self.own = own  # this router's name
@@ -45,16 +46,16 @@
         self.offloading = Offloading(now_us)
         self.sent_digests = 0
         self.received_digests = 0
-        self.dropped_digests = 0  # beyond MAX_DIGESTS_PER_TICK
-        self._urgent_ticks_left = 0  # in which news goes to FANOUT members
+        self.dropped_digests = 0  # received in excess of MAX_DIGESTS_PER_TICK
+        self._urgent_ticks_left = 0  # ticks in which reports still go to FANOUT members
         self._tick_count = 0
         self._received_this_tick = 0
-        # by endpoint, whether others see it fail and whether it has recovered: a change is news
-        self._findings: dict[str, tuple[bool, bool]] = {}
+        # by endpoint: whether other routers report it as failing, and whether it is reported as recovered
+        self._report_summaries: dict[str, tuple[bool, bool]] = {}
         self._neighbour_overloaded_us: int | None = None  # when a neighbour last reported to be overloaded
 
     def receive(self, now_us: int, sender: str, digest: Digest, is_neighbour: bool) -> None:
-        """Take in a member's digest; ``is_neighbour`` where it is in this router's zone."""
+        """Process a member's digest; ``is_neighbour`` says whether the sender is in this router's zone."""
         self._received_this_tick += 1
         if self._received_this_tick > MAX_DIGESTS_PER_TICK:
             self.dropped_digests += 1
@@ -76,16 +77,16 @@
         pressure: float = 0.0,
         request_rate: float = 0.0,
     ) -> GossipActions:
-        """Advance by one tick, every ``GOSSIP_INTERVAL_US``.
+        """Advance by one tick; to be called every ``GOSSIP_INTERVAL_US``.
 
-        ``health`` is what this router knows of its endpoints, by name; ``present`` are the members present
-        and not suspect, this router included, and ``neighbours`` those of its zone; ``pressure`` and
-        ``request_rate`` are its own load.
+        ``health`` is this router's own view of its endpoints, by name. ``present`` are the members that are
+        present and not suspect, this router included; ``neighbours`` are those of its zone. ``pressure`` and
+        ``request_rate`` are this router's load.
         """
         self._tick_count += 1
         self._received_this_tick = 0
         self._record_own_health(now_us, health)
-        has_reports = self._update_findings(now_us)
+        has_reports = self._update_report_summaries(now_us)
         overrides = self.probe_election.decide(now_us, self.reports, present, health)
         changed = self.offloading.tick(now_us, pressure, request_rate, neighbours)
         sends: list[tuple[str, Digest]] = []
@@ -103,19 +104,19 @@
             age_us = own_view.failure_age_us if own_view.is_failing else own_view.success_age_us
             self.reports.record_own(endpoint, own_view.is_failing, age_us, now_us)
 
-    def _update_findings(self, now_us: int) -> bool:
-        """Make a change of what the reports say urgent; whether there are any reports."""
-        findings = {
+    def _update_report_summaries(self, now_us: int) -> bool:
+        """Start the urgent ticks if the reports say something new; returns whether there are any reports."""
+        summaries = {
             endpoint: (
                 bool(self.reports.failing_witnesses(endpoint, now_us) - {self.own}),
                 self.reports.is_recovered(endpoint, now_us),
             )
             for endpoint in self.reports.endpoints()
         }
-        if findings != self._findings:
-            self._findings = findings
+        if summaries != self._report_summaries:
+            self._report_summaries = summaries
             self._urgent_ticks_left = URGENT_TICKS
-        return bool(findings)
+        return bool(summaries)
 
     def _report_digests(self, now_us: int, present: Sequence[str]) -> list[tuple[str, Digest]]:
         others = [name for name in present if name != self.own]
@@ -129,8 +130,8 @@
         if self._tick_count % NEIGHBOUR_INTERVAL_TICKS != 0:
             return False
         heard_us = self._neighbour_overloaded_us
-        is_asked = heard_us is not None and now_us - heard_us < LOAD_LIFETIME_US
-        return pressure >= LOW_PRESSURE or self.offloading.is_active or is_asked
+        is_load_wanted = heard_us is not None and now_us - heard_us < LOAD_LIFETIME_US
+        return pressure >= LOW_PRESSURE or self.offloading.is_active or is_load_wanted
 
     def _load_digests(
         self, neighbours: Collection[str], pressure: float, request_rate: float
--- a/tests/membership/test_quota_lease.py
+++ b/tests/membership/test_quota_lease.py
@@ -11,20 +11,20 @@
 
 
 class SimulatedQuotaTest(unittest.TestCase):
-    def test_with_all_present_each_has_what_the_settings_give(self) -> None:
+    def test_with_all_members_present_quotas_are_as_in_the_settings(self) -> None:
         network = started_network(FleetSettings(6), 1)
         network.run(network.now_us + 30 * SECOND)
         for process in network.living():
-            share = process.quota_lease.quota(FLEET_SCOPE, process.clock(network.now_us))
-            self.assertAlmostEqual(share, 1 / 6, places=6)
+            quota = process.quota_lease.quota(FLEET_SCOPE, process.clock(network.now_us))
+            self.assertAlmostEqual(quota, 1 / 6, places=6)
 
     def test_a_dead_members_quota_goes_to_the_rest_and_comes_back(self) -> None:
         network = started_network(FleetSettings(6), 2)
         network.run(network.now_us + 30 * SECOND)
         network.kill("r5")
         network.run(network.now_us + 30 * SECOND)
-        shares = [p.quota_lease.quota(FLEET_SCOPE, p.clock(network.now_us)) for p in network.living()]
-        self.assertTrue(all(abs(share - (0.5 / 6 + 0.5 / 5)) < 1e-6 for share in shares), shares)
+        quotas = [p.quota_lease.quota(FLEET_SCOPE, p.clock(network.now_us)) for p in network.living()]
+        self.assertTrue(all(abs(quota - (0.5 / 6 + 0.5 / 5)) < 1e-6 for quota in quotas), quotas)
         network.start("r5")
         network.run(network.now_us + 40 * SECOND)
         self.assertTrue(
@@ -35,16 +35,19 @@
         )
         self.assertEqual(network.quota_excesses, 0)
 
-    def test_an_isolated_member_falls_back_to_its_solo_quota_and_the_sum_never_exceeds_the_whole(
+    def test_an_isolated_member_falls_back_to_its_solo_quota_and_the_sum_never_exceeds_one(
         self,
     ) -> None:
         for seed in range(3):
             network = started_network(FleetSettings(6), seed)
             network.run(network.now_us + 20 * SECOND)
-            network.cut = lambda a, b, who=f"r{seed}": who in (a, b)  # type: ignore[misc]
+            network.cut = lambda a, b, isolated=f"r{seed}": isolated in (a, b)  # type: ignore[misc]
             network.run(network.now_us + 10 * SECOND)
-            alone = network.processes[f"r{seed}"]
-            self.assertAlmostEqual(alone.quota_lease.quota(FLEET_SCOPE, alone.clock(network.now_us)), 0.5 / 6)
+            isolated_process = network.processes[f"r{seed}"]
+            self.assertAlmostEqual(
+                isolated_process.quota_lease.quota(FLEET_SCOPE, isolated_process.clock(network.now_us)),
+                0.5 / 6,
+            )
             network.run(network.now_us + 20 * SECOND)
             network.cut = lambda a, b: False
             network.run(network.now_us + 30 * SECOND)
@@ -56,7 +59,8 @@
             network = started_network(FleetSettings(6), seed)
             network.run(network.now_us + 20 * SECOND)
             network.kill("r5")
-            network.run(network.now_us + 9 * SECOND + seed * SECOND // 2)  # gone about now: they grow
+            # r5 is declared dead about now, and the others' quotas grow.
+            network.run(network.now_us + 9 * SECOND + seed * SECOND // 2)
             network.cut = lambda a, b: (a in ("r0", "r1")) != (b in ("r0", "r1"))
             network.run(network.now_us + 20 * SECOND)
             network.cut = lambda a, b: False
@@ -68,9 +72,9 @@
         network = started_network(FleetSettings(4), 1)
         network.run(network.now_us + 30 * SECOND)
         process = network.processes["r1"]
-        slept = network.now_us
+        paused_at_us = network.now_us
         network.pause("r1", 8 * SECOND)
-        network.run(slept + 8 * SECOND - 1)
+        network.run(paused_at_us + 8 * SECOND - 1)
         now = process.clock(network.now_us)
         self.assertAlmostEqual(process.quota_lease.quota(FLEET_SCOPE, now), 0.5 / 4)
 
@@ -84,7 +88,7 @@
                 process.quota_lease.quota(FLEET_SCOPE, process.clock(network.now_us)), 1 / 6 + 1e-9
             )
 
-    def test_random_histories_never_use_more_than_the_whole(self) -> None:
+    def test_quotas_never_add_up_to_more_than_one_in_random_histories(self) -> None:
         for seed in range(5):
             network = started_network(FleetSettings(5), 100 + seed)
             rand = random.Random(seed)
@@ -95,11 +99,11 @@
                         network.pause(name, rand.randrange(12 * SECOND))
                     case "kill" if network.processes[name].alive:
                         network.kill(name)
-                        again = network.now_us + rand.randrange(SECOND, 9 * SECOND)
-                        network.schedule(again, partial(network.start, name))
+                        restart_us = network.now_us + rand.randrange(SECOND, 9 * SECOND)
+                        network.schedule(restart_us, partial(network.start, name))
                     case "cut":
-                        ways = {(f"r{rand.randrange(5)}", f"r{rand.randrange(5)}") for _ in range(8)}
-                        network.cut = lambda a, b, ways=ways: (a, b) in ways  # type: ignore[misc]
+                        cut_links = {(f"r{rand.randrange(5)}", f"r{rand.randrange(5)}") for _ in range(8)}
+                        network.cut = lambda a, b, cut_links=cut_links: (a, b) in cut_links  # type: ignore[misc]
                     case "heal":
                         network.cut, network.loss = (lambda a, b: False), 0.0
                     case "lose":
