--- a/magpieshift/engine/actions.py
+++ b/magpieshift/engine/actions.py
@@ -71,7 +71,7 @@
             case CloseIdleConnections():
                 self._close_idle(action.endpoint)
             case FetchEndpointList():
-                self._endpoints.repeat_list()
+                self._endpoints.resend_list()
             case WriteLog():
                 log.info("policy message logged", extra=fields(text=action.text))
             case _:  # The list is always subscribed to, and the policy has no channel to other routers.
--- a/magpieshift/engine/attempts.py
+++ b/magpieshift/engine/attempts.py
@@ -167,7 +167,7 @@
             attempt.timer.cancel()
         attempt.exchange = None
         attempt.timer = None
-        self._count(attempt, result.outcome)
+        self._notify_observer(attempt, result.outcome)
         may_have_run = result.outcome not in NEVER_RAN
         if may_have_run and request.first_execution is None and attempt.endpoint is not None:
             request.first_execution = FirstExecution(attempt.started_us, attempt.endpoint)
@@ -187,7 +187,7 @@
             )
         )
 
-    def _count(self, attempt: Attempt, outcome: Outcome) -> None:
+    def _notify_observer(self, attempt: Attempt, outcome: Outcome) -> None:
         if self._hooks.request_observer is None:
             return
         involved = (self._endpoints.get(attempt.endpoint_number), self._endpoints.get(attempt.source_number))
--- a/magpieshift/engine/endpoint_table.py
+++ b/magpieshift/engine/endpoint_table.py
@@ -36,6 +36,6 @@
                     self._hooks.policy_observer.register_name(number, listed.name)
         self._post_event(EndpointListReceived(kind, version, tuple(e.endpoint for e in endpoints)))
 
-    def repeat_list(self) -> None:
+    def resend_list(self) -> None:
         """Pass the complete list to the policy again."""
         self.apply(EndpointListKind.COMPLETE, 0, tuple(self.by_number.values()))
--- a/magpieshift/engine/reconfiguration.py
+++ b/magpieshift/engine/reconfiguration.py
@@ -55,7 +55,7 @@
             self._policy_calls.flush()  # what happened until now happened under the old settings
             self._in_force.adopt(settings, new.names, numbering)
             if relist:
-                self._endpoints.repeat_list()
+                self._endpoints.resend_list()
                 self._policy_calls.flush()
 
         return commit
--- a/magpieshift/engine/trace.py
+++ b/magpieshift/engine/trace.py
@@ -49,7 +49,7 @@
 
     def __init__(self) -> None:
         self._names: dict[int, str] = {}
-        self._order: deque[int] = deque()  # of the names' numbers, oldest first
+        self._registration_order: deque[int] = deque()  # of the names' numbers, oldest first
         self._request_ids: dict[int, str] = {}  # by number, until the policy is told of the request
 
     def register_name(self, number: int, name: str) -> None:
@@ -61,9 +61,9 @@
             return
         if number in self._names:
             return
-        self._order.append(number)
-        if len(self._order) > MAX_NAMES:
-            self._names.pop(self._order.popleft(), None)
+        self._registration_order.append(number)
+        if len(self._registration_order) > MAX_NAMES:
+            self._names.pop(self._registration_order.popleft(), None)
         self._names[number] = name
 
     def reconfigured(self, settings: Settings, reset_classes: Collection[int]) -> None:
