--- a/magpieshift/engine/__init__.py
+++ b/magpieshift/engine/__init__.py
@@ -1,1 +1,1 @@
-"""The request engine: requests, attempts and timers around the policy. Knows no socket and no protocol."""
+"""The request engine: requests, attempts and timers around the policy, without sockets or wire protocols."""
--- a/magpieshift/engine/actions.py
+++ b/magpieshift/engine/actions.py
@@ -1,4 +1,4 @@
-"""Carries out the policy's actions on requests, attempts and endpoints."""
+"""Executes the policy's actions on requests, attempts and endpoints."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class PolicyActions:
-    """The policy's actions at work (``policy_calls.ActionExecutor``)."""
+    """Executes the policy's actions (implements ``policy_calls.ActionExecutor``)."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self._post_event = post_event
 
     def execute(self, action: Action) -> None:
-        """Carry out one action."""
+        """Execute one action."""
         match action:
             case SendCacheRequest():
                 self._attempts.start(action)
@@ -74,7 +74,7 @@
                 self._endpoints.resend_list()
             case WriteLog():
                 log.info("policy message logged", extra=fields(text=action.text))
-            case _:  # The list is always subscribed to, and the policy has no channel to other routers.
+            case _:  # The endpoint list is always subscribed to; the policy cannot message other routers.
                 log.debug("action ignored", extra=fields(action=type(action).__name__))
 
     def is_withdrawn(self, event: Event) -> bool:
@@ -82,10 +82,10 @@
         return isinstance(event, RequestReceived) and self._requests.open_request(event.request_id) is None
 
     def answer_undecided(self, items: Iterable[Event | Action]) -> None:
-        """Answer the requests that the policy was deciding on when it failed.
+        """Answer the requests of these events or actions, whose processing failed, if none has an attempt in
+        flight.
 
-        They have no attempt in flight and would never be answered. Requests it had not come to are covered by
-        their deadline.
+        Nothing else would answer them before their deadlines.
         """
         for item in items:
             request = self._requests.open_request(getattr(item, "request_id", 0))
--- a/magpieshift/engine/attempts.py
+++ b/magpieshift/engine/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts in flight: started, timed, cancelled and settled."""
+"""Starts, times out, cancels and settles attempts."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 def bounded_age_us(limit_us: int, decided_us: int, request_class: RequestClass) -> int:
-    """The oldest copy that will do, in microseconds; 0 for the class's own bound.
+    """The maximum age to request of a cached copy, in microseconds; 0 leaves it to the class's own bound.
 
-    ``limit_us`` is the limit that holds for all reads now (0: none), ``decided_us`` the policy's (0: the
-    class's ``max_age_us``, if it has one). The smallest holds.
+    ``limit_us`` is the limit on all reads at present (0: none), ``decided_us`` the policy's bound (0: the
+    class's ``max_age_us``, if it has one). The smallest of them applies.
     """
     if not limit_us:
         return decided_us
@@ -35,7 +35,7 @@
 
 
 class Attempts:
-    """Owner of all attempts; no request has two in flight, unless it may be hedged."""
+    """Owner of all attempts; a request has two in flight only where it may be hedged."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         self._guard = AttemptGuard(clock, in_force, endpoints)
 
     def start(self, send: SendCacheRequest) -> None:
-        """Start an attempt, or settle it at once where it may not be sent."""
+        """Start an attempt, or settle it at once if it may not be sent."""
         request = self._requests.by_number.get(send.request_id)
         now_us = self._clock.now_us()
         if request is None:
@@ -122,7 +122,7 @@
             request=attempt.request.request,
             endpoint=endpoint,
             source=source,
-            retention_rank=0 if is_parent else send.retention_rank,  # parents know no ranks
+            retention_rank=0 if is_parent else send.retention_rank,  # parents do not use retention ranks
             max_age_us=max_age_us,
             flags=send.flags,
             deadline_us=deadline_us,
@@ -133,7 +133,8 @@
         )
 
     def _cancelled_before(self, attempt: Attempt) -> UpstreamExchange | None:
-        """The attempt whose cancellation must have been read before this one is written, if there is one."""
+        """The cancelled attempt, if any, whose cancellation its endpoint must have read before this is
+        written."""
         cancelled = attempt.request.cancelled_attempt
         if cancelled is None:
             return None
@@ -147,21 +148,21 @@
         return bounded_age_us(limit() if limit is not None else 0, decided_us, request_class)
 
     def _cancel(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Cancel an attempt, if it is in flight, with ``CANCELLED`` or ``TIMEOUT`` as its outcome."""
+        """Cancel an attempt that is in flight, with ``CANCELLED`` or ``TIMEOUT`` as its outcome."""
         if attempt not in attempt.request.in_flight:
             return
         reached = attempt.exchange.cancel() if attempt.exchange is not None else False
         if reached and attempt.exchange is not None:
             attempt.request.cancelled_attempt = CancelledAttempt(attempt.exchange, attempt.endpoint_number)
         if outcome == Outcome.TIMEOUT and not reached:
-            outcome = Outcome.CONNECT_FAILED  # its connection never came up, so it never ran
+            outcome = Outcome.CONNECT_FAILED  # no connection was established, so it was never executed
         self._settle(attempt, AttemptResult(outcome))
 
     def _settle(self, attempt: Attempt, result: AttemptResult) -> None:
-        """End an attempt. The one place: its slot, its timer and its exchange are released here."""
+        """End an attempt. Only this method releases its slot, timer and exchange."""
         request = attempt.request
         if attempt not in request.in_flight:
-            return  # a late answer
+            return  # already settled: a late result
         request.in_flight.remove(attempt)
         if attempt.timer is not None:
             attempt.timer.cancel()
--- a/magpieshift/engine/class_numbers.py
+++ b/magpieshift/engine/class_numbers.py
@@ -1,7 +1,7 @@
-"""The numbers of request classes, as classes come, go and change while requests are open. No I/O.
+"""Numbers of request classes, as documents add, remove and change classes while requests are open. No I/O.
 
-A class keeps its number as long as it exists. One that goes leaves its number to the requests still open in
-it, with the settings they were admitted under; the number is given to a new class only once none is open.
+A class keeps its number as long as it exists. A removed class's number and settings remain valid for its open
+requests; the number is assigned to a new class only when none of them is left.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 
 @dataclass(frozen=True)
 class ClassNumbers:
-    """The numbers under one document."""
+    """The numbers of the classes under one document."""
 
     by_name: Mapping[str, int]
-    """Numbers of the classes that exist."""
+    """Numbers of the document's classes."""
     classes: tuple[RequestClass, ...]
-    """Class settings by number, including those of classes that have gone."""
+    """Class settings by number, including those of removed classes."""
     reset: frozenset[int]
-    """Numbers given to another class, whose learned state is to be discarded."""
+    """Numbers newly assigned, for which the policy must discard learned state."""
 
 
 def initial_class_numbers(names: Sequence[str], classes: Sequence[RequestClass]) -> ClassNumbers:
-    """The numbers at the start: the order of the document."""
+    """Number the classes in document order, at the start."""
     return ClassNumbers({name: number for number, name in enumerate(names)}, tuple(classes), frozenset())
 
 
 def renumber_classes(
     old: ClassNumbers, names: Sequence[str], classes: Sequence[RequestClass], in_use: Set[int]
 ) -> ClassNumbers:
-    """The numbers for a new document; ``in_use`` are those with requests open.
+    """Number the classes of a new document; ``in_use`` holds the numbers that requests in the table have.
 
-    A number that was assigned under the old document is not given away, in use or not: requests may still
-    come under it until the new document is in force.
+    A number assigned under the old document is never reassigned, even if not in use: requests may still
+    arrive under it until the new document is in force.
     """
     assigned = set(old.by_name.values())
     free = [number for number in range(len(old.classes)) if number not in assigned and number not in in_use]
@@ -50,7 +50,7 @@
             by_number[number : number + 1] = [request_class]
         by_number[number] = request_class
         by_name[name] = number
-    while by_number and free and free[-1] == len(by_number) - 1:  # unused numbers at the end
+    while by_number and free and free[-1] == len(by_number) - 1:  # drop unused numbers at the end
         by_number.pop()
         free.pop()
     return ClassNumbers(by_name, tuple(by_number), frozenset(reset))
--- a/magpieshift/engine/endpoint_table.py
+++ b/magpieshift/engine/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoints on the endpoint list, by the policy's number."""
+"""The current endpoint list, indexed by the policy's endpoint numbers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class EndpointTable:
-    """The current endpoint list; every change of it is passed to the policy."""
+    """Holds the current endpoint list and passes every change of it to the policy."""
 
     def __init__(self, hooks: EngineHooks, post_event: Callable[[Event], None]) -> None:
         self.by_number: dict[int, ListedEndpoint] = {}
@@ -18,11 +18,11 @@
         self._post_event = post_event
 
     def get(self, number: int) -> ListedEndpoint | None:
-        """The endpoint of this number, or None if it is not listed."""
+        """The endpoint with this number, or None if it is not listed."""
         return self.by_number.get(number)
 
     def apply(self, kind: EndpointListKind, version: int, endpoints: Iterable[ListedEndpoint]) -> None:
-        """Take in a watch event; all but a ``DELTA`` is the complete list and drops what it leaves out."""
+        """Apply an endpoint list event; ``DELTA`` carries changes only, any other kind replaces the list."""
         endpoints = tuple(endpoints)
         if kind != EndpointListKind.DELTA:
             self.by_number.clear()
@@ -37,5 +37,5 @@
         self._post_event(EndpointListReceived(kind, version, tuple(e.endpoint for e in endpoints)))
 
     def resend_list(self) -> None:
-        """Pass the complete list to the policy again."""
+        """Pass the current complete list to the policy again."""
         self.apply(EndpointListKind.COMPLETE, 0, tuple(self.by_number.values()))
--- a/magpieshift/engine/engine.py
+++ b/magpieshift/engine/engine.py
@@ -1,8 +1,9 @@
-"""The engine's public face: one router's requests, attempts and timers around one decision policy.
+"""The engine's interface: manages one router's requests, attempts and timers around one decision policy.
 
-It is told what clients, endpoints and the change log do, passes that to ``magpieshift.policy`` in batches,
-and carries out what the policy decides. Whatever the policy does, each request gets exactly one final answer
-in time, and none has two attempts in flight, unless the settings and its class allow hedged requests.
+It receives events from clients, endpoints and the change log, passes them to ``magpieshift.policy`` in
+batches, and carries out the policy's actions. Whatever the policy does, each request gets exactly one final
+answer by its deadline, and never has two attempts in flight unless the settings and its class allow hedged
+requests.
 """
 
 from __future__ import annotations
@@ -28,38 +29,38 @@
 from magpieshift.policy.settings import Settings
 
 DEFAULT_MAX_BODY_BYTES = 32 << 20
-"""For embedders that state no limit of their own (the simulator, the laboratory). A smaller
-one rejects writes earlier, a larger one lets them use more memory."""
+"""Default limit on the bodies of open requests, for embedders that set none (the simulator, the laboratory).
+A smaller limit rejects writes earlier, a larger one lets them use more memory."""
 MIN_DRAINING_RETRY_FRACTION = 0.05
 MAX_DRAINING_RETRY_FRACTION = 0.3
-"""Bounds of the Retry-After of a draining router, as fractions of the settings' largest. Other routers can
-take the request, so it is short; it is drawn between them, or all rejected clients would be back at once.
-Smaller fractions bring clients back to a router that still drains, larger ones only add
-waiting."""
+"""Bounds of a draining router's Retry-After, as fractions of the settings' ``max_retry_after_us``. It is
+short because another router can take the request, and chosen at random between the bounds so that rejected
+clients do not all return at once. Smaller fractions bring clients back while the router still drains; larger
+ones only add waiting time."""
 
 
 class EndpointHealth(NamedTuple):
-    """What the policy has learned of one endpoint."""
+    """The health of one endpoint as the policy has observed it."""
 
     endpoint: ListedEndpoint
     is_failing: bool
-    """Whether its failure rate is above that at which it is ejected: it is ejected, or gets one attempt at a
+    """Whether its failure rate is above the ejection threshold: it is ejected, or limited to one attempt at a
     time."""
     since_failure_us: int | None
-    """Microseconds since its last failure; None for never."""
+    """Microseconds since its last failure; None if it has never failed."""
     since_success_us: int | None
-    """Microseconds since it last answered usefully; None for never."""
+    """Microseconds since its last useful answer; None if it has never given one."""
 
 
 def _no_action() -> None:
-    """The default of a callback that its caller does not need."""
+    """Default for an optional callback."""
 
 
 class Engine(EngineHooks):
-    """Joins the owners of requests, attempts, endpoints, settings and the policy."""
+    """Connects the components that own requests, attempts, endpoints, settings and the policy."""
 
     part = "engine"
-    """Its name among the parts that take a new document."""
+    """Name of this part in a configuration transaction."""
 
     def __init__(
         self,
@@ -81,7 +82,7 @@
         self.endpoints = EndpointTable(self, post_event)
         """Owner of the endpoint list."""
         self.requests = RequestTable(clock, self.in_force, self, post_event, max_body_bytes)
-        """Owner of all requests until their deadlines."""
+        """Owner of all requests, each kept until its deadline."""
         attempts = Attempts(clock, upstream, self.requests, self.endpoints, self.in_force, self, post_event)
         self.requests.cancel_attempts = attempts.cancel_all
         self.policy_calls.executor = PolicyActions(
@@ -100,11 +101,12 @@
         hold: bool = False,
         before_write: Callable[[], None] = _no_action,
     ) -> int:
-        """Take a request; returns its number.
+        """Accept a request; returns its number.
 
-        ``reply`` is called once with its final answer, unless it is cancelled, and never before this returns.
-        With ``hold`` it is not decided on until ``resume``, while its deadline runs. ``before_write`` is
-        called right before an attempt is written, to read what the client has sent by then.
+        ``reply`` is called once with the final answer, unless the request is cancelled, and never before this
+        method returns. With ``hold`` the policy does not see the request until ``resume``; its deadline runs
+        meanwhile. ``before_write`` is called right before an attempt is written, so that a disconnect or
+        cancellation which the client has already sent is read first.
         """
         entry = self.requests.add(request, reply, before_write)
         if entry.is_admitted and not hold:
@@ -112,21 +114,21 @@
         return entry.number
 
     def resume(self, number: int) -> None:
-        """Let the policy decide on a request that was held, if it is still open."""
+        """Pass a request submitted with ``hold`` to the policy, if it is still open."""
         self.requests.release(number)
 
     def cancel(self, number: int) -> None:
-        """The client of this request has disconnected."""
+        """Cancel a request whose client has disconnected."""
         self.requests.cancel(number)
 
     def draining_response(self) -> Response:
-        """The answer to a request that is not taken because the router drains."""
+        """The answer to a request that is rejected because the router drains."""
         fraction = self._random.uniform(MIN_DRAINING_RETRY_FRACTION, MAX_DRAINING_RETRY_FRACTION)
         retry_after_us = int(fraction * self.in_force.settings.max_retry_after_us)
         return Response(Verdict.REJECTED, retry_after_us=retry_after_us)
 
     def answer_all(self) -> None:
-        """Answer all open requests: the process must exit, whether or not the endpoints have answered."""
+        """Answer all open requests, as the process must exit even if endpoints have not answered."""
         self.requests.answer_all()
 
     def is_write_class(self, class_number: int) -> bool:
@@ -135,22 +137,22 @@
 
     @property
     def requests_taken(self) -> int:
-        """How many requests have been taken since the start."""
+        """Number of requests submitted since the start."""
         return self.requests.received
 
     @property
     def open_requests(self) -> int:
-        """How many requests have no final answer yet."""
+        """Number of requests without a final answer."""
         return self.requests.open_requests
 
     @property
     def held_body_bytes(self) -> int:
-        """Size of the bodies of open requests."""
+        """Total size of the bodies of open requests, in bytes."""
         return self.requests.held_body_bytes
 
     @property
     def max_body_bytes(self) -> int:
-        """Limit of ``held_body_bytes``; what comes beyond it is rejected."""
+        """Limit of ``held_body_bytes``; a request that would exceed it is rejected."""
         return self.requests.max_body_bytes
 
     @max_body_bytes.setter
@@ -160,54 +162,58 @@
     # --- settings
 
     def prepare(self, old: Document, new: Document) -> Callable[[], None]:
-        """Make ready for a new document; returns its commit (``Reconfiguration.prepare``)."""
+        """Prepare a new document; returns the function that commits it (``Reconfiguration.prepare``)."""
         return self._reconfiguration.prepare(old, new)
 
     def running(self) -> dict[str, object]:
-        """The settings in force, by the names that operators know."""
+        """The settings in force, under the names that operators see."""
         return self.in_force.by_name()
 
     def set_sibling_processes(self, count: int) -> None:
-        """So many other processes of this router serve from now on, and share its part of all budgets."""
+        """Set how many other processes share this router's part of all budgets."""
         self.in_force.set_sibling_processes(count)
 
     def set_router_counts(self, total: int, own_zone: int) -> None:
-        """Use one part in so many of what all routers share, and of what those of the own zone share."""
+        """Set the number of routers that share the budgets, in total and in this router's zone.
+
+        They replace the document's counts.
+        """
         self.in_force.set_router_counts(RouterCounts(total, own_zone))
 
     @property
     def sibling_processes(self) -> int:
-        """How many other processes of this router serve."""
+        """Number of other processes that share this router's part of all budgets."""
         return self.in_force.sibling_processes
 
     @property
     def classes(self) -> dict[str, int]:
-        """Numbers of the classes by name: one map as long as the engine lives, changed in place."""
+        """Class numbers by name. The dictionary is updated in place, so callers may keep a reference."""
         return self.in_force.class_numbers
 
     # --- endpoints and objects
 
     def list_changed(self, kind: EndpointListKind, version: int, endpoints: Iterable[ListedEndpoint]) -> None:
-        """Endpoints have come, changed or gone; all but a ``DELTA`` is the complete list."""
+        """Apply an endpoint list event; ``DELTA`` carries changes only, any other kind replaces the list."""
         self.endpoints.apply(kind, version, endpoints)
 
     def purged(self, object_key: str, group: int, purged_us: int) -> None:
-        """An object, or with no key a group, was purged at this Unix microsecond."""
+        """Record a purge of an object, or of a group if the key is empty; ``purged_us`` is Unix
+        microseconds."""
         age_us = max(0, self._clock.now_us() - purged_us)
         number = self.object_number(object_key) if object_key else 0
         self.policy_calls.post(PurgeReceived(number, group, age_us))
 
     @property
     def endpoint_count(self) -> int:
-        """How many endpoints are listed, of all zones."""
+        """Number of endpoints on the endpoint list, in all zones."""
         return len(self.endpoints.by_number)
 
     def endpoint_names(self) -> list[tuple[int, str]]:
-        """The policy's numbers of all listed endpoints, with their names."""
+        """Number (as used by the policy) and name of each listed endpoint."""
         return [(number, listed.name) for number, listed in self.endpoints.by_number.items()]
 
     def endpoint_health(self) -> Iterable[EndpointHealth]:
-        """The health of each endpoint that the policy may choose."""
+        """The health of each listed endpoint that the policy tracks."""
         now_us = self.policy_calls.time_us()
 
         def since_us(event_us: int) -> int | None:
@@ -218,11 +224,11 @@
                 yield EndpointHealth(listed, is_failing, since_us(failed_us), since_us(good_us))
 
     def apply_overrides(self, overrides: Sequence[HealthOverride]) -> None:
-        """Have the policy eject or readmit endpoints by what other routers have seen."""
+        """Have the policy eject or readmit endpoints on the reports of other routers."""
         self.policy_calls.apply_overrides(overrides)
 
     # --- the policy
 
     def flush(self) -> None:
-        """Pass what has happened to the policy now, without waiting for the next turn of the loop."""
+        """Pass all queued events to the policy now, without waiting for the next event loop iteration."""
         self.policy_calls.flush()
--- a/magpieshift/engine/guards.py
+++ b/magpieshift/engine/guards.py
@@ -1,7 +1,7 @@
-"""What may not be sent or answered, checked whatever the policy decides.
+"""Safety checks on attempts and rejections, applied independently of the policy's decisions.
 
-The rules themselves are those of ``policy.retry`` and ``policy.rejection``; the guards apply them to the
-engine's own record of what has been sent.
+The rules are those of ``policy.retry`` and ``policy.rejection``; the guards apply them to the engine's own
+record of the attempts sent.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 
 def is_rejection_permitted(request: OpenRequest) -> bool:
-    """Whether a rejection is true, which promises that trying again does no harm."""
+    """Whether the request may be rejected: a rejection promises the client that a retry is safe."""
     may_have_run = request.first_execution is not None or bool(request.in_flight)
     return may_reject(request.request_class, may_have_run)
 
 
 class AttemptGuard:
-    """Checks each attempt when it is started, and again right before it is written."""
+    """Checks each attempt when it is started and again right before it is written."""
 
     def __init__(self, clock: Clock, in_force: SettingsInForce, endpoints: EndpointTable) -> None:
         self._clock = clock
@@ -32,16 +32,16 @@
         self._endpoints = endpoints
 
     def may_hedge(self, request: OpenRequest, endpoint_number: int) -> bool:
-        """Whether a second attempt may run beside the one in flight."""
+        """Whether a second attempt may run concurrently with the one in flight."""
         return len(request.in_flight) == 1 and self.may_overlap(
             request.request_class, request.in_flight[0].endpoint_number, endpoint_number
         )
 
     def may_overlap(self, request_class: RequestClass, first_number: int, second_number: int) -> bool:
-        """Whether two attempts of one request may run at once at these endpoints.
+        """Whether two attempts of one request may be in flight at these endpoints.
 
-        The settings must allow it, running twice must do no harm, and it must go to another endpoint, for an
-        endpoint knows a request by its id.
+        The settings must allow hedged requests, the class must be idempotent, and the endpoints must differ,
+        because an endpoint identifies a request by its id.
         """
         return (
             self._in_force.settings.hedged_requests
@@ -50,17 +50,17 @@
         )
 
     def check_before_write(self, attempt: Attempt) -> Outcome | None:
-        """``check`` at the moment of the write.
+        """Repeat ``check`` right before the write.
 
         While the attempt waited for its connection, its endpoint or source may have begun to drain, its
-        client may have disconnected without the busy loop having read so, or the deduplication window have
-        passed.
+        client may have disconnected (unread so far by a busy event loop), or the deduplication window may
+        have passed.
         """
         attempt.request.before_write()
         return self.check(attempt)
 
     def check(self, attempt: Attempt) -> Outcome | None:
-        """How an attempt that is not written yet must end, or None if it may be sent."""
+        """The outcome of an unwritten attempt that may not be sent, or None if it may be."""
         request = attempt.request
         for number in (attempt.endpoint_number, attempt.source_number):
             listed = self._endpoints.get(number)
@@ -71,7 +71,7 @@
         return None if self._is_repeat_permitted(request, attempt.endpoint_number) else Outcome.SUPERSEDED
 
     def _is_repeat_permitted(self, request: OpenRequest, endpoint_number: int) -> bool:
-        """Whether the endpoint may get a request now that may have run already."""
+        """Whether the endpoint may be sent this request, given that it may have been executed already."""
         if request.first_execution is None:
             return True
         first_sent_us, first = request.first_execution
--- a/magpieshift/engine/interfaces.py
+++ b/magpieshift/engine/interfaces.py
@@ -1,4 +1,4 @@
-"""What the engine needs of the parts around it, as protocols, so that it imports none of them."""
+"""Protocols for the components that the engine depends on, so that it does not import them."""
 
 from __future__ import annotations
 
@@ -22,38 +22,38 @@
 from magpieshift.policy.settings import RequestClass, Settings
 
 Reply = Callable[[Response], None]
-"""Takes the final answer to one request."""
+"""Receives the final answer to one request."""
 
 
 class Upstream(Protocol):
-    """Carries attempts and health checks to endpoints."""
+    """Sends attempts and health checks to endpoints."""
 
     def start(self, request: UpstreamRequest, done: Callable[[AttemptResult], None], /) -> UpstreamExchange:
-        """Begin an attempt; ``done`` is called once with its result, unless it is cancelled."""
+        """Start an attempt; ``done`` is called once with its result, unless the attempt is cancelled."""
         ...
 
     def probe(self, endpoint: ListedEndpoint, done: Callable[[AttemptResult], None], /) -> None:
-        """Begin a health check; ``done`` is called once with its result."""
+        """Start a health check; ``done`` is called once with its result."""
         ...
 
     def close_idle(self, endpoint: ListedEndpoint, /) -> None:
-        """Close the connections to this endpoint that carry nothing."""
+        """Close the idle connections to this endpoint."""
         ...
 
 
 class PolicyObserver(Protocol):
-    """Stands between the engine and the policy, passing on what it sees unchanged (``capture.recorder``)."""
+    """Observes the events and actions between engine and policy, unchanged (e.g. ``capture.recorder``)."""
 
     def handle(self, policy: RouterPolicy, now_us: int, events: Sequence[Event], /) -> list[Action]:
         """Pass a batch of events to the policy; returns the policy's actions."""
         ...
 
     def register_name(self, number: int, name: str, /) -> None:
-        """Learn the text id behind the number of a request or an endpoint."""
+        """Register the text id of the request or endpoint that the policy knows by this number."""
         ...
 
     def reconfigured(self, settings: Settings, reset_classes: Collection[int], /) -> None:
-        """The policy runs on new settings, and starts anew with these classes."""
+        """The policy was given new settings, and its learned state for these classes was reset."""
         ...
 
     def overrides_applied(self, now_us: int, overrides: Sequence[HealthOverride], /) -> None:
@@ -62,7 +62,7 @@
 
 
 class RequestObserver(Protocol):
-    """Counts the ends of requests and attempts. It is called in the path of each and must not raise."""
+    """Counts finished requests and attempts. It is called synchronously for each and must not raise."""
 
     def request_ended(
         self,
@@ -72,29 +72,32 @@
         duration_us: int,
         /,
     ) -> None:
-        """A request has ended with its final answer, or (None) because its client disconnected."""
+        """A request has ended with this verdict, or with None because its client disconnected."""
         ...
 
     def attempt_ended(self, outcome: Outcome, filled: bool, origin: bool, /) -> None:
-        """An attempt has ended: whether it named a source, and whether the origin was endpoint or source."""
+        """An attempt has ended.
+
+        ``filled``: it named a source to fill from. ``origin``: the origin was its endpoint or its source.
+        """
         ...
 
 
 class EngineHooks:
-    """Attachment points of the engine; other parts assign them, and the engine's modules read them."""
+    """Optional hooks of the engine; other parts set them, and the engine's modules call them."""
 
     def __init__(self, object_number: Callable[[str], int]) -> None:
         self.object_number = object_number
         """Maps the text key of an object to the policy's number for it."""
         self.policy_observer: PolicyObserver | None = None
-        """Sees all that passes between the engine and the policy."""
+        """Observes all events and actions between the engine and the policy."""
         self.request_observer: RequestObserver | None = None
         """Counts how requests and attempts end."""
         self.refresh_quota: Callable[[], None] | None = None
-        """Called before each batch of events, as a quota lease may have expired."""
+        """Called before each batch of events, because a quota lease may have expired."""
         self.copy_age_limit: Callable[[], int] | None = None
-        """The largest age that any read may accept of a cached copy now, in microseconds, 0 for no limit.
+        """Returns the current maximum age of cached copies for all reads, in microseconds; 0 means no limit.
 
-        For a part that knows when purges may have been missed. Called at each decision, and again at the
-        write.
+        Set by a part that detects when purges may have been missed. Called when an attempt is started, and
+        again right before it is written.
         """
--- a/magpieshift/engine/model.py
+++ b/magpieshift/engine/model.py
@@ -1,4 +1,4 @@
-"""What passes between the downstream server, the engine and the upstream pool. Nothing here belongs to one
+"""Data types shared by the downstream server, the engine and the upstream pool, independent of any wire
 protocol."""
 
 from __future__ import annotations
@@ -14,16 +14,17 @@
 
 
 def endpoint_number(name: str) -> int:
-    """The policy's number for an endpoint: from the text of its id alone, so that all routers, in every run,
-    agree on it.
+    """The policy's number for an endpoint: a hash of its name, so that all routers agree on it across
+    restarts.
 
-    Its address will not do, since a new endpoint may reuse it; nor the order of arrival.
+    The address is unsuitable because a new endpoint may reuse it; the order of arrival differs between
+    routers.
     """
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
 def object_number(hexadecimal: str) -> int:
-    """The policy's number for an object. Zero, which means none to the policy, becomes another number."""
+    """The policy's number for an object. Zero means "no object" to the policy, so key zero maps to 2**64."""
     return int(hexadecimal, 16) or 1 << 64
 
 
@@ -32,39 +33,39 @@
     """A client's request."""
 
     request_id: str
-    """As the client sent it; endpoints know the request by it."""
+    """As the client sent it; endpoints identify the request by it."""
     class_index: int
     """Number of its class."""
     class_name: str
     object_key: str
     """16 hex digits."""
     part: int
-    """Which part of the object."""
+    """Index of the requested part of the object."""
     group: int
     """The group of objects that it is purged with."""
     size_kb: float
     time_left_us: int
-    """How long the client waits, as it says, in microseconds."""
+    """How long the client will wait, as stated by the client, in microseconds."""
     is_repeat: bool
-    """Whether the client has tried before."""
+    """Whether this is a retry by the client."""
     idempotency_key: str
-    """Empty for none."""
+    """Empty if the client sent none."""
     known_version: str
-    """Of the copy that the client has; empty for none."""
+    """Version of the copy that the client already has; empty if it has none."""
     body: bytes
-    """Of a write; released once the request is over."""
+    """Body of a write; released once the request is closed."""
 
 
 class UpstreamExchange(Protocol):
-    """One attempt under way upstream."""
+    """One attempt in flight at the upstream side."""
 
     def cancel(self) -> bool:
-        """Stop it; returns whether the endpoint may have been reached."""
+        """Cancel the attempt; returns whether the endpoint may have received it."""
         ...
 
 
 class Verdict(Enum):
-    """The final answer to a request."""
+    """The kind of final answer that a request gets."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -73,24 +74,24 @@
 
 @dataclass(slots=True)
 class Response:
-    """The final answer, with the bytes of the copy, or the statement that the client's own is current."""
+    """The final answer, with the object's bytes unless the client's own copy is current."""
 
     verdict: Verdict
     body: bytes | bytearray = b""
     not_modified: bool = False
     """Whether the client's own copy is current."""
     retry_after_us: int = 0
-    """Of a rejection: when the client should come back, in microseconds from now."""
+    """For a rejection: how long the client should wait before a retry, in microseconds."""
 
 
 @dataclass(slots=True)
 class ListedEndpoint:
-    """An endpoint as the endpoint list names it."""
+    """An endpoint as the endpoint list describes it."""
 
     name: str
     address: tuple[str, int]
     endpoint: Endpoint
-    """The policy's view of it."""
+    """The description that is passed to the policy."""
 
 
 @dataclass(slots=True)
@@ -100,42 +101,44 @@
     request: ClientRequest
     endpoint: ListedEndpoint
     source: ListedEndpoint | None
-    """Where a cache fills a miss from; None for no fill."""
+    """The endpoint that the cache fills a miss from; None if no fill is requested."""
     retention_rank: int
-    """How highly the cache keeps the copy; 0 for not at all."""
+    """Rank that the cache gives the copy for retention; 0 if it should not keep the copy."""
     max_age_us: int
-    """The oldest copy that will do, in microseconds; 0 for the class's own bound."""
+    """Maximum age of a cached copy, in microseconds; 0 leaves it to the class's own bound."""
     flags: int
-    """A sum of ``CacheRequestFlag``."""
+    """Bitwise OR of ``CacheRequestFlag`` values."""
     deadline_us: int
-    """Of the attempt, in Unix microseconds."""
+    """Deadline of the attempt, in Unix microseconds."""
     must_not_repeat: bool
-    """Whether running it twice does harm."""
+    """Whether executing the request twice could repeat its effect."""
     check_blocked: Callable[[], Outcome | None]
-    """Called right before it is written: how it ends unwritten, or None where it may be sent."""
+    """Called right before the attempt is written: the outcome if it may no longer be sent, or None if it
+    may."""
     current_max_age: Callable[[], int] | None = None
-    """Called right before it is written, where the bound may have changed since the decision: the oldest copy
-    that will do by then, in place of ``max_age_us``."""
+    """Called right before the attempt is written, if the bound may change after the decision: the maximum age
+    at that time, in microseconds, in place of ``max_age_us``."""
     cancelled: UpstreamExchange | None = None
-    """The attempt before it, where that was cancelled after it was written: this one is not written before
-    the endpoint has surely read so, or the time for that is over. None where two may be in flight."""
+    """The request's previous attempt, if it was cancelled after it was written. This attempt is not written
+    until the other endpoint has certainly read the cancellation, or the time allowed for that has passed.
+    None if two attempts may be in flight."""
 
     def max_age_now_us(self) -> int:
-        """The oldest copy that will do now, in microseconds; 0 for the class's own bound."""
+        """Current maximum age of a cached copy, in microseconds; 0 leaves it to the class's own bound."""
         return self.max_age_us if self.current_max_age is None else self.current_max_age()
 
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended, as far as the upstream side can tell."""
+    """How an attempt ended, as observed by the upstream side."""
 
     outcome: Outcome
     cache_status: int = 0
-    """A ``CacheStatus``, or a number that this version does not know."""
+    """A ``CacheStatus`` value, or a number that this version does not define."""
     fill_wait_us: int = 0
-    """How long the cache waited for its fill, in microseconds."""
+    """How long the cache waited for the fill, in microseconds."""
     load: tuple[float, ...] = ()
-    """The endpoint's load report, by the settings' columns."""
+    """Values of the endpoint's load report, in the order of the settings' ``load_report_columns``."""
     body: bytes | bytearray = b""
     not_modified: bool = False
     """Whether the client's own copy is current."""
--- a/magpieshift/engine/name_numbers.py
+++ b/magpieshift/engine/name_numbers.py
@@ -1,9 +1,9 @@
-"""The numbers of zones and endpoint kinds, which stay while the router runs. No I/O.
+"""Stable numbers of zones and endpoint kinds across configuration changes. No I/O.
 
-Endpoints are listed by these numbers, whatever order a new document names the zones and kinds in. To number
-them anew would mean to list every endpoint again with each such change, which holds the event loop for
-as long. The number of a name that goes stays empty until the change after, so that no endpoint listed
-meanwhile can slip into another zone, and may then be given away.
+Listed endpoints refer to zones and kinds by number, so a new document may list the names in any order without
+renumbering them. Renumbering would require processing the whole endpoint list again at each such change,
+which blocks the event loop meanwhile. The number of a removed name stays unused until the following change,
+so that an endpoint listed in between cannot end up in another zone; after that it may be reassigned.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from magpieshift.config import Document
 
 UNUSED = ""
-"""The name of a number that is not in use; no document can give it."""
+"""Name of an unused number; no document can contain it."""
 
 
 def renumber(old: Sequence[str], new: Sequence[str]) -> tuple[str, ...]:
-    """The names by number: those that stay keep their numbers, new ones fill gaps or go to the end."""
+    """The names by number: kept names keep their numbers, new ones fill gaps or are appended."""
     names = [name if name in new else UNUSED for name in old]
     gaps = [number for number, name in enumerate(old) if name == UNUSED]
     for name in new:
@@ -35,14 +35,14 @@
 
 
 def align_numbers(old: Document, new: Document) -> Document:
-    """``new`` with its zones and kinds numbered as the running ``old`` has them."""
+    """``new`` with its zones and kinds numbered as in ``old``, the document in force."""
     zones = renumber(old.names.zones, new.names.zones)
     kinds = renumber(old.names.kinds, new.names.kinds)
     if (zones, kinds) == (new.names.zones, new.names.kinds):
         return new
     settings = new.settings
     names = new.names
-    # By new zone number, the index in the document, or -1 for a number not in use.
+    # Maps each zone number to the zone's index in the new document, or -1 if the number is unused.
     document_index = [names.zones.index(zone) if zone else -1 for zone in zones]
 
     def zone_number(index: int) -> int:
--- a/magpieshift/engine/open_request.py
+++ b/magpieshift/engine/open_request.py
@@ -13,12 +13,12 @@
 
 
 class FirstExecution(NamedTuple):
-    """The first attempt of a request that may have been executed."""
+    """Records the first attempt of a request that may have been executed."""
 
     started_us: int
-    """When it was sent, in Unix microseconds."""
+    """When the attempt was started, in Unix microseconds."""
     endpoint: ListedEndpoint
-    """Where it was sent, as listed then."""
+    """The endpoint, as listed when the attempt was started."""
 
 
 class CancelledAttempt(NamedTuple):
@@ -26,41 +26,42 @@
 
     exchange: UpstreamExchange
     endpoint_number: int
-    """Where it was sent."""
+    """The policy's number of the endpoint that it was sent to."""
 
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A client request. It stays in the table until its deadline, so that attempt numbers go on."""
+    """A client request. It stays in the table until its deadline, even when closed, so that attempt numbers
+    are not reused."""
 
     number: int
     """Its number in the policy's events and actions."""
     request: ClientRequest
-    """What the client asked for; its body is released once the request is closed."""
+    """The request as submitted; its body is released when the request is closed."""
     request_class: RequestClass
-    """The class settings it was admitted under, whatever comes into force while it is open."""
+    """The class settings at admission; later documents do not change them."""
     reply: Reply | None
-    """Takes the final answer; None once the request is closed."""
+    """Receives the final answer; None once the request is closed."""
     received_us: int
     """Unix microseconds."""
     deadline_us: int
-    """Unix microseconds; an answer still owed then is given then."""
+    """Unix microseconds; a request still open at this time gets the fallback answer."""
     before_write: Callable[[], None]
-    """Called right before an attempt is written, to read what the client has sent by then."""
+    """Called right before an attempt is written, to read a disconnect or cancellation already received."""
     owns_request_id: bool = False
-    """Whether its id is reserved for it; no other open request may use the id."""
+    """Whether it has reserved its request id, which no other open request may then use."""
     is_admitted: bool = False
-    """Whether the policy may decide on it; if not, its answer is on the way."""
+    """Whether it may be passed to the policy; if not, its rejection or failure is already scheduled."""
     attempts_started: int = 0
     in_flight: list[Attempt] = field(default_factory=list)
-    """Attempts not settled: two at most, and that only where hedged requests are allowed."""
+    """Attempts not settled yet: at most one, or two where hedged requests are allowed."""
     first_execution: FirstExecution | None = None
     cancelled_attempt: CancelledAttempt | None = None
-    """The last one that was cancelled after it was written."""
+    """The last attempt that was cancelled after it was written."""
 
     @property
     def is_closed(self) -> bool:
-        """Whether it has its final answer, or its client has disconnected."""
+        """Whether it has been answered, or its client has disconnected."""
         return self.reply is None
 
 
@@ -73,11 +74,11 @@
     """Counted from 0 within the request."""
     endpoint_number: int
     source_number: int
-    """The endpoint that a miss is filled from; ``endpoint_number`` itself for no fill."""
+    """The endpoint that the cache fills a miss from; equal to ``endpoint_number`` if no fill is requested."""
     started_us: int
     """Unix microseconds."""
     endpoint: ListedEndpoint | None
-    """As listed when the attempt began; None if it was not listed."""
+    """As listed when the attempt was started; None if it was not listed."""
     exchange: UpstreamExchange | None = None
     timer: TimerHandle | None = None
     """Fires when the attempt times out."""
--- a/magpieshift/engine/policy_calls.py
+++ b/magpieshift/engine/policy_calls.py
@@ -1,4 +1,4 @@
-"""The one place where the policy is entered: events go in as batches, and a failing policy is contained."""
+"""The only caller of the policy: passes events to it in batches and contains its errors."""
 
 from __future__ import annotations
 
@@ -20,47 +20,51 @@
 
 
 class ActionExecutor(Protocol):
-    """Carries out what the policy decides (``engine.actions``)."""
+    """Executes the policy's actions (``engine.actions``)."""
 
     def execute(self, action: Action, /) -> None:
-        """Carry out one action."""
+        """Execute one action."""
         ...
 
     def is_withdrawn(self, event: Event, /) -> bool:
-        """Whether an event needs no decision any more."""
+        """Whether an event needs no decision, because its request was closed before the policy saw it."""
         ...
 
     def answer_undecided(self, items: Iterable[Event | Action], /) -> None:
-        """Answer the requests of these events or actions that the policy would never come back to."""
+        """Answer the requests of these events or actions, which the policy will not decide on after an
+        error."""
         ...
 
 
 class PolicyCalls:
-    """Owner of the policy, of the events waiting for it and of the time it is given."""
+    """Owner of the policy, of its queued events and of its time."""
 
     def __init__(self, policy: RouterPolicy, clock: Clock, hooks: EngineHooks) -> None:
         self.policy = policy
-        """The decisions; entered from this class only."""
+        """The decision policy; only this class passes events to it."""
         self.executor: ActionExecutor | None = None
-        """Carries out the policy's actions; set once, while the engine is built."""
+        """Executes the policy's actions; set once, while the engine is built."""
         self._clock = clock
         self._hooks = hooks
-        self._events: list[Event] = []  # not passed to the policy yet
+        self._events: list[Event] = []  # queued for the policy
         self._flush_scheduled = False
-        self._policy_time_us = 0  # Unix microseconds, as last given to the policy
+        self._policy_time_us = 0  # Unix microseconds, as last passed to the policy
 
     def post(self, event: Event) -> None:
-        """Queue an event. The policy is never entered from here: what comes in together goes in together."""
+        """Queue an event for the next flush.
+
+        The policy is not called here, so events of one event loop iteration form one batch.
+        """
         self._events.append(event)
         if not self._flush_scheduled:
             self._flush_scheduled = True
             self._clock.soon(self.flush)
 
     def flush(self) -> None:
-        """Pass all queued events to the policy, and carry out its actions."""
+        """Pass all queued events to the policy and execute its actions."""
         assert self.executor is not None
         self._flush_scheduled = False
-        # What was withdrawn before the policy saw it needs no decision; clients withdraw hundreds at a time.
+        # Requests closed before the policy saw them need no decision; clients may cancel hundreds at a time.
         events = [event for event in self._events if not self.executor.is_withdrawn(event)]
         self._events = []
         if not events:
@@ -68,7 +72,7 @@
         if self._hooks.refresh_quota is not None:
             self._hooks.refresh_quota()
         self._policy_time_us = self.time_us()
-        # The edge of the policy: whatever it raises, its requests are answered and the loop goes on.
+        # Whatever the policy raises, the batch's requests are answered and the event loop continues.
         try:
             actions = self._handle(events)
         except Exception:
@@ -76,7 +80,7 @@
             self.executor.answer_undecided(events)
             actions = self._replay_lasting_events(events)
         for action in actions:
-            # One action that fails, for whatever reason, must not keep the others from being carried out.
+            # A failing action must not prevent the others from being executed.
             try:
                 self.executor.execute(action)
             except Exception:
@@ -84,17 +88,17 @@
                 self.executor.answer_undecided([action])
 
     def time_us(self) -> int:
-        """The policy's time, in Unix microseconds; it never goes back, though the clock may be set back."""
+        """The policy's time, in Unix microseconds; it never decreases, even if the clock is set back."""
         return max(self._policy_time_us, self._clock.now_us())
 
     def reconfigure(self, settings: Settings, reset_classes: frozenset[int]) -> None:
-        """Put settings in force in the policy; it forgets what it learned of the classes to reset."""
+        """Pass new settings to the policy, which discards what it learned about the classes to reset."""
         reconfigure(self.policy, settings, reset_classes)
         if self._hooks.policy_observer is not None:
             self._hooks.policy_observer.reconfigured(settings, reset_classes)
 
     def apply_overrides(self, overrides: Sequence[HealthOverride]) -> None:
-        """Have the policy eject or readmit endpoints by what other routers have seen."""
+        """Have the policy eject or readmit endpoints on the reports of other routers."""
         if overrides:
             now_us = self.time_us()
             apply_overrides(self.policy, now_us, overrides)
@@ -107,15 +111,15 @@
         return self._hooks.policy_observer.handle(self.policy, self._policy_time_us, events)
 
     def _replay_lasting_events(self, events: Iterable[Event]) -> list[Action]:
-        """Pass drains and purges to a policy that failed once more, each by itself.
+        """After the policy failed on a batch, pass its endpoint list changes and purges again, one by one.
 
-        It may have missed them, they stay true, and the rules hold the router to them. To receive one twice
-        does no harm.
+        The policy may have missed them, they remain valid, and the router must obey them. Processing one
+        twice is harmless.
         """
         actions: list[Action] = []
         for event in events:
             if isinstance(event, EndpointListReceived | PurgeReceived):
-                # The edge of the policy again: the next event is replayed whatever this one raises.
+                # The remaining events are replayed whatever this one raises.
                 try:
                     actions += self._handle([event])
                 except Exception:
--- a/magpieshift/engine/reconfiguration.py
+++ b/magpieshift/engine/reconfiguration.py
@@ -1,4 +1,4 @@
-"""A new document in two steps: prepared, where it may still be rejected, and then committed."""
+"""Applies a new document to the engine in two steps: prepare, which may reject it, and commit."""
 
 from __future__ import annotations
 
@@ -16,12 +16,15 @@
 
 
 def roles_change(old: Settings, new: Settings) -> bool:
-    """Whether endpoints take on or lose a role, which the policy learns from a complete list only."""
+    """Whether endpoints change roles (own zone, parent, origin).
+
+    The policy assigns roles only when it receives a complete endpoint list.
+    """
     return (old.zone, old.parent_kind, old.origin_kind) != (new.zone, new.parent_kind, new.origin_kind)
 
 
 class Reconfiguration:
-    """Takes the engine from one document to the next."""
+    """Moves the engine from one document to the next."""
 
     def __init__(
         self,
@@ -36,10 +39,10 @@
         self._requests = requests
 
     def prepare(self, old: Document, new: Document) -> Callable[[], None]:
-        """Make ready for a document that numbers zones and kinds as the old one (``name_numbers``).
+        """Prepare a document whose zones and kinds are numbered as in the old one (``name_numbers``).
 
-        Returns the commit. Raises ``SettingsRejectedError`` if endpoints are listed in a zone or kind that it
-        leaves out.
+        Returns the function that commits it. Raises ``SettingsRejectedError`` if the document omits a zone or
+        kind that listed endpoints belong to.
         """
         self._check_names_in_use(old, new)
         numbering = renumber_classes(
@@ -52,7 +55,7 @@
         relist = roles_change(old.settings, new.settings)
 
         def commit() -> None:
-            self._policy_calls.flush()  # what happened until now happened under the old settings
+            self._policy_calls.flush()  # earlier events are decided under the old settings
             self._in_force.adopt(settings, new.names, numbering)
             if relist:
                 self._endpoints.resend_list()
@@ -72,5 +75,5 @@
         for number in sorted(in_use):
             if before[number] not in after:
                 raise SettingsRejectedError(
-                    f"{what} {before[number]} is left out, and endpoints are listed in it"
+                    f"{what} {before[number]} is missing from the document, but listed endpoints belong to it"
                 )
--- a/magpieshift/engine/request_table.py
+++ b/magpieshift/engine/request_table.py
@@ -1,4 +1,4 @@
-"""The open requests: their ids, bodies, deadlines and final answers."""
+"""The table of requests: their ids, bodies, deadlines and final answers."""
 
 from __future__ import annotations
 
@@ -19,12 +19,14 @@
 
 
 def fallback_response(request: OpenRequest) -> Response:
-    """The final answer where the policy gives none: a rejection, or a failure where it may have run."""
+    """The final answer if the policy gives none: a rejection, or a failure if a retry could repeat an
+    effect."""
     return Response(Verdict.REJECTED if is_rejection_permitted(request) else Verdict.FAILED, retry_after_us=0)
 
 
 class RequestTable:
-    """Owner of all requests until their deadlines; each gets exactly one final answer."""
+    """Owner of all requests, kept until their deadlines; each gets exactly one final answer, unless its
+    client disconnects."""
 
     def __init__(
         self,
@@ -36,15 +38,15 @@
     ) -> None:
         self.by_number: dict[int, OpenRequest] = {}
         self.received = 0
-        """Requests since the start; the number of the newest."""
+        """Number of requests since the start, which is also the number of the newest request."""
         self.open_requests = 0
-        """Requests that have no final answer yet."""
+        """Number of requests without a final answer."""
         self.held_body_bytes = 0
-        """Size of the bodies of open requests."""
+        """Total size of the bodies of open requests, in bytes."""
         self.max_body_bytes = max_body_bytes
-        """Limit of ``held_body_bytes``; what comes beyond it is rejected."""
+        """Limit of ``held_body_bytes``; a request that would exceed it is rejected."""
         self.cancel_attempts: Callable[[OpenRequest], None] | None = None
-        """Cancels what a request has in flight; set once, while the engine is built."""
+        """Cancels all attempts of a request; set once, while the engine is built."""
         self._open_ids: set[str] = set()
         self._clock = clock
         self._in_force = in_force
@@ -52,11 +54,15 @@
         self._post_event = post_event
 
     def add(self, request: ClientRequest, reply: Reply, before_write: Callable[[], None]) -> OpenRequest:
-        """Enter a request and start its deadline. One that cannot be admitted gets its answer soon after."""
+        """Add a request and start its deadline timer.
+
+        A request that cannot be admitted is answered in the next event loop iteration.
+        """
         is_duplicate = request.request_id in self._open_ids
         self.received += 1
         request_class = self._in_force.settings.classes[request.class_index]
-        # Nobody waits longer than the class allows: an entry and its timer kept for an hour would be a leak.
+        # The class's deadline bounds the wait: a client that asks for an hour must not hold an entry and a
+        # timer for that long.
         time_left_us = min(request.time_left_us, request_class.deadline_us)
         now_us = self._clock.now_us()
         entry = OpenRequest(
@@ -73,7 +79,8 @@
         self.held_body_bytes += len(request.body)
         self._clock.after(time_left_us, lambda: self._expire(entry))
         if is_duplicate:
-            # Endpoints know a request by its id: to them this would be a second attempt of the open one.
+            # Endpoints identify a request by its id and would take this one for another attempt of the open
+            # one.
             log.warning(
                 "request failed", extra=fields(request_id=request.request_id, reason="duplicate request id")
             )
@@ -81,7 +88,7 @@
             return entry
         self._open_ids.add(request.request_id)
         entry.owns_request_id = True
-        if self.held_body_bytes > self.max_body_bytes:  # memory is bounded, whatever clients write
+        if self.held_body_bytes > self.max_body_bytes:  # bounds the memory used by writes
             log.warning(
                 "request rejected",
                 extra=fields(
@@ -99,7 +106,7 @@
         return entry
 
     def release(self, number: int) -> None:
-        """Pass a request to the policy for decision, if it is open."""
+        """Pass a request to the policy, if it is open."""
         entry = self.open_request(number)
         if entry is None:
             return
@@ -129,7 +136,7 @@
         return {entry.request.class_index for entry in self.by_number.values()}
 
     def cancel(self, number: int) -> None:
-        """The client has disconnected."""
+        """Close a request whose client has disconnected, and inform the policy."""
         entry = self.open_request(number)
         if entry is not None:
             self.close(entry, None)
@@ -142,7 +149,8 @@
             self.close(entry, response)
 
     def answer_undecided(self, entry: OpenRequest) -> None:
-        """Give the fallback answer, and let the policy forget the request."""
+        """Give the fallback answer, and have the policy discard the request as if its client had
+        disconnected."""
         self.close(entry, fallback_response(entry))
         self._post_event(ClientDisconnected(entry.number))
 
@@ -153,9 +161,9 @@
                 self.close(entry, fallback_response(entry))
 
     def close(self, entry: OpenRequest, response: Response | None) -> None:
-        """End an open request, with its final answer or (None) because its client disconnected.
+        """End an open request with its final answer, or with None if its client disconnected.
 
-        The one place where a request ends: its id, its body and its attempts are released here.
+        Only this method ends a request and releases its id, body and attempts.
         """
         assert self.cancel_attempts is not None
         reply = entry.reply
@@ -175,7 +183,7 @@
         if entry.request.body:
             entry.request = replace(entry.request, body=b"")
         if response is not None and reply is not None:
-            # The edge to the client: whatever fails there must not reach the endpoint that answered.
+            # An error while answering the client must not propagate into the connection of the endpoint.
             try:
                 reply(response)
             except Exception:
@@ -185,7 +193,7 @@
         self._clock.soon(lambda: self.answer(entry.number, response))
 
     def _expire(self, entry: OpenRequest) -> None:
-        """The deadline: an answer still owed is given now, and the request leaves the table."""
+        """At the deadline, answer the request if it is still open, and remove it from the table."""
         if not entry.is_closed:
             log.warning(
                 "deadline exceeded",
--- a/magpieshift/engine/settings_in_force.py
+++ b/magpieshift/engine/settings_in_force.py
@@ -1,4 +1,4 @@
-"""The settings that the engine and the policy run on, derived from the document's and this router's share."""
+"""The settings that the engine and the policy use: the document's, adjusted to this process's share."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RouterCounts(NamedTuple):
-    """How many routers share the load, in place of the document's counts."""
+    """Number of routers that share the budgets; replaces the document's counts."""
 
     total: int
     own_zone: int
@@ -21,8 +21,8 @@
 def effective_settings(settings: Settings, counts: RouterCounts | None, sibling_processes: int) -> Settings:
     """The document's settings with the router counts that the policy divides budgets by.
 
-    Where sibling processes of this router serve, the rules see all of them as one, so each may use only its
-    part: the policy divides by the number of routers, and is given that many times more of them.
+    All processes of one router together may use only one router's share. Since the policy divides budgets by
+    the number of routers, the counts are multiplied by the number of processes.
     """
     if counts is not None:
         zone_counts = tuple(
@@ -39,47 +39,48 @@
 
 
 class SettingsInForce:
-    """Owner of the settings in force, of the class numbers and of the names that belong to them."""
+    """Owner of the settings in force and of their class numbers and names."""
 
     def __init__(self, settings: Settings, names: Names, policy_calls: PolicyCalls) -> None:
         self.settings = settings
-        """Those that the policy and the engine run on."""
+        """The effective settings, which the policy and the engine use."""
         self.document_settings = settings
-        """Those that the document states, before this router's share is taken of them."""
+        """The document's settings, before the adjustment to this process's share."""
         self.names = names
         """The document's names for the numbers in the settings."""
         self.numbering: ClassNumbers = initial_class_numbers(
             names.classes or [str(number) for number in range(len(settings.classes))], settings.classes
         )
         self.class_numbers = dict(self.numbering.by_name)
-        """Numbers of the classes by name. Others hold this map, so it is changed in place."""
+        """Class numbers by name. Other parts hold a reference to this dictionary, so it is updated in
+        place."""
         self.sibling_processes = 0
-        """How many other processes of this router serve."""
-        self._router_counts: RouterCounts | None = None  # None: those of the document
+        """Number of other processes that share this router's budgets."""
+        self._router_counts: RouterCounts | None = None  # None: use the document's counts
         self._policy_calls = policy_calls
 
     def apply(self, settings: Settings, reset_classes: frozenset[int] = frozenset()) -> None:
-        """Put a document's settings in force, for the policy and for the engine that guards it."""
+        """Put a document's settings in force in the policy and the engine."""
         self.document_settings = settings
         settings = effective_settings(settings, self._router_counts, self.sibling_processes)
         self._policy_calls.reconfigure(settings, reset_classes)
         self.settings = settings
 
     def set_sibling_processes(self, count: int) -> None:
-        """So many other processes of this router serve from now on."""
+        """Set how many other processes share this router's budgets."""
         if count != self.sibling_processes:
-            self._policy_calls.flush()  # what happened until now happened under the old share
+            self._policy_calls.flush()  # earlier events are decided under the old share
             self.sibling_processes = count
             self.apply(self.document_settings)
 
     def set_router_counts(self, counts: RouterCounts) -> None:
-        """Divide by these counts in place of the document's, from the next batch on."""
+        """Divide budgets by these counts instead of the document's, from the next batch on."""
         if counts != self._router_counts:
             self._router_counts = counts
             self.apply(self.document_settings)
 
     def adopt(self, settings: Settings, names: Names, numbering: ClassNumbers) -> None:
-        """Put a new document in force."""
+        """Put a new document in force, with its names and class numbers."""
         self.numbering = numbering
         self.names = names
         self.apply(settings, numbering.reset)
@@ -87,7 +88,10 @@
         self.class_numbers.update(numbering.by_name)
 
     def by_name(self) -> dict[str, object]:
-        """The document's settings under the names that operators know, read from what is in force."""
+        """The document's settings under the names that operators see.
+
+        If policy and engine have different settings, only an error entry.
+        """
         if self._policy_calls.policy.settings is not self.settings:
             return {"module": "runs on other settings than the engine"}
         settings = self.document_settings
--- a/magpieshift/engine/trace.py
+++ b/magpieshift/engine/trace.py
@@ -1,7 +1,7 @@
-"""A trace of the policy's events and actions as log lines, for counting over a whole fleet.
+"""Traces the policy's events and actions as log lines, to be counted over a whole fleet.
 
-It is off unless ``EDGE_TRACE=1``: a request takes about six lines. ``lab.experiments.fleet`` parses the words
-of the events and fields; change both together.
+Enabled by ``EDGE_TRACE=1`` only, as each request logs about six lines. ``lab.experiments.fleet`` parses the
+event names and fields; change both together.
 """
 
 from __future__ import annotations
@@ -37,23 +37,24 @@
 log = logging.getLogger("magpieshift.trace")
 
 MAX_NAMES = 4096
-"""Names of endpoints, oldest forgotten first: a name only makes a line readable."""
+"""Maximum number of endpoint names, and of request ids, to remember; the oldest is dropped first. Names only
+make log lines readable, so losing one is harmless."""
 MIN_ENDPOINT_NUMBER = (1 << 32) + 1
-"""Endpoints' numbers are 64-bit hashes; smaller ones are those of requests, which are logged as numbers."""
+"""Smallest number taken for an endpoint's: those are 64-bit hashes, while requests are numbered from 1."""
 UNKNOWN = "-"
-"""Stands for an endpoint without a name, and for no source."""
+"""Logged in place of an unknown endpoint name or request id, and where there is no source."""
 
 
 class Trace:
-    """A policy observer that logs what passes."""
+    """A policy observer that logs events and actions."""
 
     def __init__(self) -> None:
         self._names: dict[int, str] = {}
-        self._registration_order: deque[int] = deque()  # of the names' numbers, oldest first
-        self._request_ids: dict[int, str] = {}  # by number, until the policy is told of the request
+        self._registration_order: deque[int] = deque()  # endpoint numbers in order of registration
+        self._request_ids: dict[int, str] = {}  # by request number, until the request is passed to the policy
 
     def register_name(self, number: int, name: str) -> None:
-        """Remember the name of an endpoint, or the client's id of a request."""
+        """Remember the name of an endpoint or the client's id of a request."""
         if number < MIN_ENDPOINT_NUMBER:
             self._request_ids[number] = name
             if len(self._request_ids) > MAX_NAMES:
@@ -67,11 +68,11 @@
         self._names[number] = name
 
     def reconfigured(self, settings: Settings, reset_classes: Collection[int]) -> None:
-        """Log that the policy runs on new settings."""
+        """Log that the policy was given new settings."""
         log.debug("policy reconfigured", extra=fields(routers=settings.router_count, zone=settings.zone))
 
     def overrides_applied(self, now_us: int, overrides: Sequence[HealthOverride]) -> None:
-        """Log what other routers' reports have changed."""
+        """Log the ejections and readmissions made on the reports of other routers."""
         for override in overrides:
             kind = type(override).__name__.lower()
             log.debug(
@@ -80,7 +81,7 @@
             )
 
     def handle(self, policy: RouterPolicy, now_us: int, events: Sequence[Event]) -> list[Action]:
-        """Pass a batch to the policy and log it with the policy's actions."""
+        """Pass a batch of events to the policy, and log the events and the resulting actions."""
         for event in events:
             self._log_event(event)
         actions = policy.handle(now_us, events)
