--- a/magpieshift/config_transaction.py
+++ b/magpieshift/config_transaction.py
@@ -97,30 +97,30 @@
 
 
 async def prepare(
-    parts: Sequence[Part], old: Document, new: Document, within_s: float = PREPARE_TIMEOUT_S
+    parts: Sequence[Part], old: Document, new: Document, timeout_s: float = PREPARE_TIMEOUT_S
 ) -> Prepared:
     """Have every part prepare, in order; ``PreparationError`` at the first that does not.
 
-    ``within_s`` is the timeout of each part.
+    ``timeout_s`` is the timeout of each part.
     """
     commits: list[tuple[str, Commit]] = []
     for part in parts:
-        commits.append((part.part, await _prepare_part(part, old, new, within_s)))
+        commits.append((part.part, await _prepare_part(part, old, new, timeout_s)))
     return Prepared(new, commits)
 
 
-async def _prepare_part(part: Part, old: Document, new: Document, within_s: float) -> Commit:
+async def _prepare_part(part: Part, old: Document, new: Document, timeout_s: float) -> Commit:
     try:
         prepared = part.prepare(old, new)
         if inspect.isawaitable(prepared):
-            async with asyncio.timeout(within_s):
+            async with asyncio.timeout(timeout_s):
                 return await prepared
         return prepared
     except SettingsRejectedError as err:
         kind = FailureKind.NEEDS_RESTART if err.needs_restart else FailureKind.REJECTED
         raise PreparationError(part.part, str(err), kind) from None
     except TimeoutError:
-        detail = f"not ready after {within_s} s"
+        detail = f"not ready after {timeout_s} s"
         raise PreparationError(part.part, detail, FailureKind.TIMED_OUT) from None
     except Exception as err:  # whatever a part raises rejects the document, and the router runs on
         log.exception("part failed to prepare", extra=fields(part=part.part))
--- a/magpieshift/edge_router.py
+++ b/magpieshift/edge_router.py
@@ -69,7 +69,9 @@
         """The settings in force."""
         self.version = config.version
         """Version number of the settings in force; 0 where they have none."""
-        self._known = config.known_changes  # the endpoint list and purges that the configuration brings
+        self._known_changes = (
+            config.known_changes
+        )  # the endpoint list and purges that the configuration brings
         clock = LoopClock()
         budget = ResourceBudget.of(document.limits)
         self._pool = _connection_pool(document, clock, budget)
@@ -219,8 +221,8 @@
 
     def _open(self) -> None:
         """Bring up all that comes before clients do."""
-        self.changes.apply_known(self._known)
-        self._known = {}
+        self.changes.apply_known(self._known_changes)
+        self._known_changes = {}
         self.engine.flush()
         if self.document.admin_address is not None:
             from magpieshift.admin.server import AdminServer
--- a/magpieshift/expected_settings.py
+++ b/magpieshift/expected_settings.py
@@ -27,5 +27,5 @@
             "zones": sorted(names.zones),
             "kinds": sorted(names.kinds),
         },
-        "limits": dict(ResourceBudget.of(document.limits).shown()),
+        "limits": dict(ResourceBudget.of(document.limits).by_name()),
     }
--- a/magpieshift/limits.py
+++ b/magpieshift/limits.py
@@ -46,7 +46,7 @@
         upstream = (limits.sockets - clients - RESERVED_DESCRIPTORS) // processes
         return cls(clients, min(upstream, max(MIN_UPSTREAM_CONNECTIONS, part // MAX_BODY_BYTES)), part)
 
-    def shown(self) -> dict[str, int]:
+    def by_name(self) -> dict[str, int]:
         """The budget under the names that operators are shown and that processes compare."""
         return {
             "clients": self.client_connections,
@@ -84,7 +84,7 @@
         if shared != self._shared:
             self._shared = shared
             self._engine.set_sibling_processes(int(shared))
-            shown = self._apply().shown()
+            shown = self._apply().by_name()
             log.info("limits shared" if shared else "limits not shared", extra=fields(**shown))
 
     def running(self) -> dict[str, object]:
--- a/magpieshift/process_lock.py
+++ b/magpieshift/process_lock.py
@@ -23,9 +23,9 @@
 """Where in the file the bytes of living processes begin; each has the one at its process id."""
 SERVING_OFFSET = 1 << 32
 """The same of serving processes."""
-SPAN_BYTES = 1 << 31
+RANGE_BYTES = 1 << 31
 """Above any process id."""
-FLOCK = struct.Struct("hhqqi4x")
+FLOCK_STRUCT = struct.Struct("hhqqi4x")
 """Linux's ``struct flock``: type, whence, start, length, process."""
 
 
@@ -71,9 +71,9 @@
     def _is_locked_by_other(self, offset: int) -> bool:
         if self._file < 0:
             return False
-        query = FLOCK.pack(fcntl.F_WRLCK, os.SEEK_SET, offset, SPAN_BYTES, 0)
+        query = FLOCK_STRUCT.pack(fcntl.F_WRLCK, os.SEEK_SET, offset, RANGE_BYTES, 0)
         try:
-            kind, *_ = FLOCK.unpack(fcntl.fcntl(self._file, fcntl.F_GETLK, query))
+            kind, *_ = FLOCK_STRUCT.unpack(fcntl.fcntl(self._file, fcntl.F_GETLK, query))
         except OSError as err:
             log.warning("process lock not read", extra=fields(reason=err))
             return False
--- a/magpieshift/shutdown.py
+++ b/magpieshift/shutdown.py
@@ -12,7 +12,7 @@
 from magpieshift.downstream.server import DownstreamServer
 from magpieshift.engine.engine import Engine
 from magpieshift.lifecycle import ARRIVALS_SETTLED_US, Lifecycle
-from magpieshift.sockets import LINGER_S
+from magpieshift.sockets import LINGER_TIMEOUT_S
 
 DRAIN_S = 0.8
 """How long requests are taken after SIGTERM: the platform's clients open connections for 0.4 s more, and send
@@ -21,9 +21,9 @@
 """The longest wait of a client that a shutdown gives time for, whatever the classes allow: the platform's."""
 ANSWER_MARGIN_S = 0.55
 """What is open so long after the longest wait is answered as it is; SIGKILL comes 0.15 s later."""
-CLOSE_S = 0.1
+CLOSE_TIMEOUT_S = 0.1
 """In which all connections are closed then, without destroying what was written on them."""
-POLL_S = 0.01
+POLL_INTERVAL_S = 0.01
 """Between two looks at whether all is answered. Smaller ends a little sooner and costs turns
 of the event loop."""
 
@@ -48,8 +48,8 @@
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout_at(answer_by_s):
             while engine.open_requests or downstream.has_unsent:
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
     engine.answer_all()
     # What comes from here on is answered at once, and idle connections are closed.
     time_left_s = max(answer_by_s - loop.time(), 0.0)
-    await downstream.shut_down(min(time_left_s + CLOSE_S, LINGER_S))
+    await downstream.shut_down(min(time_left_s + CLOSE_TIMEOUT_S, LINGER_TIMEOUT_S))
--- a/magpieshift/sockets.py
+++ b/magpieshift/sockets.py
@@ -14,7 +14,7 @@
 
 log = logging.getLogger(__name__)
 
-LINGER_S = 0.5
+LINGER_TIMEOUT_S = 0.5
 """For a peer to read its last answers and close. Shorter destroys answers on slow links,
 longer holds descriptors."""
 MAX_LINGERING = 16
@@ -109,7 +109,7 @@
         while len(self._timers) >= self.max_open:
             self.drop_oldest()
         loop = asyncio.get_running_loop()
-        self._timers[sock] = loop.call_later(LINGER_S, self._drop, sock)
+        self._timers[sock] = loop.call_later(LINGER_TIMEOUT_S, self._drop, sock)
         self._discardable_bytes[sock] = MAX_DISCARDED_BYTES
         loop.add_reader(sock.fileno(), self._discard, sock)
         self._discard(sock)  # most peers have closed already
--- a/tests/test_config_transaction.py
+++ b/tests/test_config_transaction.py
@@ -53,9 +53,9 @@
                     prepared.commit()
                     self.assertEqual({part.runs_on for part in parts}, {"new"})
                     continue
-                within_s = 0.001 if first == "never" else 60.0  # a busy machine is no part that is late
+                timeout_s = 0.001 if first == "never" else 60.0  # a busy machine is no part that is late
                 with self.assertRaises(PreparationError) as caught:
-                    await prepare(parts, DOCUMENT, DOCUMENT, within_s=within_s)
+                    await prepare(parts, DOCUMENT, DOCUMENT, timeout_s=timeout_s)
                 self.assertEqual(caught.exception.kind, kinds[first])
                 self.assertEqual({part.runs_on for part in parts}, {"old"})
 
