--- a/magpieshift/__main__.py
+++ b/magpieshift/__main__.py
@@ -1,4 +1,5 @@
-"""``python -m magpieshift``: one edge router run by its environment, or with arguments the command line."""
+"""``python -m magpieshift``: without arguments runs one edge router configured by the environment, with
+arguments the command-line interface."""
 
 import sys
 
@@ -6,7 +7,10 @@
 
 
 def main() -> int:
-    """Run the program; returns its exit code. Signals are handled before what a form needs is imported."""
+    """Run the program; returns its exit code.
+
+    Signal handlers are installed before the slow imports that each command needs.
+    """
     words = sys.argv[1:]
     if is_serving_command(words):
         handle_early_signals()
--- a/magpieshift/app.py
+++ b/magpieshift/app.py
@@ -1,4 +1,4 @@
-"""The edge router as a program (``python -m magpieshift``), and the embedding API."""
+"""The edge router as a program (``python -m magpieshift``) and the embedding API."""
 
 from __future__ import annotations
 
@@ -23,18 +23,21 @@
     reload: Callable[[], None],
     started: Callable[[], None] = lambda: None,
 ) -> None:
-    """Run a router as the process's own: SIGTERM and SIGINT begin its shutdown, SIGHUP calls ``reload``, also
-    one that came before. ``started`` is called once the router serves."""
+    """Run a router with the process's signals: SIGTERM and SIGINT start its shutdown, SIGHUP calls
+    ``reload``.
+
+    ``reload`` is also called for a SIGHUP received earlier. ``started`` is called once the router serves.
+    """
     with signal_handlers(router.stop, reload):
         gc.freeze()
         await router.run(started)
 
 
 async def _run(config: Config, read: Callable[[], Config], is_traced: bool) -> None:
-    """Run the platform's router: its configuration is a file, and has no versions."""
+    """Run a router configured by the platform's file, which has no version number."""
     router = EdgeRouter(config)
     if is_traced:
-        from magpieshift.engine.trace import Trace  # only where it is used
+        from magpieshift.engine.trace import Trace  # imported only if needed
 
         router.engine.policy_observer = Trace()
     file_reload = FileReload(router, read)
@@ -46,7 +49,7 @@
 
 
 def main(environ: Mapping[str, str] | None = None) -> int:
-    """Run one edge router by the environment's settings; returns the process's exit code."""
+    """Run one edge router configured by environment variables; returns the process's exit code."""
     environ = os.environ if environ is None else environ
     is_traced = environ.get("EDGE_TRACE", "") == "1"
     setup("DEBUG" if is_traced else "INFO")
--- a/magpieshift/clock.py
+++ b/magpieshift/clock.py
@@ -1,4 +1,4 @@
-"""The time of this process, and the event loop's timers behind the interface that the engine is given."""
+"""The process's time source, and the ``Clock`` interface that gives the engine time and timers."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
     """A timer that can be cancelled."""
 
     def cancel(self) -> None:
-        """Keep it from firing; without effect after it has."""
+        """Cancel the timer; has no effect once it has fired."""
         ...
 
 
 class Clock(Protocol):
-    """All that the engine knows of time."""
+    """Time and timers for the engine."""
 
     def now_us(self) -> int:
-        """Unix time in microseconds; it may be set back."""
+        """Unix time in microseconds; it can go backwards if the system clock is set."""
         ...
 
     def after(self, delay_us: int, call: Callable[[], None]) -> TimerHandle:
@@ -28,28 +28,29 @@
         ...
 
     def soon(self, call: Callable[[], None]) -> None:
-        """Call a function in the next turn of the event loop."""
+        """Call a function in the next event loop iteration."""
         ...
 
 
 class TimeSource:
-    """Where a process has its time from, in microseconds."""
+    """The clocks of a process, in microseconds."""
 
     def unix_us(self) -> int:
-        """The system's Unix clock; it may be set back."""
+        """Unix time of the system clock; it can go backwards if the clock is set."""
         return time.time_ns() // 1000
 
     def steady_us(self) -> int:
-        """A monotonic clock, shared by all processes of a machine; it runs on while this one is stopped."""
+        """A monotonic clock shared by all processes of a machine; it also advances while this process is
+        stopped."""
         return time.monotonic_ns() // 1000
 
 
 source = TimeSource()
-"""The time source of this process; a laboratory may replace it before anything is built."""
+"""The time source of this process; a test environment may replace it before other objects are created."""
 
 
 class LoopClock:
-    """The clock of the running event loop."""
+    """A ``Clock`` on the running event loop."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -59,9 +60,9 @@
         return source.unix_us()
 
     def after(self, delay_us: int, call: Callable[[], None]) -> TimerHandle:
-        """Call a function after a delay; at once, in the next turn, where the delay is negative."""
+        """Call a function after a delay; if it is negative, in the next event loop iteration."""
         return self._loop.call_later(max(delay_us, 0) / 1e6, call)
 
     def soon(self, call: Callable[[], None]) -> None:
-        """Call a function in the next turn of the event loop."""
+        """Call a function in the next event loop iteration."""
         self._loop.call_soon(call)
--- a/magpieshift/config_reload.py
+++ b/magpieshift/config_reload.py
@@ -1,4 +1,4 @@
-"""Reloads of the platform's configuration file while the router runs; the file has no versions."""
+"""Reloads the platform's configuration file while the router runs; the file has no version number."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class Reloadable(Protocol):
-    """A router that goes over to new documents."""
+    """A router that can be reconfigured while it runs."""
 
     version: int
 
     async def prepare(self, document: Document, /) -> Prepared:
-        """Have all parts make ready; ``PreparationError`` where one rejects the document."""
+        """Have all parts prepare a document; raises ``PreparationError`` if one rejects it."""
         ...
 
     def commit(self, prepared: Prepared, version: int, /) -> None:
@@ -29,7 +29,7 @@
 
 
 class FileReload:
-    """Reads the file when asked to, and puts what it holds in force, one reload after another."""
+    """Reads the configuration file on request and puts its document in force, one reload at a time."""
 
     def __init__(self, router: Reloadable, read: Callable[[], Config]) -> None:
         self._router = router
@@ -37,14 +37,15 @@
         self._documents: asyncio.Queue[Document] = asyncio.Queue()
 
     def request(self) -> None:
-        """Read the file now and queue its document; one that cannot be used is logged and left."""
+        """Read the file now and queue its document; if the file is invalid, log the reason and change
+        nothing."""
         try:
             self._documents.put_nowait(self._read().document)
         except ConfigError as err:
             log.error("configuration not reloaded", extra=fields(reason=err))
 
     async def run(self) -> None:
-        """Apply the queued documents, until cancelled."""
+        """Apply queued documents until cancelled."""
         while True:
             document = await self._documents.get()
             try:
--- a/magpieshift/config_transaction.py
+++ b/magpieshift/config_transaction.py
@@ -1,9 +1,9 @@
-"""A new document for all parts of a router or for none: each part prepares it or rejects it, then all commit.
+"""Applies a new document to all parts of a router or to none, by a two-phase commit.
 
-A part's ``prepare`` changes nothing that runs; it returns its commit, which puts the document in force. The
-commits are called one after another in one turn of the event loop, after all parts have prepared, and must
-not fail: a part does all its checking and building before, and only assigns then. No I/O here, and no clock
-but the timeout.
+A part's ``prepare`` changes nothing in the running part; it rejects the document or returns a commit function
+that puts it in force. After all parts have prepared, their commits are called in one event loop iteration and
+must not fail: a part does all validation and construction in ``prepare``, and only assigns in its commit.
+This module does no I/O and uses no time but the prepare timeout.
 """
 
 from __future__ import annotations
@@ -23,23 +23,23 @@
 log = logging.getLogger(__name__)
 
 PREPARE_TIMEOUT_S = 2.0
-"""For one part. Parts prepare in memory, so one that takes longer is stuck."""
+"""Timeout for one part's ``prepare``. It works in memory only, so one that takes longer is stuck."""
 MAX_REASON_CHARACTERS = 200
-"""Of an unexpected error, where it is shown to operators."""
+"""Maximum length of an unexpected error's text as shown to operators."""
 
 Commit = Callable[[], None]
-"""Puts a prepared document in force in one part."""
+"""Puts a prepared document in force in one part; must not fail."""
 RunningSettings = Mapping[str, object]
-"""What a part runs on, in JSON's types, by the names that operators are shown."""
+"""The settings a part uses, as JSON types, under the names that operators see."""
 
 
 class SettingsRejectedError(MagpieshiftError):
-    """A part cannot go over to a document while it runs; the text says why."""
+    """A part cannot apply a document while it runs; the text gives the reason."""
 
     def __init__(self, reason: str, needs_restart: bool = False) -> None:
         super().__init__(reason)
         self.needs_restart = needs_restart
-        """Whether it could with a restart."""
+        """Whether the document can be applied by a restart."""
 
 
 class FailureKind(StrEnum):
@@ -48,12 +48,12 @@
     NEEDS_RESTART = "start"
     REJECTED = "part"
     RAISED = "raised"
-    """A part failed with an error that is no rejection."""
+    """A part raised an error other than a rejection."""
     TIMED_OUT = "late"
 
 
 class PreparationError(MagpieshiftError):
-    """A part rejected a document, failed, or took too long; nothing has changed."""
+    """A part rejected a document, failed or timed out while preparing it; nothing has changed."""
 
     def __init__(self, part: str, detail: str, kind: FailureKind) -> None:
         super().__init__(f"{part}: {detail}")
@@ -61,35 +61,36 @@
 
 
 class Part(Protocol):
-    """A part of a running router that takes settings."""
+    """A part of a running router that is configured by documents."""
 
     @property
     def part(self) -> str:
-        """Its name, which is shown to operators."""
+        """Name of the part as shown to operators."""
         ...
 
     def prepare(self, old: Document, new: Document) -> Commit | Awaitable[Commit]:
-        """Make ready for ``new``, changing nothing; ``SettingsRejectedError`` where that is not possible."""
+        """Prepare ``new`` without changing anything; raises ``SettingsRejectedError`` if it cannot be
+        applied."""
         ...
 
     def running(self) -> RunningSettings:
-        """The settings that it runs on, read from where it uses them."""
+        """The settings in force, read from the objects that use them."""
         ...
 
 
 @dataclass(frozen=True)
 class Prepared:
-    """A document that all parts are ready for."""
+    """A document that all parts have prepared."""
 
     document: Document
     commits: Sequence[tuple[str, Commit]]
-    """Each with the name of its part, in the order in which they are called."""
+    """Commit functions with the names of their parts, in call order."""
 
     def commit(self) -> None:
         """Put the document in force."""
         for name, commit in self.commits:
-            # A part that fails in spite of its promise must not keep the others on the old document: the
-            # settings in force are the new ones from here on.
+            # If a commit fails although it must not, the other parts still go over to the new document, which
+            # is in force from here on.
             try:
                 commit()
             except Exception:
@@ -99,9 +100,9 @@
 async def prepare(
     parts: Sequence[Part], old: Document, new: Document, timeout_s: float = PREPARE_TIMEOUT_S
 ) -> Prepared:
-    """Have every part prepare, in order; ``PreparationError`` at the first that does not.
+    """Have every part prepare, in order; raises ``PreparationError`` at the first that fails.
 
-    ``timeout_s`` is the timeout of each part.
+    ``timeout_s`` applies to each part.
     """
     commits: list[tuple[str, Commit]] = []
     for part in parts:
@@ -120,9 +121,9 @@
         kind = FailureKind.NEEDS_RESTART if err.needs_restart else FailureKind.REJECTED
         raise PreparationError(part.part, str(err), kind) from None
     except TimeoutError:
-        detail = f"not ready after {timeout_s} s"
+        detail = f"prepare timed out after {timeout_s} s"
         raise PreparationError(part.part, detail, FailureKind.TIMED_OUT) from None
-    except Exception as err:  # whatever a part raises rejects the document, and the router runs on
+    except Exception as err:  # any error rejects the document; the router continues with the old one
         log.exception("part failed to prepare", extra=fields(part=part.part))
         detail = f"{type(err).__name__}: {err}"[:MAX_REASON_CHARACTERS]
         raise PreparationError(part.part, detail, FailureKind.RAISED) from err
--- a/magpieshift/edge_router.py
+++ b/magpieshift/edge_router.py
@@ -1,4 +1,4 @@
-"""One edge router: the wiring, start and end of its parts."""
+"""One edge router: creates and connects its parts, starts them and shuts them down."""
 
 from __future__ import annotations
 
@@ -32,12 +32,14 @@
 log = logging.getLogger(__name__)
 
 CATCH_UP_TIMEOUT_S = 1.5
-"""For the change log before clients are taken, where another process serves meanwhile.
-Longer delays a replacement whose change log does not answer, shorter starts it on an older endpoint list."""
+"""How long a process that replaces another one waits for its change log before it accepts clients. A longer
+timeout delays the replacement if the change log does not answer; with a shorter one it starts with an older
+endpoint list."""
 MAINTENANCE_INTERVAL_S = 0.5
-"""Between two rounds that close idle connections. More often costs processor time."""
+"""Interval between checks for expired connections and other processes. A shorter one costs processor time."""
 DRAINING_MAINTENANCE_INTERVAL_S = 0.1
-"""The same while draining, where connections that have become idle are to be closed soon."""
+"""Maintenance interval while draining, shorter because connections should be closed soon after they are
+idle."""
 
 
 def _connection_pool(document: Document, clock: LoopClock, budget: ResourceBudget) -> ConnectionPool:
@@ -61,17 +63,15 @@
 
 
 class EdgeRouter:
-    """Owner of all the parts of one router."""
+    """Owner of all parts of one router."""
 
     def __init__(self, config: Config) -> None:
         document = config.document
         self.document = document
         """The settings in force."""
         self.version = config.version
-        """Version number of the settings in force; 0 where they have none."""
-        self._known_changes = (
-            config.known_changes
-        )  # the endpoint list and purges that the configuration brings
+        """Version number of the settings in force; 0 if they have none."""
+        self._known_changes = config.known_changes  # endpoint list and purges from the configuration
         clock = LoopClock()
         budget = ResourceBudget.of(document.limits)
         self._pool = _connection_pool(document, clock, budget)
@@ -84,18 +84,18 @@
         self.changes = ChangeLog(document.names, self)
         self._change_log_client = ChangeLogClient(document.change_log_address, self.changes, config.seed)
         self.change_source: ChangeSource = self._change_log_client
-        """Where changes come from; another may take its place before the start."""
+        """The source of endpoint list changes and purges; may be replaced before the start."""
         self.commit_listeners: list[Callable[[Document, int], None]] = []
-        """Called with each document put in force and its version."""
+        """Called after each commit with the document and its version."""
         self.admin_commands: dict[str, Callable[[], str]] = {}
-        """Admin commands of optional parts; each returns its answer."""
+        """Admin commands of optional parts, by name; each returns its answer."""
         self.admin_commands_with_argument: dict[str, Callable[[str], str]] = {}
-        """The same of commands that take the rest of the line."""
+        """Admin commands that are passed the rest of the command line, by name."""
         self._limits = ResourceLimits(document.limits, self.engine, self._downstream, self._pool)
         self._admin_server: AdminServer | None = None
         self._process_lock: ProcessLock | None = None
         self._shutdown_started = asyncio.Event()
-        # The engine comes last: its commit enters the policy, which may send at once.
+        # The engine is last: its commit calls the policy, which may start attempts at once.
         self.parts: list[Part] = [
             StartSettings(document),
             self._change_log_client,
@@ -104,30 +104,34 @@
             self._downstream,
             self.engine,
         ]
-        """All that take a new document, in the order in which they do."""
+        """The parts that a new document is applied to, in this order."""
 
-    # --- what the change log says
+    # --- changes from the change log
 
     def list_changed(self, kind: EndpointListKind, version: int, endpoints: Sequence[ListedEndpoint]) -> None:
-        """Endpoints have come, changed or gone; all but a ``DELTA`` is the complete list."""
+        """Apply an endpoint list event; ``DELTA`` carries changes only, any other kind replaces the list."""
         self.engine.list_changed(kind, version, endpoints)
         self._pool.list_changed(endpoints, is_complete=kind != EndpointListKind.DELTA)
 
     def purged(self, key: str, group: int, purged_us: int) -> None:
-        """An object (16 hex digits), or with no key a group, was purged at this Unix microsecond."""
+        """Record a purge of an object (16 hex digits), or of a group if the key is empty.
+
+        ``purged_us`` is Unix microseconds.
+        """
         self.engine.purged(key, group, purged_us)
 
     # --- settings
 
     async def prepare(self, document: Document) -> Prepared:
-        """Have all parts make ready for a document; ``PreparationError`` where one rejects it.
+        """Have all parts prepare a document; raises ``PreparationError`` if one rejects it.
 
-        What it returns is for ``commit``, before any other document is prepared.
+        Pass the result to ``commit`` before preparing another document.
         """
         return await prepare(self.parts, self.document, align_numbers(self.document, document))
 
     def commit(self, prepared: Prepared, version: int) -> None:
-        """Put a document in force, in one turn of the event loop, dropping nothing that is open."""
+        """Put a prepared document in force in one event loop iteration; requests and connections stay
+        open."""
         self.document = prepared.document
         self.version = version
         prepared.commit()
@@ -135,32 +139,33 @@
             listener(self.document, version)
 
     def running(self) -> dict[str, dict[str, object]]:
-        """The settings that each part runs on, read from the part itself."""
+        """The settings in force in each part, read from the part itself."""
         return {part.part: dict(part.running()) for part in self.parts}
 
     # --- load
 
     def offload_by(self, should_offload: Callable[[ClientRequest], bool] | None) -> None:
-        """Reject at once the requests that a neighbour is to take, as this function says; None for none."""
+        """Set the function that decides which requests are rejected at once, for a neighbour to serve; None:
+        none."""
         self._downstream.should_offload = should_offload
 
     @property
     def pressure(self) -> float:
-        """How full the memory held for clients or their connections are, whichever is fuller; 1.0 is full."""
+        """Utilization of the memory limits or the connection limit, whichever is higher; 1.0 is full."""
         downstream = self._downstream
         engine = self.engine
         memory = max(downstream.held_bytes, engine.held_body_bytes) / max(1, engine.max_body_bytes)
         return max(memory, downstream.connection_count / max(1, downstream.max_connections))
 
-    # --- start and end
+    # --- start and shutdown
 
     def start(self) -> None:
-        """Apply what is known, follow the change log, listen, and only then be ready."""
+        """Apply the known changes, start following the change log, and then listen for clients."""
         self._open()
         self._listen()
 
     async def run(self, started: Callable[[], None] = lambda: None) -> None:
-        """Serve until ``stop``, then drain; ``started`` is called once it serves."""
+        """Serve until ``stop``, then drain; ``started`` is called once the router serves."""
         maintenance = asyncio.ensure_future(self._maintain())
         try:
             self._open()
@@ -170,7 +175,7 @@
                     "replacing another process",
                     extra=fields(caught_up=caught_up, seq=self.changes.last_sequence),
                 )
-            if self.is_shutting_down:  # stopped before it took anything, so nothing is owed
+            if self.is_shutting_down:  # stopped before accepting clients: nothing to drain
                 maintenance.cancel()
                 return self.close()
             self._listen()
@@ -188,45 +193,45 @@
         return None
 
     def stop(self) -> None:
-        """Begin the planned shutdown; ``run`` returns when all that was taken is answered."""
+        """Start the planned shutdown; ``run`` returns when it is complete."""
         self.lifecycle.begin_shutdown()
 
     @property
     def is_shutting_down(self) -> bool:
-        """Whether the planned shutdown has begun."""
+        """Whether the planned shutdown has started."""
         return self.lifecycle.state == State.ENDING
 
     async def wait_for_shutdown(self) -> None:
-        """Wait for the planned shutdown to begin."""
+        """Wait until the planned shutdown starts."""
         await self._shutdown_started.wait()
 
     def close(self) -> None:
-        """Release every socket, whatever is open."""
+        """Close all sockets, even if requests are open."""
         if self._admin_server is not None:
             self._admin_server.close()
         self._downstream.close_all()
         if self._process_lock is not None:
             self._process_lock.close()
-            # A closed lock knows of no other process; membership, which checks once more after this, would
-            # take that for being alone again, and both processes would use the whole limits.
+            # A closed lock reports no other process. Membership calls check_other_process once more after
+            # this and would conclude that no other process exists: both would then use the full limits.
             self._process_lock = None
         self.change_source.stop()
         self._pool.close_all()
 
     def check_other_process(self) -> None:
-        """See whether another process of this router is alive: it has its part of the limits."""
+        """Check whether another process of this router is alive, with which the limits are shared."""
         if self._process_lock is not None:
             self._limits.set_shared(self._process_lock.other_is_alive)
             self.lifecycle.replacement_serves = self._process_lock.other_is_serving
 
     def _open(self) -> None:
-        """Bring up all that comes before clients do."""
+        """Start everything that must run before clients are accepted."""
         self.changes.apply_known(self._known_changes)
         self._known_changes = {}
         self.engine.flush()
         if self.document.admin_address is not None:
             from magpieshift.admin.server import AdminServer
-            from magpieshift.process_lock import ProcessLock  # only where they are used
+            from magpieshift.process_lock import ProcessLock  # imported only if needed
 
             self._process_lock = ProcessLock(self.document.listen)
             self.check_other_process()
@@ -237,10 +242,10 @@
         self.change_source.start()
 
     def _listen(self) -> None:
-        """Take clients.
+        """Start accepting clients.
 
-        A router with an admin address may replace another process, and be replaced: both listen, and new
-        connections go to the later one.
+        A router with an admin address may replace another process or be replaced: both listen on the same
+        address, and new connections go to the one started later.
         """
         listener = listen_socket(*self.document.listen, shared=self._process_lock is not None)
         if self._process_lock is not None and self._process_lock.other_is_alive:
--- a/magpieshift/errors.py
+++ b/magpieshift/errors.py
@@ -1,11 +1,11 @@
-"""The base of every error that the product raises.
+"""The base class of all errors that this package raises.
 
-Each package derives one base of its own from it, and names each error for what failed. An error about input
-says what was found and what was expected.
+Each subpackage derives its own base class from it and names each error after the failure. An error about
+input states what was found and what was expected.
 """
 
 from __future__ import annotations
 
 
 class MagpieshiftError(Exception):
-    """Something the product was asked to do has failed; the text is one plain line."""
+    """An operation has failed; the text is a single line for the operator."""
--- a/magpieshift/expected_settings.py
+++ b/magpieshift/expected_settings.py
@@ -1,4 +1,4 @@
-"""What the parts of a router show when it runs on a document, to compare with what they do show."""
+"""The settings that a router's parts should report under a document, to compare with those they do report."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def expected_settings(document: Document) -> dict[str, dict[str, object]]:
-    """What ``EdgeRouter.running`` returns of a router on this document, by the names of its parts."""
+    """The value that ``EdgeRouter.running`` should return under this document, by part name."""
     settings = document.settings
     names = document.names
     classes = dict(zip(names.classes, settings.classes, strict=True))
--- a/magpieshift/lifecycle.py
+++ b/magpieshift/lifecycle.py
@@ -1,6 +1,6 @@
-"""The state of a router: starting, serving, draining as a lame duck, or ending. No I/O.
+"""The lifecycle of a router: starting, serving, lame duck or ending. No I/O.
 
-Admin commands, signals and the readiness shown to clients all go through the one ``Lifecycle`` of a router.
+Admin commands, signals and the readiness reported to clients all use the router's single ``Lifecycle``.
 """
 
 from __future__ import annotations
@@ -11,104 +11,106 @@
 from magpieshift.errors import MagpieshiftError
 
 SERVE_WHILE_DRAINING_US = 1_000_000
-"""Requests are still served for so long: the platform's clients open connections for 0.4 s after they were
-notified, and send requests on them for 0.2 s more."""
+"""How long requests are still served after draining starts: the platform's clients open connections for up to
+0.4 s after they are notified, and send requests on them for 0.2 s more."""
 ARRIVALS_SETTLED_US = 450_000
-"""By then no client that was on its way is still to come, so all connections can be notified."""
+"""Time from the start of draining after which no more clients are expected to connect, so that all
+connections can be notified."""
 CUT_INCOMPLETE_US = 3_000_000
-"""From here on a request of which only a part has come no longer holds its connection: the platform lets none
-be held 4 s after the command."""
+"""Time from the start of draining after which an incompletely received request no longer keeps its connection
+open: the platform allows no connection to be held 4 s after the drain command."""
 
 
 class State(Enum):
-    """The states, by the words that admin commands answer with."""
+    """The lifecycle states; the values are the words that admin commands answer with."""
 
     STARTING = "starting"
     SERVING = "serving"
     LAME_DUCK = "lame-duck"
-    """Draining on command; it can return to serving."""
+    """Draining on command; can return to serving."""
     ENDING = "ending"
-    """Draining for the planned shutdown; there is no way back."""
+    """Draining for the planned shutdown; final."""
 
 
 class InvalidStateError(MagpieshiftError):
-    """An admin command does not fit the state; the text is the state."""
+    """An admin command is not valid in the current state; the text is that state."""
 
 
 class Lifecycle:
-    """The state of one router, and since when it has been in it."""
+    """The current state of one router and when it was entered."""
 
     def __init__(self, now_us: Callable[[], int]) -> None:
         self.state = State.STARTING
         self.replacement_serves = False
-        """Whether another process serves at the clients' address."""
+        """Whether another process serves on the same client address."""
         self.listeners: list[Callable[[State], None]] = []
-        """Called with the new state at every transition."""
+        """Called with the new state at each transition."""
         self._now_us = now_us
         self._since_us = now_us()
 
     @property
     def state_name(self) -> str:
-        """The state in the word that admin commands answer with."""
+        """The word for the state that admin commands answer with."""
         return str(self.state.value)
 
     @property
     def is_ready(self) -> bool:
-        """Whether clients should come.
+        """Whether the router reports itself ready to clients.
 
-        What two processes serve is one router: the one that ends does not send away those who would reach the
-        other.
+        Two processes on one address are one router to clients: an ending process still reports ready while
+        the other one serves.
         """
         return self.state == State.SERVING or (self.state == State.ENDING and self.replacement_serves)
 
     @property
     def is_draining(self) -> bool:
-        """Whether clients are notified to send no more."""
+        """Whether clients are notified to stop sending requests."""
         return self.state in (State.LAME_DUCK, State.ENDING)
 
     @property
     def arrivals_settled(self) -> bool:
-        """Whether all clients that were on their way have come, and can be notified."""
+        """Whether no more clients are expected to connect, so that all connections can be notified."""
         return self.is_draining and self._has_lasted(ARRIVALS_SETTLED_US)
 
     @property
     def rejects_requests(self) -> bool:
-        """Whether requests that still come are rejected: some clients send on, whatever they are notified."""
+        """Whether new requests are rejected, as some clients continue to send despite the notification."""
         return self.is_draining and self._has_lasted(SERVE_WHILE_DRAINING_US)
 
     @property
     def cuts_incomplete_requests(self) -> bool:
-        """Whether a request of which only a part has come no longer holds its connection."""
+        """Whether an incompletely received request no longer keeps its connection open."""
         return self.is_draining and self._has_lasted(CUT_INCOMPLETE_US)
 
     # --- transitions of the program
 
     def start_completed(self) -> None:
-        """Everything is up: starting becomes serving, unless a shutdown came first."""
+        """Change from starting to serving, unless a shutdown has started."""
         if self.state == State.STARTING:
             self._transition(State.SERVING)
 
     def begin_shutdown(self) -> None:
-        """Any state becomes ending."""
+        """Change from any state to ending."""
         if self.state != State.ENDING:
             self._transition(State.ENDING)
 
-    # --- admin commands: each returns the state after it, or raises ``InvalidStateError``
+    # --- admin commands: each returns the resulting state or raises ``InvalidStateError``
 
     def ping(self) -> str:
-        """PING: report the state of a router that is up."""
+        """PING: return the state, if serving or lame duck."""
         self._reject_in(State.STARTING, State.ENDING)
         return self.state_name
 
     def lame_duck(self) -> str:
-        """LAMEDUCK: serving becomes lame duck. A repeated command does not start its time anew."""
+        """LAMEDUCK: change from serving to lame duck. Repeating the command does not restart the drain
+        time."""
         self._reject_in(State.STARTING)
         if self.state == State.SERVING:
             self._transition(State.LAME_DUCK)
         return self.state_name
 
     def rejoin(self) -> str:
-        """REJOIN: lame duck becomes serving."""
+        """REJOIN: change from lame duck to serving."""
         self._reject_in(State.STARTING, State.ENDING)
         if self.state == State.LAME_DUCK:
             self._transition(State.SERVING)
--- a/magpieshift/limits.py
+++ b/magpieshift/limits.py
@@ -1,4 +1,4 @@
-"""How the machine's limits are shared among the parts of a router, and with another process of it."""
+"""Divides the configured resource limits among a router's parts, and between two processes of one router."""
 
 from __future__ import annotations
 
@@ -16,38 +16,43 @@
 log = logging.getLogger(__name__)
 
 RESERVED_DESCRIPTORS = 48
-"""For the listener, the change log, the log, the event loop and what is closing."""
+"""File descriptors reserved for the listener, the change log, the log, the event loop and closing sockets."""
 EXTRA_CLIENT_CONNECTIONS = 24
-"""Clients keep to a third of the sockets, but a new one may be seen before an old one is seen to go."""
+"""Client connections allowed beyond a third of the sockets. Clients open no more than that third, but a new
+connection may be accepted before the close of an old one is noticed."""
 MEMORY_PURPOSES = 4
-"""A quarter of the memory each for what is held for clients, for writes, for answers, and for the program."""
+"""Number of equal parts of the memory limit: data held for clients, writes, answers, and the program
+itself."""
 MIN_UPSTREAM_CONNECTIONS = 16
-"""However little memory there is. Fewer connections leave endpoints unreached."""
+"""Lower bound on upstream connections, however little memory there is: fewer would leave endpoints
+unreached."""
 
 
 @dataclass(frozen=True)
 class ResourceBudget:
-    """What one process may use."""
+    """The resources that one process may use."""
 
     client_connections: int
     upstream_connections: int
     bytes_per_purpose: int
-    """Each for what is held for clients, of writes, and of answers."""
+    """Limit in bytes, each, for data held for clients, for writes and for answers."""
 
     @classmethod
     def of(cls, limits: Limits, shared: bool = False) -> ResourceBudget:
-        """The budget of one process alone, or of each of two that share the limits."""
+        """The budget of a single process, or with ``shared`` of each of two processes."""
         processes = 2 if shared else 1
         quarter = limits.memory_mb * (1 << 20) / MEMORY_PURPOSES
-        # Each process needs its program's quarter in full; the processes divide up what is left.
+        # Each process needs a full quarter for the program itself; only the rest is divided between
+        # processes.
         part = int(quarter * (MEMORY_PURPOSES - processes) / (MEMORY_PURPOSES - 1) / processes)
-        # Clients come to both from the same third; the rest is for endpoints, if there is memory for answers.
+        # Both processes serve the same clients, so that third is not halved. The rest is for endpoints, as
+        # far as there is memory for their answers.
         clients = limits.sockets // 3 + EXTRA_CLIENT_CONNECTIONS
         upstream = (limits.sockets - clients - RESERVED_DESCRIPTORS) // processes
         return cls(clients, min(upstream, max(MIN_UPSTREAM_CONNECTIONS, part // MAX_BODY_BYTES)), part)
 
     def by_name(self) -> dict[str, int]:
-        """The budget under the names that operators are shown and that processes compare."""
+        """The budget under the names that operators see and that ``running`` uses."""
         return {
             "clients": self.client_connections,
             "stores": self.upstream_connections,
@@ -56,10 +61,10 @@
 
 
 class ResourceLimits:
-    """The part that applies the limits to the other parts."""
+    """The part that applies the resource limits to the other parts."""
 
     part = "limits"
-    """Its name among the parts that take a new document."""
+    """Name of this part in a configuration transaction."""
 
     def __init__(
         self, limits: Limits, engine: Engine, downstream: DownstreamServer, upstream: ConnectionPool
@@ -71,7 +76,7 @@
         self._upstream = upstream
 
     def prepare(self, old: Document, new: Document) -> Callable[[], None]:
-        """Make ready for a new document; returns its commit."""
+        """Prepare a new document; returns the function that commits it."""
 
         def commit() -> None:
             self._limits = new.limits
@@ -80,7 +85,7 @@
         return commit
 
     def set_shared(self, shared: bool) -> None:
-        """Another process of this router has come, or gone."""
+        """Set whether the limits are shared with another process of this router."""
         if shared != self._shared:
             self._shared = shared
             self._engine.set_sibling_processes(int(shared))
@@ -88,7 +93,7 @@
             log.info("limits shared" if shared else "limits not shared", extra=fields(**shown))
 
     def running(self) -> dict[str, object]:
-        """The limits in force, read from the parts themselves; ``bytes_each`` is -1 where they disagree."""
+        """The limits in force, read from the parts themselves; ``bytes_each`` is -1 if they differ."""
         is_consistent = self._engine.max_body_bytes == self._downstream.max_held_bytes
         held_bytes = self._engine.max_body_bytes if is_consistent else -1
         return {
--- a/magpieshift/log.py
+++ b/magpieshift/log.py
@@ -1,4 +1,4 @@
-"""Log lines as ``key=value`` pairs, through the standard ``logging`` module."""
+"""Logging as ``key=value`` pairs, based on the standard ``logging`` module."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def _quote(value: object) -> str:
-    """A value as one word: quoted if it could be taken for two, or would break the line."""
+    """Format a value; quoted and escaped if it is empty or contains spaces, quotes or control characters."""
     text = str(value)
     if text and text.isprintable() and not any(character in text for character in ' ="\\'):
         return text
@@ -17,10 +17,10 @@
 
 
 class KeyValueFormatter(logging.Formatter):
-    """``time=… level=… logger=… event=…`` and then the pairs of ``fields(...)``."""
+    """Formats a record as ``time=… level=… logger=… event=…`` followed by the pairs of ``fields(...)``."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """The line of one record."""
+        """Format one record as one line."""
         pairs: dict[str, object] = {
             "time": f"{record.created:.3f}",
             "level": record.levelname.lower(),
@@ -34,12 +34,12 @@
 
 
 def fields(**pairs: Any) -> dict[str, dict[str, Any]]:
-    """The value of ``extra`` for a logging call with these pairs."""
+    """The ``extra`` argument of a logging call that adds these pairs."""
     return {"fields": pairs}
 
 
 def setup(level: str = "INFO") -> None:
-    """Log to standard error from this level on, one line a record."""
+    """Log records of at least this level to standard error, one line each."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     root = logging.getLogger()
--- a/magpieshift/process_lock.py
+++ b/magpieshift/process_lock.py
@@ -1,8 +1,8 @@
-"""Whether another process of this router is alive, or serving: while one replaces another there are two.
+"""Detects whether another process of the same router is alive or serving, as while one replaces another.
 
-Each process locks one byte of a common, empty file while it is alive, and a second one while it serves. The
-kernel releases a lock with its process, however that ends, so no lock is ever stale, and there is nothing to
-read. The file's name and the bytes locked are shared by all versions of the program.
+Each process locks one byte of a shared, empty file while it is alive, and another byte while it serves. The
+kernel releases the locks when the process ends for any reason, so no lock is ever stale, and the file has no
+content to read. All versions of the program must agree on the file name and the byte offsets.
 """
 
 from __future__ import annotations
@@ -20,25 +20,25 @@
 log = logging.getLogger(__name__)
 
 ALIVE_OFFSET = 0
-"""Where in the file the bytes of living processes begin; each has the one at its process id."""
+"""Offset of the byte range for live processes; each locks the byte at this offset plus its process id."""
 SERVING_OFFSET = 1 << 32
-"""The same of serving processes."""
+"""Offset of the byte range for serving processes, used in the same way."""
 RANGE_BYTES = 1 << 31
-"""Above any process id."""
+"""Size of each byte range; larger than any process id."""
 FLOCK_STRUCT = struct.Struct("hhqqi4x")
 """Linux's ``struct flock``: type, whence, start, length, process."""
 
 
 class ProcessLock:
-    """Owner of the file and of this process's locks on it."""
+    """Owner of the lock file's descriptor and of this process's locks."""
 
     def __init__(self, listen: Address, folder: str | None = None) -> None:
-        self._file = -1  # its descriptor; -1 while there is none
+        self._file = -1  # file descriptor; -1 if not open
         path = Path(folder or tempfile.gettempdir()) / "magpieshift-{}-{}.lock".format(*listen)
         try:
             self._file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW, 0o600)
             fcntl.lockf(self._file, fcntl.LOCK_EX | fcntl.LOCK_NB, 1, ALIVE_OFFSET + os.getpid())
-        except OSError as err:  # another process cannot be detected then: run as if there were none
+        except OSError as err:  # other processes cannot be detected: run as if there were none
             log.warning("process lock failed", extra=fields(path=path, reason=err))
             self.close()
 
@@ -49,21 +49,22 @@
 
     @property
     def other_is_serving(self) -> bool:
-        """Whether another process of this router takes clients."""
+        """Whether another process of this router serves clients."""
         return self._is_locked_by_other(SERVING_OFFSET)
 
     def set_serving(self, serving: bool) -> None:
-        """Show other processes whether this one takes clients: one that drains replaces nobody."""
+        """Show other processes whether this one serves clients; a draining process does not count as
+        replacement."""
         if self._file < 0:
             return
         kind = fcntl.LOCK_EX | fcntl.LOCK_NB if serving else fcntl.LOCK_UN
         try:
             fcntl.lockf(self._file, kind, 1, SERVING_OFFSET + os.getpid())
-        except OSError as err:  # it must not keep a planned shutdown from beginning
+        except OSError as err:  # must not prevent a planned shutdown
             log.warning("process lock not changed", extra=fields(serving=serving, reason=err))
 
     def close(self) -> None:
-        """Release the locks; the file stays, since another process may hold it open."""
+        """Release the locks; the file is not deleted, since another process may have it open."""
         if self._file >= 0:
             os.close(self._file)
             self._file = -1
--- a/magpieshift/shutdown.py
+++ b/magpieshift/shutdown.py
@@ -1,6 +1,6 @@
-"""The planned shutdown: what was taken is answered, then every connection is closed, within a bounded time.
+"""The planned shutdown: answers all accepted requests, then closes every connection, within a bounded time.
 
-The process is killed (SIGKILL) at a time that counts from SIGTERM; all the times here fit into it.
+The platform sends SIGKILL a fixed time after SIGTERM; the times here add up to less than that.
 """
 
 from __future__ import annotations
@@ -15,17 +15,19 @@
 from magpieshift.sockets import LINGER_TIMEOUT_S
 
 DRAIN_S = 0.8
-"""How long requests are taken after SIGTERM: the platform's clients open connections for 0.4 s more, and send
-new requests on open ones for 0.2 s after that."""
+"""How long requests are accepted after SIGTERM: the platform's clients open connections for up to 0.4 s more,
+and send new requests on open ones for 0.2 s after that."""
 MAX_CLIENT_WAIT_S = 3.0
-"""The longest wait of a client that a shutdown gives time for, whatever the classes allow: the platform's."""
+"""Longest time that a shutdown waits for open requests, whatever the classes allow: the longest wait of the
+platform's clients."""
 ANSWER_MARGIN_S = 0.55
-"""What is open so long after the longest wait is answered as it is; SIGKILL comes 0.15 s later."""
+"""Requests still open this long after the longest wait get the fallback answer; SIGKILL follows 0.15 s
+later."""
 CLOSE_TIMEOUT_S = 0.1
-"""In which all connections are closed then, without destroying what was written on them."""
+"""Time to close all connections after that, without losing data already written to them."""
 POLL_INTERVAL_S = 0.01
-"""Between two looks at whether all is answered. Smaller ends a little sooner and costs turns
-of the event loop."""
+"""Polling interval while waiting for open requests. A smaller one ends slightly sooner but costs event loop
+iterations."""
 
 
 async def drain(
@@ -34,8 +36,11 @@
     lifecycle: Lifecycle,
     longest_deadline_s: Callable[[], float],
 ) -> None:
-    """Serve for ``DRAIN_S`` more, wait for what is open, answer what is left, and close all clients'
-    connections. ``longest_deadline_s`` is the longest deadline of any class then in force."""
+    """Serve for ``DRAIN_S`` more, wait for open requests, answer those left, and close all client
+    connections.
+
+    ``longest_deadline_s`` returns the longest deadline of the classes in force when it is called.
+    """
     arrivals_settled_s = ARRIVALS_SETTLED_US / 1e6
     await asyncio.sleep(arrivals_settled_s)
     downstream.send_go_away()
@@ -50,6 +55,6 @@
             while engine.open_requests or downstream.has_unsent:
                 await asyncio.sleep(POLL_INTERVAL_S)
     engine.answer_all()
-    # What comes from here on is answered at once, and idle connections are closed.
+    # From here on new requests are rejected at once, and idle connections are closed.
     time_left_s = max(answer_by_s - loop.time(), 0.0)
     await downstream.shut_down(min(time_left_s + CLOSE_TIMEOUT_S, LINGER_TIMEOUT_S))
--- a/magpieshift/signals.py
+++ b/magpieshift/signals.py
@@ -1,4 +1,5 @@
-"""The process's signals: SIGTERM and SIGINT shut it down as planned, SIGHUP reloads its configuration."""
+"""Signal handling on the event loop: SIGTERM and SIGINT start the planned shutdown, SIGHUP reloads the
+configuration."""
 
 from __future__ import annotations
 
@@ -14,17 +15,17 @@
 
 
 def ignore_reload() -> None:
-    """What SIGHUP does in a process that has no settings file to read again."""
+    """SIGHUP handler for a process without a settings file to reload."""
     log.info("reload ignored")
 
 
 @contextmanager
 def signal_handlers(shut_down: Callable[[], None], reload: Callable[[], None]) -> Iterator[None]:
-    """Handle signals in the running event loop; ignore them after the block.
+    """Handle signals in the running event loop, and ignore them after the block.
 
-    ``reload`` is called at once where a SIGHUP came earlier. SIGHUP is always handled: by default it would
-    kill the process with all that is open. Afterwards the loop would leave the signals to the system, and a
-    second one would kill a process about to exit with 0.
+    ``reload`` is called at once if a SIGHUP was received earlier. SIGHUP is always handled, because by
+    default it would kill the process with its open requests. After the block signals are ignored, because the
+    default would let a second signal kill a process that is about to exit with code 0.
     """
     loop = asyncio.get_running_loop()
     for number in SHUTDOWN_SIGNALS:
--- a/magpieshift/sockets.py
+++ b/magpieshift/sockets.py
@@ -1,4 +1,4 @@
-"""Listening, accepting and closing, as all servers of a router do it."""
+"""Listening, accepting and lingering close for all servers of a router."""
 
 from __future__ import annotations
 
@@ -15,31 +15,33 @@
 log = logging.getLogger(__name__)
 
 LINGER_TIMEOUT_S = 0.5
-"""For a peer to read its last answers and close. Shorter destroys answers on slow links,
-longer holds descriptors."""
+"""How long a peer may take to read its last answers and close. A shorter time loses answers on slow links, a
+longer one holds descriptors."""
 MAX_LINGERING = 16
-"""Connections that are closing at once; above, the oldest is closed at once."""
+"""Maximum number of connections in a lingering close; above it the oldest is closed at once."""
 MAX_DISCARDED_BYTES = 1 << 20
-"""Read and discarded from one connection while it closes. A peer that sends more is not
-waiting for an answer."""
+"""Maximum data read and discarded from one connection while it closes. A peer that sends more is not waiting
+for an answer."""
 READ_CHUNK_BYTES = 8_192
-"""Holds many requests. A stream clears as much memory for each read, so more costs time."""
+"""Size of one read, enough for many requests. A stream zeroes a buffer of this size for each read, so a
+larger one costs time."""
 LISTEN_BACKLOG = 512
-"""Connections that wait to be accepted; new ones are refused by the kernel above it."""
+"""Maximum number of connections waiting to be accepted; the kernel refuses further ones."""
 MAX_ACCEPTS_PER_TURN = 64
-"""Of the event loop, in which everything else waits for them."""
+"""Maximum connections accepted per event loop iteration, since everything else waits meanwhile."""
 ACCEPT_PAUSE_S = 0.05
-"""When descriptors have run out. Shorter spins, longer leaves clients waiting."""
+"""Pause before accepting again after descriptors ran out. A shorter one busy-loops, a longer one leaves
+clients waiting."""
 ATTACH_FILTER = getattr(socket, "SO_ATTACH_REUSEPORT_CBPF", 51)
-"""Linux's option number, which not every Python names."""
+"""Linux's ``SO_ATTACH_REUSEPORT_CBPF``, which not every Python version defines."""
 BPF_RETURN = 0x06
-"""``BPF_RET | BPF_K``: the filter's one instruction."""
+"""``BPF_RET | BPF_K``: the filter's only instruction, which returns a constant listener index."""
 
 
 def listen_socket(host: str, port: int, shared: bool = False) -> socket.socket:
-    """A listening socket on this address alone; ``OSError`` that names the address where it is not available.
+    """Create a listening socket; raises ``OSError`` with the address in its text if that is not possible.
 
-    With ``shared`` another process may listen there as well.
+    With ``shared`` another process may listen on the same address.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -56,24 +58,24 @@
 
 
 def steer_to_second(sock: socket.socket) -> None:
-    """Have the kernel give new connections to the second listener at this address, which is the later one.
+    """Have the kernel pass new connections to the second listener on this address, the one opened later.
 
-    Connections in the queue of a listener that closes are reset, so the first must get no more before it
-    closes. Where there is no second one the filter has no effect.
+    When a listener closes, connections in its queue are reset, so the first listener must receive none before
+    it closes. Without a second listener the filter has no effect.
     """
-    import ctypes  # 0.4 MB that only a router which replaces another needs
+    import ctypes  # takes 0.4 MB; needed only by a router that replaces another
 
     code = ctypes.create_string_buffer(struct.pack("HBBI", BPF_RETURN, 0, 0, 1))
     try:
         sock.setsockopt(socket.SOL_SOCKET, ATTACH_FILTER, struct.pack("HP", 1, ctypes.addressof(code)))
-    except OSError as err:  # both get some then, and the first empties its queue before it closes
+    except OSError as err:  # both listeners get connections; the first accepts its queue before it closes
         log.warning("new connections not steered", extra=fields(reason=err))
 
 
 def peek_byte(sock: socket.socket) -> bytes | None:
-    """The first byte received at a socket and not read yet.
+    """Peek at the first unread byte of a socket.
 
-    Empty where the peer has closed or the connection is broken, None where nothing has come.
+    Returns empty bytes if the peer has closed or the connection is broken, None if nothing has been received.
     """
     try:
         return sock.recv(1, socket.MSG_PEEK)
@@ -84,27 +86,27 @@
 
 
 class LingeringClose:
-    """The one way in which connections of clients and operators are closed; owner of the sockets meanwhile.
+    """Closes connections of clients and operators, and owns their sockets until they are closed.
 
-    Closing a socket with bytes that were received and not read resets the connection, and destroys answers
-    that the peer has yet to read. So the socket is half-closed, and what still comes is read and discarded
-    until the peer closes too, within limits of time, bytes and number.
+    Closing a socket that has unread data resets the connection, and the peer loses answers it has not read
+    yet. So the socket is half-closed, and received data is discarded until the peer closes too, with limits
+    on the time, on the bytes per connection and on the number of connections.
     """
 
     def __init__(self, max_open: int = MAX_LINGERING) -> None:
         self.max_open = max_open
-        """How many sockets are held at once."""
-        self._timers: dict[socket.socket, asyncio.TimerHandle] = {}  # of the sockets held, oldest first
-        self._discardable_bytes: dict[socket.socket, int] = {}  # what may still be read and discarded
+        """Maximum number of sockets held in a lingering close."""
+        self._timers: dict[socket.socket, asyncio.TimerHandle] = {}  # by socket, oldest first
+        self._discardable_bytes: dict[socket.socket, int] = {}  # remaining allowance by socket
 
     def __len__(self) -> int:
         return len(self._timers)
 
     def begin(self, sock: socket.socket) -> None:
-        """Close this socket; what the kernel has yet to send still goes."""
+        """Start the lingering close of a socket; data buffered in the kernel is still sent."""
         try:
             sock.shutdown(socket.SHUT_WR)
-        except OSError:  # reset, or never connected: there is no peer
+        except OSError:  # reset or never connected: no peer to wait for
             return sock.close()
         while len(self._timers) >= self.max_open:
             self.drop_oldest()
@@ -112,16 +114,16 @@
         self._timers[sock] = loop.call_later(LINGER_TIMEOUT_S, self._drop, sock)
         self._discardable_bytes[sock] = MAX_DISCARDED_BYTES
         loop.add_reader(sock.fileno(), self._discard, sock)
-        self._discard(sock)  # most peers have closed already
+        self._discard(sock)  # the peer has usually closed already
         return None
 
     def drop_oldest(self) -> None:
-        """Release a descriptor at once, if any is held."""
+        """Close the socket held longest, if any, to release its descriptor."""
         if self._timers:
             self._drop(next(iter(self._timers)))
 
     def close(self) -> None:
-        """Release all descriptors at once."""
+        """Close all held sockets at once."""
         while self._timers:
             self.drop_oldest()
 
@@ -138,7 +140,7 @@
                 self._drop(sock)
 
     def _drop(self, sock: socket.socket) -> None:
-        """Close the socket: the one place where it is released."""
+        """Close a held socket. Only this method releases it."""
         self._timers.pop(sock).cancel()
         del self._discardable_bytes[sock]
         asyncio.get_running_loop().remove_reader(sock.fileno())
@@ -146,7 +148,7 @@
 
 
 class LingeringStream(IOStream):
-    """A stream that ends in a lingering close, whichever side closes it."""
+    """A stream that is closed by a lingering close, whichever side closes it."""
 
     def __init__(self, sock: socket.socket, closing: LingeringClose, max_buffer_size: int) -> None:
         super().__init__(sock, max_buffer_size=max_buffer_size, read_chunk_size=READ_CHUNK_BYTES)
@@ -154,18 +156,18 @@
 
     @property
     def has_unread(self) -> bool:
-        """Whether something has come that was not read yet: bytes, or the peer's own close."""
+        """Whether data or the peer's close has been received and not read yet."""
         return not self.closed() and peek_byte(self.socket) is not None
 
     def close_fd(self) -> None:
-        """Pass the socket on to the lingering close (called by Tornado)."""
+        """Hand the socket over to the lingering close (called by Tornado)."""
         sock = self.socket
         self.socket = None  # type: ignore[assignment]  # Tornado's own close_fd does the same
         self._closing.begin(sock)
 
 
 class Listener:
-    """Accepts connections at one listening socket; owner of it, until ``close``."""
+    """Accepts connections on one listening socket, and owns it until ``close``."""
 
     def __init__(
         self,
@@ -173,9 +175,9 @@
         on_accepted: Callable[[socket.socket], None],
         on_exhausted: Callable[[], None],
     ) -> None:
-        """Listen on with ``sock``.
+        """Start accepting on ``sock``, which is already listening.
 
-        ``on_accepted`` takes each connection; ``on_exhausted`` is called if descriptors or memory run out.
+        ``on_accepted`` receives each connection; ``on_exhausted`` is called if descriptors or memory run out.
         """
         self._sock = sock
         self._on_accepted = on_accepted
@@ -185,7 +187,7 @@
         self._resume()
 
     def accept(self, max_connections: int) -> None:
-        """Accept the connections in the queue, up to so many."""
+        """Accept connections from the queue, at most ``max_connections``."""
         for _ in range(max_connections):
             try:
                 sock, _ = self._sock.accept()
@@ -193,7 +195,7 @@
                 return
             except ConnectionAbortedError:
                 continue
-            except OSError as err:  # out of descriptors, for one
+            except OSError as err:  # for example, out of descriptors
                 self._pause_accepting(err)
                 return
             self._is_exhausted = False
@@ -201,7 +203,7 @@
             self._on_accepted(sock)
 
     def close(self) -> None:
-        """Stop listening. The connections in the queue are accepted first: they would be reset."""
+        """Stop listening. Connections in the queue are accepted first, as they would be reset otherwise."""
         self.accept(LISTEN_BACKLOG)
         if self._pause is not None:
             self._pause.cancel()
@@ -209,8 +211,8 @@
         self._sock.close()
 
     def _pause_accepting(self, err: OSError) -> None:
-        """Wait before the next try: the queue stays readable, and the event loop would spin."""
-        if not self._is_exhausted:  # logged once, until a connection is accepted again
+        """Stop accepting for a while, as the socket stays readable and the event loop would busy-loop."""
+        if not self._is_exhausted:  # log once until a connection is accepted again
             log.warning("connection not accepted", extra=fields(reason=err))
         self._is_exhausted = True
         self._on_exhausted()
--- a/magpieshift/start_settings.py
+++ b/magpieshift/start_settings.py
@@ -1,4 +1,4 @@
-"""Settings that cannot change while the router runs."""
+"""Settings that cannot change without a restart."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def start_settings(document: Document) -> dict[str, object]:
-    """A document's settings that take effect at the start only, under the names that operators are shown."""
+    """The settings of a document that take effect at the start only, under the names that operators see."""
     return {
         "name": document.name,
         "listen": list(document.listen),
@@ -19,16 +19,16 @@
 
 
 class StartSettings:
-    """The part that rejects a document which changes them."""
+    """The part that rejects documents which change start settings."""
 
     part = "start"
-    """Its name among the parts that take a new document."""
+    """Name of this part in a configuration transaction."""
 
     def __init__(self, document: Document) -> None:
         self._settings = start_settings(document)
 
     def prepare(self, old: Document, new: Document) -> Callable[[], None]:
-        """Check a new document; ``SettingsRejectedError`` where it needs a restart."""
+        """Check a new document; raises ``SettingsRejectedError`` if it needs a restart."""
         for name, wanted in start_settings(new).items():
             current = self._settings[name]
             if current != wanted:
