--- a/magpieshift/edge_router.py
+++ b/magpieshift/edge_router.py
@@ -185,11 +185,11 @@
             raise
         started()
         await self._shutdown_started.wait()
-        log.info("draining", extra=fields(open=self.engine.open_requests))
+        log.info("shutdown started", extra=fields(open=self.engine.open_requests))
         await shutdown.drain(self.engine, self._downstream, self.lifecycle, self._longest_deadline_s)
         maintenance.cancel()
         self.close()
-        log.info("ended")
+        log.info("shutdown complete")
         return None
 
     def stop(self) -> None:
--- a/magpieshift/engine/actions.py
+++ b/magpieshift/engine/actions.py
@@ -73,7 +73,7 @@
             case FetchEndpointList():
                 self._endpoints.resend_list()
             case WriteLog():
-                log.info("policy message logged", extra=fields(text=action.text))
+                log.info("policy message", extra=fields(text=action.text))
             case _:  # The endpoint list is always subscribed to; the policy cannot message other routers.
                 log.debug("action ignored", extra=fields(action=type(action).__name__))
 
@@ -100,7 +100,7 @@
             response = Response(Verdict.REJECTED, retry_after_us=action.retry_after_us)
         else:
             log.error(
-                "rejection blocked",
+                "rejection replaced by failure",
                 extra=fields(request_id=request.request.request_id, reason="a retry could repeat its effect"),
             )
             response = Response(Verdict.FAILED)
--- a/magpieshift/engine/request_table.py
+++ b/magpieshift/engine/request_table.py
@@ -187,7 +187,7 @@
             try:
                 reply(response)
             except Exception:
-                log.exception("response lost", extra=fields(request_id=entry.request.request_id))
+                log.exception("response not delivered", extra=fields(request_id=entry.request.request_id))
 
     def _answer_soon(self, entry: OpenRequest, response: Response) -> None:
         self._clock.soon(lambda: self.answer(entry.number, response))
--- a/magpieshift/limits.py
+++ b/magpieshift/limits.py
@@ -90,7 +90,10 @@
             self._shared = shared
             self._engine.set_sibling_processes(int(shared))
             shown = self._apply().by_name()
-            log.info("limits shared" if shared else "limits not shared", extra=fields(**shown))
+            log.info(
+                "limits shared with another process" if shared else "limits no longer shared",
+                extra=fields(**shown),
+            )
 
     def running(self) -> dict[str, object]:
         """The limits in force, read from the parts themselves; ``bytes_each`` is -1 if they differ."""
--- a/magpieshift/process_lock.py
+++ b/magpieshift/process_lock.py
@@ -39,7 +39,7 @@
             self._file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW, 0o600)
             fcntl.lockf(self._file, fcntl.LOCK_EX | fcntl.LOCK_NB, 1, ALIVE_OFFSET + os.getpid())
         except OSError as err:  # other processes cannot be detected: run as if there were none
-            log.warning("process lock failed", extra=fields(path=path, reason=err))
+            log.warning("process lock not acquired", extra=fields(path=path, reason=err))
             self.close()
 
     @property
@@ -61,7 +61,7 @@
         try:
             fcntl.lockf(self._file, kind, 1, SERVING_OFFSET + os.getpid())
         except OSError as err:  # must not prevent a planned shutdown
-            log.warning("process lock not changed", extra=fields(serving=serving, reason=err))
+            log.warning("serving lock not changed", extra=fields(serving=serving, reason=err))
 
     def close(self) -> None:
         """Release the locks; the file is not deleted, since another process may have it open."""
@@ -76,6 +76,6 @@
         try:
             kind, *_ = FLOCK_STRUCT.unpack(fcntl.fcntl(self._file, fcntl.F_GETLK, query))
         except OSError as err:
-            log.warning("process lock not read", extra=fields(reason=err))
+            log.warning("process lock query failed", extra=fields(reason=err))
             return False
         return bool(kind != fcntl.F_UNLCK)
--- a/magpieshift/sockets.py
+++ b/magpieshift/sockets.py
@@ -69,7 +69,7 @@
     try:
         sock.setsockopt(socket.SOL_SOCKET, ATTACH_FILTER, struct.pack("HP", 1, ctypes.addressof(code)))
     except OSError as err:  # both listeners get connections; the first accepts its queue before it closes
-        log.warning("new connections not steered", extra=fields(reason=err))
+        log.warning("connection steering not enabled", extra=fields(reason=err))
 
 
 def peek_byte(sock: socket.socket) -> bytes | None:
