--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -26,7 +26,7 @@
 from magpieshift.policy.events import PurgeReceived, RequestReceived
 from tests.policy import test_properties as random_runs
 from tests.policy.helpers import settings as make_settings
-from tests.real.exchange import PATIENCE_S, ROOT
+from tests.real.exchange import ROOT, WAIT_TIMEOUT_S
 
 OWN = policy.own()
 HEADER = wire.Header(format=1, router="t", policy_digest=OWN.digest)
@@ -156,7 +156,7 @@
 
     @staticmethod
     def until(what: Callable[[], bool]) -> None:
-        end = time.monotonic() + PATIENCE_S
+        end = time.monotonic() + WAIT_TIMEOUT_S
         while not what():
             if time.monotonic() > end:
                 raise AssertionError("waited in vain")
@@ -243,7 +243,7 @@
 
         def write(file: int, data: bytes) -> int:
             stuck.set()
-            release.wait(PATIENCE_S)
+            release.wait(WAIT_TIMEOUT_S)
             return real(file, data)
 
         recorder = self.recorder()
--- a/tests/capture/test_process.py
+++ b/tests/capture/test_process.py
@@ -21,7 +21,7 @@
 from magpieshift.lab.emulators.world import LoopbackInstallation
 from magpieshift.lab.experiments import episode, episode_report, scenario
 from tests.control.test_program import program
-from tests.real.exchange import PATIENCE_S, ROOT
+from tests.real.exchange import ROOT, WAIT_TIMEOUT_S
 
 KILLED = """
 import os, signal, sys, types
@@ -142,13 +142,13 @@
 
     @staticmethod
     async def says(log: Path, text: str) -> None:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while text not in log.read_text():
                 await asyncio.sleep(0.01)
 
     @staticmethod
     async def served(client: RequestGenerator, count: int) -> None:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while client.served < count:
                 await asyncio.sleep(0.01)
 
--- a/tests/control/test_channel.py
+++ b/tests/control/test_channel.py
@@ -35,7 +35,7 @@
 from magpieshift.control.version_startup import first_version
 from magpieshift.control.version_store import VersionStore
 from magpieshift.control.wire import control_pb2 as wire
-from tests.real.exchange import PATIENCE_S, ROOT
+from tests.real.exchange import ROOT, WAIT_TIMEOUT_S
 
 TEXT = (ROOT / "deploy" / "magpieshift.sexp").read_text()
 START = load_text(TEXT)
@@ -107,7 +107,7 @@
         return manager
 
     async def until(self, what: Callable[[], bool]) -> None:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not what():
                 await asyncio.sleep(0.002)
 
@@ -266,7 +266,7 @@
 
         with mock.patch.object(other._backoff, "next_delay_s", after):
             other.start()
-            await asyncio.wait_for(lost.wait(), PATIENCE_S)
+            await asyncio.wait_for(lost.wait(), WAIT_TIMEOUT_S)
         await other.stop()
         silent.close()
 
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -23,7 +23,7 @@
 from magpieshift.lab.experiments.versions import Plan, play
 from magpieshift.lab.fault_injection.ports import free_ports
 from tests.control.test_schema import EXAMPLE
-from tests.real.exchange import PATIENCE_S, ROOT, config
+from tests.real.exchange import ROOT, WAIT_TIMEOUT_S, config
 
 STEPS = ("received", "taken", "read", "prepared", "kept", "committed", "answered")
 KILLED_AT = """
@@ -70,7 +70,7 @@
         text=True,
         cwd=ROOT,
         env=os.environ | environment,
-        timeout=PATIENCE_S,
+        timeout=WAIT_TIMEOUT_S,
     )
 
 
@@ -121,7 +121,7 @@
                 sys.executable, "-c", KILLED_AT, step, *words, stderr=log, cwd=ROOT
             )
             try:
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(WAIT_TIMEOUT_S):
                     while 1 not in acknowledged:
                         await asyncio.sleep(0.005)
                     service.publish(PublishedVersion.parse(2, sexp.format_document(documents[2])))
@@ -147,7 +147,7 @@
         assert process.stderr is not None
         text = ""
         try:
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 while not ("event=ready" in text and "control service lost" in text):
                     line = await process.stderr.readline()
                     self.assertTrue(line, text)
@@ -270,7 +270,7 @@
             assert process.stderr is not None
             lines = [process.stderr.readline(), process.stderr.readline()]
             process.terminate()
-            self.assertEqual(process.wait(PATIENCE_S), 0)
+            self.assertEqual(process.wait(WAIT_TIMEOUT_S), 0)
             process.stderr.close()
             self.assertRegex(lines[0], found)
             self.assertTrue(re.search("ready", lines[1]), lines)
--- a/tests/engine/engine_case.py
+++ b/tests/engine/engine_case.py
@@ -28,10 +28,12 @@
 from tests.real.exchange import config
 
 SECOND = 1_000_000
-CALL = ClientRequest(
+READ_REQUEST = ClientRequest(
     "00000000000000a1", 0, "picture", "7f3a9c21e0b4d655", 3, 17, 9.5, 4 * SECOND, False, "", "", b""
 )
-WRITE = replace(CALL, class_index=1, class_name="basket", idempotency_key="5c0f", body=b"eggs")
+WRITE_REQUEST = replace(
+    READ_REQUEST, class_index=1, class_name="basket", idempotency_key="5c0f", body=b"eggs"
+)
 
 
 class FakeClock:
@@ -65,18 +67,18 @@
     """Records the attempts started; the test decides how they end."""
 
     def __init__(self) -> None:
-        self.orders: list[tuple[UpstreamRequest, Callable[[AttemptResult], None]]] = []
+        self.started: list[tuple[UpstreamRequest, Callable[[AttemptResult], None]]] = []
         self.cancelled: list[UpstreamRequest] = []
         self.reached = True
 
-    def start(self, order: UpstreamRequest, done: Callable[[AttemptResult], None]) -> Any:
-        self.orders.append((order, done))
-        return mock.Mock(cancel=lambda: self.cancelled.append(order) or self.reached)  # type: ignore[func-returns-value]
+    def start(self, request: UpstreamRequest, done: Callable[[AttemptResult], None]) -> Any:
+        self.started.append((request, done))
+        return mock.Mock(cancel=lambda: self.cancelled.append(request) or self.reached)  # type: ignore[func-returns-value]
 
-    def probe(self, member: ListedEndpoint, done: Callable[[AttemptResult], None]) -> None:
+    def probe(self, endpoint: ListedEndpoint, done: Callable[[AttemptResult], None]) -> None:
         done(AttemptResult(Outcome.OK))
 
-    def close_idle(self, member: ListedEndpoint) -> None: ...
+    def close_idle(self, endpoint: ListedEndpoint) -> None: ...
 
 
 class EngineCase(unittest.TestCase):
@@ -88,39 +90,39 @@
         self.engine = Engine(
             parse(config(ports)).document.settings, 7, self.clock, self.upstream, max_body_bytes=100
         )
-        self.members = [self.member("s-cache", 0, 1, 1), self.member("s-origin", 2, 0, 2)]
-        self.engine.list_changed(EndpointListKind.CACHED, 1, self.members)
+        self.endpoints = [self.listed_endpoint("s-cache", 0, 1, 1), self.listed_endpoint("s-origin", 2, 0, 2)]
+        self.engine.list_changed(EndpointListKind.CACHED, 1, self.endpoints)
         self.clock.run()
         self.events: list[Event] = []
         self.policy_handle = self.engine.policy_calls.policy.handle
-        self.engine.policy_calls.policy.handle = self.spy  # type: ignore[method-assign, assignment]
+        self.engine.policy_calls.policy.handle = self.record_events  # type: ignore[method-assign, assignment]
         self.forced_actions: list[Action] | Exception | None = None
 
-    def member(
-        self, ident: str, kind: int, zone: int, port: int, phase: EndpointState = EndpointState.READY
+    def listed_endpoint(
+        self, name: str, kind: int, zone: int, port: int, state: EndpointState = EndpointState.READY
     ) -> ListedEndpoint:
-        entry = Endpoint(endpoint_number(ident), zone, kind, port, phase, 4.0, 0)
-        return ListedEndpoint(ident, ("127.0.0.1", port), entry)
+        entry = Endpoint(endpoint_number(name), zone, kind, port, state, 4.0, 0)
+        return ListedEndpoint(name, ("127.0.0.1", port), entry)
 
-    def spy(self, now_us: int, events: list[Event]) -> list[Action]:
+    def record_events(self, now_us: int, events: list[Event]) -> list[Action]:
         """The policy, unless ``forced_actions`` replace its actions: once, or for ever if they are empty."""
         self.events += events
-        force = self.forced_actions
-        self.forced_actions = None if force else force
-        if isinstance(force, Exception):
-            raise force
+        forced = self.forced_actions
+        self.forced_actions = None if forced else forced
+        if isinstance(forced, Exception):
+            raise forced
         actions = self.policy_handle(now_us, events)
-        return actions if force is None else force
+        return actions if forced is None else forced
 
-    def submit(self, call: ClientRequest = CALL) -> int:
+    def submit(self, request: ClientRequest = READ_REQUEST) -> int:
         """Submit a request under an id of its own; returns its number."""
-        call = replace(call, request_id=f"{self.engine.requests_taken + 1:016x}")
-        number = self.engine.submit(call, self.answers.append)
+        request = replace(request, request_id=f"{self.engine.requests_taken + 1:016x}")
+        number = self.engine.submit(request, self.answers.append)
         self.clock.run()
         return number
 
     def finish_attempt(self, result: AttemptResult) -> None:
-        self.upstream.orders[-1][1](result)
+        self.upstream.started[-1][1](result)
         self.clock.run()
 
     def attempt_ends(self) -> list[tuple[int, Outcome, bool]]:
--- a/tests/engine/test_class_numbers.py
+++ b/tests/engine/test_class_numbers.py
@@ -24,28 +24,32 @@
         self, steps: list[tuple[set[str], int]]
     ) -> None:
         """Requests open under any class at any step, some of which end (the bits of the second figure)."""
-        figures = dict(
+        class_settings = dict(
             zip(
                 "abcdef",
                 [replace(DOCUMENT.settings.classes[0], priority_weight=w) for w in range(6)],
                 strict=True,
             )
         )
-        now = initial_class_numbers(["a"], [figures["a"]])
-        open_: dict[int, str] = {0: "a"}
-        for names, ends in steps:
-            open_ = {number: name for number, name in open_.items() if not ends >> number & 1}
+        numbering = initial_class_numbers(["a"], [class_settings["a"]])
+        open_requests: dict[int, str] = {0: "a"}
+        for names, end_bits in steps:
+            open_requests = {
+                number: name for number, name in open_requests.items() if not end_bits >> number & 1
+            }
             order = sorted(names)
-            now = renumber_classes(now, order, [figures[name] for name in order], open_.keys())
-            for number, name in open_.items():
-                self.assertEqual(now.classes[number], figures[name])
-            self.assertEqual(set(now.by_name), names)
-            self.assertEqual(len(set(now.by_name.values())), len(names))
-            self.assertLessEqual(len(now.classes), 6 + len(open_))
-            for name, number in now.by_name.items():
-                self.assertEqual(now.classes[number], figures[name])
-                self.assertIn(open_.get(number, name), (name,))
-                open_[number] = name
+            numbering = renumber_classes(
+                numbering, order, [class_settings[name] for name in order], open_requests.keys()
+            )
+            for number, name in open_requests.items():
+                self.assertEqual(numbering.classes[number], class_settings[name])
+            self.assertEqual(set(numbering.by_name), names)
+            self.assertEqual(len(set(numbering.by_name.values())), len(names))
+            self.assertLessEqual(len(numbering.classes), 6 + len(open_requests))
+            for name, number in numbering.by_name.items():
+                self.assertEqual(numbering.classes[number], class_settings[name])
+                self.assertIn(open_requests.get(number, name), (name,))
+                open_requests[number] = name
 
 
 class NameNumbersTest(unittest.TestCase):
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -22,30 +22,32 @@
 from magpieshift.policy.outcomes import Outcome
 from magpieshift.policy.settings import Idempotency
 from magpieshift.upstream.codec import request_fields
-from tests.engine.engine_case import CALL, SECOND, WRITE, EngineCase
+from tests.engine.engine_case import READ_REQUEST, SECOND, WRITE_REQUEST, EngineCase
 
 
 class EngineTest(EngineCase):
     def test_served_from_the_cache(self) -> None:
         self.submit()
-        order = self.upstream.orders[0][0]
-        self.assertEqual((order.endpoint.name, order.source), ("s-cache", None))
+        sent = self.upstream.started[0][0]
+        self.assertEqual((sent.endpoint.name, sent.source), ("s-cache", None))
         self.finish_attempt(AttemptResult(Outcome.OK, body=b"copy"))
         self.assertEqual(self.answers, [Response(Verdict.SERVED, b"copy")])
         self.assertEqual(self.attempt_ends(), [(0, Outcome.OK, True)])
 
-    def test_what_comes_in_together_goes_to_the_policy_as_one_batch(self) -> None:
-        with mock.patch.object(self.engine.policy_calls.policy, "handle", side_effect=self.spy) as handle:
+    def test_events_of_one_loop_iteration_form_one_batch(self) -> None:
+        with mock.patch.object(
+            self.engine.policy_calls.policy, "handle", side_effect=self.record_events
+        ) as handle:
             for number in range(3):
-                self.engine.submit(replace(CALL, request_id=f"{number:016x}"), self.answers.append)
+                self.engine.submit(replace(READ_REQUEST, request_id=f"{number:016x}"), self.answers.append)
             self.clock.run()
         self.assertEqual([len(call.args[1]) for call in handle.call_args_list], [3])
 
     def test_attempts_count_from_zero_and_late_answers_are_passed_over(self) -> None:
         self.submit()
-        first = self.upstream.orders[0][1]
+        first = self.upstream.started[0][1]
         self.finish_attempt(AttemptResult(Outcome.MISS))
-        self.assertEqual(self.upstream.orders[1][0].source, self.members[1])
+        self.assertEqual(self.upstream.started[1][0].source, self.endpoints[1])
         first(AttemptResult(Outcome.OK, body=b"late"))
         self.finish_attempt(AttemptResult(Outcome.OK, body=b"filled"))
         self.assertEqual([a.body for a in self.answers], [b"filled"])
@@ -53,35 +55,35 @@
 
     def test_a_second_attempt_cancels_the_first(self) -> None:
         number = self.submit()
-        self.forced_actions = [SendPlainRequest(number, self.members[1].endpoint.number, SECOND)]
+        self.forced_actions = [SendPlainRequest(number, self.endpoints[1].endpoint.number, SECOND)]
         self.engine.purged("", 1, self.clock.now)
         self.engine.flush()
-        self.assertEqual(self.upstream.cancelled, [self.upstream.orders[0][0]])
-        self.assertEqual(len(self.upstream.orders), 2)
+        self.assertEqual(self.upstream.cancelled, [self.upstream.started[0][0]])
+        self.assertEqual(len(self.upstream.started), 2)
         self.clock.run()
         self.assertEqual(self.attempt_ends()[0], (0, Outcome.CANCELLED, False))
 
     def test_a_hedged_request_runs_only_where_settings_and_class_permit_it(self) -> None:
         """The rule on two attempts is a setting (Kayal allows copies), and one answer ends both."""
-        cache, origin = (member.endpoint.number for member in self.members)
-        for allowed, call, to, copies in (
-            (False, CALL, origin, False),
-            (True, CALL, origin, True),
-            (True, CALL, cache, False),
-            (True, WRITE, cache, False),
-            (False, WRITE, cache, False),
+        cache, origin = (listed.endpoint.number for listed in self.endpoints)
+        for allowed, request, target, is_hedged in (
+            (False, READ_REQUEST, origin, False),
+            (True, READ_REQUEST, origin, True),
+            (True, READ_REQUEST, cache, False),
+            (True, WRITE_REQUEST, cache, False),
+            (False, WRITE_REQUEST, cache, False),
         ):
-            with self.subTest(allowed=allowed, cls=call.class_name, to=to):
+            with self.subTest(allowed=allowed, cls=request.class_name, to=target):
                 self.setUp()
                 self.engine.in_force.apply(
                     replace(self.engine.in_force.settings, hedged_requests=allowed), frozenset()
                 )
-                number = self.submit(call)
-                self.forced_actions = [SendPlainRequest(number, to, SECOND)]
+                number = self.submit(request)
+                self.forced_actions = [SendPlainRequest(number, target, SECOND)]
                 self.engine.purged("", 1, self.clock.now)
                 self.engine.flush()
-                first, second = self.upstream.orders
-                self.assertEqual(self.upstream.cancelled, [] if copies else [first[0]])
+                first, second = self.upstream.started
+                self.assertEqual(self.upstream.cancelled, [] if is_hedged else [first[0]])
                 second[1](AttemptResult(Outcome.OK, body=b"copy"))
                 first[1](AttemptResult(Outcome.OK, body=b"late"))
                 self.clock.run()
@@ -94,29 +96,29 @@
 
     def test_a_retry_names_the_cancelled_attempt_whose_cancellation_must_be_read_first(self) -> None:
         """Guards against a second copy: a retry that reaches an endpoint before the cancellation does."""
-        cache, origin = (member.endpoint.number for member in self.members)
-        for hedged, call, to, is_named in (
-            (False, CALL, origin, True),
-            (False, WRITE, origin, True),
-            (True, CALL, origin, False),
-            (True, CALL, cache, True),
-            (True, WRITE, origin, True),
+        cache, origin = (listed.endpoint.number for listed in self.endpoints)
+        for hedged, request, target, is_named in (
+            (False, READ_REQUEST, origin, True),
+            (False, WRITE_REQUEST, origin, True),
+            (True, READ_REQUEST, origin, False),
+            (True, READ_REQUEST, cache, True),
+            (True, WRITE_REQUEST, origin, True),
         ):
-            with self.subTest(hedged=hedged, cls=call.class_name, to=to):
+            with self.subTest(hedged=hedged, cls=request.class_name, to=target):
                 self.setUp()
                 settings = replace(self.engine.in_force.settings, hedged_requests=hedged)
                 self.engine.in_force.apply(settings, frozenset())
-                number = self.submit(call)
-                self.forced_actions = [SendPlainRequest(number, to, SECOND)]
+                number = self.submit(request)
+                self.forced_actions = [SendPlainRequest(number, target, SECOND)]
                 self.engine.purged("", 1, self.clock.now)
                 self.engine.flush()
-                retry = self.upstream.orders[1][0]
+                retry = self.upstream.started[1][0]
                 self.assertEqual(retry.cancelled is not None, is_named)
 
     def test_the_deadline_ends_a_request_and_its_hedge(self) -> None:
         self.engine.in_force.apply(replace(self.engine.in_force.settings, hedged_requests=True), frozenset())
         number = self.submit()
-        self.forced_actions = [SendPlainRequest(number, self.members[1].endpoint.number, 0)]
+        self.forced_actions = [SendPlainRequest(number, self.endpoints[1].endpoint.number, 0)]
         self.engine.purged("", 1, self.clock.now)
         self.engine.flush()
         self.clock.run(4 * SECOND)
@@ -133,7 +135,7 @@
         self.assertIn(ClientDisconnected(number), self.events)
         self.assertEqual(self.attempt_ends(), [(0, Outcome.CANCELLED, True)])
 
-    def test_silence_ends_in_time_and_the_table_is_empty_after_the_deadline(self) -> None:
+    def test_an_unanswered_request_is_rejected_in_time_and_leaves_the_table(self) -> None:
         """Also a connection that never came up: then the attempt never ran."""
         for reached, outcome in ((True, Outcome.TIMEOUT), (False, Outcome.CONNECT_FAILED)):
             with self.subTest(reached=reached):
@@ -149,23 +151,23 @@
         """A client reused the id of an open request: to endpoints, a second attempt of that request."""
         self.submit()
         with self.assertLogs("magpieshift.engine.request_table", "WARNING"):
-            self.engine.submit(self.upstream.orders[0][0].request, self.answers.append)
+            self.engine.submit(self.upstream.started[0][0].request, self.answers.append)
             self.clock.run()
-        self.assertEqual((self.answers, len(self.upstream.orders)), ([Response(Verdict.FAILED)], 1))
+        self.assertEqual((self.answers, len(self.upstream.started)), ([Response(Verdict.FAILED)], 1))
         self.finish_attempt(AttemptResult(Outcome.OK, body=b"copy"))
-        self.engine.submit(self.upstream.orders[0][0].request, self.answers.append)  # closed: its id is free
+        self.engine.submit(self.upstream.started[0][0].request, self.answers.append)  # closed: its id is free
         self.clock.run()
-        self.assertEqual((self.answers[1].body, len(self.upstream.orders)), (b"copy", 2))
+        self.assertEqual((self.answers[1].body, len(self.upstream.started)), (b"copy", 2))
 
     def test_the_policy_does_not_see_what_was_withdrawn_at_once(self) -> None:
         """Each had an attempt that was never sent; a client took back hundreds at a time (rude day)."""
-        self.engine.cancel(self.engine.submit(CALL, self.answers.append))
+        self.engine.cancel(self.engine.submit(READ_REQUEST, self.answers.append))
         self.clock.run()
         self.assertEqual([e for e in self.events if isinstance(e, RequestReceived | AttemptEnded)], [])
 
     def test_no_request_stays_open_longer_than_its_class_permits(self) -> None:
         """A client that claims to wait for an hour had its entry and timer kept for as long."""
-        self.submit(replace(CALL, time_left_us=3600 * SECOND))
+        self.submit(replace(READ_REQUEST, time_left_us=3600 * SECOND))
         self.clock.run(60 * SECOND)
         self.assertEqual((len(self.answers), self.engine.requests.by_number), (1, {}))
 
@@ -182,7 +184,7 @@
             self.submit()
         self.assertEqual([a.verdict for a in self.answers], [Verdict.REJECTED])
         self.submit()
-        self.assertEqual(len(self.upstream.orders), 1)
+        self.assertEqual(len(self.upstream.started), 1)
 
     def test_requests_of_a_silent_policy_are_answered_at_the_deadline(self) -> None:
         self.forced_actions = []
@@ -195,7 +197,7 @@
         unsafe = replace(self.engine.in_force.settings.classes[1], idempotency=Idempotency.NOT_IDEMPOTENT)
         classes = (self.engine.in_force.settings.classes[0], unsafe)
         self.engine.in_force.settings = replace(self.engine.in_force.settings, classes=classes)
-        number = self.submit(WRITE)
+        number = self.submit(WRITE_REQUEST)
         self.forced_actions = [RejectRequest(number, 0)]
         with self.assertLogs("magpieshift.engine.actions", "ERROR"):
             self.finish_attempt(AttemptResult(Outcome.ERROR))
@@ -206,35 +208,36 @@
         that had begun to drain meanwhile, for which the rules leave 0.25 s from the notification."""
         self.submit()
         self.finish_attempt(AttemptResult(Outcome.MISS))
-        check_blocked = self.upstream.orders[1][0].check_blocked
+        check_blocked = self.upstream.started[1][0].check_blocked
         self.assertIsNone(check_blocked())
-        draining = self.member("s-origin", 2, 0, 2, EndpointState.DRAINING)  # as the source of the fill
+        # the origin is the source of the fill
+        draining = self.listed_endpoint("s-origin", 2, 0, 2, EndpointState.DRAINING)
         self.engine.list_changed(EndpointListKind.DELTA, 2, [draining])
         self.assertEqual(check_blocked(), Outcome.CONNECT_FAILED)
 
-    def written(self) -> str:
-        """The bound on the copy's age that the newest order would be written with now; empty for none."""
-        return request_fields(self.upstream.orders[-1][0], self.clock.now).get("fresh", "")
+    def written_age_bound(self) -> str:
+        """The bound on the copy's age that the newest attempt would be written with now; empty for none."""
+        return request_fields(self.upstream.started[-1][0], self.clock.now).get("fresh", "")
 
     def test_a_limit_on_the_age_of_copies_holds_at_the_decision_and_at_the_write(self) -> None:
         limit = mock.Mock(return_value=0)
         self.engine.copy_age_limit = limit
         self.submit()
-        self.assertEqual(self.written(), "")
+        self.assertEqual(self.written_age_bound(), "")
         limit.return_value = 5 * SECOND  # between decision and write
-        self.assertEqual(self.written(), "5000")
+        self.assertEqual(self.written_age_bound(), "5000")
         self.submit()
         limit.return_value = 0  # what was decided under it stays bounded, what comes after is not
-        self.assertEqual(self.written(), "5000")
+        self.assertEqual(self.written_age_bound(), "5000")
         self.submit()
-        self.assertEqual(self.written(), "")
+        self.assertEqual(self.written_age_bound(), "")
 
     def test_the_smaller_of_all_bounds_on_the_age_of_copies_holds(self) -> None:
-        self.engine.purged(CALL.object_key, 0, self.clock.now - 2 * SECOND)
+        self.engine.purged(READ_REQUEST.object_key, 0, self.clock.now - 2 * SECOND)
         for limit_us, wanted in ((5 * SECOND, "1999"), (SECOND, "1000"), (1, "1"), (0, "1999")):
             self.engine.copy_age_limit = mock.Mock(return_value=limit_us)
             self.submit()
-            self.assertEqual(self.written(), wanted)
+            self.assertEqual(self.written_age_bound(), wanted)
 
     def test_a_limit_does_not_take_the_place_of_a_smaller_bound_that_the_class_has(self) -> None:
         fresh = replace(self.engine.in_force.settings.classes[0], max_age_us=3 * SECOND)
@@ -242,28 +245,28 @@
         self.engine.copy_age_limit = mock.Mock(return_value=5 * SECOND)
         number = self.submit()
         self.forced_actions = [
-            SendPlainRequest(number, self.members[1].endpoint.number, SECOND)
+            SendPlainRequest(number, self.endpoints[1].endpoint.number, SECOND)
         ]  # it carries no bound: the class's holds
         self.finish_attempt(AttemptResult(Outcome.MISS))
-        self.assertEqual((len(self.upstream.orders), self.written()), (2, "3000"))
+        self.assertEqual((len(self.upstream.started), self.written_age_bound()), (2, "3000"))
 
     def test_a_client_has_its_own_copy_confirmed_by_a_bounded_one_only(self) -> None:
         self.engine.copy_age_limit = mock.Mock(return_value=5 * SECOND)
-        self.submit(replace(CALL, known_version="4be0c1927d55a6f3"))
-        fields = request_fields(self.upstream.orders[0][0], self.clock.now)
+        self.submit(replace(READ_REQUEST, known_version="4be0c1927d55a6f3"))
+        fields = request_fields(self.upstream.started[0][0], self.clock.now)
         self.assertEqual((fields["known"], fields["fresh"]), ("4be0c1927d55a6f3", "5000"))
 
-    def test_writes_and_routers_without_a_limit_are_as_they_were(self) -> None:
+    def test_writes_and_routers_without_a_limit_send_no_age_bound(self) -> None:
         self.submit()
-        self.assertIsNone(self.upstream.orders[0][0].current_max_age)
-        before = request_fields(self.upstream.orders[0][0], self.clock.now)
+        self.assertIsNone(self.upstream.started[0][0].current_max_age)
+        before = request_fields(self.upstream.started[0][0], self.clock.now)
         self.engine.copy_age_limit = mock.Mock(return_value=0)
         self.submit()
-        self.assertEqual(request_fields(self.upstream.orders[1][0], self.clock.now), before)
+        self.assertEqual(request_fields(self.upstream.started[1][0], self.clock.now), before)
         self.engine.copy_age_limit = mock.Mock(return_value=SECOND)
-        self.submit(WRITE)
-        self.assertEqual(self.upstream.orders[2][0].request.class_index, WRITE.class_index)
-        self.assertEqual(self.written(), "")
+        self.submit(WRITE_REQUEST)
+        self.assertEqual(self.upstream.started[2][0].request.class_index, WRITE_REQUEST.class_index)
+        self.assertEqual(self.written_age_bound(), "")
         self.engine.copy_age_limit.assert_not_called()
 
     def test_an_attempt_at_an_endpoint_that_left_the_list_never_ran(self) -> None:
@@ -273,34 +276,34 @@
         self.finish_attempt(AttemptResult(Outcome.ERROR))
         self.assertEqual(self.attempt_ends()[2], (2, Outcome.CONNECT_FAILED, False))
 
-    def test_bodies_do_not_fill_the_memory(self) -> None:
-        self.submit(replace(WRITE, body=b"x" * 90))
-        self.submit(replace(WRITE, body=b"x" * 90))
+    def test_body_memory_is_bounded(self) -> None:
+        self.submit(replace(WRITE_REQUEST, body=b"x" * 90))
+        self.submit(replace(WRITE_REQUEST, body=b"x" * 90))
         self.assertEqual([a.verdict for a in self.answers], [Verdict.REJECTED])
         self.finish_attempt(AttemptResult(Outcome.OK))
         self.assertEqual(self.engine.held_body_bytes, 0)
-        self.submit(replace(WRITE, body=b"x" * 90))
-        self.assertEqual((len(self.upstream.orders), len(self.answers)), (2, 2))
+        self.submit(replace(WRITE_REQUEST, body=b"x" * 90))
+        self.assertEqual((len(self.upstream.started), len(self.answers)), (2, 2))
 
     def test_a_policy_that_raises_sees_drains_and_purges_all_the_same(self) -> None:
         """The policy raised, its batch was lost, and it went on sending to an endpoint that drains."""
-        drains = self.member("s-cache", 0, 1, 1, EndpointState.DRAINING)
-        self.engine.list_changed(EndpointListKind.DELTA, 2, [drains])
+        draining = self.listed_endpoint("s-cache", 0, 1, 1, EndpointState.DRAINING)
+        self.engine.list_changed(EndpointListKind.DELTA, 2, [draining])
         self.engine.purged("", 17, self.clock.now - SECOND)
         self.forced_actions = IndexError("no such endpoint")
         with self.assertLogs("magpieshift.engine.policy_calls", "ERROR"):
             self.clock.run()
         self.submit()
-        self.assertEqual([o.endpoint.name for o, _ in self.upstream.orders], ["s-origin"])
+        self.assertEqual([sent.endpoint.name for sent, _ in self.upstream.started], ["s-origin"])
         self.assertIn((0, 17), self.engine.policy_calls.policy.purges)
 
     def test_nothing_is_sent_to_a_draining_endpoint_even_if_the_policy_decides_so(self) -> None:
         number = self.submit()
         self.engine.list_changed(
-            EndpointListKind.DELTA, 2, [self.member("s-cache", 0, 1, 1, EndpointState.DRAINING)]
+            EndpointListKind.DELTA, 2, [self.listed_endpoint("s-cache", 0, 1, 1, EndpointState.DRAINING)]
         )
         self.clock.run()
-        self.forced_actions = [SendPlainRequest(number, self.members[0].endpoint.number, SECOND)]
+        self.forced_actions = [SendPlainRequest(number, self.endpoints[0].endpoint.number, SECOND)]
         with self.assertLogs("magpieshift.engine.attempts", "ERROR"):
             self.finish_attempt(AttemptResult(Outcome.MISS))
         self.assertEqual(self.attempt_ends()[1], (1, Outcome.CONNECT_FAILED, False))
@@ -311,10 +314,10 @@
         self.finish_attempt(AttemptResult(Outcome.OK, cache_status=1))
         self.clock.now -= 10_000 * SECOND
         self.submit()
-        self.assertEqual(len(self.upstream.orders), 2)
+        self.assertEqual(len(self.upstream.started), 2)
 
     def test_a_reply_that_raises_does_not_end_the_endpoints_connection(self) -> None:
-        self.engine.submit(CALL, mock.Mock(side_effect=OSError))
+        self.engine.submit(READ_REQUEST, mock.Mock(side_effect=OSError))
         self.clock.run()
         with self.assertLogs("magpieshift.engine.request_table", "ERROR"):
             self.finish_attempt(AttemptResult(Outcome.OK))
@@ -323,9 +326,9 @@
     def test_a_purge_counts_from_when_it_was_made(self) -> None:
         self.engine.purged("7f3a9c21e0b4d655", 0, self.clock.now - 2 * SECOND)
         self.submit()
-        self.assertLess(self.upstream.orders[0][0].max_age_us, 2 * SECOND)
+        self.assertLess(self.upstream.started[0][0].max_age_us, 2 * SECOND)
 
-    def test_numbers_come_from_the_text_alone(self) -> None:
+    def test_numbers_depend_on_the_name_or_key_alone(self) -> None:
         """Every router must agree on them, or an object's fills meet at no one parent."""
         self.assertEqual(endpoint_number("s-00c41f7a"), 16219224708859055907)
         self.assertNotEqual(object_number("0000000000000000"), 0)  # to the policy, 0 means a whole group
--- a/tests/engine/test_reconfiguration.py
+++ b/tests/engine/test_reconfiguration.py
@@ -13,7 +13,7 @@
 from magpieshift.policy.events import EndpointListKind, EndpointState
 from magpieshift.policy.outcomes import Outcome
 from magpieshift.policy.settings import Idempotency
-from tests.engine.engine_case import CALL, SECOND, WRITE, EngineCase
+from tests.engine.engine_case import READ_REQUEST, SECOND, WRITE_REQUEST, EngineCase
 from tests.real.exchange import config
 
 PORTS = {"cache": "127.0.0.1:1", "origin": "127.0.0.1:2", "log": "127.0.0.1:3"}
@@ -31,7 +31,7 @@
         self.engine.in_force.numbering = numbering
         self.engine.in_force.class_numbers = dict(numbering.by_name)
 
-    def to(self, **changes: Any) -> Document:
+    def document_with(self, **changes: Any) -> Document:
         """A document with other classes (by name), or other settings."""
         by_name = changes.pop("classes", None)
         names = self.document.names
@@ -57,7 +57,7 @@
             deadline_us=SECOND,
             latency_objective_us=SECOND // 2,
         )
-        self.apply(self.to(classes={"picture": short, "basket": basket}))
+        self.apply(self.document_with(classes={"picture": short, "basket": basket}))
         self.clock.run(2 * SECOND)
         self.assertEqual(self.answers, [])
         self.finish_attempt(AttemptResult(Outcome.OK, body=b"copy"))
@@ -68,23 +68,25 @@
 
     def test_a_class_goes_and_another_comes_while_its_requests_are_open(self) -> None:
         picture, basket = DOCUMENT.settings.classes
-        self.submit(WRITE)
-        self.apply(self.to(classes={"picture": picture, "film": replace(picture, priority_weight=9.0)}))
+        self.submit(WRITE_REQUEST)
+        self.apply(
+            self.document_with(classes={"picture": picture, "film": replace(picture, priority_weight=9.0)})
+        )
         self.assertEqual(self.engine.classes, {"picture": 0, "film": 2})  # 1 is still the basket's
         self.finish_attempt(AttemptResult(Outcome.OK, body=b"kept"))
-        self.submit(replace(CALL, class_index=2, class_name="film"))
-        self.assertEqual(self.upstream.orders[-1][0].request.class_name, "film")
+        self.submit(replace(READ_REQUEST, class_index=2, class_name="film"))
+        self.assertEqual(self.upstream.started[-1][0].request.class_name, "film")
         self.finish_attempt(AttemptResult(Outcome.OK, body=b"film"))
         self.assertEqual([a.body for a in self.answers], [b"kept", b"film"])
         self.clock.run(60 * SECOND)  # the basket's request has left the table
-        self.apply(self.to(classes={"picture": picture, "film": picture, "song": picture}))
+        self.apply(self.document_with(classes={"picture": picture, "film": picture, "song": picture}))
         self.assertEqual(self.engine.classes["song"], 1)
         self.assertEqual(len(self.engine.policy_calls.policy.service_times_us), 3)
 
     def test_zones_and_kinds_may_change_their_order(self) -> None:
         """Endpoints are listed by these numbers: the cache must still be the cache."""
         names = replace(self.document.names, zones=("sea", "shop", "hub"), kinds=("source", "box", "upper"))
-        turned = replace(
+        reordered = replace(
             self.document,
             names=names,
             settings=replace(
@@ -98,11 +100,11 @@
             ),
         )
         self.submit()
-        self.apply(turned)
+        self.apply(reordered)
         self.finish_attempt(AttemptResult(Outcome.MISS))
-        order = self.upstream.orders[-1][0]
-        self.assertEqual(order.endpoint.name, "s-cache")
-        self.assertEqual(order.source, self.engine.endpoints.by_number[self.members[1].endpoint.number])
+        sent = self.upstream.started[-1][0]
+        self.assertEqual(sent.endpoint.name, "s-cache")
+        self.assertEqual(sent.source, self.engine.endpoints.by_number[self.endpoints[1].endpoint.number])
         self.assertEqual(
             {m.name: m.endpoint.zone for m in self.engine.endpoints.by_number.values()},
             {"s-cache": 1, "s-origin": 0},
@@ -117,33 +119,33 @@
         """Another kind becomes that of the parents, so the list is passed to the policy again: the drained
         cache must not come back."""
         kinds = (*self.document.names.kinds, "other")
-        new = replace(self.to(parent_kind=3), names=replace(self.document.names, kinds=kinds))
+        new = replace(self.document_with(parent_kind=3), names=replace(self.document.names, kinds=kinds))
         commit = self.engine.prepare(self.document, new)
         self.submit()
-        waiting = self.upstream.orders[-1][0]  # for its connection: checked once more before the write
+        waiting = self.upstream.started[-1][0]  # for its connection: checked once more before the write
         self.engine.list_changed(
-            EndpointListKind.DELTA, 2, [self.member("s-cache", 0, 1, 1, EndpointState.DRAINING)]
+            EndpointListKind.DELTA, 2, [self.listed_endpoint("s-cache", 0, 1, 1, EndpointState.DRAINING)]
         )
         commit()
         self.clock.run()
         self.assertEqual(waiting.check_blocked(), Outcome.CONNECT_FAILED)
         for _ in range(20):
             self.submit()
-        self.assertEqual({order.endpoint.name for order, _ in self.upstream.orders[1:]}, {"s-origin"})
+        self.assertEqual({sent.endpoint.name for sent, _ in self.upstream.started[1:]}, {"s-origin"})
 
     def test_a_purge_between_prepare_and_commit_holds(self) -> None:
         """No copy from before it may serve, under the old document or the new; one made later may."""
-        new = self.to(tick_us=3000)
+        new = self.document_with(tick_us=3000)
         commit = self.engine.prepare(self.document, new)
-        made = self.clock.now
-        self.engine.purged(CALL.object_key, 0, made)
+        purged_us = self.clock.now
+        self.engine.purged(READ_REQUEST.object_key, 0, purged_us)
         commit()
         self.clock.run(SECOND)
         self.submit()
         self.finish_attempt(AttemptResult(Outcome.MISS))
-        order = self.upstream.orders[-1][0]
-        self.assertGreater(order.max_age_us, 0)
-        self.assertLess(order.max_age_us, self.clock.now - made)
+        sent = self.upstream.started[-1][0]
+        self.assertGreater(sent.max_age_us, 0)
+        self.assertLess(sent.max_age_us, self.clock.now - purged_us)
 
 
 if __name__ == "__main__":
--- a/tests/engine/test_settings_in_force.py
+++ b/tests/engine/test_settings_in_force.py
@@ -17,8 +17,8 @@
         document = parse(config(PORTS)).document
         self.engine.prepare(document, document)()
         router, shown = self.engine.policy_calls.policy, self.engine.running()
-        warming = replace(self.members[0].endpoint, started_us=self.clock.now - SECOND)
-        self.engine.list_changed(EndpointListKind.DELTA, 2, [replace(self.members[0], endpoint=warming)])
+        warming = replace(self.endpoints[0].endpoint, started_us=self.clock.now - SECOND)
+        self.engine.list_changed(EndpointListKind.DELTA, 2, [replace(self.endpoints[0], endpoint=warming)])
         self.clock.run()
         (cache,) = router.caches.values()
         alone = permitted_rate(router, cache)
--- a/tests/engine/test_trace.py
+++ b/tests/engine/test_trace.py
@@ -36,7 +36,7 @@
         self.log.setLevel(logging.DEBUG)
         self.addCleanup(self.log.setLevel, logging.NOTSET)
 
-    def router(self, number: int) -> None:
+    def trace_router(self, number: int) -> None:
         """A router whose fill fails at a parent, and which rejects the request then."""
         handler = logging.FileHandler(self.folder / f"n{number}.log")
         handler.setFormatter(KeyValueFormatter())
@@ -65,7 +65,7 @@
 
     def test_a_fleets_attempts_are_counted_together(self) -> None:
         for number in range(3):
-            self.router(number)
+            self.trace_router(number)
         counts = fleet.count(fleet.read(self.folder))
         names, seconds = ("asked", "fills", "refused"), counts.seconds.values()
         total = {name: sum(second[name] for second in seconds) for name in names}
--- a/tests/extensions/test_membership.py
+++ b/tests/extensions/test_membership.py
@@ -19,7 +19,7 @@
 from magpieshift.control.errors import UnusableDocumentError
 from magpieshift.control.schema import load_data, to_data
 from magpieshift.lab.emulators.world import LoopbackInstallation
-from tests.engine.engine_case import CALL, EngineCase
+from tests.engine.engine_case import READ_REQUEST, EngineCase
 
 MEMBERS = {
     "fleet": "f",
@@ -81,7 +81,7 @@
             return handle(now_us, events)
 
         self.engine.policy_calls.policy.handle = watched  # type: ignore[method-assign]
-        self.engine.submit(replace(CALL, request_id="00000000000000aa"), lambda answer: None)
+        self.engine.submit(replace(READ_REQUEST, request_id="00000000000000aa"), lambda answer: None)
         self.engine.flush()
         self.assertEqual(seen, [9])
 
--- a/tests/held_start.py
+++ b/tests/held_start.py
@@ -12,30 +12,30 @@
 import runpy
 import sys
 
-NO_NAME = "-"
+ANY_NAME = "-"
 """For an event whose name does not matter."""
 
 
-class Hold:
+class HoldAtEvent:
     """Waits at the first event that fits."""
 
     def __init__(self, event: str, name: str) -> None:
         self._event = event
         self._name = name
-        self._is_over = False
+        self._has_held = False
 
     def __call__(self, event: str, arguments: tuple[object, ...]) -> None:
         """The interpreter's audit hook."""
-        if self._is_over or event != self._event:
+        if self._has_held or event != self._event:
             return
-        if self._name != NO_NAME and not str(arguments[0]).endswith(self._name):
+        if self._name != ANY_NAME and not str(arguments[0]).endswith(self._name):
             return
-        self._is_over = True
+        self._has_held = True
         print("held", flush=True)
         sys.stdin.readline()
 
 
 if __name__ == "__main__":
-    sys.addaudithook(Hold(sys.argv[1], sys.argv[2]))
+    sys.addaudithook(HoldAtEvent(sys.argv[1], sys.argv[2]))
     del sys.argv[1:3]
     runpy.run_module("magpieshift", run_name="__main__", alter_sys=True)
--- a/tests/real/exchange.py
+++ b/tests/real/exchange.py
@@ -51,8 +51,8 @@
 HERE = Path(__file__).parent
 ROOT = HERE.parent.parent
 LISTENERS = ("cache", "origin", "log", "moved")
-PATIENCE_S = 20.0
-PATIENT = """
+WAIT_TIMEOUT_S = 20.0
+LONG_TIMEOUTS_PROGRAM = """
 import sys
 from magpieshift import app, shutdown
 from magpieshift.upstream import pool
@@ -69,7 +69,7 @@
 )
 
 
-def spell(text: str) -> bytes:
+def parse_bytes(text: str) -> bytes:
     """The bytes that a recording spells."""
     parts = []
     for match in TOKEN.finditer(text):
@@ -80,14 +80,14 @@
     return b"".join(parts)
 
 
-def pattern(text: str) -> re.Pattern[bytes]:
+def expected_pattern(text: str) -> re.Pattern[bytes]:
     """What a recording says is to be read."""
     parts = []
     for match in TOKEN.finditer(text):
         if match["re"] is not None:
             parts.append(match["re"].encode())
         elif not match["end"]:
-            parts.append(re.escape(spell(match[0])))
+            parts.append(re.escape(parse_bytes(match[0])))
     return re.compile(b"".join(parts), re.S)
 
 
@@ -103,11 +103,11 @@
 def changed(data: dict[str, Any], changes: dict[str, str]) -> dict[str, Any]:
     """The configuration with other values, as JSON, at dotted paths of its settings."""
     for path, value in changes.items():
-        at: Any = data["settings"]
-        *way, last = path.split(".")
-        for name in way:
-            at = at[int(name)] if isinstance(at, list) else at[name]
-        at[last] = json.loads(value)
+        parent: Any = data["settings"]
+        *parents, last = path.split(".")
+        for name in parents:
+            parent = parent[int(name)] if isinstance(parent, list) else parent[name]
+        parent[last] = json.loads(value)
     return data
 
 
@@ -115,57 +115,57 @@
     """A socket at the other end of the program's, and what it has sent but was not read yet."""
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.got = sock, b""
-        sock.settimeout(PATIENCE_S)
+        self.sock, self.received = sock, b""
+        sock.settimeout(WAIT_TIMEOUT_S)
 
-    def more(self, strict: bool = False) -> bool:
+    def read_more(self, strict: bool = False) -> bool:
         try:
             data = self.sock.recv(65536)
         except ConnectionError:
             if strict:
                 raise
             data = b""
-        self.got += data
+        self.received += data
         return bool(data)
 
     def expect(self, wanted: re.Pattern[bytes]) -> None:
-        while not (match := wanted.match(self.got)):
-            if not self.more():
-                raise AssertionError(f"wanted {wanted.pattern!r}, got {self.got!r} and the end")
-        self.got = self.got[match.end() :]
+        while not (match := wanted.match(self.received)):
+            if not self.read_more():
+                raise AssertionError(f"wanted {wanted.pattern!r}, got {self.received!r} and the end")
+        self.received = self.received[match.end() :]
 
     def expect_end(self, strict: bool = False) -> None:
-        while self.more(strict):
+        while self.read_more(strict):
             pass
-        if self.got:
-            raise AssertionError(f"wanted the end, got {self.got!r}")
+        if self.received:
+            raise AssertionError(f"wanted the end, got {self.received!r}")
 
 
-def given(text: str) -> dict[str, str]:
+def initial_settings(text: str) -> dict[str, str]:
     """The settings that a recording begins with."""
     lines = [line.split()[1:] for line in text.splitlines() if line.startswith("given ")]
     return dict(change.split("=", 1) for line in lines for change in line)
 
 
-class Parties:
+class Peers:
     """The other ends of a router's sockets: listeners for those it talks to, and its clients."""
 
-    def __init__(self, chop: int = 0) -> None:
-        self.chop = chop
+    def __init__(self, chunk_size: int = 0) -> None:
+        self.chunk_size = chunk_size
         self.listeners = {name: socket.create_server(("127.0.0.1", 0)) for name in LISTENERS}
-        self.port, self.console = free_port(), 0
+        self.port, self.admin_port = free_port(), 0
         self.ports = {name: f"127.0.0.1:{s.getsockname()[1]}" for name, s in self.listeners.items()}
         self.peers: dict[str, Peer] = {}
-        self._filling: dict[str, list[socket.socket]] = {}
+        self._backlog_sockets: dict[str, list[socket.socket]] = {}
 
     def close(self) -> None:
-        filling = [sock for socks in self._filling.values() for sock in socks]
-        for sock in [*self.listeners.values(), *(peer.sock for peer in self.peers.values()), *filling]:
+        backlog = [sock for socks in self._backlog_sockets.values() for sock in socks]
+        for sock in [*self.listeners.values(), *(peer.sock for peer in self.peers.values()), *backlog]:
             sock.close()
 
-    def fill(self, name: str) -> None:
+    def fill_backlog(self, name: str) -> None:
         """Fill a listener's queue: what connects from now on gets no answer."""
-        listener, socks = self.listeners[name], self._filling.setdefault(name, [])
+        listener, socks = self.listeners[name], self._backlog_sockets.setdefault(name, [])
         listener.listen(0)
         while True:
             socks.append(socket.socket())
@@ -175,45 +175,45 @@
             except TimeoutError:
                 return socks.pop().close()
 
-    def free(self, name: str) -> None:
+    def empty_backlog(self, name: str) -> None:
         """Take what fills a listener's queue out of it."""
         self.listeners[name].listen(16)
-        for sock in self._filling.pop(name):
+        for sock in self._backlog_sockets.pop(name):
             self.listeners[name].accept()[0].close()
             sock.close()
 
-    def act(self, step: str) -> None:
+    def run_step(self, step: str) -> None:
         """One step at a socket."""
-        found = re.match(r"((\w+?)\d*)([-+<>!.~^])(.*)", step)
-        assert found, "no step"
-        who, kind, act, rest = found.groups()
-        if act == "+":
+        match = re.match(r"((\w+?)\d*)([-+<>!.~^])(.*)", step)
+        assert match, "no step"
+        peer_name, kind, operation, argument = match.groups()
+        if operation == "+":
             if kind in self.listeners:
-                self.listeners[kind].settimeout(PATIENCE_S)
-                self.peers[who] = Peer(self.listeners[kind].accept()[0])
+                self.listeners[kind].settimeout(WAIT_TIMEOUT_S)
+                self.peers[peer_name] = Peer(self.listeners[kind].accept()[0])
             else:
-                port = self.console if kind == "door" else self.port
-                self.peers[who] = Peer(socket.create_connection(("127.0.0.1", port)))
-        elif act == "-":
-            (self.peers.pop(who).sock if who in self.peers else self.listeners[kind]).close()
-        elif act == "~":
-            self.peers[who].sock.shutdown(socket.SHUT_WR)
-        elif act == "^":
-            sock = self.peers.pop(who).sock
+                port = self.admin_port if kind == "door" else self.port
+                self.peers[peer_name] = Peer(socket.create_connection(("127.0.0.1", port)))
+        elif operation == "-":
+            (self.peers.pop(peer_name).sock if peer_name in self.peers else self.listeners[kind]).close()
+        elif operation == "~":
+            self.peers[peer_name].sock.shutdown(socket.SHUT_WR)
+        elif operation == "^":
+            sock = self.peers.pop(peer_name).sock
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             sock.close()
-        elif act == ">":
-            data, sock = spell(rest), self.peers[who].sock
+        elif operation == ">":
+            data, sock = parse_bytes(argument), self.peers[peer_name].sock
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            for at in range(0, len(data), self.chop or len(data)):
-                sock.sendall(data[at : at + (self.chop or len(data))])
-        elif act == "<":
-            self.peers[who].expect(pattern(rest))
+            for at in range(0, len(data), self.chunk_size or len(data)):
+                sock.sendall(data[at : at + (self.chunk_size or len(data))])
+        elif operation == "<":
+            self.peers[peer_name].expect(expected_pattern(argument))
         else:
-            self.peers[who].expect_end(strict=act == ".")
+            self.peers[peer_name].expect_end(strict=operation == ".")
 
 
-class Within(Parties):
+class RouterHarness(Peers):
     """A router in the test's own event loop, with real sockets at its ends: for orders of events that can be
     forced only from inside. Steps run in a thread, or at once where a test calls ``act``."""
 
@@ -223,7 +223,7 @@
         self.router = EdgeRouter(parse(data))
         self.ending: asyncio.Task[None] | None = None
 
-    async def __aenter__(self) -> Within:
+    async def __aenter__(self) -> RouterHarness:
         started = asyncio.Event()
         self.ending = asyncio.ensure_future(self.router.run(started.set))
         await started.wait()
@@ -240,68 +240,75 @@
     async def play(self, steps: str) -> None:
         for step in filter(None, map(str.strip, steps.splitlines())):
             try:
-                await asyncio.to_thread(self.act, step)
+                await asyncio.to_thread(self.run_step, step)
             except (AssertionError, OSError) as err:
                 raise AssertionError(f"{step}: {err}") from err
 
-    async def until(self, true: Callable[[], bool]) -> None:
+    async def until(self, condition: Callable[[], bool]) -> None:
         """Wait until the router has come to something."""
-        async with asyncio.timeout(PATIENCE_S):
-            while not true():
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
+            while not condition():
                 await asyncio.sleep(0.001)
 
 
-class Program(Parties):
+class Program(Peers):
     """The program under test, with a listener for each party it talks to."""
 
     def __init__(
-        self, chop: int = 0, patient: bool = True, door: bool = False, changes: dict[str, str] | None = None
+        self,
+        chunk_size: int = 0,
+        long_timeouts: bool = True,
+        has_admin: bool = False,
+        changes: dict[str, str] | None = None,
     ) -> None:
-        super().__init__(chop)
-        self._patient, self._door, self.changes = patient, door, changes or {}
+        super().__init__(chunk_size)
+        self._long_timeouts, self._has_admin, self.changes = long_timeouts, has_admin, changes or {}
         self.folder = tempfile.TemporaryDirectory()
         self.config = Path(self.folder.name) / "config.json"
         self.config.write_text(json.dumps(changed(config(self.ports), self.changes)))
         self.log = (Path(self.folder.name) / "log").open("w+b")
-        self.old: subprocess.Popen[bytes] | None = None
+        self.replaced_process: subprocess.Popen[bytes] | None = None
         self.process = self._start()
 
     def env(self) -> dict[str, str]:
         env = {"EDGE_CONFIG": str(self.config), "EDGE_LISTEN": f"127.0.0.1:{self.port}", "EDGE_NAME": "n1"}
-        console = {"EDGE_CONSOLE": f"127.0.0.1:{self.console}"} if self._door else {}
-        return {**os.environ, **env, **console, "TMPDIR": self.folder.name}
+        admin = {"EDGE_CONSOLE": f"127.0.0.1:{self.admin_port}"} if self._has_admin else {}
+        return {**os.environ, **env, **admin, "TMPDIR": self.folder.name}
 
     def _start(self) -> subprocess.Popen[bytes]:
-        self.console = free_port()
-        started = self.written().count("event=ready")
+        self.admin_port = free_port()
+        started = self.log_text().count("event=ready")
         self.process = subprocess.Popen(
-            [sys.executable, *(["-c", PATIENT] if self._patient else ["-m", "magpieshift"])],
+            [
+                sys.executable,
+                *(["-c", LONG_TIMEOUTS_PROGRAM] if self._long_timeouts else ["-m", "magpieshift"]),
+            ],
             env=self.env(),
             stderr=self.log,
             cwd=ROOT,
         )
-        self.says("(?s)" + ".*event=ready" * (started + 1))
+        self.wait_for_log("(?s)" + ".*event=ready" * (started + 1))
         return self.process
 
     def __enter__(self) -> Program:
         return self
 
     def __exit__(self, *error: object) -> None:
-        for process in filter(None, (self.process, self.old)):
+        for process in filter(None, (self.process, self.replaced_process)):
             process.kill()
             process.wait()
         self.close()
         self.log.close()
         self.folder.cleanup()
 
-    def says(self, wanted: str) -> None:
-        end = time.monotonic() + PATIENCE_S
-        while not re.search(wanted, self.written()):
+    def wait_for_log(self, wanted: str) -> None:
+        end = time.monotonic() + WAIT_TIMEOUT_S
+        while not re.search(wanted, self.log_text()):
             if time.monotonic() > end or self.process.poll() not in (None, 0):
-                raise AssertionError(f"wanted {wanted!r} in the log, got {self.written()}")
+                raise AssertionError(f"wanted {wanted!r} in the log, got {self.log_text()}")
             time.sleep(0.01)
 
-    def written(self) -> str:
+    def log_text(self) -> str:
         self.log.seek(0)
         return self.log.read().decode()
 
@@ -313,20 +320,20 @@
                 try:
                     self._step(step)
                 except (AssertionError, OSError) as err:
-                    raise AssertionError(f"{name}.txt:{number}: {err}\n{self.written()}") from err
+                    raise AssertionError(f"{name}.txt:{number}: {err}\n{self.log_text()}") from err
 
     def _step(self, step: str) -> None:
         if step == "replace":
-            self.old = self.process
+            self.replaced_process = self.process
             self._start()
             return None
         if step.startswith("old "):
-            assert self.old is not None
-            self.process, self.old = self.old, self.process
+            assert self.replaced_process is not None
+            self.process, self.replaced_process = self.replaced_process, self.process
             try:
                 return self._step(step[4:])
             finally:
-                self.process, self.old = self.old, self.process
+                self.process, self.replaced_process = self.replaced_process, self.process
         if step == "kill":
             return self.process.kill()
         if step.startswith("given "):
@@ -334,7 +341,7 @@
         if step in ("freeze", "thaw"):
             return self.process.send_signal(signal.SIGSTOP if step == "freeze" else signal.SIGCONT)
         if step.startswith(("full ", "free ")):
-            return (self.fill if step.startswith("full") else self.free)(step[5:])
+            return (self.fill_backlog if step.startswith("full") else self.empty_backlog)(step[5:])
         if step == "term":
             return self.process.send_signal(signal.SIGTERM)
         if step.startswith("hup "):
@@ -344,11 +351,11 @@
             self.config.write_text(json.dumps(settings) if ports["log"] else "{")
             return self.process.send_signal(signal.SIGHUP)
         if step.startswith("exit "):
-            code = self.process.wait(PATIENCE_S)
+            code = self.process.wait(WAIT_TIMEOUT_S)
             assert code == int(step[5:]), f"exit code {code}"
             return None
         if step.startswith("pause "):
             return time.sleep(float(step[6:]))
         if step.startswith("says "):
-            return self.says(step[5:].strip()[1:-1])
-        return self.act(step)
+            return self.wait_for_log(step[5:].strip()[1:-1])
+        return self.run_step(step)
--- a/tests/test_config_transaction.py
+++ b/tests/test_config_transaction.py
@@ -15,26 +15,26 @@
 
 
 class FakePart:
-    def __init__(self, part: str, how: str) -> None:
-        self.part, self.how, self.runs_on = part, how, "old"
+    def __init__(self, part: str, behaviour: str) -> None:
+        self.part, self.behaviour, self.settings_in_force = part, behaviour, "old"
 
     def prepare(self, old: Document, new: Document) -> Commit | Awaitable[Commit]:
-        if self.how == "rejects":
+        if self.behaviour == "rejects":
             raise SettingsRejectedError("no")
-        if self.how == "raises":
+        if self.behaviour == "raises":
             raise ZeroDivisionError
-        if self.how == "never":
+        if self.behaviour == "never":
             return asyncio.get_running_loop().create_future()
-        return self._later() if self.how == "later" else self._commit
+        return self._later() if self.behaviour == "later" else self._commit
 
     async def _later(self) -> Commit:
         await asyncio.sleep(0)
         return self._commit
 
     def _commit(self) -> None:
-        if self.how == "fails to commit":
+        if self.behaviour == "fails to commit":
             raise ZeroDivisionError
-        self.runs_on = "new"
+        self.settings_in_force = "new"
 
     def running(self) -> dict[str, object]:
         return {}
@@ -43,27 +43,27 @@
 class Transactions(unittest.IsolatedAsyncioTestCase):
     async def test_every_combination_of_three_parts_answers(self) -> None:
         kinds = {"rejects": "part", "raises": "raised", "never": "late"}
-        for hows in itertools.product(["at once", "later", *kinds], repeat=3):
-            parts = [FakePart(f"p{i}", how) for i, how in enumerate(hows)]
-            first = next((how for how in hows if how in kinds), None)
-            with self.subTest(hows), mock.patch("magpieshift.config_transaction.log"):
+        for behaviours in itertools.product(["at once", "later", *kinds], repeat=3):
+            parts = [FakePart(f"p{i}", behaviour) for i, behaviour in enumerate(behaviours)]
+            first = next((each for each in behaviours if each in kinds), None)
+            with self.subTest(behaviours), mock.patch("magpieshift.config_transaction.log"):
                 if first is None:
                     prepared = await prepare(parts, DOCUMENT, DOCUMENT)
-                    self.assertEqual({part.runs_on for part in parts}, {"old"})
+                    self.assertEqual({part.settings_in_force for part in parts}, {"old"})
                     prepared.commit()
-                    self.assertEqual({part.runs_on for part in parts}, {"new"})
+                    self.assertEqual({part.settings_in_force for part in parts}, {"new"})
                     continue
                 timeout_s = 0.001 if first == "never" else 60.0  # a busy machine is no part that is late
                 with self.assertRaises(PreparationError) as caught:
                     await prepare(parts, DOCUMENT, DOCUMENT, timeout_s=timeout_s)
                 self.assertEqual(caught.exception.kind, kinds[first])
-                self.assertEqual({part.runs_on for part in parts}, {"old"})
+                self.assertEqual({part.settings_in_force for part in parts}, {"old"})
 
     async def test_a_part_that_fails_to_commit_does_not_keep_the_others_back(self) -> None:
         parts = [FakePart("a", "at once"), FakePart("b", "fails to commit"), FakePart("c", "at once")]
         with self.assertLogs("magpieshift.config_transaction", "ERROR"):
             (await prepare(parts, DOCUMENT, DOCUMENT)).commit()
-        self.assertEqual([part.runs_on for part in parts], ["new", "old", "new"])
+        self.assertEqual([part.settings_in_force for part in parts], ["new", "old", "new"])
 
 
 if __name__ == "__main__":
--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -15,17 +15,17 @@
 from magpieshift.early_signals import is_serving_command
 from magpieshift.lab.fault_injection.ports import free_ports
 from tests.control.test_program import FolderCase
-from tests.held_start import NO_NAME
-from tests.real.exchange import PATIENCE_S, ROOT
+from tests.held_start import ANY_NAME
+from tests.real.exchange import ROOT, WAIT_TIMEOUT_S
 
-LOOK_S = 0.01
+POLL_INTERVAL_S = 0.01
 """Between two looks at a process's log."""
 Step = tuple[str, str]
 """An audit event, and the module or file that it is about."""
 
 CLICK: Step = ("import", "click")
 GRPC: Step = ("import", "grpc")
-BIND: Step = ("socket.bind", NO_NAME)
+BIND: Step = ("socket.bind", ANY_NAME)
 ROUTER_STEPS: tuple[Step, ...] = (
     ("import", "magpieshift.cli.main"),
     CLICK,
@@ -40,17 +40,17 @@
 class HeldProcess:
     """A process that waits at a step of its start."""
 
-    def __init__(self, step: Step, words: list[str], folder: Path) -> None:
-        self.log = folder / f"{'-'.join(words[:2])}-{step[1]}.log".replace("/", "_")
+    def __init__(self, step: Step, arguments: list[str], folder: Path) -> None:
+        self.log = folder / f"{'-'.join(arguments[:2])}-{step[1]}.log".replace("/", "_")
         with self.log.open("wb") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "tests.held_start", *step, *words],
+                [sys.executable, "-m", "tests.held_start", *step, *arguments],
                 stdin=subprocess.PIPE,
                 stdout=subprocess.PIPE,
                 stderr=log,
                 cwd=ROOT,
             )
-        self._watchdog = threading.Timer(PATIENCE_S, self.process.kill)
+        self._watchdog = threading.Timer(WAIT_TIMEOUT_S, self.process.kill)
         self._watchdog.start()
 
     def wait_until_held(self) -> None:
@@ -69,7 +69,7 @@
         """End it, if it has not ended."""
         self._watchdog.cancel()
         self.process.kill()
-        self.process.wait(PATIENCE_S)
+        self.process.wait(WAIT_TIMEOUT_S)
         for stream in (self.process.stdin, self.process.stdout):
             assert stream is not None
             with suppress(BrokenPipeError):
@@ -77,13 +77,13 @@
 
 
 class EarlySignals(FolderCase):
-    def held(self, step: Step, words: list[str]) -> HeldProcess:
-        held = HeldProcess(step, words, self.folder)
+    def start_held(self, step: Step, arguments: list[str]) -> HeldProcess:
+        held = HeldProcess(step, arguments, self.folder)
         self.addCleanup(held.close)
         held.wait_until_held()
         return held
 
-    def router_words(self) -> list[str]:
+    def router_arguments(self) -> list[str]:
         start = self.folder / "start.sexp"
         start.write_text(sexp.format_document(self.settings()))
         return [
@@ -96,7 +96,7 @@
             "127.0.0.1:9",
         ]
 
-    def service_words(self) -> list[list[str]]:
+    def service_arguments(self) -> list[list[str]]:
         versions = self.folder / "versions"
         versions.mkdir()
         listen = f"127.0.0.1:{free_ports(1)[0]}"
@@ -106,64 +106,76 @@
             ["control", "serve", str(versions), "--listen", listen],
         ]
 
-    def says(self, held: HeldProcess, text: str) -> None:
+    def wait_for_log(self, held: HeldProcess, text: str) -> None:
         """Wait until the process has written this; its end before that is a failure."""
         with held.log.open() as log:
             written = ""
             while text not in written:
-                time.sleep(LOOK_S)
+                time.sleep(POLL_INTERVAL_S)
                 ended = held.process.poll() is not None  # the watchdog ends one that never says it
                 written += log.read()
                 self.assertFalse(ended and text not in written, written)
 
     def test_sigterm_at_any_step_of_the_start_ends_with_0(self) -> None:
         """Guards against a process that SIGTERM ends with -15 while it starts."""
-        forms = [(self.router_words(), ROUTER_STEPS)]
-        forms += [(words, SERVICE_STEPS) for words in self.service_words()]
-        for words, steps in forms:
+        forms = [(self.router_arguments(), ROUTER_STEPS)]
+        forms += [(arguments, SERVICE_STEPS) for arguments in self.service_arguments()]
+        for arguments, steps in forms:
             for step in steps:
-                with self.subTest(words=words[:2], step=step):
-                    held = self.held(step, words)
+                with self.subTest(arguments=arguments[:2], step=step):
+                    held = self.start_held(step, arguments)
                     held.process.send_signal(signal.SIGHUP)  # must not end it before
                     held.process.terminate()
                     held.release()  # the event loop handles signals in its next turn
-                    self.assertEqual(held.process.wait(PATIENCE_S), 0, held.log.read_text())
+                    self.assertEqual(held.process.wait(WAIT_TIMEOUT_S), 0, held.log.read_text())
 
     def test_sighup_at_any_step_of_a_routers_start_reloads_once_it_serves(self) -> None:
         """Guards against a router that a reload of all ends with -1 while it starts."""
-        words = self.router_words()
+        arguments = self.router_arguments()
         for step in ROUTER_STEPS:
             with self.subTest(step=step):
-                held = self.held(step, words)
+                held = self.start_held(step, arguments)
                 for _ in range(2):  # in series
                     held.process.send_signal(signal.SIGHUP)
                 held.release()
-                self.says(held, "event=ready")
-                self.says(held, 'event="configuration unchanged"')
+                self.wait_for_log(held, "event=ready")
+                self.wait_for_log(held, 'event="configuration unchanged"')
                 for _ in range(2):
                     held.process.terminate()
-                self.assertEqual(held.process.wait(PATIENCE_S), 0, held.log.read_text())
+                self.assertEqual(held.process.wait(WAIT_TIMEOUT_S), 0, held.log.read_text())
 
     def test_sighup_never_ends_a_relay_or_a_control_service(self) -> None:
         """Guards against services of the tier that a SIGHUP ends, while they start and while they serve."""
-        for words in self.service_words():
-            with self.subTest(words=words[:2]):
-                held = self.held(GRPC, words)
+        for arguments in self.service_arguments():
+            with self.subTest(arguments=arguments[:2]):
+                held = self.start_held(GRPC, arguments)
                 held.process.send_signal(signal.SIGHUP)
                 held.release()
-                self.says(held, 'event="reload ignored"')
+                self.wait_for_log(held, 'event="reload ignored"')
                 held.process.send_signal(signal.SIGHUP)
                 for _ in range(2):
                     held.process.terminate()
-                self.assertEqual(held.process.wait(PATIENCE_S), 0, held.log.read_text())
+                self.assertEqual(held.process.wait(WAIT_TIMEOUT_S), 0, held.log.read_text())
 
 
 class ServingCommands(unittest.TestCase):
     def test_only_what_serves_ends_with_0_at_a_signal(self) -> None:
         """A check that is broken off must not pass for one that has succeeded."""
-        for words in ([], ["run"], ["run", "--config", "x"], ["relay", "serve", "-h"], ["control", "serve"]):
+        for words in (
+            [],
+            ["run"],
+            ["run", "--config", "x"],
+            ["relay", "serve", "-h"],
+            ["control", "serve"],
+        ):
             self.assertTrue(is_serving_command(words), words)
-        for words in (["config", "check"], ["relay", "status"], ["rollout", "start"], ["lab"], ["control"]):
+        for words in (
+            ["config", "check"],
+            ["relay", "status"],
+            ["rollout", "start"],
+            ["lab"],
+            ["control"],
+        ):
             self.assertFalse(is_serving_command(words), words)
 
 
--- a/tests/test_edge_router.py
+++ b/tests/test_edge_router.py
@@ -21,128 +21,128 @@
 from magpieshift.policy.events import PurgeReceived, RequestReceived
 from magpieshift.sockets import MAX_LINGERING
 from tests.downstream.server_case import request
-from tests.real.exchange import PATIENCE_S, ROOT, Program, Within, config
+from tests.real.exchange import ROOT, WAIT_TIMEOUT_S, Program, RouterHarness, config
 
-FIELDS = "tag=4b,minted=1764576000000,how=warm,stats=inflight:7;util:0.61;x1:0.2"
-ASK = {stream: request(stream, i=f"{stream:016x}", d="30000").hex() for stream in range(1, 40)}
-ORIGIN_ASKED = {n: rf'"ASK {n:016x} class=basket," /[^\r]*\r\n\r\n/' for n in (1, 2)}
-ORIGIN_DATA = {n: rf'"{n:016x} data {FIELDS} 4\r\ncopy\r\n"' for n in (1, 2)}
+ANSWER_FIELDS = "tag=4b,minted=1764576000000,how=warm,stats=inflight:7;util:0.61;x1:0.2"
+READ = {stream: request(stream, i=f"{stream:016x}", d="30000").hex() for stream in range(1, 40)}
+ORIGIN_RECEIVES = {n: rf'"ASK {n:016x} class=basket," /[^\r]*\r\n\r\n/' for n in (1, 2)}
+ORIGIN_ANSWERS = {n: rf'"{n:016x} data {ANSWER_FIELDS} 4\r\ncopy\r\n"' for n in (1, 2)}
 WRITE = {n: request(n, i=f"{n:016x}", d="30000", c="basket", k="5c0f").hex() for n in (1, 2)}
-STREAM = r'"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"'
-PURGE = r'''"id: 3\ndata: {\"seq\":3,\"invalidate\":{\"bucket\":17,\"time\":1764576000480}}"'''
-REFUSED = r"/(\x05\x00\x00\x00\x06\x00\x00\x00\x00)?.\x00\x00\x00\x02\x01\x00\x00\x00\x42.*/"
-READY_ASKED, READY = "06000000 04 09000000 00", "07000000 05 09000000 4f 00"
-CACHE_ASKED = r'"ASK 0000000000000001 class=picture," /[^\r]*\r\n\r\n/'
-CACHE_DATA = rf'"0000000000000001 data {FIELDS} 4\r\ncopy\r\n"'
+STREAM_HEAD = r'"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"'
+PURGE_EVENT = r'''"id: 3\ndata: {\"seq\":3,\"invalidate\":{\"bucket\":17,\"time\":1764576000480}}"'''
+REJECTED = r"/(\x05\x00\x00\x00\x06\x00\x00\x00\x00)?.\x00\x00\x00\x02\x01\x00\x00\x00\x42.*/"
+READINESS_REQUEST, READINESS = "06000000 04 09000000 00", "07000000 05 09000000 4f 00"
+CACHE_RECEIVES = r'"ASK 0000000000000001 class=picture," /[^\r]*\r\n\r\n/'
+CACHE_ANSWERS = rf'"0000000000000001 data {ANSWER_FIELDS} 4\r\ncopy\r\n"'
 SERVED_2 = '0b000000 02 02000000 4f 00 "copy"'
 SERVED = '0b000000 02 01000000 4f 00 "copy"'
-NO_MORE = "05000000 06 00000000"
+GO_AWAY = "05000000 06 00000000"
 
 
 class Shutdown(unittest.IsolatedAsyncioTestCase):
-    async def end(self, router: Within, meanwhile: Any) -> None:
+    async def shut_down(self, router: RouterHarness, meanwhile: Any) -> None:
         """Shut the router down, doing this when nothing is open and its sockets are about to be closed."""
         with mock.patch.object(router.router.engine, "answer_all", side_effect=meanwhile):
             router.router.stop()
             assert router.ending is not None
-            await asyncio.wait_for(asyncio.shield(router.ending), PATIENCE_S)
+            await asyncio.wait_for(asyncio.shield(router.ending), WAIT_TIMEOUT_S)
 
     async def test_a_request_that_comes_as_sockets_are_closed_is_rejected_and_not_reset(self) -> None:
-        async with Within() as router:
-            await router.play(f"client+\nclient> {READY_ASKED}\nclient< {READY}")
-            await self.end(router, lambda: router.act(f"client> {ASK[1]}"))
-            await router.play(f"client< {NO_MORE}\nclient< {REFUSED}\nclient.")
+        async with RouterHarness() as router:
+            await router.play(f"client+\nclient> {READINESS_REQUEST}\nclient< {READINESS}")
+            await self.shut_down(router, lambda: router.run_step(f"client> {READ[1]}"))
+            await router.play(f"client< {GO_AWAY}\nclient< {REJECTED}\nclient.")
 
     async def test_a_client_in_the_listen_backlog_is_answered(self) -> None:
-        async with Within() as router:
+        async with RouterHarness() as router:
 
-            def come() -> None:
-                router.act("client+")
-                router.act(f"client> {ASK[1]}")
+            def connect_and_send() -> None:
+                router.run_step("client+")
+                router.run_step(f"client> {READ[1]}")
 
-            await self.end(router, come)
-            await router.play(f"client< {REFUSED}\nclient.")
+            await self.shut_down(router, connect_and_send)
+            await router.play(f"client< {REJECTED}\nclient.")
 
-    async def test_what_crosses_the_close_does_not_destroy_the_last_answer(self) -> None:
-        async with Within() as router:
-            await router.play(f"client+\nclient> {READY_ASKED}\nclient< {READY}")
+    async def test_frames_that_cross_the_close_do_not_destroy_the_last_answer(self) -> None:
+        async with RouterHarness() as router:
+            await router.play(f"client+\nclient> {READINESS_REQUEST}\nclient< {READINESS}")
             (client_connection,) = router.router._downstream._connections
             client_connection.send_go_away()
             client_connection.close()
             for stream in (1, 2):  # the first alone would be answered by a reset, and the second see it
-                router.act(f"client> {ASK[stream]}")
+                router.run_step(f"client> {READ[stream]}")
             await asyncio.sleep(0)
-            await router.play(f"client< {NO_MORE}\nclient.")
+            await router.play(f"client< {GO_AWAY}\nclient.")
             self.assertEqual(router.router.engine.requests_taken, 0)
 
     async def test_more_connections_than_may_linger_at_other_times_linger_at_the_end(self) -> None:
-        async with Within() as router:
-            many = range(MAX_LINGERING + 4)
-            for i in many:
-                router.act(f"client{i}+")
+        async with RouterHarness() as router:
+            indexes = range(MAX_LINGERING + 4)
+            for i in indexes:
+                router.run_step(f"client{i}+")
             downstream = router.router._downstream
-            await router.until(lambda: downstream.connection_count == len(many))
-            ending = asyncio.ensure_future(downstream.shut_down(PATIENCE_S))
+            await router.until(lambda: downstream.connection_count == len(indexes))
+            ending = asyncio.ensure_future(downstream.shut_down(WAIT_TIMEOUT_S))
             await router.until(lambda: not downstream.connection_count)
-            for i in many:
+            for i in indexes:
                 for stream in (1, 2):
-                    router.act(f"client{i}> {ASK[stream]}")
+                    router.run_step(f"client{i}> {READ[stream]}")
                 await router.play(f"client{i}.")
-            for i in many:
-                router.act(f"client{i}-")
-            await asyncio.wait_for(ending, PATIENCE_S)
+            for i in indexes:
+                router.run_step(f"client{i}-")
+            await asyncio.wait_for(ending, WAIT_TIMEOUT_S)
 
     async def test_a_shutdown_before_the_start_is_complete_closes_at_once(self) -> None:
-        router = Within()
+        router = RouterHarness()
         router.router.stop()
-        await asyncio.wait_for(router.router.run(), PATIENCE_S)
+        await asyncio.wait_for(router.router.run(), WAIT_TIMEOUT_S)
         with self.assertRaises(ConnectionRefusedError):
-            router.act("client+")
+            router.run_step("client+")
         router.close()
 
 
 class IdleConnections(unittest.IsolatedAsyncioTestCase):
     async def test_a_request_that_has_come_keeps_an_idle_connection(self) -> None:
         """It came in the very turn in which its connection was closed: at the limit, or as long idle."""
-        async with Within() as router:
+        async with RouterHarness() as router:
             downstream = router.router._downstream
-            await router.play(f"client+\nclient> {READY_ASKED}\nclient< {READY}")
-            router.act(f"client> {ASK[1]}")
+            await router.play(f"client+\nclient> {READINESS_REQUEST}\nclient< {READINESS}")
+            router.run_step(f"client> {READ[1]}")
             with mock.patch.object(server, "MAX_IDLE_S", -1.0):
                 downstream.close_expired()
             downstream.max_connections = 1
-            router.act("client2+")
-            await router.play(f"cache+\ncache< {CACHE_ASKED}\nclient2.")
-            await router.play(f"cache> {CACHE_DATA}\nclient< {SERVED}")
+            router.run_step("client2+")
+            await router.play(f"cache+\ncache< {CACHE_RECEIVES}\nclient2.")
+            await router.play(f"cache> {CACHE_ANSWERS}\nclient< {SERVED}")
 
     async def test_an_incomplete_frame_costs_no_answer_to_earlier_requests(self) -> None:
-        async with Within() as router:
-            await router.play(f"client+\nclient> {ASK[1]}\ncache+\ncache< {CACHE_ASKED}")
-            router.act(f"client> {ASK[2][:20]}")
+        async with RouterHarness() as router:
+            await router.play(f"client+\nclient> {READ[1]}\ncache+\ncache< {CACHE_RECEIVES}")
+            router.run_step(f"client> {READ[2][:20]}")
             await router.until(lambda: router.router._downstream.held_bytes > 0)
             with mock.patch.object(server, "INCOMPLETE_FRAME_TIMEOUT_S", -1.0):
                 router.router._downstream.close_expired()
             reason = '1e00000002000000004500 "frame not whole in time"'
-            await router.play(f"client< {reason}\ncache> {CACHE_DATA}\nclient< {SERVED}\nclient.")
+            await router.play(f"client< {reason}\ncache> {CACHE_ANSWERS}\nclient< {SERVED}\nclient.")
 
 
 class Disconnects(unittest.IsolatedAsyncioTestCase):
     async def test_a_client_that_reads_nothing_can_cancel_and_disconnect(self) -> None:
         """Its connection was not read while its answers stood above the high-water mark: attempts were
         started after it had disconnected."""
-        copies = 30
-        async with Within() as router:
+        answer_count = 30
+        async with RouterHarness() as router:
             engine = router.router.engine
-            await router.play(f"client+\nclient> {ASK[1]}\ncache+")
+            await router.play(f"client+\nclient> {READ[1]}\ncache+")
             cache = router.peers["cache"].sock
 
             def answer() -> None:
-                for stream in range(1, copies + 1):
+                for stream in range(1, answer_count + 1):
                     if stream > 1:
-                        router.act(f"client> {ASK[stream]}")
-                    router.act(f'cache< "ASK {stream:016x} " /[^\\r]*\\r\\n\\r\\n/')
+                        router.run_step(f"client> {READ[stream]}")
+                    router.run_step(f'cache< "ASK {stream:016x} " /[^\\r]*\\r\\n\\r\\n/')
                     body = bytes(240_000) + b"\r\n"
-                    cache.sendall(f"{stream:016x} data {FIELDS} 240000\r\n".encode() + body)
+                    cache.sendall(f"{stream:016x} data {ANSWER_FIELDS} 240000\r\n".encode() + body)
 
             with mock.patch.object(connection, "HIGH_WATER_BYTES", 1 << 24):
                 await asyncio.to_thread(answer)
@@ -151,48 +151,48 @@
                     lambda: engine.open_requests == 0 and router.router._downstream.held_bytes > 1 << 16
                 )
                 for stream in (31, 32):
-                    router.act(f"client> {ASK[stream]}")
+                    router.run_step(f"client> {READ[stream]}")
                 await router.until(lambda: engine.open_requests == 2)
-                router.act(f"client> {frame_head(FrameType.CANCEL, 31).hex()}")
+                router.run_step(f"client> {frame_head(FrameType.CANCEL, 31).hex()}")
                 await router.until(lambda: engine.open_requests == 1)
-                router.act("client^")
+                router.run_step("client^")
                 await router.until(lambda: engine.open_requests == 0)
-            router.act("client2+")
-            router.act(f"client2> {ASK[1]}")
-            await router.play(f"cache< {CACHE_ASKED}")  # and nothing for those two before it
+            router.run_step("client2+")
+            router.run_step(f"client2> {READ[1]}")
+            await router.play(f"cache< {CACHE_RECEIVES}")  # and nothing for those two before it
 
-    def over(self, engine: Engine, taken: int) -> bool:
+    def is_finished(self, engine: Engine, taken: int) -> bool:
         return engine.requests_taken == taken and engine.open_requests == 0
 
     async def test_nothing_is_written_for_a_client_that_disconnects_right_before(self) -> None:
         """A busy loop read the disconnect only after the write, so the request was forwarded all the same."""
-        async with Within() as router:
-            module = router.router.engine.policy_calls.policy
-            decide = module.handle
+        async with RouterHarness() as router:
+            policy = router.router.engine.policy_calls.policy
+            original_handle = policy.handle
             for ending in ("~", "^", "-", f"> {frame_head(FrameType.CANCEL, 1).hex()}"):
-                await router.play(f"client+\nclient> {READY_ASKED}\nclient< {READY}")
+                await router.play(f"client+\nclient> {READINESS_REQUEST}\nclient< {READINESS}")
 
-                def go_first(now_us: int, events: Any, ending: str = ending) -> Any:
+                def disconnect_first(now_us: int, events: Any, ending: str = ending) -> Any:
                     if any(isinstance(event, RequestReceived) for event in events):
-                        router.act(f"client{ending}")
-                    return decide(now_us, events)
+                        router.run_step(f"client{ending}")
+                    return original_handle(now_us, events)
 
                 engine = router.router.engine
                 wanted = engine.requests_taken + 1
-                with mock.patch.object(module, "handle", go_first):
-                    router.act(f"client> {ASK[1]}")
-                    await router.until(partial(self.over, engine, wanted))
-            await router.play(f"client2+\nclient2> {ASK[2]}\ncache+")
+                with mock.patch.object(policy, "handle", disconnect_first):
+                    router.run_step(f"client> {READ[1]}")
+                    await router.until(partial(self.is_finished, engine, wanted))
+            await router.play(f"client2+\nclient2> {READ[2]}\ncache+")
             await router.play('cache< "ASK 0000000000000002 class=picture," /[^\\r]*\\r\\n\\r\\n/')
 
     async def test_a_client_that_half_closes_or_resets_has_disconnected(self) -> None:
-        async with Within() as router:
+        async with RouterHarness() as router:
             for ending in "~^-":
-                router.act("client+")
-                router.act(f"client> {ASK[1]}")
-                router.act(f"client{ending}")  # behind the request, before it was read
+                router.run_step("client+")
+                router.run_step(f"client> {READ[1]}")
+                router.run_step(f"client{ending}")  # behind the request, before it was read
                 await router.until(lambda: not router.router._downstream.connection_count)
-            await router.play(f"client2+\nclient2> {ASK[2]}\ncache+")
+            await router.play(f"client2+\nclient2> {READ[2]}\ncache+")
             await router.play('cache< "ASK 0000000000000002 class=picture," /[^\\r]*\\r\\n\\r\\n/')
 
 
@@ -201,81 +201,81 @@
         """A router was paused past the end of its lease, with an attempt already decided."""
         limit = mock.Mock(return_value=0)
         asked = r'cache< "ASK %016x class=picture," /[^\r]*/ ",part=0,wait=" /\d+/ ",tier=1%s 0\r\n\r\n"'
-        async with Within(**{"Caps.ConnectTimeoutUs": "10000000"}) as router:
+        async with RouterHarness(**{"Caps.ConnectTimeoutUs": "10000000"}) as router:
             router.router.engine.copy_age_limit = limit
-            await asyncio.to_thread(router.fill, "cache")
-            await router.play(f"client+\nclient> {ASK[1]}\nclient> {ASK[2]}")
+            await asyncio.to_thread(router.fill_backlog, "cache")
+            await router.play(f"client+\nclient> {READ[1]}\nclient> {READ[2]}")
             await router.until(lambda: limit.call_count == 2)  # both are decided on
             limit.side_effect = [5_000_000, 0]  # it has come by the first write, and gone by the second
-            router.free("cache")
+            router.empty_backlog("cache")
             await router.play(f"cache+\n{asked % (1, ',fresh=5000')}\n{asked % (2, '')}")
             self.assertEqual(limit.call_count, 4)
 
     async def test_a_connection_closed_right_before_the_write_is_not_written_to(self) -> None:
         """A request that must not repeat failed: after a reset it has to count as executed."""
-        async with Within(**{"Classes.1.Effect": '"single_shot"'}) as router:
-            await router.play(f"client+\nclient> {WRITE[1]}\norigin+\norigin< {ORIGIN_ASKED[1]}")
-            await router.play(f"origin> {ORIGIN_DATA[1]}\nclient< {SERVED}")
-            module = router.router.engine.policy_calls.policy
-            decide = module.handle
+        async with RouterHarness(**{"Classes.1.Effect": '"single_shot"'}) as router:
+            await router.play(f"client+\nclient> {WRITE[1]}\norigin+\norigin< {ORIGIN_RECEIVES[1]}")
+            await router.play(f"origin> {ORIGIN_ANSWERS[1]}\nclient< {SERVED}")
+            policy = router.router.engine.policy_calls.policy
+            original_handle = policy.handle
 
             def close_first(now_us: int, events: Any) -> Any:
                 if "origin" in router.peers:
-                    router.act("origin-")
-                return decide(now_us, events)
+                    router.run_step("origin-")
+                return original_handle(now_us, events)
 
-            with mock.patch.object(module, "handle", close_first):
-                await router.play(f"client> {WRITE[2]}\norigin2+\norigin2< {ORIGIN_ASKED[2]}")
-            await router.play(f"origin2> {ORIGIN_DATA[2]}\nclient< {SERVED_2}")
+            with mock.patch.object(policy, "handle", close_first):
+                await router.play(f"client> {WRITE[2]}\norigin2+\norigin2< {ORIGIN_RECEIVES[2]}")
+            await router.play(f"origin2> {ORIGIN_ANSWERS[2]}\nclient< {SERVED_2}")
 
     async def test_a_late_second_answer_is_not_that_of_the_retry(self) -> None:
-        async with Within() as router:
-            await router.play(f"client+\nclient> {WRITE[1]}\norigin+\norigin< {ORIGIN_ASKED[1]}")
+        async with RouterHarness() as router:
+            await router.play(f"client+\nclient> {WRITE[1]}\norigin+\norigin< {ORIGIN_RECEIVES[1]}")
             failed = r'"0000000000000001 failed - 0\r\n\r\n"'
-            await router.play(f"origin> {failed}\norigin2+\norigin2< {ORIGIN_ASKED[1]}\norigin> {failed}")
-            await router.play(f"origin2> {ORIGIN_DATA[1]}\nclient< {SERVED}")
+            await router.play(f"origin> {failed}\norigin2+\norigin2< {ORIGIN_RECEIVES[1]}\norigin> {failed}")
+            await router.play(f"origin2> {ORIGIN_ANSWERS[1]}\nclient< {SERVED}")
 
     async def test_nothing_is_sent_behind_an_answer_that_does_not_end(self) -> None:
-        async with Within() as router:
-            await router.play(f"client+\nclient> {ASK[1]}\ncache+\ncache< {CACHE_ASKED}")
-            await router.play(f'cache> "0000000000000001 data {FIELDS} 9\\r\\nco"')
+        async with RouterHarness() as router:
+            await router.play(f"client+\nclient> {READ[1]}\ncache+\ncache< {CACHE_RECEIVES}")
+            await router.play(f'cache> "0000000000000001 data {ANSWER_FIELDS} 9\\r\\nco"')
             (pool,) = (p for p in router.router._pool._pools.values() if p.connections)
             await router.until(lambda: pool.connections[0].exchanges.is_receiving("0000000000000001"))
             await router.play(
                 f'client> {frame_head(FrameType.CANCEL, 1).hex()}\ncache< "QUIT 0000000000000001\\r\\n"'
             )
-            await router.play(f"client> {ASK[2]}\ncache2+")
+            await router.play(f"client> {READ[2]}\ncache2+")
             await router.play('cache2< "ASK 0000000000000002 class=picture," /[^\\r]*\\r\\n\\r\\n/')
 
 
 class ChangeLogs(unittest.IsolatedAsyncioTestCase):
     async def test_a_change_log_that_answers_and_closes_is_polled_with_backoff(self) -> None:
-        async with Within() as router:
-            feed = router.router._change_log_client
+        async with RouterHarness() as router:
+            change_log_client = router.router._change_log_client
             for _ in range(10):
-                await router.play(f"log+\nlog< /.*\\r\\n\\r\\n/\nlog> {STREAM}\nlog-")
-            await router.until(lambda: feed.backoff_s == client.MAX_BACKOFF_S)
-            await router.play(f'log+\nlog< /.*\\r\\n\\r\\n/\nlog> {STREAM}\nlog> {PURGE} "\\n\\n"')
-            await router.until(lambda: feed.changes.last_sequence == 3)
+                await router.play(f"log+\nlog< /.*\\r\\n\\r\\n/\nlog> {STREAM_HEAD}\nlog-")
+            await router.until(lambda: change_log_client.backoff_s == client.MAX_BACKOFF_S)
+            await router.play(f'log+\nlog< /.*\\r\\n\\r\\n/\nlog> {STREAM_HEAD}\nlog> {PURGE_EVENT} "\\n\\n"')
+            await router.until(lambda: change_log_client.changes.last_sequence == 3)
             await router.play("log-")
-            await router.until(lambda: feed.backoff_s == client.MIN_BACKOFF_S)
+            await router.until(lambda: change_log_client.backoff_s == client.MIN_BACKOFF_S)
 
     async def test_the_purges_of_a_chunk_are_one_batch_and_one_line(self) -> None:
         purges, batches = range(3, 43), list[int]()
         event = r'''"id: %d\ndata: {\"seq\":%d,\"invalidate\":{\"bucket\":17,\"time\":1764576000480}}\n\n"'''
         chunk = " ".join(event % (seq, seq) for seq in purges)
-        async with Within() as router:
-            module = router.router.engine.policy_calls.policy
-            decide = module.handle
+        async with RouterHarness() as router:
+            policy = router.router.engine.policy_calls.policy
+            original_handle = policy.handle
 
             def count(now_us: int, events: Any) -> Any:
                 if purged := sum(isinstance(event, PurgeReceived) for event in events):
                     batches.append(purged)
-                return decide(now_us, events)
+                return original_handle(now_us, events)
 
-            await router.play(f"log+\nlog< /.*\\r\\n\\r\\n/\nlog> {STREAM}")
+            await router.play(f"log+\nlog< /.*\\r\\n\\r\\n/\nlog> {STREAM_HEAD}")
             with (
-                mock.patch.object(module, "handle", count),
+                mock.patch.object(policy, "handle", count),
                 self.assertLogs("magpieshift.discovery.changes", "INFO") as logs,
             ):
                 await router.play(f"log> {chunk}")
@@ -288,9 +288,9 @@
         )
 
     async def test_an_incomplete_event_is_no_sign_of_life_though_comments_come(self) -> None:
-        async with Within() as router:
+        async with RouterHarness() as router:
             with mock.patch.object(client, "SILENCE_TIMEOUT_S", 0.3):
-                await router.play(f"log+\nlog< /.*\\r\\n\\r\\n/\nlog> {STREAM}\nlog> {PURGE}")
+                await router.play(f"log+\nlog< /.*\\r\\n\\r\\n/\nlog> {STREAM_HEAD}\nlog> {PURGE_EVENT}")
                 log = router.peers["log"].sock
                 log.setblocking(False)
                 log.send(b"\n")
@@ -305,33 +305,33 @@
     def test_without_descriptors_for_an_endpoint_a_request_is_rejected_at_once(self) -> None:
         """Its attempt stayed in flight, without a connection, until its timeout."""
         with Program() as program:
-            program.act("client+")
-            program.act(f"client> {READY_ASKED}")
-            program.act(f"client< {READY}")
+            program.run_step("client+")
+            program.run_step(f"client> {READINESS_REQUEST}")
+            program.run_step(f"client< {READINESS}")
             fds = Path(f"/proc/{program.process.pid}/fd")
             lowest = next(n for n in range(1000) if not (fds / str(n)).exists())
             _, hard = resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE)
             resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (lowest, hard))
-            program.act(f"client> {ASK[1]}")
-            program.act(f"client< {REFUSED}")
+            program.run_step(f"client> {READ[1]}")
+            program.run_step(f"client< {REJECTED}")
 
     def test_without_descriptors_idle_connections_are_closed(self) -> None:
         """The listener stayed readable, and the process did nothing else but fail to accept."""
         with Program() as program:
             fds = Path(f"/proc/{program.process.pid}/fd")
-            program.act("client+")
-            program.act(f"client> {READY_ASKED}")
-            program.act(f"client< {READY}")
+            program.run_step("client+")
+            program.run_step(f"client> {READINESS_REQUEST}")
+            program.run_step(f"client< {READINESS}")
             held = len(list(fds.iterdir()))
             lowest = next(n for n in range(held + 1) if not (fds / str(n)).exists())
             soft, hard = resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE)
             resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (lowest, hard))
-            program.act("client2+")
-            program.act(f"client2> {READY_ASKED}")
-            program.act(f"client2< {READY}")
-            program.act("client.")
+            program.run_step("client2+")
+            program.run_step(f"client2> {READINESS_REQUEST}")
+            program.run_step(f"client2< {READINESS}")
+            program.run_step("client.")
             resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (soft, hard))
-            self.assertLess(program.written().count("connection not accepted"), 20)
+            self.assertLess(program.log_text().count("connection not accepted"), 20)
 
 
 class Signals(unittest.TestCase):
@@ -355,16 +355,16 @@
             starting = self.start(program, "-m", "magpieshift", EDGE_CONFIG=str(path))
             with path.open("w"):  # it has come to read it, and waits
                 starting.terminate()
-                self.assertEqual(starting.wait(PATIENCE_S), 0)
+                self.assertEqual(starting.wait(WAIT_TIMEOUT_S), 0)
 
     def test_a_second_sigterm_after_the_loop_has_ended_does_not_kill_the_process(self) -> None:
         again = "import os, sys; from magpieshift import app; code = app.main(); os.kill(os.getpid(), 15)"
         with Program() as program:
             ending = self.start(program, "-c", f"{again}; sys.exit(code)")
-            program.says("(?s)" + ".*event=ready" * 2)
+            program.wait_for_log("(?s)" + ".*event=ready" * 2)
             for _ in range(2):
                 ending.terminate()
-            self.assertEqual(ending.wait(PATIENCE_S), 0)
+            self.assertEqual(ending.wait(WAIT_TIMEOUT_S), 0)
 
     def test_a_sighup_before_the_router_runs_reloads(self) -> None:
         """The file read may have been the old one; and the unhandled signal killed the process."""
@@ -377,9 +377,9 @@
                 moved.replace(path)
                 starting.send_signal(signal.SIGHUP)
                 pipe.write(program.config.read_text())
-            program.says(f'event="configuration reloaded" changelog={program.ports["moved"]}')
+            program.wait_for_log(f'event="configuration reloaded" changelog={program.ports["moved"]}')
             starting.terminate()
-            self.assertEqual(starting.wait(PATIENCE_S), 0)
+            self.assertEqual(starting.wait(WAIT_TIMEOUT_S), 0)
 
 
 if __name__ == "__main__":
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -15,52 +15,54 @@
 class LifecycleTest(unittest.TestCase):
     def setUp(self) -> None:
         self.now = 0
-        self.life = Lifecycle(lambda: self.now)
+        self.lifecycle = Lifecycle(lambda: self.now)
 
     def test_each_command_in_each_state(self) -> None:
         """What the admin server answers, and the state after it; None for ERR."""
         calls = ("ping", "lame_duck", "rejoin", "begin_shutdown")
-        wanted = {
+        expected = {
             State.STARTING: (None, None, None, State.ENDING),
             State.SERVING: (State.SERVING, State.LAME_DUCK, State.SERVING, State.ENDING),
             State.LAME_DUCK: (State.LAME_DUCK, State.LAME_DUCK, State.SERVING, State.ENDING),
             State.ENDING: (None, State.ENDING, None, State.ENDING),
         }
-        for state, after in wanted.items():
-            for call, then in zip(calls, after, strict=True):
+        for state, after in expected.items():
+            for call, expected_state in zip(calls, after, strict=True):
                 with self.subTest(state=state, call=call):
-                    life = Lifecycle(lambda: 0)
-                    life.state = state
+                    lifecycle = Lifecycle(lambda: 0)
+                    lifecycle.state = state
                     try:
-                        said = getattr(life, call)()
+                        answer = getattr(lifecycle, call)()
                     except InvalidStateError:
-                        said, life.state = None, life.state
-                        self.assertEqual((then, life.state), (None, state))
+                        answer, lifecycle.state = None, lifecycle.state
+                        self.assertEqual((expected_state, lifecycle.state), (None, state))
                     else:
-                        self.assertEqual(life.state, then)
-                        self.assertIn(said, (None, life.state_name))
+                        self.assertEqual(lifecycle.state, expected_state)
+                        self.assertIn(answer, (None, lifecycle.state_name))
 
-    def test_its_time_begins_with_the_first_command(self) -> None:
-        self.life.start_completed()
-        self.life.lame_duck()
+    def test_the_drain_time_starts_at_the_first_command(self) -> None:
+        self.lifecycle.start_completed()
+        self.lifecycle.lame_duck()
         self.now = ARRIVALS_SETTLED_US
-        self.life.lame_duck()
-        self.assertEqual((self.life.arrivals_settled, self.life.rejects_requests), (True, False))
+        self.lifecycle.lame_duck()
+        self.assertEqual((self.lifecycle.arrivals_settled, self.lifecycle.rejects_requests), (True, False))
         self.now = SERVE_WHILE_DRAINING_US
-        self.assertEqual((self.life.rejects_requests, self.life.cuts_incomplete_requests), (True, False))
-        self.life.rejoin()
-        self.assertEqual((self.life.is_ready, self.life.rejects_requests), (True, False))
-        self.life.lame_duck()
-        self.assertEqual((self.life.is_ready, self.life.rejects_requests), (False, False))
+        self.assertEqual(
+            (self.lifecycle.rejects_requests, self.lifecycle.cuts_incomplete_requests), (True, False)
+        )
+        self.lifecycle.rejoin()
+        self.assertEqual((self.lifecycle.is_ready, self.lifecycle.rejects_requests), (True, False))
+        self.lifecycle.lame_duck()
+        self.assertEqual((self.lifecycle.is_ready, self.lifecycle.rejects_requests), (False, False))
         self.now += CUT_INCOMPLETE_US
-        self.assertTrue(self.life.cuts_incomplete_requests)
+        self.assertTrue(self.lifecycle.cuts_incomplete_requests)
 
     def test_a_shutdown_before_the_start_is_complete_stays_one(self) -> None:
-        self.life.begin_shutdown()
-        self.life.start_completed()
-        self.assertEqual((self.life.state, self.life.is_ready), (State.ENDING, False))
-        self.life.replacement_serves = True  # the other process takes who asks here
-        self.assertTrue(self.life.is_ready)
+        self.lifecycle.begin_shutdown()
+        self.lifecycle.start_completed()
+        self.assertEqual((self.lifecycle.state, self.lifecycle.is_ready), (State.ENDING, False))
+        self.lifecycle.replacement_serves = True  # the other process takes who asks here
+        self.assertTrue(self.lifecycle.is_ready)
 
 
 if __name__ == "__main__":
--- a/tests/test_process_lock.py
+++ b/tests/test_process_lock.py
@@ -14,10 +14,10 @@
 class ProcessLockTest(unittest.TestCase):
     def test_a_lock_ends_with_its_process_and_a_stale_file_does_not_count(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            with open(os.path.join(folder, "magpieshift-h-1.lock"), "w") as left:
-                left.write("not ours " * 100)
-            mine = ProcessLock(("h", 1), folder)
-            self.assertFalse(mine.other_is_alive or mine.other_is_serving)
+            with open(os.path.join(folder, "magpieshift-h-1.lock"), "w") as stale_file:
+                stale_file.write("not ours " * 100)
+            own_lock = ProcessLock(("h", 1), folder)
+            self.assertFalse(own_lock.other_is_alive or own_lock.other_is_serving)
             code = (
                 "import sys; from magpieshift.process_lock import ProcessLock;"
                 "c = ProcessLock(('h', 1), sys.argv[1]);"
@@ -25,27 +25,27 @@
                 "c.set_serving(True); print(flush=True); sys.stdin.readline();"
                 "c.set_serving(False); print(flush=True); sys.stdin.readline()"
             )
-            mine.set_serving(True)
+            own_lock.set_serving(True)
             pipes: dict[str, Any] = {"stdin": subprocess.PIPE, "stdout": subprocess.PIPE, "text": True}
             with subprocess.Popen([sys.executable, "-c", code, folder], cwd=ROOT, **pipes) as other:
                 assert other.stdout is not None and other.stdin is not None
                 self.assertEqual(other.stdout.readline(), "True True\n")
-                self.assertEqual((mine.other_is_alive, mine.other_is_serving), (True, False))
+                self.assertEqual((own_lock.other_is_alive, own_lock.other_is_serving), (True, False))
                 for serves in (True, False):  # who empties is nobody's successor, though it lives
                     other.stdin.write("\n")
                     other.stdin.flush()
                     other.stdout.readline()
-                    self.assertEqual((mine.other_is_alive, mine.other_is_serving), (True, serves))
+                    self.assertEqual((own_lock.other_is_alive, own_lock.other_is_serving), (True, serves))
                 other.kill()
                 other.wait()
-            self.assertFalse(mine.other_is_alive or mine.other_is_serving)
-            mine.close()
+            self.assertFalse(own_lock.other_is_alive or own_lock.other_is_serving)
+            own_lock.close()
 
     def test_a_folder_that_cannot_be_written_is_logged_and_stops_nothing(self) -> None:
         with self.assertLogs("magpieshift.process_lock", "WARNING"):
-            claim = ProcessLock(("h", 1), "/nowhere/at/all")
-        claim.set_serving(True)
-        self.assertFalse(claim.other_is_alive)
+            lock = ProcessLock(("h", 1), "/nowhere/at/all")
+        lock.set_serving(True)
+        self.assertFalse(lock.other_is_alive)
 
 
 if __name__ == "__main__":
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -14,16 +14,16 @@
         steer_to_second(second)
         address = first.getsockname()
 
-        def comes_to(listener: socket.socket) -> None:
+        def assert_accepted_by(listener: socket.socket) -> None:
             with socket.create_connection(address):
                 listener.setblocking(True)
                 listener.settimeout(20)
                 listener.accept()[0].close()
 
         for _ in range(20):
-            comes_to(second)
+            assert_accepted_by(second)
         second.close()
-        comes_to(first)
+        assert_accepted_by(first)
         first.close()
 
 
--- a/tests/upstream/test_cancel_barrier.py
+++ b/tests/upstream/test_cancel_barrier.py
@@ -14,7 +14,7 @@
 from magpieshift.upstream import cancel_barrier
 from magpieshift.upstream.connection import PendingExchange
 from magpieshift.upstream.pool import ConnectionPool
-from tests.real.exchange import PATIENCE_S
+from tests.real.exchange import WAIT_TIMEOUT_S
 from tests.upstream.test_exchange_table import ENDPOINT, upstream_request
 
 ID = "00000000000000a1"
@@ -41,7 +41,7 @@
 
     async def accept(self) -> socket.socket:
         """The pool's next connection."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             connection, _ = await asyncio.get_running_loop().sock_accept(self.listener)
         self.addCleanup(connection.close)
         return connection
@@ -49,7 +49,7 @@
     async def read(self, connection: socket.socket, text: bytes) -> None:
         """Read until this has come."""
         got = b""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while text not in got:
                 data = await asyncio.get_running_loop().sock_recv(connection, 4096)
                 self.assertTrue(data, got)
@@ -82,7 +82,7 @@
             second = await self.accept()
             await self.read(second, f"ASK {ID} ".encode())
             second.sendall(f"{ID} absent - 0\r\n\r\n".encode())
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 while not self.results:
                     await asyncio.sleep(0)
         self.assertEqual(self.results, [AttemptResult(Outcome.MISS, body=bytearray())])
--- a/tests/upstream/test_codec.py
+++ b/tests/upstream/test_codec.py
@@ -11,7 +11,7 @@
     encode_probe,
     encode_request,
 )
-from tests.real.exchange import spell
+from tests.real.exchange import parse_bytes
 from tests.upstream.test_exchange_table import CLIENT_REQUEST, ENDPOINT, upstream_request
 
 
@@ -52,7 +52,7 @@
 
 class Responses(unittest.TestCase):
     def test_answers_may_be_cut_anywhere(self) -> None:
-        data = spell(r'"a1 data tag=x,lag=1.5 6\r\nab\r\ncd\r\n" "a2 absent - 0\r\n\r\n" "p1 well\r\n"')
+        data = parse_bytes(r'"a1 data tag=x,lag=1.5 6\r\nab\r\ncd\r\n" "a2 absent - 0\r\n\r\n" "p1 well\r\n"')
         for size in (1, 2, 7, 1000):
             parser = ResponseParser()
             cuts = [data[at : at + size] for at in range(0, len(data), size)]
