--- a/tests/engine/engine_case.py
+++ b/tests/engine/engine_case.py
@@ -1,4 +1,4 @@
-"""An engine whose clock and upstream are the test's own, without sockets."""
+"""Test case with an engine on a fake clock and a fake upstream, without sockets."""
 
 import unittest
 from collections.abc import Callable
@@ -37,7 +37,7 @@
 
 
 class FakeClock:
-    """Time that passes only in ``run``."""
+    """A clock that advances, and fires timers, only in ``run``."""
 
     def __init__(self) -> None:
         self.now = 1_764_576_000 * SECOND
@@ -64,7 +64,7 @@
 
 
 class FakeUpstream:
-    """Records the attempts started; the test decides how they end."""
+    """Records started attempts; the test ends them by calling their ``done``."""
 
     def __init__(self) -> None:
         self.started: list[tuple[UpstreamRequest, Callable[[AttemptResult], None]]] = []
@@ -82,7 +82,7 @@
 
 
 class EngineCase(unittest.TestCase):
-    """An engine with one cache and one origin, both ready."""
+    """An engine with two ready endpoints, one cache and one origin."""
 
     def setUp(self) -> None:
         ports = {"cache": "127.0.0.1:1", "origin": "127.0.0.1:2", "log": "127.0.0.1:3"}
@@ -105,7 +105,11 @@
         return ListedEndpoint(name, ("127.0.0.1", port), entry)
 
     def record_events(self, now_us: int, events: list[Event]) -> list[Action]:
-        """The policy, unless ``forced_actions`` replace its actions: once, or for ever if they are empty."""
+        """Record the events and call the policy.
+
+        ``forced_actions`` replaces the policy's actions, or is raised: an empty list at every call, anything
+        else at the next call only.
+        """
         self.events += events
         forced = self.forced_actions
         self.forced_actions = None if forced else forced
@@ -115,7 +119,7 @@
         return actions if forced is None else forced
 
     def submit(self, request: ClientRequest = READ_REQUEST) -> int:
-        """Submit a request under an id of its own; returns its number."""
+        """Submit a request under a unique id; returns its number."""
         request = replace(request, request_id=f"{self.engine.requests_taken + 1:016x}")
         number = self.engine.submit(request, self.answers.append)
         self.clock.run()
--- a/tests/engine/test_class_numbers.py
+++ b/tests/engine/test_class_numbers.py
@@ -1,4 +1,4 @@
-"""The numbers of classes, zones and kinds over any changes of the document."""
+"""Numbers of classes, zones and kinds under arbitrary sequences of documents."""
 
 import unittest
 from dataclasses import replace
@@ -23,7 +23,8 @@
     def test_no_number_ever_serves_two_classes_while_requests_are_open(
         self, steps: list[tuple[set[str], int]]
     ) -> None:
-        """Requests open under any class at any step, some of which end (the bits of the second figure)."""
+        """At each step requests open in every class; the bits of the second value select those that are
+        closed."""
         class_settings = dict(
             zip(
                 "abcdef",
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine without sockets: what it guarantees whatever the policy, the endpoints and the clients do."""
+"""The engine without sockets: guarantees that hold whatever the policy, endpoints and clients do."""
 
 import unittest
 from dataclasses import replace
@@ -64,7 +64,7 @@
         self.assertEqual(self.attempt_ends()[0], (0, Outcome.CANCELLED, False))
 
     def test_a_hedged_request_runs_only_where_settings_and_class_permit_it(self) -> None:
-        """The rule on two attempts is a setting (Kayal allows copies), and one answer ends both."""
+        """Hedged requests are a setting (Kayal allows them); the first answer ends both attempts."""
         cache, origin = (listed.endpoint.number for listed in self.endpoints)
         for allowed, request, target, is_hedged in (
             (False, READ_REQUEST, origin, False),
@@ -95,7 +95,8 @@
                 self.assertEqual(self.engine.requests.by_number[number].in_flight, [])
 
     def test_a_retry_names_the_cancelled_attempt_whose_cancellation_must_be_read_first(self) -> None:
-        """Guards against a second copy: a retry that reaches an endpoint before the cancellation does."""
+        """Guards against two executions at once, if a retry is received before the cancellation of the first
+        attempt."""
         cache, origin = (listed.endpoint.number for listed in self.endpoints)
         for hedged, request, target, is_named in (
             (False, READ_REQUEST, origin, True),
@@ -136,7 +137,7 @@
         self.assertEqual(self.attempt_ends(), [(0, Outcome.CANCELLED, True)])
 
     def test_an_unanswered_request_is_rejected_in_time_and_leaves_the_table(self) -> None:
-        """Also a connection that never came up: then the attempt never ran."""
+        """If no connection was established, the outcome is that the attempt was never executed."""
         for reached, outcome in ((True, Outcome.TIMEOUT), (False, Outcome.CONNECT_FAILED)):
             with self.subTest(reached=reached):
                 self.upstream.reached, self.answers[:], self.events[:] = reached, [], []
@@ -148,25 +149,29 @@
                 self.assertEqual((self.engine.requests.by_number, self.engine.open_requests), ({}, 0))
 
     def test_the_id_of_an_open_request_is_not_taken_twice(self) -> None:
-        """A client reused the id of an open request: to endpoints, a second attempt of that request."""
+        """Guards against a client that reuses the id of an open request: endpoints would take the new request
+        for another attempt of the open one."""
         self.submit()
         with self.assertLogs("magpieshift.engine.request_table", "WARNING"):
             self.engine.submit(self.upstream.started[0][0].request, self.answers.append)
             self.clock.run()
         self.assertEqual((self.answers, len(self.upstream.started)), ([Response(Verdict.FAILED)], 1))
         self.finish_attempt(AttemptResult(Outcome.OK, body=b"copy"))
-        self.engine.submit(self.upstream.started[0][0].request, self.answers.append)  # closed: its id is free
+        # the first request is closed, so its id may be reused
+        self.engine.submit(self.upstream.started[0][0].request, self.answers.append)
         self.clock.run()
         self.assertEqual((self.answers[1].body, len(self.upstream.started)), (b"copy", 2))
 
     def test_the_policy_does_not_see_what_was_withdrawn_at_once(self) -> None:
-        """Each had an attempt that was never sent; a client took back hundreds at a time (rude day)."""
+        """Guards against an attempt started for each request cancelled before the policy saw it; a client
+        cancelled hundreds at a time (rude day)."""
         self.engine.cancel(self.engine.submit(READ_REQUEST, self.answers.append))
         self.clock.run()
         self.assertEqual([e for e in self.events if isinstance(e, RequestReceived | AttemptEnded)], [])
 
     def test_no_request_stays_open_longer_than_its_class_permits(self) -> None:
-        """A client that claims to wait for an hour had its entry and timer kept for as long."""
+        """Guards against table entries and timers kept for an hour because a client claims to wait that
+        long."""
         self.submit(replace(READ_REQUEST, time_left_us=3600 * SECOND))
         self.clock.run(60 * SECOND)
         self.assertEqual((len(self.answers), self.engine.requests.by_number), (1, {}))
@@ -178,7 +183,7 @@
         self.assertEqual((len(self.upstream.cancelled), self.engine.open_requests), (1, 0))
 
     def test_requests_of_a_policy_that_raises_are_answered(self) -> None:
-        """An error in the decisions once answered nobody until the deadline."""
+        """Guards against requests that stay unanswered until their deadlines after an error in the policy."""
         self.forced_actions = IndexError("no such endpoint")
         with self.assertLogs("magpieshift.engine.policy_calls", "ERROR"):
             self.submit()
@@ -204,8 +209,11 @@
         self.assertEqual(self.answers, [Response(Verdict.FAILED)])
 
     def test_an_attempt_that_had_to_wait_does_not_go_to_a_draining_endpoint(self) -> None:
-        """A connection takes up to 0.4 s to come up. An attempt that waited for one was sent to an endpoint
-        that had begun to drain meanwhile, for which the rules leave 0.25 s from the notification."""
+        """Guards against an attempt sent to an endpoint that began to drain while the attempt waited for a
+        connection.
+
+        Connecting takes up to 0.4 s, but the rules allow 0.25 s from the notification to the last attempt.
+        """
         self.submit()
         self.finish_attempt(AttemptResult(Outcome.MISS))
         check_blocked = self.upstream.started[1][0].check_blocked
@@ -224,10 +232,10 @@
         self.engine.copy_age_limit = limit
         self.submit()
         self.assertEqual(self.written_age_bound(), "")
-        limit.return_value = 5 * SECOND  # between decision and write
+        limit.return_value = 5 * SECOND  # the limit appears between decision and write
         self.assertEqual(self.written_age_bound(), "5000")
         self.submit()
-        limit.return_value = 0  # what was decided under it stays bounded, what comes after is not
+        limit.return_value = 0  # an attempt started under the limit stays bounded, later ones are not
         self.assertEqual(self.written_age_bound(), "5000")
         self.submit()
         self.assertEqual(self.written_age_bound(), "")
@@ -246,7 +254,7 @@
         number = self.submit()
         self.forced_actions = [
             SendPlainRequest(number, self.endpoints[1].endpoint.number, SECOND)
-        ]  # it carries no bound: the class's holds
+        ]  # it carries no bound, so the class's bound applies
         self.finish_attempt(AttemptResult(Outcome.MISS))
         self.assertEqual((len(self.upstream.started), self.written_age_bound()), (2, "3000"))
 
@@ -286,7 +294,8 @@
         self.assertEqual((len(self.upstream.started), len(self.answers)), (2, 2))
 
     def test_a_policy_that_raises_sees_drains_and_purges_all_the_same(self) -> None:
-        """The policy raised, its batch was lost, and it went on sending to an endpoint that drains."""
+        """Guards against a lost batch after a policy error: the policy went on choosing a draining
+        endpoint."""
         draining = self.listed_endpoint("s-cache", 0, 1, 1, EndpointState.DRAINING)
         self.engine.list_changed(EndpointListKind.DELTA, 2, [draining])
         self.engine.purged("", 17, self.clock.now - SECOND)
@@ -309,7 +318,8 @@
         self.assertEqual(self.attempt_ends()[1], (1, Outcome.CONNECT_FAILED, False))
 
     def test_the_policys_time_is_never_set_back(self) -> None:
-        """Its sums decay by the time passed; with a clock set back they grew past what a float holds."""
+        """Guards against float overflow: the policy's sums decay with elapsed time and grow if it is
+        negative."""
         self.submit()
         self.finish_attempt(AttemptResult(Outcome.OK, cache_status=1))
         self.clock.now -= 10_000 * SECOND
@@ -329,9 +339,9 @@
         self.assertLess(self.upstream.started[0][0].max_age_us, 2 * SECOND)
 
     def test_numbers_depend_on_the_name_or_key_alone(self) -> None:
-        """Every router must agree on them, or an object's fills meet at no one parent."""
+        """All routers must use the same numbers, or the fills of one object go to different parents."""
         self.assertEqual(endpoint_number("s-00c41f7a"), 16219224708859055907)
-        self.assertNotEqual(object_number("0000000000000000"), 0)  # to the policy, 0 means a whole group
+        self.assertNotEqual(object_number("0000000000000000"), 0)  # 0 would mean a purge of a whole group
 
 
 if __name__ == "__main__":
--- a/tests/engine/test_reconfiguration.py
+++ b/tests/engine/test_reconfiguration.py
@@ -1,4 +1,4 @@
-"""What a running engine makes of a new document, with requests open."""
+"""Applying a new document to a running engine with open requests."""
 
 import unittest
 from dataclasses import replace
@@ -21,7 +21,7 @@
 
 
 class ReconfigurationTest(EngineCase):
-    """A new document on a running engine, with requests open."""
+    """Applies documents to an engine while requests are open."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -32,7 +32,7 @@
         self.engine.in_force.class_numbers = dict(numbering.by_name)
 
     def document_with(self, **changes: Any) -> Document:
-        """A document with other classes (by name), or other settings."""
+        """The current document with these classes (by name) or settings replaced."""
         by_name = changes.pop("classes", None)
         names = self.document.names
         if by_name is not None:
@@ -48,7 +48,8 @@
         self.assertEqual(self.engine.running(), expected_settings(new)["engine"])
 
     def test_open_requests_end_under_the_settings_they_were_admitted_under(self) -> None:
-        """The class's time becomes shorter than the open request has already waited: it is waited for."""
+        """The class's new deadline is shorter than the open request's time so far; the request keeps the old
+        one."""
         picture, basket = DOCUMENT.settings.classes
         self.submit()
         short = replace(
@@ -72,19 +73,20 @@
         self.apply(
             self.document_with(classes={"picture": picture, "film": replace(picture, priority_weight=9.0)})
         )
-        self.assertEqual(self.engine.classes, {"picture": 0, "film": 2})  # 1 is still the basket's
+        self.assertEqual(self.engine.classes, {"picture": 0, "film": 2})  # number 1 still belongs to "basket"
         self.finish_attempt(AttemptResult(Outcome.OK, body=b"kept"))
         self.submit(replace(READ_REQUEST, class_index=2, class_name="film"))
         self.assertEqual(self.upstream.started[-1][0].request.class_name, "film")
         self.finish_attempt(AttemptResult(Outcome.OK, body=b"film"))
         self.assertEqual([a.body for a in self.answers], [b"kept", b"film"])
-        self.clock.run(60 * SECOND)  # the basket's request has left the table
+        self.clock.run(60 * SECOND)  # the "basket" request has left the table
         self.apply(self.document_with(classes={"picture": picture, "film": picture, "song": picture}))
         self.assertEqual(self.engine.classes["song"], 1)
         self.assertEqual(len(self.engine.policy_calls.policy.service_times_us), 3)
 
     def test_zones_and_kinds_may_change_their_order(self) -> None:
-        """Endpoints are listed by these numbers: the cache must still be the cache."""
+        """Listed endpoints refer to zones and kinds by number, so the cache must remain in its zone and
+        kind."""
         names = replace(self.document.names, zones=("sea", "shop", "hub"), kinds=("source", "box", "upper"))
         reordered = replace(
             self.document,
@@ -116,13 +118,13 @@
             self.engine.prepare(self.document, new)
 
     def test_a_drain_between_prepare_and_commit_stays(self) -> None:
-        """Another kind becomes that of the parents, so the list is passed to the policy again: the drained
-        cache must not come back."""
+        """The kind of parents changes, so the endpoint list is passed to the policy again; the cache that
+        began to drain in between must not become usable again."""
         kinds = (*self.document.names.kinds, "other")
         new = replace(self.document_with(parent_kind=3), names=replace(self.document.names, kinds=kinds))
         commit = self.engine.prepare(self.document, new)
         self.submit()
-        waiting = self.upstream.started[-1][0]  # for its connection: checked once more before the write
+        waiting = self.upstream.started[-1][0]  # waits for its connection; checked again before the write
         self.engine.list_changed(
             EndpointListKind.DELTA, 2, [self.listed_endpoint("s-cache", 0, 1, 1, EndpointState.DRAINING)]
         )
@@ -134,7 +136,7 @@
         self.assertEqual({sent.endpoint.name for sent, _ in self.upstream.started[1:]}, {"s-origin"})
 
     def test_a_purge_between_prepare_and_commit_holds(self) -> None:
-        """No copy from before it may serve, under the old document or the new; one made later may."""
+        """A copy older than the purge must not be served under either document; a newer one may."""
         new = self.document_with(tick_us=3000)
         commit = self.engine.prepare(self.document, new)
         purged_us = self.clock.now
--- a/tests/engine/test_settings_in_force.py
+++ b/tests/engine/test_settings_in_force.py
@@ -1,4 +1,4 @@
-"""The settings that the policy runs on where two processes share a router's budgets."""
+"""The effective settings when two processes share one router's budgets."""
 
 import unittest
 from dataclasses import replace
@@ -13,7 +13,7 @@
 
 class SiblingProcesses(EngineCase):
     def test_two_processes_have_the_budgets_of_one_router(self) -> None:
-        """A warming endpoint was sent twice this router's part of its slow-start budget."""
+        """Guards against a warming endpoint that gets twice this router's share of its slow-start rate."""
         document = parse(config(PORTS)).document
         self.engine.prepare(document, document)()
         router, shown = self.engine.policy_calls.policy, self.engine.running()
@@ -25,9 +25,9 @@
         self.engine.set_sibling_processes(1)
         self.assertLess(2 * permitted_rate(router, cache), 1.001 * alone)
         self.assertEqual((router.settings.router_count, router.settings.zone_router_counts), (4, (0, 4)))
-        self.assertEqual(self.engine.running(), shown)  # the document in force is the same
+        self.assertEqual(self.engine.running(), shown)  # the document in force has not changed
         self.engine.prepare(document, document)()
-        self.assertEqual(router.settings.router_count, 4)  # a reload does not forget the other process
+        self.assertEqual(router.settings.router_count, 4)  # a reload keeps the sibling count
         self.engine.set_sibling_processes(0)
         self.assertEqual((router.settings.router_count, permitted_rate(router, cache)), (2, alone))
 
--- a/tests/engine/test_trace.py
+++ b/tests/engine/test_trace.py
@@ -1,4 +1,4 @@
-"""What is traced of the decisions, and what is counted from it over a fleet."""
+"""The trace of the policy's decisions, and the counts that the fleet experiment derives from it."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
         self.addCleanup(self.log.setLevel, logging.NOTSET)
 
     def trace_router(self, number: int) -> None:
-        """A router whose fill fails at a parent, and which rejects the request then."""
+        """Trace a router whose fill fails at a parent and which then rejects the request."""
         handler = logging.FileHandler(self.folder / f"n{number}.log")
         handler.setFormatter(KeyValueFormatter())
         self.log.addHandler(handler)
         self.addCleanup(handler.close)
-        trace, offset = Trace(), 1 << 40  # endpoints' numbers are hashes, far above requests'
+        trace, offset = Trace(), 1 << 40  # endpoint numbers must be above all request numbers
         for endpoint, name in NAMES.items():
             trace.register_name(endpoint + offset, name)
         listed = EndpointListReceived(
--- a/tests/held_start.py
+++ b/tests/held_start.py
@@ -1,10 +1,10 @@
-"""Starts the program, and holds it at one step of its start until a line comes on standard input.
+"""Starts the program and blocks it at one step of its start until a line is read from standard input.
 
 usage: python -m tests.held_start EVENT NAME [PROGRAM_ARGUMENT ...]
 
-A step is an audit event of the interpreter (``import``, ``open``, ``socket.bind``), and for ``import`` and
-``open`` the module or the end of the file's name. ``held`` is printed when the step is reached; signals are
-handled meanwhile.
+A step is an audit event of the interpreter (``import``, ``open``, ``socket.bind``); for ``import`` and
+``open`` NAME is the end of the module or file name. ``held`` is printed when the step is reached; signals are
+handled while it is blocked.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 import sys
 
 ANY_NAME = "-"
-"""For an event whose name does not matter."""
+"""Matches an event whatever its first argument is."""
 
 
 class HoldAtEvent:
-    """Waits at the first event that fits."""
+    """Audit hook that blocks at the first matching event."""
 
     def __init__(self, event: str, name: str) -> None:
         self._event = event
@@ -25,7 +25,7 @@
         self._has_held = False
 
     def __call__(self, event: str, arguments: tuple[object, ...]) -> None:
-        """The interpreter's audit hook."""
+        """Handle one audit event."""
         if self._has_held or event != self._event:
             return
         if self._name != ANY_NAME and not str(arguments[0]).endswith(self._name):
--- a/tests/real/exchange.py
+++ b/tests/real/exchange.py
@@ -1,29 +1,31 @@
-"""The one helper: recorded byte exchanges from text files, played against the program and compared.
+"""Plays recorded byte exchanges from text files against the program and compares the bytes it sends.
 
-A step a line, ``#`` for comments; ``client`` stands for any client, and listeners are named in ``LISTENERS``:
+A recording has one step per line and ``#`` comments. ``client`` stands for any client; listeners have the
+names in ``LISTENERS``:
 
-    client+            connect (a listener: accept a connection of the program's)
-    client> BYTES      write           client< BYTES    read, and compare
+    client+            connect (for a listener: accept a connection from the program)
+    client> BYTES      write           client< BYTES    read and compare
     client-            close           client!          the program must close the connection
-    client.            it must close the connection without a reset, which would destroy its last answers
+    client.            the program must close it without a reset, which would lose its last answers
     client~            half-close      client^          reset (SO_LINGER 0)
-    freeze, thaw       SIGSTOP, SIGCONT: what is done between them comes to the program all at once
-    full origin        the listener's queue is full: connections of the program's come up only behind
-    free origin        this, and that with the system's next try, a second after the first
-    given PATH=JSON    as the first lines: settings that the program starts with
-    term               SIGTERM         exit 0           the program must end, with this code
-    replace            start a second process and wait until it is ready; then "old term" and so on: the first
-    door+              call at the console; it is there in the recordings that call
-    hup LISTENER       SIGHUP; the file now has this listener as the change log, or with '-' cannot be read;
-                       settings may follow, as PATH=JSON without spaces
-    says /PATTERN/     a line of the program's log must come
-    pause 1.5          let at least so many seconds pass
-
-A connection counts as silent, and a frame as late, only after a minute, so that a slow machine makes no
-difference; except in the recordings named ``silent_...``, which wait for it.
-
-BYTES are hexadecimal digits, "text" with backslash escapes, and in what is read /patterns/ as well. Waiting
-has a bound far above what any machine needs; nothing else depends on time.
+    freeze, thaw       SIGSTOP, SIGCONT: the program sees all steps between them at once
+    full origin        fill the listener's backlog: connections from the program are not established until
+    free origin        the backlog is emptied, and then at the system's next SYN, 1 s after the first
+    given PATH=JSON    settings that the program starts with; only in the first lines
+    term               SIGTERM         exit 0           the program must exit with this code
+    replace            start a second process and wait until it is ready; steps for the first one then begin
+                       with "old", as in "old term"
+    door+              connect to the admin server, which is enabled in recordings that contain this step
+    hup LISTENER       SIGHUP after a change of the configuration file: this listener is the change log, or
+                       with '-' the file is unreadable; settings may follow, as PATH=JSON without spaces
+    says /PATTERN/     wait until the program's log matches
+    pause 1.5          wait at least this many seconds
+
+Timeouts for silent connections and incomplete frames are a minute, so that a slow machine makes no
+difference; except in the recordings named ``silent_...``, which test these timeouts.
+
+BYTES are hexadecimal digits and "text" with backslash escapes; bytes to compare may also contain /patterns/.
+Every wait has a timeout far longer than any machine needs; nothing else depends on time.
 """
 
 from __future__ import annotations
@@ -70,7 +72,7 @@
 
 
 def parse_bytes(text: str) -> bytes:
-    """The bytes that a recording spells."""
+    """The bytes that a recording writes as hexadecimal digits and quoted text."""
     parts = []
     for match in TOKEN.finditer(text):
         if match["text"]:
@@ -81,7 +83,7 @@
 
 
 def expected_pattern(text: str) -> re.Pattern[bytes]:
-    """What a recording says is to be read."""
+    """The pattern for the bytes that a recording expects to read."""
     parts = []
     for match in TOKEN.finditer(text):
         if match["re"] is not None:
@@ -92,7 +94,7 @@
 
 
 def config(addresses: dict[str, str]) -> dict[str, Any]:
-    """The configuration of the tests, with these addresses in it."""
+    """The test configuration with these addresses inserted."""
     text = (HERE / "config.json").read_text()
     for name, address in addresses.items():
         text = text.replace(f"@{name}", address)
@@ -101,7 +103,7 @@
 
 
 def changed(data: dict[str, Any], changes: dict[str, str]) -> dict[str, Any]:
-    """The configuration with other values, as JSON, at dotted paths of its settings."""
+    """Set these JSON values at dotted paths in the configuration's settings."""
     for path, value in changes.items():
         parent: Any = data["settings"]
         *parents, last = path.split(".")
@@ -112,7 +114,7 @@
 
 
 class Peer:
-    """A socket at the other end of the program's, and what it has sent but was not read yet."""
+    """A socket connected to the program, with the data received but not compared yet."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.received = sock, b""
@@ -131,24 +133,24 @@
     def expect(self, wanted: re.Pattern[bytes]) -> None:
         while not (match := wanted.match(self.received)):
             if not self.read_more():
-                raise AssertionError(f"wanted {wanted.pattern!r}, got {self.received!r} and the end")
+                raise AssertionError(f"expected {wanted.pattern!r}, received {self.received!r} and the end")
         self.received = self.received[match.end() :]
 
     def expect_end(self, strict: bool = False) -> None:
         while self.read_more(strict):
             pass
         if self.received:
-            raise AssertionError(f"wanted the end, got {self.received!r}")
+            raise AssertionError(f"expected the end of the stream, received {self.received!r}")
 
 
 def initial_settings(text: str) -> dict[str, str]:
-    """The settings that a recording begins with."""
+    """The settings in the ``given`` lines of a recording."""
     lines = [line.split()[1:] for line in text.splitlines() if line.startswith("given ")]
     return dict(change.split("=", 1) for line in lines for change in line)
 
 
 class Peers:
-    """The other ends of a router's sockets: listeners for those it talks to, and its clients."""
+    """The peers of a router: listeners for the servers it connects to, and its clients."""
 
     def __init__(self, chunk_size: int = 0) -> None:
         self.chunk_size = chunk_size
@@ -164,7 +166,7 @@
             sock.close()
 
     def fill_backlog(self, name: str) -> None:
-        """Fill a listener's queue: what connects from now on gets no answer."""
+        """Fill a listener's backlog, so that further connection attempts get no answer."""
         listener, socks = self.listeners[name], self._backlog_sockets.setdefault(name, [])
         listener.listen(0)
         while True:
@@ -176,16 +178,16 @@
                 return socks.pop().close()
 
     def empty_backlog(self, name: str) -> None:
-        """Take what fills a listener's queue out of it."""
+        """Remove the connections that ``fill_backlog`` put into a listener's backlog."""
         self.listeners[name].listen(16)
         for sock in self._backlog_sockets.pop(name):
             self.listeners[name].accept()[0].close()
             sock.close()
 
     def run_step(self, step: str) -> None:
-        """One step at a socket."""
+        """Run one step at a socket."""
         match = re.match(r"((\w+?)\d*)([-+<>!.~^])(.*)", step)
-        assert match, "no step"
+        assert match, "not a recording step"
         peer_name, kind, operation, argument = match.groups()
         if operation == "+":
             if kind in self.listeners:
@@ -214,8 +216,8 @@
 
 
 class RouterHarness(Peers):
-    """A router in the test's own event loop, with real sockets at its ends: for orders of events that can be
-    forced only from inside. Steps run in a thread, or at once where a test calls ``act``."""
+    """A router in the test's own event loop, with real sockets, for event orders that can be forced only from
+    within the process. ``play`` runs steps in a thread, ``run_step`` at once."""
 
     def __init__(self, **changes: str) -> None:
         super().__init__()
@@ -245,14 +247,14 @@
                 raise AssertionError(f"{step}: {err}") from err
 
     async def until(self, condition: Callable[[], bool]) -> None:
-        """Wait until the router has come to something."""
+        """Wait until the condition is true."""
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not condition():
                 await asyncio.sleep(0.001)
 
 
 class Program(Peers):
-    """The program under test, with a listener for each party it talks to."""
+    """The program under test as a separate process, with a listener for each server it connects to."""
 
     def __init__(
         self,
@@ -305,7 +307,7 @@
         end = time.monotonic() + WAIT_TIMEOUT_S
         while not re.search(wanted, self.log_text()):
             if time.monotonic() > end or self.process.poll() not in (None, 0):
-                raise AssertionError(f"wanted {wanted!r} in the log, got {self.log_text()}")
+                raise AssertionError(f"expected {wanted!r} in the log, found {self.log_text()}")
             time.sleep(0.01)
 
     def log_text(self) -> str:
--- a/tests/real/test_exchanges.py
+++ b/tests/real/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Every recording in ``exchanges`` is played against the started program."""
+"""Plays every recording in ``exchanges`` against the program as a process."""
 
 import subprocess
 import sys
--- a/tests/test_change_source.py
+++ b/tests/test_change_source.py
@@ -1,4 +1,4 @@
-"""A router that gets changes from another source than its change log."""
+"""A router whose change source is not the change log client."""
 
 import asyncio
 import tempfile
@@ -24,7 +24,7 @@
 
 
 class FakeChangeSource(ChangeSource):
-    """Passes on the test's events, and records its calls."""
+    """Records its calls; the test itself passes events to the router."""
 
     def __init__(self) -> None:
         self.calls: list[str] = []
@@ -43,7 +43,7 @@
 
 
 def drain(router: EdgeRouter, name: str) -> None:
-    """Have the router see that an endpoint drains."""
+    """Tell the router that an endpoint has begun to drain."""
     listed = router.engine.endpoints.by_number[endpoint_number(name)]
     draining = replace(listed, endpoint=replace(listed.endpoint, state=EndpointState.DRAINING))
     router.list_changed(EndpointListKind.DELTA, 2, [draining])
--- a/tests/test_config_transaction.py
+++ b/tests/test_config_transaction.py
@@ -1,4 +1,4 @@
-"""A new document for all parts or for none, whatever parts do in prepare."""
+"""A document is applied to all parts or to none, whatever the parts do in ``prepare``."""
 
 import asyncio
 import itertools
@@ -20,7 +20,7 @@
 
     def prepare(self, old: Document, new: Document) -> Commit | Awaitable[Commit]:
         if self.behaviour == "rejects":
-            raise SettingsRejectedError("no")
+            raise SettingsRejectedError("rejected by the test")
         if self.behaviour == "raises":
             raise ZeroDivisionError
         if self.behaviour == "never":
@@ -53,7 +53,7 @@
                     prepared.commit()
                     self.assertEqual({part.settings_in_force for part in parts}, {"new"})
                     continue
-                timeout_s = 0.001 if first == "never" else 60.0  # a busy machine is no part that is late
+                timeout_s = 0.001 if first == "never" else 60.0  # on a busy machine, others must not time out
                 with self.assertRaises(PreparationError) as caught:
                     await prepare(parts, DOCUMENT, DOCUMENT, timeout_s=timeout_s)
                 self.assertEqual(caught.exception.kind, kinds[first])
--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -1,4 +1,4 @@
-"""Signals while a serving process starts: held at each step of its start, in every form of the command."""
+"""Signals sent to a serving process that is blocked at each step of its start, for every serving command."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 from tests.real.exchange import ROOT, WAIT_TIMEOUT_S
 
 POLL_INTERVAL_S = 0.01
-"""Between two looks at a process's log."""
+"""Interval for polling a process's log."""
 Step = tuple[str, str]
-"""An audit event, and the module or file that it is about."""
+"""An audit event and the module or file that it concerns (``tests.held_start``)."""
 
 CLICK: Step = ("import", "click")
 GRPC: Step = ("import", "grpc")
@@ -38,7 +38,7 @@
 
 
 class HeldProcess:
-    """A process that waits at a step of its start."""
+    """A process that is blocked at a step of its start."""
 
     def __init__(self, step: Step, arguments: list[str], folder: Path) -> None:
         self.log = folder / f"{'-'.join(arguments[:2])}-{step[1]}.log".replace("/", "_")
@@ -54,19 +54,19 @@
         self._watchdog.start()
 
     def wait_until_held(self) -> None:
-        """Wait for the step; ``AssertionError`` where the process ends before it."""
+        """Wait until the step is reached; raises ``AssertionError`` if the process ends before that."""
         assert self.process.stdout is not None
         assert self.process.stdout.readline() == b"held\n", self.log.read_text()
 
     def release(self) -> None:
-        """Let it go on."""
+        """Unblock the process."""
         assert self.process.stdin is not None
-        with suppress(BrokenPipeError):  # it has ended
+        with suppress(BrokenPipeError):  # the process has ended
             self.process.stdin.write(b"\n")
             self.process.stdin.flush()
 
     def close(self) -> None:
-        """End it, if it has not ended."""
+        """Kill the process if it is still running, and close its pipes."""
         self._watchdog.cancel()
         self.process.kill()
         self.process.wait(WAIT_TIMEOUT_S)
@@ -107,35 +107,36 @@
         ]
 
     def wait_for_log(self, held: HeldProcess, text: str) -> None:
-        """Wait until the process has written this; its end before that is a failure."""
+        """Wait until the process has logged this text; fail if it ends before that."""
         with held.log.open() as log:
             written = ""
             while text not in written:
                 time.sleep(POLL_INTERVAL_S)
-                ended = held.process.poll() is not None  # the watchdog ends one that never says it
+                ended = held.process.poll() is not None  # the watchdog kills it after a timeout
                 written += log.read()
                 self.assertFalse(ended and text not in written, written)
 
     def test_sigterm_at_any_step_of_the_start_ends_with_0(self) -> None:
-        """Guards against a process that SIGTERM ends with -15 while it starts."""
+        """Guards against a process that SIGTERM kills (exit code -15) while it starts."""
         forms = [(self.router_arguments(), ROUTER_STEPS)]
         forms += [(arguments, SERVICE_STEPS) for arguments in self.service_arguments()]
         for arguments, steps in forms:
             for step in steps:
                 with self.subTest(arguments=arguments[:2], step=step):
                     held = self.start_held(step, arguments)
-                    held.process.send_signal(signal.SIGHUP)  # must not end it before
+                    held.process.send_signal(signal.SIGHUP)  # must not end the process
                     held.process.terminate()
-                    held.release()  # the event loop handles signals in its next turn
+                    held.release()  # the event loop handles signals in its next iteration
                     self.assertEqual(held.process.wait(WAIT_TIMEOUT_S), 0, held.log.read_text())
 
     def test_sighup_at_any_step_of_a_routers_start_reloads_once_it_serves(self) -> None:
-        """Guards against a router that a reload of all ends with -1 while it starts."""
+        """Guards against a router that SIGHUP kills (exit code -1) while it starts, when all routers are
+        reloaded."""
         arguments = self.router_arguments()
         for step in ROUTER_STEPS:
             with self.subTest(step=step):
                 held = self.start_held(step, arguments)
-                for _ in range(2):  # in series
+                for _ in range(2):  # one after the other
                     held.process.send_signal(signal.SIGHUP)
                 held.release()
                 self.wait_for_log(held, "event=ready")
@@ -145,7 +146,7 @@
                 self.assertEqual(held.process.wait(WAIT_TIMEOUT_S), 0, held.log.read_text())
 
     def test_sighup_never_ends_a_relay_or_a_control_service(self) -> None:
-        """Guards against services of the tier that a SIGHUP ends, while they start and while they serve."""
+        """Guards against a relay or control service that SIGHUP kills while it starts or serves."""
         for arguments in self.service_arguments():
             with self.subTest(arguments=arguments[:2]):
                 held = self.start_held(GRPC, arguments)
@@ -160,7 +161,7 @@
 
 class ServingCommands(unittest.TestCase):
     def test_only_what_serves_ends_with_0_at_a_signal(self) -> None:
-        """A check that is broken off must not pass for one that has succeeded."""
+        """A command that is interrupted, such as a check, must not exit with 0 as if it had succeeded."""
         for words in (
             [],
             ["run"],
--- a/tests/test_edge_router.py
+++ b/tests/test_edge_router.py
@@ -1,4 +1,4 @@
-"""A router in the test's own loop, over real connections; each bad order of events is forced."""
+"""A router in the test's own event loop with real connections; tests force the unfavourable event orders."""
 
 import asyncio
 import json
@@ -41,7 +41,8 @@
 
 class Shutdown(unittest.IsolatedAsyncioTestCase):
     async def shut_down(self, router: RouterHarness, meanwhile: Any) -> None:
-        """Shut the router down, doing this when nothing is open and its sockets are about to be closed."""
+        """Shut the router down; ``meanwhile`` runs when no request is open, right before its sockets are
+        closed."""
         with mock.patch.object(router.router.engine, "answer_all", side_effect=meanwhile):
             router.router.stop()
             assert router.ending is not None
@@ -69,7 +70,8 @@
             (client_connection,) = router.router._downstream._connections
             client_connection.send_go_away()
             client_connection.close()
-            for stream in (1, 2):  # the first alone would be answered by a reset, and the second see it
+            # a closed socket would answer the first with a reset, which the second send would report
+            for stream in (1, 2):
                 router.run_step(f"client> {READ[stream]}")
             await asyncio.sleep(0)
             await router.play(f"client< {GO_AWAY}\nclient.")
@@ -103,7 +105,8 @@
 
 class IdleConnections(unittest.IsolatedAsyncioTestCase):
     async def test_a_request_that_has_come_keeps_an_idle_connection(self) -> None:
-        """It came in the very turn in which its connection was closed: at the limit, or as long idle."""
+        """Guards against the loss of a request received in the same event loop iteration in which its
+        connection is closed, as idle for too long or at the connection limit."""
         async with RouterHarness() as router:
             downstream = router.router._downstream
             await router.play(f"client+\nclient> {READINESS_REQUEST}\nclient< {READINESS}")
@@ -128,8 +131,8 @@
 
 class Disconnects(unittest.IsolatedAsyncioTestCase):
     async def test_a_client_that_reads_nothing_can_cancel_and_disconnect(self) -> None:
-        """Its connection was not read while its answers stood above the high-water mark: attempts were
-        started after it had disconnected."""
+        """Guards against attempts for a disconnected client: its connection was not read while its unsent
+        answers exceeded the high-water mark."""
         answer_count = 30
         async with RouterHarness() as router:
             engine = router.router.engine
@@ -159,13 +162,14 @@
                 await router.until(lambda: engine.open_requests == 0)
             router.run_step("client2+")
             router.run_step(f"client2> {READ[1]}")
-            await router.play(f"cache< {CACHE_RECEIVES}")  # and nothing for those two before it
+            await router.play(f"cache< {CACHE_RECEIVES}")  # and no attempt for the two before it
 
     def is_finished(self, engine: Engine, taken: int) -> bool:
         return engine.requests_taken == taken and engine.open_requests == 0
 
     async def test_nothing_is_written_for_a_client_that_disconnects_right_before(self) -> None:
-        """A busy loop read the disconnect only after the write, so the request was forwarded all the same."""
+        """Guards against a request forwarded for a disconnected client, if a busy event loop reads the
+        disconnect only after the write."""
         async with RouterHarness() as router:
             policy = router.router.engine.policy_calls.policy
             original_handle = policy.handle
@@ -190,7 +194,7 @@
             for ending in "~^-":
                 router.run_step("client+")
                 router.run_step(f"client> {READ[1]}")
-                router.run_step(f"client{ending}")  # behind the request, before it was read
+                router.run_step(f"client{ending}")  # follows the request before the router has read it
                 await router.until(lambda: not router.router._downstream.connection_count)
             await router.play(f"client2+\nclient2> {READ[2]}\ncache+")
             await router.play('cache< "ASK 0000000000000002 class=picture," /[^\\r]*\\r\\n\\r\\n/')
@@ -198,21 +202,23 @@
 
 class Endpoints(unittest.IsolatedAsyncioTestCase):
     async def test_an_attempt_that_waited_is_written_with_the_max_age_of_the_moment(self) -> None:
-        """A router was paused past the end of its lease, with an attempt already decided."""
+        """Guards against a stale copy after a pause: a router was paused past the end of its lease, with an
+        attempt decided but not written."""
         limit = mock.Mock(return_value=0)
         asked = r'cache< "ASK %016x class=picture," /[^\r]*/ ",part=0,wait=" /\d+/ ",tier=1%s 0\r\n\r\n"'
         async with RouterHarness(**{"Caps.ConnectTimeoutUs": "10000000"}) as router:
             router.router.engine.copy_age_limit = limit
             await asyncio.to_thread(router.fill_backlog, "cache")
             await router.play(f"client+\nclient> {READ[1]}\nclient> {READ[2]}")
-            await router.until(lambda: limit.call_count == 2)  # both are decided on
-            limit.side_effect = [5_000_000, 0]  # it has come by the first write, and gone by the second
+            await router.until(lambda: limit.call_count == 2)  # both attempts have been decided
+            limit.side_effect = [5_000_000, 0]  # the limit holds at the first write and not at the second
             router.empty_backlog("cache")
             await router.play(f"cache+\n{asked % (1, ',fresh=5000')}\n{asked % (2, '')}")
             self.assertEqual(limit.call_count, 4)
 
     async def test_a_connection_closed_right_before_the_write_is_not_written_to(self) -> None:
-        """A request that must not repeat failed: after a reset it has to count as executed."""
+        """Guards against a needless failure: a non-idempotent request written to a connection that the
+        endpoint has closed counts as executed, and cannot be retried."""
         async with RouterHarness(**{"Classes.1.Effect": '"single_shot"'}) as router:
             await router.play(f"client+\nclient> {WRITE[1]}\norigin+\norigin< {ORIGIN_RECEIVES[1]}")
             await router.play(f"origin> {ORIGIN_ANSWERS[1]}\nclient< {SERVED}")
@@ -303,7 +309,7 @@
 
 class Descriptors(unittest.TestCase):
     def test_without_descriptors_for_an_endpoint_a_request_is_rejected_at_once(self) -> None:
-        """Its attempt stayed in flight, without a connection, until its timeout."""
+        """Guards against an attempt that stays in flight without a connection until its timeout."""
         with Program() as program:
             program.run_step("client+")
             program.run_step(f"client> {READINESS_REQUEST}")
@@ -316,7 +322,8 @@
             program.run_step(f"client< {REJECTED}")
 
     def test_without_descriptors_idle_connections_are_closed(self) -> None:
-        """The listener stayed readable, and the process did nothing else but fail to accept."""
+        """Guards against a busy loop: the listener stayed readable, and the process only retried the failing
+        accept."""
         with Program() as program:
             fds = Path(f"/proc/{program.process.pid}/fd")
             program.run_step("client+")
@@ -336,7 +343,7 @@
 
 class Signals(unittest.TestCase):
     def start(self, program: Program, *words: str, **changes: str) -> subprocess.Popen[bytes]:
-        """Another process beside the program, with one log for both."""
+        """Start another process beside the program; both write to the same log."""
         env = program.env() | {"EDGE_LISTEN": f"127.0.0.1:{free_port()}"} | changes
         started = subprocess.Popen([sys.executable, *words], env=env, cwd=ROOT, stderr=program.log)
         self.addCleanup(started.wait)
@@ -344,7 +351,7 @@
         return started
 
     def pipe(self, program: Program) -> Path:
-        """A configuration that a process waits to read until the test opens it."""
+        """A named pipe as configuration file; a process that reads it blocks until the test opens it."""
         path = Path(program.folder.name) / "pipe"
         os.mkfifo(path)
         return path
@@ -353,7 +360,7 @@
         with Program() as program:
             path = self.pipe(program)
             starting = self.start(program, "-m", "magpieshift", EDGE_CONFIG=str(path))
-            with path.open("w"):  # it has come to read it, and waits
+            with path.open("w"):  # opens once the process reads it
                 starting.terminate()
                 self.assertEqual(starting.wait(WAIT_TIMEOUT_S), 0)
 
@@ -367,7 +374,8 @@
             self.assertEqual(ending.wait(WAIT_TIMEOUT_S), 0)
 
     def test_a_sighup_before_the_router_runs_reloads(self) -> None:
-        """The file read may have been the old one; and the unhandled signal killed the process."""
+        """Guards against a router killed by the signal, or left on the old file if it was read before the
+        change."""
         with Program() as program:
             path = self.pipe(program)
             starting = self.start(program, "-m", "magpieshift", EDGE_CONFIG=str(path))
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -1,4 +1,4 @@
-"""The postmortems: each is in the index, and the tests that they name exist."""
+"""Each postmortem page is in the index, and the tests that it names exist."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 ROOT = Path(__file__).resolve().parents[1]
 FOLDER = ROOT / "docs" / "incidents"
 TEST_REFERENCE = re.compile(r"`(tests/[\w/]+\.py)`(?: \(([^)]*)\))?")
-"""A test file, and in brackets behind it the classes or functions that are meant."""
+"""Matches a test file in backquotes, optionally followed by class or function names in parentheses."""
 
 
 def named_tests(text: str) -> list[tuple[str, str]]:
-    """The test files that a page names, each with the names in the brackets behind it, or an empty one."""
+    """Pairs of test file and class or function name on a page; the name is empty if the page gives none."""
     found = []
     for path, names in TEST_REFERENCE.findall(text):
         found += [(path, name) for name in re.findall(r"\w+", names)] or [(path, "")]
@@ -22,7 +22,7 @@
 
 
 def exists(path: str, name: str) -> bool:
-    """Whether the test file is there and defines this class or function."""
+    """Whether the test file exists and defines this class or function."""
     file = ROOT / path
     if not file.exists():
         return False
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The states of a router, and the transitions between them."""
+"""The lifecycle states of a router and their transitions."""
 
 import unittest
 
@@ -18,7 +18,7 @@
         self.lifecycle = Lifecycle(lambda: self.now)
 
     def test_each_command_in_each_state(self) -> None:
-        """What the admin server answers, and the state after it; None for ERR."""
+        """The state after each command, which is also its answer; None where the answer is ERR."""
         calls = ("ping", "lame_duck", "rejoin", "begin_shutdown")
         expected = {
             State.STARTING: (None, None, None, State.ENDING),
@@ -61,7 +61,7 @@
         self.lifecycle.begin_shutdown()
         self.lifecycle.start_completed()
         self.assertEqual((self.lifecycle.state, self.lifecycle.is_ready), (State.ENDING, False))
-        self.lifecycle.replacement_serves = True  # the other process takes who asks here
+        self.lifecycle.replacement_serves = True  # the other process serves the clients of this address
         self.assertTrue(self.lifecycle.is_ready)
 
 
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log's formatter."""
+"""The log line formatter."""
 
 import logging
 import unittest
--- a/tests/test_process_lock.py
+++ b/tests/test_process_lock.py
@@ -1,4 +1,4 @@
-"""The lock file by which two processes of one router know of each other."""
+"""The lock file by which two processes of one router detect each other."""
 
 import os
 import subprocess
@@ -31,7 +31,7 @@
                 assert other.stdout is not None and other.stdin is not None
                 self.assertEqual(other.stdout.readline(), "True True\n")
                 self.assertEqual((own_lock.other_is_alive, own_lock.other_is_serving), (True, False))
-                for serves in (True, False):  # who empties is nobody's successor, though it lives
+                for serves in (True, False):  # a draining process is alive but does not serve
                     other.stdin.write("\n")
                     other.stdin.flush()
                     other.stdout.readline()
--- a/tests/test_resource_limits.py
+++ b/tests/test_resource_limits.py
@@ -1,4 +1,4 @@
-"""How the limits are shared between two processes of one router."""
+"""The division of the resource limits between two processes of one router."""
 
 import tempfile
 import unittest
@@ -25,7 +25,8 @@
 
 class Ended(unittest.IsolatedAsyncioTestCase):
     async def test_a_closed_router_beside_its_replacement_keeps_to_its_part(self) -> None:
-        """Membership checks again after the close: both processes then used the whole limits (1.125)."""
+        """Guards against a closed router that stops sharing: membership checks for other processes once more
+        after the close, and both processes then used the full limits (1.125)."""
         router = EdgeRouter(parse(config(PORTS)))
         with tempfile.TemporaryDirectory() as folder:
             router._process_lock = ProcessLock(("127.0.0.1", 1), folder)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""Two listeners at one address."""
+"""Connection steering between two listeners on one address."""
 
 import socket
 import unittest
