--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -43,7 +43,7 @@
             self.clock.run()
         self.assertEqual([len(call.args[1]) for call in handle.call_args_list], [3])
 
-    def test_attempts_count_from_zero_and_late_answers_are_passed_over(self) -> None:
+    def test_attempts_count_from_zero_and_late_answers_are_ignored(self) -> None:
         self.submit()
         first = self.upstream.started[0][1]
         self.finish_attempt(AttemptResult(Outcome.MISS))
--- a/tests/engine/test_trace.py
+++ b/tests/engine/test_trace.py
@@ -76,7 +76,7 @@
         self.assertEqual({row["bad"] for name, row in rows.items() if str(name).startswith("hub")} - {0}, {3})
         self.assertEqual(sum(counts.refusals.values()), 3)
 
-    def test_logs_without_a_trace_are_named(self) -> None:
+    def test_logs_without_trace_lines_are_reported(self) -> None:
         (self.folder / "n0.log").write_text(
             'time=1.0 level=info event=ready\ntime=x event="request received" request_number=1\n'
         )
--- a/tests/real/test_exchanges.py
+++ b/tests/real/test_exchanges.py
@@ -21,7 +21,7 @@
             with self.subTest(name), Program(**start, changes=initial_settings(text)) as program:
                 program.play(name)
 
-    def test_bytes_may_be_cut_anywhere(self) -> None:
+    def test_input_may_be_split_at_any_byte(self) -> None:
         for name in ("hit", "write_goes_to_the_origin"):
             with self.subTest(name), Program(chunk_size=1) as program:
                 program.play(name)
--- a/tests/test_change_source.py
+++ b/tests/test_change_source.py
@@ -70,7 +70,7 @@
                 harness.listeners["log"].accept()
         self.assertIn("stop", source.calls)
 
-    async def test_a_router_that_replaces_another_waits_for_it(self) -> None:
+    async def test_a_router_that_replaces_another_waits_for_its_change_source(self) -> None:
         harness, source = RouterHarness(), FakeChangeSource()
         harness.router.change_source = source
         harness.router.document = replace(harness.router.document, admin_address=("127.0.0.1", free_port()))
--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -160,7 +160,7 @@
 
 
 class ServingCommands(unittest.TestCase):
-    def test_only_what_serves_ends_with_0_at_a_signal(self) -> None:
+    def test_only_serving_commands_exit_with_0_on_a_signal(self) -> None:
         """A command that is interrupted, such as a check, must not exit with 0 as if it had succeeded."""
         for words in (
             [],
--- a/tests/test_edge_router.py
+++ b/tests/test_edge_router.py
@@ -104,7 +104,7 @@
 
 
 class IdleConnections(unittest.IsolatedAsyncioTestCase):
-    async def test_a_request_that_has_come_keeps_an_idle_connection(self) -> None:
+    async def test_a_received_request_keeps_an_idle_connection_open(self) -> None:
         """Guards against the loss of a request received in the same event loop iteration in which its
         connection is closed, as idle for too long or at the connection limit."""
         async with RouterHarness() as router:
@@ -234,14 +234,14 @@
                 await router.play(f"client> {WRITE[2]}\norigin2+\norigin2< {ORIGIN_RECEIVES[2]}")
             await router.play(f"origin2> {ORIGIN_ANSWERS[2]}\nclient< {SERVED_2}")
 
-    async def test_a_late_second_answer_is_not_that_of_the_retry(self) -> None:
+    async def test_a_duplicate_answer_is_not_taken_for_the_retrys_answer(self) -> None:
         async with RouterHarness() as router:
             await router.play(f"client+\nclient> {WRITE[1]}\norigin+\norigin< {ORIGIN_RECEIVES[1]}")
             failed = r'"0000000000000001 failed - 0\r\n\r\n"'
             await router.play(f"origin> {failed}\norigin2+\norigin2< {ORIGIN_RECEIVES[1]}\norigin> {failed}")
             await router.play(f"origin2> {ORIGIN_ANSWERS[1]}\nclient< {SERVED}")
 
-    async def test_nothing_is_sent_behind_an_answer_that_does_not_end(self) -> None:
+    async def test_a_connection_with_an_unfinished_answer_is_not_reused(self) -> None:
         async with RouterHarness() as router:
             await router.play(f"client+\nclient> {READ[1]}\ncache+\ncache< {CACHE_RECEIVES}")
             await router.play(f'cache> "0000000000000001 data {ANSWER_FIELDS} 9\\r\\nco"')
@@ -293,7 +293,7 @@
             [vars(r)["fields"] for r in logs.records], [{"seq": purges[-1], "count": len(purges)}]
         )
 
-    async def test_an_incomplete_event_is_no_sign_of_life_though_comments_come(self) -> None:
+    async def test_an_incomplete_event_counts_as_silence_even_if_comments_arrive(self) -> None:
         async with RouterHarness() as router:
             with mock.patch.object(client, "SILENCE_TIMEOUT_S", 0.3):
                 await router.play(f"log+\nlog< /.*\\r\\n\\r\\n/\nlog> {STREAM_HEAD}\nlog> {PURGE_EVENT}")
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -48,7 +48,7 @@
         pages = {page.name for page in FOLDER.glob("*.md")} - {"README.md"}
         self.assertEqual(pages, set(re.findall(r"\]\(([\w-]+\.md)\)", index)))
 
-    def test_a_test_that_is_not_there_is_seen(self) -> None:
+    def test_a_missing_test_is_detected(self) -> None:
         text = "`tests/test_incidents.py` (Incidents, Nothing), `tests/test_none.py`"
         wrong = [each for each in named_tests(text) if not exists(*each)]
         self.assertEqual(wrong, [("tests/test_incidents.py", "Nothing"), ("tests/test_none.py", "")])
