--- a/magpieshift/edge_router.py
+++ b/magpieshift/edge_router.py
@@ -145,8 +145,8 @@
     # --- load
 
     def offload_by(self, should_offload: Callable[[ClientRequest], bool] | None) -> None:
-        """Set the function that decides which requests are rejected at once, for a neighbour to serve; None:
-        none."""
+        """Set the function that selects requests to reject at once so that a neighbour serves them; None: no
+        request."""
         self._downstream.should_offload = should_offload
 
     @property
--- a/magpieshift/engine/actions.py
+++ b/magpieshift/engine/actions.py
@@ -82,10 +82,9 @@
         return isinstance(event, RequestReceived) and self._requests.open_request(event.request_id) is None
 
     def answer_undecided(self, items: Iterable[Event | Action]) -> None:
-        """Answer the requests of these events or actions, whose processing failed, if none has an attempt in
-        flight.
+        """Answer the requests whose events the policy failed on, or whose actions failed, unless in flight.
 
-        Nothing else would answer them before their deadlines.
+        Without an attempt in flight, nothing else would answer them before their deadlines.
         """
         for item in items:
             request = self._requests.open_request(getattr(item, "request_id", 0))
--- a/magpieshift/engine/attempts.py
+++ b/magpieshift/engine/attempts.py
@@ -67,7 +67,9 @@
             return None
         request_id = request.request.request_id
         if request.in_flight and not self._guard.may_hedge(request, send.endpoint):
-            log.error("attempt cancelled", extra=fields(request_id=request_id, reason="another was started"))
+            log.error(
+                "attempt cancelled", extra=fields(request_id=request_id, reason="another attempt was started")
+            )
             self.cancel_all(request)
         attempt = Attempt(
             request,
@@ -133,7 +135,7 @@
         )
 
     def _cancelled_before(self, attempt: Attempt) -> UpstreamExchange | None:
-        """The cancelled attempt, if any, whose cancellation its endpoint must have read before this is
+        """The request's cancelled attempt, if its cancellation must be read before this attempt is
         written."""
         cancelled = attempt.request.cancelled_attempt
         if cancelled is None:
--- a/magpieshift/engine/class_numbers.py
+++ b/magpieshift/engine/class_numbers.py
@@ -34,8 +34,8 @@
 ) -> ClassNumbers:
     """Number the classes of a new document; ``in_use`` holds the numbers that requests in the table have.
 
-    A number assigned under the old document is never reassigned, even if not in use: requests may still
-    arrive under it until the new document is in force.
+    A number assigned under the old document is not reassigned by this call, even if not in use: requests may
+    still arrive under it until the new document is in force.
     """
     assigned = set(old.by_name.values())
     free = [number for number in range(len(old.classes)) if number not in assigned and number not in in_use]
--- a/magpieshift/engine/interfaces.py
+++ b/magpieshift/engine/interfaces.py
@@ -42,7 +42,8 @@
 
 
 class PolicyObserver(Protocol):
-    """Observes the events and actions between engine and policy, unchanged (e.g. ``capture.recorder``)."""
+    """Called by the engine in place of the policy; passes events and actions on unchanged and observes them
+    (for example ``capture.recorder``)."""
 
     def handle(self, policy: RouterPolicy, now_us: int, events: Sequence[Event], /) -> list[Action]:
         """Pass a batch of events to the policy; returns the policy's actions."""
--- a/magpieshift/engine/model.py
+++ b/magpieshift/engine/model.py
@@ -120,7 +120,7 @@
     at that time, in microseconds, in place of ``max_age_us``."""
     cancelled: UpstreamExchange | None = None
     """The request's previous attempt, if it was cancelled after it was written. This attempt is not written
-    until the other endpoint has certainly read the cancellation, or the time allowed for that has passed.
+    until the endpoint of that attempt has certainly read the cancellation, or the time for that has passed.
     None if two attempts may be in flight."""
 
     def max_age_now_us(self) -> int:
--- a/magpieshift/limits.py
+++ b/magpieshift/limits.py
@@ -89,10 +89,10 @@
         if shared != self._shared:
             self._shared = shared
             self._engine.set_sibling_processes(int(shared))
-            shown = self._apply().by_name()
+            budget = self._apply().by_name()
             log.info(
                 "limits shared with another process" if shared else "limits no longer shared",
-                extra=fields(**shown),
+                extra=fields(**budget),
             )
 
     def running(self) -> dict[str, object]:
