--- a/tests/engine/test_trace.py
+++ b/tests/engine/test_trace.py
@@ -1,4 +1,4 @@
-"""What is traced of the decisions, and what is counted from it over a fleet."""
+"""The trace of the policy's decisions, and the counts that the fleet experiment derives from it."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
         self.log.setLevel(logging.DEBUG)
         self.addCleanup(self.log.setLevel, logging.NOTSET)
 
-    def router(self, number: int) -> None:
-        """A router whose fill fails at a parent, and which rejects the request then."""
+    def trace_router(self, number: int) -> None:
+        """Trace a router whose fill fails at a parent and which then rejects the request."""
         handler = logging.FileHandler(self.folder / f"n{number}.log")
         handler.setFormatter(KeyValueFormatter())
         self.log.addHandler(handler)
         self.addCleanup(handler.close)
-        trace, offset = Trace(), 1 << 40  # endpoints' numbers are hashes, far above requests'
+        trace, offset = Trace(), 1 << 40  # endpoint numbers must be above all request numbers
         for endpoint, name in NAMES.items():
             trace.register_name(endpoint + offset, name)
         listed = EndpointListReceived(
@@ -65,7 +65,7 @@
 
     def test_a_fleets_attempts_are_counted_together(self) -> None:
         for number in range(3):
-            self.router(number)
+            self.trace_router(number)
         counts = fleet.count(fleet.read(self.folder))
         names, seconds = ("asked", "fills", "refused"), counts.seconds.values()
         total = {name: sum(second[name] for second in seconds) for name in names}
@@ -76,7 +76,7 @@
         self.assertEqual({row["bad"] for name, row in rows.items() if str(name).startswith("hub")} - {0}, {3})
         self.assertEqual(sum(counts.refusals.values()), 3)
 
-    def test_logs_without_a_trace_are_named(self) -> None:
+    def test_logs_without_trace_lines_are_reported(self) -> None:
         (self.folder / "n0.log").write_text(
             'time=1.0 level=info event=ready\ntime=x event="request received" request_number=1\n'
         )
