--- a/magpieshift/relay/__init__.py
+++ b/magpieshift/relay/__init__.py
@@ -1,1 +1,2 @@
-"""The fan-out tier between the change log and the routers: purges, list changes and versions, in batches."""
+"""The fan-out tier: distributes purges, endpoint list changes and configuration versions from the change log
+to the routers, in batches."""
--- a/magpieshift/relay/addresses.py
+++ b/magpieshift/relay/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of relays and sources, from settings."""
+"""Parses the addresses of relays and sources from settings."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 
 def read_relays(text: str, region: str, setting: str) -> tuple[RelayAddress, ...]:
-    """The relays of a list ``[REGION/]HOST:PORT,...``; one without a region is of ``region``. ``ConfigError``
-    for the ``setting`` if the list cannot be used."""
+    """Parse a list ``[REGION/]HOST:PORT,...``; an entry without a region gets ``region``. Raises
+    ``ConfigError``, which names ``setting``, if the list is malformed or contains an address twice."""
     relays = [_read_relay(entry.strip(), region, setting) for entry in text.split(",")]
     if len({relay.address for relay in relays}) < len(relays):
         raise ConfigError(f"{setting}: found {text!r}, expected each address once")
--- a/magpieshift/relay/change_log_reader.py
+++ b/magpieshift/relay/change_log_reader.py
@@ -1,4 +1,5 @@
-"""A source's reading of the change log: its events as entries of the log, and how stale the source is."""
+"""Reads the change log for a source: turns its events into log entries, and tracks how stale the source
+is."""
 
 from __future__ import annotations
 
@@ -23,20 +24,24 @@
 log = logging.getLogger(__name__)
 
 CHECK_INTERVAL_S = 0.1
-"""Between two looks whether all of the change log is read: it adds to the staleness of all followers."""
+"""Interval between checks whether everything received from the change log is read; it adds to the staleness
+of all followers."""
 DELAY_WINDOW_US = 5_000_000
-"""The largest delay is that of the last one to two such windows; longer ones keep one late event's age."""
+"""Length of a window of ``DelayWindow``, which covers the last one to two windows. Longer windows would keep
+the age of a single late event for longer."""
 SMALL_KEY_LENGTH = 64
-"""A purge with a key of no more characters surely fits a message."""
+"""Key length in characters up to which a purge fits a message for certain, so that its size is not
+checked."""
 RECENT_US = 1_000_000
-"""An event made no longer before the log answered is no history."""
+"""A purge that was issued at most this long before the change log's first answer, or later, marks the end of
+the log's history."""
 
 AppendEntry = Callable[[Entry], None]
 """Adds an entry to the source's log."""
 
 
 class DelayWindow:
-    """The largest delay seen lately."""
+    """The largest delay of the last one to two windows of ``DELAY_WINDOW_US``."""
 
     def __init__(self) -> None:
         # number of the present window, its largest delay, and that of the window before
@@ -45,12 +50,12 @@
         self._previous_largest_us = 0
 
     def record(self, delay_us: int, now_us: int) -> None:
-        """A delay was seen; one below zero comes of clocks that differ, and counts as none."""
+        """Record a delay. A negative one is due to clock differences between machines, and counts as 0."""
         self._advance(now_us)
         self._largest_us = max(self._largest_us, delay_us)
 
     def largest_us(self, now_us: int) -> int:
-        """The largest of the last one to two windows; 0 if none was seen."""
+        """The largest delay of the last one to two windows; 0 if none was recorded."""
         self._advance(now_us)
         return max(self._largest_us, self._previous_largest_us)
 
@@ -63,7 +68,8 @@
 
 
 class RawChangeLog(ChangeLog):
-    """The change log in its order, with endpoint lists as they are: names are the followers' to read."""
+    """Receives the change log in order, and passes endpoint lists on as JSON: only followers interpret the
+    names in them."""
 
     def __init__(self, listener: ChangeLogReader) -> None:
         """``listener`` gets the lists as JSON."""
@@ -71,41 +77,41 @@
         self._reader = listener
 
     def apply_list(self, raw: Mapping[str, Any], is_initial: bool) -> None:
-        """Pass a list on as JSON."""
+        """Pass an endpoint list on as JSON."""
         self._reader.list_received(json.dumps(raw, separators=(",", ":")))
 
 
 class ChangeLogReader:
-    """Reads the change log into entries, and knows how stale that makes the source.
+    """Turns the events of the change log into log entries, and tracks how stale the source is.
 
-    The source is current to the last check that found all read, before bytes came: those bytes left the log
-    after that check, and everything before them is read too. To this the largest delay seen lately is added,
-    between the time of an event and its arrival.
+    When bytes are read, the source is current up to the last check before them that found everything read:
+    the bytes arrived after that check, and everything before them is read too. The largest recent delay
+    between the time of a purge and its arrival is added to the age.
     """
 
     def __init__(self, address: Address, append: AppendEntry, seed: int = 0) -> None:
-        """``seed`` of the client's jitter."""
+        """``seed`` seeds the jitter of the change log client."""
         self.address = address
-        """Of the change log."""
+        """Address of the change log."""
         self.history_read = False
-        """Whether the log's history at the start has been read."""
+        """Whether the history that the change log sends at the start has been read."""
         self.rejected_changes = 0
-        """Changes that were too large to be passed on."""
+        """Number of changes that were too large to be sent to followers."""
         self._append = append
         self._staleness = SourceStalenessBound()
         self._delays = DelayWindow()
         self._client = ChangeLogClient(address, RawChangeLog(self), seed)
         self._checker: asyncio.Task[None] | None = None
-        # the last check that found all read, and how much had been read then
+        # time of the last check that found everything read, and the number of chunks read by then
         self._last_all_read_us: int | None = None
         self._last_chunks = 0
-        # Unix time of the log's first answer
+        # Unix time of the change log's first answer
         self._answered_us: int | None = None
-        # since when nothing came
+        # since when nothing has been received
         self._quiet_since_us = 0
 
     def start(self) -> None:
-        """Read, until ``stop``."""
+        """Read the change log until ``stop``."""
         self._client.start()
         self._checker = asyncio.ensure_future(self._check_loop())
 
@@ -116,8 +122,8 @@
             self._checker.cancel()
 
     def age_us(self, now_us: int) -> int | None:
-        """How long ago the moment is up to which everything that the log accepted is known here; None before
-        the log's history is read."""
+        """The source's age: it knows everything that the change log had accepted this long ago. None before
+        the change log's history is read."""
         age_us = self._staleness.age_us(now_us)
         if age_us is None or not self.history_read:
             return None
@@ -126,17 +132,21 @@
     # --- events of the change log
 
     def list_changed(self, kind: EndpointListKind, version: int, members: Sequence[ListedEndpoint]) -> None:
-        """Not called: lists are passed on as they are."""
+        """Never called: ``RawChangeLog`` passes lists on as JSON to ``list_received``."""
         raise NotImplementedError
 
     def list_received(self, list_json: str) -> None:
-        """An endpoint list, or a change of it."""
+        """Append an endpoint list, or a change of it, to the log."""
         self._pass_on(EndpointListChange(list_json))
 
     def purged(self, key: str, group: int, issued_us: int) -> None:
-        """An object or a group was purged; ``ValueError`` if that cannot be passed on."""
+        """Append the purge of an object or a group to the log; ``ValueError`` if it cannot be sent to
+        followers."""
         if not 0 <= issued_us <= MAX_UNIX_TIME_US or abs(group) > MAX_GROUP:
-            raise ValueError(f"purge of group {group} at {issued_us} us")
+            raise ValueError(
+                f"purge: found group {group} at {issued_us} us, expected a 64-bit group and 0 to"
+                f" {MAX_UNIX_TIME_US} us"
+            )
         self._pass_on(Purge(key, group, issued_us))
         now_unix_us = clock.source.unix_us()
         if self.history_read:
@@ -150,7 +160,7 @@
             self._append(entry)
         else:
             self.rejected_changes += 1
-            raise ValueError("a change that is too large for followers")
+            raise ValueError("the change is too large for a message to followers")
 
     # --- staleness
 
@@ -160,7 +170,7 @@
             await asyncio.sleep(CHECK_INTERVAL_S)
 
     def check(self, now_us: int) -> None:
-        """Look whether all that has arrived is read."""
+        """Check whether everything that has arrived is read, and update the staleness bound."""
         if self._client.has_answered and self._answered_us is None:
             self._answered_us = clock.source.unix_us()
             self._quiet_since_us = now_us
--- a/magpieshift/relay/client.py
+++ b/magpieshift/relay/client.py
@@ -1,4 +1,5 @@
-"""The driver of a ``Follower``: one gRPC stream at a time, to the relay that its ``RelaySelection`` gives."""
+"""Drives a ``Follower``: keeps one gRPC stream at a time, to the relay that its ``RelaySelection``
+chooses."""
 
 from __future__ import annotations
 
@@ -36,30 +37,30 @@
 log = logging.getLogger(__name__)
 
 TICK_S = 0.1
-"""Between two looks at what is due: a fifth of a probe's interval."""
+"""Interval between checks of the follower's timers: a fifth of the probe interval."""
 MAX_REASON_LENGTH = 200
-"""Characters of a peer's reason that are logged."""
+"""Maximum characters that are logged of the reason why a relay was lost."""
 
 
 class EntryReceiver(Protocol):
-    """What applies what a follower receives. Each call is one turn of the event loop: when it returns, all is
-    applied and can be acknowledged. It must not fail."""
+    """Applies what a follower receives. Each method runs in one turn of the event loop: when it returns,
+    everything is applied and can be acknowledged. It must not raise."""
 
     def apply_entries(self, batch: ApplyEntries) -> None:
-        """The entries of a batch, in order."""
+        """Apply the entries of a batch, in order."""
         ...
 
     def restore_snapshot(self, snapshot: Snapshot) -> None:
-        """What a snapshot holds, without forgetting purges."""
+        """Replace the state by a snapshot's, without forgetting purges."""
         ...
 
     def apply_configuration(self, change: ConfigurationChange) -> None:
-        """A complete version, which was asked for."""
+        """Apply a complete configuration version, which the follower requested."""
         ...
 
 
 class RelayClient:
-    """Owner of the one stream to a relay."""
+    """Owns a process's stream to the relay that it follows."""
 
     def __init__(
         self,
@@ -68,36 +69,38 @@
         receiver: EntryReceiver,
         make_report: Callable[[int], DownstreamReport] | None = None,
     ) -> None:
-        """``make_report``, of a relay, gives the report on its own followers."""
+        """``make_report`` is given by a relay only; it returns the report on the relay's own followers."""
         self.caught_up = asyncio.Event()
-        """Set once the process has held a lease."""
+        """Set once the process has held a lease for the first time."""
         self._follower = follower
         self._selection = selection
         self._receiver = receiver
         self._make_report = make_report
         self._task: asyncio.Task[None] | None = None
         self._connection: RelayConnection | None = None
-        # that before a planned change of relay, until the lease there is released
+        # the connection to the previous relay after a planned change, until the lease there is released
         self._previous_connection: RelayConnection | None = None
-        # whether the present outage is logged: once, until a relay is found, as all may be away for long
+        # whether the present outage has been logged at warning level: once per outage, as all relays may be
+        # unreachable for a long time
         self._loss_logged = False
         self._is_receiving = True
 
     @property
     def relay(self) -> RelayAddress:
-        """The relay that is followed, or tried."""
+        """The relay that is being followed or tried."""
         return self._selection.current
 
     def start(self) -> None:
-        """Follow, until ``stop``."""
+        """Follow relays until ``stop``."""
         self._task = asyncio.ensure_future(self._run())
 
     def stop_receiving(self) -> None:
-        """Apply, and acknowledge, nothing more."""
+        """Stop applying and acknowledging messages."""
         self._is_receiving = False
 
     async def stop(self) -> None:
-        """Release the lease, unless followers of this process may still hold one by it, and close."""
+        """Release the lease and close the stream. A relay does not release: its followers may still hold
+        leases that depend on its own."""
         if self._task is None:
             return
         if self._connection is not None and self._make_report is None:
@@ -123,7 +126,7 @@
             except RelayChangedError as err:
                 log.info("relay changed", extra=fields(peer=relay.name, reason=err))
                 continue
-            except Exception as err:  # a fault in applying one message must not end all following
+            except Exception as err:  # a fault in applying one message must not stop the client
                 log.exception("relay stream failed", extra=fields(peer=relay.name))
                 reason = f"{type(err).__name__}: {err}"
             delay_s = self._selection.record_failure(loop.time() - began_s)
@@ -147,7 +150,7 @@
     # --- one stream
 
     async def _follow(self, relay: RelayAddress) -> str:
-        """One stream, from join to its end; why it ended."""
+        """Follow one relay from the join to the end of the stream; returns why it ended."""
         connection = RelayConnection(relay.address)
         must_close = True
         ticking: asyncio.Task[None] | None = None
@@ -164,7 +167,9 @@
                 task.result()
             return "the relay ended the stream"
         except RelayChangedError:
-            if self._make_report is None:  # a relay's followers may hold leases by what it learned there
+            if (
+                self._make_report is None
+            ):  # a relay's followers may hold leases that depend on the previous stream
                 await self._close_previous()
                 self._previous_connection = connection
                 must_close = False
@@ -183,7 +188,8 @@
                 await connection.close()
 
     async def _read(self, connection: RelayConnection, relay: RelayAddress) -> None:
-        """Apply what the relay sends, each message in one turn; nothing more once another is followed."""
+        """Apply the relay's messages, each in one turn of the event loop; ignore them once the client has
+        changed to another relay."""
         found = False
         while (data := await connection.read()) is not None:
             if not self._is_receiving or connection is not self._connection:
@@ -224,7 +230,7 @@
                 raise StreamEndedError(f"{reason.value} {detail}".strip())
 
     async def _tick(self, connection: RelayConnection) -> None:
-        """Acknowledge, probe, watch for silence, and look for a relay that ranks higher."""
+        """Send acknowledgements and probes, check for silence, and try relays that rank higher."""
         trial: asyncio.Task[bool] | None = None
         candidate: RelayAddress | None = None
         try:
@@ -254,7 +260,8 @@
             await connection.write(encode_upstream(progress))
 
     async def _release_previous(self) -> None:
-        """Release the lease at the relay before a planned change, once it is by the present stream."""
+        """After a planned change, release the lease at the previous relay, once a proof of the present stream
+        carries the lease."""
         previous = self._previous_connection
         if previous is None or not self._follower.lease_from_stream:
             return
@@ -262,23 +269,23 @@
         await previous.send_last(encode_upstream(self._follower.farewell()))
 
     def _decide_return(self, candidate: RelayAddress, can_give_lease: bool, now_us: int) -> None:
-        """A relay that ranks higher was tried: change to it if it is fresh."""
+        """Change to a relay that ranks higher if its trial succeeded."""
         if not can_give_lease:
             self._selection.reject_candidate(now_us)
             return
         self._selection.switch_to(candidate, now_us)
-        raise RelayChangedError(f"{candidate.name} is there")
+        raise RelayChangedError(f"{candidate.name} ranks higher and is fresh")
 
 
 def _watched(work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-    """A task whose error counts as retrieved, also if another task ended first."""
+    """Start a task whose exception counts as retrieved, even if another task ends first."""
     task = asyncio.ensure_future(work)
     task.add_done_callback(lambda done: done.cancelled() or done.exception())
     return task
 
 
 async def _can_give_lease(relay: RelayAddress) -> bool:
-    """Whether a relay answers and is fresh enough to give a lease that lasts."""
+    """Whether a relay answers, and is fresh enough that its proofs give at least half a lease."""
     try:
         report = await status.fetch_status(relay.address)
     except RelayUnreachableError:
--- a/magpieshift/relay/configuration.py
+++ b/magpieshift/relay/configuration.py
@@ -1,4 +1,5 @@
-"""Configuration versions as entries of the log: made of published ones, put together, offered to a router."""
+"""Configuration versions as log entries: created from published versions, rebuilt from deltas, and offered to
+a router."""
 
 from __future__ import annotations
 
@@ -15,12 +16,12 @@
 from magpieshift.relay.messages import ConfigurationChange
 
 OFFER_SOURCE = "relay"
-"""The source of offers, in the history of versions."""
+"""The ``source`` of version offers from a relay, as recorded in the version history."""
 
 
 def log_entry(previous: PublishedVersion | None, version: PublishedVersion) -> ConfigurationChange:
-    """A version as the log's next entry: the delta to the one before it, or the complete text if one of them
-    is no document."""
+    """The log entry for a version: the delta from the previous version, or the complete text if either of
+    them could not be parsed as a document."""
     if previous is None or previous.data is None or version.data is None:
         return ConfigurationChange(version.number, version.digest, "", version.text.encode())
     delta = wire.Delta(base=previous.number, base_digest=previous.digest)
@@ -30,7 +31,7 @@
 
 
 def apply_delta(base: ConfigurationChange | None, change: ConfigurationChange) -> ConfigurationChange | None:
-    """The complete version that a delta makes of the complete ``base``; None if it does not fit."""
+    """Apply a delta to the complete version ``base``; None if the delta does not apply to it."""
     if base is None or base.digest != change.base_digest:
         return None
     try:
@@ -45,7 +46,7 @@
 
 
 def version_offer(change: ConfigurationChange) -> VersionOffer:
-    """What is offered to a router's versions; ``UnusableDocumentError`` if the content cannot be read."""
+    """The offer of a version to a router; ``UnusableDocumentError`` if the content cannot be decoded."""
     if not change.base_digest:
         text = change.content.decode(errors="replace")
         return VersionOffer(change.number, change.digest, OFFER_SOURCE, payload=FullContent(text))
@@ -58,4 +59,6 @@
     try:
         return read_changes(wire.Delta.FromString(content))
     except DecodeError as err:
-        raise UnusableDocumentError([Problem("delta", 0, f"no delta ({err})", "one")]) from None
+        raise UnusableDocumentError(
+            [Problem("delta", 0, f"undecodable bytes ({err})", "a serialized delta")]
+        ) from None
--- a/magpieshift/relay/decoding.py
+++ b/magpieshift/relay/decoding.py
@@ -1,5 +1,4 @@
-"""Messages between a source, its relays and their followers from their wire form; what a peer sends is
-checked here."""
+"""Decodes and validates the messages between a source, its relays and their followers."""
 
 from __future__ import annotations
 
@@ -28,19 +27,20 @@
 )
 
 MAX_SNAPSHOT_BYTES = 4 * MAX_MESSAGE_BYTES
-"""The purges of a long burst alone come near to ``MAX_MESSAGE_BYTES``."""
+"""Maximum size of a snapshot. Other messages are limited to ``MAX_MESSAGE_BYTES``, which the purges of a long
+burst alone nearly reach."""
 MAX_NAME_LENGTH = 256
-"""Characters of a follower's name, which the server remembers."""
+"""Maximum characters of a follower's name and boot id, which the server keeps in memory."""
 MAX_UNIX_TIME_US = (1 << 62) - 1
-"""What a time may be at most; a signed field holds it, and the sum of two."""
+"""The largest accepted Unix time; a signed 64-bit field holds the sum of two."""
 MAX_GROUP = (1 << 63) - 1
-"""What a signed field holds."""
+"""The largest accepted group number: the maximum of a signed 64-bit field."""
 
 # --- to followers
 
 
 def decode_downstream(data: bytes) -> DownstreamMessage:
-    """A message to a follower; ``MalformedMessageError`` where it is none."""
+    """Decode a message to a follower; ``MalformedMessageError`` if it is not a valid one."""
     message = wire.FromControl()
     match _parse(message, data):
         case "batch":
@@ -53,14 +53,14 @@
 
 
 def _parse(message: Any, data: bytes) -> str | None:
-    """Parse into a message; the name of the part that it holds."""
+    """Parse bytes into ``message``; returns the name of the field that is set in its oneof."""
     if len(data) > MAX_SNAPSHOT_BYTES:
         raise MalformedMessageError("message", f"{len(data)} bytes", f"at most {MAX_SNAPSHOT_BYTES}")
     try:
         message.ParseFromString(data)
     except DecodeError as err:
         raise MalformedMessageError(
-            "message", f"{len(data)} bytes that cannot be read ({err})", "a message"
+            "message", f"{len(data)} bytes that cannot be decoded ({err})", "a message"
         ) from None
     content: str | None = message.WhichOneof("said")
     if len(data) > MAX_MESSAGE_BYTES and content != "snapshot":
@@ -136,7 +136,7 @@
 
 def _decode_configuration(version: wire.ConfigurationVersion, place: str) -> ConfigurationChange:
     if not version.number or not version.digest:
-        raise MalformedMessageError(place, "a version without number or digest", "both")
+        raise MalformedMessageError(place, "a version without number or digest", "a version with both")
     return ConfigurationChange(version.number, version.digest, version.base_digest, version.content)
 
 
@@ -153,7 +153,7 @@
 
 def _decode_version(version: wire.Version) -> ConfigurationChange:
     if not version.number or not version.digest:
-        raise MalformedMessageError("version", "one without number or digest", "both")
+        raise MalformedMessageError("version", "one without number or digest", "one with both")
     match version.WhichOneof("content"):
         case "full":
             return ConfigurationChange(version.number, version.digest, "", version.full.encode())
@@ -165,10 +165,10 @@
 
 
 def _decode_given_epoch(message: Any, place: str) -> Epoch:
-    """The epoch of a message that must have one."""
+    """Decode the epoch of a message, which is required; ``MalformedMessageError`` if it is missing."""
     epoch = _decode_epoch(message.epoch)
     if epoch == NO_EPOCH:
-        raise MalformedMessageError(place, "none", "one")
+        raise MalformedMessageError(place, "none", "an epoch")
     return epoch
 
 
@@ -180,7 +180,7 @@
 
 
 def decode_upstream(data: bytes) -> UpstreamMessage:
-    """A message from a follower; ``MalformedMessageError`` where it is none."""
+    """Decode a message from a follower; ``MalformedMessageError`` if it is not a valid one."""
     message = wire.FromRouter()
     content = _parse(message, data)
     if content == "join":
--- a/magpieshift/relay/encoding.py
+++ b/magpieshift/relay/encoding.py
@@ -1,9 +1,8 @@
-"""Messages between a source, its relays and their followers to their wire form
-(``control/wire/control.proto``).
+"""Encodes the messages between a source, its relays and their followers (``control/wire/control.proto``).
 
-A batch is put together from two pieces, its entries and its proof: protobuf merges messages that are
-concatenated, so that the entries are serialized once for all followers that are sent the same range. The
-wire's field names stand here and in ``decoding`` alone.
+A batch is the concatenation of two serialized messages, one with its entries and one with its proof: protobuf
+merges concatenated messages, so that the entries are serialized once for all followers that are sent the same
+range. The wire field names are used only here and in ``decoding``.
 """
 
 from __future__ import annotations
@@ -30,13 +29,13 @@
 )
 
 OBJECT_ID = re.compile(r"[0-9a-f]{16}")
-"""Keys that are sent as eight bytes."""
+"""Object keys of this form are sent as 64-bit numbers."""
 US_PER_MS = 1000
-"""Times on the wire are milliseconds, if they can be."""
+"""Times on the wire are milliseconds, unless one of them needs microseconds."""
 
 
 class _RunKind(Enum):
-    """Entries of one kind, next to each other, go into one run."""
+    """Kind of a run: adjacent entries of one kind are grouped into a run."""
 
     OBJECT_PURGES = auto()
     KEY_PURGES = auto()
@@ -49,7 +48,7 @@
 
 
 def encode_downstream(message: DownstreamMessage) -> bytes:
-    """The bytes of a message to a follower."""
+    """Encode a message to a follower."""
     if isinstance(message, Batch):
         entries = encode_entries(message.epoch, message.first, message.entries, message.snapshot_pending)
         return entries if message.proof is None else entries + encode_proof(message.proof)
@@ -61,7 +60,7 @@
 def encode_entries(
     epoch: Epoch, first: int, entries: Sequence[Entry], snapshot_pending: bool = False
 ) -> bytes:
-    """A batch without a proof; what ``encode_proof`` yields may be appended."""
+    """Encode a batch without a proof; the result of ``encode_proof`` may be appended."""
     base_ms = _base_ms(entry for entry in entries if isinstance(entry, Purge))
     runs = []
     for _, run in groupby(entries, _run_kind):
@@ -73,7 +72,7 @@
 
 
 def encode_proof(proof: FreshnessProof) -> bytes:
-    """What is appended to the bytes of a batch to give it this proof."""
+    """Encode a proof, to be appended to the bytes of a batch."""
     message = wire.Proof(
         probe=proof.probe,
         age_us=proof.age_us,
@@ -100,7 +99,7 @@
 
 
 def _encode_version(change: ConfigurationChange) -> bytes:
-    """A version outside the log, in the form in which a control service sends it."""
+    """Encode a version that is sent outside the log, in the form that a control service uses."""
     version = wire.Version(number=change.number, digest=change.digest)
     if change.base_digest:
         version.delta.ParseFromString(change.content)
@@ -125,7 +124,7 @@
 
 
 def _runs(entries: Sequence[Entry], base_ms: int) -> list[wire.Run]:
-    """A run of one kind: purges go together, all else one by one."""
+    """Encode adjacent entries of one kind: purges as a single run, other entries as one run each."""
     purges = [entry for entry in entries if isinstance(entry, Purge)]
     if purges:
         return [wire.Run(purges=_encode_purges(purges, base_ms))]
@@ -139,7 +138,8 @@
 
 
 def _encode_purges(purges: Sequence[Purge], base_ms: int) -> wire.Purges:
-    """Purges of one kind; times are milliseconds before ``base_ms``, microseconds if one needs them."""
+    """Encode purges of one kind. Their times are milliseconds before ``base_ms``, or microseconds if one of
+    them is not a whole millisecond."""
     before_us = [base_ms * US_PER_MS - purge.issued_us for purge in purges]
     micro = any(time_us % US_PER_MS for time_us in before_us)
     before = before_us if micro else [time_us // US_PER_MS for time_us in before_us]
@@ -168,7 +168,7 @@
 
 
 def encode_upstream(message: UpstreamMessage) -> bytes:
-    """The bytes of a message from a follower."""
+    """Encode a message from a follower."""
     if isinstance(message, Join):
         join = wire.Join(
             name=message.name,
--- a/magpieshift/relay/errors.py
+++ b/magpieshift/relay/errors.py
@@ -11,10 +11,10 @@
 
 
 class MalformedMessageError(RelayError):
-    """Bytes are no message that the receiver may be sent."""
+    """The received bytes are not a valid message for the receiver."""
 
     def __init__(self, place: str, found: str, expected: str) -> None:
-        """``place`` is the part of the message in which ``found`` stands instead of ``expected``."""
+        """``place`` is the part of the message that holds ``found`` instead of ``expected``."""
         super().__init__(f"{place}: found {found}, expected {expected}")
         self.place = place
         self.found = found
@@ -22,45 +22,45 @@
 
 
 class MissingEntriesError(RelayError):
-    """Entries are missing in a log before those that were to be added."""
+    """Entries cannot be added to a log, because entries before them are missing."""
 
 
 class DroppedEntriesError(RelayError):
-    """A log has dropped the entries that were asked for: a snapshot is needed."""
+    """The requested entries have been dropped from the log; a snapshot is needed instead."""
 
 
 class EpochSupersededError(RelayError):
-    """A follower has heard of a higher epoch: a source ends, a relay passes the epoch on."""
+    """A follower knows a higher epoch: a source must end, a relay passes the epoch on."""
 
     def __init__(self, epoch: Epoch) -> None:
         """``epoch`` is the higher one."""
-        super().__init__(f"a source with term {epoch.term} is newer")
+        super().__init__(f"superseded by a newer source with term {epoch.term}")
         self.epoch = epoch
 
 
 class SourceSupersededError(RelayError):
-    """Another source is newer: this one has ended."""
+    """This source has ended because a newer source exists."""
 
 
 class TooManyFollowersError(RelayError):
-    """There are ``MAX_FOLLOWERS`` already."""
+    """The limit of ``MAX_FOLLOWERS`` followers is reached."""
 
 
 class UpstreamStaleError(RelayError):
-    """This process has not heard of its source lately: followers do better elsewhere."""
+    """This process has lost contact with its source for too long; followers should use another relay."""
 
 
 class UnknownStreamError(RelayError):
-    """The stream never joined, has ended, or was replaced by a later one of the same process."""
+    """The stream has not joined, has ended, or was replaced by a later stream of the same process."""
 
 
 class StreamEndedError(RelayError):
-    """The stream to a relay ended, or is to be ended, for the reason in the text."""
+    """The stream to a relay ended, or has to be ended; the message gives the reason."""
 
 
 class RelayChangedError(StreamEndedError):
-    """The stream is ended as the follower returns to a relay that ranks higher."""
+    """The stream is ended because the follower returns to a relay that ranks higher."""
 
 
 class RelayUnreachableError(RelayError):
-    """A source or relay gave no status report, for the reason in the text."""
+    """No status report could be fetched from a source or relay; the message gives the reason."""
--- a/magpieshift/relay/follower_stream.py
+++ b/magpieshift/relay/follower_stream.py
@@ -1,4 +1,4 @@
-"""What a ``Fanout`` knows of each stream."""
+"""The state that a ``Fanout`` keeps for each stream."""
 
 from __future__ import annotations
 
@@ -16,61 +16,64 @@
 
 
 class SentEntries(NamedTuple):
-    """A batch or snapshot that was sent and is not acknowledged yet."""
+    """A batch or snapshot that has been sent but not acknowledged."""
 
     last: int
-    """Sequence number of its last entry."""
+    """Sequence number of the last entry in it."""
     sent_us: int
     """When it was sent."""
 
 
 @dataclass(slots=True, eq=False)
 class FollowerStream:
-    """What was sent to a follower on one stream, and received from it. Times are of the monotonic clock."""
+    """What has been sent to and received from a follower on one stream. Times are of the monotonic clock."""
 
     follower: FollowerRecord
-    """The process at the other end."""
+    """Record of the follower process."""
     epoch: Epoch
-    """Of what the follower has; differs from the log's until it was sent a snapshot."""
+    """Epoch of the follower's position; differs from the log's epoch until the follower has been sent a
+    snapshot."""
     cursor: int
-    """Everything up to here was sent on the stream, or the follower had it when it joined."""
+    """Sequence number up to which everything was sent on the stream, or was present when the follower
+    joined."""
     joined_with: int
-    """What the follower had when it joined: it may be ahead of this log."""
+    """Sequence number up to which the follower had everything when it joined; may be ahead of this log."""
     required_acknowledgement: int
-    """The follower is sent no proof before it has acknowledged this much on the stream."""
+    """Sequence number that the follower must acknowledge on this stream before it is sent a proof."""
     last_heard_us: int
-    """When its last message came."""
+    """When the last message was received."""
     last_sent_us: int
-    """When it was last sent something."""
+    """When the last message was sent."""
     acknowledged: int = 0
-    """The highest sequence number that it has acknowledged."""
+    """The highest sequence number that the follower has acknowledged."""
     unacknowledged: deque[SentEntries] = field(default_factory=deque)
-    """The open window, oldest first."""
+    """The send window: batches and snapshots in flight, oldest first."""
     last_probe: int = 0
-    """Number of the last probe that came; 0 before the first."""
+    """Number of the last probe received; 0 before the first."""
     last_probe_us: int = 0
-    """When that probe came."""
+    """When the last probe was received."""
     answered_probe: int = 0
-    """Number of the last probe that was answered."""
+    """Number of the last probe that has been answered."""
     wants_full: bool = False
-    """Whether it waits for a complete configuration."""
+    """Whether the follower waits for a complete configuration."""
     full_sent_us: int | None = None
-    """When a complete configuration was last sent."""
+    """When a complete configuration was last sent; None if none was."""
     lease_released: bool = False
-    """Whether it takes no lease any more: it is sent no proof."""
+    """Whether the follower has released its lease; it is then sent no proofs."""
 
     @property
     def window_open(self) -> bool:
-        """Whether one more batch may be sent."""
+        """Whether the send window has room for another batch."""
         return len(self.unacknowledged) < MAX_UNACKNOWLEDGED_BATCHES
 
     def is_keeping_up(self, now_us: int) -> bool:
-        """Whether it applies what it is sent, so that the watermark may wait for it."""
+        """Whether the follower acknowledges in time, so that it may be given a lease and the watermark may
+        wait for it."""
         waiting_us = now_us - self.unacknowledged[0].sent_us if self.unacknowledged else 0
         return self.acknowledged >= self.required_acknowledgement and waiting_us <= MAX_ACKNOWLEDGE_DELAY_US
 
     def record(self, progress: Progress, now_us: int) -> None:
-        """Note a message of the follower, apart from what it acknowledges."""
+        """Record a progress message, except for its acknowledgement."""
         self.last_heard_us = now_us
         self.follower.last_heard_us = now_us
         self.follower.last_progress = progress
@@ -83,7 +86,7 @@
         self.wants_full = self.wants_full or (progress.wants_full and not sent_lately)
 
     def begin_epoch(self) -> None:
-        """The log has begun a new epoch, of which the follower has nothing."""
+        """Reset the position: the log has begun a new epoch, of which the follower has no entries."""
         self.cursor = 0
         self.joined_with = 0
         self.acknowledged = 0
--- a/magpieshift/relay/instructions.py
+++ b/magpieshift/relay/instructions.py
@@ -1,4 +1,4 @@
-"""What a follower is to do, as its state machine hands it out."""
+"""Instructions that a follower's state machine returns to its driver."""
 
 from __future__ import annotations
 
@@ -9,26 +9,27 @@
 
 
 class EndReason(Enum):
-    """Why a follower ends a stream; the value is for the log."""
+    """Why a follower ends a stream; the value is the text that is logged."""
 
     GAP = "entries are missing"
-    STALE_EPOCH = "the epoch is over"
-    NO_SNAPSHOT = "entries of an epoch without its snapshot"
-    IMPOSSIBLE = "impossible message"
-    SILENCE = "nothing was heard"
-    STALE = "the relay tells nothing new of the source"
+    STALE_EPOCH = "the epoch is superseded"
+    NO_SNAPSHOT = "entries or a proof of a new epoch came before its snapshot"
+    IMPOSSIBLE = "invalid message"
+    SILENCE = "no message was received"
+    STALE = "no newer proof or data of the source was received"
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyEntries:
-    """Apply the entries in order, in one turn; then call ``Follower.acknowledge_applied(epoch, last)``."""
+    """Apply the entries in order, in one turn of the event loop; then call
+    ``Follower.acknowledge_applied(epoch, last)``."""
 
     epoch: Epoch
-    """Of the entries."""
+    """Epoch of the entries."""
     first: int
     """Sequence number of the first entry."""
     entries: tuple[Entry, ...]
-    """In the log's order; none was handed out before."""
+    """Entries in log order; none of them has been handed out before."""
 
     @property
     def last(self) -> int:
@@ -38,19 +39,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RestoreSnapshot:
-    """Take over what the snapshot holds, without forgetting purges; then call
+    """Replace the state by the snapshot's, without forgetting purges; then call
     ``Follower.acknowledge_applied(snapshot.epoch, snapshot.applied)``."""
 
     snapshot: Snapshot
-    """What was received."""
+    """The received snapshot."""
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyConfiguration:
-    """Apply a complete configuration, which was asked for."""
+    """Apply a complete configuration, which the follower requested."""
 
     configuration: ConfigurationChange
-    """The complete version."""
+    """The complete configuration version."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,10 +59,10 @@
     """End the stream and try the next relay; no message of this stream is to be received after it."""
 
     reason: EndReason
-    """What was wrong."""
+    """Why the stream is ended."""
     detail: str = ""
-    """With which figures."""
+    """Details for the log, such as the numbers involved."""
 
 
 Instruction = ApplyEntries | RestoreSnapshot | ApplyConfiguration | EndStream
-"""Carried out by the follower's driver, in order."""
+"""An instruction; the driver carries them out in order."""
--- a/magpieshift/relay/limits.py
+++ b/magpieshift/relay/limits.py
@@ -1,8 +1,8 @@
-"""The times and bounds of the fan-out tier.
+"""Time limits and size limits of the fan-out tier.
 
-The lease and what hangs on it follow the product's promise: a purge is done everywhere within
-``MAX_PURGE_US`` of its acceptance by the change log. Bounds on memory are multiples of the load that the
-product names, 110 purges a second.
+The lease and the time-outs that depend on it follow from the product's guarantee: a purge is done everywhere
+within ``MAX_PURGE_US`` of its acceptance by the change log. Memory limits are multiples of the specified
+load of 110 purges a second.
 """
 
 from __future__ import annotations
@@ -10,115 +10,133 @@
 # --- the lease
 
 FRESHNESS_LEASE_US = 8_000_000
-"""How old a follower's knowledge may be while it serves copies without a bound on their age; without a lease
-it serves no copy older than this."""
+"""Duration of the freshness lease: the age that a follower's knowledge must stay below while it serves copies
+without an age bound. Without a lease it serves no copy older than this."""
 
 MAX_PURGE_US = 9_700_000
-"""From a purge's acceptance by the change log until it is done everywhere: the lease, and the time in which
-one that has lapsed is noticed."""
+"""Longest time from a purge's acceptance by the change log until it is done everywhere: the lease, plus the
+time until the lapse of a lease is noticed."""
 
 CLOCK_DRIFT = 0.001
-"""The greatest difference between the rates of any two machines' clocks; quartz keeps to a tenth of it."""
+"""Greatest relative difference between the clock rates of any two machines; quartz clocks keep to a tenth of
+it."""
 
 LEASE_LAPSE_MARGIN_US = 20_000
-"""Added to the drift before a lease counts as lapsed: rounding, and drift of second order."""
+"""Margin added to the clock drift before a lease counts as lapsed; covers rounding and second-order drift."""
 
 # --- the streams
 
 PROBE_INTERVAL_US = 500_000
-"""Between a follower's probes, each of which acknowledges too: sixteen in a lease."""
+"""Interval between a follower's probes, each of which is also an acknowledgement; a lease lasts for
+sixteen."""
 
 MIN_ACKNOWLEDGE_INTERVAL_US = 100_000
-"""Between acknowledgements of a follower that catches up: the window then holds half of what it may."""
+"""Interval between acknowledgements of a follower that is catching up: one that has received half a send
+window since its last acknowledgement, or has no proof on its stream yet."""
 
 BATCH_INTERVAL_US = 250_000
-"""How long entries wait for others, so that all followers get the same batches; probes are answered within
-it."""
+"""Longest time that entries wait to be batched, so that all followers get the same batches; probes are
+answered within the same time."""
 
 HEARTBEAT_INTERVAL_US = 1_000_000
-"""Between two messages to a follower, at most: one may be lost before ``RELAY_SILENCE_TIMEOUT_US``."""
+"""Longest interval between two messages to a follower: one heartbeat may be lost before
+``RELAY_SILENCE_TIMEOUT_US`` has passed."""
 
 RELAY_SILENCE_TIMEOUT_US = 2_000_000
-"""A follower that hears nothing for so long goes to another relay: 6 s of its lease are left."""
+"""Time without any message from a relay after which a follower changes to another one; 6 s of its lease are
+left."""
 
 RELAY_STALE_TIMEOUT_US = 5_000_000
-"""A follower that hears nothing newer of the source for so long goes to another relay: 3 s are left."""
+"""Time without newer data or proofs of the source after which a follower changes to another relay; 3 s of its
+lease are left."""
 
 MAX_ACKNOWLEDGE_DELAY_US = 2_000_000
-"""A follower with a batch unacknowledged for longer is sent no proof, so that it soon holds back nobody."""
+"""A follower that leaves a batch unacknowledged for longer is sent no proof: its lease lapses, and it no
+longer holds back the watermark."""
 
 FOLLOWER_SILENCE_TIMEOUT_US = 4_000_000
-"""A stream on which no probe came for so long is ended: half a lease."""
+"""Time without a message from a follower after which its stream is ended: half a lease."""
 
 MAX_SERVING_SYNC_AGE_US = 4_000_000
-"""A relay that has heard of its source no later sends its followers elsewhere: they have 4 s left."""
+"""Sync age (time since a relay last had everything that its source had) at which a relay sends its followers
+to other relays; 4 s of their leases are left."""
 
 UNKNOWN_AGE_US = 1 << 50
-"""The age of a source that has not read its change log yet, 36 years: no lease can follow from it."""
+"""Age stated for a source that has not read its change log yet: 36 years, so that no lease can result from
+it."""
 
 MIN_PROCESS_PAUSE_US = 1_000_000
-"""A process that was not called for so long was paused itself, and blames no silence on the other side."""
+"""Interval between two ``Follower.check`` calls from which the process counts as having been paused itself;
+it then restarts its silence and staleness time-outs."""
 
 MAX_UNACKNOWLEDGED_BATCHES = 8
-"""Of one follower: 2 s at ``BATCH_INTERVAL_US``, four acknowledgements."""
+"""Send window of one follower, in batches: 2 s at ``BATCH_INTERVAL_US``, or four acknowledgements."""
 
 # --- memory
 
 MAX_BATCH_ENTRIES = 512
-"""In one batch; 250 ms at ten times 110 purges a second are 275."""
+"""Maximum entries of one batch; 250 ms at ten times 110 purges a second are 275."""
 
 MAX_LOG_ENTRIES = 262_144
-"""In a log: 39 minutes at 110 a second, 4 minutes at ten times that."""
+"""Maximum entries of a log: 39 minutes at 110 a second, 4 minutes at ten times that."""
 
 MAX_FOLLOWERS = 4_096
-"""Of one relay: names that come from the network must not fill the memory."""
+"""Maximum followers of one relay, so that names received from the network cannot fill the memory."""
 
 MAX_PROBES = 64
-"""Sent and remembered: 32 s at ``PROBE_INTERVAL_US``, by which every lease has lapsed."""
+"""Maximum sent probes that a follower remembers: 32 s at ``PROBE_INTERVAL_US``, by which time every lease has
+lapsed."""
 
 MAX_LAGGING_NAMES = 16
-"""Listed in a report."""
+"""Maximum names of lagging followers in a report."""
 
 # --- snapshots
 
 MAX_SNAPSHOTS_PER_S = 60
-"""Of one relay: 480 followers within a lease."""
+"""Maximum snapshots a second of one relay: enough for 480 followers within a lease."""
 
 SNAPSHOT_REUSE_US = 1_000_000
-"""One snapshot, and the entries after it, serve all who need one within so long."""
+"""Time for which a snapshot is reused: followers that need one within it get the same snapshot, and the
+entries after it."""
 
 MIN_FULL_CONFIGURATION_INTERVAL_US = 2_000_000
-"""Before a complete configuration is sent again to the same follower."""
+"""Minimum interval between two complete configurations that are sent to the same follower."""
 
 PURGE_RETENTION_US = 30_000_000
-"""Of purges in snapshots: above twice the longest time in which caches drop purged copies."""
+"""How long purges are retained for snapshots: more than twice the longest time that caches take to drop
+purged copies."""
 
 MAX_RECENT_PURGES = 33_000
-"""In snapshots: ``PURGE_RETENTION_US`` at ten times 110 a second."""
+"""Maximum purges in a snapshot: those of ``PURGE_RETENTION_US`` at ten times 110 a second."""
 
 # --- the choice of a relay
 
 MIN_RETURN_DELAY_S = 30.0
-"""Until a follower tries a relay that ranks higher, drawn anew each time: long beside a relay's start."""
+"""Shortest delay until a follower tries a relay that ranks higher; drawn at random each time, and long
+compared with a relay's start."""
 
 MAX_RETURN_DELAY_S = 90.0
-"""The longest such delay; the spread keeps a relay's followers from returning all at once."""
+"""Longest delay until a follower tries a relay that ranks higher; the spread keeps a relay's followers from
+returning all at once."""
 
 FAILOVER_INITIAL_BACKOFF_S = 0.2
-"""The bound of the first jittered delay before the next relay."""
+"""Upper bound of the first jittered delay before the next relay is tried."""
 
 MAX_FAILOVER_BACKOFF_S = 5.0
-"""The bound of all later ones: shorter than a lease."""
+"""Upper bound of all later delays before the next relay is tried; shorter than a lease."""
 
 MAX_RELAY_FAILOVER_BACKOFF_S = 2.5
-"""The same for a relay before the next source: its followers wait for it as well."""
+"""Upper bound of the later delays of a relay before it tries the next source; lower than that of other
+followers, since its own followers wait for it as well."""
 
 
 def lease_lapse_us(lease_us: int = FRESHNESS_LEASE_US) -> int:
-    """How long (us of this clock) a holder's lease may still hold, as its clock may run slower."""
+    """Time on this machine's clock after which a lease of ``lease_us`` has lapsed at its holder for certain,
+    whose clock may run slower."""
     return int(lease_us * (1 + CLOCK_DRIFT)) + LEASE_LAPSE_MARGIN_US
 
 
 def max_elapsed_us(duration_us: int) -> int:
-    """The longest time that may really have passed while this clock measured ``duration_us``."""
+    """The longest time that may have passed on another machine's clock while this one measured
+    ``duration_us``."""
     return int(duration_us * (1 + CLOCK_DRIFT)) + 1
