--- a/magpieshift/relay/client.py
+++ b/magpieshift/relay/client.py
@@ -167,9 +167,8 @@
                 task.result()
             return "the relay ended the stream"
         except RelayChangedError:
-            if (
-                self._make_report is None
-            ):  # a relay's followers may hold leases that depend on the previous stream
+            # a relay's followers may hold leases that depend on the previous stream
+            if self._make_report is None:
                 await self._close_previous()
                 self._previous_connection = connection
                 must_close = False
--- a/magpieshift/relay/fanout.py
+++ b/magpieshift/relay/fanout.py
@@ -1,9 +1,9 @@
-"""The serving side of the fan-out, the same at a source and a relay: what to send to each follower, and up to
-where everything is applied everywhere.
+"""The serving side of the fan-out, shared by sources and relays: decides what to send to each follower, and
+computes the watermark up to which everything is applied everywhere.
 
-A state machine without I/O. A driver feeds each message of a follower's stream to ``join`` and
-``receive_progress``, and writes what ``messages_to_send`` yields when ``next_send_us`` is reached and the
-last write is through; nothing is queued here for a follower.
+A state machine without I/O. A driver passes each message of a follower's stream to ``join`` or
+``receive_progress``. Once ``next_send_us`` is reached and the previous write has completed, it writes what
+``messages_to_send`` returns; no messages are queued here for a follower.
 """
 
 from __future__ import annotations
@@ -37,12 +37,12 @@
 
 
 def _no_age_us(now_us: int) -> int | None:
-    """The sync age of a source: it always has all that it has itself."""
+    """The sync age of a source: 0, since it is its own source."""
     return 0
 
 
 class Fanout:
-    """The followers of one source or relay. Streams go by numbers that the driver gives them."""
+    """The followers of one source or relay. The driver identifies streams by numbers that it assigns."""
 
     def __init__(
         self,
@@ -53,20 +53,20 @@
         watermark_from_us: int = 0,
         sync_age_us: AgeSource | None = None,
     ) -> None:
-        """``age_us`` gives the age of the process's knowledge (``StalenessBound.epoch_age_us`` of a relay,
-        ``SourceStalenessBound.age_us`` of a source). A relay gives ``source_watermark``, what it has heard
-        from its source (``Follower.watermark``), and ``sync_age_us``, when it heard of it
-        (``StalenessBound.epoch_sync_age_us``); a source leaves both out. The watermark is 0 before
-        ``watermark_from_us``: a source gives ``now_us + lease_lapse_us()`` at its start, since followers of
-        the one before it hold leases."""
+        """``age_us`` returns the age of the process's knowledge (``StalenessBound.epoch_age_us`` at a relay,
+        ``ChangeLogReader.age_us`` at a source). A relay also passes ``source_watermark``, the watermark
+        received from its source (``Follower.watermark``), and ``sync_age_us``, the time since it last had
+        everything that its source had (``StalenessBound.epoch_sync_age_us``); a source omits both. The
+        watermark is 0 before ``watermark_from_us``: a source passes ``now_us + lease_lapse_us()`` at its
+        start, since followers of the previous source may still hold leases."""
         self._log = log
         self._state = state
         self._sync_age_us = sync_age_us or _no_age_us
         self._source_watermark = source_watermark
         self._watermark_from_us = watermark_from_us
-        # the epoch that the streams' cursors are of; follows the log's
+        # epoch of the streams' cursors; updated when the log's epoch changes
         self._epoch = log.epoch
-        # all processes that follow, or did lately
+        # records of all processes that follow, or may still hold a lease
         self._followers = Watermark()
         self._streams: dict[int, FollowerStream] = {}
         self._snapshot_schedule = SnapshotSchedule()
@@ -76,19 +76,21 @@
     # --- events
 
     def join(self, stream: int, join: Join, now_us: int) -> int | None:
-        """A follower's first message. Returns the earlier stream of the same process, which is to be ended.
-        ``EpochSupersededError``, ``UpstreamStaleError``, ``TooManyFollowersError``; ``ValueError`` if the
-        stream has joined already."""
+        """Handle a follower's first message. Returns the number of the same process's earlier stream, which
+        the driver has to end; None if there is none. Raises ``EpochSupersededError``, ``UpstreamStaleError``
+        or ``TooManyFollowersError``, and ``ValueError`` if the stream has joined already."""
         self._refresh_cut(now_us)
         if stream in self._streams:
-            raise ValueError(f"stream {stream} joins twice")
+            raise ValueError(f"stream {stream} has joined already")
         newest = max(join.epoch, join.highest_epoch)
         if newest > self._epoch:
             raise EpochSupersededError(newest)
         if not self.is_fresh(now_us):
-            raise UpstreamStaleError(f"the source was not heard of for {MAX_SERVING_SYNC_AGE_US} us")
+            raise UpstreamStaleError(
+                f"no contact with the source within the last {MAX_SERVING_SYNC_AGE_US} us"
+            )
         if len(self._streams) >= MAX_FOLLOWERS:
-            raise TooManyFollowersError(f"{MAX_FOLLOWERS} followers are here already")
+            raise TooManyFollowersError(f"the limit of {MAX_FOLLOWERS} followers is reached")
         follower = self._followers.follower(join.name, join.boot, now_us)
         replaced = follower.stream_number
         if replaced is not None:
@@ -109,7 +111,8 @@
         return replaced
 
     def receive_progress(self, stream: int, progress: Progress, now_us: int) -> None:
-        """An acknowledgement and probe. ``EpochSupersededError``, ``UnknownStreamError``."""
+        """Handle a follower's acknowledgement and probe. Raises ``EpochSupersededError`` or
+        ``UnknownStreamError``."""
         to = self._require_stream(stream)
         self._refresh_cut(now_us)
         if progress.epoch > self._epoch:
@@ -122,7 +125,7 @@
             self._followers.release_lease(to.follower)
 
     def close_stream(self, stream: int, now_us: int) -> None:
-        """The stream has ended, however. Its follower holds back the watermark until its lease has lapsed."""
+        """Handle the end of a stream. Its follower holds back the watermark until its lease has lapsed."""
         if stream in self._streams:
             self._forget_stream(stream)
             self._followers.forget_expired(now_us)
@@ -130,8 +133,8 @@
     # --- what to send
 
     def next_send_us(self, stream: int) -> int:
-        """When ``messages_to_send`` is to be called next, as things stand; may be past. Changes with
-        ``receive_progress``, with appended entries and after ``messages_to_send``. ``UnknownStreamError``."""
+        """When ``messages_to_send`` has to be called next; may be in the past. Changes with
+        ``receive_progress``, ``messages_to_send`` and appended entries. Raises ``UnknownStreamError``."""
         to = self._require_stream(stream)
         due_us = to.last_sent_us + HEARTBEAT_INTERVAL_US
         if to.last_probe > to.answered_probe:
@@ -148,11 +151,12 @@
         return due_us
 
     def due_streams(self, now_us: int) -> list[int]:
-        """The streams whose time has come."""
+        """The streams whose ``next_send_us`` is reached."""
         return [stream for stream in self._streams if self.next_send_us(stream) <= now_us]
 
     def messages_to_send(self, stream: int, now_us: int) -> list[DownstreamMessage]:
-        """What to write to the stream now, in order; counts as sent. ``UnknownStreamError``."""
+        """The messages to write to the stream now, in order; they count as sent. Raises
+        ``UnknownStreamError``."""
         to = self._require_stream(stream)
         cut = self._refresh_cut(now_us)
         messages: list[DownstreamMessage] = []
@@ -172,17 +176,18 @@
             to.last_sent_us = now_us
         return messages
 
-    # --- what can be asked
+    # --- queries
 
     def is_fresh(self, now_us: int) -> bool:
-        """Whether this process has heard of its source lately. The driver ends all streams if it has not,
-        while its followers have lease left to find another relay. A source that cannot read its change log is
-        fresh: no relay can do better, and configurations still come from it."""
+        """Whether the sync age is below ``MAX_SERVING_SYNC_AGE_US``. If not, the driver ends all streams, so
+        that followers can change to another relay before their leases lapse. A source that cannot read its
+        change log counts as fresh: no relay could do better, and it still distributes configurations."""
         sync_age_us = self._sync_age_us(now_us)
         return sync_age_us is not None and sync_age_us < MAX_SERVING_SYNC_AGE_US
 
     def silent_streams(self, now_us: int) -> list[int]:
-        """Streams to be ended, as nothing was heard on them for ``FOLLOWER_SILENCE_TIMEOUT_US``."""
+        """Streams to be ended, because no message was received on them for
+        ``FOLLOWER_SILENCE_TIMEOUT_US``."""
         return [
             number
             for number, stream in self._streams.items()
@@ -190,23 +195,23 @@
         ]
 
     def watermark(self, now_us: int) -> int:
-        """Up to where this process and every follower that may hold a lease have applied everything; never
-        goes back within an epoch."""
+        """Sequence number up to which this process and every follower that may hold a lease have applied
+        everything; never decreases within an epoch."""
         cut = self._refresh_cut(now_us)
         self._followers.forget_expired(now_us)
         if now_us < self._watermark_from_us:
             return 0
-        # not the log's head: a later lease holder is proven the cut's, and need not have what lies beyond
+        # not the log's head: a follower that gets a lease later needs only the entries up to the cut's head
         return self._followers.advance(cut.head, now_us)
 
     def report(self, now_us: int) -> DownstreamReport:
-        """What this relay reports to its source; at a source, the same over all relays."""
+        """The report of a relay to its source; at a source, the report over all relays."""
         watermark = self.watermark(now_us)
         followers = self._followers.followers.values()
         return make_report(self._epoch, watermark, followers, self._state.newest_digest)
 
     def status(self, now_us: int) -> tuple[FollowerStatus, ...]:
-        """All followers, by name."""
+        """Status of all followers, sorted by name."""
         self._refresh_cut(now_us)
         return make_status(self._followers.followers.values(), self._log.head, now_us)
 
@@ -215,7 +220,7 @@
     def _require_stream(self, stream: int) -> FollowerStream:
         found = self._streams.get(stream)
         if found is None:
-            raise UnknownStreamError(f"stream {stream}")
+            raise UnknownStreamError(f"stream {stream} has not joined, has ended or was replaced")
         return found
 
     def _forget_stream(self, stream: int) -> None:
@@ -223,7 +228,7 @@
         self._snapshot_schedule.cancel(stream)
 
     def _refresh_cut(self, now_us: int) -> VisibleCut:
-        """Take in what has happened to the log: a new epoch, or entries that are to become visible."""
+        """Follow changes of the log: a new epoch, or entries that become visible."""
         if self._log.epoch != self._epoch:
             self._begin_epoch()
         return self._visibility.refresh(now_us)
@@ -236,7 +241,8 @@
             stream.begin_epoch()
 
     def _acknowledge(self, to: FollowerStream, progress: Progress) -> None:
-        """Open the window by what is acknowledged, and count it unless the follower cannot have it."""
+        """Remove acknowledged batches from the send window, and record the acknowledgement unless it covers
+        entries that the follower was not sent."""
         while to.unacknowledged and to.unacknowledged[0].last <= progress.applied:
             to.unacknowledged.popleft()
         if progress.applied <= max(to.cursor, to.joined_with):
@@ -254,13 +260,13 @@
         return to.wants_full and self._state.configuration is not None and not self._state.needs_full
 
     def _take_snapshot(self, to: FollowerStream, now_us: int) -> Snapshot:
-        """A snapshot; the same one serves all who need one at about the same time."""
+        """A snapshot for the stream; followers that need one at about the same time share it."""
         made = self._snapshots.get(now_us)
         to.epoch = made.epoch
         to.cursor = made.applied
         to.required_acknowledgement = made.applied
         to.unacknowledged.append(SentEntries(made.applied, now_us))
-        # if this process lacks the newest version itself, it is sent once it has it
+        # if this process lacks the complete newest version, the follower is sent it later
         to.wants_full = to.wants_full or self._state.needs_full
         return made
 
@@ -273,7 +279,8 @@
         return batches
 
     def _take_batch(self, to: FollowerStream, last: int, cut: VisibleCut, now_us: int) -> Batch:
-        """The entries after the cursor up to ``last``, and a proof if nothing visible is left."""
+        """A batch with the entries after the cursor up to ``last``, and a proof if no visible entry remains
+        to be sent."""
         first = to.cursor + 1
         epoch = self._log.epoch
         to.answered_probe = to.last_probe
@@ -284,8 +291,9 @@
         return Batch(epoch, first, entries, self._make_proof(to, cut, now_us))
 
     def _make_proof(self, to: FollowerStream, cut: VisibleCut, now_us: int) -> FreshnessProof | None:
-        """The proof that goes with what is sent now. Its age counts from when the log had nothing beyond the
-        cut; the lease by it counts from when the probe was sent, which was before it was heard."""
+        """The proof for a batch that is sent now; None if the follower may not be given one. Its age is
+        measured from when the log last had no entries beyond the cut. The recorded lease is measured from
+        when the probe was received, which is after the follower sent it and thus errs on the safe side."""
         if not to.last_probe or to.cursor < cut.head or not to.is_keeping_up(now_us) or to.lease_released:
             return None
         if cut.age_us is None:
--- a/magpieshift/relay/follower.py
+++ b/magpieshift/relay/follower.py
@@ -1,8 +1,8 @@
-"""The following side of the fan-out, the same at a relay and a router: one process over many streams.
+"""The following side of the fan-out, shared by relays and routers: one process over successive streams.
 
-A state machine without I/O: messages in, instructions out. A driver sends what ``connect`` and ``progress``
-yield, feeds each message of the current stream (never of an earlier one) to ``receive`` and carries out the
-instructions in order, whatever becomes of the stream meanwhile.
+A state machine without I/O: messages in, instructions out. A driver sends the messages that ``connect`` and
+``progress`` return, passes each message of the current stream (never of an earlier one) to ``receive``, and
+carries out the instructions in order, even if the stream ends meanwhile.
 """
 
 from __future__ import annotations
@@ -39,53 +39,53 @@
 
 
 class Follower:
-    """One process's position in the log, its lease and what it owes to the relay it follows. Times are of the
-    monotonic clock."""
+    """One process's position in the log, its lease, and the messages due to the relay it follows. Times are
+    of the monotonic clock."""
 
     def __init__(self, name: str, boot: str) -> None:
-        """``name`` stays the same over restarts, ``boot`` is new with each."""
+        """``name`` stays the same over restarts; ``boot`` is new with each start."""
         self.staleness = StalenessBound()
-        """The lease."""
+        """The process's staleness, and with it the lease."""
         self.epoch = NO_EPOCH
-        """Of ``applied``."""
+        """Epoch of ``applied``."""
         self.applied = 0
-        """Sequence number up to which everything was applied."""
+        """Sequence number up to which everything has been applied."""
         self.highest_epoch = NO_EPOCH
-        """The highest epoch heard of."""
+        """The highest epoch that this process knows of."""
         self.watermark = 0
-        """The source's watermark, of the epoch received last."""
-        # the driver sets these four
+        """The source's watermark in the epoch received last."""
+        # the driver sets the next four attributes
         self.configuration_digest = ""
-        """Of the version in force."""
+        """Digest of the configuration version in force."""
         self.rejected_version = 0
-        """Number of a version that was rejected; 0 if none."""
+        """Number of a configuration version that was rejected; 0 if none."""
         self.rejection_reason = ""
-        """Why it was."""
+        """Why that version was rejected."""
         self.wants_full = False
-        """Whether a complete configuration is needed; until one is received."""
+        """Whether a complete configuration is needed; reset when one is received."""
         self._name = name
         self._boot = boot
-        # epoch and sequence number up to which instructions were handed out
+        # epoch and sequence number up to which instructions have been handed out
         self._handed_out = (NO_EPOCH, 0)
-        # of the present stream: number and time of the last progress sent, time of the last message
+        # on the present stream: number and time of the last progress sent, time of the last message received
         self._last_probe = 0
         self._last_sent_us: int | None = None
         self._last_heard_us = 0
         self._last_check_us = 0
         # the staleness bound's ``synced_to_us`` at the last check
         self._last_synced_to_us: int | None = None
-        # when the relay last brought something newer of the source, or was busy doing so
+        # when newer data or a newer proof of the source last came, or when the process was last catching up
         self._last_advance_us = 0
-        # batches handed out since the last progress
+        # batches and snapshots with new entries since the last progress
         self._unacknowledged_batches = 0
-        # whether a proof came on this stream: none does before an acknowledgement
+        # whether a proof was received on this stream; none comes before an acknowledgement
         self._has_proof = False
         self._lease_released = False
 
     # --- the present stream
 
     def connect(self, now_us: int) -> Join:
-        """A new stream begins: its first message. A progress is due at once."""
+        """Begin a new stream; returns its first message. A progress is due at once."""
         self.staleness.begin_stream()
         self._last_probe = 0
         self._last_sent_us = None
@@ -99,7 +99,7 @@
         )
 
     def receive(self, message: DownstreamMessage, now_us: int) -> list[Instruction]:
-        """A message of the current stream, and what is to be done."""
+        """Handle a message of the current stream; returns the instructions for the driver."""
         self._last_heard_us = now_us
         match message:
             case Batch():
@@ -111,17 +111,17 @@
                 return self._receive_full_configuration(message)
 
     def acknowledge_applied(self, epoch: Epoch, sequence: int) -> None:
-        """The instruction with this last number was carried out; only now is it acknowledged. ``ValueError``
-        if that was not handed out."""
+        """Record that the instruction with this last sequence number was carried out, so that the next
+        progress acknowledges it. ``ValueError`` if the number was not handed out."""
         if (epoch, sequence) > self._handed_out:
-            raise ValueError(f"entry {sequence} was not handed out")
+            raise ValueError(f"entry {sequence} of term {epoch.term} was not handed out")
         if (epoch, sequence) > (self.epoch, self.applied):
             self.epoch = epoch
             self.applied = sequence
             self.staleness.record_applied(epoch, sequence)
 
     def next_progress_us(self) -> int:
-        """When the next progress is due; may be past."""
+        """When the next progress is due; may be in the past."""
         if self._last_sent_us is None:
             return self._last_heard_us
         threshold = MAX_UNACKNOWLEDGED_BATCHES // 2 if self._has_proof else 1
@@ -129,15 +129,15 @@
         return self._last_sent_us + (MIN_ACKNOWLEDGE_INTERVAL_US if must_hurry else PROBE_INTERVAL_US)
 
     def progress(self, now_us: int, report: DownstreamReport | None = None) -> Progress | None:
-        """The message to send now; None if it is not due. A relay gives its report, fresh."""
+        """The progress to send now; None if it is not due. A relay passes its current report."""
         if self._lease_released or now_us < self.next_progress_us():
             return None
         return self._make_progress(now_us, report)
 
     def check(self, now_us: int) -> EndStream | None:
-        """Whether the stream has been silent, or of no use, for too long; to be called at every turn, at
-        least each ``PROBE_INTERVAL_US``. A process that was paused itself reads first what has come
-        meanwhile."""
+        """Check the silence and staleness time-outs; returns the instruction to end the stream if one has
+        expired. To be called at least every ``PROBE_INTERVAL_US``. After a pause of this process itself, both
+        time-outs start anew, so that it first reads what was received meanwhile."""
         if now_us - self._last_check_us >= MIN_PROCESS_PAUSE_US:
             self._last_heard_us = now_us
             self._last_advance_us = now_us
@@ -148,41 +148,42 @@
         silent_us = now_us - self._last_heard_us
         stale_us = now_us - self._last_advance_us
         if silent_us >= RELAY_SILENCE_TIMEOUT_US:
-            return EndStream(EndReason.SILENCE, f"for {silent_us} us")
+            return EndStream(EndReason.SILENCE, f"for {silent_us} us, limit {RELAY_SILENCE_TIMEOUT_US} us")
         if stale_us >= RELAY_STALE_TIMEOUT_US:
-            return EndStream(EndReason.STALE, f"for {stale_us} us")
+            return EndStream(EndReason.STALE, f"for {stale_us} us, limit {RELAY_STALE_TIMEOUT_US} us")
         return None
 
     # --- leases and epochs
 
     @property
     def lease_from_stream(self) -> bool:
-        """Whether the lease is by a proof of the present stream: then the relay followed before need not
-        wait for this process any more, and gets a ``farewell``."""
+        """Whether the lease comes from a proof of the present stream. The previous relay then need not wait
+        for this process any more, and is sent a ``farewell``."""
         return self.staleness.lease_from_stream
 
     def farewell(self) -> Progress:
-        """The last message on an earlier stream of which nothing more is received, once the lease is by the
-        present one. Not for a relay: its followers' leases may still be by what it learned there."""
+        """The last message on the previous stream, from which nothing more is received: releases the lease
+        there once the present stream provides it. Not for a relay: its followers' leases may still depend on
+        the previous stream."""
         if not self.lease_from_stream:
-            raise ValueError("the lease may still be by an earlier stream")
+            raise ValueError("the lease may still come from an earlier stream")
         return Progress(
             self.epoch, self.applied, 0, self.applied, self.configuration_digest, lease_released=True
         )
 
     def release_lease(self, now_us: int, report: DownstreamReport | None = None) -> Progress:
-        """Give up the lease for good, as the process ends: the last message to send. No copy may be
-        accepted after it but with the bound of ``StalenessBound.copy_age_limit_us``. A relay whose
-        followers may hold leases does not release."""
+        """Give up the lease for good because the process ends; returns the last message to send. From then on
+        copies may be accepted only within the age limit of ``StalenessBound.copy_age_limit_us``. A relay
+        whose followers may hold leases must not release its own."""
         self._lease_released = True
         self.staleness.release_lease()
         return self._make_progress(now_us, report)
 
     def learn_epoch(self, epoch: Epoch) -> None:
-        """Another process knows of this epoch: nothing of a lower one is taken from now on."""
+        """Record an epoch that another process knows; messages of lower epochs are rejected from now on."""
         self.highest_epoch = max(self.highest_epoch, epoch)
 
-    # --- inside
+    # --- messages
 
     def _make_progress(self, now_us: int, report: DownstreamReport | None) -> Progress:
         self._last_probe += 1
@@ -219,7 +220,7 @@
         if batch.epoch != epoch:
             if batch.entries or batch.proof:
                 return [EndStream(EndReason.NO_SNAPSHOT, f"term {batch.epoch.term}")]
-            return []  # a heartbeat while the snapshot waits for its slot
+            return []  # a heartbeat, while this follower waits for its snapshot slot
         if batch.first > last + 1:
             return [EndStream(EndReason.GAP, f"entry {last + 1} is missing before {batch.first}")]
         instructions: list[Instruction] = []
@@ -250,18 +251,20 @@
 
     def _receive_full_configuration(self, change: ConfigurationChange) -> list[Instruction]:
         if change.base_digest:
-            return [EndStream(EndReason.IMPOSSIBLE, f"a delta to {change.base_digest[:16]} alone")]
+            return [
+                EndStream(EndReason.IMPOSSIBLE, f"a delta to {change.base_digest[:16]}, expected no delta")
+            ]
         self.wants_full = False
         return [ApplyConfiguration(change)]
 
 
 def _contradiction(batch: Batch) -> str:
-    """What is wrong with a batch in itself; empty if nothing is."""
+    """Describes why a batch is invalid in itself; empty if it is valid."""
     if batch.epoch == NO_EPOCH or batch.first < 1:
-        return f"a batch from entry {batch.first} of term {batch.epoch.term}"
+        return f"a batch from entry {batch.first} of term {batch.epoch.term}, expected entry 1 or later"
     if len(batch.entries) > MAX_BATCH_ENTRIES:
         return f"{len(batch.entries)} entries in a batch, at most {MAX_BATCH_ENTRIES} are expected"
     proof = batch.proof
     if proof is not None and min(proof.age_us, proof.head, proof.watermark, proof.source_age_us) < 0:
-        return "a proof with negative figures"
+        return f"a proof with negative values: {proof}"
     return ""
--- a/magpieshift/relay/limits.py
+++ b/magpieshift/relay/limits.py
@@ -131,12 +131,11 @@
 
 
 def lease_lapse_us(lease_us: int = FRESHNESS_LEASE_US) -> int:
-    """Time on this machine's clock after which a lease of ``lease_us`` has lapsed at its holder for certain,
-    whose clock may run slower."""
+    """Time on this machine's clock after which a lease of ``lease_us`` has lapsed for certain, even if its
+    holder's clock runs slower."""
     return int(lease_us * (1 + CLOCK_DRIFT)) + LEASE_LAPSE_MARGIN_US
 
 
 def max_elapsed_us(duration_us: int) -> int:
-    """The longest time that may have passed on another machine's clock while this one measured
-    ``duration_us``."""
+    """The longest real time that may have passed while this machine's clock measured ``duration_us``."""
     return int(duration_us * (1 + CLOCK_DRIFT)) + 1
--- a/magpieshift/relay/log_state.py
+++ b/magpieshift/relay/log_state.py
@@ -1,4 +1,4 @@
-"""What matters of the log up to a point, in place of its entries: a snapshot is made of it."""
+"""The state that results from all log entries up to a point; snapshots are made from it."""
 
 from __future__ import annotations
 
@@ -18,44 +18,44 @@
 )
 
 ApplyDelta = Callable[[ConfigurationChange | None, ConfigurationChange], ConfigurationChange | None]
-"""Builds a complete version from the newest complete one and a delta; None if the delta does not fit."""
+"""Builds a complete version from the newest complete one and a delta; None if the delta does not apply."""
 
 
 class EndpointList:
-    """The endpoints by their ids, from the change log's ``fleet`` values."""
+    """The endpoint list, merged from the change log's ``fleet`` values."""
 
     def __init__(self) -> None:
-        # each endpoint's row as it came
+        # each endpoint's row as received, by id
         self._endpoints: dict[str, dict[str, Any]] = {}
-        # whether a complete list came
+        # whether a complete list has been received
         self._complete = False
         self._revision = 0
-        # the list as JSON; empty after a change
+        # the list as JSON; empty if it has to be built again
         self._cached_json = ""
 
     def merge(self, list_json: str) -> None:
-        """Take in a ``fleet`` value; ``ValueError``, with nothing changed, if it is unreadable."""
+        """Merge a ``fleet`` value; ``ValueError``, with nothing changed, if it is malformed."""
         try:
             value = json.loads(list_json)
             members = {str(member["id"]): dict(member) for member in value["members"]}
             revision = int(value.get("revision", 0))
             complete = bool(value.get("complete"))
         except (ValueError, TypeError, KeyError, AttributeError) as err:
-            raise ValueError(f"no list of endpoints: {type(err).__name__}: {err}"[:200]) from err
+            raise ValueError(f"malformed endpoint list: {type(err).__name__}: {err}"[:200]) from err
         self._cached_json = ""
         self._revision = revision
         if complete:
             self._endpoints = {}
             self._complete = True
         for name, member in members.items():
-            # a follower without a complete list may know an endpoint from elsewhere, and must hear it is gone
+            # a follower without a complete list may know the endpoint from elsewhere, and needs its deletion
             if member.get("phase") == "DELETED" and self._complete:
                 self._endpoints.pop(name, None)
             else:
                 self._endpoints[name] = member
 
     def as_json(self) -> str:
-        """All of it as one ``fleet`` value; empty if none came."""
+        """The whole list as one ``fleet`` value; empty if none was received."""
         if not self._cached_json and (self._endpoints or self._complete):
             value = {
                 "revision": self._revision,
@@ -67,19 +67,19 @@
 
 
 class RecentPurges:
-    """The purges that came within a retention time, each object and group once. Constant time each: a purge
-    that comes once more moves to the end, so the oldest come first."""
+    """The purges received within a retention time, each object and group once. Adding takes constant time: a
+    repeated purge moves to the end, so that the oldest stay first."""
 
     def __init__(self, retention_us: int, max_purges: int) -> None:
-        """No more than ``max_purges``, the newest."""
+        """Purges are kept for ``retention_us``; at most the newest ``max_purges`` are kept."""
         self._retention_us = retention_us
         self._max_purges = max_purges
-        # by key and group: when it came, and the purge. An ordered one, as a plain dict looks through all
-        # gaps before its first entry each time
+        # by key and group: time of receipt, and the purge. An OrderedDict, since finding the first entry of a
+        # plain dict scans all deleted slots before it each time
         self._purges: OrderedDict[tuple[str, int], tuple[int, Purge]] = OrderedDict()
 
     def add(self, purge: Purge, now_us: int) -> None:
-        """A purge came."""
+        """Add a purge; a repeated one keeps the later of its two times of issue."""
         key = (purge.key, purge.group)
         known = self._purges.pop(key, None)
         if known is not None and known[1].issued_us > purge.issued_us:
@@ -88,7 +88,7 @@
         self._drop_expired(now_us)
 
     def retained(self, now_us: int) -> tuple[Purge, ...]:
-        """Those that still matter, in the order in which they came."""
+        """The purges within the retention time, in order of receipt."""
         self._drop_expired(now_us)
         return tuple(purge for _, purge in self._purges.values())
 
@@ -101,7 +101,7 @@
 
 
 class LogState:
-    """Endpoints, purges that still matter, and the newest configuration: the fold of all entries."""
+    """The accumulated state of all entries: endpoint list, recent purges and the newest configuration."""
 
     def __init__(
         self,
@@ -109,14 +109,14 @@
         retention_us: int = PURGE_RETENTION_US,
         max_purges: int = MAX_RECENT_PURGES,
     ) -> None:
-        """``apply_delta`` puts deltas of the configuration together, so that a complete version can be handed
-        out; purges stay for ``retention_us``, and no more than ``max_purges`` of them."""
+        """``apply_delta`` applies configuration deltas, so that a complete version can be sent. Purges are
+        kept for ``retention_us``, at most ``max_purges`` of them."""
         self.configuration: ConfigurationChange | None = None
-        """The newest version that is known completely."""
+        """The newest configuration version of which the complete content is known."""
         self.newest_digest = ""
-        """Of the newest version that came, whether or not it is known completely."""
+        """Digest of the newest version received, whether or not its complete content is known."""
         self.unreadable_lists = 0
-        """Lists of endpoints that could not be read, and were passed over."""
+        """Number of endpoint lists that were malformed and therefore skipped."""
         self._apply_delta = apply_delta
         self._endpoints = EndpointList()
         self._purges = RecentPurges(retention_us, max_purges)
@@ -124,11 +124,11 @@
 
     @property
     def needs_full(self) -> bool:
-        """Whether the newest version is not known completely, as its delta did not fit."""
+        """Whether the complete content of the newest version is missing, because its delta did not apply."""
         return self.newest_digest != (self.configuration.digest if self.configuration else "")
 
     def apply_entry(self, entry: Entry, now_us: int) -> None:
-        """Take in the log's next entry; constant time for a purge. ``now_us`` is of the monotonic clock."""
+        """Apply the log's next entry; constant time for a purge. ``now_us`` is of the monotonic clock."""
         match entry:
             case Purge():
                 self._purges.add(entry, now_us)
@@ -138,23 +138,24 @@
                 self._apply_configuration(entry)
 
     def apply_full_configuration(self, full: ConfigurationChange) -> None:
-        """A complete version, as sent on request. One older than the newest complete one changes nothing."""
+        """Apply a complete version that was sent on request; ignored if older than the newest complete
+        one."""
         if self.configuration is not None and full.number < self.configuration.number:
             return
         self.configuration = full
-        if full.number >= self._newest_number:  # else a newer one has come already
+        if full.number >= self._newest_number:  # otherwise a newer one was received already
             self._newest_number = full.number
             self.newest_digest = full.digest
 
     def snapshot(self, epoch: Epoch, applied: int, now_us: int) -> Snapshot:
-        """The state as it is, which is that after entry ``applied`` of the epoch."""
+        """A snapshot of the current state, which must be that after entry ``applied`` of the epoch."""
         return Snapshot(
             epoch, applied, self._endpoints.as_json(), self._purges.retained(now_us), self.configuration
         )
 
     def restore(self, snapshot: Snapshot, now_us: int) -> None:
-        """Take over what the snapshot holds. Purges that were known before and still matter are retained: a
-        new source may have lost them, and a purge too many does no harm."""
+        """Replace the state by the snapshot's. Recent purges that were known before are retained: a new
+        source may have lost them, and repeating a purge does no harm."""
         self._endpoints = EndpointList()
         if snapshot.endpoint_list_json:
             self._merge_endpoints(snapshot.endpoint_list_json)
--- a/magpieshift/relay/message_cache.py
+++ b/magpieshift/relay/message_cache.py
@@ -1,4 +1,5 @@
-"""Messages to followers as bytes, serialized once for all who are sent the same."""
+"""Caches serialized messages, so that each is serialized once for all followers that are sent the same
+one."""
 
 from __future__ import annotations
 
@@ -10,40 +11,40 @@
 from magpieshift.relay.messages import Batch, ConfigurationChange, DownstreamMessage, Entry, Epoch, Snapshot
 
 MAX_PROOF_BYTES = 64
-"""Five numbers, their tags and lengths."""
+"""Upper bound of a serialized proof: five numbers with their tags and lengths."""
 MAX_ENTRIES_BYTES = MAX_MESSAGE_BYTES - MAX_PROOF_BYTES
-"""Of a batch without its proof."""
+"""Maximum size of a serialized batch without its proof."""
 MAX_CACHED_BYTES = 4 * MAX_MESSAGE_BYTES
-"""Of serialized entries, beyond the newest batch; less serializes again for slow followers,
-more costs memory."""
+"""Maximum size of the cached serialized entries; the newest batch is kept even if it is larger. With less,
+entries are serialized again for slow followers; more costs memory."""
 
 
 class EntryRange(NamedTuple):
-    """Which entries a batch holds: within one log this says what they are."""
+    """The range of entries in a batch; it identifies their content within one log."""
 
     epoch: Epoch
-    """Of the entries."""
+    """Epoch of the entries."""
     first: int
-    """Sequence number of the first."""
+    """Sequence number of the first entry."""
     entry_count: int
-    """How many there are."""
+    """Number of entries."""
 
 
 class MessageCache:
-    """The serialized entries and the snapshot that were needed last."""
+    """Holds recently serialized entries, and the last serialized snapshot or configuration."""
 
     def __init__(self) -> None:
         self.serialized_count = 0
-        """Batches' entries and snapshots that were serialized so far."""
-        # least recently serialized first
+        """Number of serializations so far: of a batch's entries, a snapshot or a configuration."""
+        # oldest serialization first
         self._entry_messages: OrderedDict[EntryRange, list[bytes]] = OrderedDict()
         self._cached_bytes = 0
-        # the last message that is no batch
+        # the last message other than a batch
         self._single_message: tuple[Snapshot | ConfigurationChange, bytes] | None = None
 
     def encode(self, message: DownstreamMessage) -> list[bytes]:
-        """The messages to write, in order. A batch that is too large for one becomes several, of which the
-        last bears the proof."""
+        """The serialized messages to write, in order. A batch that is too large for one message is split, and
+        the last part carries the proof."""
         if isinstance(message, Batch) and message.snapshot_pending:
             return [encode_downstream(message)]
         if not isinstance(message, Batch):
@@ -54,7 +55,8 @@
         return [*messages[:-1], messages[-1] + encode_proof(message.proof)]
 
     def _encode_single(self, message: Snapshot | ConfigurationChange) -> bytes:
-        """Streams that need a snapshot soon after each other are given the same object."""
+        """Serialize a snapshot or configuration, unless it is the same object as the last one: streams that
+        need a snapshot at about the same time are given the same object."""
         if self._single_message is None or self._single_message[0] is not message:
             self.serialized_count += 1
             self._single_message = (message, encode_downstream(message))
@@ -78,8 +80,8 @@
 
 
 def _split(epoch: Epoch, first: int, entries: tuple[Entry, ...]) -> list[bytes]:
-    """Entries in as many batches as their size demands. A single entry is never too large: a source passes
-    none on that is (``fits_message``)."""
+    """Serialize entries as one batch, or as several if they are too large for one. A single entry is never
+    too large, since a source rejects such entries (``fits_message``)."""
     data = encode_entries(epoch, first, entries)
     if len(data) <= MAX_ENTRIES_BYTES or len(entries) <= 1:
         return [data]
@@ -89,6 +91,6 @@
 
 
 def fits_message(entry: Entry) -> bool:
-    """Whether an entry can be sent at all; ``ValueError`` if it cannot be serialized."""
+    """Whether an entry fits into a message of its own; ``ValueError`` if it cannot be serialized."""
     largest_epoch = Epoch((1 << 63) - 1, (1 << 64) - 1)
     return len(encode_entries(largest_epoch, (1 << 63) - 1, (entry,))) <= MAX_ENTRIES_BYTES
--- a/magpieshift/relay/messages.py
+++ b/magpieshift/relay/messages.py
@@ -1,8 +1,8 @@
-"""What passes between a source, its relays and their followers, as plain values.
+"""The messages between a source, its relays and their followers, as plain values.
 
 The wire form is in ``encoding`` and ``decoding``; the state machines (``log``, ``log_state``,
 ``staleness_bound``, ``fanout``, ``follower``) know only these. Sequence numbers begin at 1 in each epoch;
-times are microseconds, ages are durations and never instants, since no two machines share a clock.
+times are in microseconds. Ages are durations, never instants, since machines do not share a clock.
 """
 
 from __future__ import annotations
@@ -12,22 +12,22 @@
 
 @dataclass(frozen=True, order=True, slots=True)
 class Epoch:
-    """One run of a source. The later term wins; of two sources that drew the same term, the one with the
-    larger instance number."""
+    """Identifies one run of a source. The epoch with the later term supersedes the other; of two with the
+    same term, the one with the larger instance number does."""
 
     term: int
-    """Wall clock at the source's start in milliseconds."""
+    """Unix time of the source's start in milliseconds."""
     instance: int
-    """Drawn at random at the start."""
+    """Random number, drawn at the source's start."""
 
 
 NO_EPOCH = Epoch(0, 0)
-"""Of a process that has nothing yet; below every epoch."""
+"""Epoch of a process that has no entries yet; lower than every other epoch."""
 
 
 @dataclass(frozen=True, slots=True)
 class Purge:
-    """An object or a group was purged at the origin."""
+    """The purge of an object or a group at the origin."""
 
     key: str
     """The object's hexadecimal id; empty for a group."""
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListChange:
-    """A change of the list of endpoints."""
+    """A change of the endpoint list."""
 
     list_json: str
     """The change log's ``fleet`` value."""
@@ -47,20 +47,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationChange:
-    """A configuration version: a delta to the version before it in the log, or the complete content."""
+    """A configuration version, as the delta from the previous version in the log or as the complete
+    content."""
 
     number: int
     """The version's number, from 1."""
     digest: str
-    """Of the version's content."""
+    """Digest of the version's complete content."""
     base_digest: str
-    """Of the version that the delta builds on; empty if ``content`` is complete."""
+    """Digest of the version that the delta applies to; empty if ``content`` is complete."""
     content: bytes
-    """A serialized control.wire Delta, or the settings file as UTF-8."""
+    """A serialized ``control.wire`` ``Delta``, or the settings file as UTF-8."""
 
 
 Entry = Purge | EndpointListChange | ConfigurationChange
-"""What a log holds."""
+"""An entry of a log."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,15 +69,17 @@
     """Consecutive entries of one epoch; an empty one is a heartbeat."""
 
     epoch: Epoch
-    """Of the entries."""
+    """Epoch of the entries."""
     first: int
-    """Sequence number of the first entry; of a heartbeat, of the next to come."""
+    """Sequence number of the first entry; in a heartbeat, of the next entry to be sent."""
     entries: tuple[Entry, ...]
-    """In the log's order."""
+    """The entries in log order."""
     proof: FreshnessProof | None
-    """None while the sender has not yet passed on all it has."""
+    """Freshness proof; None if the follower may not be given one yet, such as while visible entries remain to
+    be sent."""
     snapshot_pending: bool = False
-    """Of a heartbeat: the receiver needs a snapshot, which follows in its slot."""
+    """Whether the receiver needs a snapshot, which is sent when its slot is reached; set in heartbeats
+    only."""
 
     @property
     def last(self) -> int:
@@ -86,53 +89,56 @@
 
 @dataclass(frozen=True, slots=True)
 class FreshnessProof:
-    """How fresh the receiver's knowledge is once it has applied everything up to ``head``: when the sender
-    answered the probe, it had all that the source had accepted ``age_us`` before."""
+    """States how fresh the receiver's knowledge is once it has applied everything up to ``head``: when the
+    sender answered the probe, it knew everything that the change log had accepted ``age_us`` earlier."""
 
     probe: int
     """Number of the last probe received on this stream."""
     age_us: int
-    """Of the sender's knowledge, when it answered."""
+    """Age of the sender's knowledge when it answered."""
     head: int
     """Sequence number up to which the receiver must apply everything."""
     watermark: int
-    """Up to here every follower, everywhere, has applied everything, or bounds the age of its copies."""
+    """Sequence number up to which every follower of the whole tier has applied everything, or else limits the
+    age of the copies it accepts."""
     source_age_us: int = 0
-    """The part of ``age_us`` by which the source lagged its change log; the rest is the way."""
+    """The part of ``age_us`` by which the source lagged behind its change log; the rest arose on the way from
+    the source."""
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All that matters of the log up to ``applied``, in place of entries that were dropped."""
+    """The state that results from the log up to ``applied``; sent to followers that lack dropped entries."""
 
     epoch: Epoch
-    """Of the log."""
+    """Epoch of the log."""
     applied: int
     """Sequence number of the last entry that it covers."""
     endpoint_list_json: str
-    """As ``EndpointListChange.list_json``, ``complete`` once a complete list came; empty before any."""
+    """The endpoint list, as in ``EndpointListChange.list_json``; ``complete`` if the sender has received a
+    complete list, empty if it has received none."""
     purges: tuple[Purge, ...]
-    """Those that caches may still have to hear."""
+    """Recent purges, which some caches may not have applied yet."""
     configuration: ConfigurationChange | None
-    """The newest version, complete."""
+    """The newest version of which the sender knows the complete content; None if there is none."""
 
 
 @dataclass(frozen=True, slots=True)
 class Join:
-    """A follower's first message on a stream: its name and what it has."""
+    """A follower's first message on a stream: its name and its position in the log."""
 
     name: str
-    """Of the follower; the same after a restart."""
+    """Name of the follower; the same after a restart."""
     boot: str
-    """New with each start."""
+    """Identifies the run of the process; new with each start."""
     epoch: Epoch
-    """Of what it has; ``NO_EPOCH`` if it has nothing."""
+    """Epoch of ``applied``; ``NO_EPOCH`` if the follower has no entries."""
     applied: int
-    """Sequence number up to which it has applied everything."""
+    """Sequence number up to which the follower has applied everything."""
     configuration_digest: str
-    """Of the version in force."""
+    """Digest of the configuration version in force."""
     highest_epoch: Epoch = NO_EPOCH
-    """The highest it has heard of: a source of a lower one ends."""
+    """The highest epoch that the follower knows of; a source with a lower epoch ends."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -140,32 +146,33 @@
     """A follower's acknowledgement and probe."""
 
     epoch: Epoch
-    """Of ``applied``."""
+    """Epoch of ``applied``."""
     applied: int
-    """Every entry up to here is applied."""
+    """Sequence number up to which the follower has applied everything."""
     probe: int
     """Number of this message on its stream, from 1."""
     watermark: int
-    """Of a relay: each of its followers has applied everything up to here; else the same as ``applied``."""
+    """From a relay, the sequence number up to which it and its followers have applied everything; otherwise
+    equal to ``applied``."""
     configuration_digest: str
-    """Of the version in force."""
+    """Digest of the configuration version in force."""
     rejected_version: int = 0
-    """Number of a version that was rejected; 0 if none was."""
+    """Number of a configuration version that was rejected; 0 if none was."""
     rejection_reason: str = ""
-    """Why it was."""
+    """Why that version was rejected."""
     wants_full: bool = False
-    """The configuration's delta did not fit: send the newest version complete."""
+    """Whether the complete newest version is requested, because a delta did not apply."""
     lagging_names: tuple[str, ...] = ()
-    """Of a relay: some followers without the newest version."""
+    """From a relay, names of some followers without the newest version."""
     lagging_count: int = 0
-    """Of a relay: how many followers lack the newest version."""
+    """From a relay, the number of followers without the newest version."""
     follower_count: int = 0
-    """Of a relay."""
+    """From a relay, the number of its followers, including those of relays below it."""
     lease_released: bool = False
-    """It holds no lease by what was proven on this stream, and takes none."""
+    """Whether the follower holds no lease from proofs of this stream, and will accept none."""
 
 
 DownstreamMessage = Batch | Snapshot | ConfigurationChange
-"""What a follower is sent."""
+"""A message to a follower."""
 UpstreamMessage = Join | Progress
-"""What a follower sends."""
+"""A message from a follower."""
--- a/magpieshift/relay/node.py
+++ b/magpieshift/relay/node.py
@@ -1,4 +1,4 @@
-"""A process of the fan-out tier: a source, or a relay. Neither stores anything on disk."""
+"""The processes of the fan-out tier, source and relay. Neither stores anything on disk."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 log = logging.getLogger(__name__)
 
 COUNTERS_INTERVAL_S = 10.0
-"""Between two log lines with the counters."""
+"""Interval between log lines with the counters."""
 READY_POLL_S = 0.05
-"""Between two looks whether a relay may begin to serve: a small part of its start."""
+"""Interval between checks whether a starting relay is ready to serve; short compared with its start."""
 
 
 @dataclass(frozen=True)
@@ -42,17 +42,17 @@
     """A source's settings."""
 
     changelog: Address
-    """Of the change log."""
+    """Address of the change log."""
     listen: str
     """host:port; port 0 picks a free one."""
     versions: str = ""
-    """Folder of configuration versions; empty: none are passed on."""
+    """Folder of configuration versions; if empty, no versions are distributed."""
     name: str = "source"
-    """By which reports name it."""
+    """Name of the source in status reports."""
     region: str = ""
-    """In which it stands."""
+    """Region of the source."""
     log_entries: int = MAX_LOG_ENTRIES
-    """Retained; a follower that lacks older ones gets a snapshot."""
+    """Maximum entries that are retained; a follower that lacks older ones gets a snapshot."""
 
 
 @dataclass(frozen=True)
@@ -60,31 +60,32 @@
     """A relay's settings."""
 
     sources: Sequence[RelayAddress]
-    """That it may follow."""
+    """The sources that the relay may follow."""
     listen: str
     """host:port; port 0 picks a free one."""
     name: str
-    """By which followers rank it."""
+    """Name of the relay, in reports and as a follower of its source."""
     region: str
-    """In which it stands."""
+    """Region of the relay."""
     log_entries: int = MAX_LOG_ENTRIES
-    """Retained; a follower that lacks older ones gets a snapshot."""
+    """Maximum entries that are retained; a follower that lacks older ones gets a snapshot."""
 
 
 class _FanoutNode:
-    """What source and relay have in common: a log, its state, followers, and the log lines about them."""
+    """The common part of source and relay: the log and its state, the followers, and the log lines with
+    counters."""
 
     def __init__(self, options: SourceOptions | RelayOptions, epoch: Epoch) -> None:
         self.name = options.name
         self.region = options.region
         self.log = SequencedLog(epoch, max_entries=options.log_entries)
-        """The newest entries."""
+        """Log with the newest entries."""
         self.state = LogState(apply_delta)
-        """The fold of all entries."""
+        """Accumulated state of all entries."""
         self.fanout = self._make_fanout()
-        """The followers."""
+        """State machine that serves the followers."""
         self.service = RelayService(self.fanout, self._on_superseded, self.report)
-        """Their streams."""
+        """gRPC service with the followers' streams."""
         self._stopping = asyncio.Event()
 
     def _make_fanout(self) -> Fanout:
@@ -118,11 +119,11 @@
         )
 
     def stop(self) -> None:
-        """Begin the end; ``run`` returns then."""
+        """Request the shutdown; ``run`` returns once it is complete."""
         self._stopping.set()
 
     async def _log_counters(self) -> None:
-        """One line with the counters, once in a while."""
+        """Log the counters every ``COUNTERS_INTERVAL_S``."""
         while True:
             await asyncio.sleep(COUNTERS_INTERVAL_S)
             now_us = clock.source.steady_us()
@@ -142,7 +143,7 @@
             )
 
     async def _serve(self, listen: str, ready: Callable[[int], None]) -> None:
-        """Serve followers until the end."""
+        """Serve followers until ``stop``."""
         await self.service.start(listen)
         log.info("ready", extra=fields(name=self.name, region=self.region, port=self.service.port))
         ready(self.service.port)
@@ -154,7 +155,8 @@
 
 
 class SourceNode(_FanoutNode):
-    """Numbers the changes of the change log and of the folder of versions, and serves them to relays."""
+    """Assigns sequence numbers to the changes of the change log and of the version folder, and serves them to
+    relays."""
 
     def __init__(self, options: SourceOptions) -> None:
         self._options = options
@@ -181,7 +183,7 @@
             await self.service.stop()
         if self._newer_epoch != NO_EPOCH:
             raise SourceSupersededError(
-                f"a source with epoch {self._newer_epoch.term} is newer than {epoch.term}"
+                f"superseded by a newer source with term {self._newer_epoch.term}, this one has {epoch.term}"
             )
 
     @property
@@ -220,7 +222,8 @@
         self.client = RelayClient(self.follower, selection, self, self.fanout.report)
 
     async def run(self, ready: Callable[[int], None] = lambda port: None) -> None:
-        """Serve until ``stop``, once it has what the source has; ``OSError`` if it cannot listen."""
+        """Serve until ``stop``, beginning once the relay has everything that its source has; ``OSError`` if
+        it cannot listen."""
         self.client.start()
         try:
             while not self._stopping.is_set() and not self.fanout.is_fresh(clock.source.steady_us()):
@@ -233,7 +236,7 @@
 
     @property
     def upstream(self) -> str:
-        """The address of the relay it subscribes to, ``host:port``."""
+        """The address of the source that it follows, ``host:port``."""
         return self.client.relay.address
 
     def _make_fanout(self) -> Fanout:
@@ -254,10 +257,10 @@
         log.warning("epoch superseded", extra=fields(epoch=self.log.epoch.term, by=epoch.term))
         self.follower.learn_epoch(epoch)
 
-    # --- what it receives
+    # --- received data
 
     def apply_entries(self, batch: ApplyEntries) -> None:
-        """Copy a batch into the log."""
+        """Append a batch to the log."""
         now_us = clock.source.steady_us()
         self.log.extend(batch.first, batch.entries)
         for entry in batch.entries:
@@ -265,7 +268,7 @@
         self._publish_configuration()
 
     def restore_snapshot(self, snapshot: Snapshot) -> None:
-        """Go on from a snapshot."""
+        """Replace log and state by a snapshot."""
         if snapshot.epoch != self.log.epoch:
             log.info("epoch begun", extra=fields(epoch=snapshot.epoch.term, applied=snapshot.applied))
         self.state.restore(snapshot, clock.source.steady_us())
@@ -273,7 +276,7 @@
         self._publish_configuration()
 
     def apply_configuration(self, change: ConfigurationChange) -> None:
-        """A complete version in place of a delta that did not fit."""
+        """Apply a complete version in place of a delta that did not apply."""
         self.state.apply_full_configuration(change)
         self._publish_configuration()
 
--- a/magpieshift/relay/report.py
+++ b/magpieshift/relay/report.py
@@ -1,4 +1,4 @@
-"""How far followers lag: what a relay reports to its source, and what operators see."""
+"""How far followers lag: the report of a relay to its source, and the follower status for operators."""
 
 from __future__ import annotations
 
@@ -12,53 +12,54 @@
 
 @dataclass(frozen=True, slots=True)
 class DownstreamReport:
-    """What a relay reports to its source about its followers, for its ``Progress``."""
+    """The report of a relay on its followers, which it sends to its source in ``Progress``."""
 
     epoch: Epoch
-    """Of the watermark."""
+    """Epoch of the watermark."""
     watermark: int
-    """Up to where the relay and every follower that may hold a lease have applied everything."""
+    """Sequence number up to which the relay and every follower that may hold a lease have applied
+    everything."""
     lagging_names: tuple[str, ...]
-    """Some followers without the newest version."""
+    """Names of some followers without the newest version."""
     lagging_count: int
-    """How many followers lack the newest version."""
+    """Number of followers without the newest version."""
     follower_count: int
-    """How many are connected, with those of relays below."""
+    """Number of connected followers, including those of relays below."""
 
 
 @dataclass(frozen=True, slots=True)
 class FollowerStatus:
-    """One follower as operators see it."""
+    """Status of one follower for operators."""
 
     name: str
-    """By which it joined."""
+    """Name of the follower."""
     boot: str
-    """New with each of its starts."""
+    """Identifies the run of the process; new with each start."""
     connected: bool
-    """Whether it has a stream."""
+    """Whether the follower has a stream."""
     applied: int
-    """What it has acknowledged in this epoch."""
+    """Sequence number up to which it has acknowledged everything in this epoch."""
     lag_entries: int
-    """How many entries it has not acknowledged."""
+    """Number of entries that it has not acknowledged."""
     silent_us: int
-    """Since its last message."""
+    """Time since its last message."""
     may_hold_lease: bool
-    """Whether the watermark waits for it."""
+    """Whether it may hold a lease; the watermark then waits for it."""
     configuration_digest: str
-    """Of the version in force there."""
+    """Digest of the configuration version in force at the follower."""
     rejected_version: int
     """Number of a version that it rejected; 0 if none."""
     rejection_reason: str
-    """Why it did."""
+    """Why it rejected that version."""
     invalid_acknowledgements: int
-    """Acknowledgements of what it had not been sent."""
+    """Number of its acknowledgements of entries that it had not been sent."""
 
 
 def make_report(
     epoch: Epoch, watermark: int, followers: Iterable[FollowerRecord], newest_digest: str
 ) -> DownstreamReport:
-    """The report over the followers that are connected, and over what these report of their own. Nobody lags
-    while there is no newest version."""
+    """Build the report from the connected followers and the reports of their own followers. Without a newest
+    version, no direct follower counts as lagging."""
     lagging_names: list[str] = []
     lagging_count = 0
     follower_count = 0
@@ -80,7 +81,7 @@
 
 
 def make_status(followers: Iterable[FollowerRecord], head: int, now_us: int) -> tuple[FollowerStatus, ...]:
-    """All followers, by name."""
+    """Status of all followers, sorted by name."""
     found = [_status(follower, head, now_us) for follower in followers]
     return tuple(sorted(found, key=lambda status: (status.name, status.boot)))
 
--- a/magpieshift/relay/selection.py
+++ b/magpieshift/relay/selection.py
@@ -1,4 +1,4 @@
-"""Which relay a follower follows: ranking, failover and return."""
+"""Selects the relay that a follower follows: ranking, failover and return."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayAddress:
-    """A relay (or source) by its settings."""
+    """Name, region and address of a relay or source, from the settings."""
 
     name: str
-    """By which followers rank it."""
+    """Name by which followers rank the relay."""
     region: str
-    """In which it stands."""
+    """Region of the relay."""
     address: str
-    """host:port."""
+    """Address, ``host:port``."""
 
 
 def rank_relays(follower: str, region: str, relays: Iterable[RelayAddress]) -> tuple[RelayAddress, ...]:
-    """The relays in the order in which the follower tries them: those of its region first, by rendezvous hash
-    of both names."""
+    """Rank relays in the order in which the follower tries them: those of its region first, each group by
+    rendezvous hash of the names of follower and relay."""
 
     def sort_key(relay: RelayAddress) -> tuple[bool, bytes, str]:
         """Other regions last, then by hash, then by name."""
-        # with the length, so that no two pairs of names are hashed alike
+        # includes a length, so that different pairs of names never give the same hash input
         pair = f"{len(follower)} {follower} {relay.name}".encode()
         return relay.region != region, hashlib.blake2b(pair, digest_size=8).digest(), relay.name
 
@@ -42,7 +42,7 @@
 
 
 class RelaySelection:
-    """The choice of one follower."""
+    """The relay selection of one follower."""
 
     def __init__(
         self,
@@ -50,18 +50,18 @@
         rand: random.Random,
         max_backoff_s: float = MAX_FAILOVER_BACKOFF_S,
     ) -> None:
-        """``ranked`` as by ``rank_relays``; ``ValueError`` if it is empty. ``max_backoff_s`` bounds the
-        delays: a relay that looks for a source gives ``MAX_RELAY_FAILOVER_BACKOFF_S``."""
+        """``ranked`` comes from ``rank_relays``; ``ValueError`` if it is empty. ``max_backoff_s`` limits the
+        failover delays: a relay that selects a source passes ``MAX_RELAY_FAILOVER_BACKOFF_S``."""
         if not ranked:
-            raise ValueError("no relay to follow")
+            raise ValueError("found an empty list of relays, expected at least one relay to follow")
         self._ranked = tuple(ranked)
         self._random = rand
-        # of the current relay, in the ranking
+        # index of the current relay in the ranking
         self._index = 0
         self._backoff = Backoff(rand, FAILOVER_INITIAL_BACKOFF_S, max_backoff_s)
-        # when a relay that ranks higher is tried; None while the current one is the first, or has failed
+        # when to try a relay that ranks higher; None while the current one ranks first or is not connected
         self._return_at_us: int | None = None
-        # the next one to try then
+        # index of the relay to try then
         self._candidate_index = 0
 
     @property
@@ -70,14 +70,15 @@
         return self._ranked[self._index]
 
     def record_connected(self, now_us: int) -> None:
-        """A stream with the current relay began to work; from now on a return is due at some time."""
+        """Record that the current relay is connected, and schedule the return to one that ranks higher, if
+        any."""
         self._return_at_us = None if self._index == 0 else self._draw_return_us(now_us)
         self._candidate_index = 0
 
     def record_failure(self, lasted_s: float) -> float:
-        """The current relay failed, after a stream that lasted so long (0 if none began). Moves on to the
-        next, or after a stable stream to the best of the others; returns the seconds to wait before trying
-        it."""
+        """Record that the current relay failed after a stream that lasted ``lasted_s`` (0 if there was none).
+        Selects the next relay, or after a stable stream the highest-ranked of the others; returns the delay
+        in seconds before trying it."""
         failed = self._index
         self._return_at_us = None
         self._index = (failed + 1) % len(self._ranked)
@@ -86,19 +87,19 @@
         return self._backoff.next_delay_s(lasted_s)
 
     def return_candidate(self, now_us: int) -> RelayAddress | None:
-        """The relay to try in place of the current one, if it is time; the current stream goes on until
-        ``switch_to``."""
+        """The relay that ranks higher and is to be tried now; None if the return delay has not passed. The
+        current stream continues until ``switch_to``."""
         if self._return_at_us is None or now_us < self._return_at_us:
             return None
         return self._ranked[self._candidate_index]
 
     def switch_to(self, relay: RelayAddress, now_us: int) -> None:
-        """The candidate answers: it is the current relay."""
+        """Make a candidate whose trial succeeded the current relay."""
         self._index = self._ranked.index(relay)
         self.record_connected(now_us)
 
     def reject_candidate(self, now_us: int) -> None:
-        """The candidate does not answer: after another delay the next one is tried."""
+        """Record that the trial of the candidate failed; the next one is tried after another delay."""
         self._candidate_index = (self._candidate_index + 1) % max(1, self._index)
         self._return_at_us = self._draw_return_us(now_us)
 
--- a/magpieshift/relay/service.py
+++ b/magpieshift/relay/service.py
@@ -1,8 +1,8 @@
-"""The driver of a ``Fanout``: a gRPC server with a stream for each follower.
+"""Drives a ``Fanout``: a gRPC server with a stream for each follower.
 
-What a follower is sent is taken from the ``Fanout`` only once its last write is through: nothing is queued
-here for one that reads slowly. A follower's stream has two coroutines, one that reads and one that writes;
-one ticker wakes all writers.
+Messages to a follower are taken from the ``Fanout`` only when the previous write has completed, so that
+nothing is queued here for a follower that reads slowly. A stream has two coroutines, a reader and a writer; a
+shared timer task wakes all writers.
 """
 
 from __future__ import annotations
@@ -37,15 +37,17 @@
 log = logging.getLogger(__name__)
 
 TICK_S = 0.05
-"""Between two looks at what is due: a fifth of a batch's interval."""
+"""Interval between checks of the streams' timers: a fifth of the batch interval."""
 JOIN_TIMEOUT_S = 3.0
-"""A stream that has not joined by then is ended: as long as a client waits for a connection."""
+"""Time-out for the join, after which a stream is ended; as long as a client waits for a connection."""
 MAX_STREAMS = 8192
-"""Twice ``MAX_FOLLOWERS``: also those that have not joined, or were replaced."""
+"""Maximum open streams: twice ``MAX_FOLLOWERS``, as streams that have not joined or were replaced count
+too."""
 MAX_UPSTREAM_BYTES = 1 << 14
-"""Of a follower's message, the last of which is remembered; they have about a hundred."""
+"""Maximum size of a follower's message; the last one is kept in memory. Usual messages have about 100
+bytes."""
 MAX_REASON_LENGTH = 200
-"""Characters of an unexpected error that a follower is sent."""
+"""Maximum characters of an unexpected error that are sent to a follower."""
 
 SERVER_OPTIONS = [*CONTROL_OPTIONS, ("grpc.max_receive_message_length", MAX_UPSTREAM_BYTES)]
 
@@ -53,14 +55,14 @@
 
 
 class StreamDriver:
-    """One follower's stream."""
+    """The driver's state of one follower's stream."""
 
     def __init__(self, number: int, task: asyncio.Task[None]) -> None:
-        """``task`` is the one that writes."""
+        """``task`` is the writer's task."""
         self.number = number
-        """By which the ``Fanout`` knows the stream."""
+        """Number that identifies the stream in the ``Fanout``."""
         self.name = ""
-        """Of the follower, once it has joined."""
+        """Name of the follower; empty until it has joined."""
         self.began_us = clock.source.steady_us()
         """When the stream was opened."""
         self.woken = asyncio.Event()
@@ -68,11 +70,11 @@
         self.writing = False
         """Whether a write is in flight."""
         self.end_status: tuple[Any, str] | None = None
-        """The status code with which the stream is ended, and why; None while it goes on."""
+        """The gRPC status code and the reason with which the stream is ended; None while it is open."""
         self._task = task
 
     def end(self, code: Any = Code.OK, reason: str = "") -> None:
-        """End it; a write that does not come through is given up."""
+        """End the stream; a write in flight is cancelled."""
         if self.end_status is None:
             self.end_status = (code, reason)
             self.woken.set()
@@ -81,7 +83,7 @@
 
 
 class RelayService(grpc.GenericRpcHandler):  # type: ignore[misc]  # the library is not typed
-    """Owner of the server and of all followers' streams."""
+    """The gRPC server and all followers' streams."""
 
     def __init__(
         self,
@@ -89,25 +91,25 @@
         on_superseded: Callable[[Epoch], None],
         make_report: Callable[[], wire.StatusReport],
     ) -> None:
-        """``on_superseded`` is called if a follower knows of a higher epoch; ``make_report`` answers
-        operators."""
+        """``on_superseded`` is called if a follower knows a higher epoch; ``make_report`` returns the status
+        report for operators."""
         self.counters = ServiceCounters()
-        """Since the start."""
+        """Counters since the start."""
         self.port = 0
-        """On which it listens, once started."""
+        """Port on which the server listens; 0 before ``start``."""
         self._fanout = fanout
         self._on_superseded = on_superseded
         self._make_report = make_report
         self._streams: dict[int, StreamDriver] = {}
         self._numbers = itertools.count(1)
         self._messages = MessageCache()
-        # whether the fanout was fresh at the last tick
+        # whether the fan-out was fresh at the last tick
         self._was_fresh = True
         self._server: Any = None
         self._ticker: asyncio.Task[None] | None = None
 
     def service(self, details: Any) -> Any:
-        """The handler of a method, for gRPC."""
+        """The handler of a gRPC method; None for an unknown one."""
         if details.method.endswith("/Follow"):
             return grpc.stream_stream_rpc_method_handler(self._follow)
         if details.method.endswith("/Status"):
@@ -115,20 +117,20 @@
         return None
 
     async def start(self, listen: str) -> None:
-        """Listen on ``host:port``; port 0 picks a free one. ``OSError`` if that cannot be."""
+        """Listen on ``host:port``; port 0 picks a free one. ``OSError`` if the address cannot be used."""
         self._server, self.port = await start_server(self, listen, SERVER_OPTIONS)
         self._ticker = asyncio.ensure_future(self._tick())
 
     def end_streams(self, reason: str) -> None:
-        """End all streams: nothing more is written on them."""
+        """End all streams; nothing more is written to them."""
         for stream in list(self._streams.values()):
             stream.end(Code.UNAVAILABLE, reason)
 
     async def stop(self) -> None:
-        """End all streams, at once."""
+        """End all streams and stop the server at once."""
         if self._ticker is not None:
             self._ticker.cancel()
-        self.end_streams("ending")
+        self.end_streams("the server is shutting down")
         if self._server is not None:
             await self._server.stop(0)
 
@@ -136,7 +138,8 @@
         return bytes(self._make_report().SerializeToString())
 
     async def _tick(self) -> None:
-        """Wake the writers whose time has come, and end streams on which nothing is received."""
+        """Wake the writers that have something to send, and end streams that are silent or must not be
+        served."""
         while True:
             now_us = clock.source.steady_us()
             for number in self._fanout.due_streams(now_us):
@@ -148,30 +151,30 @@
             await asyncio.sleep(TICK_S)
 
     def _end_ineligible(self, now_us: int) -> None:
-        """End streams that did not join in time; all, if this process is not fresh itself."""
+        """End streams that did not join in time, and all joined streams if this process is not fresh."""
         is_fresh = self._fanout.is_fresh(now_us)
         if self._was_fresh and not is_fresh and self._streams:
             log.warning("source contact lost", extra=fields(followers=len(self._streams)))
         self._was_fresh = is_fresh
         for stream in list(self._streams.values()):
             if stream.name and not is_fresh:
-                stream.end(Code.UNAVAILABLE, "not current")
+                stream.end(Code.UNAVAILABLE, "the server has lost contact with its source")
             elif not stream.name and now_us - stream.began_us > JOIN_TIMEOUT_S * 1e6:
-                stream.end(Code.DEADLINE_EXCEEDED, "nothing was said")
+                stream.end(Code.DEADLINE_EXCEEDED, f"no join within {JOIN_TIMEOUT_S} s")
 
     def _end_silent(self, number: int) -> None:
         stream = self._streams.get(number)
         if stream is not None and stream.end_status is None:
             self.counters.silent_streams += 1
             log.warning("follower lapsed", extra=fields(peer=stream.name))
-            stream.end(Code.DEADLINE_EXCEEDED, "nothing was heard")
+            stream.end(Code.DEADLINE_EXCEEDED, "the follower sent no message in time")
 
     # --- one stream
 
     async def _follow(self, requests: AsyncIterator[bytes], context: Any) -> None:
         if len(self._streams) >= MAX_STREAMS:
             self.counters.rejected_streams += 1
-            await context.abort(Code.RESOURCE_EXHAUSTED, f"{MAX_STREAMS} streams are open")
+            await context.abort(Code.RESOURCE_EXHAUSTED, f"the limit of {MAX_STREAMS} streams is reached")
         task: Any = asyncio.current_task()
         stream = StreamDriver(next(self._numbers), task)
         self._streams[stream.number] = stream
@@ -179,7 +182,7 @@
         try:
             await self._write(stream, context)
         except (grpc.aio.BaseError, asyncio.CancelledError, UnknownStreamError):
-            if stream.end_status is None:  # the follower has gone under a message
+            if stream.end_status is None:  # the stream broke while a message was being written
                 raise
         finally:
             reading.cancel()
@@ -193,7 +196,9 @@
         if stream.name:
             self._fanout.close_stream(stream.number, clock.source.steady_us())
             _, reason = stream.end_status or (None, "")
-            log.info("follower left", extra=fields(peer=stream.name, reason=reason or "its stream ended"))
+            log.info(
+                "follower left", extra=fields(peer=stream.name, reason=reason or "the follower ended it")
+            )
 
     async def _write(self, stream: StreamDriver, context: Any) -> None:
         while stream.end_status is None:
@@ -217,21 +222,21 @@
             log.info("snapshot sent", extra=fields(applied=message.applied, purges=len(message.purges)))
 
     async def _read(self, stream: StreamDriver, requests: AsyncIterator[bytes]) -> None:
-        """Take in what a follower sends, until it ends the stream or sends what cannot be."""
+        """Handle a follower's messages until it ends the stream or sends an invalid message."""
         code = Code.OK
         reason = ""
         try:
             async for data in requests:
                 self._receive(stream, data)
         except grpc.aio.BaseError:
-            reason = "its stream broke off"
-        except Exception as err:  # whatever a follower sent, its stream alone ends
+            reason = "the stream broke"
+        except Exception as err:  # an error in handling a message ends only that follower's stream
             code, reason = self._judge_failure(stream, err)
         self.counters.rejected_streams += code is not Code.OK
         stream.end(code, reason)
 
     def _judge_failure(self, stream: StreamDriver, error: Exception) -> tuple[Any, str]:
-        """The status with which a stream ends whose message could not be taken in, and why."""
+        """The status code and reason with which to end a stream after an error in handling its message."""
         match error:
             case MalformedMessageError():
                 log.warning("malformed message", extra=fields(peer=stream.name, reason=error))
@@ -240,7 +245,7 @@
                 self._on_superseded(error.epoch)
                 return Code.FAILED_PRECONDITION, str(error)
             case TooManyFollowersError():
-                return Code.RESOURCE_EXHAUSTED, "there are too many followers"
+                return Code.RESOURCE_EXHAUSTED, "the server has reached its maximum number of followers"
             case UpstreamStaleError():
                 return Code.UNAVAILABLE, str(error)
             case UnknownStreamError():
--- a/magpieshift/relay/service_counters.py
+++ b/magpieshift/relay/service_counters.py
@@ -1,4 +1,4 @@
-"""What a relay's service counts."""
+"""Counters of a ``RelayService``."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 @dataclass
 class ServiceCounters:
-    """What a service has done since its start."""
+    """Counters of a source's or relay's service since its start."""
 
     joins: int = 0
-    """Streams that joined."""
+    """Number of streams that joined."""
     batches: int = 0
-    """Batches sent, with heartbeats."""
+    """Batches sent, including heartbeats."""
     entries: int = 0
-    """Entries sent in them."""
+    """Entries sent in batches."""
     bytes_out: int = 0
-    """Bytes of all messages sent."""
+    """Total bytes of all messages sent."""
     snapshots: int = 0
     """Snapshots sent."""
     rejected_streams: int = 0
-    """Streams that were ended for what was received on them, or for want of capacity."""
+    """Streams that were ended because of an invalid or rejected message, or for lack of capacity."""
     silent_streams: int = 0
     """Streams that were ended because nothing was received on them."""
 
     def count_sent(self, message: DownstreamMessage) -> None:
-        """A message was sent to a follower."""
+        """Count a message that was sent to a follower."""
         if isinstance(message, Batch):
             self.batches += 1
             self.entries += len(message.entries)
@@ -35,7 +35,7 @@
             self.snapshots += 1
 
     def as_data(self) -> dict[str, int]:
-        """By the names that status reports, their readers and the log use."""
+        """The counters under the names that status reports and the log use."""
         return {
             "joins": self.joins,
             "batches": self.batches,
--- a/magpieshift/relay/snapshot_schedule.py
+++ b/magpieshift/relay/snapshot_schedule.py
@@ -1,7 +1,7 @@
-"""Which stream gets a snapshot when, and one snapshot for all streams that need one at about the same time.
+"""Schedules snapshots, and shares one among all streams that need one at about the same time.
 
-Snapshots go out at a bounded rate: each stream has a slot of its own, and one that does not come holds up no
-other.
+Snapshots are sent at a limited rate: each stream gets a time slot of its own, and a stream that misses its
+slot does not delay the others.
 """
 
 from __future__ import annotations
@@ -12,22 +12,23 @@
 from magpieshift.relay.messages import Snapshot
 
 SLOT_EXPIRY_US = 1_000_000
-"""A stream that comes later than this to its slot gets another: long beside a driver's tick."""
+"""Time after which an unused slot expires and its stream gets another one; long compared with the driver's
+tick."""
 
 
 class SnapshotSchedule:
-    """The slots of all streams that need a snapshot. Times are of the monotonic clock."""
+    """The time slots of all streams that need a snapshot. Times are of the monotonic clock."""
 
     def __init__(self, per_s: int = MAX_SNAPSHOTS_PER_S) -> None:
-        """``per_s`` slots a second."""
+        """``per_s`` is the number of slots a second."""
         self._interval_us = 1_000_000 // per_s
-        # the slot of each stream that has one
+        # time of the slot, by stream
         self._slots_us: dict[int, int] = {}
-        # the latest slot that was used
+        # time of the latest slot that was used
         self._last_taken_us: int | None = None
 
     def reserve(self, stream: int, now_us: int) -> int:
-        """The slot of the stream: the one it has, or the next that is free."""
+        """The time of the stream's slot; assigns the next free one if it has none or its slot has expired."""
         slot_us = self._slots_us.get(stream)
         if slot_us is None or now_us > slot_us + SLOT_EXPIRY_US:
             slot_us = self._next_free_us(now_us)
@@ -35,11 +36,11 @@
         return slot_us
 
     def slot_us(self, stream: int) -> int | None:
-        """The slot that the stream has, if any."""
+        """The time of the stream's slot; None if it has none."""
         return self._slots_us.get(stream)
 
     def take_slot(self, stream: int, now_us: int) -> bool:
-        """Whether it is the stream's turn; its slot is used up then."""
+        """Whether the stream's slot is reached; if so, the slot is used up."""
         slot_us = self.reserve(stream, now_us)
         if now_us < slot_us:
             return False
@@ -48,7 +49,7 @@
         return True
 
     def cancel(self, stream: int) -> None:
-        """The stream needs no slot."""
+        """Remove the stream's slot, if it has one."""
         self._slots_us.pop(stream, None)
 
     def _next_free_us(self, now_us: int) -> int:
@@ -59,17 +60,18 @@
 
 
 class SnapshotCache:
-    """The last snapshot that was made of a log, while it can be used again."""
+    """The last snapshot of a log, which is reused for ``SNAPSHOT_REUSE_US``."""
 
     def __init__(self, log: SequencedLog, state: LogState) -> None:
-        """``state`` holds what matters of all entries of ``log``."""
+        """``state`` is the accumulated state of all entries of ``log``."""
         self._log = log
         self._state = state
         self._snapshot: Snapshot | None = None
         self._made_us = 0
 
     def get(self, now_us: int) -> Snapshot:
-        """A snapshot from which the log's entries lead on, at most ``SNAPSHOT_REUSE_US`` old."""
+        """A snapshot less than ``SNAPSHOT_REUSE_US`` old, whose following entries are all retained in the
+        log."""
         log = self._log
         made = self._snapshot
         usable = made is not None and made.epoch == log.epoch and made.applied + 1 >= log.first
--- a/magpieshift/relay/status.py
+++ b/magpieshift/relay/status.py
@@ -1,4 +1,4 @@
-"""The status report of a source or relay for operators, and how it is fetched."""
+"""Builds and fetches the status report of a source or relay for operators."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from magpieshift.relay.service_counters import ServiceCounters
 
 STATUS_METHOD = "/magpieshift.control.v1.Control/Status"
-"""The call that operators' commands make."""
+"""gRPC method that operators' commands call for a status report."""
 STATUS_TIMEOUT_S = 2.0
-"""For a report, which a relay makes at once; a busy one takes a second."""
+"""Time-out for a status report. A relay answers at once, a busy one within about a second."""
 
 
 def make_status_report(
@@ -34,8 +34,8 @@
     age_us: int | None,
     now_us: int,
 ) -> wire.StatusReport:
-    """The report of a source or relay on itself and its followers; ``age_us`` is how old its knowledge is.
-    The wire's names stand here alone."""
+    """Build the report of a source or relay on itself and its followers; ``age_us`` is the age of its
+    knowledge. The wire field names of reports are used only in this module."""
     below = fanout.report(now_us)
     version = state.configuration
     return wire.StatusReport(
@@ -73,7 +73,7 @@
 
 
 async def fetch_status(address: str) -> wire.StatusReport:
-    """The report of the source or relay at ``host:port``; ``RelayUnreachableError`` if there is none."""
+    """Fetch the report of the source or relay at ``host:port``; ``RelayUnreachableError`` if that fails."""
     try:
         async with grpc.aio.insecure_channel(address, options=CHANNEL_OPTIONS) as channel:
             await connect(channel)
@@ -82,11 +82,11 @@
     except (grpc.aio.AioRpcError, ConnectionError, TimeoutError) as err:
         raise RelayUnreachableError(failure_text(err)) from None
     except DecodeError as err:
-        raise RelayUnreachableError(f"no report: {err}") from None
+        raise RelayUnreachableError(f"the status report cannot be decoded: {err}") from None
 
 
 def status_as_data(make_status_report: wire.StatusReport) -> dict[str, Any]:
-    """A report for machines: names as in the messages, times in microseconds."""
+    """Convert a report to JSON data: names as in the wire messages, times in microseconds."""
     names = ("name", "region", "upstream", "head", "done", "version", "digest", "behind_count")
     data: dict[str, Any] = {name: getattr(make_status_report, name) for name in names}
     data["epoch"] = {"term": make_status_report.epoch.term, "instance": make_status_report.epoch.instance}
--- a/magpieshift/relay/version_reader.py
+++ b/magpieshift/relay/version_reader.py
@@ -1,4 +1,4 @@
-"""A source's reading of a folder of configuration versions."""
+"""Reads a folder of configuration versions for a source."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 log = logging.getLogger(__name__)
 
 POLL_INTERVAL_S = 0.3
-"""Between two looks into the folder: a small part of the seconds in which a version is in force."""
+"""Poll interval of the folder; short compared with the seconds that a version takes to come into force."""
 
 
 class VersionReader:
-    """Reads a folder of versions: the newest of them at first, then each that comes."""
+    """Reads a folder of versions: the newest one at first, then each new one."""
 
     def __init__(self, folder: str, append: Callable[[ConfigurationChange], None]) -> None:
         """``append`` adds an entry to the source's log."""
         self._folder = folder
         self._append = append
-        # number of the last version that was read
+        # number of the last version that was read; -1 before the first
         self._newest_number = -1
-        # the last version that was passed on
+        # the last version that was added to the log
         self._previous: PublishedVersion | None = None
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Read, until ``stop``."""
+        """Poll the folder until ``stop``."""
         self._task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
-        """Read no more."""
+        """Stop polling."""
         if self._task is not None:
             self._task.cancel()
 
@@ -61,7 +61,9 @@
     def _pass_on(self, version: PublishedVersion, entry: ConfigurationChange) -> None:
         self._newest_number = version.number
         if not version.number or not fits_message(entry):
-            reason = "it has no number" if not version.number else "too large"
+            reason = (
+                "its number is 0, expected 1 or higher" if not version.number else "too large for a message"
+            )
             log.error("version not passed on", extra=fields(version=version.number, reason=reason))
             return
         self._previous = version
--- a/magpieshift/relay/visibility.py
+++ b/magpieshift/relay/visibility.py
@@ -1,7 +1,7 @@
-"""Up to where a log's entries are visible to followers.
+"""Tracks up to which entry a log is visible to followers.
 
-Entries become visible at *cuts*, at most every ``BATCH_INTERVAL_US``, so that all followers that are up to
-date get the same batches, which are serialized once.
+Entries become visible at *cuts*, at most one every ``BATCH_INTERVAL_US``, so that all up-to-date followers
+get the same batches, which are serialized once.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from magpieshift.relay.log import SequencedLog
 
 AgeSource = Callable[[int], int | None]
-"""Gives an age (us) at a time of the monotonic clock; None if it is not known."""
+"""Returns an age in microseconds at a time of the monotonic clock; None if it is unknown."""
 
 
 @dataclass(frozen=True, slots=True)
 class VisibleCut:
-    """Up to where entries are visible to followers, and how fresh that is. Times are of the monotonic
+    """Up to which entry a log is visible to followers, and how fresh that is. Times are of the monotonic
     clock."""
 
     head: int
@@ -26,30 +26,31 @@
     made_visible_us: int
     """When entries last became visible."""
     checked_us: int
-    """When the log last had nothing beyond ``head``."""
+    """When the log last had no entries beyond ``head``."""
     age_us: int | None
-    """The process's own age at that time; None: it has none to pass on."""
+    """Age of the process's knowledge at ``checked_us``; None if it cannot give proofs."""
     source_age_us: int
-    """The part of it that is the source's."""
+    """The part of ``age_us`` by which the source lagged behind its change log."""
 
 
 class Visibility:
-    """The present cut of one log."""
+    """Maintains the current cut of one log."""
 
     def __init__(self, log: SequencedLog, age_us: AgeSource, sync_age_us: AgeSource) -> None:
-        """``age_us`` gives how old the process's knowledge is, ``sync_age_us`` how long ago it had all that
-        its source had."""
+        """``age_us`` returns the age of the process's knowledge, ``sync_age_us`` the time since it last had
+        everything that its source had."""
         self._log = log
         self._age_us = age_us
         self._sync_age_us = sync_age_us
         self._cut: VisibleCut | None = None
 
     def begin_epoch(self) -> None:
-        """The log has begun a new epoch: nothing of it is visible yet."""
+        """Reset the cut: the log has begun a new epoch, of which nothing is visible yet."""
         self._cut = None
 
     def refresh(self, now_us: int) -> VisibleCut:
-        """The cut now. A new one is made if the log has entries beyond the last one, and it is time."""
+        """The current cut. Entries beyond the previous one become visible if ``BATCH_INTERVAL_US`` has
+        passed."""
         log = self._log
         cut = self._cut
         if cut is not None and log.head > cut.head and now_us < cut.made_visible_us + BATCH_INTERVAL_US:
@@ -65,7 +66,8 @@
         return self._cut.made_visible_us + BATCH_INTERVAL_US
 
     def _ages(self, now_us: int) -> tuple[int | None, int]:
-        """The process's own age, and the part of it that is the source's."""
+        """The age of the process's knowledge, and the part of it by which the source lagged its change
+        log."""
         age_us = self._age_us(now_us)
         sync_age_us = self._sync_age_us(now_us)
         if sync_age_us is None:
