--- a/magpieshift/relay/change_log_reader.py
+++ b/magpieshift/relay/change_log_reader.py
@@ -191,4 +191,4 @@
 
     def _mark_history_read(self) -> None:
         self.history_read = True
-        log.info("change log read", extra=fields(seq=self._client.changes.last_sequence))
+        log.info("change log history read", extra=fields(seq=self._client.changes.last_sequence))
--- a/magpieshift/relay/client.py
+++ b/magpieshift/relay/client.py
@@ -124,7 +124,7 @@
             try:
                 reason = await self._follow(relay)
             except RelayChangedError as err:
-                log.info("relay changed", extra=fields(peer=relay.name, reason=err))
+                log.info("switching to higher-ranked relay", extra=fields(peer=relay.name, reason=err))
                 continue
             except Exception as err:  # a fault in applying one message must not stop the client
                 log.exception("relay stream failed", extra=fields(peer=relay.name))
@@ -136,7 +136,7 @@
     def _log_lost(self, relay: RelayAddress, reason: str) -> None:
         log.log(
             logging.DEBUG if self._loss_logged else logging.WARNING,
-            "relay lost",
+            "relay connection lost",
             extra=fields(
                 peer=relay.name,
                 address=relay.address,
@@ -206,7 +206,7 @@
     def _record_found(self, relay: RelayAddress, now_us: int) -> None:
         self._selection.record_connected(now_us)
         self._loss_logged = False
-        log.info("relay found", extra=fields(peer=relay.name, address=relay.address))
+        log.info("relay connected", extra=fields(peer=relay.name, address=relay.address))
 
     def _execute(self, instruction: Instruction) -> None:
         follower = self._follower
--- a/magpieshift/relay/node.py
+++ b/magpieshift/relay/node.py
@@ -170,7 +170,7 @@
         """Serve until ``stop``; ``SourceSupersededError`` if another source is newer, ``OSError`` if it
         cannot listen."""
         epoch = self.log.epoch
-        log.info("epoch begun", extra=fields(epoch=epoch.term, instance=f"{epoch.instance:016x}"))
+        log.info("epoch started", extra=fields(epoch=epoch.term, instance=f"{epoch.instance:016x}"))
         self._change_log_reader.start()
         if self._version_reader is not None:
             self._version_reader.start()
@@ -270,7 +270,7 @@
     def restore_snapshot(self, snapshot: Snapshot) -> None:
         """Replace log and state by a snapshot."""
         if snapshot.epoch != self.log.epoch:
-            log.info("epoch begun", extra=fields(epoch=snapshot.epoch.term, applied=snapshot.applied))
+            log.info("epoch started", extra=fields(epoch=snapshot.epoch.term, applied=snapshot.applied))
         self.state.restore(snapshot, clock.source.steady_us())
         self.log.restart(snapshot.epoch, snapshot.applied)
         self._publish_configuration()
--- a/magpieshift/relay/service.py
+++ b/magpieshift/relay/service.py
@@ -166,7 +166,7 @@
         stream = self._streams.get(number)
         if stream is not None and stream.end_status is None:
             self.counters.silent_streams += 1
-            log.warning("follower lapsed", extra=fields(peer=stream.name))
+            log.warning("follower timed out", extra=fields(peer=stream.name))
             stream.end(Code.DEADLINE_EXCEEDED, "the follower sent no message in time")
 
     # --- one stream
@@ -197,7 +197,8 @@
             self._fanout.close_stream(stream.number, clock.source.steady_us())
             _, reason = stream.end_status or (None, "")
             log.info(
-                "follower left", extra=fields(peer=stream.name, reason=reason or "the follower ended it")
+                "follower disconnected",
+                extra=fields(peer=stream.name, reason=reason or "the follower ended it"),
             )
 
     async def _write(self, stream: StreamDriver, context: Any) -> None:
--- a/magpieshift/relay/version_reader.py
+++ b/magpieshift/relay/version_reader.py
@@ -47,7 +47,7 @@
             try:
                 versions = await loop.run_in_executor(None, self._read_new)
             except OSError as err:
-                log.warning("versions not read", extra=fields(folder=self._folder, reason=err))
+                log.warning("version folder not readable", extra=fields(folder=self._folder, reason=err))
                 versions = []
             for version in versions:
                 entry = await loop.run_in_executor(None, partial(log_entry, self._previous, version))
@@ -64,13 +64,13 @@
             reason = (
                 "its number is 0, expected 1 or higher" if not version.number else "too large for a message"
             )
-            log.error("version not passed on", extra=fields(version=version.number, reason=reason))
+            log.error("version not added to log", extra=fields(version=version.number, reason=reason))
             return
         self._previous = version
         self._append(entry)
         content = "delta" if entry.base_digest else "whole"
         log.info(
-            "version passed on",
+            "version added to log",
             extra=fields(
                 version=version.number,
                 digest=version.digest,
