--- a/magpieshift/lab/simulated/fanout_processes.py
+++ b/magpieshift/lab/simulated/fanout_processes.py
@@ -197,7 +197,7 @@
         """The progress that is due, if any, and a farewell to the relay that was followed before."""
         outputs: list[Output] = []
         if self._previous_stream_id is not None and self.follower.lease_from_stream:
-            farewell = SendMessage(self._previous_stream_id, self.follower.farewell())
+            farewell = SendMessage(self._previous_stream_id, self.follower.release_previous())
             outputs = [farewell, *self._close_previous()]
         if self.stream_id is not None and (progress := self.follower.progress(now_us)) is not None:
             outputs.append(SendMessage(self.stream_id, progress))
--- a/magpieshift/relay/change_log_reader.py
+++ b/magpieshift/relay/change_log_reader.py
@@ -137,7 +137,7 @@
 
     def list_received(self, list_json: str) -> None:
         """Append an endpoint list, or a change of it, to the log."""
-        self._pass_on(EndpointListChange(list_json))
+        self._append_entry(EndpointListChange(list_json))
 
     def purged(self, key: str, group: int, issued_us: int) -> None:
         """Append the purge of an object or a group to the log; ``ValueError`` if it cannot be sent to
@@ -147,14 +147,14 @@
                 f"purge: found group {group} at {issued_us} us, expected a 64-bit group and 0 to"
                 f" {MAX_UNIX_TIME_US} us"
             )
-        self._pass_on(Purge(key, group, issued_us))
+        self._append_entry(Purge(key, group, issued_us))
         now_unix_us = clock.source.unix_us()
         if self.history_read:
             self._delays.record(now_unix_us - issued_us, clock.source.steady_us())
         elif self._answered_us is not None and issued_us >= self._answered_us - RECENT_US:
             self._mark_history_read()
 
-    def _pass_on(self, entry: Entry) -> None:
+    def _append_entry(self, entry: Entry) -> None:
         is_small = isinstance(entry, Purge) and len(entry.key) <= SMALL_KEY_LENGTH
         if is_small or fits_message(entry):
             self._append(entry)
--- a/magpieshift/relay/client.py
+++ b/magpieshift/relay/client.py
@@ -130,10 +130,10 @@
                 log.exception("relay stream failed", extra=fields(peer=relay.name))
                 reason = f"{type(err).__name__}: {err}"
             delay_s = self._selection.record_failure(loop.time() - began_s)
-            self._log_lost(relay, reason)
+            self._log_connection_lost(relay, reason)
             await asyncio.sleep(delay_s)
 
-    def _log_lost(self, relay: RelayAddress, reason: str) -> None:
+    def _log_connection_lost(self, relay: RelayAddress, reason: str) -> None:
         log.log(
             logging.DEBUG if self._loss_logged else logging.WARNING,
             "relay connection lost",
@@ -159,8 +159,8 @@
             join = self._follower.connect(clock.source.steady_us())
             await connection.write(encode_upstream(join))
             self._connection = connection
-            connection.reading = _watched(self._read(connection, relay))
-            ticking = _watched(self._tick(connection))
+            connection.reading = _start_task(self._read(connection, relay))
+            ticking = _start_task(self._tick(connection))
             tasks = (connection.reading, ticking)
             done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             for task in done:
@@ -199,11 +199,11 @@
                 self._execute(instruction)
             if not found:
                 found = True
-                self._record_found(relay, now_us)
+                self._record_connected(relay, now_us)
             if self._follower.staleness.lease_held(now_us):
                 self.caught_up.set()
 
-    def _record_found(self, relay: RelayAddress, now_us: int) -> None:
+    def _record_connected(self, relay: RelayAddress, now_us: int) -> None:
         self._selection.record_connected(now_us)
         self._loss_logged = False
         log.info("relay connected", extra=fields(peer=relay.name, address=relay.address))
@@ -242,7 +242,7 @@
                 if candidate is None and (candidate := self._selection.return_candidate(now_us)) is not None:
                     trial = asyncio.ensure_future(_can_give_lease(candidate))
                 elif candidate is not None and trial is not None and trial.done():
-                    self._decide_return(candidate, trial.result(), now_us)
+                    self._finish_trial(candidate, trial.result(), now_us)
                     candidate = None
                     trial = None
                 await asyncio.sleep(TICK_S)
@@ -265,9 +265,9 @@
         if previous is None or not self._follower.lease_from_stream:
             return
         self._previous_connection = None
-        await previous.send_last(encode_upstream(self._follower.farewell()))
+        await previous.send_last(encode_upstream(self._follower.release_previous()))
 
-    def _decide_return(self, candidate: RelayAddress, can_give_lease: bool, now_us: int) -> None:
+    def _finish_trial(self, candidate: RelayAddress, can_give_lease: bool, now_us: int) -> None:
         """Change to a relay that ranks higher if its trial succeeded."""
         if not can_give_lease:
             self._selection.reject_candidate(now_us)
@@ -276,7 +276,7 @@
         raise RelayChangedError(f"{candidate.name} ranks higher and is fresh")
 
 
-def _watched(work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+def _start_task(work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
     """Start a task whose exception counts as retrieved, even if another task ends first."""
     task = asyncio.ensure_future(work)
     task.add_done_callback(lambda done: done.cancelled() or done.exception())
--- a/magpieshift/relay/fanout.py
+++ b/magpieshift/relay/fanout.py
@@ -36,7 +36,7 @@
 from magpieshift.relay.watermark import Watermark
 
 
-def _no_age_us(now_us: int) -> int | None:
+def _source_sync_age_us(now_us: int) -> int | None:
     """The sync age of a source: 0, since it is its own source."""
     return 0
 
@@ -61,7 +61,7 @@
         start, since followers of the previous source may still hold leases."""
         self._log = log
         self._state = state
-        self._sync_age_us = sync_age_us or _no_age_us
+        self._sync_age_us = sync_age_us or _source_sync_age_us
         self._source_watermark = source_watermark
         self._watermark_from_us = watermark_from_us
         # epoch of the streams' cursors; updated when the log's epoch changes
@@ -113,16 +113,16 @@
     def receive_progress(self, stream: int, progress: Progress, now_us: int) -> None:
         """Handle a follower's acknowledgement and probe. Raises ``EpochSupersededError`` or
         ``UnknownStreamError``."""
-        to = self._require_stream(stream)
+        receiver = self._require_stream(stream)
         self._refresh_cut(now_us)
         if progress.epoch > self._epoch:
             raise EpochSupersededError(progress.epoch)
-        to.record(progress, now_us)
-        if progress.epoch == self._epoch == to.epoch:
-            self._acknowledge(to, progress)
+        receiver.record(progress, now_us)
+        if progress.epoch == self._epoch == receiver.epoch:
+            self._acknowledge(receiver, progress)
         if progress.lease_released:
-            to.lease_released = True
-            self._followers.release_lease(to.follower)
+            receiver.lease_released = True
+            self._followers.release_lease(receiver.follower)
 
     def close_stream(self, stream: int, now_us: int) -> None:
         """Handle the end of a stream. Its follower holds back the watermark until its lease has lapsed."""
@@ -135,19 +135,19 @@
     def next_send_us(self, stream: int) -> int:
         """When ``messages_to_send`` has to be called next; may be in the past. Changes with
         ``receive_progress``, ``messages_to_send`` and appended entries. Raises ``UnknownStreamError``."""
-        to = self._require_stream(stream)
-        due_us = to.last_sent_us + HEARTBEAT_INTERVAL_US
-        if to.last_probe > to.answered_probe:
-            due_us = min(due_us, max(to.last_probe_us, to.last_sent_us + BATCH_INTERVAL_US))
-        if self._needs_snapshot(to):
+        receiver = self._require_stream(stream)
+        due_us = receiver.last_sent_us + HEARTBEAT_INTERVAL_US
+        if receiver.last_probe > receiver.answered_probe:
+            due_us = min(due_us, max(receiver.last_probe_us, receiver.last_sent_us + BATCH_INTERVAL_US))
+        if self._needs_snapshot(receiver):
             slot_us = self._snapshot_schedule.slot_us(stream)
-            slot_us = to.last_sent_us if slot_us is None else slot_us
-            return min(due_us, slot_us) if to.window_open else due_us
-        if self._can_send_full(to):
-            return to.last_sent_us
-        if to.window_open and to.cursor < self._log.head:
-            visible_us = self._visibility.next_visible_us(to.cursor)
-            return min(due_us, to.last_sent_us if visible_us is None else visible_us)
+            slot_us = receiver.last_sent_us if slot_us is None else slot_us
+            return min(due_us, slot_us) if receiver.window_open else due_us
+        if self._can_send_full(receiver):
+            return receiver.last_sent_us
+        if receiver.window_open and receiver.cursor < self._log.head:
+            visible_us = self._visibility.next_visible_us(receiver.cursor)
+            return min(due_us, receiver.last_sent_us if visible_us is None else visible_us)
         return due_us
 
     def due_streams(self, now_us: int) -> list[int]:
@@ -157,23 +157,23 @@
     def messages_to_send(self, stream: int, now_us: int) -> list[DownstreamMessage]:
         """The messages to write to the stream now, in order; they count as sent. Raises
         ``UnknownStreamError``."""
-        to = self._require_stream(stream)
+        receiver = self._require_stream(stream)
         cut = self._refresh_cut(now_us)
         messages: list[DownstreamMessage] = []
-        if self._needs_snapshot(to) and to.window_open:
+        if self._needs_snapshot(receiver) and receiver.window_open:
             self._snapshot_schedule.reserve(stream, now_us)
             if self._snapshot_schedule.take_slot(stream, now_us):
-                messages.append(self._take_snapshot(to, now_us))
-        if not self._needs_snapshot(to):
-            if self._can_send_full(to) and self._state.configuration is not None:
-                to.wants_full = False
-                to.full_sent_us = now_us
+                messages.append(self._take_snapshot(receiver, now_us))
+        if not self._needs_snapshot(receiver):
+            if self._can_send_full(receiver) and self._state.configuration is not None:
+                receiver.wants_full = False
+                receiver.full_sent_us = now_us
                 messages.append(self._state.configuration)
-            messages += self._take_batches(to, cut, now_us)
+            messages += self._take_batches(receiver, cut, now_us)
         if not messages and self.next_send_us(stream) <= now_us:
-            messages.append(self._take_batch(to, to.cursor, cut, now_us))
+            messages.append(self._take_batch(receiver, receiver.cursor, cut, now_us))
         if messages:
-            to.last_sent_us = now_us
+            receiver.last_sent_us = now_us
         return messages
 
     # --- queries
@@ -240,67 +240,72 @@
         for stream in self._streams.values():
             stream.begin_epoch()
 
-    def _acknowledge(self, to: FollowerStream, progress: Progress) -> None:
+    def _acknowledge(self, receiver: FollowerStream, progress: Progress) -> None:
         """Remove acknowledged batches from the send window, and record the acknowledgement unless it covers
         entries that the follower was not sent."""
-        while to.unacknowledged and to.unacknowledged[0].last <= progress.applied:
-            to.unacknowledged.popleft()
-        if progress.applied <= max(to.cursor, to.joined_with):
-            to.acknowledged = max(to.acknowledged, progress.applied)
-            self._followers.acknowledge(to.follower, progress.applied, progress.watermark)
+        while receiver.unacknowledged and receiver.unacknowledged[0].last <= progress.applied:
+            receiver.unacknowledged.popleft()
+        if progress.applied <= max(receiver.cursor, receiver.joined_with):
+            receiver.acknowledged = max(receiver.acknowledged, progress.applied)
+            self._followers.acknowledge(receiver.follower, progress.applied, progress.watermark)
         else:
-            to.follower.invalid_acknowledgements += 1
+            receiver.follower.invalid_acknowledgements += 1
 
     # --- messages
 
-    def _needs_snapshot(self, to: FollowerStream) -> bool:
-        return to.epoch != self._log.epoch or to.cursor + 1 < self._log.first
+    def _needs_snapshot(self, receiver: FollowerStream) -> bool:
+        return receiver.epoch != self._log.epoch or receiver.cursor + 1 < self._log.first
 
-    def _can_send_full(self, to: FollowerStream) -> bool:
-        return to.wants_full and self._state.configuration is not None and not self._state.needs_full
+    def _can_send_full(self, receiver: FollowerStream) -> bool:
+        return receiver.wants_full and self._state.configuration is not None and not self._state.needs_full
 
-    def _take_snapshot(self, to: FollowerStream, now_us: int) -> Snapshot:
+    def _take_snapshot(self, receiver: FollowerStream, now_us: int) -> Snapshot:
         """A snapshot for the stream; followers that need one at about the same time share it."""
         made = self._snapshots.get(now_us)
-        to.epoch = made.epoch
-        to.cursor = made.applied
-        to.required_acknowledgement = made.applied
-        to.unacknowledged.append(SentEntries(made.applied, now_us))
+        receiver.epoch = made.epoch
+        receiver.cursor = made.applied
+        receiver.required_acknowledgement = made.applied
+        receiver.unacknowledged.append(SentEntries(made.applied, now_us))
         # if this process lacks the complete newest version, the follower is sent it later
-        to.wants_full = to.wants_full or self._state.needs_full
+        receiver.wants_full = receiver.wants_full or self._state.needs_full
         return made
 
-    def _take_batches(self, to: FollowerStream, cut: VisibleCut, now_us: int) -> list[Batch]:
+    def _take_batches(self, receiver: FollowerStream, cut: VisibleCut, now_us: int) -> list[Batch]:
         batches = []
-        while to.cursor < cut.head and to.window_open:
-            last = min(to.cursor + MAX_BATCH_ENTRIES, cut.head)
-            batches.append(self._take_batch(to, last, cut, now_us))
-            to.unacknowledged.append(SentEntries(last, now_us))
+        while receiver.cursor < cut.head and receiver.window_open:
+            last = min(receiver.cursor + MAX_BATCH_ENTRIES, cut.head)
+            batches.append(self._take_batch(receiver, last, cut, now_us))
+            receiver.unacknowledged.append(SentEntries(last, now_us))
         return batches
 
-    def _take_batch(self, to: FollowerStream, last: int, cut: VisibleCut, now_us: int) -> Batch:
+    def _take_batch(self, receiver: FollowerStream, last: int, cut: VisibleCut, now_us: int) -> Batch:
         """A batch with the entries after the cursor up to ``last``, and a proof if no visible entry remains
         to be sent."""
-        first = to.cursor + 1
+        first = receiver.cursor + 1
         epoch = self._log.epoch
-        to.answered_probe = to.last_probe
-        if self._needs_snapshot(to):
+        receiver.answered_probe = receiver.last_probe
+        if self._needs_snapshot(receiver):
             return Batch(epoch, first, (), None, snapshot_pending=True)
-        entries = self._log.entries_after(to.cursor, last)
-        to.cursor = max(to.cursor, last)
-        return Batch(epoch, first, entries, self._make_proof(to, cut, now_us))
+        entries = self._log.entries_after(receiver.cursor, last)
+        receiver.cursor = max(receiver.cursor, last)
+        return Batch(epoch, first, entries, self._make_proof(receiver, cut, now_us))
 
-    def _make_proof(self, to: FollowerStream, cut: VisibleCut, now_us: int) -> FreshnessProof | None:
+    def _make_proof(self, receiver: FollowerStream, cut: VisibleCut, now_us: int) -> FreshnessProof | None:
         """The proof for a batch that is sent now; None if the follower may not be given one. Its age is
         measured from when the log last had no entries beyond the cut. The recorded lease is measured from
         when the probe was received, which is after the follower sent it and thus errs on the safe side."""
-        if not to.last_probe or to.cursor < cut.head or not to.is_keeping_up(now_us) or to.lease_released:
+        if (
+            not receiver.last_probe
+            or receiver.cursor < cut.head
+            or not receiver.is_keeping_up(now_us)
+            or receiver.lease_released
+        ):
             return None
         if cut.age_us is None:
             return None
         age_us = cut.age_us + max_elapsed_us(now_us - cut.checked_us)
-        lease_until_us = to.last_probe_us - age_us + lease_lapse_us()
+        lease_until_us = receiver.last_probe_us - age_us + lease_lapse_us()
         if lease_until_us > now_us:
-            self._followers.extend_lease(to.follower, lease_until_us)
+            self._followers.extend_lease(receiver.follower, lease_until_us)
         watermark = self.watermark(now_us) if self._source_watermark is None else self._source_watermark()
-        return FreshnessProof(to.last_probe, age_us, cut.head, watermark, cut.source_age_us)
+        return FreshnessProof(receiver.last_probe, age_us, cut.head, watermark, cut.source_age_us)
--- a/magpieshift/relay/follower.py
+++ b/magpieshift/relay/follower.py
@@ -158,10 +158,10 @@
     @property
     def lease_from_stream(self) -> bool:
         """Whether the lease comes from a proof of the present stream. The previous relay then need not wait
-        for this process any more, and is sent a ``farewell``."""
+        for this process any more, and is sent a ``release_previous``."""
         return self.staleness.lease_from_stream
 
-    def farewell(self) -> Progress:
+    def release_previous(self) -> Progress:
         """The last message on the previous stream, from which nothing more is received: releases the lease
         there once the present stream provides it. Not for a relay: its followers' leases may still depend on
         the previous stream."""
@@ -209,8 +209,8 @@
         )
 
     def _receive_batch(self, batch: Batch, now_us: int) -> list[Instruction]:
-        if contradiction := _contradiction(batch):
-            return [EndStream(EndReason.IMPOSSIBLE, contradiction)]
+        if defect := _batch_defect(batch):
+            return [EndStream(EndReason.INVALID_MESSAGE, defect)]
         if batch.epoch < self.highest_epoch:
             return [EndStream(EndReason.STALE_EPOCH, f"term {batch.epoch.term}")]
         self.highest_epoch = batch.epoch
@@ -237,7 +237,7 @@
 
     def _receive_snapshot(self, snapshot: Snapshot) -> list[Instruction]:
         if snapshot.applied < 0 or snapshot.epoch == NO_EPOCH:
-            return [EndStream(EndReason.IMPOSSIBLE, f"snapshot after entry {snapshot.applied}")]
+            return [EndStream(EndReason.INVALID_MESSAGE, f"snapshot after entry {snapshot.applied}")]
         if snapshot.epoch < self.highest_epoch:
             return [EndStream(EndReason.STALE_EPOCH, f"term {snapshot.epoch.term}")]
         self.highest_epoch = snapshot.epoch
@@ -252,13 +252,15 @@
     def _receive_full_configuration(self, change: ConfigurationChange) -> list[Instruction]:
         if change.base_digest:
             return [
-                EndStream(EndReason.IMPOSSIBLE, f"a delta to {change.base_digest[:16]}, expected no delta")
+                EndStream(
+                    EndReason.INVALID_MESSAGE, f"a delta to {change.base_digest[:16]}, expected no delta"
+                )
             ]
         self.wants_full = False
         return [ApplyConfiguration(change)]
 
 
-def _contradiction(batch: Batch) -> str:
+def _batch_defect(batch: Batch) -> str:
     """Describes why a batch is invalid in itself; empty if it is valid."""
     if batch.epoch == NO_EPOCH or batch.first < 1:
         return f"a batch from entry {batch.first} of term {batch.epoch.term}, expected entry 1 or later"
--- a/magpieshift/relay/instructions.py
+++ b/magpieshift/relay/instructions.py
@@ -14,7 +14,7 @@
     GAP = "entries are missing"
     STALE_EPOCH = "the epoch is superseded"
     NO_SNAPSHOT = "entries or a proof of a new epoch came before its snapshot"
-    IMPOSSIBLE = "invalid message"
+    INVALID_MESSAGE = "invalid message"
     SILENCE = "no message was received"
     STALE = "no newer proof or data of the source was received"
 
--- a/magpieshift/relay/service.py
+++ b/magpieshift/relay/service.py
@@ -65,7 +65,7 @@
         """Name of the follower; empty until it has joined."""
         self.began_us = clock.source.steady_us()
         """When the stream was opened."""
-        self.woken = asyncio.Event()
+        self.write_event = asyncio.Event()
         """Set when there may be something to write."""
         self.writing = False
         """Whether a write is in flight."""
@@ -77,7 +77,7 @@
         """End the stream; a write in flight is cancelled."""
         if self.end_status is None:
             self.end_status = (code, reason)
-            self.woken.set()
+            self.write_event.set()
             if self.writing:
                 self._task.cancel()
 
@@ -144,7 +144,7 @@
             now_us = clock.source.steady_us()
             for number in self._fanout.due_streams(now_us):
                 if (stream := self._streams.get(number)) is not None:
-                    stream.woken.set()
+                    stream.write_event.set()
             for number in self._fanout.silent_streams(now_us):
                 self._end_silent(number)
             self._end_ineligible(now_us)
@@ -203,12 +203,12 @@
 
     async def _write(self, stream: StreamDriver, context: Any) -> None:
         while stream.end_status is None:
-            stream.woken.clear()
+            stream.write_event.clear()
             now_us = clock.source.steady_us()
             is_due = stream.name and self._fanout.next_send_us(stream.number) <= now_us
             messages = self._fanout.messages_to_send(stream.number, now_us) if is_due else []
             if not messages:
-                await stream.woken.wait()
+                await stream.write_event.wait()
             stream.writing = True
             for message in messages:
                 await self._write_one(message, context)
@@ -232,11 +232,11 @@
         except grpc.aio.BaseError:
             reason = "the stream broke"
         except Exception as err:  # an error in handling a message ends only that follower's stream
-            code, reason = self._judge_failure(stream, err)
+            code, reason = self._status_after_error(stream, err)
         self.counters.rejected_streams += code is not Code.OK
         stream.end(code, reason)
 
-    def _judge_failure(self, stream: StreamDriver, error: Exception) -> tuple[Any, str]:
+    def _status_after_error(self, stream: StreamDriver, error: Exception) -> tuple[Any, str]:
         """The status code and reason with which to end a stream after an error in handling its message."""
         match error:
             case MalformedMessageError():
@@ -265,7 +265,7 @@
             raise MalformedMessageError("message", "a second join", "progress")
         else:
             self._join(stream, message, now_us)
-        stream.woken.set()
+        stream.write_event.set()
 
     def _join(self, stream: StreamDriver, join: Join, now_us: int) -> None:
         earlier = self._fanout.join(stream.number, join, now_us)
--- a/magpieshift/relay/staleness_bound.py
+++ b/magpieshift/relay/staleness_bound.py
@@ -79,7 +79,7 @@
         current_to_us = sent_us - proof.age_us
         synced_to_us = current_to_us + proof.source_age_us
         self._pending.append(_Pending(epoch, proof.head, current_to_us, synced_to_us))
-        self._settle_proofs()
+        self._apply_pending_proofs()
 
     def record_applied(self, epoch: Epoch, sequence: int) -> None:
         """Record that everything up to ``sequence`` of the epoch has been applied. The position never
@@ -88,7 +88,7 @@
             self._epoch_current_to_us = None
             self._epoch_synced_to_us = None
         self._position = max(self._position, (epoch, sequence))
-        self._settle_proofs()
+        self._apply_pending_proofs()
 
     def release_lease(self) -> None:
         """Give up the lease for good."""
@@ -122,7 +122,7 @@
         made, and again when its request is written."""
         return 0 if self.lease_held(now_us) else FRESHNESS_LEASE_US
 
-    def _settle_proofs(self) -> None:
+    def _apply_pending_proofs(self) -> None:
         """Apply the pending proofs whose heads are reached; drop those of earlier epochs."""
         epoch, sequence = self._position
         waiting = []
--- a/magpieshift/relay/status.py
+++ b/magpieshift/relay/status.py
@@ -85,17 +85,17 @@
         raise RelayUnreachableError(f"the status report cannot be decoded: {err}") from None
 
 
-def status_as_data(make_status_report: wire.StatusReport) -> dict[str, Any]:
+def status_as_data(report: wire.StatusReport) -> dict[str, Any]:
     """Convert a report to JSON data: names as in the wire messages, times in microseconds."""
     names = ("name", "region", "upstream", "head", "done", "version", "digest", "behind_count")
-    data: dict[str, Any] = {name: getattr(make_status_report, name) for name in names}
-    data["epoch"] = {"term": make_status_report.epoch.term, "instance": make_status_report.epoch.instance}
-    data["age_us"] = make_status_report.age_us if make_status_report.HasField("age_us") else None
-    data["behind"] = list(make_status_report.behind)
-    data["followers_count"] = make_status_report.followers_count
-    data["counters"] = dict(sorted(make_status_report.counters.items()))
+    data: dict[str, Any] = {name: getattr(report, name) for name in names}
+    data["epoch"] = {"term": report.epoch.term, "instance": report.epoch.instance}
+    data["age_us"] = report.age_us if report.HasField("age_us") else None
+    data["behind"] = list(report.behind)
+    data["followers_count"] = report.followers_count
+    data["counters"] = dict(sorted(report.counters.items()))
     data["followers"] = [
         {field.name: getattr(each, field.name) for field in each.DESCRIPTOR.fields}
-        for each in make_status_report.followers
+        for each in report.followers
     ]
     return data
--- a/magpieshift/relay/version_reader.py
+++ b/magpieshift/relay/version_reader.py
@@ -51,14 +51,14 @@
                 versions = []
             for version in versions:
                 entry = await loop.run_in_executor(None, partial(log_entry, self._previous, version))
-                self._pass_on(version, entry)
+                self._add_to_log(version, entry)
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def _read_new(self) -> list[PublishedVersion]:
         versions = read_version_folder(self._folder, self._newest_number)
         return versions if self._newest_number >= 0 else versions[-1:]
 
-    def _pass_on(self, version: PublishedVersion, entry: ConfigurationChange) -> None:
+    def _add_to_log(self, version: PublishedVersion, entry: ConfigurationChange) -> None:
         self._newest_number = version.number
         if not version.number or not fits_message(entry):
             reason = (
--- a/tests/relay/test_fanout.py
+++ b/tests/relay/test_fanout.py
@@ -413,10 +413,10 @@
         self.client.join(better, 7, self.now_us)
         self.server.add()
         with self.assertRaises(ValueError):
-            self.client.follower.farewell()
+            self.client.follower.release_previous()
         now_us = run(better, {7: self.client}, self.now_us, SECOND)
         self.assertEqual(self.server.fanout.watermark(now_us), 3)
-        self.server.fanout.receive_progress(1, self.client.follower.farewell(), now_us)
+        self.server.fanout.receive_progress(1, self.client.follower.release_previous(), now_us)
         self.assertEqual(self.server.fanout.watermark(now_us), 4)
         better.add()
         self.assertEqual(better.fanout.watermark(now_us), 3, "there it counts")
--- a/tests/relay/test_follower.py
+++ b/tests/relay/test_follower.py
@@ -127,7 +127,7 @@
             delta,
             batch(11, 0, proof=FreshnessProof(1, -1, 10, 0)),
         ):
-            self.assertEqual(self.ended(message), EndReason.IMPOSSIBLE)
+            self.assertEqual(self.ended(message), EndReason.INVALID_MESSAGE)
 
     def test_a_full_configuration_is_wanted_until_it_comes(self) -> None:
         self.follower.wants_full = True
