--- a/tests/relay/pieces.py
+++ b/tests/relay/pieces.py
@@ -1,4 +1,5 @@
-"""A serving process and its followers, joined by hand: what one sends the other gets, or a test loses it."""
+"""A serving process and its followers for tests without I/O: messages are delivered directly, or dropped by a
+test."""
 
 from __future__ import annotations
 
@@ -27,17 +28,17 @@
 
 
 def full_versions_only(newest: ConfigurationChange | None, change: ConfigurationChange) -> None:
-    """For a state that never can put a delta together."""
+    """An ``ApplyDelta`` to which no delta ever applies."""
     return None
 
 
 class Server:
-    """A source or relay with a log, and as current as a test says."""
+    """A source or relay with a log, whose age and sync age are set by the test."""
 
     def __init__(self, epoch: Epoch = EPOCH, max_entries: int = 10_000, watermark_from_us: int = 0) -> None:
         self.log, self.state = SequencedLog(epoch, max_entries=max_entries), LogState(full_versions_only)
         self.age_us: int | None = 0
-        self.sync_age_us: int | None = 0  # as at a source; of a relay, since it heard of its source
+        self.sync_age_us: int | None = 0  # 0 as at a source; set by tests of a relay
         self.fanout = Fanout(
             self.log,
             self.state,
@@ -56,7 +57,7 @@
 
 
 class Client:
-    """A router that notes what it applied, in order."""
+    """A router that records the entries that it applied, in order."""
 
     def __init__(self, name: str = "r", boot: str = "b1") -> None:
         self.follower = Follower(name, boot)
@@ -90,7 +91,8 @@
 def exchange(
     server: Server, stream: int, client: Client, now_us: int, up: bool = True, down: bool = True
 ) -> list[DownstreamMessage]:
-    """One turn of both drivers; what goes up or down may be lost. Returns what was sent down."""
+    """Run one turn of both drivers. Messages to the server (``up``) or to the client (``down``) may be
+    dropped. Returns the messages sent to the client."""
     progress = client.follower.progress(now_us)
     if progress is not None and up:
         server.fanout.receive_progress(stream, progress, now_us)
@@ -111,7 +113,7 @@
     up: bool = True,
     down: bool = True,
 ) -> int:
-    """Turns of all until the end; returns the time after them."""
+    """Run turns of all clients every ``TICK_US`` for ``for_us``; returns the time at the end."""
     for now_us in range(from_us, from_us + for_us, TICK_US):
         for stream, client in clients.items():
             exchange(server, stream, client, now_us, up, down)
--- a/tests/relay/rig.py
+++ b/tests/relay/rig.py
@@ -1,5 +1,5 @@
-"""What tests of the fan-out tier's drivers share: a change log, nodes and followers in one event loop, on
-loopback."""
+"""Shared fixtures for tests of the fan-out tier's drivers: a change log, nodes and followers in one event
+loop, on loopback."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from magpieshift.relay.node import RelayNode, RelayOptions, SourceNode, SourceOptions
 from magpieshift.relay.selection import RelayAddress, RelaySelection
 
-PATIENCE_S = 30.0  # of waits for events; what is asserted are never speeds
+PATIENCE_S = 30.0  # time-out of waits for events; no test asserts a speed
 
 
 def at(port: int, region: str = "north") -> RelayAddress:
-    """A node on loopback."""
+    """The address of a node on loopback."""
     return RelayAddress(f"127.0.0.1:{port}", region, f"127.0.0.1:{port}")
 
 
@@ -50,20 +50,20 @@
 
     @property
     def purged(self) -> list[str]:
-        """The keys of all purges, in the order in which they came, by snapshot or one by one."""
+        """The keys of all purges received, those of snapshots first, then those of batches in order."""
         purges = [purge for snapshot in self.snapshots for purge in snapshot.purges]
         purges += [entry for entry in self.entries if isinstance(entry, Purge)]
         return [purge.key for purge in purges]
 
     @property
     def current(self) -> bool:
-        """Whether it holds its lease."""
+        """Whether the follower holds a lease."""
         return self.follower.staleness.lease_held(clock.source.steady_us())
 
 
 class Wire:
-    """A TCP connection between a follower and a node, which can be cut in each direction: what is sent that
-    way then goes nowhere, without an error."""
+    """A TCP proxy between a follower and a node. Each direction can be cut: data in that direction is then
+    dropped without an error."""
 
     def __init__(self, target: int) -> None:
         self._target = target
@@ -77,7 +77,7 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     def stop(self) -> None:
-        """Refuse new connections and break off all that are open."""
+        """Stop listening and close all open connections."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
@@ -106,7 +106,7 @@
 
 
 class RelayCase(unittest.IsolatedAsyncioTestCase):
-    """A change log, and what is started round it."""
+    """A test case with a change log, and helpers that start nodes and followers around it."""
 
     async def asyncSetUp(self) -> None:
         asyncio.get_running_loop().set_debug(False)
@@ -116,7 +116,7 @@
         self.keys: list[str] = []
 
     def purge(self, count: int = 1) -> list[str]:
-        """Tell so many purges; their keys."""
+        """Publish ``count`` purges; returns their keys."""
         keys = [f"{len(self.keys) + n + 1:016x}" for n in range(count)]
         for key in keys:
             self.changes.publish(invalidate={"object": key, "time": int(time.time() * 1000)})
@@ -124,7 +124,7 @@
         return keys
 
     async def node(self, node: SourceNode | RelayNode) -> int:
-        """Run a node until the test ends; its port, once it serves."""
+        """Run a node until the test ends; returns its port once it serves."""
         serving: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         running = asyncio.ensure_future(node.run(serving.set_result))
         self.addAsyncCleanup(self.end, node, running)
@@ -132,7 +132,7 @@
             while not serving.done() and not running.done():
                 await asyncio.sleep(0.01)
         if not serving.done():
-            running.result()  # why it ended
+            running.result()  # raises the error that ended it
         return serving.result()
 
     async def end(self, node: SourceNode | RelayNode, running: asyncio.Task[None]) -> None:
@@ -141,10 +141,12 @@
             await running
 
     async def source(self, versions: str = "") -> tuple[SourceNode, int]:
-        """A source that takes followers."""
+        """Start a source; returns once it serves and has read the change log's history."""
         node = SourceNode(self.source_options("127.0.0.1:0", versions))
         port = await self.node(node)
-        await self.until(lambda: node.age_us(clock.source.steady_us()) is not None, "the source is current")
+        await self.until(
+            lambda: node.age_us(clock.source.steady_us()) is not None, "the source has read the change log"
+        )
         return node, port
 
     def source_options(self, listen: str, versions: str = "", log_port: int = 0) -> SourceOptions:
@@ -171,12 +173,12 @@
         return wire
 
     async def all_current(self, *routers: Router) -> None:
-        """Wait until each holds a lease."""
+        """Wait until each router holds a lease."""
         for router in routers:
             await self.until(lambda router=router: router.current, "a lease")  # type: ignore[misc]
 
     async def all_purged(self, *routers: Router) -> None:
-        """Wait until each has applied all purges."""
+        """Wait until each router has applied all purges."""
         for router in routers:
             await self.until(
                 lambda router=router: self.keys[-1] in router.purged,  # type: ignore[misc]
@@ -184,8 +186,8 @@
             )
 
     async def until(self, true: Callable[[], bool], what: str) -> None:
-        """Wait for something to become true."""
+        """Wait until a condition is true; fails after ``PATIENCE_S``."""
         end = time.monotonic() + PATIENCE_S
         while not true():
-            self.assertLess(time.monotonic(), end, f"not in time: {what}")
+            self.assertLess(time.monotonic(), end, f"not within {PATIENCE_S} s: {what}")
             await asyncio.sleep(0.01)
--- a/tests/relay/test_drivers.py
+++ b/tests/relay/test_drivers.py
@@ -1,4 +1,4 @@
-"""Source, relays and followers over real streams, in one event loop: what goes wrong between them."""
+"""Source, relays and followers over real gRPC streams in one event loop, with failures between them."""
 
 from __future__ import annotations
 
@@ -34,7 +34,8 @@
 
 
 class DyingRelay(RelayNode):
-    """A relay that ends all its streams once it has received a batch, before it passes that on."""
+    """A relay that ends all its streams after receiving a batch, before it sends that batch to its
+    followers."""
 
     dying = False
 
@@ -46,10 +47,10 @@
 
 
 class RawFollower:
-    """A follower's stream, driven by hand."""
+    """A follower's stream on which the test sends and receives each message itself."""
 
     def __init__(self, port: int) -> None:
-        # without a larger window than HTTP/2's first, what is not read is soon not taken either
+        # with HTTP/2's initial flow-control window, the peer's writes soon block if nothing is read
         options = [("grpc.max_receive_message_length", -1), ("grpc.http2.bdp_probe", 0)]
         self._channel = grpc.aio.insecure_channel(f"127.0.0.1:{port}", options=options)
         self.call: Any = self._channel.stream_stream(FOLLOW_METHOD)()
@@ -82,19 +83,20 @@
         await self.all_purged(*routers)
         for router in routers:
             self.assertEqual(router.purged, self.keys)
-        # entries are serialized for all followers of a relay together
+        # a batch's entries are serialized once for all followers of a relay
         cache = first.service._messages
         counters = first.service.counters
         self.assertGreaterEqual(counters.batches, 2 * cache.serialized_count - 3)
         await self.until(
-            lambda: source.report().followers_count == 5, "the relays have told of their followers"
+            lambda: source.report().followers_count == 5, "the relays have reported their followers"
         )
         self.assertEqual([each.name for each in source.report().followers], ["a", "b"])
 
 
 class Failures(RelayCase):
     async def test_a_relay_killed_between_receiving_a_batch_and_passing_it_on(self) -> None:
-        """Nothing is lost or out of order, and nothing is called done before all have it."""
+        """No entry is lost or out of order, and the watermark covers no entry that a router with a lease has
+        not applied."""
         source, source_port = await self.source()
         _, second = await self.relay("b", source_port)
 
@@ -131,7 +133,7 @@
         stream = await self.stream(source, "stuck")
 
         self.large_change()
-        await self.until(lambda: stream.writing, "a write that does not come through")
+        await self.until(lambda: stream.writing, "a write is blocked")
         for _ in range(5):
             await stuck.probe()
             self.large_change()
@@ -140,7 +142,7 @@
         self.assertEqual(router.purged, self.keys)
         self.assertTrue(stream.writing)
 
-        # it says nothing more: its stream is ended although a write is under way on it
+        # the follower sends nothing more: its stream is ended although a write is in flight
         await self.until(lambda: stream not in source.service._streams.values(), "the stream is gone")
         self.assertEqual(source.service.counters.silent_streams, 1)
         self.purge(3)
@@ -164,12 +166,12 @@
         epoch = source.log.epoch
         await slow.probe()
         self.large_change()
-        await self.until(lambda: stream.writing, "a write that does not come through")
+        await self.until(lambda: stream.writing, "a write is blocked")
         for _ in range(20):
             self.large_change()
             self.purge(3)
             await slow.probe()
-            await asyncio.sleep(0.02)  # so that they do not all come in one batch
+            await asyncio.sleep(0.02)  # so that the changes are spread over several batches
         purged_keys: list[str] = []
         applied = 0
         async with asyncio.timeout(30.0):
@@ -195,10 +197,12 @@
         await self.all_purged(router)
         wire.to_follower = wire.to_node = False
         missed = self.purge(60)
-        await self.until(lambda: relay.follower.applied == source.log.head == 65, "the relay has all")
+        await self.until(
+            lambda: relay.follower.applied == source.log.head == 65, "the relay has applied all entries"
+        )
         wire.to_follower = wire.to_node = True
         await self.all_purged(router)
-        self.assertEqual(len(router.snapshots), 2)  # the first, and that after the cut
+        self.assertEqual(len(router.snapshots), 2)  # the initial one, and one after the cut
         self.assertLessEqual(set(missed), {purge.key for purge in router.snapshots[1].purges})
         self.assertEqual(router.follower.applied, 65)
         self.purge(5)
@@ -213,9 +217,12 @@
         wire.to_node = False
         self.purge(5)
         head = 5
-        await self.until(lambda: source.log.head == head, "the purges are numbered")
-        await self.until(lambda: other.follower.applied == head, "one has them")
-        await self.until(lambda: source.fanout.watermark(clock.source.steady_us()) == head, "done everywhere")
+        await self.until(lambda: source.log.head == head, "the purges are in the source's log")
+        await self.until(lambda: other.follower.applied == head, "the connected router has applied them")
+        await self.until(
+            lambda: source.fanout.watermark(clock.source.steady_us()) == head,
+            "the watermark reaches the head",
+        )
         self.assertTrue(not router.current or router.follower.applied == head)
 
     async def test_a_source_that_is_started_again_is_followed_in_its_new_epoch(self) -> None:
@@ -229,11 +236,13 @@
         await self.all_purged(router)
         before = router.follower.epoch
         first.stop()
-        await self.until(lambda: not first.service._streams, "it has ended")
+        await self.until(lambda: not first.service._streams, "the first source has ended all streams")
         self.purge(5)
         second = SourceNode(self.source_options(f"127.0.0.1:{port}"))
         await self.node(second)
-        await self.until(lambda: router.follower.epoch == second.log.epoch, "the new epoch")
+        await self.until(
+            lambda: router.follower.epoch == second.log.epoch, "the router follows the new epoch"
+        )
         self.assertGreater(router.follower.epoch, before)
         self.purge(5)
         await self.all_purged(router)
@@ -254,7 +263,7 @@
 
 
 class Eager(random.Random):
-    """Waits for nothing that is drawn."""
+    """Draws 0 for every random delay."""
 
     def uniform(self, a: float, b: float) -> float:
         return 0.0
@@ -277,20 +286,22 @@
         better = RelayNode(options, random.Random(1))
         ending = NotingFanout(better)
         await self.node(better)
-        await self.until(lambda: router.client.relay == at(better_port), "it goes back")
-        await self.until(lambda: bool(better.service.counters.joins), "it joins the better one")
+        await self.until(
+            lambda: router.client.relay == at(better_port), "the router returns to the better relay"
+        )
+        await self.until(lambda: bool(better.service.counters.joins), "the better relay counts a join")
 
-        await self.until(lambda: leaving.released, "it takes leave of the other")
+        await self.until(lambda: leaving.released, "the router releases its lease at the other relay")
         self.assertTrue(router.current)
         self.purge(5)
         await self.all_purged(router)
         self.assertEqual(router.purged, self.keys)
         await router.client.stop()
-        await self.until(lambda: ending.released, "it gives up its lease as it ends")
+        await self.until(lambda: ending.released, "the router releases its lease when it stops")
 
 
 class NotingFanout:
-    """Notes what a node's followers say, and hands it on."""
+    """Records the progress messages of a node's followers, and passes them on."""
 
     def __init__(self, node: RelayNode) -> None:
         self._progress = node.fanout.receive_progress
@@ -303,12 +314,12 @@
 
     @property
     def released(self) -> bool:
-        """Whether the last word was that the follower need not be counted."""
+        """Whether the last message released the follower's lease."""
         return bool(self.received) and self.received[-1].lease_released
 
 
 class SilentRelay(grpc.GenericRpcHandler):  # type: ignore[misc]  # the library is not typed
-    """A relay that reads a follower's messages only once it is allowed to."""
+    """A relay that reads no messages of its follower until ``reads`` is set."""
 
     def __init__(self) -> None:
         self.reads = asyncio.Event()
@@ -316,7 +327,7 @@
         self.port = 0
 
     async def start(self) -> None:
-        # without a larger window than HTTP/2's first, what is not read is soon not taken either
+        # with HTTP/2's initial flow-control window, the peer's writes soon block if nothing is read
         self.server = grpc.aio.server(
             options=[("grpc.http2.bdp_probe", 0), ("grpc.max_receive_message_length", -1)]
         )
@@ -340,11 +351,12 @@
 
 
 class StopDuringWrite(RelayCase):
-    """A process ends while an acknowledgement of it is still being written, as its relay reads slowly. gRPC
-    takes one write at a time, so that the last message failed and the planned end ended with a traceback."""
+    """A process stops while its acknowledgement is still being written, because its relay reads slowly.
+    Guards against a second concurrent write, which gRPC does not allow: the last message failed, and the
+    planned shutdown ended with a traceback."""
 
     async def stopping(self, relay: SilentRelay) -> Router:
-        """A follower whose first acknowledgement the relay does not take."""
+        """A follower whose first acknowledgement is not read by the relay."""
         await relay.start()
         self.addAsyncCleanup(relay.server.stop, 0)
         router = Router("r1", [at(relay.port)])
@@ -352,7 +364,8 @@
         router.client.start()
         self.addAsyncCleanup(router.client.stop)
         await self.until(
-            lambda: router.follower.next_progress_us() > clock.source.steady_us(), "an acknowledgement"
+            lambda: router.follower.next_progress_us() > clock.source.steady_us(),
+            "an acknowledgement is being written",
         )
         return router
 
@@ -367,7 +380,7 @@
         router = await self.stopping(relay)
         with mock.patch("magpieshift.relay.connection.LAST_WRITE_TIMEOUT_S", PATIENCE_S):
             stopping = asyncio.ensure_future(router.client.stop())
-            await asyncio.sleep(0)  # the last message is due, and waits
+            await asyncio.sleep(0)  # the last message waits for the write in flight
             self.assertFalse(stopping.done())
             relay.reads.set()
             await stopping
@@ -377,7 +390,7 @@
 
 
 class Words(RelayCase):
-    """What is said on streams that cannot be."""
+    """Malformed and oversized messages."""
 
     async def test_a_malformed_message_of_a_follower_ends_its_stream_alone(self) -> None:
         source, port = await self.source()
@@ -421,7 +434,7 @@
                 self.assertEqual(router.purged, self.keys)
 
     async def liar(self, garbage: bytes) -> int:
-        """A relay that sends this to everyone."""
+        """Start a relay that sends ``garbage`` to every follower; returns its port."""
 
         class Handler(grpc.GenericRpcHandler):  # type: ignore[misc]
             def service(self, details: Any) -> Any:
@@ -451,7 +464,7 @@
             await self.all_current(*routers)
             self.publish(folder, 2, {"a": {"b": 2}, "c": [1, 2]})
             for router in routers:
-                await self.until(lambda router=router: bool(router.entries), "a version")  # type: ignore[misc]
+                await self.until(lambda router=router: bool(router.entries), "a version arrives")  # type: ignore[misc]
         for router in routers:
             full = router.snapshots[0].configuration
             assert full is not None
@@ -461,9 +474,9 @@
             self.assertEqual((change.number, change.base_digest), (2, full.digest))
         self.assertEqual(relay.service.counters.entries, 3)
 
-        # one that could not use the delta asks for the whole
+        # a router that could not apply the delta requests the complete version
         routers[0].follower.wants_full = True
-        await self.until(lambda: bool(routers[0].full_versions), "the whole version")
+        await self.until(lambda: bool(routers[0].full_versions), "the complete version")
         found = routers[0].full_versions[0]
         data = sexp.parse(found.content.decode()).data
         self.assertEqual((found.number, found.digest, data["a"]), (2, document_digest(data), {"b": 2}))
@@ -475,7 +488,7 @@
 
 
 class Reading(RelayCase):
-    """How current a source is by its reading of the change log."""
+    """The age of a source's knowledge, as derived from its reads of the change log."""
 
     async def test_a_source_is_no_more_current_than_the_log_it_hears(self) -> None:
         wire = await self.wire(self.changes.port)
@@ -485,14 +498,14 @@
         def age_us() -> int | None:
             return source.age_us(clock.source.steady_us())
 
-        await self.until(lambda: age_us() is not None, "the log has told its history")
+        await self.until(lambda: age_us() is not None, "the change log's history is read")
         cut_us = clock.source.steady_us()
         wire.to_follower = False
-        await self.until(lambda: (age_us() or 0) > 3_000_000, "it grows old")
-        # it never claims to know of anything after the cut, whatever it does to reconnect
+        await self.until(lambda: (age_us() or 0) > 3_000_000, "the source's age grows")
+        # the age covers the whole time since the cut, although the source tries to reconnect
         self.assertGreaterEqual(age_us() or 0, clock.source.steady_us() - cut_us)
         wire.to_follower = True
-        await self.until(lambda: (age_us() or 1 << 60) < 2_000_000, "it is current again")
+        await self.until(lambda: (age_us() or 1 << 60) < 2_000_000, "the source is current again")
 
     async def test_an_event_that_comes_late_makes_it_older_for_a_while(self) -> None:
         source, _ = await self.source()
--- a/tests/relay/test_encoding.py
+++ b/tests/relay/test_encoding.py
@@ -1,4 +1,4 @@
-"""Messages of the fan-out tier through their wire form: round trips, sizes, and bytes that are no message."""
+"""Encoding and decoding of the fan-out tier's messages: round trips, sizes and malformed messages."""
 
 import unittest
 
@@ -70,12 +70,12 @@
 
 
 def refused(data: bytes) -> MalformedMessageError:
-    """What is said of bytes that are no message to a follower."""
+    """The error for bytes that are not a valid message to a follower."""
     try:
         found = decoding.decode_downstream(data)
     except MalformedMessageError as err:
         return err
-    raise AssertionError(f"read as {found}")
+    raise AssertionError(f"expected MalformedMessageError, found {found}")
 
 
 def batch_of(*runs: wire.Run, **fields: object) -> bytes:
@@ -107,7 +107,8 @@
 
 class Sizes(unittest.TestCase):
     def test_a_purge_takes_sixteen_bytes_at_most_in_a_batch_of_a_quarter_second(self) -> None:
-        """27 purges at 110 a second, over a quarter of a second and as much delay before it."""
+        """27 purges are a quarter of a second at 110 a second; they were issued up to half a second
+        before."""
         now_us = 1_790_000_000_000_000
         made = [Purge(f"{(1 << 63) + 77 * n:016x}", 0, now_us - 500_000 + n * 9_000 * 2) for n in range(27)]
         proof = FreshnessProof(1 << 20, 8_000_000, 1 << 34, 1 << 34, 2_000_000)
@@ -136,7 +137,7 @@
         except MalformedMessageError as err:
             self.assertTrue(err.place and err.found and err.expected)
         else:
-            assert isinstance(message, Batch)  # cut between its two pieces
+            assert isinstance(message, Batch)  # truncated between its entries and its proof
             self.assertEqual(
                 found, Batch(message.epoch, message.first, message.entries, None, message.snapshot_pending)
             )
--- a/tests/relay/test_explored.py
+++ b/tests/relay/test_explored.py
@@ -1,4 +1,4 @@
-"""Exhaustive exploration of a small fan-out tier: no rule is broken in any state that can be reached."""
+"""Exhaustive exploration of a small simulated fan-out tier: no reachable state breaks a rule."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Scenario(NamedTuple):
-    """Where an exploration starts, and what may happen in it to which depth."""
+    """The start state of an exploration, the moves that are explored, and the depth."""
 
     name: str
     start: Callable[[Explorer], TierState]
@@ -45,8 +45,8 @@
 
 
 def relay_wakes(explorer: Explorer) -> TierState:
-    """``R1``, which nobody counts at, stood still while two batches came for it, and while a new ``E1``
-    probed before and after it took its snapshot."""
+    """``R1``, whose watermark waits for no follower, is paused while two batches arrive for it and a
+    restarted ``E1`` sends it probes, before and after applying its snapshot."""
     joins: list[Step] = [
         partial(MutableTier.crash, name="E1"),
         *[MutableTier.run_round] * 16,
@@ -77,7 +77,7 @@
 
 
 def router_behind(explorer: Explorer) -> TierState:
-    """``E1`` was away while two purges were done, for longer than its lease."""
+    """``E1`` has been disconnected for longer than its lease, during which two purges were done."""
     away: list[Step] = [
         partial(MutableTier.disconnect, follower="E1"),
         partial(MutableTier.deliver_abandoned, follower="E1"),
@@ -87,7 +87,7 @@
 
 
 def router_back(explorer: Explorer) -> TierState:
-    """``E1`` was away for longer than its lease, and has just caught up."""
+    """``E1`` has been disconnected for longer than its lease, and has just caught up."""
     tier = explorer.after(
         router_behind(explorer), [connect("E1", "R1"), MutableTier.run_round, MutableTier.run_round]
     )
@@ -95,7 +95,7 @@
 
 
 def router_ahead(explorer: Explorer) -> TierState:
-    """``E1`` had an entry of ``R1`` that ``R2`` has not heard of, and lost its stream."""
+    """``E1`` has an entry from ``R1`` that ``R2`` has not received, and has lost its stream."""
     ahead: list[Step] = [
         MutableTier.accept_purge,
         *[without("R2")] * 3,
--- a/tests/relay/test_fanout.py
+++ b/tests/relay/test_fanout.py
@@ -1,4 +1,4 @@
-"""The serving side: what is sent, who counts, and what happens when followers fail."""
+"""The serving side of the fan-out: messages sent, the watermark, and failures of followers."""
 
 from __future__ import annotations
 
@@ -69,7 +69,9 @@
     def test_entries_wait_for_others_no_longer_than_a_batch_time(self) -> None:
         now_us = run(self.server, {1: self.client}, 0, SECOND)
         self.server.add()
-        self.assertLessEqual(self.server.fanout.next_send_us(1), now_us, "the first does not wait at all")
+        self.assertLessEqual(
+            self.server.fanout.next_send_us(1), now_us, "the first entry after a pause is sent at once"
+        )
         exchange(self.server, 1, self.client, now_us)
         self.server.add(5)
         self.assertEqual(self.server.fanout.next_send_us(1), now_us + BATCH_INTERVAL_US)
@@ -111,7 +113,11 @@
         for applied in range(MAX_BATCH_ENTRIES, server.log.head, MAX_BATCH_ENTRIES):
             server.fanout.receive_progress(1, acknowledged(applied, 2), SECOND)
             self.assertEqual(proofs(server.fanout.messages_to_send(1, SECOND)), [])
-            self.assertEqual(server.fanout.watermark(SECOND), server.log.head, "it does not count yet")
+            self.assertEqual(
+                server.fanout.watermark(SECOND),
+                server.log.head,
+                "the follower does not hold back the watermark yet",
+            )
         server.fanout.receive_progress(1, acknowledged(server.log.head, 3), SECOND)
         found = proofs(server.fanout.messages_to_send(1, SECOND + BATCH_INTERVAL_US))
         self.assertEqual([(proof.probe, proof.head) for proof in found], [(3, server.log.head)])
@@ -126,7 +132,9 @@
         self.server.sync_age_us = None
         self.server.fanout.receive_progress(1, acknowledged(3, 51), now_us + SECOND)
         sent = self.server.fanout.messages_to_send(1, now_us + 2 * SECOND)
-        self.assertEqual((len(sent), proofs(sent)), (1, []), "it never heard of its source")
+        self.assertEqual(
+            (len(sent), proofs(sent)), (1, []), "a relay without contact to its source gives no proof"
+        )
 
     def test_a_source_that_lost_its_change_log_is_followed_on_without_a_lease(self) -> None:
         end_us = 0
@@ -134,13 +142,13 @@
             client = Client()
             client.join(self.server, 2, end_us)
             end_us = run(self.server, {2: client}, end_us, 4 * RELAY_STALE_TIMEOUT_US)
-            self.assertIsNone(client.ended, "its configurations are as good as ever")
+            self.assertIsNone(client.ended, "the follower stays, as configurations still come")
             self.assertFalse(client.leased(end_us))
             self.server.add()
             self.assertEqual(
                 self.server.fanout.watermark(end_us + BATCH_INTERVAL_US),
                 self.server.log.head,
-                "nor does it count",
+                "the follower does not hold back the watermark",
             )
             self.server.fanout.close_stream(2, end_us)
 
@@ -151,9 +159,12 @@
         self.server.add()
         self.server.fanout.receive_progress(1, acknowledged(4, 50), now_us + 100 * MS)
         self.assertEqual(
-            self.server.fanout.messages_to_send(1, now_us + BATCH_INTERVAL_US - 1), [], "it is not due"
+            self.server.fanout.messages_to_send(1, now_us + BATCH_INTERVAL_US - 1),
+            [],
+            "the next batch is not due",
         )
-        self.server.fanout._streams[1].last_sent_us = 0  # as if it were due before the entry becomes visible
+        # makes a message due before the entry becomes visible
+        self.server.fanout._streams[1].last_sent_us = 0
         (proof,) = proofs(self.server.fanout.messages_to_send(1, now_us + 200 * MS))
         self.assertEqual(proof.head, 4)
         self.assertGreaterEqual(proof.age_us, 200 * MS)
@@ -163,13 +174,17 @@
         self.server.put(ConfigurationChange(2, "d2", "d1", b"delta"))
         self.client.follower.wants_full = True
         now_us = run(self.server, {1: self.client}, now_us, SECOND)
-        self.assertTrue(self.client.follower.wants_full, "this process does not know it either")
+        self.assertTrue(
+            self.client.follower.wants_full, "the server does not have the complete version either"
+        )
         full = ConfigurationChange(2, "d2", "", b"whole")
         self.server.state.apply_full_configuration(full)
         self.assertEqual(self.server.fanout.messages_to_send(1, now_us), [full])
         self.server.fanout.receive_progress(1, replace(acknowledged(4, 99), wants_full=True), now_us)
         self.assertNotIn(
-            full, self.server.fanout.messages_to_send(1, now_us + BATCH_INTERVAL_US), "it is under way"
+            full,
+            self.server.fanout.messages_to_send(1, now_us + BATCH_INTERVAL_US),
+            "the complete version has just been sent",
         )
         self.server.fanout.receive_progress(
             1, replace(acknowledged(4, 100), wants_full=True), now_us + MIN_FULL_CONFIGURATION_INTERVAL_US
@@ -190,13 +205,17 @@
             now_us += BATCH_INTERVAL_US
             server.add(20, now_us)
             exchange(server, 2, quick, now_us)
-            if now_us < 4 * SECOND:  # then it is silent
+            if now_us < 4 * SECOND:  # silent from then on
                 server.fanout.receive_progress(1, acknowledged(0, now_us), now_us)
             sent = server.fanout.messages_to_send(1, now_us)
             batches += sum(1 for message in sent if isinstance(message, Batch) and message.entries)
         self.assertEqual(batches, MAX_UNACKNOWLEDGED_BATCHES)
         self.assertEqual(quick.applied, [purge(number) for number in range(1, server.log.head + 1)])
-        self.assertGreater(server.fanout.watermark(now_us), server.log.head - 100, "it counts no more")
+        self.assertGreater(
+            server.fanout.watermark(now_us),
+            server.log.head - 100,
+            "the slow follower no longer holds back the watermark",
+        )
         self.assertIn(1, server.fanout.silent_streams(now_us))
         self.assertNotIn(2, server.fanout.silent_streams(now_us))
 
@@ -223,7 +242,7 @@
         times: dict[int, int] = {}
         for now_us in range(0, 5 * SECOND, MS):
             for stream in server.fanout.due_streams(now_us):
-                if stream % 10:  # one of ten does not read
+                if stream % 10:  # every tenth follower does not read
                     sent = server.fanout.messages_to_send(stream, now_us)
                     waiting = [message.snapshot_pending for message in sent if isinstance(message, Batch)]
                     if any(isinstance(message, Snapshot) for message in sent):
@@ -241,7 +260,7 @@
         server = Server()
         for stream in range(200):
             server.fanout.join(stream, joined(f"r{stream}", epoch=NO_EPOCH), 0)
-            server.fanout.messages_to_send(stream, 0)  # which takes its turn, or gets one
+            server.fanout.messages_to_send(stream, 0)  # sends the snapshot, or reserves a slot for it
         sent = [
             message
             for stream in range(200)
@@ -263,7 +282,7 @@
 
 
 class Watermarks(unittest.TestCase):
-    """Who counts. The follower ``r`` has applied 3 of 3 and holds a lease at ``self.now_us``."""
+    """The watermark. The follower ``r`` has applied all 3 entries and holds a lease at ``self.now_us``."""
 
     def setUp(self) -> None:
         self.server, self.client = Server(), Client()
@@ -281,8 +300,8 @@
         while self.server.fanout.watermark(now_us) < 4:
             exchange(self.server, 1, self.client, now_us, up=False)
             now_us += 10 * MS
-        self.assertEqual(self.client.follower.applied, 4, "it hears")
-        self.assertFalse(self.client.leased(now_us), "but proofs of what it asked long ago prove nothing new")
+        self.assertEqual(self.client.follower.applied, 4, "the follower receives the entry")
+        self.assertFalse(self.client.leased(now_us), "answers to old probes do not extend the lease")
         self.assertLessEqual(now_us, self.now_us + lease_lapse_us() + 10 * MS)
 
     def test_the_reverse_cut_is_no_different_and_the_follower_leaves(self) -> None:
@@ -292,7 +311,9 @@
         self.assertEqual(self.client.ended and self.client.ended.reason, EndReason.SILENCE)
         self.server.fanout.close_stream(1, now_us)
         self.assertTrue(self.client.leased(now_us))
-        self.assertEqual(self.server.fanout.watermark(now_us), 3, "it counts without a stream")
+        self.assertEqual(
+            self.server.fanout.watermark(now_us), 3, "it holds back the watermark without a stream"
+        )
         while self.client.leased(now_us):
             self.assertEqual(self.server.fanout.watermark(now_us), 3)
             now_us += 10 * MS
@@ -319,7 +340,9 @@
         twin.join(self.server, 2, self.now_us)
         run(self.server, {2: twin}, self.now_us, 2 * SECOND)
         self.assertEqual((twin.follower.applied, self.done(2 * SECOND)), (4, 3))
-        self.assertTrue(self.client.leased(self.now_us + 2 * SECOND), "it may be paused and not killed")
+        self.assertTrue(
+            self.client.leased(self.now_us + 2 * SECOND), "the old process may be paused instead of killed"
+        )
         self.assertEqual(self.done(lease_lapse_us()), 4)
 
     def test_a_follower_that_acknowledged_and_was_killed_counts_by_what_it_has_after_its_restart(
@@ -359,8 +382,10 @@
         server.fanout.join(1, joined(applied=1), 0)
         server.fanout.receive_progress(1, acknowledged(1, 1), 0)
         server.add()
-        self.assertEqual(server.fanout.watermark(300 * MS), 2, "it does not count yet")
-        server.add()  # which becomes visible with the next cut, after the first proof
+        self.assertEqual(
+            server.fanout.watermark(300 * MS), 2, "the follower does not hold back the watermark yet"
+        )
+        server.add()  # becomes visible with the next cut, after the first proof
         done = server.fanout.watermark(320 * MS)
         (proof,) = proofs(server.fanout.messages_to_send(1, 330 * MS))
         self.assertEqual(proof.head, 2)
@@ -391,7 +416,9 @@
     def test_the_same_process_on_another_stream_keeps_its_record(self) -> None:
         self.server.add()
         join = self.client.follower.connect(self.now_us)
-        self.assertEqual(self.server.fanout.join(2, join, self.now_us), 1, "the stream to be ended")
+        self.assertEqual(
+            self.server.fanout.join(2, join, self.now_us), 1, "the earlier stream has to be ended"
+        )
         with self.assertRaises(UnknownStreamError):
             self.server.fanout.receive_progress(1, acknowledged(4, 99), self.now_us)
         self.assertEqual(self.done(), 3)
@@ -419,7 +446,7 @@
         self.server.fanout.receive_progress(1, self.client.follower.release_previous(), now_us)
         self.assertEqual(self.server.fanout.watermark(now_us), 4)
         better.add()
-        self.assertEqual(better.fanout.watermark(now_us), 3, "there it counts")
+        self.assertEqual(better.fanout.watermark(now_us), 3, "the follower holds back the watermark there")
 
     def test_a_relay_counts_by_what_all_its_followers_have(self) -> None:
         self.server.fanout.join(5, joined("relay", applied=3), self.now_us)
@@ -428,7 +455,7 @@
         self.server.fanout.messages_to_send(5, self.now_us)
         run(self.server, {1: self.client}, self.now_us, 2 * SECOND)
         self.server.fanout.receive_progress(5, acknowledged(4, 2, watermark=2), self.now_us)
-        self.assertEqual(self.done(2 * SECOND), 3, "it never goes back")
+        self.assertEqual(self.done(2 * SECOND), 3, "the watermark never decreases")
         self.server.fanout.receive_progress(5, acknowledged(4, 3, watermark=4), self.now_us)
         self.assertEqual(self.done(2 * SECOND), 4)
 
@@ -440,10 +467,10 @@
         self.assertEqual(new.fanout.watermark(self.now_us + lease_lapse_us()), 2)
 
     def test_a_relay_that_turns_to_another_epoch_counts_those_that_have_not(self) -> None:
-        self.server.log.restart(LATER, 1)  # the last two entries were lost
+        self.server.log.restart(LATER, 1)  # the new source has lost the last two entries
         self.assertEqual(self.done(), 0)
         self.server.fanout.receive_progress(1, acknowledged(3, 0), self.now_us)
-        self.assertEqual(self.done(), 0, "numbers of the epoch before mean nothing")
+        self.assertEqual(self.done(), 0, "an acknowledgement of the previous epoch is ignored")
         now_us = run(self.server, {1: self.client}, self.now_us, SECOND)
         self.assertEqual((self.client.follower.epoch, self.client.follower.applied), (LATER, 1))
         self.assertEqual(self.server.fanout.watermark(now_us), 1)
@@ -485,11 +512,11 @@
         client.join(server, 1, 0)
         now_us = run(server, {1: client}, 0, SECOND)
         before_us = client.follower.staleness.current_to_us
-        late = server.fanout.messages_to_send(1, now_us + HEARTBEAT_INTERVAL_US)  # made, and held up for 5 s
+        late = server.fanout.messages_to_send(1, now_us + HEARTBEAT_INTERVAL_US)  # delivered 5 s later
         now_us += 5 * SECOND
         client.take(late, now_us)
         self.assertEqual(client.follower.staleness.current_to_us, before_us)
-        server.age_us = 5 * SECOND  # on waking, its own probe is as old as its pause
+        server.age_us = 5 * SECOND  # after its pause, its own last probe is 5 s old
         exchange(server, 1, client, now_us)
         age_us = client.follower.staleness.age_us(now_us)
         assert age_us is not None
--- a/tests/relay/test_follower.py
+++ b/tests/relay/test_follower.py
@@ -1,4 +1,4 @@
-"""The following side: what is applied, acknowledged and refused."""
+"""The following side of the fan-out: which messages are applied, acknowledged and rejected."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class Following(unittest.TestCase):
-    """A follower that has everything up to 10."""
+    """A follower that has applied everything up to entry 10."""
 
     def setUp(self) -> None:
         self.follower = Follower("r", "b1")
@@ -60,11 +60,11 @@
         self.assertEqual(
             self.follower.receive(batch(11, 2), 0), [ApplyEntries(EPOCH, 11, (purge(11), purge(12)))]
         )
-        self.assertEqual(self.follower.receive(batch(11, 2), 0), [], "a duplicate")
-        self.assertEqual(self.follower.receive(batch(3, 9), 0), [], "it jumps back")
+        self.assertEqual(self.follower.receive(batch(11, 2), 0), [], "a duplicate batch is ignored")
+        self.assertEqual(self.follower.receive(batch(3, 9), 0), [], "a batch of old entries is ignored")
         self.assertEqual(self.follower.receive(batch(12, 2), 0), [ApplyEntries(EPOCH, 13, (purge(13),))])
         self.assertEqual(self.ended(batch(15, 1)), EndReason.GAP)
-        self.assertEqual(self.ended(batch(15, 0)), EndReason.GAP, "a heartbeat shows it as well")
+        self.assertEqual(self.ended(batch(15, 0)), EndReason.GAP, "a heartbeat reveals the gap as well")
 
     def test_nothing_is_acknowledged_before_it_is_applied(self) -> None:
         self.follower.receive(batch(11, 2), 0)
@@ -74,7 +74,9 @@
         join = self.follower.connect(SECOND)
         self.assertEqual((join.applied, join.epoch), (10, EPOCH))
         self.assertEqual(
-            self.follower.receive(batch(11, 2), SECOND), [], "handed out before, and still applied"
+            self.follower.receive(batch(11, 2), SECOND),
+            [],
+            "entries that were handed out on the earlier stream are not repeated",
         )
         self.follower.acknowledge_applied(EPOCH, 12)
         again = self.follower.progress(SECOND)
@@ -96,7 +98,7 @@
     def test_an_epoch_that_is_over_is_rejected_on_every_later_stream(self) -> None:
         self.assertEqual(self.follower.receive(Batch(LATER, 7, (), None, snapshot_pending=True), 0), [])
         self.assertEqual(self.ended(batch(11, 1)), EndReason.STALE_EPOCH)
-        self.assertEqual(self.follower.connect(0).highest_epoch, LATER, "so that its source learns of it")
+        self.assertEqual(self.follower.connect(0).highest_epoch, LATER, "the join states the higher epoch")
         self.assertEqual(self.ended(batch(11, 1)), EndReason.STALE_EPOCH)
         self.assertEqual(self.ended(snapshot(99)), EndReason.STALE_EPOCH)
 
@@ -106,7 +108,7 @@
         self.assertEqual(self.follower.receive(snapshot(4, LATER), 0), [RestoreSnapshot(snapshot(4, LATER))])
         progress = self.follower.progress(SECOND)
         assert progress is not None
-        self.assertEqual((progress.epoch, progress.applied), (EPOCH, 10), "it is not applied yet")
+        self.assertEqual((progress.epoch, progress.applied), (EPOCH, 10), "the snapshot is not applied yet")
         self.follower.acknowledge_applied(LATER, 4)
         self.follower.acknowledge_applied(EPOCH, 10)
         self.assertEqual((self.follower.epoch, self.follower.applied), (LATER, 4))
@@ -158,7 +160,7 @@
         self.assertEqual(
             self.follower.next_progress_us(),
             PROBE_INTERVAL_US + MIN_ACKNOWLEDGE_INTERVAL_US,
-            "it is proven nothing before",
+            "no proof comes before an acknowledgement, which is therefore urgent",
         )
         self.assertIsNotNone(self.follower.progress(PROBE_INTERVAL_US + MIN_ACKNOWLEDGE_INTERVAL_US))
         self.follower.receive(batch(1, 0, proof=FreshnessProof(1, 0, 0, 0)), PROBE_INTERVAL_US)
@@ -173,7 +175,8 @@
         )
 
     def checked(self, until_us: int, message: DownstreamMessage | None) -> EndStream | None:
-        """The first complaint in turns of 100 ms, with a message each turn."""
+        """Run turns of 100 ms, each with ``message`` if given; returns the first instruction to end the
+        stream."""
         for now_us in range(0, until_us, 100 * MS):
             if message is not None:
                 self.follower.receive(message, now_us)
--- a/tests/relay/test_histories.py
+++ b/tests/relay/test_histories.py
@@ -1,4 +1,5 @@
-"""Histories of a simulated fan-out tier, random and of the hard cases, judged by a model at each event."""
+"""Histories of a simulated fan-out tier, random ones and known hard cases, checked against a model at each
+event."""
 
 from __future__ import annotations
 
@@ -14,11 +15,12 @@
 
 SEEDS = range(1, 21)
 MANY_PURGES = 30
-RECOVERED_S = 40  # after any outage: a pause before the next try at a relay and then at its routers
+# after any outage, a relay and then its routers may wait for a failover back-off
+RECOVERED_S = 40
 
 
 def began(**size: int) -> SimulatedFanout:
-    """A world that has come up, with some entries behind it."""
+    """A simulated tier that has started and distributed some entries."""
     world = SimulatedFanout(FanoutSize(**size))
     world.run(12 * SECOND_US)
     load(world, 3)
@@ -27,7 +29,7 @@
 
 
 def load(world: SimulatedFanout, seconds: int, per_s: int = 4) -> None:
-    """Purges at a steady rate, then time to have them done."""
+    """Issue purges at a constant rate, then wait 4 s until they are done."""
     for _ in range(seconds * per_s):
         world.purge()
         world.run(SECOND_US // per_s)
@@ -35,12 +37,13 @@
 
 
 def settles(world: SimulatedFanout, within_s: int) -> float:
-    """How many seconds it takes until all is at the head, leased and done."""
+    """Time in seconds until all followers are at the head and hold leases, and the watermark is at the
+    head."""
     for tenths in range(10 * within_s):
         if not settled(world):
             return tenths / 10
         world.run(SECOND_US // 10)
-    raise AssertionError(f"after {within_s} s {settled(world)}")
+    raise AssertionError(f"not settled after {within_s} s: {settled(world)}")
 
 
 class Random(unittest.TestCase):
@@ -50,7 +53,7 @@
         self.assertGreater(sum(outcome.epochs for outcome in outcomes), len(SEEDS))
         attempts = sum(outcome.attempts for outcome in outcomes)
         unbounded = sum(outcome.unbounded_attempts for outcome in outcomes)
-        # a tier that never held a lease, or always, would prove nothing
+        # if routers held a lease never or always, the test would show nothing
         self.assertTrue(0.5 * attempts < unbounded < 0.99 * attempts, (unbounded, attempts))
 
 
@@ -59,7 +62,7 @@
         world = began(regions=1)
         for _ in range(20):
             world.purge()
-            world.run(SECOND_US // 7)  # at some of these moments it has what it did not pass on
+            world.run(SECOND_US // 7)  # at some of these times it holds a batch that it has not sent on
             world.kill("R0.1", silently=True)
             world.run(SECOND_US)
             world.start("R0.1")
@@ -102,7 +105,8 @@
                 load(world, 11)
                 self.assertEqual(router.copy_age_limit(host.now_us()), limits.FRESHNESS_LEASE_US)
                 source, process = world.sources()[0]
-                self.assertEqual(process.fanout.watermark(source.now_us()), process.log.head)  # without it
+                # the watermark no longer waits for E0.1
+                self.assertEqual(process.fanout.watermark(source.now_us()), process.log.head)
                 world.network.heal()
                 settles(world, 20)
 
@@ -153,7 +157,7 @@
         load(world, 25)
         self.assertEqual(len(world.sources()), 2)
         epochs = {router.follower.epoch for _, router in world.routers()}
-        self.assertEqual(len(epochs), 2, "each has followers")
+        self.assertEqual(len(epochs), 2, "each source has followers")
         world.network.heal()
         settles(world, 140)
 
--- a/tests/relay/test_log.py
+++ b/tests/relay/test_log.py
@@ -1,4 +1,4 @@
-"""The log of one epoch: numbers, bounds, copies."""
+"""``SequencedLog``: sequence numbers, size limit, and copying from another log."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     def test_a_copy_skips_what_it_has_and_takes_nothing_after_a_gap(self) -> None:
         log = filled(5)
         self.assertEqual(log.extend(4, [purge(4), purge(5), purge(6)]), 1)
-        self.assertEqual(log.extend(2, [purge(2), purge(3)]), 0, "it jumps back")
+        self.assertEqual(log.extend(2, [purge(2), purge(3)]), 0, "entries that it already has are skipped")
         with self.assertRaises(MissingEntriesError):
             log.extend(8, [purge(8)])
         self.assertEqual(log.entries_after(0), tuple(purge(number) for number in range(1, 7)))
--- a/tests/relay/test_log_state.py
+++ b/tests/relay/test_log_state.py
@@ -1,4 +1,4 @@
-"""The state that stands for a log: stores, purges, configuration."""
+"""``LogState``: endpoint list, recent purges and configuration."""
 
 from __future__ import annotations
 
@@ -62,7 +62,8 @@
             recent.add(purge(number), 0)
         begin = time.process_time()
         self.assertEqual(recent.retained(2 * SECOND), ())
-        self.assertLess(time.process_time() - begin, 10.0)  # 0.2 s; half a minute if each looks at all gaps
+        # takes 0.2 s; half a minute if each removal scans the deleted slots of a plain dict
+        self.assertLess(time.process_time() - begin, 10.0)
 
     def test_each_is_retained_for_its_time_once_and_with_its_latest_moment(self) -> None:
         state = LogState(full_versions_only, retention_us=10 * SECOND)
@@ -106,7 +107,7 @@
         state.apply_full_configuration(version(3))
         self.assertEqual((state.configuration, state.needs_full), (version(3), False))
         state.apply_full_configuration(version(2))
-        self.assertEqual(state.configuration, version(3), "an older one changes nothing")
+        self.assertEqual(state.configuration, version(3), "an older version is ignored")
 
     def test_one_from_ahead_of_the_log_is_not_taken_back_by_its_entry(self) -> None:
         state = LogState(joined)
--- a/tests/relay/test_planted.py
+++ b/tests/relay/test_planted.py
@@ -1,4 +1,4 @@
-"""Defects planted on purpose in the state machines of the fan-out tier: each is found."""
+"""Mutation test: each defect that is deliberately injected into the fan-out's state machines is detected."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def replaced(owner: Any, name: str, make: Callable[[Any], Any]) -> Plant:
-    """A method or function replaced by what is made of it."""
+    """Replace a method or function by the result of ``make`` applied to it."""
     return mock.patch.object(owner, name, make(getattr(owner, name)))
 
 
@@ -77,8 +77,9 @@
 
 @contextlib.contextmanager
 def prove_before_the_head_was_sent() -> Iterator[None]:
-    """Even to a follower that does not keep up: either alone is caught by the other. Batches are of one
-    entry, so that the head needs several."""
+    """Give a proof with a lower head than the cut's, and also to a follower that does not keep up: each
+    defect alone is masked by the other check. A batch holds one entry, so that reaching the head takes
+    several."""
 
     def make(proof: Any) -> Any:
         def wrong(self: Any, to: Any, cut: Any, now_us: int) -> Any:
@@ -241,7 +242,7 @@
 
 @contextlib.contextmanager
 def forget_the_epoch() -> Iterator[None]:
-    """At a join and of a batch: either alone is caught by the other's check."""
+    """Ignore the epoch both at a join and in a batch: each defect alone is masked by the other check."""
 
     def make_join(join: Any) -> Any:
         def wrong(self: Any, stream: int, message: Any, now_us: int) -> Any:
@@ -262,7 +263,7 @@
 
 
 class Found(NamedTuple):
-    """A defect, and what finds it: a scenario of the exploration by name, or else random histories."""
+    """A defect, and the exploration scenario that detects it; if empty, random histories do."""
 
     plant: Callable[[], Plant]
     scenario: str = ""
@@ -291,7 +292,7 @@
     Found(count_half_as_long),
     Found(say_farewell_before_the_lease_rests_on_the_new_stream, "a move"),
 )
-MOST_HISTORIES = 12  # in which a defect is found, mostly in the first
+MOST_HISTORIES = 12  # most defects are detected by the first history
 
 
 class Planted(unittest.TestCase):
@@ -307,7 +308,7 @@
 
 
 class Edge(unittest.TestCase):
-    """The end of a lease, by clocks whose rates differ as much as they may."""
+    """The end of a lease, with clocks whose rates differ by up to ``CLOCK_DRIFT``."""
 
     def test_whoever_holds_a_lease_is_counted(self) -> None:
         for rates in RATES:
@@ -325,8 +326,8 @@
 
 
 def leased_for_us(follower_rate: float, server_rate: float) -> int:
-    """How long a router holds its lease that a source has proven at once and then never again.
-    ``RuleBrokenError`` where it is leased in a moment in which the source does not count it."""
+    """Time for which a router holds its lease after the last proof of a source. ``RuleBrokenError`` if the
+    router holds it while the source assumes that it has lapsed."""
 
     def by_router(now_us: int) -> int:
         return now_us + int(now_us * follower_rate)
@@ -336,7 +337,7 @@
 
     source = Source("S", "S/1", Epoch(1, 1), 0)
     router = Router("E", "E/1", 0)
-    for now_us in (10_000_000, 11_000_000, 12_000_000):  # joins, takes the snapshot, is proven
+    for now_us in (10_000_000, 11_000_000, 12_000_000):  # join, snapshot, proof
         source.read([], by_source(now_us), by_source(now_us))
         said = router.connect("S", by_router(now_us)) if router.stream_id is None else []
         for output in [*said, *router.acknowledge(by_router(now_us))]:
@@ -351,7 +352,9 @@
     while router.copy_age_limit(by_router(now_us)) == 0:
         (status,) = source.fanout.status(by_source(now_us))
         if not status.may_hold_lease:
-            raise RuleBrokenError(f"watermark: leased after {now_us - began_us} us, and not counted")
+            raise RuleBrokenError(
+                f"watermark: the lease is held after {now_us - began_us} us, expected lapsed by the source"
+            )
         now_us += STEP_US
     return now_us - began_us
 
--- a/tests/relay/test_processes.py
+++ b/tests/relay/test_processes.py
@@ -1,5 +1,5 @@
-"""Real processes: a source, two relays and a router that follows them, with stand-ins for all else. They are
-stopped, killed and woken; what is asserted are invariants, never speeds."""
+"""Real processes: a source, two relays and a router that follows them, with emulators for all other services.
+They are paused, resumed and killed; only invariants are asserted, never speeds."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 
 
 class NotingStore(peers.StubEndpoint):
-    """A store that notes which ages of copies it was asked for, and when."""
+    """A cache that records the time, key and copy age limit of each request."""
 
     def __init__(self, ident: str, watch: peers.OverlapDetector) -> None:
         super().__init__(ident, watch, is_origin=True)
-        self.orders: list[tuple[float, str, int | None]] = []  # Unix time, key, bound in ms
+        self.orders: list[tuple[float, str, int | None]] = []  # Unix time, key, copy age limit in ms
 
     async def _answer(
         self, ident: str, fields: Mapping[str, str], writer: asyncio.StreamWriter, open_: dict[str, Any]
@@ -74,7 +74,7 @@
 
     @property
     def idle(self) -> bool:
-        """Whether all requests are answered."""
+        """Whether all requests have been answered."""
         return len(self.answers) == self._streams
 
     async def _read(self, reader: asyncio.StreamReader) -> None:
@@ -107,8 +107,8 @@
         self.addCleanup(self.world.stop)
         self.ports = {name: free_port() for name in ("source", "a", "b", "door")}
         self.clients: list[Client] = []
-        self.published = 0  # versions
-        self.purged: dict[str, float] = {}  # keys, and when: Unix time
+        self.published = 0  # number of versions
+        self.purged: dict[str, float] = {}  # Unix time of the purge by key
 
     async def kill_all(self) -> None:
         for client in self.clients:
@@ -184,11 +184,11 @@
                 expected = process.returncode in (None, -signal.SIGKILL)
                 self.assertTrue(expected, f"{name}: {self.log_of(name)[-2000:]}")
             logs = "\n".join(f"{name}: {self.log_of(name)[-600:]}" for name in self.processes)
-            self.assertLess(time.monotonic(), end, f"not in time: {what}\n{logs}")
+            self.assertLess(time.monotonic(), end, f"not within {PATIENCE_S} s: {what}\n{logs}")
             await asyncio.sleep(0.02)
 
     async def place(self) -> dict[str, Any]:
-        """Where the router stands, as its door tells it."""
+        """The router's relay status, from its admin server."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.ports["door"])
         writer.write(b"RELAY\n")
         line = (await reader.readline()).decode()
@@ -199,7 +199,7 @@
         return await status.fetch_status(f"127.0.0.1:{self.ports[name]}")
 
     async def told_status(self, name: str) -> dict[str, Any]:
-        """The same, as the command tells it."""
+        """The status report of a node, from ``magpieshift relay status --json``."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -222,7 +222,7 @@
             self.purged[key] = now
 
     async def has_all(self) -> bool:
-        """Whether the router has applied everything: the list of stores, all purges and all versions."""
+        """Whether the router has applied everything: the endpoint list, all purges and all versions."""
         return int((await self.place())["applied"]) >= 1 + len(self.purged) + self.published
 
     async def leased(self) -> bool:
@@ -238,22 +238,24 @@
         return client
 
     async def bound_of(self, key: str) -> int | None:
-        """What age of a copy the router accepts of this object now, in ms; None for any."""
+        """The copy age limit in ms with which the router requests this object now; None for no limit."""
         client, known = self.client(), len(self.cache.orders)
 
         async def ordered() -> bool:
-            if client.idle:  # none is under way: it was refused, or this is the first
+            if client.idle:  # no request in flight: the last one was rejected, or this is the first
                 await client.ask(key)
             return any(k == key for _, k, _ in self.cache.orders[known:])
 
-        await self.until(ordered, "an order")
+        await self.until(ordered, "a request at the cache")
         return next(bound for _, k, bound in self.cache.orders[known:] if k == key)
 
     def check_orders(self, orders: list[tuple[float, str, int | None]]) -> None:
-        """No copy is accepted from before a purge of its object."""
+        """Check that no copy from before a purge of its object is accepted."""
         for at, key, bound in orders:
             made = self.purged[key]
-            assert bound is not None, f"any copy of {key}, purged {at - made} s before"
+            assert bound is not None, (
+                f"{key}: requested without a copy age limit, {at - made} s after its purge"
+            )
             self.assertGreaterEqual(at - bound / 1000, made - 0.002)
 
     async def test_versions_and_purges_while_relays_and_router_are_paused_and_killed(self) -> None:
@@ -261,21 +263,21 @@
         await self.until(self.leased, "a lease")
         self.purge(5)
         await self.until(self.has_all, "all purges")
-        self.assertTrue(await self.nobody_behind(), "there is no version yet to be behind")
+        self.assertTrue(await self.nobody_behind(), "no follower lags before the first version")
         await self.bound_of("0000000000000001")
         self.check_orders(self.cache.orders)
 
         with self.subTest("versions"):
             await self.change_versions()
 
-        with self.subTest("the relay that it follows stands still for 5 s"):
+        with self.subTest("the followed relay is paused for 5 s"):
             first = await self.followed()
             self.signal(first, signal.SIGSTOP)
             end = time.monotonic() + 5.0
             while time.monotonic() < end:
                 self.purge()
                 await asyncio.sleep(0.1)
-            await self.until(self.has_all, "all purges, by the other relay")
+            await self.until(self.has_all, "all purges, from the other relay")
             second = await self.followed()
             self.assertNotEqual(first, second)
             await self.bound_of(max(self.purged))
@@ -285,26 +287,26 @@
             await self.bound_of(max(self.purged))
             self.check_orders(self.cache.orders)
 
-        with self.subTest("the relay that it follows now is killed"):
+        with self.subTest("the followed relay is killed"):
             self.signal(second, signal.SIGKILL)
             self.purge(5)
-            await self.until(self.has_all, "all purges, by the first again")
+            await self.until(self.has_all, "all purges, from the first relay again")
             self.assertEqual(await self.followed(), first)
             await self.bound_of(max(self.purged))
             self.check_orders(self.cache.orders)
-            await self.until(lambda: self.all_done(), "the source calls all done")
+            await self.until(lambda: self.all_done(), "the source's watermark reaches the head")
 
-        with self.subTest("the router stands still across its lease, with requests in hand"):
+        with self.subTest("the router is paused beyond its lease, with requests in flight"):
             await self.until(self.leased, "a lease")
             self.cache.orders.clear()
             client = self.client()
             for _ in range(20):
-                await client.ask("00000000000000aa")  # to be purged while it stands still
+                await client.ask("00000000000000aa")  # purged while the router is paused
             self.signal("router", signal.SIGSTOP)
             stopped = time.time()
             self.purged["00000000000000aa"] = stopped
             await client.ask("00000000000000aa")
-            # whom it could hear from on waking stands still as well
+            # the followed relay is paused too, so that the router gets no proof when it resumes
             self.signal(first, signal.SIGSTOP)
             now_ms = int(stopped * 1000)
             self.world.change_log.publish(invalidate={"object": "00000000000000aa", "time": now_ms})
@@ -314,12 +316,13 @@
             woken = time.time()
 
             async def is_ordered_after_waking() -> bool:
-                """An attempt that was in flight times out as the router wakes, and its silent cache is
-                ejected for a second or two: what is asked meanwhile goes to the origin."""
+                """Whether the cache got a request after the router resumed. At first an attempt that was in
+                flight times out and the silent cache is ejected for a second or two: requests go to the
+                origin."""
                 await client.ask("00000000000000aa")
                 return any(at >= woken for at, _, _ in self.cache.orders)
 
-            await self.until(is_ordered_after_waking, "an order after waking")
+            await self.until(is_ordered_after_waking, "a request at the cache after the router resumed")
             late = [order for order in self.cache.orders if order[0] >= woken]
             self.check_orders(late)
             self.assertLessEqual(
@@ -329,9 +332,9 @@
             await self.until(self.leased, "a lease again")
             await self.until(self.has_all, "the purge")
 
-        with self.subTest("a planned end"):
+        with self.subTest("planned shutdown"):
             for name in ("router", first, "source"):
-                self.signal(name, signal.SIGCONT)  # where it was left stopped by what failed before
+                self.signal(name, signal.SIGCONT)  # an earlier failure may have left it paused
                 self.signal(name, signal.SIGTERM)
                 async with asyncio.timeout(PATIENCE_S):
                     code = await self.processes[name].wait()
@@ -349,7 +352,8 @@
     # --- versions
 
     async def change_versions(self) -> None:
-        """Versions come into force by delta; who refuses one is known, and gets the next one whole."""
+        """Versions come into force by delta. A follower that rejects one is reported, and gets the next one
+        complete."""
         data = self.world.settings()
         for number in (1, 2):
             self.publish(number, sexp.format_document(data | {"retry-after-ms": 111 * number}))
@@ -358,22 +362,23 @@
 
         self.publish(3, sexp.format_document(data | {"retry-after-ms": -1}))
         relay = await self.followed()
-        await self.until(lambda: self.refuses(relay, 3), "the refusal is known")
+        await self.until(lambda: self.refuses(relay, 3), "the relay reports the rejection")
 
         async def names_the_router_alone() -> bool:
-            """Until their acknowledgements of 3 have reached the source, the relays are behind as well."""
+            """Whether only the router lags. The relays lag too until the source has their acknowledgements of
+            3."""
             source = await self.told_status("source")
             self.assertLessEqual(set(source["behind"]), {"a", "b", "lab"})
             return bool(source["behind"] == ["lab"])
 
-        await self.until(names_the_router_alone, "the source has the router alone behind")
+        await self.until(names_the_router_alone, "the source reports only the router as lagging")
         source = await self.told_status("source")
         self.assertEqual((source["version"], source["behind"]), (3, ["lab"]))
 
-        # its delta builds on the refused one: the whole is asked for
+        # its delta applies to the rejected version, so the router requests the complete version
         self.publish(4, sexp.format_document(data | {"retry-after-ms": 444}))
         await self.in_force(4)
-        await self.until(self.nobody_behind, "nobody is behind")
+        await self.until(self.nobody_behind, "no follower lags")
 
     async def in_force(self, number: int) -> None:
         line = f'event="version in force" version={number} '
--- a/tests/relay/test_selection.py
+++ b/tests/relay/test_selection.py
@@ -66,9 +66,9 @@
             second = next(s for s in range(100) if self.selection.return_candidate(s * SECOND))
             returns.append(second)
             self.selection.switch_to(self.ranked[0], second * SECOND)
-            self.assertIsNone(self.selection.return_candidate(10**12), "there is no better one")
+            self.assertIsNone(self.selection.return_candidate(10**12), "no relay ranks higher")
         self.assertLessEqual(max(returns), MAX_RETURN_DELAY_S)
-        self.assertGreater(max(returns) - min(returns), 40, "a relay that returns is not stormed")
+        self.assertGreater(max(returns) - min(returns), 40, "followers return spread over time")
 
     def test_where_the_best_does_not_answer_the_next_better_one_has_its_turn(self) -> None:
         for _ in range(3):
@@ -81,7 +81,7 @@
             self.selection.reject_candidate(now_us)
             self.assertIsNone(self.selection.return_candidate(now_us))
         self.assertEqual(tried, [*self.ranked[:3], self.ranked[0]])
-        self.assertEqual(self.selection.current, self.ranked[3], "it stays where it is meanwhile")
+        self.assertEqual(self.selection.current, self.ranked[3], "the current relay is kept meanwhile")
 
     def test_there_must_be_one(self) -> None:
         with self.assertRaises(ValueError):
--- a/tests/relay/test_staleness_bound.py
+++ b/tests/relay/test_staleness_bound.py
@@ -1,4 +1,4 @@
-"""Probes, proofs and the lease."""
+"""``StalenessBound`` and ``SourceStalenessBound``: probes, proofs and the lease."""
 
 from __future__ import annotations
 
@@ -36,7 +36,10 @@
         lapse_us = SECOND + int(FRESHNESS_LEASE_US / (1 + CLOCK_DRIFT))
         self.assertTrue(self.staleness.lease_held(lapse_us - 2))
         self.assertEqual(self.staleness.copy_age_limit_us(lapse_us - 2), 0)
-        self.assertFalse(self.staleness.lease_held(lapse_us + 2), "whoever was paused finds out on waking")
+        self.assertFalse(
+            self.staleness.lease_held(lapse_us + 2),
+            "the lapse needs no event, so a resumed process notices it",
+        )
         self.assertEqual(self.staleness.copy_age_limit_us(lapse_us + 2), FRESHNESS_LEASE_US)
         self.assertEqual(self.staleness.copy_age_limit_us(10**12), FRESHNESS_LEASE_US)
 
@@ -53,19 +56,19 @@
         self.assertIsNone(self.staleness.current_to_us)
         self.staleness.record_applied(LATER, 4)
         self.assertEqual(self.staleness.current_to_us, SECOND)
-        self.assertEqual(self.prove(3), SECOND, "the epoch before is over")
+        self.assertEqual(self.prove(3), SECOND, "a proof of the previous epoch is ignored")
 
     def test_unknown_old_and_repeated_probes_prove_nothing_new(self) -> None:
         self.assertIsNone(self.prove(9))
         self.assertEqual(self.prove(3), 3 * SECOND)
-        self.assertEqual(self.prove(3, age_us=SECOND), 3 * SECOND, "the same answer, held up in a queue")
+        self.assertEqual(self.prove(3, age_us=SECOND), 3 * SECOND, "the same answer, delayed in a queue")
         self.assertEqual(self.prove(1), 3 * SECOND)
 
     def test_it_survives_a_change_of_stream_whose_probes_begin_anew(self) -> None:
         self.prove(3)
         self.staleness.record_probe(4, 4 * SECOND)
         self.staleness.begin_stream()
-        self.assertEqual(self.prove(4), 3 * SECOND, "a number of the stream before")
+        self.assertEqual(self.prove(4), 3 * SECOND, "the probe belongs to the previous stream")
         self.assertFalse(self.staleness.lease_from_stream)
         self.staleness.record_probe(1, 5 * SECOND)
         self.assertEqual(self.prove(1, age_us=SECOND), 4 * SECOND)
@@ -81,14 +84,14 @@
         self.prove(3)
         self.staleness.record_applied(LATER, 1)
         self.assertIsNone(self.staleness.epoch_age_us(3 * SECOND), "the new source may have lost entries")
-        self.assertTrue(self.staleness.lease_held(3 * SECOND), "which this process has applied")
+        self.assertTrue(self.staleness.lease_held(3 * SECOND), "this process has applied the lost entries")
         self.staleness.add_proof(LATER, FreshnessProof(3, 0, 1, 0))
         self.assertEqual(self.staleness.epoch_age_us(3 * SECOND), 1)
 
     def test_what_it_remembers_is_bounded(self) -> None:
         for number in range(4, 10 * MAX_PROBES):
             self.staleness.record_probe(number, number * SECOND)
-        self.assertIsNone(self.prove(3), "its probe is forgotten")
+        self.assertIsNone(self.prove(3), "the probe is no longer remembered")
         self.assertIsNotNone(self.prove(10 * MAX_PROBES - 1))
 
     def test_a_released_lease_is_not_held_again(self) -> None:
