--- a/magpieshift/relay/follower.py
+++ b/magpieshift/relay/follower.py
@@ -76,7 +76,7 @@
         self._last_synced_to_us: int | None = None
         # when newer data or a newer proof of the source last came, or when the process was last catching up
         self._last_advance_us = 0
-        # batches and snapshots with new entries since the last progress
+        # batches with entries, and snapshots, received since the last progress
         self._unacknowledged_batches = 0
         # whether a proof was received on this stream; none comes before an acknowledgement
         self._has_proof = False
