--- a/tests/relay/pieces.py
+++ b/tests/relay/pieces.py
@@ -23,8 +23,8 @@
 TICK_US = 50 * MS
 
 
-def purge(number: int, made_us: int = 0) -> Purge:
-    return Purge(f"{number:x}", 0, made_us)
+def purge(number: int, issued_us: int = 0) -> Purge:
+    return Purge(f"{number:x}", 0, issued_us)
 
 
 def full_versions_only(newest: ConfigurationChange | None, change: ConfigurationChange) -> None:
@@ -49,9 +49,9 @@
 
     def add(self, count: int = 1, now_us: int = 0) -> None:
         for _ in range(count):
-            self.put(purge(self.log.head + 1), now_us)
+            self.append(purge(self.log.head + 1), now_us)
 
-    def put(self, entry: Entry, now_us: int = 0) -> None:
+    def append(self, entry: Entry, now_us: int = 0) -> None:
         self.log.append(entry)
         self.state.apply_entry(entry, now_us)
 
@@ -68,23 +68,23 @@
         self.ended = None
         server.fanout.join(stream, self.follower.connect(now_us), now_us)
 
-    def take(self, messages: list[DownstreamMessage], now_us: int) -> None:
+    def receive(self, messages: list[DownstreamMessage], now_us: int) -> None:
         for message in messages:
-            for effect in self.follower.receive(message, now_us):
-                self.carry_out(effect)
+            for instruction in self.follower.receive(message, now_us):
+                self.execute(instruction)
 
-    def carry_out(self, effect: Instruction) -> None:
-        match effect:
+    def execute(self, instruction: Instruction) -> None:
+        match instruction:
             case ApplyEntries():
-                self.applied += effect.entries
-                self.follower.acknowledge_applied(effect.epoch, effect.last)
+                self.applied += instruction.entries
+                self.follower.acknowledge_applied(instruction.epoch, instruction.last)
             case RestoreSnapshot(snapshot):
                 self.applied = list(snapshot.purges)
                 self.follower.acknowledge_applied(snapshot.epoch, snapshot.applied)
             case EndStream():
-                self.ended = effect
+                self.ended = instruction
 
-    def leased(self, now_us: int) -> bool:
+    def holds_lease(self, now_us: int) -> bool:
         return self.follower.staleness.lease_held(now_us)
 
 
@@ -100,7 +100,7 @@
         server.fanout.messages_to_send(stream, now_us) if server.fanout.next_send_us(stream) <= now_us else []
     )
     if down:
-        client.take(messages, now_us)
+        client.receive(messages, now_us)
     client.ended = client.ended or client.follower.check(now_us)
     return messages
 
--- a/tests/relay/rig.py
+++ b/tests/relay/rig.py
@@ -23,7 +23,7 @@
 PATIENCE_S = 30.0  # time-out of waits for events; no test asserts a speed
 
 
-def at(port: int, region: str = "north") -> RelayAddress:
+def loopback_address(port: int, region: str = "north") -> RelayAddress:
     """The address of a node on loopback."""
     return RelayAddress(f"127.0.0.1:{port}", region, f"127.0.0.1:{port}")
 
@@ -56,12 +56,12 @@
         return [purge.key for purge in purges]
 
     @property
-    def current(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether the follower holds a lease."""
         return self.follower.staleness.lease_held(clock.source.steady_us())
 
 
-class Wire:
+class CuttableProxy:
     """A TCP proxy between a follower and a node. Each direction can be cut: data in that direction is then
     dropped without an error."""
 
@@ -155,29 +155,29 @@
     async def relay(
         self, name: str, *sources: int, log_entries: int = MAX_LOG_ENTRIES
     ) -> tuple[RelayNode, int]:
-        relays = [at(port) for port in sources]
+        relays = [loopback_address(port) for port in sources]
         options = RelayOptions(relays, "127.0.0.1:0", name, "north", log_entries)
         node = RelayNode(options, random.Random(name))
         return node, await self.node(node)
 
     def router(self, name: str, *relays: int) -> Router:
-        router = Router(name, [at(port) for port in relays])
+        router = Router(name, [loopback_address(port) for port in relays])
         router.client.start()
         self.addAsyncCleanup(router.client.stop)
         return router
 
-    async def wire(self, target: int) -> Wire:
-        wire = Wire(target)
+    async def wire(self, target: int) -> CuttableProxy:
+        wire = CuttableProxy(target)
         await wire.start()
         self.addCleanup(wire.stop)
         return wire
 
-    async def all_current(self, *routers: Router) -> None:
+    async def wait_for_leases(self, *routers: Router) -> None:
         """Wait until each router holds a lease."""
         for router in routers:
-            await self.until(lambda router=router: router.current, "a lease")  # type: ignore[misc]
+            await self.until(lambda router=router: router.holds_lease, "a lease")  # type: ignore[misc]
 
-    async def all_purged(self, *routers: Router) -> None:
+    async def wait_for_purges(self, *routers: Router) -> None:
         """Wait until each router has applied all purges."""
         for router in routers:
             await self.until(
--- a/tests/relay/test_drivers.py
+++ b/tests/relay/test_drivers.py
@@ -30,18 +30,18 @@
 from magpieshift.relay.messages import NO_EPOCH, Batch, ConfigurationChange, Epoch, Join, Progress
 from magpieshift.relay.node import RelayNode, RelayOptions, SourceNode
 from magpieshift.relay.service import MAX_UPSTREAM_BYTES, StreamDriver
-from tests.relay.rig import PATIENCE_S, RelayCase, Router, at
+from tests.relay.rig import PATIENCE_S, RelayCase, Router, loopback_address
 
 
-class DyingRelay(RelayNode):
+class FailingRelay(RelayNode):
     """A relay that ends all its streams after receiving a batch, before it sends that batch to its
     followers."""
 
-    dying = False
+    is_failing = False
 
     def apply_entries(self, batch: ApplyEntries) -> None:
         super().apply_entries(batch)
-        if self.dying:
+        if self.is_failing:
             self.service.end_streams("killed")
             self.stop()
 
@@ -71,16 +71,16 @@
         await self._channel.close()
 
 
-class Together(RelayCase):
+class Distribution(RelayCase):
     async def test_purges_come_through_a_source_and_two_relays_in_order(self) -> None:
         self.purge(3)
         source, source_port = await self.source()
         first, first_port = await self.relay("a", source_port)
         _, second_port = await self.relay("b", source_port)
         routers = [self.router(f"r{n}", port) for n, port in enumerate([first_port, second_port, first_port])]
-        await self.all_current(*routers)
+        await self.wait_for_leases(*routers)
         self.purge(200)
-        await self.all_purged(*routers)
+        await self.wait_for_purges(*routers)
         for router in routers:
             self.assertEqual(router.purged, self.keys)
         # a batch's entries are serialized once for all followers of a relay
@@ -94,51 +94,51 @@
 
 
 class Failures(RelayCase):
-    async def test_a_relay_killed_between_receiving_a_batch_and_passing_it_on(self) -> None:
+    async def test_a_relay_killed_between_receiving_and_forwarding_a_batch(self) -> None:
         """No entry is lost or out of order, and the watermark covers no entry that a router with a lease has
         not applied."""
         source, source_port = await self.source()
         _, second = await self.relay("b", source_port)
 
-        first = DyingRelay(RelayOptions([at(source_port)], "127.0.0.1:0", "a", "north"))
+        first = FailingRelay(RelayOptions([loopback_address(source_port)], "127.0.0.1:0", "a", "north"))
         first_port = await self.node(first)
         routers = [self.router(f"r{n}", first_port, second) for n in range(3)]
-        await self.all_current(*routers)
+        await self.wait_for_leases(*routers)
         self.purge(20)
-        await self.all_purged(*routers)
-        first.dying = True
+        await self.wait_for_purges(*routers)
+        first.is_failing = True
         self.purge(20)
         while not all(self.keys[-1] in router.purged for router in routers):
-            self.check_done(source, routers)
+            self.check_watermark(source, routers)
             await asyncio.sleep(0.01)
         for router in routers:
             self.assertEqual(router.purged, self.keys)
             self.assertEqual(router.client.relay.address, f"127.0.0.1:{second}")
         self.assertEqual([router.follower.applied for router in routers], [source.log.head] * 3)
 
-    def check_done(self, source: SourceNode, routers: list[Router]) -> None:
+    def check_watermark(self, source: SourceNode, routers: list[Router]) -> None:
         done = source.fanout.watermark(clock.source.steady_us())
         for router in routers:
-            if router.current:
+            if router.holds_lease:
                 self.assertLessEqual(done, router.follower.applied)
 
-    async def test_a_follower_that_reads_nothing_holds_up_nobody(self) -> None:
+    async def test_a_follower_that_reads_nothing_does_not_delay_others(self) -> None:
         source, port = await self.source()
         router = self.router("r1", port)
-        stuck = RawFollower(port)
-        self.addAsyncCleanup(stuck.close)
-        await self.all_current(router)
-        await stuck.join("stuck")
-        await stuck.probe()
+        blocked = RawFollower(port)
+        self.addAsyncCleanup(blocked.close)
+        await self.wait_for_leases(router)
+        await blocked.join("stuck")
+        await blocked.probe()
         stream = await self.stream(source, "stuck")
 
         self.large_change()
         await self.until(lambda: stream.writing, "a write is blocked")
         for _ in range(5):
-            await stuck.probe()
+            await blocked.probe()
             self.large_change()
             self.purge(3)
-            await self.all_purged(router)
+            await self.wait_for_purges(router)
         self.assertEqual(router.purged, self.keys)
         self.assertTrue(stream.writing)
 
@@ -146,7 +146,7 @@
         await self.until(lambda: stream not in source.service._streams.values(), "the stream is gone")
         self.assertEqual(source.service.counters.silent_streams, 1)
         self.purge(3)
-        await self.all_purged(router)
+        await self.wait_for_purges(router)
         self.assertEqual(router.purged, self.keys)
 
     def large_change(self) -> None:
@@ -157,7 +157,7 @@
         await self.until(lambda: any(s.name == name for s in streams.values()), f"{name} joins")
         return next(s for s in streams.values() if s.name == name)
 
-    async def test_one_that_reads_again_gets_the_rest(self) -> None:
+    async def test_a_slow_follower_receives_everything_once_it_reads(self) -> None:
         source, port = await self.source()
         slow = RawFollower(port)
         self.addAsyncCleanup(slow.close)
@@ -192,28 +192,28 @@
         relay, relay_port = await self.relay("a", source_port, log_entries=20)
         wire = await self.wire(relay_port)
         router = self.router("r1", wire.port)
-        await self.all_current(router)
+        await self.wait_for_leases(router)
         self.purge(5)
-        await self.all_purged(router)
+        await self.wait_for_purges(router)
         wire.to_follower = wire.to_node = False
         missed = self.purge(60)
         await self.until(
             lambda: relay.follower.applied == source.log.head == 65, "the relay has applied all entries"
         )
         wire.to_follower = wire.to_node = True
-        await self.all_purged(router)
+        await self.wait_for_purges(router)
         self.assertEqual(len(router.snapshots), 2)  # the initial one, and one after the cut
         self.assertLessEqual(set(missed), {purge.key for purge in router.snapshots[1].purges})
         self.assertEqual(router.follower.applied, 65)
         self.purge(5)
-        await self.all_purged(router)
+        await self.wait_for_purges(router)
         self.assertEqual(router.purged[-5:], self.keys[-5:])
 
-    async def test_one_whose_acknowledgements_are_lost_is_waited_for_until_its_lease_has_lapsed(self) -> None:
+    async def test_lost_acknowledgements_hold_back_the_watermark_until_the_lease_lapses(self) -> None:
         source, port = await self.source()
         wire = await self.wire(port)
         router, other = self.router("deaf", wire.port), self.router("well", port)
-        await self.all_current(router, other)
+        await self.wait_for_leases(router, other)
         wire.to_node = False
         self.purge(5)
         head = 5
@@ -223,17 +223,17 @@
             lambda: source.fanout.watermark(clock.source.steady_us()) == head,
             "the watermark reaches the head",
         )
-        self.assertTrue(not router.current or router.follower.applied == head)
+        self.assertTrue(not router.holds_lease or router.follower.applied == head)
 
-    async def test_a_source_that_is_started_again_is_followed_in_its_new_epoch(self) -> None:
+    async def test_a_restarted_source_is_followed_in_its_new_epoch(self) -> None:
         port = free_port()
         first = SourceNode(self.source_options(f"127.0.0.1:{port}"))
         await self.node(first)
         relay, relay_port = await self.relay("a", port)
         router = self.router("r1", relay_port)
-        await self.all_current(router)
+        await self.wait_for_leases(router)
         self.purge(5)
-        await self.all_purged(router)
+        await self.wait_for_purges(router)
         before = router.follower.epoch
         first.stop()
         await self.until(lambda: not first.service._streams, "the first source has ended all streams")
@@ -245,11 +245,11 @@
         )
         self.assertGreater(router.follower.epoch, before)
         self.purge(5)
-        await self.all_purged(router)
+        await self.wait_for_purges(router)
         self.assertLessEqual(set(self.keys), set(router.purged))
         self.assertEqual(relay.log.epoch, second.log.epoch)
 
-    async def test_a_source_that_hears_of_a_newer_one_ends(self) -> None:
+    async def test_a_source_ends_when_a_follower_knows_a_newer_one(self) -> None:
         source = SourceNode(self.source_options("127.0.0.1:0"))
         serving: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         running = asyncio.ensure_future(source.run(serving.set_result))
@@ -262,7 +262,7 @@
         self.assertIs(await late.code(), grpc.StatusCode.FAILED_PRECONDITION)
 
 
-class Eager(random.Random):
+class ZeroDelayRandom(random.Random):
     """Draws 0 for every random delay."""
 
     def uniform(self, a: float, b: float) -> float:
@@ -270,37 +270,40 @@
 
 
 class Return(RelayCase):
-    async def test_a_follower_goes_back_to_a_better_relay_and_takes_leave_of_the_other(self) -> None:
+    async def test_a_follower_returns_to_a_preferred_relay_and_releases_its_lease_at_the_other(self) -> None:
         _, source_port = await self.source()
         other, other_port = await self.relay("b", source_port)
-        better_port, leaving = free_port(), NotingFanout(other)
-        router = Router("r1", [at(better_port), at(other_port)], Eager())
+        better_port, releases = free_port(), RecordingFanout(other)
+        router = Router(
+            "r1", [loopback_address(better_port), loopback_address(other_port)], ZeroDelayRandom()
+        )
         router.client.start()
         self.addAsyncCleanup(router.client.stop)
-        await self.all_current(router)
+        await self.wait_for_leases(router)
         self.purge(5)
-        await self.all_purged(router)
-        self.assertEqual(router.client.relay, at(other_port))
+        await self.wait_for_purges(router)
+        self.assertEqual(router.client.relay, loopback_address(other_port))
 
-        options = RelayOptions([at(source_port)], f"127.0.0.1:{better_port}", "a", "north")
+        options = RelayOptions([loopback_address(source_port)], f"127.0.0.1:{better_port}", "a", "north")
         better = RelayNode(options, random.Random(1))
-        ending = NotingFanout(better)
+        later_releases = RecordingFanout(better)
         await self.node(better)
         await self.until(
-            lambda: router.client.relay == at(better_port), "the router returns to the better relay"
+            lambda: router.client.relay == loopback_address(better_port),
+            "the router returns to the better relay",
         )
         await self.until(lambda: bool(better.service.counters.joins), "the better relay counts a join")
 
-        await self.until(lambda: leaving.released, "the router releases its lease at the other relay")
-        self.assertTrue(router.current)
+        await self.until(lambda: releases.released, "the router releases its lease at the other relay")
+        self.assertTrue(router.holds_lease)
         self.purge(5)
-        await self.all_purged(router)
+        await self.wait_for_purges(router)
         self.assertEqual(router.purged, self.keys)
         await router.client.stop()
-        await self.until(lambda: ending.released, "the router releases its lease when it stops")
+        await self.until(lambda: later_releases.released, "the router releases its lease when it stops")
 
 
-class NotingFanout:
+class RecordingFanout:
     """Records the progress messages of a node's followers, and passes them on."""
 
     def __init__(self, node: RelayNode) -> None:
@@ -318,7 +321,7 @@
         return bool(self.received) and self.received[-1].lease_released
 
 
-class SilentRelay(grpc.GenericRpcHandler):  # type: ignore[misc]  # the library is not typed
+class BlockedRelay(grpc.GenericRpcHandler):  # type: ignore[misc]  # the library is not typed
     """A relay that reads no messages of its follower until ``reads`` is set."""
 
     def __init__(self) -> None:
@@ -355,11 +358,11 @@
     Guards against a second concurrent write, which gRPC does not allow: the last message failed, and the
     planned shutdown ended with a traceback."""
 
-    async def stopping(self, relay: SilentRelay) -> Router:
+    async def follower_during_write(self, relay: BlockedRelay) -> Router:
         """A follower whose first acknowledgement is not read by the relay."""
         await relay.start()
         self.addAsyncCleanup(relay.server.stop, 0)
-        router = Router("r1", [at(relay.port)])
+        router = Router("r1", [loopback_address(relay.port)])
         router.follower.rejection_reason = "x" * (4 << 20)
         router.client.start()
         self.addAsyncCleanup(router.client.stop)
@@ -369,15 +372,15 @@
         )
         return router
 
-    async def test_a_relay_that_reads_nothing_is_given_up_soon_and_without_an_error(self) -> None:
-        router = await self.stopping(SilentRelay())
+    async def test_a_relay_that_reads_nothing_does_not_delay_the_shutdown_or_cause_an_error(self) -> None:
+        router = await self.follower_during_write(BlockedRelay())
         with self.assertNoLogs("magpieshift.relay", logging.WARNING):
             async with asyncio.timeout(PATIENCE_S):
                 await router.client.stop()
 
     async def test_the_last_message_follows_the_write_in_flight(self) -> None:
-        relay = SilentRelay()
-        router = await self.stopping(relay)
+        relay = BlockedRelay()
+        router = await self.follower_during_write(relay)
         with mock.patch("magpieshift.relay.connection.LAST_WRITE_TIMEOUT_S", PATIENCE_S):
             stopping = asyncio.ensure_future(router.client.stop())
             await asyncio.sleep(0)  # the last message waits for the write in flight
@@ -389,13 +392,13 @@
         )
 
 
-class Words(RelayCase):
+class InvalidMessages(RelayCase):
     """Malformed and oversized messages."""
 
-    async def test_a_malformed_message_of_a_follower_ends_its_stream_alone(self) -> None:
+    async def test_a_malformed_message_of_a_follower_ends_only_its_stream(self) -> None:
         source, port = await self.source()
         router = self.router("r1", port)
-        await self.all_current(router)
+        await self.wait_for_leases(router)
         hello = wire.FromRouter(hello=wire.Hello(router="r")).SerializeToString()
         progress = encoding.encode_upstream(Progress(NO_EPOCH, 0, 1, 0, ""))
         for data in (b"\xff\xff", b"", hello, progress):
@@ -412,9 +415,9 @@
         self.assertIs(await large.code(), grpc.StatusCode.RESOURCE_EXHAUSTED)
         await large.close()
         self.purge(5)
-        await self.all_purged(router)
+        await self.wait_for_purges(router)
 
-    async def test_a_malformed_message_of_a_relay_is_one_line_and_nothing_is_applied_or_lost(self) -> None:
+    async def test_a_malformed_message_of_a_relay_is_logged_once_and_not_applied(self) -> None:
         _, port = await self.source()
         for garbage in (
             b"\xff\xff\xff",
@@ -422,18 +425,18 @@
             b"x" * (decoding.MAX_SNAPSHOT_BYTES + 1),
         ):
             with self.subTest(len(garbage)):
-                liar = await self.liar(garbage)
+                garbage_relay = await self.garbage_relay(garbage)
                 with self.assertLogs("magpieshift.relay.client", logging.WARNING) as logged:
-                    router = self.router(f"r{len(garbage)}", liar, port)
-                    await self.all_current(router)
+                    router = self.router(f"r{len(garbage)}", garbage_relay, port)
+                    await self.wait_for_leases(router)
                 events = [record.getMessage() for record in logged.records]
                 self.assertEqual(events, ["malformed message"])
                 self.assertEqual(router.follower.highest_epoch.term < 1 << 60, True)
                 self.purge(5)
-                await self.all_purged(router)
+                await self.wait_for_purges(router)
                 self.assertEqual(router.purged, self.keys)
 
-    async def liar(self, garbage: bytes) -> int:
+    async def garbage_relay(self, garbage: bytes) -> int:
         """Start a relay that sends ``garbage`` to every follower; returns its port."""
 
         class Handler(grpc.GenericRpcHandler):  # type: ignore[misc]
@@ -461,7 +464,7 @@
             source, source_port = await self.source(folder)
             relay, relay_port = await self.relay("a", source_port)
             routers = [self.router(f"r{n}", relay_port) for n in range(3)]
-            await self.all_current(*routers)
+            await self.wait_for_leases(*routers)
             self.publish(folder, 2, {"a": {"b": 2}, "c": [1, 2]})
             for router in routers:
                 await self.until(lambda router=router: bool(router.entries), "a version arrives")  # type: ignore[misc]
@@ -487,10 +490,10 @@
         part.rename(Path(folder) / f"{number}.sexp")
 
 
-class Reading(RelayCase):
+class SourceAge(RelayCase):
     """The age of a source's knowledge, as derived from its reads of the change log."""
 
-    async def test_a_source_is_no_more_current_than_the_log_it_hears(self) -> None:
+    async def test_a_source_ages_while_its_change_log_is_unreachable(self) -> None:
         wire = await self.wire(self.changes.port)
         source = SourceNode(self.source_options("127.0.0.1:0", log_port=wire.port))
         await self.node(source)
@@ -507,14 +510,14 @@
         wire.to_follower = True
         await self.until(lambda: (age_us() or 1 << 60) < 2_000_000, "the source is current again")
 
-    async def test_an_event_that_comes_late_makes_it_older_for_a_while(self) -> None:
+    async def test_a_delayed_event_raises_the_age_of_the_source(self) -> None:
         source, _ = await self.source()
         late_ms = int(time.time() * 1000) - 60_000
         self.changes.publish(invalidate={"object": "0" * 15 + "1", "time": late_ms})
         await self.until(lambda: source.log.head == 1, "the purge")
         self.assertGreaterEqual(source.age_us(clock.source.steady_us()) or 0, 60_000_000)
 
-    def test_delays_are_forgotten(self) -> None:
+    def test_delays_expire_with_their_window(self) -> None:
         delays = DelayWindow()
         delays.record(-5, 0)
         self.assertEqual(delays.largest_us(0), 0)
@@ -524,7 +527,7 @@
         self.assertEqual(delays.largest_us(10_000_000), 20)
         self.assertEqual(delays.largest_us(21_000_000), 0)
 
-    async def test_what_cannot_be_passed_on_is_one_line_and_the_rest_goes_on(self) -> None:
+    async def test_an_unusable_event_is_logged_once_and_skipped(self) -> None:
         source, _ = await self.source()
         now_ms = int(time.time() * 1000)
         bad: list[dict[str, Any]] = [
--- a/tests/relay/test_encoding.py
+++ b/tests/relay/test_encoding.py
@@ -69,7 +69,7 @@
 )
 
 
-def refused(data: bytes) -> MalformedMessageError:
+def decoding_error(data: bytes) -> MalformedMessageError:
     """The error for bytes that are not a valid message to a follower."""
     try:
         found = decoding.decode_downstream(data)
@@ -115,7 +115,7 @@
         data = encoding.encode_downstream(Batch(Epoch(now_us // 1000, 1 << 63), 1 << 34, tuple(made), proof))
         self.assertLessEqual(len(data) / len(made), 16)
 
-    def test_a_group_and_a_key_of_another_form_do_not_cost_the_others_their_form(self) -> None:
+    def test_a_group_and_an_unusual_key_do_not_enlarge_the_encoding_of_other_purges(self) -> None:
         plain = [Purge(f"{n:016x}", 0, 5_000_000) for n in range(100)]
         mixed = [*plain[:50], Purge("", 7, 5_000_000), Purge("ABC", 0, 5_000_000), *plain[50:]]
         sizes = [
@@ -125,7 +125,7 @@
         self.assertLess(sizes[1] - sizes[0], 60)
 
 
-class Malformations(unittest.TestCase):
+class MalformedMessages(unittest.TestCase):
     @given(st.one_of(batches, snapshots), st.data())
     def test_a_truncated_message_is_rejected_or_proves_less(
         self, message: Batch | Snapshot, data: st.DataObject
@@ -143,7 +143,7 @@
             )
 
     @given(st.binary(max_size=200))
-    def test_noise_is_a_message_or_malformed_and_never_another_error(self, noise: bytes) -> None:
+    def test_random_bytes_are_decoded_or_rejected_as_malformed(self, noise: bytes) -> None:
         for read in (decoding.decode_downstream, decoding.decode_upstream):
             try:
                 read(noise)
@@ -160,10 +160,10 @@
             (encoding.encode_downstream(batch), "batch", MAX_MESSAGE_BYTES),
             (snapshot(MAX_SNAPSHOT_BYTES), "message", MAX_SNAPSHOT_BYTES),
         ):
-            err = refused(data)
+            err = decoding_error(data)
             self.assertEqual((err.place, err.expected), (place, f"at most {most}"))
 
-    def test_each_is_reported_with_its_place(self) -> None:
+    def test_malformed_messages_are_reported_with_their_place(self) -> None:
         for data, place in (
             (b"", "message"),
             (b"\xff\xff\xff", "message"),
@@ -186,9 +186,9 @@
             (bytes(wire.FromControl(version=wire.Version(number=1)).SerializeToString()), "version"),
         ):
             with self.subTest(place):
-                self.assertEqual(refused(data).place, place)
+                self.assertEqual(decoding_error(data).place, place)
 
-    def test_what_is_no_followers_message(self) -> None:
+    def test_malformed_messages_from_followers_are_rejected(self) -> None:
         hello = bytes(wire.FromRouter(hello=wire.Hello(router="r")).SerializeToString())
         nameless = encoding.encode_upstream(Join("", "", NO_EPOCH, 0, ""))
         long = encoding.encode_upstream(Join("n" * (decoding.MAX_NAME_LENGTH + 1), "", NO_EPOCH, 0, ""))
--- a/tests/relay/test_explored.py
+++ b/tests/relay/test_explored.py
@@ -36,7 +36,7 @@
     return lambda explorer: explorer.started(budget)
 
 
-def without(name: str) -> Step:
+def round_without(name: str) -> Step:
     return partial(MutableTier.run_round, excluded=name)
 
 
@@ -44,7 +44,7 @@
     return partial(MutableTier.connect, follower=follower, server=server)
 
 
-def relay_wakes(explorer: Explorer) -> TierState:
+def relay_resumes(explorer: Explorer) -> TierState:
     """``R1``, whose watermark waits for no follower, is paused while two batches arrive for it and a
     restarted ``E1`` sends it probes, before and after applying its snapshot."""
     joins: list[Step] = [
@@ -62,17 +62,18 @@
     ]
     snapshot += [
         partial(MutableTier.apply, router="E1"),
-        without("R1"),
+        round_without("R1"),
         partial(MutableTier.acknowledge, follower="E1"),
     ]
     one_more: list[Step] = [
         MutableTier.accept_purge,
         MutableTier.read_change_log,
         partial(MutableTier.send, follower="R1"),
-        without("R1"),
+        round_without("R1"),
     ]
     return explorer.after(
-        explorer.started(QUIET), [*joins, *snapshot, *one_more, *one_more, without("R1"), without("R1")]
+        explorer.started(QUIET),
+        [*joins, *snapshot, *one_more, *one_more, round_without("R1"), round_without("R1")],
     )
 
 
@@ -86,7 +87,7 @@
     return explorer.after(explorer.started(QUIET), [*away, *purges, *[MutableTier.run_round] * 20])
 
 
-def router_back(explorer: Explorer) -> TierState:
+def router_reconnected(explorer: Explorer) -> TierState:
     """``E1`` has been disconnected for longer than its lease, and has just caught up."""
     tier = explorer.after(
         router_behind(explorer), [connect("E1", "R1"), MutableTier.run_round, MutableTier.run_round]
@@ -98,7 +99,7 @@
     """``E1`` has an entry from ``R1`` that ``R2`` has not received, and has lost its stream."""
     ahead: list[Step] = [
         MutableTier.accept_purge,
-        *[without("R2")] * 3,
+        *[round_without("R2")] * 3,
         partial(MutableTier.disconnect, follower="E1"),
     ]
     return explorer.after(explorer.started(QUIET), ahead)
@@ -113,18 +114,18 @@
     Scenario(
         "a new source", started(EventBudget(ticks=2, disconnects=0, source_crashes=1)), whole_directions, 5
     ),
-    Scenario("a loss", started(EventBudget(ticks=2, rounds=5)), rounds, 4),
+    Scenario("a lost connection", started(EventBudget(ticks=2, rounds=5)), rounds, 4),
     Scenario("a crash", started(EventBudget(ticks=2, rounds=5, disconnects=0, crashes=1)), rounds, 4),
     Scenario(
-        "a move",
+        "a change of relay",
         started(EventBudget(2, 5, disconnects=0, relay_switches=1)),
         partial(rounds, actors=("E1",)),
         6,
     ),
-    Scenario("a relay wakes", relay_wakes, partial(single_messages, actors=("R1", "E1")), 9),
-    Scenario("a router behind", router_behind, partial(single_messages, actors=("R1", "E1")), 9),
-    Scenario("a router back", router_back, partial(rounds, actors=("E1",)), 5),
-    Scenario("a router ahead", router_ahead, partial(single_messages, actors=("R2", "E1")), 9),
+    Scenario("a paused relay resumes", relay_resumes, partial(single_messages, actors=("R1", "E1")), 9),
+    Scenario("a lagging router", router_behind, partial(single_messages, actors=("R1", "E1")), 9),
+    Scenario("a router reconnected", router_reconnected, partial(rounds, actors=("E1",)), 5),
+    Scenario("a router ahead of its relay", router_ahead, partial(single_messages, actors=("R2", "E1")), 9),
 )
 
 
--- a/tests/relay/test_fanout.py
+++ b/tests/relay/test_fanout.py
@@ -64,9 +64,9 @@
             run(self.server, {1: self.client}, number * SECOND, SECOND)
         self.assertEqual(self.client.applied, [purge(number) for number in range(1, 40)])
         self.assertEqual(self.server.fanout.watermark(40 * SECOND), 39)
-        self.assertTrue(self.client.leased(40 * SECOND))
+        self.assertTrue(self.client.holds_lease(40 * SECOND))
 
-    def test_entries_wait_for_others_no_longer_than_a_batch_time(self) -> None:
+    def test_entries_wait_no_longer_than_the_batch_interval(self) -> None:
         now_us = run(self.server, {1: self.client}, 0, SECOND)
         self.server.add()
         self.assertLessEqual(
@@ -79,7 +79,7 @@
         sent = self.server.fanout.messages_to_send(1, now_us + BATCH_INTERVAL_US)
         self.assertEqual([len(batch.entries) for batch in sent if isinstance(batch, Batch)], [5])
 
-    def test_a_probe_is_answered_within_a_batch_time_and_silence_is_broken_by_heartbeats(self) -> None:
+    def test_a_probe_is_answered_within_the_batch_interval_and_heartbeats_are_regular(self) -> None:
         now_us = run(self.server, {1: self.client}, 0, SECOND)
         sent_us = [
             t
@@ -99,7 +99,7 @@
             [99],
         )
 
-    def test_no_proof_before_a_probe_nor_while_anything_is_still_to_be_sent(self) -> None:
+    def test_no_proof_before_a_probe_or_while_entries_remain_to_be_sent(self) -> None:
         server = Server(max_entries=10 * MAX_UNACKNOWLEDGED_BATCHES * MAX_BATCH_ENTRIES)
         server.add(3 * MAX_UNACKNOWLEDGED_BATCHES * MAX_BATCH_ENTRIES)
         server.fanout.join(1, joined(), 0)
@@ -122,7 +122,7 @@
         found = proofs(server.fanout.messages_to_send(1, SECOND + BATCH_INTERVAL_US))
         self.assertEqual([(proof.probe, proof.head) for proof in found], [(3, server.log.head)])
 
-    def test_a_process_passes_its_own_age_on_and_the_part_of_it_that_is_the_sources(self) -> None:
+    def test_a_proof_states_the_age_of_the_process_and_the_lag_of_the_source(self) -> None:
         now_us = run(self.server, {1: self.client}, 0, SECOND)
         self.server.age_us, self.server.sync_age_us = 3 * SECOND, SECOND
         self.server.fanout.receive_progress(1, acknowledged(3, 50), now_us)
@@ -136,14 +136,14 @@
             (len(sent), proofs(sent)), (1, []), "a relay without contact to its source gives no proof"
         )
 
-    def test_a_source_that_lost_its_change_log_is_followed_on_without_a_lease(self) -> None:
+    def test_a_source_without_its_change_log_is_followed_without_a_lease(self) -> None:
         end_us = 0
         for self.server.age_us in (None, FRESHNESS_LEASE_US):
             client = Client()
             client.join(self.server, 2, end_us)
             end_us = run(self.server, {2: client}, end_us, 4 * RELAY_STALE_TIMEOUT_US)
             self.assertIsNone(client.ended, "the follower stays, as configurations still come")
-            self.assertFalse(client.leased(end_us))
+            self.assertFalse(client.holds_lease(end_us))
             self.server.add()
             self.assertEqual(
                 self.server.fanout.watermark(end_us + BATCH_INTERVAL_US),
@@ -152,7 +152,7 @@
             )
             self.server.fanout.close_stream(2, end_us)
 
-    def test_entries_not_yet_visible_make_a_proof_older_instead_of_wrong(self) -> None:
+    def test_entries_not_yet_visible_raise_the_age_of_a_proof(self) -> None:
         now_us = run(self.server, {1: self.client}, 0, 2 * SECOND)
         self.server.add()
         self.server.fanout.messages_to_send(1, now_us)
@@ -171,7 +171,7 @@
 
     def test_a_full_configuration_is_sent_on_request_once_it_is_known(self) -> None:
         now_us = run(self.server, {1: self.client}, 0, SECOND)
-        self.server.put(ConfigurationChange(2, "d2", "d1", b"delta"))
+        self.server.append(ConfigurationChange(2, "d2", "d1", b"delta"))
         self.client.follower.wants_full = True
         now_us = run(self.server, {1: self.client}, now_us, SECOND)
         self.assertTrue(
@@ -195,7 +195,7 @@
 
 
 class Windows(unittest.TestCase):
-    def test_a_slow_follower_costs_its_window_and_holds_up_nobody(self) -> None:
+    def test_a_slow_follower_is_sent_one_window_and_does_not_delay_others(self) -> None:
         server, slow, quick = Server(max_entries=2_000), Client("slow"), Client("quick")
         for stream, client in ((1, slow), (2, quick)):
             client.join(server, stream, 0)
@@ -219,7 +219,7 @@
         self.assertIn(1, server.fanout.silent_streams(now_us))
         self.assertNotIn(2, server.fanout.silent_streams(now_us))
 
-    def test_a_dropped_tail_is_made_good_by_a_snapshot(self) -> None:
+    def test_dropped_entries_are_replaced_by_a_snapshot(self) -> None:
         server, client = Server(max_entries=50), Client()
         client.join(server, 1, 0)
         now_us = run(server, {1: client}, 0, SECOND)
@@ -231,9 +231,9 @@
         self.assertEqual(client.applied, [purge(number) for number in range(1, 1_001)])
         run(server, {2: client}, now_us, SECOND)
         self.assertEqual(client.follower.applied, 1_000)
-        self.assertTrue(client.leased(now_us + SECOND))
+        self.assertTrue(client.holds_lease(now_us + SECOND))
 
-    def test_snapshots_go_at_a_bounded_rate_and_one_that_does_not_read_holds_up_nobody(self) -> None:
+    def test_snapshots_have_a_limited_rate_and_a_blocked_follower_does_not_delay_others(self) -> None:
         server = Server()
         server.add(5)
         count = 3 * MAX_SNAPSHOTS_PER_S
@@ -256,7 +256,7 @@
             self.assertLessEqual(len(within), MAX_SNAPSHOTS_PER_S + 1)
         self.assertLessEqual(max(times.values()), 4 * SECOND)
 
-    def test_a_relay_that_was_paused_does_not_hand_out_all_snapshots_at_once(self) -> None:
+    def test_a_resumed_relay_does_not_send_all_snapshots_at_once(self) -> None:
         server = Server()
         for stream in range(200):
             server.fanout.join(stream, joined(f"r{stream}", epoch=NO_EPOCH), 0)
@@ -272,7 +272,7 @@
         self,
     ) -> None:
         server, client = Server(), Client()
-        server.put(ConfigurationChange(2, "d2", "d1", b"delta"))
+        server.append(ConfigurationChange(2, "d2", "d1", b"delta"))
         client.join(server, 1, 0)
         now_us = run(server, {1: client}, 0, SECOND)
         self.assertEqual(client.follower.applied, 1)
@@ -289,9 +289,9 @@
         self.server.add(3)
         self.client.join(self.server, 1, 0)
         self.now_us = run(self.server, {1: self.client}, 0, 2 * SECOND)
-        self.assertEqual(self.done(), 3)
+        self.assertEqual(self.watermark(), 3)
 
-    def done(self, after_us: int = 0) -> int:
+    def watermark(self, after_us: int = 0) -> int:
         return self.server.fanout.watermark(self.now_us + after_us)
 
     def test_lost_acknowledgements_hold_the_watermark_until_the_lease_has_lapsed(self) -> None:
@@ -301,60 +301,61 @@
             exchange(self.server, 1, self.client, now_us, up=False)
             now_us += 10 * MS
         self.assertEqual(self.client.follower.applied, 4, "the follower receives the entry")
-        self.assertFalse(self.client.leased(now_us), "answers to old probes do not extend the lease")
+        self.assertFalse(self.client.holds_lease(now_us), "answers to old probes do not extend the lease")
         self.assertLessEqual(now_us, self.now_us + lease_lapse_us() + 10 * MS)
 
-    def test_the_reverse_cut_is_no_different_and_the_follower_leaves(self) -> None:
+    def test_a_follower_that_receives_nothing_holds_the_watermark_until_its_lease_has_lapsed(self) -> None:
         self.server.add()
         now_us = run(self.server, {1: self.client}, self.now_us, 3 * SECOND, down=False)
         self.assertEqual((self.server.fanout.watermark(now_us), self.client.follower.applied), (3, 3))
         self.assertEqual(self.client.ended and self.client.ended.reason, EndReason.SILENCE)
         self.server.fanout.close_stream(1, now_us)
-        self.assertTrue(self.client.leased(now_us))
+        self.assertTrue(self.client.holds_lease(now_us))
         self.assertEqual(
             self.server.fanout.watermark(now_us), 3, "it holds back the watermark without a stream"
         )
-        while self.client.leased(now_us):
+        while self.client.holds_lease(now_us):
             self.assertEqual(self.server.fanout.watermark(now_us), 3)
             now_us += 10 * MS
         self.assertEqual(self.server.fanout.watermark(now_us + lease_lapse_us()), 4)
 
-    def test_an_acknowledgement_of_what_was_not_sent_is_not_believed(self) -> None:
+    def test_an_acknowledgement_of_entries_that_were_not_sent_is_ignored(self) -> None:
         self.server.add(5)
         self.server.fanout.receive_progress(1, acknowledged(8, 90), self.now_us)
-        self.assertEqual(self.done(), 3)
+        self.assertEqual(self.watermark(), 3)
         self.server.fanout.receive_progress(1, acknowledged(8, 91, epoch=Epoch(0, 9)), self.now_us)
-        self.assertEqual(self.done(), 3)
+        self.assertEqual(self.watermark(), 3)
         (status,) = self.server.fanout.status(self.now_us)
         self.assertEqual(
             (status.applied, status.lag_entries, status.may_hold_lease, status.invalid_acknowledgements),
             (3, 5, True, 1),
         )
 
-    def test_a_restarted_follower_has_a_new_record_and_the_old_one_counts_until_its_lease_has_lapsed(
+    def test_the_record_of_a_restarted_follower_remains_until_its_lease_has_lapsed(
         self,
     ) -> None:
         self.server.fanout.close_stream(1, self.now_us)
         self.server.add()
-        twin = Client(boot="b2")
-        twin.join(self.server, 2, self.now_us)
-        run(self.server, {2: twin}, self.now_us, 2 * SECOND)
-        self.assertEqual((twin.follower.applied, self.done(2 * SECOND)), (4, 3))
+        restarted = Client(boot="b2")
+        restarted.join(self.server, 2, self.now_us)
+        run(self.server, {2: restarted}, self.now_us, 2 * SECOND)
+        self.assertEqual((restarted.follower.applied, self.watermark(2 * SECOND)), (4, 3))
         self.assertTrue(
-            self.client.leased(self.now_us + 2 * SECOND), "the old process may be paused instead of killed"
+            self.client.holds_lease(self.now_us + 2 * SECOND),
+            "the old process may be paused instead of killed",
         )
-        self.assertEqual(self.done(lease_lapse_us()), 4)
+        self.assertEqual(self.watermark(lease_lapse_us()), 4)
 
-    def test_a_follower_that_acknowledged_and_was_killed_counts_by_what_it_has_after_its_restart(
+    def test_a_restarted_follower_does_not_inherit_acknowledgements(
         self,
     ) -> None:
         self.server.fanout.close_stream(1, self.now_us)
-        twin = Client(boot="b2")
-        twin.join(self.server, 2, self.now_us)
-        exchange(self.server, 2, twin, self.now_us, down=False)
+        restarted = Client(boot="b2")
+        restarted.join(self.server, 2, self.now_us)
+        exchange(self.server, 2, restarted, self.now_us, down=False)
         self.assertEqual(self.server.fanout.status(self.now_us)[1].applied, 0)
 
-    def test_a_new_follower_gets_no_proof_and_holds_back_nothing_before_it_acknowledged_the_head(
+    def test_a_new_follower_gets_no_proof_and_holds_back_nothing_before_acknowledging_the_head(
         self,
     ) -> None:
         self.server.add(100)
@@ -364,11 +365,11 @@
         exchange(self.server, 2, other, now_us + SECOND)
         sent = exchange(self.server, 2, other, now_us + SECOND + BATCH_INTERVAL_US, up=False)
         self.assertEqual((len(sent), proofs(sent)), (1, []))
-        self.assertEqual((self.done(SECOND), other.follower.applied), (103, 103))
+        self.assertEqual((self.watermark(SECOND), other.follower.applied), (103, 103))
         exchange(self.server, 2, other, now_us + 2 * SECOND)
         self.assertTrue(self.server.fanout.status(now_us + 2 * SECOND)[0].may_hold_lease)
 
-    def test_nothing_is_proven_while_the_window_holds_something_back(self) -> None:
+    def test_no_proof_is_sent_while_the_window_is_full(self) -> None:
         self.server.add(MAX_UNACKNOWLEDGED_BATCHES * MAX_BATCH_ENTRIES + 1)
         sent = self.server.fanout.messages_to_send(1, self.now_us)
         self.assertEqual((len(sent), proofs(sent)), (MAX_UNACKNOWLEDGED_BATCHES, []))
@@ -376,7 +377,7 @@
         sent = self.server.fanout.messages_to_send(1, self.now_us)
         self.assertEqual([proof.head for proof in proofs(sent)], [self.server.log.head])
 
-    def test_nothing_is_done_that_a_later_follower_can_hold_a_lease_without(self) -> None:
+    def test_the_watermark_covers_only_entries_that_later_lease_holders_have_applied(self) -> None:
         server = Server()
         server.add()
         server.fanout.join(1, joined(applied=1), 0)
@@ -386,12 +387,12 @@
             server.fanout.watermark(300 * MS), 2, "the follower does not hold back the watermark yet"
         )
         server.add()  # becomes visible with the next cut, after the first proof
-        done = server.fanout.watermark(320 * MS)
+        watermark = server.fanout.watermark(320 * MS)
         (proof,) = proofs(server.fanout.messages_to_send(1, 330 * MS))
         self.assertEqual(proof.head, 2)
-        self.assertLessEqual(done, proof.head)
+        self.assertLessEqual(watermark, proof.head)
 
-    def test_a_deaf_follower_that_joins_again_and_again_does_not_hold_back_the_watermark_for_good(
+    def test_a_follower_that_receives_nothing_and_keeps_rejoining_does_not_block_the_watermark(
         self,
     ) -> None:
         for second in range(12):
@@ -399,10 +400,10 @@
             now_us = run(self.server, {1: self.client}, self.now_us + second * SECOND, SECOND, down=False)
             self.server.fanout.close_stream(1, now_us)
             self.client.join(self.server, 1, now_us)
-        self.assertFalse(self.client.leased(now_us))
+        self.assertFalse(self.client.holds_lease(now_us))
         self.assertEqual(self.server.fanout.watermark(now_us), self.server.log.head)
 
-    def test_whose_acknowledgements_lag_is_proven_nothing_until_they_do_not(self) -> None:
+    def test_a_follower_with_late_acknowledgements_gets_no_proof_until_it_catches_up(self) -> None:
         self.server.add()
         self.server.fanout.messages_to_send(1, self.now_us)
         for lag_us, proven in ((MAX_ACKNOWLEDGE_DELAY_US, 1), (MAX_ACKNOWLEDGE_DELAY_US + SECOND, 0)):
@@ -421,20 +422,20 @@
         )
         with self.assertRaises(UnknownStreamError):
             self.server.fanout.receive_progress(1, acknowledged(4, 99), self.now_us)
-        self.assertEqual(self.done(), 3)
+        self.assertEqual(self.watermark(), 3)
         run(self.server, {2: self.client}, self.now_us, SECOND)
-        self.assertEqual((self.done(SECOND), len(self.server.fanout.status(self.now_us))), (4, 1))
+        self.assertEqual((self.watermark(SECOND), len(self.server.fanout.status(self.now_us))), (4, 1))
 
-    def test_a_follower_that_released_its_lease_counts_no_more_and_gets_no_proof(self) -> None:
+    def test_a_follower_that_released_its_lease_gets_no_proof_and_holds_back_nothing(self) -> None:
         self.server.add()
         self.server.fanout.receive_progress(1, self.client.follower.release_lease(self.now_us), self.now_us)
-        self.assertEqual(self.done(), 4)
+        self.assertEqual(self.watermark(), 4)
         self.assertEqual(
             proofs(self.server.fanout.messages_to_send(1, self.now_us + HEARTBEAT_INTERVAL_US)), []
         )
-        self.assertEqual(self.done(HEARTBEAT_INTERVAL_US), 4)
+        self.assertEqual(self.watermark(HEARTBEAT_INTERVAL_US), 4)
 
-    def test_a_planned_move_does_not_hold_up_the_relay_it_leaves(self) -> None:
+    def test_a_planned_change_of_relay_does_not_hold_back_the_previous_watermark(self) -> None:
         better = Server()
         better.add(3)
         self.client.join(better, 7, self.now_us)
@@ -448,48 +449,48 @@
         better.add()
         self.assertEqual(better.fanout.watermark(now_us), 3, "the follower holds back the watermark there")
 
-    def test_a_relay_counts_by_what_all_its_followers_have(self) -> None:
+    def test_a_relay_holds_back_the_watermark_for_all_its_followers(self) -> None:
         self.server.fanout.join(5, joined("relay", applied=3), self.now_us)
         self.server.fanout.receive_progress(5, acknowledged(3, 1, watermark=2), self.now_us)
         self.server.add()
         self.server.fanout.messages_to_send(5, self.now_us)
         run(self.server, {1: self.client}, self.now_us, 2 * SECOND)
         self.server.fanout.receive_progress(5, acknowledged(4, 2, watermark=2), self.now_us)
-        self.assertEqual(self.done(2 * SECOND), 3, "the watermark never decreases")
+        self.assertEqual(self.watermark(2 * SECOND), 3, "the watermark never decreases")
         self.server.fanout.receive_progress(5, acknowledged(4, 3, watermark=4), self.now_us)
-        self.assertEqual(self.done(2 * SECOND), 4)
+        self.assertEqual(self.watermark(2 * SECOND), 4)
 
-    def test_after_a_restart_nothing_is_done_while_leases_of_the_source_before_may_hold(self) -> None:
+    def test_after_a_restart_the_watermark_is_0_while_leases_of_the_previous_source_may_hold(self) -> None:
         new = Server(LATER, watermark_from_us=self.now_us + lease_lapse_us())
         new.add(2)
         self.assertEqual(new.fanout.watermark(self.now_us + lease_lapse_us() - 1), 0)
-        self.assertFalse(self.client.leased(self.now_us + lease_lapse_us()))
+        self.assertFalse(self.client.holds_lease(self.now_us + lease_lapse_us()))
         self.assertEqual(new.fanout.watermark(self.now_us + lease_lapse_us()), 2)
 
-    def test_a_relay_that_turns_to_another_epoch_counts_those_that_have_not(self) -> None:
+    def test_followers_of_the_previous_epoch_hold_back_the_watermark_of_the_new_one(self) -> None:
         self.server.log.restart(LATER, 1)  # the new source has lost the last two entries
-        self.assertEqual(self.done(), 0)
+        self.assertEqual(self.watermark(), 0)
         self.server.fanout.receive_progress(1, acknowledged(3, 0), self.now_us)
-        self.assertEqual(self.done(), 0, "an acknowledgement of the previous epoch is ignored")
+        self.assertEqual(self.watermark(), 0, "an acknowledgement of the previous epoch is ignored")
         now_us = run(self.server, {1: self.client}, self.now_us, SECOND)
         self.assertEqual((self.client.follower.epoch, self.client.follower.applied), (LATER, 1))
         self.assertEqual(self.server.fanout.watermark(now_us), 1)
         self.assertTrue(
-            self.client.leased(run(self.server, {1: self.client}, now_us, 2 * FRESHNESS_LEASE_US))
+            self.client.holds_lease(run(self.server, {1: self.client}, now_us, 2 * FRESHNESS_LEASE_US))
         )
 
-    def test_many_lives_leave_nothing_behind(self) -> None:
-        for life in range(200):
-            self.server.fanout.join(100 + life, joined("other", boot=f"x{life}"), self.now_us)
-            self.server.fanout.receive_progress(100 + life, acknowledged(0, 1), self.now_us)
-            self.server.fanout.messages_to_send(100 + life, self.now_us)
-            self.server.fanout.close_stream(100 + life, self.now_us)
-        self.assertEqual(self.done(lease_lapse_us()), 3)
+    def test_records_of_many_restarts_are_removed(self) -> None:
+        for run_number in range(200):
+            self.server.fanout.join(100 + run_number, joined("other", boot=f"x{run_number}"), self.now_us)
+            self.server.fanout.receive_progress(100 + run_number, acknowledged(0, 1), self.now_us)
+            self.server.fanout.messages_to_send(100 + run_number, self.now_us)
+            self.server.fanout.close_stream(100 + run_number, self.now_us)
+        self.assertEqual(self.watermark(lease_lapse_us()), 3)
         self.assertLessEqual(len(self.server.fanout.status(self.now_us + lease_lapse_us())), 1)
 
 
-class Refusals(unittest.TestCase):
-    def test_whoever_is_of_a_lower_epoch_learns_of_the_higher(self) -> None:
+class Rejections(unittest.TestCase):
+    def test_a_server_with_a_lower_epoch_learns_the_higher_one(self) -> None:
         server = Server()
         for join in (joined(epoch=LATER), Join("r", "b", EPOCH, 0, "", highest_epoch=LATER)):
             with self.assertRaises(EpochSupersededError) as raised:
@@ -506,15 +507,15 @@
             with self.assertRaises(UpstreamStaleError):
                 server.fanout.join(1, joined(), 0)
 
-    def test_a_relay_that_was_paused_wakes_with_words_that_prove_what_they_did_before(self) -> None:
+    def test_messages_delayed_by_a_pause_of_the_relay_prove_nothing_newer(self) -> None:
         server, client = Server(), Client()
         server.add(3)
         client.join(server, 1, 0)
         now_us = run(server, {1: client}, 0, SECOND)
         before_us = client.follower.staleness.current_to_us
-        late = server.fanout.messages_to_send(1, now_us + HEARTBEAT_INTERVAL_US)  # delivered 5 s later
+        delayed = server.fanout.messages_to_send(1, now_us + HEARTBEAT_INTERVAL_US)  # delivered 5 s later
         now_us += 5 * SECOND
-        client.take(late, now_us)
+        client.receive(delayed, now_us)
         self.assertEqual(client.follower.staleness.current_to_us, before_us)
         server.age_us = 5 * SECOND  # after its pause, its own last probe is 5 s old
         exchange(server, 1, client, now_us)
@@ -526,7 +527,7 @@
 class Reports(unittest.TestCase):
     def test_lagging_followers_are_listed_by_name_over_all_relays(self) -> None:
         source = Server()
-        source.put(ConfigurationChange(1, "d1", "", b"whole"))
+        source.append(ConfigurationChange(1, "d1", "", b"whole"))
         for stream, (name, digest) in enumerate([("a", "d1"), ("b", "d0"), ("c", "")]):
             source.fanout.join(stream, joined(name), 0)
             behind = tuple(f"{name}{number}" for number in range(10)) if digest == "d1" else ()
--- a/tests/relay/test_follower.py
+++ b/tests/relay/test_follower.py
@@ -51,10 +51,10 @@
         self.follower.acknowledge_applied(EPOCH, 10)
         self.follower.progress(0)
 
-    def ended(self, message: DownstreamMessage) -> EndReason:
-        (effect,) = self.follower.receive(message, 0)
-        assert isinstance(effect, EndStream)
-        return effect.reason
+    def end_reason(self, message: DownstreamMessage) -> EndReason:
+        (instruction,) = self.follower.receive(message, 0)
+        assert isinstance(instruction, EndStream)
+        return instruction.reason
 
     def test_entries_are_handed_out_once_and_in_order(self) -> None:
         self.assertEqual(
@@ -63,8 +63,8 @@
         self.assertEqual(self.follower.receive(batch(11, 2), 0), [], "a duplicate batch is ignored")
         self.assertEqual(self.follower.receive(batch(3, 9), 0), [], "a batch of old entries is ignored")
         self.assertEqual(self.follower.receive(batch(12, 2), 0), [ApplyEntries(EPOCH, 13, (purge(13),))])
-        self.assertEqual(self.ended(batch(15, 1)), EndReason.GAP)
-        self.assertEqual(self.ended(batch(15, 0)), EndReason.GAP, "a heartbeat reveals the gap as well")
+        self.assertEqual(self.end_reason(batch(15, 1)), EndReason.GAP)
+        self.assertEqual(self.end_reason(batch(15, 0)), EndReason.GAP, "a heartbeat reveals the gap as well")
 
     def test_nothing_is_acknowledged_before_it_is_applied(self) -> None:
         self.follower.receive(batch(11, 2), 0)
@@ -79,13 +79,13 @@
             "entries that were handed out on the earlier stream are not repeated",
         )
         self.follower.acknowledge_applied(EPOCH, 12)
-        again = self.follower.progress(SECOND)
-        assert again is not None
-        self.assertEqual((again.applied, again.probe), (12, 1))
+        later_progress = self.follower.progress(SECOND)
+        assert later_progress is not None
+        self.assertEqual((later_progress.applied, later_progress.probe), (12, 1))
         with self.assertRaises(ValueError):
             self.follower.acknowledge_applied(EPOCH, 13)
 
-    def test_a_proof_for_what_is_not_applied_yet_waits_for_it(self) -> None:
+    def test_a_proof_takes_effect_once_its_head_is_applied(self) -> None:
         staleness = self.follower.staleness
         self.follower.receive(batch(11, 2, proof=FreshnessProof(1, 0, 12, 9)), 0)
         self.assertFalse(staleness.lease_held(0))
@@ -95,16 +95,18 @@
         self.assertTrue(staleness.lease_held(0))
         self.assertEqual(self.follower.watermark, 9)
 
-    def test_an_epoch_that_is_over_is_rejected_on_every_later_stream(self) -> None:
+    def test_a_superseded_epoch_is_rejected_on_every_later_stream(self) -> None:
         self.assertEqual(self.follower.receive(Batch(LATER, 7, (), None, snapshot_pending=True), 0), [])
-        self.assertEqual(self.ended(batch(11, 1)), EndReason.STALE_EPOCH)
+        self.assertEqual(self.end_reason(batch(11, 1)), EndReason.STALE_EPOCH)
         self.assertEqual(self.follower.connect(0).highest_epoch, LATER, "the join states the higher epoch")
-        self.assertEqual(self.ended(batch(11, 1)), EndReason.STALE_EPOCH)
-        self.assertEqual(self.ended(snapshot(99)), EndReason.STALE_EPOCH)
+        self.assertEqual(self.end_reason(batch(11, 1)), EndReason.STALE_EPOCH)
+        self.assertEqual(self.end_reason(snapshot(99)), EndReason.STALE_EPOCH)
 
-    def test_another_epoch_begins_with_its_snapshot_also_at_a_lower_number(self) -> None:
-        self.assertEqual(self.ended(batch(11, 1, LATER)), EndReason.NO_SNAPSHOT)
-        self.assertEqual(self.ended(batch(11, 0, LATER, FreshnessProof(1, 0, 0, 0))), EndReason.NO_SNAPSHOT)
+    def test_a_new_epoch_begins_with_its_snapshot_even_at_a_lower_number(self) -> None:
+        self.assertEqual(self.end_reason(batch(11, 1, LATER)), EndReason.NO_SNAPSHOT)
+        self.assertEqual(
+            self.end_reason(batch(11, 0, LATER, FreshnessProof(1, 0, 0, 0))), EndReason.NO_SNAPSHOT
+        )
         self.assertEqual(self.follower.receive(snapshot(4, LATER), 0), [RestoreSnapshot(snapshot(4, LATER))])
         progress = self.follower.progress(SECOND)
         assert progress is not None
@@ -114,12 +116,12 @@
         self.assertEqual((self.follower.epoch, self.follower.applied), (LATER, 4))
         self.assertEqual(self.follower.receive(batch(5, 1, LATER), 0), [ApplyEntries(LATER, 5, (purge(5),))])
 
-    def test_a_snapshot_is_restored_only_if_it_leads_on(self) -> None:
+    def test_a_snapshot_is_restored_only_if_it_is_newer(self) -> None:
         self.assertEqual(self.follower.receive(snapshot(10), 0), [])
         self.assertEqual(self.follower.receive(snapshot(12), 0), [RestoreSnapshot(snapshot(12))])
         self.assertEqual(self.follower.receive(snapshot(11), 0), [])
 
-    def test_impossible_messages_end_the_stream(self) -> None:
+    def test_invalid_messages_end_the_stream(self) -> None:
         delta = ConfigurationChange(2, "d2", "d1", b"")
         for message in (
             batch(0, 1),
@@ -129,9 +131,9 @@
             delta,
             batch(11, 0, proof=FreshnessProof(1, -1, 10, 0)),
         ):
-            self.assertEqual(self.ended(message), EndReason.INVALID_MESSAGE)
+            self.assertEqual(self.end_reason(message), EndReason.INVALID_MESSAGE)
 
-    def test_a_full_configuration_is_wanted_until_it_comes(self) -> None:
+    def test_a_full_configuration_is_requested_until_it_is_received(self) -> None:
         self.follower.wants_full = True
         full = ConfigurationChange(2, "d2", "", b"text")
         progress = self.follower.progress(SECOND)
@@ -139,7 +141,7 @@
         self.assertEqual(self.follower.receive(full, 0), [ApplyConfiguration(full)])
         self.assertFalse(self.follower.wants_full)
 
-    def test_a_relay_acknowledges_for_its_followers_and_never_by_another_epoch(self) -> None:
+    def test_a_relay_reports_the_watermark_of_its_followers_only_within_its_epoch(self) -> None:
         for epoch, reported, done in ((EPOCH, 7, 7), (EPOCH, 70, 10), (LATER, 9, 0)):
             self.follower.connect(0)
             progress = self.follower.progress(0, DownstreamReport(epoch, reported, ("a",), 3, 9))
@@ -147,7 +149,7 @@
             self.assertEqual((progress.applied, progress.watermark, progress.follower_count), (10, done, 9))
 
 
-class Times(unittest.TestCase):
+class Timing(unittest.TestCase):
     def setUp(self) -> None:
         self.follower = Follower("r", "b1")
         self.follower.connect(0)
@@ -174,7 +176,7 @@
             self.follower.next_progress_us(), PROBE_INTERVAL_US + 2 * MIN_ACKNOWLEDGE_INTERVAL_US
         )
 
-    def checked(self, until_us: int, message: DownstreamMessage | None) -> EndStream | None:
+    def check_until(self, until_us: int, message: DownstreamMessage | None) -> EndStream | None:
         """Run turns of 100 ms, each with ``message`` if given; returns the first instruction to end the
         stream."""
         for now_us in range(0, until_us, 100 * MS):
@@ -185,23 +187,23 @@
         return None
 
     def test_silence_ends_the_stream(self) -> None:
-        self.assertIsNone(self.checked(RELAY_SILENCE_TIMEOUT_US, None))
+        self.assertIsNone(self.check_until(RELAY_SILENCE_TIMEOUT_US, None))
         self.assertEqual(
             getattr(self.follower.check(RELAY_SILENCE_TIMEOUT_US), "reason", None), EndReason.SILENCE
         )
 
-    def test_who_was_paused_itself_does_not_blame_the_relay(self) -> None:
+    def test_a_pause_of_the_process_itself_does_not_count_as_silence(self) -> None:
         self.assertIsNone(self.follower.check(10 * SECOND))
         self.assertIsNone(self.follower.check(10 * SECOND + RELAY_SILENCE_TIMEOUT_US // 2 - 1))
 
-    def test_a_relay_that_sends_but_proves_nothing_is_given_up(self) -> None:
+    def test_a_stream_without_newer_proofs_is_ended(self) -> None:
         self.follower.receive(snapshot(0), 0)
-        ended = self.checked(2 * RELAY_STALE_TIMEOUT_US, batch(1, 0))
-        self.assertEqual(getattr(ended, "reason", None), EndReason.STALE)
+        end_reason = self.check_until(2 * RELAY_STALE_TIMEOUT_US, batch(1, 0))
+        self.assertEqual(getattr(end_reason, "reason", None), EndReason.STALE)
 
-    def test_a_follower_that_waits_for_its_snapshot_stays(self) -> None:
+    def test_waiting_for_a_snapshot_does_not_end_the_stream(self) -> None:
         self.assertIsNone(
-            self.checked(10 * RELAY_STALE_TIMEOUT_US, Batch(EPOCH, 1, (), None, snapshot_pending=True))
+            self.check_until(10 * RELAY_STALE_TIMEOUT_US, Batch(EPOCH, 1, (), None, snapshot_pending=True))
         )
 
 
--- a/tests/relay/test_histories.py
+++ b/tests/relay/test_histories.py
@@ -19,16 +19,16 @@
 RECOVERED_S = 40
 
 
-def began(**size: int) -> SimulatedFanout:
+def started_world(**size: int) -> SimulatedFanout:
     """A simulated tier that has started and distributed some entries."""
     world = SimulatedFanout(FanoutSize(**size))
     world.run(12 * SECOND_US)
-    load(world, 3)
+    issue_purges(world, 3)
     assert not settled(world), settled(world)
     return world
 
 
-def load(world: SimulatedFanout, seconds: int, per_s: int = 4) -> None:
+def issue_purges(world: SimulatedFanout, seconds: int, per_s: int = 4) -> None:
     """Issue purges at a constant rate, then wait 4 s until they are done."""
     for _ in range(seconds * per_s):
         world.purge()
@@ -36,7 +36,7 @@
     world.run(4 * SECOND_US)
 
 
-def settles(world: SimulatedFanout, within_s: int) -> float:
+def settling_time_s(world: SimulatedFanout, within_s: int) -> float:
     """Time in seconds until all followers are at the head and hold leases, and the watermark is at the
     head."""
     for tenths in range(10 * within_s):
@@ -58,8 +58,8 @@
 
 
 class Relays(unittest.TestCase):
-    def test_one_killed_with_a_batch_it_has_not_passed_on(self) -> None:
-        world = began(regions=1)
+    def test_a_relay_killed_with_a_batch_it_has_not_forwarded(self) -> None:
+        world = started_world(regions=1)
         for _ in range(20):
             world.purge()
             world.run(SECOND_US // 7)  # at some of these times it holds a batch that it has not sent on
@@ -67,76 +67,76 @@
             world.run(SECOND_US)
             world.start("R0.1")
             world.run(3 * SECOND_US)
-        settles(world, 30)
+        settling_time_s(world, 30)
 
-    def test_one_paused_and_woken_with_old_state(self) -> None:
-        world = began(regions=1)
+    def test_a_relay_paused_and_resumed_with_old_state(self) -> None:
+        world = started_world(regions=1)
         world.pause("R0.1", 5 * SECOND_US)
-        load(world, 8)
+        issue_purges(world, 8)
         world.pause("R0.1", 9 * SECOND_US)
-        load(world, 12)
-        settles(world, 20)
+        issue_purges(world, 12)
+        settling_time_s(world, 20)
 
-    def test_a_relay_cut_from_its_source_loses_its_routers_to_another(self) -> None:
-        world = began(regions=1)
+    def test_routers_leave_a_relay_that_is_disconnected_from_its_source(self) -> None:
+        world = started_world(regions=1)
         world.network.cut("S1", "R0.1")
-        load(world, 12)
+        issue_purges(world, 12)
         for host, router in world.routers():
             self.assertEqual(router.copy_age_limit(host.now_us()), 0, host.name)
 
 
 class Routers(unittest.TestCase):
-    def test_one_paused_across_its_lease_bounds_the_attempt_in_hand(self) -> None:
-        world = began(regions=1)
+    def test_a_router_paused_beyond_its_lease_limits_the_copy_age_of_its_attempt(self) -> None:
+        world = started_world(regions=1)
         host, router = world.routers()[0]
         world.pause(host.name, limits.FRESHNESS_LEASE_US + 3 * SECOND_US)
-        load(world, 1)
+        issue_purges(world, 1)
         self.assertEqual(router.copy_age_limit(host.now_us()), 0)
-        load(world, 1)
+        issue_purges(world, 1)
         self.assertEqual(router.copy_age_limit(host.now_us()), limits.FRESHNESS_LEASE_US)
-        settles(world, 10)
+        settling_time_s(world, 10)
 
     def test_one_way_cuts(self) -> None:
         for ends in (("E0.1", "*"), ("*", "E0.1")):
             with self.subTest(ends):
-                world = began(regions=1)
+                world = started_world(regions=1)
                 host, router = next(found for found in world.routers() if found[0].name == "E0.1")
                 world.network.cut(*ends)
-                load(world, 11)
+                issue_purges(world, 11)
                 self.assertEqual(router.copy_age_limit(host.now_us()), limits.FRESHNESS_LEASE_US)
                 source, process = world.sources()[0]
                 # the watermark no longer waits for E0.1
                 self.assertEqual(process.fanout.watermark(source.now_us()), process.log.head)
                 world.network.heal()
-                settles(world, 20)
+                settling_time_s(world, 20)
 
-    def test_slow_readers_cost_only_themselves(self) -> None:
-        world = began(regions=1, log_entries=40)
+    def test_a_slow_reader_delays_only_itself(self) -> None:
+        world = started_world(regions=1, log_entries=40)
         world.read_slowly("E0.1", 3 * SECOND_US)
-        load(world, 20)
+        issue_purges(world, 20)
         check_bounds(world)
         host, source = world.sources()[0]
         others = [router for other, router in world.routers() if other.name != "E0.1"]
         self.assertEqual({router.follower.applied for router in others}, {source.log.head})
         self.assertEqual(source.fanout.watermark(host.now_us()), source.log.head)
         world.read_slowly("E0.1", 0)
-        settles(world, 30)
+        settling_time_s(world, 30)
 
 
 class Sources(unittest.TestCase):
-    def test_one_that_is_paused_proves_nothing_it_has_not_read(self) -> None:
-        world = began(regions=1)
+    def test_a_paused_source_proves_nothing_it_has_not_read(self) -> None:
+        world = started_world(regions=1)
         for _ in range(3):
             world.pause("S1", 5 * SECOND_US)
             world.purge()
             world.run(5 * SECOND_US)
             world.network.cut("S1", "*")
-            load(world, 12)
+            issue_purges(world, 12)
             world.network.heal()
-            settles(world, RECOVERED_S)
+            settling_time_s(world, RECOVERED_S)
 
-    def test_a_new_one_begins_a_new_epoch_without_the_last_entries(self) -> None:
-        world = began(regions=1)
+    def test_a_new_source_begins_a_new_epoch_without_the_last_entries(self) -> None:
+        world = started_world(regions=1)
         for name in ("S1", "S2", "S1"):
             for _ in range(MANY_PURGES):
                 world.purge()
@@ -145,26 +145,26 @@
             world.kill("S2")
             world.run(SECOND_US)
             world.start(name)
-            load(world, 4)
-            settles(world, 40)
+            issue_purges(world, 4)
+            settling_time_s(world, 40)
         self.assertEqual(len(world.judge.logs), 4)
 
-    def test_two_at_once_end_as_one(self) -> None:
-        world = began(regions=2)
+    def test_of_two_concurrent_sources_only_one_remains(self) -> None:
+        world = started_world(regions=2)
         for ends in (("region/0", "region/1"), ("region/1", "region/0")):
             world.network.cut(*ends)
         world.start("S2")
-        load(world, 25)
+        issue_purges(world, 25)
         self.assertEqual(len(world.sources()), 2)
         epochs = {router.follower.epoch for _, router in world.routers()}
         self.assertEqual(len(epochs), 2, "each source has followers")
         world.network.heal()
-        settles(world, 140)
+        settling_time_s(world, 140)
 
 
 class Load(unittest.TestCase):
     def test_ten_times_the_rate_while_a_tenth_restarts(self) -> None:
-        world = began(regions=1, routers_per_region=10, log_entries=400)
+        world = started_world(regions=1, routers_per_region=10, log_entries=400)
         for second in range(5):
             for _ in range(MANY_PURGES):
                 world.purge()
@@ -172,45 +172,47 @@
             world.kill("E0.1")
             world.run(SECOND_US // 10 * second)
             world.start("E0.1")
-        settles(world, 15)
+        settling_time_s(world, 15)
         (done_at,) = world.judge.done_at.values()
         (log,) = world.judge.logs.values()
         self.assertEqual(len(done_at), len(log))
 
-    def test_a_region_away_for_an_hour_returns_by_one_snapshot_each(self) -> None:
-        world = began(turn_interval_us=400_000, relays_per_region=1, routers_per_region=2, log_entries=200)
-        away = [name for name in world.network.hosts if name[1:].startswith("1.")]
+    def test_a_region_disconnected_for_an_hour_recovers_with_few_snapshots(self) -> None:
+        world = started_world(
+            turn_interval_us=400_000, relays_per_region=1, routers_per_region=2, log_entries=200
+        )
+        disconnected = [name for name in world.network.hosts if name[1:].startswith("1.")]
         for ends in (("region/0", "region/1"), ("region/1", "region/0")):
             world.network.cut(*ends)
         for _ in range(360):
             world.run(9 * SECOND_US)
             world.purge()
             world.run(SECOND_US)
-        load(world, 40, per_s=20)
+        issue_purges(world, 40, per_s=20)
         check_bounds(world)
-        before = {name: (world.bytes_sent[name], world.snapshots_sent[name]) for name in away}
+        before = {name: (world.bytes_sent[name], world.snapshots_sent[name]) for name in disconnected}
         world.network.heal()
-        took_s = settles(world, 20)
-        for name in away:
+        settled_s = settling_time_s(world, 20)
+        for name in disconnected:
             spent = world.bytes_sent[name] - before[name][0]
             snapshots = world.snapshots_sent[name] - before[name][1]
             self.assertLessEqual(snapshots, 2, name)
-            whole = MESSAGE_BYTES + PURGE_BYTES * 20 * limits.PURGE_RETENTION_US // SECOND_US
-            self.assertLess(spent, (snapshots + 1) * whole, f"{name} in {took_s} s")
-        most_bytes = max(world.bytes_sent[name] - before[name][0] for name in away)
-        print(f"an hour away: {took_s} s and {most_bytes} bytes")
+            full_size = MESSAGE_BYTES + PURGE_BYTES * 20 * limits.PURGE_RETENTION_US // SECOND_US
+            self.assertLess(spent, (snapshots + 1) * full_size, f"{name} in {settled_s} s")
+        most_bytes = max(world.bytes_sent[name] - before[name][0] for name in disconnected)
+        print(f"an hour away: {settled_s} s and {most_bytes} bytes")
 
 
-class TheJudge(unittest.TestCase):
-    def test_it_sees_a_watermark_ahead_of_a_leased_router(self) -> None:
-        world = began(regions=1)
+class JudgeChecks(unittest.TestCase):
+    def test_it_detects_a_watermark_ahead_of_a_leased_router(self) -> None:
+        world = started_world(regions=1)
         (epoch,) = world.judge.claims
         world.judge.claims[epoch] += 1
         with self.assertRaisesRegex(RuleBrokenError, "watermark"):
             world.run(SECOND_US)
 
-    def test_it_sees_a_purge_that_a_leased_router_lacks(self) -> None:
-        world = began(regions=1)
+    def test_it_detects_a_purge_that_a_leased_router_lacks(self) -> None:
+        world = started_world(regions=1)
         world.purge()
         world.judge.purges.append(world.change_log.purge("never told"))
         world.change_log.entries.pop()
--- a/tests/relay/test_log.py
+++ b/tests/relay/test_log.py
@@ -28,7 +28,7 @@
             log.entries_after(5)
         self.assertEqual(log.entries_after(10), ())
 
-    def test_a_copy_skips_what_it_has_and_takes_nothing_after_a_gap(self) -> None:
+    def test_extend_skips_known_entries_and_rejects_a_gap(self) -> None:
         log = filled(5)
         self.assertEqual(log.extend(4, [purge(4), purge(5), purge(6)]), 1)
         self.assertEqual(log.extend(2, [purge(2), purge(3)]), 0, "entries that it already has are skipped")
@@ -36,7 +36,7 @@
             log.extend(8, [purge(8)])
         self.assertEqual(log.entries_after(0), tuple(purge(number) for number in range(1, 7)))
 
-    def test_it_goes_on_after_a_snapshot_of_another_epoch(self) -> None:
+    def test_it_continues_after_a_snapshot_of_another_epoch(self) -> None:
         log = filled(5)
         log.restart(LATER, 40)
         self.assertEqual((log.epoch, log.first, log.head, log.append(purge(1))), (LATER, 41, 40, 41))
@@ -44,16 +44,16 @@
             log.entries_after(5)
 
     @given(st.integers(0, 40), st.integers(1, 12), st.integers(0, 45), st.integers(0, 45))
-    def test_after_is_a_slice_of_all_that_was_appended(
+    def test_entries_after_returns_a_slice_of_the_appended_entries(
         self, count: int, max_entries: int, after: int, to: int
     ) -> None:
         log = filled(count, max_entries)
-        wanted = [number for number in range(1, count + 1) if after < number <= to]
+        expected = [number for number in range(1, count + 1) if after < number <= to]
         if after + 1 < log.first:
             with self.assertRaises(DroppedEntriesError):
                 log.entries_after(after, to)
         else:
-            self.assertEqual(log.entries_after(after, to), tuple(map(purge, wanted)))
+            self.assertEqual(log.entries_after(after, to), tuple(map(purge, expected)))
 
 
 if __name__ == "__main__":
--- a/tests/relay/test_log_state.py
+++ b/tests/relay/test_log_state.py
@@ -13,7 +13,7 @@
 
 
 def fleet(*members: tuple[str, str], complete: bool = False) -> EndpointListChange:
-    rows = [{"id": ident, "phase": phase} for ident, phase in members]
+    rows = [{"id": endpoint_id, "phase": phase} for endpoint_id, phase in members]
     return EndpointListChange(json.dumps({"revision": 3, "complete": complete, "members": rows}))
 
 
@@ -21,7 +21,9 @@
     return ConfigurationChange(number, f"d{number}", f"d{base}" if base else "", b"text %d" % number)
 
 
-def joined(newest: ConfigurationChange | None, change: ConfigurationChange) -> ConfigurationChange | None:
+def apply_delta(
+    newest: ConfigurationChange | None, change: ConfigurationChange
+) -> ConfigurationChange | None:
     fits = newest is not None and newest.digest == change.base_digest
     return version(change.number) if fits else None
 
@@ -31,7 +33,7 @@
     return value["complete"], {member["id"]: member["phase"] for member in value["members"]}
 
 
-class Stores(unittest.TestCase):
+class EndpointLists(unittest.TestCase):
     def test_a_complete_list_replaces_and_a_partial_one_merges(self) -> None:
         state = LogState(full_versions_only)
         self.assertEqual(state.snapshot(EPOCH, 0, 0).endpoint_list_json, "")
@@ -41,12 +43,12 @@
         state.apply_entry(fleet(("d", "SERVING"), complete=True), 0)
         self.assertEqual(listed(state), (True, {"d": "SERVING"}))
 
-    def test_without_a_complete_list_it_names_deleted_endpoints_and_claims_no_more(self) -> None:
+    def test_without_a_complete_list_deleted_endpoints_are_listed_and_the_list_is_incomplete(self) -> None:
         state = LogState(full_versions_only)
         state.apply_entry(fleet(("a", "DELETED"), ("b", "SERVING")), 0)
         self.assertEqual(listed(state), (False, {"a": "DELETED", "b": "SERVING"}))
 
-    def test_what_cannot_be_read_changes_nothing_and_is_counted(self) -> None:
+    def test_an_unreadable_list_is_counted_and_changes_nothing(self) -> None:
         state = LogState(full_versions_only)
         state.apply_entry(fleet(("a", "SERVING"), complete=True), 0)
         for text in ("{", "[]", '{"members": [{}]}', '{"members": 3}', '{"members": [4], "complete": true}'):
@@ -55,7 +57,7 @@
 
 
 class Purges(unittest.TestCase):
-    def test_very_many_that_matter_no_more_are_forgotten_at_once(self) -> None:
+    def test_very_many_expired_purges_are_removed_quickly(self) -> None:
         count = 150_000
         recent = RecentPurges(SECOND, count)
         for number in range(count):
@@ -65,24 +67,24 @@
         # takes 0.2 s; half a minute if each removal scans the deleted slots of a plain dict
         self.assertLess(time.process_time() - begin, 10.0)
 
-    def test_each_is_retained_for_its_time_once_and_with_its_latest_moment(self) -> None:
+    def test_each_purge_is_retained_once_with_its_latest_time_of_issue(self) -> None:
         state = LogState(full_versions_only, retention_us=10 * SECOND)
-        state.apply_entry(purge(1, made_us=70), 0)
+        state.apply_entry(purge(1, issued_us=70), 0)
         state.apply_entry(purge(2), 4 * SECOND)
-        state.apply_entry(purge(1, made_us=60), 5 * SECOND)
+        state.apply_entry(purge(1, issued_us=60), 5 * SECOND)
         state.apply_entry(Purge("", 9, 5), 12 * SECOND)
         self.assertEqual(
             state.snapshot(EPOCH, 4, 14 * SECOND).purges, (purge(2), purge(1, 70), Purge("", 9, 5))
         )
         self.assertEqual(state.snapshot(EPOCH, 4, 16 * SECOND).purges, (Purge("", 9, 5),))
 
-    def test_there_are_never_more_than_the_bound(self) -> None:
+    def test_the_number_of_purges_is_limited(self) -> None:
         state = LogState(full_versions_only, max_purges=3)
         for number in range(9):
             state.apply_entry(purge(number), 0)
         self.assertEqual(state.snapshot(EPOCH, 9, 0).purges, tuple(map(purge, (6, 7, 8))))
 
-    def test_a_snapshot_adds_to_those_known(self) -> None:
+    def test_a_restored_snapshot_keeps_known_purges(self) -> None:
         source, relay = LogState(full_versions_only), LogState(full_versions_only)
         source.apply_entry(purge(2), 0)
         relay.apply_entry(purge(1), 0)
@@ -91,14 +93,14 @@
 
 
 class Configurations(unittest.TestCase):
-    def test_deltas_are_put_together_and_handed_out_in_full(self) -> None:
-        state = LogState(joined)
+    def test_deltas_are_applied_to_give_the_complete_version(self) -> None:
+        state = LogState(apply_delta)
         state.apply_entry(version(1), 0)
         state.apply_entry(version(2, base=1), 0)
         self.assertEqual((state.snapshot(EPOCH, 2, 0).configuration, state.needs_full), (version(2), False))
 
-    def test_one_that_does_not_fit_is_wanted_in_full_until_it_comes(self) -> None:
-        state = LogState(joined)
+    def test_the_full_version_is_needed_after_a_delta_that_does_not_apply(self) -> None:
+        state = LogState(apply_delta)
         state.apply_entry(version(1), 0)
         state.apply_entry(version(3, base=2), 0)
         self.assertEqual(
@@ -109,15 +111,15 @@
         state.apply_full_configuration(version(2))
         self.assertEqual(state.configuration, version(3), "an older version is ignored")
 
-    def test_one_from_ahead_of_the_log_is_not_taken_back_by_its_entry(self) -> None:
-        state = LogState(joined)
+    def test_a_full_version_received_before_its_entry_is_kept(self) -> None:
+        state = LogState(apply_delta)
         state.apply_entry(version(1), 0)
         state.apply_full_configuration(version(3))
         state.apply_entry(version(3, base=2), 0)
         self.assertEqual((state.configuration, state.needs_full), (version(3), False))
 
-    def test_it_is_restored_as_the_snapshot_has_it(self) -> None:
-        source, relay = LogState(joined), LogState(joined)
+    def test_the_configuration_is_restored_from_a_snapshot(self) -> None:
+        source, relay = LogState(apply_delta), LogState(apply_delta)
         source.apply_entry(version(4), 0)
         source.apply_entry(fleet(("a", "SERVING"), complete=True), 0)
         relay.apply_entry(version(9), 0)
--- a/tests/relay/test_planted.py
+++ b/tests/relay/test_planted.py
@@ -27,52 +27,52 @@
 from magpieshift.relay.watermark import Watermark
 from tests.relay.test_explored import SCENARIOS, explore
 
-Plant = contextlib.AbstractContextManager[Any]
+DefectPatch = contextlib.AbstractContextManager[Any]
 
 
-def replaced(owner: Any, name: str, make: Callable[[Any], Any]) -> Plant:
+def patched(owner: Any, name: str, make: Callable[[Any], Any]) -> DefectPatch:
     """Replace a method or function by the result of ``make`` applied to it."""
     return mock.patch.object(owner, name, make(getattr(owner, name)))
 
 
-def ignore_the_lease() -> Plant:
+def ignore_the_lease() -> DefectPatch:
     return mock.patch.object(StalenessBound, "copy_age_limit_us", lambda self, now_us: 0)
 
 
-def count_a_follower_late() -> Plant:
+def record_the_lease_only_from_the_second_proof() -> DefectPatch:
     def make(extend_lease: Any) -> Any:
-        def wrong(self: Any, follower: Any, until_us: int) -> None:
+        def defective(self: Any, follower: Any, until_us: int) -> None:
             if follower.lease_until_us is None:
                 follower.lease_until_us = 0
             else:
                 extend_lease(self, follower, until_us)
 
-        return wrong
+        return defective
 
-    return replaced(Watermark, "extend_lease", make)
+    return patched(Watermark, "extend_lease", make)
 
 
-def forget_who_has_left() -> Plant:
+def release_the_lease_when_a_stream_ends() -> DefectPatch:
     def make(forget_stream: Any) -> Any:
-        def wrong(self: Any, stream: int) -> None:
+        def defective(self: Any, stream: int) -> None:
             self._followers.release_lease(self._streams[stream].follower)
             forget_stream(self, stream)
 
-        return wrong
+        return defective
 
-    return replaced(Fanout, "_forget_stream", make)
+    return patched(Fanout, "_forget_stream", make)
 
 
-def forget_the_boot() -> Plant:
+def keep_one_record_per_name() -> DefectPatch:
     def make(follower: Any) -> Any:
-        def wrong(self: Any, name: str, boot: str, now_us: int) -> Any:
+        def defective(self: Any, name: str, boot: str, now_us: int) -> Any:
             for key in [key for key in self.followers if key[0] == name and key[1] != boot]:
                 del self.followers[key]
             return follower(self, name, boot, now_us)
 
-        return wrong
+        return defective
 
-    return replaced(Watermark, "follower", make)
+    return patched(Watermark, "follower", make)
 
 
 @contextlib.contextmanager
@@ -82,45 +82,47 @@
     several."""
 
     def make(proof: Any) -> Any:
-        def wrong(self: Any, to: Any, cut: Any, now_us: int) -> Any:
-            return proof(self, to, dataclasses.replace(cut, head=min(cut.head, to.cursor)), now_us)
+        def defective(self: Any, receiver: Any, cut: Any, now_us: int) -> Any:
+            return proof(
+                self, receiver, dataclasses.replace(cut, head=min(cut.head, receiver.cursor)), now_us
+            )
 
-        return wrong
+        return defective
 
     with (
-        replaced(Fanout, "_make_proof", make),
+        patched(Fanout, "_make_proof", make),
         mock.patch.object(FollowerStream, "is_keeping_up", lambda self, now_us: True),
         mock.patch.object(fanout, "MAX_BATCH_ENTRIES", 1),
     ):
         yield
 
 
-def count_a_proof_before_its_head_is_applied() -> Plant:
+def count_a_proof_before_its_head_is_applied() -> DefectPatch:
     def make(add_proof: Any) -> Any:
-        def wrong(self: Any, epoch: Any, proof: Any) -> None:
+        def defective(self: Any, epoch: Any, proof: Any) -> None:
             add_proof(self, self._position[0], dataclasses.replace(proof, head=0))
 
-        return wrong
+        return defective
 
-    return replaced(StalenessBound, "add_proof", make)
+    return patched(StalenessBound, "add_proof", make)
 
 
-def acknowledge_before_applying() -> Plant:
+def acknowledge_before_applying() -> DefectPatch:
     def make(progress: Any) -> Any:
-        def wrong(self: Any, now_us: int, report: Any) -> Any:
-            made, (epoch, taken) = progress(self, now_us, report), self._handed_out
+        def defective(self: Any, now_us: int, report: Any) -> Any:
+            made, (epoch, handed_out) = progress(self, now_us, report), self._handed_out
             if report is not None:
                 return made
-            return dataclasses.replace(made, epoch=epoch, applied=taken, watermark=taken)
+            return dataclasses.replace(made, epoch=epoch, applied=handed_out, watermark=handed_out)
 
-        return wrong
+        return defective
 
-    return replaced(Follower, "_make_progress", make)
+    return patched(Follower, "_make_progress", make)
 
 
-def acknowledge_what_never_came() -> Plant:
+def acknowledge_an_entry_not_received() -> DefectPatch:
     def make(progress: Any) -> Any:
-        def wrong(self: Any, now_us: int, report: Any) -> Any:
+        def defective(self: Any, now_us: int, report: Any) -> Any:
             made = progress(self, now_us, report)
             return (
                 made
@@ -128,72 +130,72 @@
                 else dataclasses.replace(made, applied=made.applied + 1, watermark=made.applied + 1)
             )
 
-        return wrong
+        return defective
 
-    return replaced(Follower, "_make_progress", make)
+    return patched(Follower, "_make_progress", make)
 
 
 @contextlib.contextmanager
-def believe_any_acknowledgement() -> Iterator[None]:
+def accept_any_acknowledgement() -> Iterator[None]:
     def make(acknowledge: Any) -> Any:
-        def wrong(self: Any, to: Any, progress: Any) -> None:
-            to.joined_with = max(to.joined_with, progress.applied)
-            acknowledge(self, to, progress)
+        def defective(self: Any, receiver: Any, progress: Any) -> None:
+            receiver.joined_with = max(receiver.joined_with, progress.applied)
+            acknowledge(self, receiver, progress)
 
-        return wrong
+        return defective
 
-    with acknowledge_what_never_came(), replaced(Fanout, "_acknowledge", make):
+    with acknowledge_an_entry_not_received(), patched(Fanout, "_acknowledge", make):
         yield
 
 
-def call_done_what_followers_cannot_see_yet() -> Plant:
-    def wrong(self: Any, now_us: int) -> int:
+def advance_the_watermark_to_the_log_head() -> DefectPatch:
+    def defective(self: Any, now_us: int) -> int:
         self._refresh_cut(now_us)
         self._followers.forget_expired(now_us)
         return 0 if now_us < self._watermark_from_us else int(self._followers.advance(self._log.head, now_us))
 
-    return mock.patch.object(Fanout, "watermark", wrong)
+    return mock.patch.object(Fanout, "watermark", defective)
 
 
-def take_the_age_of_a_relay_as_zero() -> Plant:
+def assume_zero_age_at_a_relay() -> DefectPatch:
     return mock.patch.object(StalenessBound, "epoch_age_us", lambda self, now_us: 0)
 
 
-def take_the_age_of_the_source_as_zero() -> Plant:
+def assume_zero_age_at_the_source() -> DefectPatch:
     return mock.patch.object(SourceStalenessBound, "age_us", lambda self, now_us: 0)
 
 
-def let_a_stale_relay_extend_leases() -> Plant:
+def let_a_stale_relay_extend_leases() -> DefectPatch:
     return mock.patch.object(
         StalenessBound, "epoch_age_us", lambda self, now_us: min(FRESHNESS_LEASE_US // 2, 10**6)
     )
 
 
-def skip_a_gap() -> Plant:
+def skip_entries_silently() -> DefectPatch:
     def make(after: Any) -> Any:
-        def wrong(self: Any, sequence: int, up_to: int | None = None) -> Any:
+        def defective(self: Any, sequence: int, up_to: int | None = None) -> Any:
             return after(self, sequence, up_to)[1:] if sequence % 7 == 6 else after(self, sequence, up_to)
 
-        return wrong
+        return defective
 
-    return replaced(SequencedLog, "entries_after", make)
+    return patched(SequencedLog, "entries_after", make)
 
 
-def apply_duplicates_as_new() -> Plant:
+def apply_duplicates_as_new() -> DefectPatch:
     def make(batch: Any) -> Any:
-        def wrong(self: Any, message: Any, now_us: int) -> Any:
-            effects = batch(self, message, now_us)
-            if not message.entries or any(isinstance(effect, EndStream) for effect in effects):
-                return effects
+        def defective(self: Any, message: Any, now_us: int) -> Any:
+            instructions = batch(self, message, now_us)
+            if not message.entries or any(isinstance(instruction, EndStream) for instruction in instructions):
+                return instructions
             return [ApplyEntries(message.epoch, message.first, message.entries)]
 
-        return wrong
+        return defective
 
-    return replaced(Follower, "_receive_batch", make)
+    return patched(Follower, "_receive_batch", make)
 
 
 @contextlib.contextmanager
-def forget_the_drift() -> Iterator[None]:
+def ignore_the_clock_drift() -> Iterator[None]:
     with (
         mock.patch.object(staleness_bound, "max_elapsed_us", lambda duration_us: duration_us),
         mock.patch.object(fanout, "max_elapsed_us", lambda duration_us: duration_us),
@@ -202,121 +204,121 @@
         yield
 
 
-def call_done_at_once_after_a_start() -> Plant:
+def advance_the_watermark_right_after_a_start() -> DefectPatch:
     def make(begin: Any) -> Any:
-        def wrong(self: Any, *args: Any, **options: Any) -> None:
+        def defective(self: Any, *args: Any, **options: Any) -> None:
             begin(self, *args, **options | {"watermark_from_us": 0})
 
-        return wrong
+        return defective
 
-    return replaced(Fanout, "__init__", make)
+    return patched(Fanout, "__init__", make)
 
 
-def report_only_what_the_relay_has() -> Plant:
+def report_only_the_log_head_of_the_relay() -> DefectPatch:
     def make(report: Any) -> Any:
-        def wrong(self: Any, now_us: int) -> Any:
+        def defective(self: Any, now_us: int) -> Any:
             return dataclasses.replace(report(self, now_us), watermark=self._log.head)
 
-        return wrong
+        return defective
 
-    return replaced(Fanout, "report", make)
+    return patched(Fanout, "report", make)
 
 
-def hand_out_snapshots_without_purges() -> Plant:
+def send_snapshots_without_purges() -> DefectPatch:
     def make(snapshot: Any) -> Any:
-        def wrong(self: Any, *args: Any) -> Any:
+        def defective(self: Any, *args: Any) -> Any:
             return dataclasses.replace(snapshot(self, *args), purges=())
 
-        return wrong
+        return defective
 
-    return replaced(LogState, "snapshot", make)
+    return patched(LogState, "snapshot", make)
 
 
-def count_half_as_long() -> Plant:
+def record_half_the_lease_duration() -> DefectPatch:
     return mock.patch.object(fanout, "lease_lapse_us", lambda: FRESHNESS_LEASE_US // 2)
 
 
-def say_farewell_before_the_lease_rests_on_the_new_stream() -> Plant:
+def release_the_previous_lease_too_early() -> DefectPatch:
     return mock.patch.object(Follower, "lease_from_stream", True)
 
 
 @contextlib.contextmanager
-def forget_the_epoch() -> Iterator[None]:
+def ignore_the_epoch() -> Iterator[None]:
     """Ignore the epoch both at a join and in a batch: each defect alone is masked by the other check."""
 
     def make_join(join: Any) -> Any:
-        def wrong(self: Any, stream: int, message: Any, now_us: int) -> Any:
-            told = dataclasses.replace(message, epoch=self._epoch, highest_epoch=self._epoch)
-            return join(self, stream, told, now_us)
+        def defective(self: Any, stream: int, message: Any, now_us: int) -> Any:
+            changed_join = dataclasses.replace(message, epoch=self._epoch, highest_epoch=self._epoch)
+            return join(self, stream, changed_join, now_us)
 
-        return wrong
+        return defective
 
     def make_batch(batch: Any) -> Any:
-        def wrong(self: Any, message: Any, now_us: int) -> Any:
+        def defective(self: Any, message: Any, now_us: int) -> Any:
             self.highest_epoch = self._handed_out[0]
             return batch(self, dataclasses.replace(message, epoch=self._handed_out[0]), now_us)
 
-        return wrong
+        return defective
 
-    with replaced(Fanout, "join", make_join), replaced(Follower, "_receive_batch", make_batch):
+    with patched(Fanout, "join", make_join), patched(Follower, "_receive_batch", make_batch):
         yield
 
 
-class Found(NamedTuple):
+class DefectCase(NamedTuple):
     """A defect, and the exploration scenario that detects it; if empty, random histories do."""
 
-    plant: Callable[[], Plant]
+    inject: Callable[[], DefectPatch]
     scenario: str = ""
 
 
-PLANTED = (
-    Found(forget_the_epoch),
-    Found(ignore_the_lease),
-    Found(count_a_follower_late, "a router back"),
-    Found(forget_who_has_left),
-    Found(forget_the_boot),
-    Found(prove_before_the_head_was_sent, "a router behind"),
-    Found(count_a_proof_before_its_head_is_applied, "a relay wakes"),
-    Found(acknowledge_before_applying),
-    Found(acknowledge_what_never_came),
-    Found(believe_any_acknowledgement),
-    Found(call_done_what_followers_cannot_see_yet, "a relay wakes"),
-    Found(take_the_age_of_a_relay_as_zero),
-    Found(take_the_age_of_the_source_as_zero),
-    Found(let_a_stale_relay_extend_leases),
-    Found(skip_a_gap),
-    Found(apply_duplicates_as_new, "a router ahead"),
-    Found(call_done_at_once_after_a_start),
-    Found(report_only_what_the_relay_has),
-    Found(hand_out_snapshots_without_purges),
-    Found(count_half_as_long),
-    Found(say_farewell_before_the_lease_rests_on_the_new_stream, "a move"),
+DEFECTS = (
+    DefectCase(ignore_the_epoch),
+    DefectCase(ignore_the_lease),
+    DefectCase(record_the_lease_only_from_the_second_proof, "a router reconnected"),
+    DefectCase(release_the_lease_when_a_stream_ends),
+    DefectCase(keep_one_record_per_name),
+    DefectCase(prove_before_the_head_was_sent, "a lagging router"),
+    DefectCase(count_a_proof_before_its_head_is_applied, "a paused relay resumes"),
+    DefectCase(acknowledge_before_applying),
+    DefectCase(acknowledge_an_entry_not_received),
+    DefectCase(accept_any_acknowledgement),
+    DefectCase(advance_the_watermark_to_the_log_head, "a paused relay resumes"),
+    DefectCase(assume_zero_age_at_a_relay),
+    DefectCase(assume_zero_age_at_the_source),
+    DefectCase(let_a_stale_relay_extend_leases),
+    DefectCase(skip_entries_silently),
+    DefectCase(apply_duplicates_as_new, "a router ahead of its relay"),
+    DefectCase(advance_the_watermark_right_after_a_start),
+    DefectCase(report_only_the_log_head_of_the_relay),
+    DefectCase(send_snapshots_without_purges),
+    DefectCase(record_half_the_lease_duration),
+    DefectCase(release_the_previous_lease_too_early, "a change of relay"),
 )
-MOST_HISTORIES = 12  # most defects are detected by the first history
+MAX_HISTORIES = 12  # most defects are detected by the first history
 
 
-class Planted(unittest.TestCase):
-    def test_each_defect_is_found(self) -> None:
-        for plant, scenario in PLANTED:
-            with self.subTest(plant.__name__):
-                with plant(), self.assertRaises(RuleBrokenError) as found:
+class InjectedDefects(unittest.TestCase):
+    def test_each_defect_is_detected(self) -> None:
+        for inject, scenario in DEFECTS:
+            with self.subTest(inject.__name__):
+                with inject(), self.assertRaises(RuleBrokenError) as found:
                     if scenario:
                         explore(next(known for known in SCENARIOS if known.name == scenario))
-                    for seed in range(MOST_HISTORIES):
+                    for seed in range(MAX_HISTORIES):
                         History(seed).run()
-                print(f"{plant.__name__}: {found.exception}")
+                print(f"{inject.__name__}: {found.exception}")
 
 
-class Edge(unittest.TestCase):
+class LeaseEnd(unittest.TestCase):
     """The end of a lease, with clocks whose rates differ by up to ``CLOCK_DRIFT``."""
 
-    def test_whoever_holds_a_lease_is_counted(self) -> None:
+    def test_the_source_waits_for_every_lease_holder(self) -> None:
         for rates in RATES:
             with self.subTest(rates):
                 self.assertGreater(leased_for_us(*rates), FRESHNESS_LEASE_US // 2)
 
-    def test_forgetting_the_drift_is_found(self) -> None:
-        with forget_the_drift(), self.assertRaises(RuleBrokenError):
+    def test_ignoring_the_clock_drift_is_detected(self) -> None:
+        with ignore_the_clock_drift(), self.assertRaises(RuleBrokenError):
             for rates in RATES:
                 leased_for_us(*rates)
 
@@ -339,8 +341,8 @@
     router = Router("E", "E/1", 0)
     for now_us in (10_000_000, 11_000_000, 12_000_000):  # join, snapshot, proof
         source.read([], by_source(now_us), by_source(now_us))
-        said = router.connect("S", by_router(now_us)) if router.stream_id is None else []
-        for output in [*said, *router.acknowledge(by_router(now_us))]:
+        outputs_on_connect = router.connect("S", by_router(now_us)) if router.stream_id is None else []
+        for output in [*outputs_on_connect, *router.acknowledge(by_router(now_us))]:
             if isinstance(output, OpenStream):
                 source.receive_from_follower(0, output.join, by_source(now_us))
             elif isinstance(output, SendMessage) and isinstance(output.message, Progress):
--- a/tests/relay/test_processes.py
+++ b/tests/relay/test_processes.py
@@ -31,22 +31,22 @@
 LEASE_S = FRESHNESS_LEASE_US / 1e6
 
 
-class NotingStore(peers.StubEndpoint):
+class RecordingCache(peers.StubEndpoint):
     """A cache that records the time, key and copy age limit of each request."""
 
     def __init__(self, ident: str, watch: peers.OverlapDetector) -> None:
         super().__init__(ident, watch, is_origin=True)
-        self.orders: list[tuple[float, str, int | None]] = []  # Unix time, key, copy age limit in ms
+        self.requests: list[tuple[float, str, int | None]] = []  # Unix time, key, copy age limit in ms
 
     async def _answer(
         self, ident: str, fields: Mapping[str, str], writer: asyncio.StreamWriter, open_: dict[str, Any]
     ) -> None:
         bound = int(fields["fresh"]) if "fresh" in fields else None
-        self.orders.append((time.time(), fields["key"], bound))
+        self.requests.append((time.time(), fields["key"], bound))
         await super()._answer(ident, fields, writer, open_)
 
 
-class Client:
+class RouterClient:
     """A client's connection to the router."""
 
     def __init__(self, port: int) -> None:
@@ -55,7 +55,7 @@
         self._reading: asyncio.Task[None] | None = None
         self.answers: list[int] = []
 
-    async def ask(self, key: str) -> None:
+    async def request(self, key: str) -> None:
         """Send a request for an object."""
         if self._writer is None:
             reader, self._writer = await asyncio.open_connection("127.0.0.1", self._port)
@@ -101,14 +101,14 @@
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.addAsyncCleanup(self.kill_all)
         self.world = LoopbackInstallation()
-        self.cache = NotingStore("s-cache", self.world.overlaps)
+        self.cache = RecordingCache("s-cache", self.world.overlaps)
         self.world.cache = self.cache
         await self.world.start()
         self.addCleanup(self.world.stop)
         self.ports = {name: free_port() for name in ("source", "a", "b", "door")}
-        self.clients: list[Client] = []
-        self.published = 0  # number of versions
-        self.purged: dict[str, float] = {}  # Unix time of the purge by key
+        self.clients: list[RouterClient] = []
+        self.published_versions = 0  # number of versions
+        self.purged_at: dict[str, float] = {}  # Unix time of the purge by key
 
     async def kill_all(self) -> None:
         for client in self.clients:
@@ -131,7 +131,7 @@
         await self.until(lambda: " event=ready " in self.log_of(name), f"{name} is ready")
 
     async def start_all(self) -> None:
-        place = {name: f"127.0.0.1:{port}" for name, port in self.ports.items()}
+        addresses = {name: f"127.0.0.1:{port}" for name, port in self.ports.items()}
         changelog = f"127.0.0.1:{self.world.change_log.port}"
         await self.start(
             "source",
@@ -142,7 +142,7 @@
             "--versions",
             str(self.versions),
             "--listen",
-            place["source"],
+            addresses["source"],
         )
         for name in ("a", "b"):
             await self.start(
@@ -150,9 +150,9 @@
                 "relay",
                 "serve",
                 "--source",
-                place["source"],
+                addresses["source"],
                 "--listen",
-                place[name],
+                addresses[name],
                 "--name",
                 name,
                 "--region",
@@ -165,11 +165,11 @@
             "--config",
             str(settings),
             "--relays",
-            f"{place['a']},{place['b']}",
+            f"{addresses['a']},{addresses['b']}",
             "--region",
             "north",
             "--console",
-            place["door"],
+            addresses["door"],
         )
         for name in ("source", "a", "b", "router"):
             await self.ready(name)
@@ -187,7 +187,7 @@
             self.assertLess(time.monotonic(), end, f"not within {PATIENCE_S} s: {what}\n{logs}")
             await asyncio.sleep(0.02)
 
-    async def place(self) -> dict[str, Any]:
+    async def relay_status(self) -> dict[str, Any]:
         """The router's relay status, from its admin server."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.ports["door"])
         writer.write(b"RELAY\n")
@@ -198,7 +198,7 @@
     async def status(self, name: str) -> wire.StatusReport:
         return await status.fetch_status(f"127.0.0.1:{self.ports[name]}")
 
-    async def told_status(self, name: str) -> dict[str, Any]:
+    async def command_status(self, name: str) -> dict[str, Any]:
         """The status report of a node, from ``magpieshift relay status --json``."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -217,42 +217,44 @@
 
     def purge(self, count: int = 1) -> None:
         for _ in range(count):
-            key, now = f"{len(self.purged) + 1:016x}", time.time()
+            key, now = f"{len(self.purged_at) + 1:016x}", time.time()
             self.world.change_log.publish(invalidate={"object": key, "time": int(now * 1000)})
-            self.purged[key] = now
+            self.purged_at[key] = now
 
-    async def has_all(self) -> bool:
+    async def has_applied_all(self) -> bool:
         """Whether the router has applied everything: the endpoint list, all purges and all versions."""
-        return int((await self.place())["applied"]) >= 1 + len(self.purged) + self.published
+        return (
+            int((await self.relay_status())["applied"]) >= 1 + len(self.purged_at) + self.published_versions
+        )
 
     async def leased(self) -> bool:
-        place = await self.place()
-        return bool(place["leased"])
+        relay_status = await self.relay_status()
+        return bool(relay_status["leased"])
 
-    def signal(self, name: str, number: int) -> None:
+    def send_signal(self, name: str, number: int) -> None:
         self.processes[name].send_signal(number)
 
-    def client(self) -> Client:
-        client = Client(self.world.router_port)
+    def client(self) -> RouterClient:
+        client = RouterClient(self.world.router_port)
         self.clients.append(client)
         return client
 
-    async def bound_of(self, key: str) -> int | None:
+    async def copy_age_limit_ms(self, key: str) -> int | None:
         """The copy age limit in ms with which the router requests this object now; None for no limit."""
-        client, known = self.client(), len(self.cache.orders)
+        client, known = self.client(), len(self.cache.requests)
 
-        async def ordered() -> bool:
+        async def requested() -> bool:
             if client.idle:  # no request in flight: the last one was rejected, or this is the first
-                await client.ask(key)
-            return any(k == key for _, k, _ in self.cache.orders[known:])
+                await client.request(key)
+            return any(k == key for _, k, _ in self.cache.requests[known:])
 
-        await self.until(ordered, "a request at the cache")
-        return next(bound for _, k, bound in self.cache.orders[known:] if k == key)
+        await self.until(requested, "a request at the cache")
+        return next(bound for _, k, bound in self.cache.requests[known:] if k == key)
 
-    def check_orders(self, orders: list[tuple[float, str, int | None]]) -> None:
+    def check_requests(self, requests: list[tuple[float, str, int | None]]) -> None:
         """Check that no copy from before a purge of its object is accepted."""
-        for at, key, bound in orders:
-            made = self.purged[key]
+        for at, key, bound in requests:
+            made = self.purged_at[key]
             assert bound is not None, (
                 f"{key}: requested without a copy age limit, {at - made} s after its purge"
             )
@@ -262,90 +264,90 @@
         await self.start_all()
         await self.until(self.leased, "a lease")
         self.purge(5)
-        await self.until(self.has_all, "all purges")
-        self.assertTrue(await self.nobody_behind(), "no follower lags before the first version")
-        await self.bound_of("0000000000000001")
-        self.check_orders(self.cache.orders)
+        await self.until(self.has_applied_all, "all purges")
+        self.assertTrue(await self.no_follower_lags(), "no follower lags before the first version")
+        await self.copy_age_limit_ms("0000000000000001")
+        self.check_requests(self.cache.requests)
 
         with self.subTest("versions"):
             await self.change_versions()
 
         with self.subTest("the followed relay is paused for 5 s"):
-            first = await self.followed()
-            self.signal(first, signal.SIGSTOP)
+            first = await self.followed_relay()
+            self.send_signal(first, signal.SIGSTOP)
             end = time.monotonic() + 5.0
             while time.monotonic() < end:
                 self.purge()
                 await asyncio.sleep(0.1)
-            await self.until(self.has_all, "all purges, from the other relay")
-            second = await self.followed()
+            await self.until(self.has_applied_all, "all purges, from the other relay")
+            second = await self.followed_relay()
             self.assertNotEqual(first, second)
-            await self.bound_of(max(self.purged))
-            self.signal(first, signal.SIGCONT)
+            await self.copy_age_limit_ms(max(self.purged_at))
+            self.send_signal(first, signal.SIGCONT)
             self.purge(5)
-            await self.until(self.has_all, "all purges")
-            await self.bound_of(max(self.purged))
-            self.check_orders(self.cache.orders)
+            await self.until(self.has_applied_all, "all purges")
+            await self.copy_age_limit_ms(max(self.purged_at))
+            self.check_requests(self.cache.requests)
 
         with self.subTest("the followed relay is killed"):
-            self.signal(second, signal.SIGKILL)
+            self.send_signal(second, signal.SIGKILL)
             self.purge(5)
-            await self.until(self.has_all, "all purges, from the first relay again")
-            self.assertEqual(await self.followed(), first)
-            await self.bound_of(max(self.purged))
-            self.check_orders(self.cache.orders)
-            await self.until(lambda: self.all_done(), "the source's watermark reaches the head")
+            await self.until(self.has_applied_all, "all purges, from the first relay again")
+            self.assertEqual(await self.followed_relay(), first)
+            await self.copy_age_limit_ms(max(self.purged_at))
+            self.check_requests(self.cache.requests)
+            await self.until(lambda: self.watermark_at_head(), "the source's watermark reaches the head")
 
         with self.subTest("the router is paused beyond its lease, with requests in flight"):
             await self.until(self.leased, "a lease")
-            self.cache.orders.clear()
+            self.cache.requests.clear()
             client = self.client()
             for _ in range(20):
-                await client.ask("00000000000000aa")  # purged while the router is paused
-            self.signal("router", signal.SIGSTOP)
-            stopped = time.time()
-            self.purged["00000000000000aa"] = stopped
-            await client.ask("00000000000000aa")
+                await client.request("00000000000000aa")  # purged while the router is paused
+            self.send_signal("router", signal.SIGSTOP)
+            paused = time.time()
+            self.purged_at["00000000000000aa"] = paused
+            await client.request("00000000000000aa")
             # the followed relay is paused too, so that the router gets no proof when it resumes
-            self.signal(first, signal.SIGSTOP)
-            now_ms = int(stopped * 1000)
+            self.send_signal(first, signal.SIGSTOP)
+            now_ms = int(paused * 1000)
             self.world.change_log.publish(invalidate={"object": "00000000000000aa", "time": now_ms})
             await asyncio.sleep(LEASE_S + 0.5)
-            await client.ask("00000000000000aa")
-            self.signal("router", signal.SIGCONT)
-            woken = time.time()
+            await client.request("00000000000000aa")
+            self.send_signal("router", signal.SIGCONT)
+            resumed = time.time()
 
-            async def is_ordered_after_waking() -> bool:
+            async def requested_after_resume() -> bool:
                 """Whether the cache got a request after the router resumed. At first an attempt that was in
                 flight times out and the silent cache is ejected for a second or two: requests go to the
                 origin."""
-                await client.ask("00000000000000aa")
-                return any(at >= woken for at, _, _ in self.cache.orders)
+                await client.request("00000000000000aa")
+                return any(at >= resumed for at, _, _ in self.cache.requests)
 
-            await self.until(is_ordered_after_waking, "a request at the cache after the router resumed")
-            late = [order for order in self.cache.orders if order[0] >= woken]
-            self.check_orders(late)
+            await self.until(requested_after_resume, "a request at the cache after the router resumed")
+            later_requests = [request for request in self.cache.requests if request[0] >= resumed]
+            self.check_requests(later_requests)
             self.assertLessEqual(
-                {bound for _, _, bound in late}, set(range(1, FRESHNESS_LEASE_US // 1000 + 1))
+                {bound for _, _, bound in later_requests}, set(range(1, FRESHNESS_LEASE_US // 1000 + 1))
             )
-            self.signal(first, signal.SIGCONT)
+            self.send_signal(first, signal.SIGCONT)
             await self.until(self.leased, "a lease again")
-            await self.until(self.has_all, "the purge")
+            await self.until(self.has_applied_all, "the purge")
 
         with self.subTest("planned shutdown"):
             for name in ("router", first, "source"):
-                self.signal(name, signal.SIGCONT)  # an earlier failure may have left it paused
-                self.signal(name, signal.SIGTERM)
+                self.send_signal(name, signal.SIGCONT)  # an earlier failure may have left it paused
+                self.send_signal(name, signal.SIGTERM)
                 async with asyncio.timeout(PATIENCE_S):
                     code = await self.processes[name].wait()
                 self.assertEqual(code, 0, self.log_of(name)[-2000:])
 
-    async def followed(self) -> str:
+    async def followed_relay(self) -> str:
         """The relay that the router follows."""
-        place = await self.place()
-        return next(name for name in ("a", "b") if place["relay"].endswith(f":{self.ports[name]}"))
+        relay_status = await self.relay_status()
+        return next(name for name in ("a", "b") if relay_status["relay"].endswith(f":{self.ports[name]}"))
 
-    async def all_done(self) -> bool:
+    async def watermark_at_head(self) -> bool:
         report = await self.status("source")
         return bool(report.done == report.head)
 
@@ -361,24 +363,24 @@
         self.assertNotIn("wrong_base", self.log_of("router"))
 
         self.publish(3, sexp.format_document(data | {"retry-after-ms": -1}))
-        relay = await self.followed()
-        await self.until(lambda: self.refuses(relay, 3), "the relay reports the rejection")
+        relay = await self.followed_relay()
+        await self.until(lambda: self.rejects(relay, 3), "the relay reports the rejection")
 
-        async def names_the_router_alone() -> bool:
+        async def only_router_lags() -> bool:
             """Whether only the router lags. The relays lag too until the source has their acknowledgements of
             3."""
-            source = await self.told_status("source")
+            source = await self.command_status("source")
             self.assertLessEqual(set(source["behind"]), {"a", "b", "lab"})
             return bool(source["behind"] == ["lab"])
 
-        await self.until(names_the_router_alone, "the source reports only the router as lagging")
-        source = await self.told_status("source")
+        await self.until(only_router_lags, "the source reports only the router as lagging")
+        source = await self.command_status("source")
         self.assertEqual((source["version"], source["behind"]), (3, ["lab"]))
 
         # its delta applies to the rejected version, so the router requests the complete version
         self.publish(4, sexp.format_document(data | {"retry-after-ms": 444}))
         await self.in_force(4)
-        await self.until(self.nobody_behind, "no follower lags")
+        await self.until(self.no_follower_lags, "no follower lags")
 
     async def in_force(self, number: int) -> None:
         line = f'event="version in force" version={number} '
@@ -388,13 +390,13 @@
         part = self.versions / f"{number}.new"
         part.write_text(text)
         part.rename(self.versions / f"{number}.sexp")
-        self.published += 1
+        self.published_versions += 1
 
-    async def refuses(self, relay: str, number: int) -> bool:
+    async def rejects(self, relay: str, number: int) -> bool:
         report = await self.status(relay)
         return any(each.name == "lab" and each.refused == number for each in report.followers)
 
-    async def nobody_behind(self) -> bool:
+    async def no_follower_lags(self) -> bool:
         report = await self.status("source")
         return not report.behind_count
 
--- a/tests/relay/test_selection.py
+++ b/tests/relay/test_selection.py
@@ -19,13 +19,13 @@
 
 
 class Ranking(unittest.TestCase):
-    def test_own_region_comes_first_and_order_does_not_matter(self) -> None:
+    def test_own_region_comes_first_and_the_input_order_does_not_matter(self) -> None:
         ranked = rank_relays("router-7", "region-3", RELAYS)
         self.assertEqual({relay.region for relay in ranked[:2]}, {"region-3"})
         self.assertEqual(ranked, rank_relays("router-7", "region-3", reversed(RELAYS)))
         self.assertEqual([relay.name for relay in ranked[:3]], ["relay-6", "relay-7", "relay-16"], "stable")
 
-    def test_a_region_is_shared_out_evenly_and_one_that_goes_moves_only_its_own(self) -> None:
+    def test_followers_spread_evenly_and_a_removed_relay_moves_only_its_own(self) -> None:
         names = [f"router-{number}" for number in range(480)]
         firsts = {name: rank_relays(name, "region-0", RELAYS)[0] for name in names}
         self.assertTrue(all(180 <= count <= 300 for count in Counter(firsts.values()).values()))
@@ -35,12 +35,12 @@
             self.assertEqual(list(rank_relays(name, "region-0", left)), before)
 
 
-class Choice(unittest.TestCase):
+class Selection(unittest.TestCase):
     def setUp(self) -> None:
         self.ranked = rank_relays("router-1", "region-1", RELAYS)
         self.selection = RelaySelection(self.ranked, random.Random(1))
 
-    def test_failures_lead_through_all_with_growing_jittered_pauses(self) -> None:
+    def test_failures_try_all_relays_with_growing_jittered_delays(self) -> None:
         tried, waits = [], []
         for _ in range(len(RELAYS)):
             tried.append(self.selection.current)
@@ -51,13 +51,13 @@
         self.assertLessEqual(max(waits), MAX_FAILOVER_BACKOFF_S)
         self.assertGreater(max(waits), 4 * FAILOVER_INITIAL_BACKOFF_S)
 
-    def test_after_a_stable_stream_it_begins_with_the_best_and_a_short_delay(self) -> None:
+    def test_after_a_stable_stream_the_first_relay_is_tried_after_a_short_delay(self) -> None:
         for _ in range(5):
             self.selection.record_failure(0.0)
         self.assertLessEqual(self.selection.record_failure(60.0), FAILOVER_INITIAL_BACKOFF_S)
         self.assertEqual(self.selection.current, self.ranked[0])
 
-    def test_it_goes_back_after_a_time_that_is_drawn_anew(self) -> None:
+    def test_it_returns_after_a_random_delay(self) -> None:
         returns = []
         for _ in range(200):
             self.selection.record_failure(0.0)
@@ -70,7 +70,7 @@
         self.assertLessEqual(max(returns), MAX_RETURN_DELAY_S)
         self.assertGreater(max(returns) - min(returns), 40, "followers return spread over time")
 
-    def test_where_the_best_does_not_answer_the_next_better_one_has_its_turn(self) -> None:
+    def test_failed_return_candidates_are_tried_in_turn(self) -> None:
         for _ in range(3):
             self.selection.record_failure(0.0)
         self.selection.record_connected(0)
@@ -83,7 +83,7 @@
         self.assertEqual(tried, [*self.ranked[:3], self.ranked[0]])
         self.assertEqual(self.selection.current, self.ranked[3], "the current relay is kept meanwhile")
 
-    def test_there_must_be_one(self) -> None:
+    def test_an_empty_list_of_relays_is_rejected(self) -> None:
         with self.assertRaises(ValueError):
             RelaySelection((), random.Random(1))
 
--- a/tests/relay/test_staleness_bound.py
+++ b/tests/relay/test_staleness_bound.py
@@ -25,13 +25,13 @@
         self.assertIsNone(self.staleness.age_us(0))
         self.assertEqual(self.staleness.copy_age_limit_us(0), FRESHNESS_LEASE_US)
 
-    def test_it_is_current_to_when_the_probe_was_sent_less_the_senders_age(self) -> None:
+    def test_it_is_current_to_the_sending_of_the_probe_less_the_senders_age(self) -> None:
         self.assertEqual(self.prove(2, age_us=SECOND // 2), 3 * SECOND // 2)
         age_us = self.staleness.age_us(10 * SECOND)
         assert age_us is not None
         self.assertAlmostEqual(age_us, 8.5 * SECOND * (1 + CLOCK_DRIFT), delta=1)
 
-    def test_the_lease_lapses_with_age_and_copies_are_bounded_from_then_on(self) -> None:
+    def test_the_lease_lapses_with_age_and_copies_then_have_an_age_limit(self) -> None:
         self.prove(1)
         lapse_us = SECOND + int(FRESHNESS_LEASE_US / (1 + CLOCK_DRIFT))
         self.assertTrue(self.staleness.lease_held(lapse_us - 2))
@@ -43,7 +43,7 @@
         self.assertEqual(self.staleness.copy_age_limit_us(lapse_us + 2), FRESHNESS_LEASE_US)
         self.assertEqual(self.staleness.copy_age_limit_us(10**12), FRESHNESS_LEASE_US)
 
-    def test_a_proof_counts_once_everything_up_to_its_head_is_applied(self) -> None:
+    def test_a_proof_takes_effect_once_its_head_is_applied(self) -> None:
         self.assertIsNone(self.prove(1, head=12))
         self.staleness.record_applied(EPOCH, 11)
         self.assertIsNone(self.staleness.current_to_us)
@@ -64,7 +64,7 @@
         self.assertEqual(self.prove(3, age_us=SECOND), 3 * SECOND, "the same answer, delayed in a queue")
         self.assertEqual(self.prove(1), 3 * SECOND)
 
-    def test_it_survives_a_change_of_stream_whose_probes_begin_anew(self) -> None:
+    def test_it_is_kept_over_a_change_of_stream_with_new_probe_numbers(self) -> None:
         self.prove(3)
         self.staleness.record_probe(4, 4 * SECOND)
         self.staleness.begin_stream()
@@ -74,13 +74,13 @@
         self.assertEqual(self.prove(1, age_us=SECOND), 4 * SECOND)
         self.assertTrue(self.staleness.lease_from_stream)
 
-    def test_a_proof_that_waits_is_forgotten_with_its_stream(self) -> None:
+    def test_a_pending_proof_is_dropped_with_its_stream(self) -> None:
         self.prove(3, head=11)
         self.staleness.begin_stream()
         self.staleness.record_applied(EPOCH, 11)
         self.assertIsNone(self.staleness.current_to_us)
 
-    def test_what_is_passed_on_is_by_the_present_epoch_alone(self) -> None:
+    def test_the_age_stated_to_followers_uses_the_present_epoch_only(self) -> None:
         self.prove(3)
         self.staleness.record_applied(LATER, 1)
         self.assertIsNone(self.staleness.epoch_age_us(3 * SECOND), "the new source may have lost entries")
@@ -88,13 +88,13 @@
         self.staleness.add_proof(LATER, FreshnessProof(3, 0, 1, 0))
         self.assertEqual(self.staleness.epoch_age_us(3 * SECOND), 1)
 
-    def test_what_it_remembers_is_bounded(self) -> None:
+    def test_the_number_of_remembered_probes_is_limited(self) -> None:
         for number in range(4, 10 * MAX_PROBES):
             self.staleness.record_probe(number, number * SECOND)
         self.assertIsNone(self.prove(3), "the probe is no longer remembered")
         self.assertIsNotNone(self.prove(10 * MAX_PROBES - 1))
 
-    def test_a_released_lease_is_not_held_again(self) -> None:
+    def test_a_released_lease_cannot_be_regained(self) -> None:
         self.prove(3)
         self.staleness.release_lease()
         self.prove(3)
@@ -102,7 +102,7 @@
 
 
 class Source(unittest.TestCase):
-    def test_a_source_is_as_current_as_its_last_reading(self) -> None:
+    def test_the_age_of_a_source_counts_from_its_last_read(self) -> None:
         source = SourceStalenessBound()
         self.assertIsNone(source.age_us(0))
         source.record_read(2 * SECOND)
