--- a/magpieshift/relay/client.py
+++ b/magpieshift/relay/client.py
@@ -1,4 +1,5 @@
-"""The driver of a ``Follower``: one gRPC stream at a time, to the relay that its ``RelaySelection`` gives."""
+"""Drives a ``Follower``: keeps one gRPC stream at a time, to the relay that its ``RelaySelection``
+chooses."""
 
 from __future__ import annotations
 
@@ -36,30 +37,30 @@
 log = logging.getLogger(__name__)
 
 TICK_S = 0.1
-"""Between two looks at what is due: a fifth of a probe's interval."""
+"""Interval between checks of the follower's timers: a fifth of the probe interval."""
 MAX_REASON_LENGTH = 200
-"""Characters of a peer's reason that are logged."""
+"""Maximum characters that are logged of the reason why a relay was lost."""
 
 
 class EntryReceiver(Protocol):
-    """What applies what a follower receives. Each call is one turn of the event loop: when it returns, all is
-    applied and can be acknowledged. It must not fail."""
+    """Applies what a follower receives. Each method runs in one turn of the event loop: when it returns,
+    everything is applied and can be acknowledged. It must not raise."""
 
     def apply_entries(self, batch: ApplyEntries) -> None:
-        """The entries of a batch, in order."""
+        """Apply the entries of a batch, in order."""
         ...
 
     def restore_snapshot(self, snapshot: Snapshot) -> None:
-        """What a snapshot holds, without forgetting purges."""
+        """Replace the state by a snapshot's, without forgetting purges."""
         ...
 
     def apply_configuration(self, change: ConfigurationChange) -> None:
-        """A complete version, which was asked for."""
+        """Apply a complete configuration version, which the follower requested."""
         ...
 
 
 class RelayClient:
-    """Owner of the one stream to a relay."""
+    """Owns a process's stream to the relay that it follows."""
 
     def __init__(
         self,
@@ -68,36 +69,38 @@
         receiver: EntryReceiver,
         make_report: Callable[[int], DownstreamReport] | None = None,
     ) -> None:
-        """``make_report``, of a relay, gives the report on its own followers."""
+        """``make_report`` is given by a relay only; it returns the report on the relay's own followers."""
         self.caught_up = asyncio.Event()
-        """Set once the process has held a lease."""
+        """Set once the process has held a lease for the first time."""
         self._follower = follower
         self._selection = selection
         self._receiver = receiver
         self._make_report = make_report
         self._task: asyncio.Task[None] | None = None
         self._connection: RelayConnection | None = None
-        # that before a planned change of relay, until the lease there is released
+        # the connection to the previous relay after a planned change, until the lease there is released
         self._previous_connection: RelayConnection | None = None
-        # whether the present outage is logged: once, until a relay is found, as all may be away for long
+        # whether the present outage has been logged at warning level: once per outage, as all relays may be
+        # unreachable for a long time
         self._loss_logged = False
         self._is_receiving = True
 
     @property
     def relay(self) -> RelayAddress:
-        """The relay that is followed, or tried."""
+        """The relay that is being followed or tried."""
         return self._selection.current
 
     def start(self) -> None:
-        """Follow, until ``stop``."""
+        """Follow relays until ``stop``."""
         self._task = asyncio.ensure_future(self._run())
 
     def stop_receiving(self) -> None:
-        """Apply, and acknowledge, nothing more."""
+        """Stop applying and acknowledging messages."""
         self._is_receiving = False
 
     async def stop(self) -> None:
-        """Release the lease, unless followers of this process may still hold one by it, and close."""
+        """Release the lease and close the stream. A relay does not release: its followers may still hold
+        leases that depend on its own."""
         if self._task is None:
             return
         if self._connection is not None and self._make_report is None:
@@ -121,19 +124,19 @@
             try:
                 reason = await self._follow(relay)
             except RelayChangedError as err:
-                log.info("relay changed", extra=fields(peer=relay.name, reason=err))
+                log.info("switching to higher-ranked relay", extra=fields(peer=relay.name, reason=err))
                 continue
-            except Exception as err:  # a fault in applying one message must not end all following
+            except Exception as err:  # a fault in applying one message must not stop the client
                 log.exception("relay stream failed", extra=fields(peer=relay.name))
                 reason = f"{type(err).__name__}: {err}"
             delay_s = self._selection.record_failure(loop.time() - began_s)
-            self._log_lost(relay, reason)
+            self._log_connection_lost(relay, reason)
             await asyncio.sleep(delay_s)
 
-    def _log_lost(self, relay: RelayAddress, reason: str) -> None:
+    def _log_connection_lost(self, relay: RelayAddress, reason: str) -> None:
         log.log(
             logging.DEBUG if self._loss_logged else logging.WARNING,
-            "relay lost",
+            "relay connection lost",
             extra=fields(
                 peer=relay.name,
                 address=relay.address,
@@ -147,7 +150,7 @@
     # --- one stream
 
     async def _follow(self, relay: RelayAddress) -> str:
-        """One stream, from join to its end; why it ended."""
+        """Follow one relay from the join to the end of the stream; returns why it ended."""
         connection = RelayConnection(relay.address)
         must_close = True
         ticking: asyncio.Task[None] | None = None
@@ -156,15 +159,16 @@
             join = self._follower.connect(clock.source.steady_us())
             await connection.write(encode_upstream(join))
             self._connection = connection
-            connection.reading = _watched(self._read(connection, relay))
-            ticking = _watched(self._tick(connection))
+            connection.reading = _start_task(self._read(connection, relay))
+            ticking = _start_task(self._tick(connection))
             tasks = (connection.reading, ticking)
             done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             for task in done:
                 task.result()
             return "the relay ended the stream"
         except RelayChangedError:
-            if self._make_report is None:  # a relay's followers may hold leases by what it learned there
+            # a relay's followers may hold leases that depend on the previous stream
+            if self._make_report is None:
                 await self._close_previous()
                 self._previous_connection = connection
                 must_close = False
@@ -183,7 +187,8 @@
                 await connection.close()
 
     async def _read(self, connection: RelayConnection, relay: RelayAddress) -> None:
-        """Apply what the relay sends, each message in one turn; nothing more once another is followed."""
+        """Apply the relay's messages, each in one turn of the event loop; ignore them once the client has
+        changed to another relay."""
         found = False
         while (data := await connection.read()) is not None:
             if not self._is_receiving or connection is not self._connection:
@@ -194,14 +199,14 @@
                 self._execute(instruction)
             if not found:
                 found = True
-                self._record_found(relay, now_us)
+                self._record_connected(relay, now_us)
             if self._follower.staleness.lease_held(now_us):
                 self.caught_up.set()
 
-    def _record_found(self, relay: RelayAddress, now_us: int) -> None:
+    def _record_connected(self, relay: RelayAddress, now_us: int) -> None:
         self._selection.record_connected(now_us)
         self._loss_logged = False
-        log.info("relay found", extra=fields(peer=relay.name, address=relay.address))
+        log.info("relay connected", extra=fields(peer=relay.name, address=relay.address))
 
     def _execute(self, instruction: Instruction) -> None:
         follower = self._follower
@@ -224,7 +229,7 @@
                 raise StreamEndedError(f"{reason.value} {detail}".strip())
 
     async def _tick(self, connection: RelayConnection) -> None:
-        """Acknowledge, probe, watch for silence, and look for a relay that ranks higher."""
+        """Send acknowledgements and probes, check for silence, and try relays that rank higher."""
         trial: asyncio.Task[bool] | None = None
         candidate: RelayAddress | None = None
         try:
@@ -237,7 +242,7 @@
                 if candidate is None and (candidate := self._selection.return_candidate(now_us)) is not None:
                     trial = asyncio.ensure_future(_can_give_lease(candidate))
                 elif candidate is not None and trial is not None and trial.done():
-                    self._decide_return(candidate, trial.result(), now_us)
+                    self._finish_trial(candidate, trial.result(), now_us)
                     candidate = None
                     trial = None
                 await asyncio.sleep(TICK_S)
@@ -254,31 +259,32 @@
             await connection.write(encode_upstream(progress))
 
     async def _release_previous(self) -> None:
-        """Release the lease at the relay before a planned change, once it is by the present stream."""
+        """After a planned change, release the lease at the previous relay, once a proof of the present stream
+        carries the lease."""
         previous = self._previous_connection
         if previous is None or not self._follower.lease_from_stream:
             return
         self._previous_connection = None
-        await previous.send_last(encode_upstream(self._follower.farewell()))
+        await previous.send_last(encode_upstream(self._follower.release_previous()))
 
-    def _decide_return(self, candidate: RelayAddress, can_give_lease: bool, now_us: int) -> None:
-        """A relay that ranks higher was tried: change to it if it is fresh."""
+    def _finish_trial(self, candidate: RelayAddress, can_give_lease: bool, now_us: int) -> None:
+        """Change to a relay that ranks higher if its trial succeeded."""
         if not can_give_lease:
             self._selection.reject_candidate(now_us)
             return
         self._selection.switch_to(candidate, now_us)
-        raise RelayChangedError(f"{candidate.name} is there")
+        raise RelayChangedError(f"{candidate.name} ranks higher and is fresh")
 
 
-def _watched(work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-    """A task whose error counts as retrieved, also if another task ended first."""
+def _start_task(work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+    """Start a task whose exception counts as retrieved, even if another task ends first."""
     task = asyncio.ensure_future(work)
     task.add_done_callback(lambda done: done.cancelled() or done.exception())
     return task
 
 
 async def _can_give_lease(relay: RelayAddress) -> bool:
-    """Whether a relay answers and is fresh enough to give a lease that lasts."""
+    """Whether a relay answers, and is fresh enough that its proofs give at least half a lease."""
     try:
         report = await status.fetch_status(relay.address)
     except RelayUnreachableError:
--- a/tests/relay/test_drivers.py
+++ b/tests/relay/test_drivers.py
@@ -1,4 +1,4 @@
-"""Source, relays and followers over real streams, in one event loop: what goes wrong between them."""
+"""Source, relays and followers over real gRPC streams in one event loop, with failures between them."""
 
 from __future__ import annotations
 
@@ -30,26 +30,27 @@
 from magpieshift.relay.messages import NO_EPOCH, Batch, ConfigurationChange, Epoch, Join, Progress
 from magpieshift.relay.node import RelayNode, RelayOptions, SourceNode
 from magpieshift.relay.service import MAX_UPSTREAM_BYTES, StreamDriver
-from tests.relay.rig import PATIENCE_S, RelayCase, Router, at
+from tests.relay.rig import PATIENCE_S, RelayCase, Router, loopback_address
 
 
-class DyingRelay(RelayNode):
-    """A relay that ends all its streams once it has received a batch, before it passes that on."""
+class FailingRelay(RelayNode):
+    """A relay that ends all its streams after receiving a batch, before it sends that batch to its
+    followers."""
 
-    dying = False
+    is_failing = False
 
     def apply_entries(self, batch: ApplyEntries) -> None:
         super().apply_entries(batch)
-        if self.dying:
+        if self.is_failing:
             self.service.end_streams("killed")
             self.stop()
 
 
 class RawFollower:
-    """A follower's stream, driven by hand."""
+    """A follower's stream on which the test sends and receives each message itself."""
 
     def __init__(self, port: int) -> None:
-        # without a larger window than HTTP/2's first, what is not read is soon not taken either
+        # with HTTP/2's initial flow-control window, the peer's writes soon block if nothing is read
         options = [("grpc.max_receive_message_length", -1), ("grpc.http2.bdp_probe", 0)]
         self._channel = grpc.aio.insecure_channel(f"127.0.0.1:{port}", options=options)
         self.call: Any = self._channel.stream_stream(FOLLOW_METHOD)()
@@ -70,81 +71,82 @@
         await self._channel.close()
 
 
-class Together(RelayCase):
+class Distribution(RelayCase):
     async def test_purges_come_through_a_source_and_two_relays_in_order(self) -> None:
         self.purge(3)
         source, source_port = await self.source()
         first, first_port = await self.relay("a", source_port)
         _, second_port = await self.relay("b", source_port)
         routers = [self.router(f"r{n}", port) for n, port in enumerate([first_port, second_port, first_port])]
-        await self.all_current(*routers)
+        await self.wait_for_leases(*routers)
         self.purge(200)
-        await self.all_purged(*routers)
+        await self.wait_for_purges(*routers)
         for router in routers:
             self.assertEqual(router.purged, self.keys)
-        # entries are serialized for all followers of a relay together
+        # a batch's entries are serialized once for all followers of a relay
         cache = first.service._messages
         counters = first.service.counters
         self.assertGreaterEqual(counters.batches, 2 * cache.serialized_count - 3)
         await self.until(
-            lambda: source.report().followers_count == 5, "the relays have told of their followers"
+            lambda: source.report().followers_count == 5, "the relays have reported their followers"
         )
         self.assertEqual([each.name for each in source.report().followers], ["a", "b"])
 
 
 class Failures(RelayCase):
-    async def test_a_relay_killed_between_receiving_a_batch_and_passing_it_on(self) -> None:
-        """Nothing is lost or out of order, and nothing is called done before all have it."""
+    async def test_a_relay_killed_between_receiving_and_forwarding_a_batch(self) -> None:
+        """No entry is lost or out of order, and the watermark covers no entry that a router with a lease has
+        not applied."""
         source, source_port = await self.source()
         _, second = await self.relay("b", source_port)
 
-        first = DyingRelay(RelayOptions([at(source_port)], "127.0.0.1:0", "a", "north"))
+        first = FailingRelay(RelayOptions([loopback_address(source_port)], "127.0.0.1:0", "a", "north"))
         first_port = await self.node(first)
         routers = [self.router(f"r{n}", first_port, second) for n in range(3)]
-        await self.all_current(*routers)
+        await self.wait_for_leases(*routers)
         self.purge(20)
-        await self.all_purged(*routers)
-        first.dying = True
+        await self.wait_for_purges(*routers)
+        first.is_failing = True
         self.purge(20)
         while not all(self.keys[-1] in router.purged for router in routers):
-            self.check_done(source, routers)
+            self.check_watermark(source, routers)
             await asyncio.sleep(0.01)
         for router in routers:
             self.assertEqual(router.purged, self.keys)
             self.assertEqual(router.client.relay.address, f"127.0.0.1:{second}")
         self.assertEqual([router.follower.applied for router in routers], [source.log.head] * 3)
 
-    def check_done(self, source: SourceNode, routers: list[Router]) -> None:
+    def check_watermark(self, source: SourceNode, routers: list[Router]) -> None:
         done = source.fanout.watermark(clock.source.steady_us())
         for router in routers:
-            if router.current:
+            if router.holds_lease:
                 self.assertLessEqual(done, router.follower.applied)
 
-    async def test_a_follower_that_reads_nothing_holds_up_nobody(self) -> None:
+    async def test_a_follower_that_reads_nothing_does_not_delay_others(self) -> None:
         source, port = await self.source()
         router = self.router("r1", port)
-        stuck = RawFollower(port)
-        self.addAsyncCleanup(stuck.close)
-        await self.all_current(router)
-        await stuck.join("stuck")
-        await stuck.probe()
+        blocked = RawFollower(port)
+        self.addAsyncCleanup(blocked.close)
+        await self.wait_for_leases(router)
+        await blocked.join("stuck")
+        await blocked.probe()
         stream = await self.stream(source, "stuck")
 
         self.large_change()
-        await self.until(lambda: stream.writing, "a write that does not come through")
+        await self.until(lambda: stream.writing, "a write is blocked")
         for _ in range(5):
-            await stuck.probe()
+            await blocked.probe()
             self.large_change()
             self.purge(3)
-            await self.all_purged(router)
+            await self.wait_for_purges(router)
         self.assertEqual(router.purged, self.keys)
         self.assertTrue(stream.writing)
 
-        # it says nothing more: its stream is ended although a write is under way on it
+        # the follower sends nothing more: its stream is ended although a write is in flight
         await self.until(lambda: stream not in source.service._streams.values(), "the stream is gone")
         self.assertEqual(source.service.counters.silent_streams, 1)
         self.purge(3)
-        await self.all_purged(router)
+        await self.wait_for_purges(router)
         self.assertEqual(router.purged, self.keys)
 
     def large_change(self) -> None:
@@ -155,7 +157,7 @@
         await self.until(lambda: any(s.name == name for s in streams.values()), f"{name} joins")
         return next(s for s in streams.values() if s.name == name)
 
-    async def test_one_that_reads_again_gets_the_rest(self) -> None:
+    async def test_a_slow_follower_receives_everything_once_it_reads(self) -> None:
         source, port = await self.source()
         slow = RawFollower(port)
         self.addAsyncCleanup(slow.close)
@@ -164,12 +166,12 @@
         epoch = source.log.epoch
         await slow.probe()
         self.large_change()
-        await self.until(lambda: stream.writing, "a write that does not come through")
+        await self.until(lambda: stream.writing, "a write is blocked")
         for _ in range(20):
             self.large_change()
             self.purge(3)
             await slow.probe()
-            await asyncio.sleep(0.02)  # so that they do not all come in one batch
+            await asyncio.sleep(0.02)  # so that the changes are spread over several batches
         purged_keys: list[str] = []
         applied = 0
         async with asyncio.timeout(30.0):
@@ -190,57 +192,64 @@
         relay, relay_port = await self.relay("a", source_port, log_entries=20)
         wire = await self.wire(relay_port)
         router = self.router("r1", wire.port)
-        await self.all_current(router)
+        await self.wait_for_leases(router)
         self.purge(5)
-        await self.all_purged(router)
+        await self.wait_for_purges(router)
         wire.to_follower = wire.to_node = False
         missed = self.purge(60)
-        await self.until(lambda: relay.follower.applied == source.log.head == 65, "the relay has all")
+        await self.until(
+            lambda: relay.follower.applied == source.log.head == 65, "the relay has applied all entries"
+        )
         wire.to_follower = wire.to_node = True
-        await self.all_purged(router)
-        self.assertEqual(len(router.snapshots), 2)  # the first, and that after the cut
+        await self.wait_for_purges(router)
+        self.assertEqual(len(router.snapshots), 2)  # the initial one, and one after the cut
         self.assertLessEqual(set(missed), {purge.key for purge in router.snapshots[1].purges})
         self.assertEqual(router.follower.applied, 65)
         self.purge(5)
-        await self.all_purged(router)
+        await self.wait_for_purges(router)
         self.assertEqual(router.purged[-5:], self.keys[-5:])
 
-    async def test_one_whose_acknowledgements_are_lost_is_waited_for_until_its_lease_has_lapsed(self) -> None:
+    async def test_lost_acknowledgements_hold_back_the_watermark_until_the_lease_lapses(self) -> None:
         source, port = await self.source()
         wire = await self.wire(port)
         router, other = self.router("deaf", wire.port), self.router("well", port)
-        await self.all_current(router, other)
+        await self.wait_for_leases(router, other)
         wire.to_node = False
         self.purge(5)
         head = 5
-        await self.until(lambda: source.log.head == head, "the purges are numbered")
-        await self.until(lambda: other.follower.applied == head, "one has them")
-        await self.until(lambda: source.fanout.watermark(clock.source.steady_us()) == head, "done everywhere")
-        self.assertTrue(not router.current or router.follower.applied == head)
+        await self.until(lambda: source.log.head == head, "the purges are in the source's log")
+        await self.until(lambda: other.follower.applied == head, "the connected router has applied them")
+        await self.until(
+            lambda: source.fanout.watermark(clock.source.steady_us()) == head,
+            "the watermark reaches the head",
+        )
+        self.assertTrue(not router.holds_lease or router.follower.applied == head)
 
-    async def test_a_source_that_is_started_again_is_followed_in_its_new_epoch(self) -> None:
+    async def test_a_restarted_source_is_followed_in_its_new_epoch(self) -> None:
         port = free_port()
         first = SourceNode(self.source_options(f"127.0.0.1:{port}"))
         await self.node(first)
         relay, relay_port = await self.relay("a", port)
         router = self.router("r1", relay_port)
-        await self.all_current(router)
+        await self.wait_for_leases(router)
         self.purge(5)
-        await self.all_purged(router)
+        await self.wait_for_purges(router)
         before = router.follower.epoch
         first.stop()
-        await self.until(lambda: not first.service._streams, "it has ended")
+        await self.until(lambda: not first.service._streams, "the first source has ended all streams")
         self.purge(5)
         second = SourceNode(self.source_options(f"127.0.0.1:{port}"))
         await self.node(second)
-        await self.until(lambda: router.follower.epoch == second.log.epoch, "the new epoch")
+        await self.until(
+            lambda: router.follower.epoch == second.log.epoch, "the router follows the new epoch"
+        )
         self.assertGreater(router.follower.epoch, before)
         self.purge(5)
-        await self.all_purged(router)
+        await self.wait_for_purges(router)
         self.assertLessEqual(set(self.keys), set(router.purged))
         self.assertEqual(relay.log.epoch, second.log.epoch)
 
-    async def test_a_source_that_hears_of_a_newer_one_ends(self) -> None:
+    async def test_a_source_ends_when_a_follower_knows_a_newer_one(self) -> None:
         source = SourceNode(self.source_options("127.0.0.1:0"))
         serving: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         running = asyncio.ensure_future(source.run(serving.set_result))
@@ -253,44 +262,49 @@
         self.assertIs(await late.code(), grpc.StatusCode.FAILED_PRECONDITION)
 
 
-class Eager(random.Random):
-    """Waits for nothing that is drawn."""
+class ZeroDelayRandom(random.Random):
+    """Draws 0 for every random delay."""
 
     def uniform(self, a: float, b: float) -> float:
         return 0.0
 
 
 class Return(RelayCase):
-    async def test_a_follower_goes_back_to_a_better_relay_and_takes_leave_of_the_other(self) -> None:
+    async def test_a_follower_returns_to_a_preferred_relay_and_releases_its_lease_at_the_other(self) -> None:
         _, source_port = await self.source()
         other, other_port = await self.relay("b", source_port)
-        better_port, leaving = free_port(), NotingFanout(other)
-        router = Router("r1", [at(better_port), at(other_port)], Eager())
+        better_port, releases = free_port(), RecordingFanout(other)
+        router = Router(
+            "r1", [loopback_address(better_port), loopback_address(other_port)], ZeroDelayRandom()
+        )
         router.client.start()
         self.addAsyncCleanup(router.client.stop)
-        await self.all_current(router)
+        await self.wait_for_leases(router)
         self.purge(5)
-        await self.all_purged(router)
-        self.assertEqual(router.client.relay, at(other_port))
+        await self.wait_for_purges(router)
+        self.assertEqual(router.client.relay, loopback_address(other_port))
 
-        options = RelayOptions([at(source_port)], f"127.0.0.1:{better_port}", "a", "north")
+        options = RelayOptions([loopback_address(source_port)], f"127.0.0.1:{better_port}", "a", "north")
         better = RelayNode(options, random.Random(1))
-        ending = NotingFanout(better)
+        later_releases = RecordingFanout(better)
         await self.node(better)
-        await self.until(lambda: router.client.relay == at(better_port), "it goes back")
-        await self.until(lambda: bool(better.service.counters.joins), "it joins the better one")
+        await self.until(
+            lambda: router.client.relay == loopback_address(better_port),
+            "the router returns to the better relay",
+        )
+        await self.until(lambda: bool(better.service.counters.joins), "the better relay counts a join")
 
-        await self.until(lambda: leaving.released, "it takes leave of the other")
-        self.assertTrue(router.current)
+        await self.until(lambda: releases.released, "the router releases its lease at the other relay")
+        self.assertTrue(router.holds_lease)
         self.purge(5)
-        await self.all_purged(router)
+        await self.wait_for_purges(router)
         self.assertEqual(router.purged, self.keys)
         await router.client.stop()
-        await self.until(lambda: ending.released, "it gives up its lease as it ends")
+        await self.until(lambda: later_releases.released, "the router releases its lease when it stops")
 
 
-class NotingFanout:
-    """Notes what a node's followers say, and hands it on."""
+class RecordingFanout:
+    """Records the progress messages of a node's followers, and passes them on."""
 
     def __init__(self, node: RelayNode) -> None:
         self._progress = node.fanout.receive_progress
@@ -303,12 +317,12 @@
 
     @property
     def released(self) -> bool:
-        """Whether the last word was that the follower need not be counted."""
+        """Whether the last message released the follower's lease."""
         return bool(self.received) and self.received[-1].lease_released
 
 
-class SilentRelay(grpc.GenericRpcHandler):  # type: ignore[misc]  # the library is not typed
-    """A relay that reads a follower's messages only once it is allowed to."""
+class BlockedRelay(grpc.GenericRpcHandler):  # type: ignore[misc]  # the library is not typed
+    """A relay that reads no messages of its follower until ``reads`` is set."""
 
     def __init__(self) -> None:
         self.reads = asyncio.Event()
@@ -316,7 +330,7 @@
         self.port = 0
 
     async def start(self) -> None:
-        # without a larger window than HTTP/2's first, what is not read is soon not taken either
+        # with HTTP/2's initial flow-control window, the peer's writes soon block if nothing is read
         self.server = grpc.aio.server(
             options=[("grpc.http2.bdp_probe", 0), ("grpc.max_receive_message_length", -1)]
         )
@@ -340,34 +354,36 @@
 
 
 class StopDuringWrite(RelayCase):
-    """A process ends while an acknowledgement of it is still being written, as its relay reads slowly. gRPC
-    takes one write at a time, so that the last message failed and the planned end ended with a traceback."""
+    """A process stops while its acknowledgement is still being written, because its relay reads slowly.
+    Guards against a second concurrent write, which gRPC does not allow: the last message failed, and the
+    planned shutdown ended with a traceback."""
 
-    async def stopping(self, relay: SilentRelay) -> Router:
-        """A follower whose first acknowledgement the relay does not take."""
+    async def follower_during_write(self, relay: BlockedRelay) -> Router:
+        """A follower whose first acknowledgement is not read by the relay."""
         await relay.start()
         self.addAsyncCleanup(relay.server.stop, 0)
-        router = Router("r1", [at(relay.port)])
+        router = Router("r1", [loopback_address(relay.port)])
         router.follower.rejection_reason = "x" * (4 << 20)
         router.client.start()
         self.addAsyncCleanup(router.client.stop)
         await self.until(
-            lambda: router.follower.next_progress_us() > clock.source.steady_us(), "an acknowledgement"
+            lambda: router.follower.next_progress_us() > clock.source.steady_us(),
+            "an acknowledgement is being written",
         )
         return router
 
-    async def test_a_relay_that_reads_nothing_is_given_up_soon_and_without_an_error(self) -> None:
-        router = await self.stopping(SilentRelay())
+    async def test_a_relay_that_reads_nothing_does_not_delay_the_shutdown_or_cause_an_error(self) -> None:
+        router = await self.follower_during_write(BlockedRelay())
         with self.assertNoLogs("magpieshift.relay", logging.WARNING):
             async with asyncio.timeout(PATIENCE_S):
                 await router.client.stop()
 
     async def test_the_last_message_follows_the_write_in_flight(self) -> None:
-        relay = SilentRelay()
-        router = await self.stopping(relay)
+        relay = BlockedRelay()
+        router = await self.follower_during_write(relay)
         with mock.patch("magpieshift.relay.connection.LAST_WRITE_TIMEOUT_S", PATIENCE_S):
             stopping = asyncio.ensure_future(router.client.stop())
-            await asyncio.sleep(0)  # the last message is due, and waits
+            await asyncio.sleep(0)  # the last message waits for the write in flight
             self.assertFalse(stopping.done())
             relay.reads.set()
             await stopping
@@ -376,13 +392,13 @@
         )
 
 
-class Words(RelayCase):
-    """What is said on streams that cannot be."""
+class InvalidMessages(RelayCase):
+    """Malformed and oversized messages."""
 
-    async def test_a_malformed_message_of_a_follower_ends_its_stream_alone(self) -> None:
+    async def test_a_malformed_message_of_a_follower_ends_only_its_stream(self) -> None:
         source, port = await self.source()
         router = self.router("r1", port)
-        await self.all_current(router)
+        await self.wait_for_leases(router)
         hello = wire.FromRouter(hello=wire.Hello(router="r")).SerializeToString()
         progress = encoding.encode_upstream(Progress(NO_EPOCH, 0, 1, 0, ""))
         for data in (b"\xff\xff", b"", hello, progress):
@@ -399,9 +415,9 @@
         self.assertIs(await large.code(), grpc.StatusCode.RESOURCE_EXHAUSTED)
         await large.close()
         self.purge(5)
-        await self.all_purged(router)
+        await self.wait_for_purges(router)
 
-    async def test_a_malformed_message_of_a_relay_is_one_line_and_nothing_is_applied_or_lost(self) -> None:
+    async def test_a_malformed_message_of_a_relay_is_logged_once_and_not_applied(self) -> None:
         _, port = await self.source()
         for garbage in (
             b"\xff\xff\xff",
@@ -409,19 +425,19 @@
             b"x" * (decoding.MAX_SNAPSHOT_BYTES + 1),
         ):
             with self.subTest(len(garbage)):
-                liar = await self.liar(garbage)
+                garbage_relay = await self.garbage_relay(garbage)
                 with self.assertLogs("magpieshift.relay.client", logging.WARNING) as logged:
-                    router = self.router(f"r{len(garbage)}", liar, port)
-                    await self.all_current(router)
+                    router = self.router(f"r{len(garbage)}", garbage_relay, port)
+                    await self.wait_for_leases(router)
                 events = [record.getMessage() for record in logged.records]
                 self.assertEqual(events, ["malformed message"])
                 self.assertEqual(router.follower.highest_epoch.term < 1 << 60, True)
                 self.purge(5)
-                await self.all_purged(router)
+                await self.wait_for_purges(router)
                 self.assertEqual(router.purged, self.keys)
 
-    async def liar(self, garbage: bytes) -> int:
-        """A relay that sends this to everyone."""
+    async def garbage_relay(self, garbage: bytes) -> int:
+        """Start a relay that sends ``garbage`` to every follower; returns its port."""
 
         class Handler(grpc.GenericRpcHandler):  # type: ignore[misc]
             def service(self, details: Any) -> Any:
@@ -448,10 +464,10 @@
             source, source_port = await self.source(folder)
             relay, relay_port = await self.relay("a", source_port)
             routers = [self.router(f"r{n}", relay_port) for n in range(3)]
-            await self.all_current(*routers)
+            await self.wait_for_leases(*routers)
             self.publish(folder, 2, {"a": {"b": 2}, "c": [1, 2]})
             for router in routers:
-                await self.until(lambda router=router: bool(router.entries), "a version")  # type: ignore[misc]
+                await self.until(lambda router=router: bool(router.entries), "a version arrives")  # type: ignore[misc]
         for router in routers:
             full = router.snapshots[0].configuration
             assert full is not None
@@ -461,9 +477,9 @@
             self.assertEqual((change.number, change.base_digest), (2, full.digest))
         self.assertEqual(relay.service.counters.entries, 3)
 
-        # one that could not use the delta asks for the whole
+        # a router that could not apply the delta requests the complete version
         routers[0].follower.wants_full = True
-        await self.until(lambda: bool(routers[0].full_versions), "the whole version")
+        await self.until(lambda: bool(routers[0].full_versions), "the complete version")
         found = routers[0].full_versions[0]
         data = sexp.parse(found.content.decode()).data
         self.assertEqual((found.number, found.digest, data["a"]), (2, document_digest(data), {"b": 2}))
@@ -474,10 +490,10 @@
         part.rename(Path(folder) / f"{number}.sexp")
 
 
-class Reading(RelayCase):
-    """How current a source is by its reading of the change log."""
+class SourceAge(RelayCase):
+    """The age of a source's knowledge, as derived from its reads of the change log."""
 
-    async def test_a_source_is_no_more_current_than_the_log_it_hears(self) -> None:
+    async def test_a_source_ages_while_its_change_log_is_unreachable(self) -> None:
         wire = await self.wire(self.changes.port)
         source = SourceNode(self.source_options("127.0.0.1:0", log_port=wire.port))
         await self.node(source)
@@ -485,23 +501,23 @@
         def age_us() -> int | None:
             return source.age_us(clock.source.steady_us())
 
-        await self.until(lambda: age_us() is not None, "the log has told its history")
+        await self.until(lambda: age_us() is not None, "the change log's history is read")
         cut_us = clock.source.steady_us()
         wire.to_follower = False
-        await self.until(lambda: (age_us() or 0) > 3_000_000, "it grows old")
-        # it never claims to know of anything after the cut, whatever it does to reconnect
+        await self.until(lambda: (age_us() or 0) > 3_000_000, "the source's age grows")
+        # the age covers the whole time since the cut, although the source tries to reconnect
         self.assertGreaterEqual(age_us() or 0, clock.source.steady_us() - cut_us)
         wire.to_follower = True
-        await self.until(lambda: (age_us() or 1 << 60) < 2_000_000, "it is current again")
+        await self.until(lambda: (age_us() or 1 << 60) < 2_000_000, "the source is current again")
 
-    async def test_an_event_that_comes_late_makes_it_older_for_a_while(self) -> None:
+    async def test_a_delayed_event_raises_the_age_of_the_source(self) -> None:
         source, _ = await self.source()
         late_ms = int(time.time() * 1000) - 60_000
         self.changes.publish(invalidate={"object": "0" * 15 + "1", "time": late_ms})
         await self.until(lambda: source.log.head == 1, "the purge")
         self.assertGreaterEqual(source.age_us(clock.source.steady_us()) or 0, 60_000_000)
 
-    def test_delays_are_forgotten(self) -> None:
+    def test_delays_expire_with_their_window(self) -> None:
         delays = DelayWindow()
         delays.record(-5, 0)
         self.assertEqual(delays.largest_us(0), 0)
@@ -511,7 +527,7 @@
         self.assertEqual(delays.largest_us(10_000_000), 20)
         self.assertEqual(delays.largest_us(21_000_000), 0)
 
-    async def test_what_cannot_be_passed_on_is_one_line_and_the_rest_goes_on(self) -> None:
+    async def test_an_unusable_event_is_logged_once_and_skipped(self) -> None:
         source, _ = await self.source()
         now_ms = int(time.time() * 1000)
         bad: list[dict[str, Any]] = [
--- a/tests/relay/test_fanout.py
+++ b/tests/relay/test_fanout.py
@@ -1,4 +1,4 @@
-"""The serving side: what is sent, who counts, and what happens when followers fail."""
+"""The serving side of the fan-out: messages sent, the watermark, and failures of followers."""
 
 from __future__ import annotations
 
@@ -64,12 +64,14 @@
             run(self.server, {1: self.client}, number * SECOND, SECOND)
         self.assertEqual(self.client.applied, [purge(number) for number in range(1, 40)])
         self.assertEqual(self.server.fanout.watermark(40 * SECOND), 39)
-        self.assertTrue(self.client.leased(40 * SECOND))
+        self.assertTrue(self.client.holds_lease(40 * SECOND))
 
-    def test_entries_wait_for_others_no_longer_than_a_batch_time(self) -> None:
+    def test_entries_wait_no_longer_than_the_batch_interval(self) -> None:
         now_us = run(self.server, {1: self.client}, 0, SECOND)
         self.server.add()
-        self.assertLessEqual(self.server.fanout.next_send_us(1), now_us, "the first does not wait at all")
+        self.assertLessEqual(
+            self.server.fanout.next_send_us(1), now_us, "the first entry after a pause is sent at once"
+        )
         exchange(self.server, 1, self.client, now_us)
         self.server.add(5)
         self.assertEqual(self.server.fanout.next_send_us(1), now_us + BATCH_INTERVAL_US)
@@ -77,7 +79,7 @@
         sent = self.server.fanout.messages_to_send(1, now_us + BATCH_INTERVAL_US)
         self.assertEqual([len(batch.entries) for batch in sent if isinstance(batch, Batch)], [5])
 
-    def test_a_probe_is_answered_within_a_batch_time_and_silence_is_broken_by_heartbeats(self) -> None:
+    def test_a_probe_is_answered_within_the_batch_interval_and_heartbeats_are_regular(self) -> None:
         now_us = run(self.server, {1: self.client}, 0, SECOND)
         sent_us = [
             t
@@ -97,7 +99,7 @@
             [99],
         )
 
-    def test_no_proof_before_a_probe_nor_while_anything_is_still_to_be_sent(self) -> None:
+    def test_no_proof_before_a_probe_or_while_entries_remain_to_be_sent(self) -> None:
         server = Server(max_entries=10 * MAX_UNACKNOWLEDGED_BATCHES * MAX_BATCH_ENTRIES)
         server.add(3 * MAX_UNACKNOWLEDGED_BATCHES * MAX_BATCH_ENTRIES)
         server.fanout.join(1, joined(), 0)
@@ -111,12 +113,16 @@
         for applied in range(MAX_BATCH_ENTRIES, server.log.head, MAX_BATCH_ENTRIES):
             server.fanout.receive_progress(1, acknowledged(applied, 2), SECOND)
             self.assertEqual(proofs(server.fanout.messages_to_send(1, SECOND)), [])
-            self.assertEqual(server.fanout.watermark(SECOND), server.log.head, "it does not count yet")
+            self.assertEqual(
+                server.fanout.watermark(SECOND),
+                server.log.head,
+                "the follower does not hold back the watermark yet",
+            )
         server.fanout.receive_progress(1, acknowledged(server.log.head, 3), SECOND)
         found = proofs(server.fanout.messages_to_send(1, SECOND + BATCH_INTERVAL_US))
         self.assertEqual([(proof.probe, proof.head) for proof in found], [(3, server.log.head)])
 
-    def test_a_process_passes_its_own_age_on_and_the_part_of_it_that_is_the_sources(self) -> None:
+    def test_a_proof_states_the_age_of_the_process_and_the_lag_of_the_source(self) -> None:
         now_us = run(self.server, {1: self.client}, 0, SECOND)
         self.server.age_us, self.server.sync_age_us = 3 * SECOND, SECOND
         self.server.fanout.receive_progress(1, acknowledged(3, 50), now_us)
@@ -126,50 +132,59 @@
         self.server.sync_age_us = None
         self.server.fanout.receive_progress(1, acknowledged(3, 51), now_us + SECOND)
         sent = self.server.fanout.messages_to_send(1, now_us + 2 * SECOND)
-        self.assertEqual((len(sent), proofs(sent)), (1, []), "it never heard of its source")
+        self.assertEqual(
+            (len(sent), proofs(sent)), (1, []), "a relay without contact to its source gives no proof"
+        )
 
-    def test_a_source_that_lost_its_change_log_is_followed_on_without_a_lease(self) -> None:
+    def test_a_source_without_its_change_log_is_followed_without_a_lease(self) -> None:
         end_us = 0
         for self.server.age_us in (None, FRESHNESS_LEASE_US):
             client = Client()
             client.join(self.server, 2, end_us)
             end_us = run(self.server, {2: client}, end_us, 4 * RELAY_STALE_TIMEOUT_US)
-            self.assertIsNone(client.ended, "its configurations are as good as ever")
-            self.assertFalse(client.leased(end_us))
+            self.assertIsNone(client.ended, "the follower stays, as configurations still come")
+            self.assertFalse(client.holds_lease(end_us))
             self.server.add()
             self.assertEqual(
                 self.server.fanout.watermark(end_us + BATCH_INTERVAL_US),
                 self.server.log.head,
-                "nor does it count",
+                "the follower does not hold back the watermark",
             )
             self.server.fanout.close_stream(2, end_us)
 
-    def test_entries_not_yet_visible_make_a_proof_older_instead_of_wrong(self) -> None:
+    def test_entries_not_yet_visible_raise_the_age_of_a_proof(self) -> None:
         now_us = run(self.server, {1: self.client}, 0, 2 * SECOND)
         self.server.add()
         self.server.fanout.messages_to_send(1, now_us)
         self.server.add()
         self.server.fanout.receive_progress(1, acknowledged(4, 50), now_us + 100 * MS)
         self.assertEqual(
-            self.server.fanout.messages_to_send(1, now_us + BATCH_INTERVAL_US - 1), [], "it is not due"
+            self.server.fanout.messages_to_send(1, now_us + BATCH_INTERVAL_US - 1),
+            [],
+            "the next batch is not due",
         )
-        self.server.fanout._streams[1].last_sent_us = 0  # as if it were due before the entry becomes visible
+        # makes a message due before the entry becomes visible
+        self.server.fanout._streams[1].last_sent_us = 0
         (proof,) = proofs(self.server.fanout.messages_to_send(1, now_us + 200 * MS))
         self.assertEqual(proof.head, 4)
         self.assertGreaterEqual(proof.age_us, 200 * MS)
 
     def test_a_full_configuration_is_sent_on_request_once_it_is_known(self) -> None:
         now_us = run(self.server, {1: self.client}, 0, SECOND)
-        self.server.put(ConfigurationChange(2, "d2", "d1", b"delta"))
+        self.server.append(ConfigurationChange(2, "d2", "d1", b"delta"))
         self.client.follower.wants_full = True
         now_us = run(self.server, {1: self.client}, now_us, SECOND)
-        self.assertTrue(self.client.follower.wants_full, "this process does not know it either")
+        self.assertTrue(
+            self.client.follower.wants_full, "the server does not have the complete version either"
+        )
         full = ConfigurationChange(2, "d2", "", b"whole")
         self.server.state.apply_full_configuration(full)
         self.assertEqual(self.server.fanout.messages_to_send(1, now_us), [full])
         self.server.fanout.receive_progress(1, replace(acknowledged(4, 99), wants_full=True), now_us)
         self.assertNotIn(
-            full, self.server.fanout.messages_to_send(1, now_us + BATCH_INTERVAL_US), "it is under way"
+            full,
+            self.server.fanout.messages_to_send(1, now_us + BATCH_INTERVAL_US),
+            "the complete version has just been sent",
         )
         self.server.fanout.receive_progress(
             1, replace(acknowledged(4, 100), wants_full=True), now_us + MIN_FULL_CONFIGURATION_INTERVAL_US
@@ -180,7 +195,7 @@
 
 
 class Windows(unittest.TestCase):
-    def test_a_slow_follower_costs_its_window_and_holds_up_nobody(self) -> None:
+    def test_a_slow_follower_is_sent_one_window_and_does_not_delay_others(self) -> None:
         server, slow, quick = Server(max_entries=2_000), Client("slow"), Client("quick")
         for stream, client in ((1, slow), (2, quick)):
             client.join(server, stream, 0)
@@ -190,17 +205,21 @@
             now_us += BATCH_INTERVAL_US
             server.add(20, now_us)
             exchange(server, 2, quick, now_us)
-            if now_us < 4 * SECOND:  # then it is silent
+            if now_us < 4 * SECOND:  # silent from then on
                 server.fanout.receive_progress(1, acknowledged(0, now_us), now_us)
             sent = server.fanout.messages_to_send(1, now_us)
             batches += sum(1 for message in sent if isinstance(message, Batch) and message.entries)
         self.assertEqual(batches, MAX_UNACKNOWLEDGED_BATCHES)
         self.assertEqual(quick.applied, [purge(number) for number in range(1, server.log.head + 1)])
-        self.assertGreater(server.fanout.watermark(now_us), server.log.head - 100, "it counts no more")
+        self.assertGreater(
+            server.fanout.watermark(now_us),
+            server.log.head - 100,
+            "the slow follower no longer holds back the watermark",
+        )
         self.assertIn(1, server.fanout.silent_streams(now_us))
         self.assertNotIn(2, server.fanout.silent_streams(now_us))
 
-    def test_a_dropped_tail_is_made_good_by_a_snapshot(self) -> None:
+    def test_dropped_entries_are_replaced_by_a_snapshot(self) -> None:
         server, client = Server(max_entries=50), Client()
         client.join(server, 1, 0)
         now_us = run(server, {1: client}, 0, SECOND)
@@ -212,9 +231,9 @@
         self.assertEqual(client.applied, [purge(number) for number in range(1, 1_001)])
         run(server, {2: client}, now_us, SECOND)
         self.assertEqual(client.follower.applied, 1_000)
-        self.assertTrue(client.leased(now_us + SECOND))
+        self.assertTrue(client.holds_lease(now_us + SECOND))
 
-    def test_snapshots_go_at_a_bounded_rate_and_one_that_does_not_read_holds_up_nobody(self) -> None:
+    def test_snapshots_have_a_limited_rate_and_a_blocked_follower_does_not_delay_others(self) -> None:
         server = Server()
         server.add(5)
         count = 3 * MAX_SNAPSHOTS_PER_S
@@ -223,7 +242,7 @@
         times: dict[int, int] = {}
         for now_us in range(0, 5 * SECOND, MS):
             for stream in server.fanout.due_streams(now_us):
-                if stream % 10:  # one of ten does not read
+                if stream % 10:  # every tenth follower does not read
                     sent = server.fanout.messages_to_send(stream, now_us)
                     waiting = [message.snapshot_pending for message in sent if isinstance(message, Batch)]
                     if any(isinstance(message, Snapshot) for message in sent):
@@ -237,11 +256,11 @@
             self.assertLessEqual(len(within), MAX_SNAPSHOTS_PER_S + 1)
         self.assertLessEqual(max(times.values()), 4 * SECOND)
 
-    def test_a_relay_that_was_paused_does_not_hand_out_all_snapshots_at_once(self) -> None:
+    def test_a_resumed_relay_does_not_send_all_snapshots_at_once(self) -> None:
         server = Server()
         for stream in range(200):
             server.fanout.join(stream, joined(f"r{stream}", epoch=NO_EPOCH), 0)
-            server.fanout.messages_to_send(stream, 0)  # which takes its turn, or gets one
+            server.fanout.messages_to_send(stream, 0)  # sends the snapshot, or reserves a slot for it
         sent = [
             message
             for stream in range(200)
@@ -253,7 +272,7 @@
         self,
     ) -> None:
         server, client = Server(), Client()
-        server.put(ConfigurationChange(2, "d2", "d1", b"delta"))
+        server.append(ConfigurationChange(2, "d2", "d1", b"delta"))
         client.join(server, 1, 0)
         now_us = run(server, {1: client}, 0, SECOND)
         self.assertEqual(client.follower.applied, 1)
@@ -263,16 +282,16 @@
 
 
 class Watermarks(unittest.TestCase):
-    """Who counts. The follower ``r`` has applied 3 of 3 and holds a lease at ``self.now_us``."""
+    """The watermark. The follower ``r`` has applied all 3 entries and holds a lease at ``self.now_us``."""
 
     def setUp(self) -> None:
         self.server, self.client = Server(), Client()
         self.server.add(3)
         self.client.join(self.server, 1, 0)
         self.now_us = run(self.server, {1: self.client}, 0, 2 * SECOND)
-        self.assertEqual(self.done(), 3)
+        self.assertEqual(self.watermark(), 3)
 
-    def done(self, after_us: int = 0) -> int:
+    def watermark(self, after_us: int = 0) -> int:
         return self.server.fanout.watermark(self.now_us + after_us)
 
     def test_lost_acknowledgements_hold_the_watermark_until_the_lease_has_lapsed(self) -> None:
@@ -281,57 +300,62 @@
         while self.server.fanout.watermark(now_us) < 4:
             exchange(self.server, 1, self.client, now_us, up=False)
             now_us += 10 * MS
-        self.assertEqual(self.client.follower.applied, 4, "it hears")
-        self.assertFalse(self.client.leased(now_us), "but proofs of what it asked long ago prove nothing new")
+        self.assertEqual(self.client.follower.applied, 4, "the follower receives the entry")
+        self.assertFalse(self.client.holds_lease(now_us), "answers to old probes do not extend the lease")
         self.assertLessEqual(now_us, self.now_us + lease_lapse_us() + 10 * MS)
 
-    def test_the_reverse_cut_is_no_different_and_the_follower_leaves(self) -> None:
+    def test_a_follower_that_receives_nothing_holds_the_watermark_until_its_lease_has_lapsed(self) -> None:
         self.server.add()
         now_us = run(self.server, {1: self.client}, self.now_us, 3 * SECOND, down=False)
         self.assertEqual((self.server.fanout.watermark(now_us), self.client.follower.applied), (3, 3))
         self.assertEqual(self.client.ended and self.client.ended.reason, EndReason.SILENCE)
         self.server.fanout.close_stream(1, now_us)
-        self.assertTrue(self.client.leased(now_us))
-        self.assertEqual(self.server.fanout.watermark(now_us), 3, "it counts without a stream")
-        while self.client.leased(now_us):
+        self.assertTrue(self.client.holds_lease(now_us))
+        self.assertEqual(
+            self.server.fanout.watermark(now_us), 3, "it holds back the watermark without a stream"
+        )
+        while self.client.holds_lease(now_us):
             self.assertEqual(self.server.fanout.watermark(now_us), 3)
             now_us += 10 * MS
         self.assertEqual(self.server.fanout.watermark(now_us + lease_lapse_us()), 4)
 
-    def test_an_acknowledgement_of_what_was_not_sent_is_not_believed(self) -> None:
+    def test_an_acknowledgement_of_entries_that_were_not_sent_is_ignored(self) -> None:
         self.server.add(5)
         self.server.fanout.receive_progress(1, acknowledged(8, 90), self.now_us)
-        self.assertEqual(self.done(), 3)
+        self.assertEqual(self.watermark(), 3)
         self.server.fanout.receive_progress(1, acknowledged(8, 91, epoch=Epoch(0, 9)), self.now_us)
-        self.assertEqual(self.done(), 3)
+        self.assertEqual(self.watermark(), 3)
         (status,) = self.server.fanout.status(self.now_us)
         self.assertEqual(
             (status.applied, status.lag_entries, status.may_hold_lease, status.invalid_acknowledgements),
             (3, 5, True, 1),
         )
 
-    def test_a_restarted_follower_has_a_new_record_and_the_old_one_counts_until_its_lease_has_lapsed(
+    def test_the_record_of_a_restarted_follower_remains_until_its_lease_has_lapsed(
         self,
     ) -> None:
         self.server.fanout.close_stream(1, self.now_us)
         self.server.add()
-        twin = Client(boot="b2")
-        twin.join(self.server, 2, self.now_us)
-        run(self.server, {2: twin}, self.now_us, 2 * SECOND)
-        self.assertEqual((twin.follower.applied, self.done(2 * SECOND)), (4, 3))
-        self.assertTrue(self.client.leased(self.now_us + 2 * SECOND), "it may be paused and not killed")
-        self.assertEqual(self.done(lease_lapse_us()), 4)
-
-    def test_a_follower_that_acknowledged_and_was_killed_counts_by_what_it_has_after_its_restart(
+        restarted = Client(boot="b2")
+        restarted.join(self.server, 2, self.now_us)
+        run(self.server, {2: restarted}, self.now_us, 2 * SECOND)
+        self.assertEqual((restarted.follower.applied, self.watermark(2 * SECOND)), (4, 3))
+        self.assertTrue(
+            self.client.holds_lease(self.now_us + 2 * SECOND),
+            "the old process may be paused instead of killed",
+        )
+        self.assertEqual(self.watermark(lease_lapse_us()), 4)
+
+    def test_a_restarted_follower_does_not_inherit_acknowledgements(
         self,
     ) -> None:
         self.server.fanout.close_stream(1, self.now_us)
-        twin = Client(boot="b2")
-        twin.join(self.server, 2, self.now_us)
-        exchange(self.server, 2, twin, self.now_us, down=False)
+        restarted = Client(boot="b2")
+        restarted.join(self.server, 2, self.now_us)
+        exchange(self.server, 2, restarted, self.now_us, down=False)
         self.assertEqual(self.server.fanout.status(self.now_us)[1].applied, 0)
 
-    def test_a_new_follower_gets_no_proof_and_holds_back_nothing_before_it_acknowledged_the_head(
+    def test_a_new_follower_gets_no_proof_and_holds_back_nothing_before_acknowledging_the_head(
         self,
     ) -> None:
         self.server.add(100)
@@ -341,11 +365,11 @@
         exchange(self.server, 2, other, now_us + SECOND)
         sent = exchange(self.server, 2, other, now_us + SECOND + BATCH_INTERVAL_US, up=False)
         self.assertEqual((len(sent), proofs(sent)), (1, []))
-        self.assertEqual((self.done(SECOND), other.follower.applied), (103, 103))
+        self.assertEqual((self.watermark(SECOND), other.follower.applied), (103, 103))
         exchange(self.server, 2, other, now_us + 2 * SECOND)
         self.assertTrue(self.server.fanout.status(now_us + 2 * SECOND)[0].may_hold_lease)
 
-    def test_nothing_is_proven_while_the_window_holds_something_back(self) -> None:
+    def test_no_proof_is_sent_while_the_window_is_full(self) -> None:
         self.server.add(MAX_UNACKNOWLEDGED_BATCHES * MAX_BATCH_ENTRIES + 1)
         sent = self.server.fanout.messages_to_send(1, self.now_us)
         self.assertEqual((len(sent), proofs(sent)), (MAX_UNACKNOWLEDGED_BATCHES, []))
@@ -353,20 +377,22 @@
         sent = self.server.fanout.messages_to_send(1, self.now_us)
         self.assertEqual([proof.head for proof in proofs(sent)], [self.server.log.head])
 
-    def test_nothing_is_done_that_a_later_follower_can_hold_a_lease_without(self) -> None:
+    def test_the_watermark_covers_only_entries_that_later_lease_holders_have_applied(self) -> None:
         server = Server()
         server.add()
         server.fanout.join(1, joined(applied=1), 0)
         server.fanout.receive_progress(1, acknowledged(1, 1), 0)
         server.add()
-        self.assertEqual(server.fanout.watermark(300 * MS), 2, "it does not count yet")
-        server.add()  # which becomes visible with the next cut, after the first proof
-        done = server.fanout.watermark(320 * MS)
+        self.assertEqual(
+            server.fanout.watermark(300 * MS), 2, "the follower does not hold back the watermark yet"
+        )
+        server.add()  # becomes visible with the next cut, after the first proof
+        watermark = server.fanout.watermark(320 * MS)
         (proof,) = proofs(server.fanout.messages_to_send(1, 330 * MS))
         self.assertEqual(proof.head, 2)
-        self.assertLessEqual(done, proof.head)
+        self.assertLessEqual(watermark, proof.head)
 
-    def test_a_deaf_follower_that_joins_again_and_again_does_not_hold_back_the_watermark_for_good(
+    def test_a_follower_that_receives_nothing_and_keeps_rejoining_does_not_block_the_watermark(
         self,
     ) -> None:
         for second in range(12):
@@ -374,10 +400,10 @@
             now_us = run(self.server, {1: self.client}, self.now_us + second * SECOND, SECOND, down=False)
             self.server.fanout.close_stream(1, now_us)
             self.client.join(self.server, 1, now_us)
-        self.assertFalse(self.client.leased(now_us))
+        self.assertFalse(self.client.holds_lease(now_us))
         self.assertEqual(self.server.fanout.watermark(now_us), self.server.log.head)
 
-    def test_whose_acknowledgements_lag_is_proven_nothing_until_they_do_not(self) -> None:
+    def test_a_follower_with_late_acknowledgements_gets_no_proof_until_it_catches_up(self) -> None:
         self.server.add()
         self.server.fanout.messages_to_send(1, self.now_us)
         for lag_us, proven in ((MAX_ACKNOWLEDGE_DELAY_US, 1), (MAX_ACKNOWLEDGE_DELAY_US + SECOND, 0)):
@@ -391,78 +417,80 @@
     def test_the_same_process_on_another_stream_keeps_its_record(self) -> None:
         self.server.add()
         join = self.client.follower.connect(self.now_us)
-        self.assertEqual(self.server.fanout.join(2, join, self.now_us), 1, "the stream to be ended")
+        self.assertEqual(
+            self.server.fanout.join(2, join, self.now_us), 1, "the earlier stream has to be ended"
+        )
         with self.assertRaises(UnknownStreamError):
             self.server.fanout.receive_progress(1, acknowledged(4, 99), self.now_us)
-        self.assertEqual(self.done(), 3)
+        self.assertEqual(self.watermark(), 3)
         run(self.server, {2: self.client}, self.now_us, SECOND)
-        self.assertEqual((self.done(SECOND), len(self.server.fanout.status(self.now_us))), (4, 1))
+        self.assertEqual((self.watermark(SECOND), len(self.server.fanout.status(self.now_us))), (4, 1))
 
-    def test_a_follower_that_released_its_lease_counts_no_more_and_gets_no_proof(self) -> None:
+    def test_a_follower_that_released_its_lease_gets_no_proof_and_holds_back_nothing(self) -> None:
         self.server.add()
         self.server.fanout.receive_progress(1, self.client.follower.release_lease(self.now_us), self.now_us)
-        self.assertEqual(self.done(), 4)
+        self.assertEqual(self.watermark(), 4)
         self.assertEqual(
             proofs(self.server.fanout.messages_to_send(1, self.now_us + HEARTBEAT_INTERVAL_US)), []
         )
-        self.assertEqual(self.done(HEARTBEAT_INTERVAL_US), 4)
+        self.assertEqual(self.watermark(HEARTBEAT_INTERVAL_US), 4)
 
-    def test_a_planned_move_does_not_hold_up_the_relay_it_leaves(self) -> None:
+    def test_a_planned_change_of_relay_does_not_hold_back_the_previous_watermark(self) -> None:
         better = Server()
         better.add(3)
         self.client.join(better, 7, self.now_us)
         self.server.add()
         with self.assertRaises(ValueError):
-            self.client.follower.farewell()
+            self.client.follower.release_previous()
         now_us = run(better, {7: self.client}, self.now_us, SECOND)
         self.assertEqual(self.server.fanout.watermark(now_us), 3)
-        self.server.fanout.receive_progress(1, self.client.follower.farewell(), now_us)
+        self.server.fanout.receive_progress(1, self.client.follower.release_previous(), now_us)
         self.assertEqual(self.server.fanout.watermark(now_us), 4)
         better.add()
-        self.assertEqual(better.fanout.watermark(now_us), 3, "there it counts")
+        self.assertEqual(better.fanout.watermark(now_us), 3, "the follower holds back the watermark there")
 
-    def test_a_relay_counts_by_what_all_its_followers_have(self) -> None:
+    def test_a_relay_holds_back_the_watermark_for_all_its_followers(self) -> None:
         self.server.fanout.join(5, joined("relay", applied=3), self.now_us)
         self.server.fanout.receive_progress(5, acknowledged(3, 1, watermark=2), self.now_us)
         self.server.add()
         self.server.fanout.messages_to_send(5, self.now_us)
         run(self.server, {1: self.client}, self.now_us, 2 * SECOND)
         self.server.fanout.receive_progress(5, acknowledged(4, 2, watermark=2), self.now_us)
-        self.assertEqual(self.done(2 * SECOND), 3, "it never goes back")
+        self.assertEqual(self.watermark(2 * SECOND), 3, "the watermark never decreases")
         self.server.fanout.receive_progress(5, acknowledged(4, 3, watermark=4), self.now_us)
-        self.assertEqual(self.done(2 * SECOND), 4)
+        self.assertEqual(self.watermark(2 * SECOND), 4)
 
-    def test_after_a_restart_nothing_is_done_while_leases_of_the_source_before_may_hold(self) -> None:
+    def test_after_a_restart_the_watermark_is_0_while_leases_of_the_previous_source_may_hold(self) -> None:
         new = Server(LATER, watermark_from_us=self.now_us + lease_lapse_us())
         new.add(2)
         self.assertEqual(new.fanout.watermark(self.now_us + lease_lapse_us() - 1), 0)
-        self.assertFalse(self.client.leased(self.now_us + lease_lapse_us()))
+        self.assertFalse(self.client.holds_lease(self.now_us + lease_lapse_us()))
         self.assertEqual(new.fanout.watermark(self.now_us + lease_lapse_us()), 2)
 
-    def test_a_relay_that_turns_to_another_epoch_counts_those_that_have_not(self) -> None:
-        self.server.log.restart(LATER, 1)  # the last two entries were lost
-        self.assertEqual(self.done(), 0)
+    def test_followers_of_the_previous_epoch_hold_back_the_watermark_of_the_new_one(self) -> None:
+        self.server.log.restart(LATER, 1)  # the new source has lost the last two entries
+        self.assertEqual(self.watermark(), 0)
         self.server.fanout.receive_progress(1, acknowledged(3, 0), self.now_us)
-        self.assertEqual(self.done(), 0, "numbers of the epoch before mean nothing")
+        self.assertEqual(self.watermark(), 0, "an acknowledgement of the previous epoch is ignored")
         now_us = run(self.server, {1: self.client}, self.now_us, SECOND)
         self.assertEqual((self.client.follower.epoch, self.client.follower.applied), (LATER, 1))
         self.assertEqual(self.server.fanout.watermark(now_us), 1)
         self.assertTrue(
-            self.client.leased(run(self.server, {1: self.client}, now_us, 2 * FRESHNESS_LEASE_US))
+            self.client.holds_lease(run(self.server, {1: self.client}, now_us, 2 * FRESHNESS_LEASE_US))
         )
 
-    def test_many_lives_leave_nothing_behind(self) -> None:
-        for life in range(200):
-            self.server.fanout.join(100 + life, joined("other", boot=f"x{life}"), self.now_us)
-            self.server.fanout.receive_progress(100 + life, acknowledged(0, 1), self.now_us)
-            self.server.fanout.messages_to_send(100 + life, self.now_us)
-            self.server.fanout.close_stream(100 + life, self.now_us)
-        self.assertEqual(self.done(lease_lapse_us()), 3)
+    def test_records_of_many_restarts_are_removed(self) -> None:
+        for run_number in range(200):
+            self.server.fanout.join(100 + run_number, joined("other", boot=f"x{run_number}"), self.now_us)
+            self.server.fanout.receive_progress(100 + run_number, acknowledged(0, 1), self.now_us)
+            self.server.fanout.messages_to_send(100 + run_number, self.now_us)
+            self.server.fanout.close_stream(100 + run_number, self.now_us)
+        self.assertEqual(self.watermark(lease_lapse_us()), 3)
         self.assertLessEqual(len(self.server.fanout.status(self.now_us + lease_lapse_us())), 1)
 
 
-class Refusals(unittest.TestCase):
-    def test_whoever_is_of_a_lower_epoch_learns_of_the_higher(self) -> None:
+class Rejections(unittest.TestCase):
+    def test_a_server_with_a_lower_epoch_learns_the_higher_one(self) -> None:
         server = Server()
         for join in (joined(epoch=LATER), Join("r", "b", EPOCH, 0, "", highest_epoch=LATER)):
             with self.assertRaises(EpochSupersededError) as raised:
@@ -479,17 +507,17 @@
             with self.assertRaises(UpstreamStaleError):
                 server.fanout.join(1, joined(), 0)
 
-    def test_a_relay_that_was_paused_wakes_with_words_that_prove_what_they_did_before(self) -> None:
+    def test_messages_delayed_by_a_pause_of_the_relay_prove_nothing_newer(self) -> None:
         server, client = Server(), Client()
         server.add(3)
         client.join(server, 1, 0)
         now_us = run(server, {1: client}, 0, SECOND)
         before_us = client.follower.staleness.current_to_us
-        late = server.fanout.messages_to_send(1, now_us + HEARTBEAT_INTERVAL_US)  # made, and held up for 5 s
+        delayed = server.fanout.messages_to_send(1, now_us + HEARTBEAT_INTERVAL_US)  # delivered 5 s later
         now_us += 5 * SECOND
-        client.take(late, now_us)
+        client.receive(delayed, now_us)
         self.assertEqual(client.follower.staleness.current_to_us, before_us)
-        server.age_us = 5 * SECOND  # on waking, its own probe is as old as its pause
+        server.age_us = 5 * SECOND  # after its pause, its own last probe is 5 s old
         exchange(server, 1, client, now_us)
         age_us = client.follower.staleness.age_us(now_us)
         assert age_us is not None
@@ -499,7 +527,7 @@
 class Reports(unittest.TestCase):
     def test_lagging_followers_are_listed_by_name_over_all_relays(self) -> None:
         source = Server()
-        source.put(ConfigurationChange(1, "d1", "", b"whole"))
+        source.append(ConfigurationChange(1, "d1", "", b"whole"))
         for stream, (name, digest) in enumerate([("a", "d1"), ("b", "d0"), ("c", "")]):
             source.fanout.join(stream, joined(name), 0)
             behind = tuple(f"{name}{number}" for number in range(10)) if digest == "d1" else ()
