--- a/magpieshift/relay/errors.py
+++ b/magpieshift/relay/errors.py
@@ -34,7 +34,7 @@
 
     def __init__(self, epoch: Epoch) -> None:
         """``epoch`` is the higher one."""
-        super().__init__(f"superseded by a newer source with term {epoch.term}")
+        super().__init__(f"a source with term {epoch.term} is newer")
         self.epoch = epoch
 
 
--- a/magpieshift/relay/fanout.py
+++ b/magpieshift/relay/fanout.py
@@ -81,14 +81,12 @@
         or ``TooManyFollowersError``, and ``ValueError`` if the stream has joined already."""
         self._refresh_cut(now_us)
         if stream in self._streams:
-            raise ValueError(f"stream {stream} has joined already")
+            raise ValueError(f"stream {stream} joins twice")
         newest = max(join.epoch, join.highest_epoch)
         if newest > self._epoch:
             raise EpochSupersededError(newest)
         if not self.is_fresh(now_us):
-            raise UpstreamStaleError(
-                f"no contact with the source within the last {MAX_SERVING_SYNC_AGE_US} us"
-            )
+            raise UpstreamStaleError(f"the source was not heard of for {MAX_SERVING_SYNC_AGE_US} us")
         if len(self._streams) >= MAX_FOLLOWERS:
             raise TooManyFollowersError(f"the limit of {MAX_FOLLOWERS} followers is reached")
         follower = self._followers.follower(join.name, join.boot, now_us)
@@ -220,7 +218,7 @@
     def _require_stream(self, stream: int) -> FollowerStream:
         found = self._streams.get(stream)
         if found is None:
-            raise UnknownStreamError(f"stream {stream} has not joined, has ended or was replaced")
+            raise UnknownStreamError(f"stream {stream}")
         return found
 
     def _forget_stream(self, stream: int) -> None:
--- a/magpieshift/relay/log.py
+++ b/magpieshift/relay/log.py
@@ -59,9 +59,7 @@
         """The entries with numbers above ``sequence``, up to and including ``up_to`` (the head by default);
         ``DroppedEntriesError`` if one of them was dropped."""
         if sequence + 1 < self.first:
-            raise DroppedEntriesError(
-                f"entry {sequence + 1} was dropped, the oldest retained is {self.first}"
-            )
+            raise DroppedEntriesError(f"entry {sequence + 1} is dropped, {self.first} is the first")
         end = self.head if up_to is None else min(up_to, self.head)
         # read from the newer end: a deque is traversed from its ends, and most followers need the last few
         count = end - sequence
--- a/magpieshift/relay/service.py
+++ b/magpieshift/relay/service.py
@@ -130,7 +130,7 @@
         """End all streams and stop the server at once."""
         if self._ticker is not None:
             self._ticker.cancel()
-        self.end_streams("the server is shutting down")
+        self.end_streams("ending")
         if self._server is not None:
             await self._server.stop(0)
 
@@ -158,23 +158,23 @@
         self._was_fresh = is_fresh
         for stream in list(self._streams.values()):
             if stream.name and not is_fresh:
-                stream.end(Code.UNAVAILABLE, "the server has lost contact with its source")
+                stream.end(Code.UNAVAILABLE, "not current")
             elif not stream.name and now_us - stream.began_us > JOIN_TIMEOUT_S * 1e6:
-                stream.end(Code.DEADLINE_EXCEEDED, f"no join within {JOIN_TIMEOUT_S} s")
+                stream.end(Code.DEADLINE_EXCEEDED, "nothing was said")
 
     def _end_silent(self, number: int) -> None:
         stream = self._streams.get(number)
         if stream is not None and stream.end_status is None:
             self.counters.silent_streams += 1
             log.warning("follower timed out", extra=fields(peer=stream.name))
-            stream.end(Code.DEADLINE_EXCEEDED, "the follower sent no message in time")
+            stream.end(Code.DEADLINE_EXCEEDED, "nothing was heard")
 
     # --- one stream
 
     async def _follow(self, requests: AsyncIterator[bytes], context: Any) -> None:
         if len(self._streams) >= MAX_STREAMS:
             self.counters.rejected_streams += 1
-            await context.abort(Code.RESOURCE_EXHAUSTED, f"the limit of {MAX_STREAMS} streams is reached")
+            await context.abort(Code.RESOURCE_EXHAUSTED, f"{MAX_STREAMS} streams are open")
         task: Any = asyncio.current_task()
         stream = StreamDriver(next(self._numbers), task)
         self._streams[stream.number] = stream
@@ -246,7 +246,7 @@
                 self._on_superseded(error.epoch)
                 return Code.FAILED_PRECONDITION, str(error)
             case TooManyFollowersError():
-                return Code.RESOURCE_EXHAUSTED, "the server has reached its maximum number of followers"
+                return Code.RESOURCE_EXHAUSTED, "there are too many followers"
             case UpstreamStaleError():
                 return Code.UNAVAILABLE, str(error)
             case UnknownStreamError():
