--- a/magpieshift/relay/configuration.py
+++ b/magpieshift/relay/configuration.py
@@ -59,6 +59,4 @@
     try:
         return read_changes(wire.Delta.FromString(content))
     except DecodeError as err:
-        raise UnusableDocumentError(
-            [Problem("delta", 0, f"undecodable bytes ({err})", "a serialized delta")]
-        ) from None
+        raise UnusableDocumentError([Problem("delta", 0, f"no delta ({err})", "one")]) from None
--- a/magpieshift/relay/decoding.py
+++ b/magpieshift/relay/decoding.py
@@ -60,7 +60,7 @@
         message.ParseFromString(data)
     except DecodeError as err:
         raise MalformedMessageError(
-            "message", f"{len(data)} bytes that cannot be decoded ({err})", "a message"
+            "message", f"{len(data)} bytes that cannot be read ({err})", "a message"
         ) from None
     content: str | None = message.WhichOneof("said")
     if len(data) > MAX_MESSAGE_BYTES and content != "snapshot":
