--- a/magpieshift/downstream/connection.py
+++ b/magpieshift/downstream/connection.py
@@ -101,7 +101,7 @@
         """Whether it has taken nothing of its responses since then."""
         return self._unsent_bytes > 0 and self._last_progress_us < since_us
 
-    def is_done_after_notice(self, quiet_since_us: int) -> bool:
+    def can_close_after_go_away(self, quiet_since_us: int) -> bool:
         """Whether a client that was asked to send no more holds its connection for nothing. A client that
         only asks for readiness may go on asking."""
         if self.is_busy or not self._session.go_away_sent:
@@ -170,7 +170,7 @@
             self._frame_due_since_us = None
         elif self._frame_due_since_us is None or completed_frame:
             self._frame_due_since_us = self.last_received_us
-        self._account()
+        self._update_held_bytes()
 
     def _receive_available(self) -> None:
         """Take in what the client has sent by now, ahead of the event loop's turn: it may be a cancel or its
@@ -255,17 +255,17 @@
         except StreamClosedError:
             return  # the client has gone, which must not fail the endpoint's connection that brought this
         if not written.done():
-            self._count_unsent(size)
-            written.add_done_callback(lambda _: self._count_unsent(-size))
+            self._add_unsent_bytes(size)
+            written.add_done_callback(lambda _: self._add_unsent_bytes(-size))
 
-    def _count_unsent(self, change: int) -> None:
+    def _add_unsent_bytes(self, change: int) -> None:
         """The one place where unsent bytes are counted, and counted off."""
         if self._unsent_bytes == 0 or change < 0:
             self._last_progress_us = self._host.clock.now_us()
         self._unsent_bytes += change
         self._resume_paused()
         self._close_if_done()
-        self._account()
+        self._update_held_bytes()
         if self._unsent_bytes > MAX_UNSENT_BYTES:  # it sends requests without end, and takes no response
             log.warning("slow client disconnected", extra=fields(held_bytes=self.held_bytes))
             self._end()
@@ -276,7 +276,7 @@
             del self._paused[stream_id]
             self._host.engine.resume(self._request_numbers[stream_id])
 
-    def _account(self) -> None:
+    def _update_held_bytes(self) -> None:
         """Tell the host how much is held for this client: what it has not taken, and a frame in part."""
         held_bytes = 0 if self._is_closed else self._unsent_bytes + self._session.partial_frame_bytes
         change = held_bytes - self.held_bytes
@@ -291,6 +291,6 @@
         for stream_id, request_number in list(self._request_numbers.items()):
             self._release(stream_id)
             self._host.engine.cancel(request_number)
-        self._account()
+        self._update_held_bytes()
         self._on_closed(self)
         self._stream.close()
--- a/magpieshift/downstream/server.py
+++ b/magpieshift/downstream/server.py
@@ -27,7 +27,7 @@
 """Time without a byte and with nothing open; clients close after 4 s."""
 MAX_STALL_S = 10.0
 """Time without taking a byte of a response. Longer holds memory for dead clients."""
-MAX_IDLE_AFTER_NOTICE_S = 0.3
+MAX_IDLE_AFTER_GO_AWAY_S = 0.3
 """The same as ``MAX_IDLE_S`` for a client that was asked to send no more: it is not coming back."""
 SHUTDOWN_POLL_S = 0.005
 """How often the planned end looks for connections that have become idle; small against its 4 s."""
@@ -97,7 +97,7 @@
 
     def listen_on(self, sock: socket.socket) -> None:
         """Accept connections at this listening socket, and own it."""
-        self._listener = Listener(sock, self._accepted, self._out_of_descriptors)
+        self._listener = Listener(sock, self._accepted, self._free_descriptor)
 
     def stop_listening(self) -> None:
         """Listen no more; what waits in the listener's queue is accepted first."""
@@ -113,7 +113,7 @@
             log.warning("client rejected", extra=fields(reason="too many", open=len(self._connections)))
             stream.close()
             return
-        connection = Connection(self, stream, self._forget)
+        connection = Connection(self, stream, self._remove_connection)
         self._connections.add(connection)
         task = asyncio.ensure_future(connection.serve())
         self._tasks.add(task)
@@ -138,18 +138,18 @@
             self._close_if_expired(connection, now_us)
 
     def _close_if_expired(self, connection: Connection, now_us: int) -> None:
-        def since_us(duration_s: float) -> int:
+        def ago_us(duration_s: float) -> int:
             """The time so long ago."""
             return now_us - int(1e6 * duration_s)
 
         is_lame_duck = self.lifecycle.state == State.LAME_DUCK
-        is_overdue = connection.is_frame_overdue(since_us(INCOMPLETE_FRAME_TIMEOUT_S))
+        is_overdue = connection.is_frame_overdue(ago_us(INCOMPLETE_FRAME_TIMEOUT_S))
         is_unused = (
             is_overdue
-            or connection.last_received_us < since_us(MAX_IDLE_S)
-            or (is_lame_duck and connection.is_done_after_notice(since_us(MAX_IDLE_AFTER_NOTICE_S)))
+            or connection.last_received_us < ago_us(MAX_IDLE_S)
+            or (is_lame_duck and connection.can_close_after_go_away(ago_us(MAX_IDLE_AFTER_GO_AWAY_S)))
         )
-        if connection.is_stalled(since_us(MAX_STALL_S)) or (is_unused and connection.is_idle):
+        if connection.is_stalled(ago_us(MAX_STALL_S)) or (is_unused and connection.is_idle):
             connection.close()
         elif is_overdue:  # what it sent before is still answered
             connection.close_with_error("frame not whole in time")
@@ -187,7 +187,7 @@
     def _accepted(self, sock: socket.socket) -> None:
         self.serve(LingeringStream(sock, self._closing, MAX_UNPARSED_BYTES))
 
-    def _forget(self, connection: Connection) -> None:
+    def _remove_connection(self, connection: Connection) -> None:
         """The one place where a connection leaves the server."""
         self._connections.discard(connection)
 
@@ -200,7 +200,7 @@
                 return True
         return False
 
-    def _out_of_descriptors(self) -> None:
+    def _free_descriptor(self) -> None:
         """Have a connection that is closing, or is idle, give its descriptor back."""
         if len(self._closing) == 0:
             self._close_one_idle()
--- a/magpieshift/downstream/session.py
+++ b/magpieshift/downstream/session.py
@@ -92,7 +92,7 @@
     def _receive_request(self, frame: Frame) -> SessionEvent:
         stream_id = frame.stream_id
         self.requests_received += 1
-        self._use_stream_id(stream_id)
+        self._register_stream_id(stream_id)
         is_over_limit = len(self._open) >= MAX_OPEN_STREAMS
         self._open.add(stream_id)
         if is_over_limit:
@@ -104,7 +104,7 @@
             return self._invalid_request(stream_id, str(err))
         return ClientRequestReceived(stream_id, request)
 
-    def _use_stream_id(self, stream_id: int) -> None:
+    def _register_stream_id(self, stream_id: int) -> None:
         """Note that an id is used; ``FrameError`` where it was before, or is too far ahead."""
         if stream_id <= self._used_up_to or stream_id in self._used_above:
             raise FrameError(f"stream {stream_id} is not new")
--- a/magpieshift/upstream/cancel_barrier.py
+++ b/magpieshift/upstream/cancel_barrier.py
@@ -29,11 +29,11 @@
         self._release_retry = release
         self._is_released = False
         self._timer = clock.after(MAX_HOLD_US, self._release)
-        self._probe = PendingExchange(None, self._confirmed)
+        self._probe = PendingExchange(None, self._on_probe_ended)
         if may_probe and cancelled.connection is not None:
-            cancelled.connection.carry_probe(self._probe)
+            cancelled.connection.submit_probe(self._probe)
 
-    def _confirmed(self, _result: AttemptResult) -> None:
+    def _on_probe_ended(self, _result: AttemptResult) -> None:
         """The health check was answered, or its connection has ended, which gives up what was open on it."""
         self._release()
 
--- a/magpieshift/upstream/codec.py
+++ b/magpieshift/upstream/codec.py
@@ -229,7 +229,7 @@
                 position = line_stop
                 if len(self._line) > MAX_LINE_BYTES:
                     raise UpstreamProtocolError(f"found a line of more than {MAX_LINE_BYTES} bytes")
-                if self._line.endswith(b"\n") and (response := self._take_line()) is not None:
+                if self._line.endswith(b"\n") and (response := self._parse_line()) is not None:
                     yield response
             else:
                 size = min(len(self._body) - self._body_size, len(data) - position)
@@ -237,9 +237,9 @@
                 self._body_size += size
                 position += size
                 if self._body_size == len(self._body):
-                    yield self._take_body()
+                    yield self._finish_body()
 
-    def _take_line(self) -> UpstreamResponse | None:
+    def _parse_line(self) -> UpstreamResponse | None:
         """The response that the line at hand is; None where its body follows."""
         raw = bytes(self._line)
         self._line = bytearray()
@@ -264,7 +264,7 @@
         self._body_size = 0
         return None
 
-    def _take_body(self) -> UpstreamResponse:
+    def _finish_body(self) -> UpstreamResponse:
         """The response whose body is complete."""
         head = self._head
         body = self._body
--- a/magpieshift/upstream/connection.py
+++ b/magpieshift/upstream/connection.py
@@ -111,7 +111,7 @@
         """The number of exchanges open on it or waiting for it."""
         return len(self.exchanges) + len(self._waiting)
 
-    def can_carry(self, exchange: PendingExchange, now_us: int) -> bool:
+    def can_accept(self, exchange: PendingExchange, now_us: int) -> bool:
         """Whether it may carry this exchange. An idle connection may have been closed by the endpoint: what
         is written to it then is reset, and has to pass for what may have run."""
         if self.is_retired or self._stream.closed() or self.is_silent(now_us):
@@ -126,7 +126,7 @@
         responses_due = self._is_connected and len(self.exchanges) > 0
         return responses_due and now_us - self._last_received_us > self._settings.max_silence_us
 
-    def carry(self, exchange: PendingExchange) -> None:
+    def submit(self, exchange: PendingExchange) -> None:
         """Write an exchange, now or once the connection is up."""
         self.idle_since_us = None
         exchange.connection = self
@@ -135,7 +135,7 @@
         else:
             self._waiting[exchange] = None
 
-    def carry_probe(self, probe: PendingExchange) -> None:
+    def submit_probe(self, probe: PendingExchange) -> None:
         """Write a health check behind all that was written, without a load report; on a connection that is
         closed it does nothing."""
         if not self._stream.closed():
@@ -231,15 +231,15 @@
         if request is None:
             self._write_probe(exchange, with_load_report=bool(self._settings.load_report_columns))
             return
-        self._note_written(exchange)
+        self._mark_written(exchange)
         self._send(self.exchanges.open_request(request, self._clock.now_us(), exchange.callback))
 
     def _write_probe(self, probe: PendingExchange, with_load_report: bool) -> None:
-        self._note_written(probe)
+        self._mark_written(probe)
         probe.request_id, probe_line = self.exchanges.open_probe(with_load_report, probe.callback)
         self._send((probe_line,))
 
-    def _note_written(self, exchange: PendingExchange) -> None:
+    def _mark_written(self, exchange: PendingExchange) -> None:
         """Silence counts from the first of the exchanges that are open."""
         if len(self.exchanges) == 0:
             self._last_received_us = self._clock.now_us()
--- a/magpieshift/upstream/endpoint_pool.py
+++ b/magpieshift/upstream/endpoint_pool.py
@@ -31,20 +31,20 @@
         self.connections: list[Connection] = []
         """Those that are up or coming up, oldest first."""
 
-    def carry(self, exchange: PendingExchange, max_streams: int, preferred_streams: int) -> bool:
+    def submit(self, exchange: PendingExchange, max_streams: int, preferred_streams: int) -> bool:
         """Put an exchange on the least loaded connection that may carry it, or on a new one; whether there
         was one. A connection carries ``max_streams`` at once; from ``preferred_streams`` on a new one is
         opened where that is possible."""
         connection, load = self._least_loaded(exchange, max_streams)
         if (connection is None or load >= preferred_streams) and self._may_open(self):
             try:
-                connection = Connection(self._endpoint, self._settings, self._clock, self._forget)
+                connection = Connection(self._endpoint, self._settings, self._clock, self._remove_connection)
                 self.connections.append(connection)
             except OSError as err:  # no descriptor: an open connection carries it, or it never ran
                 log.warning("connection not opened", extra=fields(endpoint=self._endpoint.name, reason=err))
         if connection is None:
             return False
-        connection.carry(exchange)
+        connection.submit(exchange)
         return True
 
     def _least_loaded(self, exchange: PendingExchange, max_streams: int) -> tuple[Connection | None, int]:
@@ -54,14 +54,14 @@
         min_load = max_streams
         for connection in self.connections:
             load = connection.load
-            if load < min_load and connection.can_carry(exchange, now_us):
+            if load < min_load and connection.can_accept(exchange, now_us):
                 best = connection
                 min_load = load
                 if load == 0:
                     break
         return best, min_load
 
-    def leads_to(self, endpoint: ListedEndpoint) -> bool:
+    def connects_to(self, endpoint: ListedEndpoint) -> bool:
         """Whether these connections are to the process that is listed."""
         own = self._endpoint
         return (own.address, own.endpoint.started_us) == (endpoint.address, endpoint.endpoint.started_us)
@@ -83,7 +83,7 @@
             if since_us is not None and now_us - since_us >= min_idle_us:
                 connection.close()
 
-    def _forget(self, connection: Connection) -> None:
+    def _remove_connection(self, connection: Connection) -> None:
         """The one place where a connection leaves the pool."""
         if connection in self.connections:
             self.connections.remove(connection)
--- a/magpieshift/upstream/pool.py
+++ b/magpieshift/upstream/pool.py
@@ -106,7 +106,7 @@
 
     def _send(self, request: UpstreamRequest, exchange: PendingExchange) -> None:
         """Put a request on a connection, unless it was cancelled while it was held."""
-        if exchange.is_cancelled or self._carry(request.endpoint, exchange):
+        if exchange.is_cancelled or self._submit(request.endpoint, exchange):
             return
         log.warning("no connection available", extra=fields(endpoint=request.endpoint.name))
         self._clock.soon(lambda: exchange.callback(NEVER_CONNECTED))
@@ -125,7 +125,7 @@
             callback(result)
 
         exchange = PendingExchange(None, ended)
-        if not self._carry(endpoint, exchange):
+        if not self._submit(endpoint, exchange):
             self._clock.soon(lambda: ended(NEVER_CONNECTED))
 
     def close_idle(self, endpoint: ListedEndpoint) -> None:
@@ -168,17 +168,17 @@
     def _all_pools(self) -> list[EndpointPool]:
         return [*self._pools.values(), *self._retired]
 
-    def _carry(self, endpoint: ListedEndpoint, exchange: PendingExchange) -> bool:
+    def _submit(self, endpoint: ListedEndpoint, exchange: PendingExchange) -> bool:
         """Put an exchange on a connection to this endpoint; whether there was one."""
         preferred = min(self._max_streams, self._preferred_streams)
-        return self._pool(endpoint).carry(exchange, self._max_streams, preferred)
+        return self._pool(endpoint).submit(exchange, self._max_streams, preferred)
 
     def _pool(self, endpoint: ListedEndpoint) -> EndpointPool:
         """The connections to the listed process: an endpoint that restarts, or moves, gets new ones, for the
         old may be silent for ever."""
         number = endpoint.endpoint.number
         pool = self._pools.get(number)
-        if pool is not None and not pool.leads_to(endpoint):
+        if pool is not None and not pool.connects_to(endpoint):
             self._retire(number, process_is_gone=True)
             pool = None
         if pool is None:
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -39,7 +39,7 @@
     def connections(self, *loads: int, unfit: tuple[int, ...] = ()) -> list[mock.Mock]:
         """Connections with these loads, of which some may not carry the exchange."""
         connections = [
-            mock.Mock(load=load, can_carry=mock.Mock(return_value=index not in unfit))
+            mock.Mock(load=load, can_accept=mock.Mock(return_value=index not in unfit))
             for index, load in enumerate(loads)
         ]
         self.pool.connections = list(connections)
@@ -47,19 +47,19 @@
 
     async def test_the_least_loaded_that_may_carry_it(self) -> None:
         connections = self.connections(3, 1, 0, 1, unfit=(2,))
-        self.assertTrue(self.pool.carry(self.exchange, 32, 4))
-        connections[1].carry.assert_called_once_with(self.exchange)
+        self.assertTrue(self.pool.submit(self.exchange, 32, 4))
+        connections[1].submit.assert_called_once_with(self.exchange)
         self.may_open.assert_not_called()
 
     async def test_a_new_one_is_wanted_once_all_carry_the_preferred_number(self) -> None:
         connections = self.connections(5, 4)
-        self.assertTrue(self.pool.carry(self.exchange, 32, 4))
+        self.assertTrue(self.pool.submit(self.exchange, 32, 4))
         self.may_open.assert_called_once_with(self.pool)
-        connections[1].carry.assert_called_once_with(self.exchange)  # none may be opened
+        connections[1].submit.assert_called_once_with(self.exchange)  # none may be opened
 
     async def test_none_where_all_are_full_and_none_may_be_opened(self) -> None:
         self.connections(32, 32)
-        self.assertFalse(self.pool.carry(self.exchange, 32, 4))
+        self.assertFalse(self.pool.submit(self.exchange, 32, 4))
 
 
 class Idle(unittest.IsolatedAsyncioTestCase):
@@ -85,11 +85,11 @@
         for is_written, outcome in ((True, Outcome.TIMEOUT), (False, Outcome.CONNECT_FAILED)):
             callback = mock.Mock()
 
-            def carry(exchange: PendingExchange, *_: int, is_written: bool = is_written) -> bool:
+            def submit(exchange: PendingExchange, *_: int, is_written: bool = is_written) -> bool:
                 exchange.is_written = is_written
                 return True
 
-            with mock.patch.object(EndpointPool, "carry", side_effect=carry):
+            with mock.patch.object(EndpointPool, "submit", side_effect=submit):
                 pool.probe(mock.Mock(), callback)
             delay_us, timed_out = clock.after.call_args.args
             self.assertEqual(delay_us, PROBE_TIMEOUT_US)
