--- a/magpieshift/downstream/connection.py
+++ b/magpieshift/downstream/connection.py
@@ -131,7 +131,7 @@
         except StreamClosedError:
             pass
         except Exception:  # a fault of ours costs this connection, not the task that gives it back
-            log.exception("connection failed")
+            log.exception("exception closed the connection")
         finally:
             self._end()
 
--- a/magpieshift/upstream/cancel_barrier.py
+++ b/magpieshift/upstream/cancel_barrier.py
@@ -1,10 +1,11 @@
-"""Holds a retry until the endpoint has read the cancellation of the attempt before it.
-
-A cancellation and a retry go out on different connections, as two answers under one id could not be told
-apart on one. Nothing orders what is read from two connections: an endpoint that reads the retry first works
-on the request twice at once. A health check behind the cancellation, on the same connection, is answered
-only by an endpoint that has read it. Where none may be sent, or no answer comes, the retry is held for a
-bounded time.
+"""Holds a retry until the endpoint has read the cancellation of the previous attempt.
+
+A retry has the same request id as the cancelled attempt, so it is sent on another connection: on one
+connection their responses could not be told apart. The endpoint may read the two connections in any order,
+and if it reads the retry before the cancellation, it executes the request twice at once. A health check is
+therefore sent after the cancellation on the same connection: once it is answered, the endpoint has read the
+cancellation. If the settings do not allow health checks, or no answer arrives, the retry is held for
+``MAX_HOLD_US``.
 """
 
 from __future__ import annotations
@@ -16,16 +17,20 @@
 from magpieshift.upstream.connection import PendingExchange
 
 MAX_HOLD_US = 50_000
-"""A retry is held for so long at most: the protocol's own allowance for delays on sockets."""
+"""Maximum time for which a retry is held; the protocol allows for delays of this length on sockets."""
 
 
 class CancelBarrier:
-    """One retry that waits for the cancellation of the attempt before it."""
+    """One retry that is held until the endpoint has read the cancellation of the previous attempt."""
 
     def __init__(
         self, clock: Clock, cancelled: PendingExchange, may_probe: bool, release: Callable[[], None]
     ) -> None:
-        """``release`` is called once, never from within this call: the retry may be written."""
+        """Hold a retry of the attempt ``cancelled``.
+
+        ``may_probe`` is whether the settings allow health checks. ``release`` is called once, when the retry
+        may be written, and never from within this call.
+        """
         self._release_retry = release
         self._is_released = False
         self._timer = clock.after(MAX_HOLD_US, self._release)
@@ -34,7 +39,10 @@
             cancelled.connection.submit_probe(self._probe)
 
     def _on_probe_ended(self, _result: AttemptResult) -> None:
-        """The health check was answered, or its connection has ended, which gives up what was open on it."""
+        """Release the retry: the health check was answered, or its connection closed.
+
+        An endpoint abandons the requests of a connection that has closed.
+        """
         self._release()
 
     def _release(self) -> None:
--- a/magpieshift/upstream/codec.py
+++ b/magpieshift/upstream/codec.py
@@ -1,6 +1,6 @@
-"""Codec of the upstream wire: request lines out, response lines and bodies in. No I/O.
+"""Codec of the upstream protocol: encodes request lines, parses response lines and bodies. No I/O.
 
-The wire's own words stand in this module only, each mapped once to the name that the rest of the router uses.
+Only this module uses the protocol's own words; it maps each to the name that the rest of the router uses.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 
 LINE_END = b"\r\n"
 MAX_LINE_BYTES = 4096
-"""Longest response line. Smaller could cut off a long load report, larger costs memory."""
+"""Maximum size of a response line. Smaller could reject a long load report, larger costs memory."""
 MAX_BODY_BYTES = 1 << 18
-"""Largest response body; the protocol allows objects of 240,000 bytes."""
+"""Maximum size of a response body; the protocol allows objects of up to 240,000 bytes."""
 MAX_LOGGED_CHARACTERS = 40
-"""How much of an unreadable text goes into a log line, so that a peer cannot fill the log."""
+"""Maximum number of characters of a received text in a log line, so that a peer cannot fill the log."""
 MAX_NUMBER = 1e12
-"""Numbers of a response from here on are taken for garbage: a load report of that size is impossible."""
+"""Numbers in a response from this one on count as 0: no load figure can be that large."""
 
 
 class ResponseStatus(StrEnum):
-    """The word with which an endpoint answers; the values are the wire's."""
+    """Status of a response; the values are the words on the wire."""
 
     DATA = "data"
     NOT_MODIFIED = "unchanged"
@@ -43,7 +43,7 @@
 
 
 STATUSES: Mapping[str, ResponseStatus] = {status.value: status for status in ResponseStatus}
-"""The statuses by their words."""
+"""Each status by its word on the wire."""
 
 REQUEST_OUTCOMES: Mapping[ResponseStatus, Outcome] = {
     ResponseStatus.DATA: Outcome.OK,
@@ -53,16 +53,19 @@
     ResponseStatus.ERROR: Outcome.ERROR,
     ResponseStatus.SUPERSEDED: Outcome.SUPERSEDED,
 }
-"""The answers to a request that names the version which the client holds, and the outcome of each."""
+"""Outcome of each status that may answer a request which names the client's known version."""
 UNCONDITIONAL_REQUEST_OUTCOMES: Mapping[ResponseStatus, Outcome] = {
     status: outcome for status, outcome in REQUEST_OUTCOMES.items() if status != ResponseStatus.NOT_MODIFIED
 }
-"""The same where the client holds no copy: "not modified" would leave it with nothing at all."""
+"""Outcome of each status that may answer a request without a known version.
+
+"Not modified" is excluded: the client holds no copy, so it would get no content at all.
+"""
 PROBE_OUTCOMES: Mapping[ResponseStatus, Outcome] = {
     ResponseStatus.HEALTHY: Outcome.OK,
     ResponseStatus.UNHEALTHY: Outcome.ERROR,
 }
-"""The answers to a health check."""
+"""Outcome of each status that may answer a health check."""
 
 CACHE_STATUSES: Mapping[str, CacheStatus] = {
     "warm": CacheStatus.HIT,
@@ -85,7 +88,7 @@
     "tps": "qps",
     "err_ps": "eps",
 }
-"""By the settings' name of a load figure: the other name under which an endpoint may report it."""
+"""Alternative name under which an endpoint may report a load figure, by the figure's name in the settings."""
 
 REQUEST_FLAGS = (
     (CacheRequestFlag.COALESCE_FILL, "share"),
@@ -95,11 +98,11 @@
 )
 
 ALWAYS_WRITTEN = frozenset({"class", "key", "part", "wait"})
-"""The request fields that are written also where they are empty or zero."""
+"""Request fields that are written even if they are empty or zero."""
 
 
 class UpstreamProtocolError(MagpieshiftError):
-    """An endpoint sent bytes that are no response; its connection cannot go on."""
+    """An endpoint sent bytes that are not a valid response; its connection has to be closed."""
 
 
 @dataclass(slots=True)
@@ -107,14 +110,14 @@
     """One response."""
 
     request_id: str
-    """The id of the request, or of the probe, that it answers."""
+    """The id of the request or health check that it answers."""
     status: ResponseStatus
     fields: Mapping[str, str] = field(default_factory=dict)
-    """What it tells beside the status, under the wire's names."""
+    """The response's fields, under their names on the wire."""
     body: bytes | bytearray = b""
 
     def result(self, outcome: Outcome, load_report_columns: Sequence[str]) -> AttemptResult:
-        """The response in the engine's terms; the load report's figures in the order of the columns."""
+        """Convert the response to an ``AttemptResult``, with one load figure for each column, in order."""
         return AttemptResult(
             outcome=outcome,
             cache_status=CACHE_STATUSES.get(self.fields.get("how", ""), CacheStatus.NONE),
@@ -126,7 +129,7 @@
 
 
 def encode_request(request: UpstreamRequest, now_us: int) -> tuple[bytes, ...]:
-    """The bytes of a request, in the pieces in which they are written: the body is not copied."""
+    """Encode a request as the chunks to write; the body is a chunk of its own, so that it is not copied."""
     client_request = request.request
     body = client_request.body
     text = write_fields(request_fields(request, now_us))
@@ -135,22 +138,25 @@
 
 
 def encode_cancel(request_id: str) -> bytes:
-    """The line that cancels a request."""
+    """Encode the line that cancels a request."""
     return f"QUIT {request_id}\r\n".encode()
 
 
 def encode_probe(probe_id: str, with_load_report: bool) -> bytes:
-    """The line of a health check."""
+    """Encode the line of a health check."""
     return f"{'INFO' if with_load_report else 'NOOP'} {probe_id}\r\n".encode()
 
 
 def request_fields(request: UpstreamRequest, now_us: int) -> dict[str, str]:
-    """A request under the wire's field names; what is absent or zero is left out."""
+    """Return a request's fields under their names on the wire.
+
+    Fields that are empty or zero are omitted, except those in ``ALWAYS_WRITTEN``.
+    """
     client_request = request.request
     max_age_us = request.max_age_now_us()
     max_age_ms = (
         -(-max_age_us // 1000) if max_age_us < 1000 else max_age_us // 1000
-    )  # never down to "no bound"
+    )  # rounded up below 1 ms, as 0 would mean "no bound"
     values: dict[str, str | int] = {
         "class": client_request.class_name,
         "key": client_request.object_key,
@@ -167,12 +173,12 @@
 
 
 def write_fields(fields: Mapping[str, str]) -> str:
-    """Fields as they stand in a line; ``-`` for none."""
+    """Encode fields as they appear in a line; ``-`` if there are none."""
     return ",".join(f"{name}={value}" for name, value in fields.items()) or "-"
 
 
 def read_fields(text: str) -> dict[str, str]:
-    """The inverse of ``write_fields``; ``UpstreamProtocolError`` where the text is no list of fields."""
+    """Decode fields written by ``write_fields``; raises ``UpstreamProtocolError`` for any other text."""
     if text == "-":
         return {}
     pairs = [item.partition("=") for item in text.split(",")]
@@ -182,43 +188,49 @@
 
 
 def _read_load_report(text: str, columns: Sequence[str]) -> tuple[float, ...]:
-    """A load report in the order of the columns; empty if a column is missing."""
+    """Return the load report's figure for each column, in order; empty if the report lacks a column."""
     values = dict(item.partition(":")[::2] for item in text.split(";") if ":" in item)
     found = [values.get(name) or values.get(LOAD_REPORT_ALIASES.get(name, "")) for name in columns]
     return () if None in found else tuple(_read_number(value or "") for value in found)
 
 
 def _read_number(text: str) -> float:
-    """A number that is not negative; 0 for an empty text and for one that is no such number."""
+    """Parse a number of a response.
+
+    Returns 0 for an empty or unreadable text, and for a number that is negative, NaN or too large.
+    """
     try:
         value = float(text) if text else 0.0
     except ValueError:
-        log.warning("unreadable number", extra=log_fields(text=text[:MAX_LOGGED_CHARACTERS]))
+        log.warning("unreadable number in response", extra=log_fields(text=text[:MAX_LOGGED_CHARACTERS]))
         return 0.0
     return value if 0 <= value < MAX_NUMBER else 0.0
 
 
 class ResponseParser:
-    """Bytes in, responses out, however the bytes are cut. A body is gathered in one buffer of its full
-    size."""
+    """Incremental parser: takes bytes in chunks of any size and yields responses.
+
+    A body is collected in one buffer, allocated at its full size.
+    """
 
     def __init__(self) -> None:
         self._line = bytearray()
-        """The line that has begun and not ended."""
+        """The received part of an incomplete line."""
         self._head: UpstreamResponse | None = None
-        """The response whose body is being read."""
+        """The response whose body is being received; None while a line is being received."""
         self._body = bytearray()
-        """That body and its line end, at full size."""
+        """Buffer for that body and its line end, allocated at full size."""
         self._body_size = 0
-        """How many bytes of it have arrived."""
+        """Number of bytes received into ``_body`` so far."""
 
     @property
     def partial_request_id(self) -> str:
-        """The id of the response whose body has begun and not ended; empty for none."""
+        """The request id of the response whose body is being received; empty if there is none."""
         return self._head.request_id if self._head is not None else ""
 
     def feed(self, data: bytes) -> Iterator[UpstreamResponse]:
-        """The responses that these bytes complete; ``UpstreamProtocolError`` where they are none."""
+        """Yield the responses that these bytes complete; raises ``UpstreamProtocolError`` if one is
+        invalid."""
         view = memoryview(data)
         position = 0
         while position < len(data):
@@ -228,7 +240,9 @@
                 self._line += view[position:line_stop]
                 position = line_stop
                 if len(self._line) > MAX_LINE_BYTES:
-                    raise UpstreamProtocolError(f"found a line of more than {MAX_LINE_BYTES} bytes")
+                    raise UpstreamProtocolError(
+                        f"found a response line of more than the maximum of {MAX_LINE_BYTES} bytes"
+                    )
                 if self._line.endswith(b"\n") and (response := self._parse_line()) is not None:
                     yield response
             else:
@@ -240,38 +254,40 @@
                     yield self._finish_body()
 
     def _parse_line(self) -> UpstreamResponse | None:
-        """The response that the line at hand is; None where its body follows."""
+        """Parse the complete line in ``_line``; returns None if the response continues with a body."""
         raw = bytes(self._line)
         self._line = bytearray()
         if not raw.endswith(LINE_END):
-            raise UpstreamProtocolError("line does not end in CR LF")
+            raise UpstreamProtocolError("found a response line that ends in LF alone, expected CR LF")
         try:
             words = raw[: -len(LINE_END)].decode("ascii").split(" ")
         except UnicodeDecodeError as err:
-            raise UpstreamProtocolError(f"line is not text: {err}") from err
+            raise UpstreamProtocolError(f"found a response line that is not ASCII: {err}") from err
         if not 2 <= len(words) <= 4 or words[1] not in STATUSES:
-            raise UpstreamProtocolError(f"found line {raw[:80]!r}, expected an id, a status and fields")
+            raise UpstreamProtocolError(f"found line {raw[:80]!r}, expected an id, a known status and fields")
         fields = read_fields(words[2]) if len(words) > 2 else {}
         response = UpstreamResponse(words[0], STATUSES[words[1]], fields)
         if len(words) < 4:
-            if response.status == ResponseStatus.DATA:  # without its length it would be an empty copy
-                raise UpstreamProtocolError(f"found line {raw[:80]!r}, expected a length")
+            if response.status == ResponseStatus.DATA:  # without a body it would count as an empty copy
+                raise UpstreamProtocolError(f"found line {raw[:80]!r}, expected the length of a body")
             return response
         if not words[3].isdecimal() or int(words[3]) > MAX_BODY_BYTES:
-            raise UpstreamProtocolError(f"found length {words[3][:20]!r}, expected 0 to {MAX_BODY_BYTES}")
+            raise UpstreamProtocolError(
+                f"found body length {words[3][:20]!r}, expected 0 to {MAX_BODY_BYTES}"
+            )
         self._head = response
         self._body = bytearray(int(words[3]) + len(LINE_END))
         self._body_size = 0
         return None
 
     def _finish_body(self) -> UpstreamResponse:
-        """The response whose body is complete."""
+        """Return the response whose body is now complete."""
         head = self._head
         body = self._body
         assert head is not None
         self._head = None
         self._body = bytearray()
         if not body.endswith(LINE_END):
-            raise UpstreamProtocolError("body does not end in CR LF")
+            raise UpstreamProtocolError("found other bytes than CR LF after the body")
         del body[-len(LINE_END) :]
         return UpstreamResponse(head.request_id, head.status, head.fields, body)
--- a/magpieshift/upstream/connection.py
+++ b/magpieshift/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection to an upstream endpoint: the socket, and the exchanges that wait for it to come up."""
+"""One connection to an upstream endpoint: its socket, and the exchanges that wait until it is connected."""
 
 from __future__ import annotations
 
@@ -22,49 +22,50 @@
 log = logging.getLogger(__name__)
 
 READ_CHUNK_BYTES = 32_768
-"""Most responses fit into it. Larger costs time: the stream clears as much memory for each read."""
+"""Maximum size of one read; most responses fit. Larger costs time: Tornado allocates and zeroes a buffer of
+this size for each read."""
 MAX_BUFFER_BYTES = 1 << 20
-"""What a stream holds unparsed; four times the largest response."""
+"""Maximum number of received bytes that a stream buffers; four times the largest response."""
 CONNECTION_LOST = AttemptResult(Outcome.RESET)
-"""The connection broke after it was up: what was written may have run."""
+"""Result of exchanges written on a connection that closed: the endpoint may have executed them."""
 NEVER_CONNECTED = AttemptResult(Outcome.CONNECT_FAILED)
-"""No connection came up, or none was to be had: nothing was written."""
+"""Result of exchanges that were never written: connecting failed, or no connection was available."""
 
 
 @dataclass(slots=True)
 class ConnectionSettings:
-    """What all upstream connections are run by; changed in place when a configuration takes effect."""
+    """Settings shared by all upstream connections; updated in place when a configuration takes effect."""
 
     load_report_columns: Sequence[str]
-    """The names of a load report's figures, in the settings' order."""
+    """Names of the figures in a load report, in the order of the settings."""
     connect_timeout_us: int
     max_silence_us: int
-    """Without a byte for so long while responses are due, the endpoint's machine may be gone."""
+    """Time without a received byte, while responses are due, after which the connection counts as silent."""
 
 
 class PendingExchange:
-    """A request or a health check on its way to an endpoint; the engine's handle on it."""
+    """A request or health check sent, or to be sent, to an endpoint; the engine cancels it by this object."""
 
     def __init__(self, request: UpstreamRequest | None, callback: ResultCallback) -> None:
         self.request = request
         """None for a health check."""
         self.request_id = "" if request is None else request.request.request_id
-        """The id on the wire; a health check gets it when it is written."""
+        """The id on the wire; for a health check it is empty until it is written."""
         self.callback = callback
         self.connection: Connection | None = None
-        """The connection that carries it."""
+        """The connection that it was submitted to; None before that."""
         self.is_written = False
-        """Whether its bytes were handed to the socket, so that it may have run."""
+        """Whether it was written to the socket, so that the endpoint may have executed it."""
         self.is_cancelled = False
-        """Whether it was stopped, so that it must not be written any more."""
+        """Whether it was cancelled and must not be written."""
 
     @property
     def must_not_repeat(self) -> bool:
-        """Whether running it twice does harm."""
+        """Whether it is a request that the endpoint must not execute twice."""
         return self.request is not None and self.request.must_not_repeat
 
     def cancel(self) -> bool:
-        """Stop it; its callback is not called. Returns whether the endpoint may have been reached."""
+        """Cancel it; its callback is not called. Returns whether it may have reached the endpoint."""
         self.is_cancelled = True
         if self.connection is not None:
             self.connection.cancel(self)
@@ -72,8 +73,7 @@
 
 
 class Connection:
-    """One connection to an endpoint: owner of its socket, and of the exchanges that wait for it to come
-    up."""
+    """One connection to an endpoint. Owns the socket, and the exchanges that wait until it is connected."""
 
     def __init__(
         self,
@@ -82,24 +82,27 @@
         clock: LoopClock,
         on_closed: Callable[[Connection], None],
     ) -> None:
-        """Begin to connect; ``OSError`` where no descriptor is to be had. ``on_closed`` is called once with
-        this connection, before its exchanges are ended."""
+        """Start to connect; raises ``OSError`` if no file descriptor is available.
+
+        ``on_closed`` is called once with this connection when it has closed, before its exchanges are ended.
+        """
         self._endpoint_name = endpoint.name
         self._address = endpoint.address
         self._settings = settings
         self._clock = clock
         self._on_closed = on_closed
         self.exchanges = ExchangeTable(settings.load_report_columns)
-        """The exchanges that were written."""
+        """The exchanges written on this connection and not ended."""
         self._waiting: dict[PendingExchange, None] = {}
-        """Exchanges to be written once the connection is up, oldest first."""
+        """Exchanges to be written once connected, oldest first."""
         self._is_connected = False
         self.is_retired = False
-        """Takes nothing new, and is closed once nothing is open on it."""
+        """Whether it accepts no new exchange and is closed once no exchange is open on it."""
         self.idle_since_us: int | None = clock.now_us()
-        """Since when nothing is open on it; None while something is."""
+        """Since when no exchange is open on it or waits for it, in Unix microseconds; None while one does."""
         self._last_received_us = clock.now_us()
-        """When bytes last came, or when the first of the open exchanges was written."""
+        """When bytes were last received, when it connected, or when an exchange was written while none was
+        open, whichever is latest."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._stream = IOStream(sock, max_buffer_size=MAX_BUFFER_BYTES, read_chunk_size=READ_CHUNK_BYTES)
@@ -108,12 +111,15 @@
 
     @property
     def load(self) -> int:
-        """The number of exchanges open on it or waiting for it."""
+        """Number of exchanges that are open on it or wait until it is connected."""
         return len(self.exchanges) + len(self._waiting)
 
     def can_accept(self, exchange: PendingExchange, now_us: int) -> bool:
-        """Whether it may carry this exchange. An idle connection may have been closed by the endpoint: what
-        is written to it then is reset, and has to pass for what may have run."""
+        """Whether this exchange may be submitted to this connection.
+
+        On an idle connection the socket is checked first, since the endpoint may have closed it. An exchange
+        written to it would be reset, and would have to count as possibly executed.
+        """
         if self.is_retired or self._stream.closed() or self.is_silent(now_us):
             return False
         if self._is_connected and self.load == 0 and peek_byte(self._stream.socket) == b"":
@@ -121,13 +127,16 @@
         return self.exchanges.can_open(exchange.request_id, exchange.must_not_repeat)
 
     def is_silent(self, now_us: int) -> bool:
-        """Whether responses are due and nothing has come for long. A machine that vanishes sends nothing at
-        all, so what is forwarded here would be lost until its timeout."""
+        """Whether responses are due and nothing was received for ``max_silence_us``.
+
+        A machine that fails sends nothing, not even a reset, so an exchange written here might be lost and
+        end only by its time-out.
+        """
         responses_due = self._is_connected and len(self.exchanges) > 0
         return responses_due and now_us - self._last_received_us > self._settings.max_silence_us
 
     def submit(self, exchange: PendingExchange) -> None:
-        """Write an exchange, now or once the connection is up."""
+        """Write an exchange, at once or when the connection is established."""
         self.idle_since_us = None
         exchange.connection = self
         if self._is_connected:
@@ -136,15 +145,21 @@
             self._waiting[exchange] = None
 
     def submit_probe(self, probe: PendingExchange) -> None:
-        """Write a health check behind all that was written, without a load report; on a connection that is
-        closed it does nothing."""
+        """Write a health check, which asks for no load report, after everything written before.
+
+        Does nothing if the connection is closed.
+        """
         if not self._stream.closed():
             self.idle_since_us = None
             probe.connection = self
             self._write_probe(probe, with_load_report=False)
 
     def cancel(self, exchange: PendingExchange) -> None:
-        """Take back an exchange: unwritten it is forgotten, written it is cancelled on the wire."""
+        """Cancel an exchange: an unwritten one is removed, a written request is cancelled on the wire.
+
+        The connection is retired if the endpoint has been silent for too long, or if part of the response has
+        arrived: the rest may never come, and it would block all responses after it.
+        """
         self._waiting.pop(exchange, None)
         if exchange.is_written:
             response_may_never_end = self.exchanges.is_receiving(exchange.request_id)
@@ -157,7 +172,7 @@
         self.close_if_done()
 
     def close_if_done(self) -> None:
-        """Note since when nothing is open, and close if the connection is not to be used again."""
+        """If no exchange is left, record since when the connection is idle, and close it if it is retired."""
         if self.load:
             return
         if self.idle_since_us is None:
@@ -166,14 +181,14 @@
             self.close()
 
     def close(self) -> None:
-        """Close the socket; ``_run`` ends with it, and ends the exchanges."""
+        """Close the socket, which makes ``_run`` return and end the exchanges."""
         self._stream.close()
 
     async def _run(self) -> None:
-        """Connect, read until the end, and give everything back."""
+        """Connect, and read until the connection closes; then end the exchanges and release the socket."""
         result = NEVER_CONNECTED
         try:
-            if self._stream.closed():  # before this ran at all
+            if self._stream.closed():  # closed before this task first ran
                 return
             async with asyncio.timeout(self._settings.connect_timeout_us / 1e6):
                 await self._stream.connect(self._address)
@@ -184,15 +199,15 @@
         except (StreamClosedError, TimeoutError):
             pass
         except UpstreamProtocolError as err:
-            # "store" is the field's name in the recorded exchanges that check this line
+            # the field is named "store" because recorded exchanges match this log line
             log.warning("unreadable answer", extra=fields(store=self._endpoint_name, reason=err))
-        except Exception:  # a fault in a callback costs this connection, not the task that ends its exchanges
-            log.exception("connection failed", extra=fields(endpoint=self._endpoint_name))
+        except Exception:  # an error in a callback closes this connection, but its exchanges are still ended
+            log.exception("exception closed the connection", extra=fields(endpoint=self._endpoint_name))
         finally:
             self._end(result)
 
     def _connected(self) -> None:
-        """The connection is up: write what has waited for it."""
+        """Write the exchanges that have waited until it was connected."""
         self._is_connected = True
         self._last_received_us = self._clock.now_us()
         waiting = list(self._waiting)
@@ -202,15 +217,17 @@
         self.close_if_done()
 
     def _receive(self, data: bytes) -> None:
-        """End the exchanges that these bytes answer."""
+        """Parse received bytes, and end the exchanges whose responses they complete."""
         self._last_received_us = self._clock.now_us()
         for callback, result in self.exchanges.feed(data):
             callback(result)
         self.close_if_done()
 
     def _end(self, result: AttemptResult) -> None:
-        """The one place where a connection is given back. What was written on it may have run and ends with
-        ``result``; what was not written never ran."""
+        """Release the connection; nothing else does.
+
+        Exchanges that were written end with ``result``, the others with ``NEVER_CONNECTED``.
+        """
         self._stream.close()
         self._on_closed(self)
         waiting = list(self._waiting)
@@ -221,10 +238,10 @@
             exchange.callback(NEVER_CONNECTED)
 
     def _write(self, exchange: PendingExchange) -> None:
-        """Write an exchange, unless its request may not be sent any more."""
+        """Write an exchange, or end it with the blocked reason if its request must no longer be sent."""
         request = exchange.request
         if request is not None and (blocked := request.check_blocked()) is not None:
-            # never from within the caller's own call
+            # deferred, as a callback must not be called from within the call that submits the exchange
             self._clock.soon(lambda: exchange.callback(AttemptResult(blocked)))
             self.close_if_done()
             return
@@ -240,13 +257,13 @@
         self._send((probe_line,))
 
     def _mark_written(self, exchange: PendingExchange) -> None:
-        """Silence counts from the first of the exchanges that are open."""
+        """Mark an exchange as written. If no other is open, silence is measured from now on."""
         if len(self.exchanges) == 0:
             self._last_received_us = self._clock.now_us()
         exchange.is_written = True
 
     def _send(self, chunks: Iterable[bytes]) -> None:
-        """Write; where the first chunk finds the connection broken, ``_run`` is about to end it."""
+        """Write chunks. If the stream is closed, they are dropped, and ``_run`` ends the exchanges."""
         with contextlib.suppress(StreamClosedError):
             for chunk in chunks:
                 self._stream.write(chunk)
--- a/magpieshift/upstream/endpoint_pool.py
+++ b/magpieshift/upstream/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one endpoint, and which of them carries an exchange."""
+"""The connections to one endpoint, and the choice of a connection for each exchange."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class EndpointPool:
-    """Owner of the connections to one endpoint."""
+    """Owns the connections to one endpoint."""
 
     def __init__(
         self,
@@ -23,24 +23,26 @@
         clock: LoopClock,
         may_open: Callable[[EndpointPool], bool],
     ) -> None:
-        """``may_open`` is asked before each new connection whether the descriptors allow it."""
+        """``may_open`` returns whether the descriptor limits allow one more connection in this pool."""
         self._endpoint = endpoint
         self._settings = settings
         self._clock = clock
         self._may_open = may_open
         self.connections: list[Connection] = []
-        """Those that are up or coming up, oldest first."""
+        """Connections that are established or connecting, oldest first."""
 
     def submit(self, exchange: PendingExchange, max_streams: int, preferred_streams: int) -> bool:
-        """Put an exchange on the least loaded connection that may carry it, or on a new one; whether there
-        was one. A connection carries ``max_streams`` at once; from ``preferred_streams`` on a new one is
-        opened where that is possible."""
+        """Submit an exchange to the least loaded connection that accepts it, or to a new one.
+
+        Returns whether there was one. A connection has at most ``max_streams`` exchanges at once. A new one
+        is opened, if possible, when each that accepts the exchange has at least ``preferred_streams``.
+        """
         connection, load = self._least_loaded(exchange, max_streams)
         if (connection is None or load >= preferred_streams) and self._may_open(self):
             try:
                 connection = Connection(self._endpoint, self._settings, self._clock, self._remove_connection)
                 self.connections.append(connection)
-            except OSError as err:  # no descriptor: an open connection carries it, or it never ran
+            except OSError as err:  # no descriptor: an open connection is used, if one accepts the exchange
                 log.warning("connection not opened", extra=fields(endpoint=self._endpoint.name, reason=err))
         if connection is None:
             return False
@@ -48,7 +50,11 @@
         return True
 
     def _least_loaded(self, exchange: PendingExchange, max_streams: int) -> tuple[Connection | None, int]:
-        """The least loaded connection that may carry this, the oldest first, and its load."""
+        """Return the least loaded connection that accepts this exchange, and its load.
+
+        Of equally loaded ones the oldest is returned; None, with ``max_streams``, if no connection accepts
+        it.
+        """
         now_us = self._clock.now_us()
         best = None
         min_load = max_streams
@@ -62,13 +68,16 @@
         return best, min_load
 
     def connects_to(self, endpoint: ListedEndpoint) -> bool:
-        """Whether these connections are to the process that is listed."""
+        """Whether these connections lead to the listed process: the same address and the same start time."""
         own = self._endpoint
         return (own.address, own.endpoint.started_us) == (endpoint.address, endpoint.endpoint.started_us)
 
     def retire(self, process_is_gone: bool) -> None:
-        """Take nothing new on these connections, and let what is open end; unless the process that they lead
-        to is known to have been replaced, since then they may stay silent for ever."""
+        """Accept no new exchange on these connections, and close each once its open exchanges have ended.
+
+        With ``process_is_gone`` they are closed at once: the process has been replaced, and might never
+        respond.
+        """
         for connection in list(self.connections):
             connection.is_retired = True
             if process_is_gone:
@@ -76,7 +85,7 @@
             connection.close_if_done()
 
     def close_idle(self, min_idle_us: int) -> None:
-        """Close the connections on which nothing was open for so long."""
+        """Close the connections on which no exchange has been open for at least ``min_idle_us``."""
         now_us = self._clock.now_us()
         for connection in list(self.connections):
             since_us = connection.idle_since_us
@@ -84,6 +93,6 @@
                 connection.close()
 
     def _remove_connection(self, connection: Connection) -> None:
-        """The one place where a connection leaves the pool."""
+        """Remove a closed connection from the pool; nothing else does."""
         if connection in self.connections:
             self.connections.remove(connection)
--- a/magpieshift/upstream/pool.py
+++ b/magpieshift/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The connections to all upstream endpoints, behind the interface that the engine is given."""
+"""The connections to all upstream endpoints; implements the engine's ``Upstream`` interface."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
 log = logging.getLogger(__name__)
 
 SILENCE_TIMEOUT_US = 600_000
-"""Silence with responses due after which an endpoint's machine may be gone. Shorter takes
-slow endpoints for dead, longer forwards more requests to dead ones."""
+"""Time without a received byte, while responses are due, after which a connection accepts no new exchange.
+Shorter avoids endpoints that are only slow, longer sends more requests to machines that have failed."""
 PROBE_TIMEOUT_US = 250_000
-"""How long a health check may take. Longer notices a dead endpoint later."""
+"""Time-out of a health check. Longer detects a failed endpoint later."""
 IDLE_CLOSE_FRACTION = 0.8
-"""Part of the settings' idle time after which we close: an endpoint that closes first could reset a request
-just written."""
+"""Fraction of the settings' idle time after which the router closes an idle connection: if the endpoint
+closed it first, a request just written could be reset."""
 PREFERRED_STREAMS = 4
-"""Exchanges on one connection from which a further connection is opened. More queue behind
-one another, fewer cost descriptors."""
+"""Number of exchanges per connection at which a further connection is opened. Larger makes responses on one
+connection wait for one another, smaller costs descriptors."""
 MIN_CONNECTIONS_PER_ENDPOINT = 2
-"""What each endpoint may open however many share the descriptors: one for new requests while the other is
-retired."""
+"""Minimum number of connections that each endpoint may have, however many endpoints share the descriptors:
+one for new requests while the other is retired."""
 
 
 class ConnectionPool:
-    """Owner of the connections to all endpoints."""
+    """Owns the connections to all endpoints."""
 
     part = "back"
-    """Its name among the parts whose running figures are shown; operators' tools know it."""
+    """Name of this part in the running settings that operators are shown; their tools match it."""
 
     def __init__(
         self,
@@ -51,9 +51,12 @@
         preferred_streams: int = PREFERRED_STREAMS,
         may_probe: bool = True,
     ) -> None:
-        """``max_streams`` bounds the exchanges on one connection, ``max_connections`` all connections.
-        Connections are closed before they have been idle for ``idle_us``. ``may_probe``: whether the settings
-        permit health checks."""
+        """Create a pool without connections.
+
+        ``max_streams`` limits the exchanges on one connection, ``max_connections`` the connections to all
+        endpoints. Connections are closed before they have been idle for ``idle_us``. ``may_probe`` is whether
+        the settings allow health checks.
+        """
         self._clock = clock
         self._settings = ConnectionSettings(load_report_columns, connect_timeout_us, SILENCE_TIMEOUT_US)
         self._idle_us = idle_us
@@ -61,15 +64,18 @@
         self._preferred_streams = preferred_streams
         self._may_probe = may_probe
         self.max_connections = max_connections
-        """Descriptors that all connections together may use."""
+        """Maximum number of connections to all endpoints; each uses one descriptor."""
         self._pools: dict[int, EndpointPool] = {}
-        """By endpoint number."""
+        """The pools in use, by endpoint number."""
         self._retired: list[EndpointPool] = []
-        """Of endpoints that are gone, or were replaced by a new process or address, until all are closed."""
+        """Pools of endpoints that were removed, or that have a new process or address, until their last
+        connection has closed."""
 
     def prepare(self, old: Document, new: Document) -> Callable[[], None]:
-        """Make ready for a new configuration; what is returned puts it in force. Connections that are up
-        stay, and what is open on them is not touched."""
+        """Prepare for a new document; the returned function puts it in force.
+
+        Connections stay established, and exchanges that are open on them are not affected.
+        """
 
         def commit() -> None:
             self._settings.load_report_columns = new.settings.load_report_columns
@@ -84,7 +90,7 @@
         return commit
 
     def running(self) -> dict[str, object]:
-        """The figures that connections are run by."""
+        """Return the settings in force for connections, under the names that operators are shown."""
         return {
             "report": list(self._settings.load_report_columns),
             "connect_timeout_us": self._settings.connect_timeout_us,
@@ -93,8 +99,11 @@
         }
 
     def start(self, request: UpstreamRequest, callback: ResultCallback) -> PendingExchange:
-        """Send a request, behind the cancellation of the attempt before it if there is one; ``callback`` is
-        called once with its end, never from within this call."""
+        """Send a request. If it names a cancelled attempt, it is held until that cancellation has been read.
+
+        ``callback`` is called once with the result, unless the exchange is cancelled, and never from within
+        this call.
+        """
         exchange = PendingExchange(request, callback)
         if isinstance(request.cancelled, PendingExchange):
             CancelBarrier(
@@ -105,14 +114,14 @@
         return exchange
 
     def _send(self, request: UpstreamRequest, exchange: PendingExchange) -> None:
-        """Put a request on a connection, unless it was cancelled while it was held."""
+        """Submit a request to a connection, unless it was cancelled while it was held."""
         if exchange.is_cancelled or self._submit(request.endpoint, exchange):
             return
         log.warning("no connection available", extra=fields(endpoint=request.endpoint.name))
         self._clock.soon(lambda: exchange.callback(NEVER_CONNECTED))
 
     def probe(self, endpoint: ListedEndpoint, callback: ResultCallback) -> None:
-        """Check an endpoint's health; ``callback`` is called once, in ``PROBE_TIMEOUT_US`` at the latest."""
+        """Start a health check; ``callback`` is called once, after ``PROBE_TIMEOUT_US`` at the latest."""
 
         def timed_out() -> None:
             exchange.cancel()
@@ -129,12 +138,14 @@
             self._clock.soon(lambda: ended(NEVER_CONNECTED))
 
     def close_idle(self, endpoint: ListedEndpoint) -> None:
-        """Close the connections to an endpoint on which nothing is open."""
+        """Close the connections to an endpoint on which no exchange is open."""
         self._pool(endpoint).close_idle(0)
 
     def list_changed(self, endpoints: Iterable[ListedEndpoint], is_complete: bool) -> None:
-        """Retire the connections to endpoints that are gone or started anew. Where the list is complete,
-        those that it does not name are gone."""
+        """Retire the connections to endpoints that were removed, have restarted or have a new address.
+
+        With ``is_complete``, endpoints that the list does not name count as removed.
+        """
         listed = {endpoint.endpoint.number: endpoint for endpoint in endpoints}
         for number in list(self._pools):
             endpoint = listed.get(number)
@@ -147,20 +158,23 @@
                 self._pool(endpoint)
 
     def may_open(self, pool: EndpointPool) -> bool:
-        """Whether the descriptors allow one more connection; they are shared evenly between the endpoints."""
+        """Whether the descriptor limits allow one more connection in this pool.
+
+        The descriptors are divided equally between the endpoints.
+        """
         total = sum(len(each.connections) for each in self._all_pools())
         equal_part = self.max_connections // max(1, len(self._pools))
         limit = max(MIN_CONNECTIONS_PER_ENDPOINT, equal_part)
         return len(pool.connections) < limit and total < self.max_connections
 
     def close_expired(self) -> None:
-        """Close what has been idle for long; called now and then."""
+        """Close the connections that have been idle for too long; called periodically."""
         for pool in list(self._pools.values()):
             pool.close_idle(int(self._idle_us * IDLE_CLOSE_FRACTION))
         self._retired = [pool for pool in self._retired if pool.connections]
 
     def close_all(self) -> None:
-        """Close every connection, whatever is open on it."""
+        """Close every connection, including those with open exchanges."""
         for pool in self._all_pools():
             for connection in list(pool.connections):
                 connection.close()
@@ -169,13 +183,16 @@
         return [*self._pools.values(), *self._retired]
 
     def _submit(self, endpoint: ListedEndpoint, exchange: PendingExchange) -> bool:
-        """Put an exchange on a connection to this endpoint; whether there was one."""
+        """Submit an exchange to a connection to this endpoint; returns whether one was available."""
         preferred = min(self._max_streams, self._preferred_streams)
         return self._pool(endpoint).submit(exchange, self._max_streams, preferred)
 
     def _pool(self, endpoint: ListedEndpoint) -> EndpointPool:
-        """The connections to the listed process: an endpoint that restarts, or moves, gets new ones, for the
-        old may be silent for ever."""
+        """Return the pool of connections to the listed process.
+
+        An endpoint that has restarted or moved gets a new pool: its old connections might never respond
+        again.
+        """
         number = endpoint.endpoint.number
         pool = self._pools.get(number)
         if pool is not None and not pool.connects_to(endpoint):
