--- a/magpieshift/downstream/__init__.py
+++ b/magpieshift/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections of clients, who send requests in binary frames."""
+"""Connections of clients, which send requests in binary frames."""
--- a/magpieshift/downstream/connection.py
+++ b/magpieshift/downstream/connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: its socket, its session, and the requests that it has open in the engine."""
+"""One client's connection: its socket, its protocol session, and its requests that are open in the engine."""
 
 from __future__ import annotations
 
@@ -27,21 +27,24 @@
 log = logging.getLogger(__name__)
 
 MAX_READS_IN_A_ROW = 8
-"""Reads of one connection before others have their turn, so that a flood costs its own connection alone.
-Larger lets a flood delay others, smaller costs turns of the event loop."""
+"""Maximum number of reads of one connection, while its data is there at once, before other connections are
+read. Larger lets a flood on one connection delay the others, smaller costs turns of the event loop."""
 HIGH_WATER_BYTES = 1 << 20
-"""Unsent bytes of one connection above which its new requests are paused; four of the largest responses."""
+"""Number of unsent bytes of one connection above which its new requests are paused; four times the largest
+response."""
 MAX_UNSENT_BYTES = HIGH_WATER_BYTES + MAX_OPEN_STREAMS * MAX_LENGTH_BYTES
-"""Unsent bytes at which a connection is closed: a client that keeps to the protocol is never owed more."""
+"""Number of unsent bytes above which a connection is closed. A client that keeps to the protocol cannot cause
+more: its requests are paused above ``HIGH_WATER_BYTES``, and at most ``MAX_OPEN_STREAMS`` are open."""
 
 
 class Connection:
-    """One client: owner of its socket, of its session and of the bytes held for it."""
+    """One client's connection. Owns the socket, the protocol session and the bytes held for the client."""
 
     def __init__(
         self, host: ConnectionHost, stream: LingeringStream, on_closed: Callable[[Connection], None]
     ) -> None:
-        """``on_closed`` is called once with this connection, after its requests were cancelled."""
+        """``on_closed`` is called once with this connection when it ends, after its requests are
+        cancelled."""
         self._host = host
         self._stream = stream
         self._on_closed = on_closed
@@ -49,61 +52,74 @@
         self._request_numbers: dict[int, int] = {}
         """The engine's number of each open request, by stream id."""
         self._paused: dict[int, None] = {}
-        """The streams whose requests wait until the client takes its responses, oldest first."""
+        """Streams whose requests are paused until the client has received earlier responses, oldest first."""
         self._unsent_bytes = 0
-        """Written, and not taken by the system yet."""
+        """Number of bytes written to the stream that the operating system has not accepted yet."""
         self._read: asyncio.Future[bytes] | None = None
-        """The read that is pending, or was taken last."""
+        """The pending read or, while its data is handled, the last one; None before the first."""
         self._is_closed = False
         self._is_closing = False
-        """An error was written: what still comes is dropped, and the connection is closed once nothing is
-        open."""
+        """Whether an error frame was written. Further input is dropped, and the connection is closed once no
+        request is open and no byte unsent."""
         self._has_logged_invalid = False
-        """Whether an invalid request was logged: once a connection, or one client fills the log."""
+        """Whether an invalid request was logged; only one is per connection, so that a client cannot fill the
+        log."""
         self.held_bytes = 0
-        """Memory held for this client, as the host has counted it."""
+        """Number of bytes held for this client, as last reported to the host."""
         self._frame_due_since_us: int | None = host.clock.now_us()
-        """Since when the client owes a complete frame; None if it owes none."""
+        """Since when a complete frame is due from the client: since it connected, or since an incomplete
+        frame began. None if no frame is due. In Unix microseconds, as all times here."""
         self.last_received_us = host.clock.now_us()
-        """When bytes last came."""
+        """When bytes were last received."""
         self._last_progress_us = host.clock.now_us()
-        """When the client last took bytes, or was first owed some."""
+        """When unsent bytes were last accepted, or when the first of them was written."""
 
     @property
     def is_busy(self) -> bool:
-        """Whether a request is open or bytes are unsent."""
+        """Whether a request is open or a byte unsent."""
         return bool(self._request_numbers) or self._unsent_bytes > 0
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is owed on it: nothing open or unsent, and nothing come that was not read yet. A
-        request may have come just now, and one that came before the close has a right to its response."""
+        """Whether the connection may be closed: no open request, no unsent byte and no unread input.
+
+        Unread input counts because a request that arrives before the close must be answered.
+        """
         has_read = self._read is not None and self._read.done()
         return not (self.is_busy or has_read or self._stream.has_unread)
 
     @property
     def has_unsent(self) -> bool:
-        """Whether the client has yet to take bytes."""
+        """Whether bytes of responses are unsent."""
         return self._unsent_bytes > 0
 
     @property
     def eviction_rank(self) -> tuple[bool, int]:
-        """The lowest is closed first where room is needed: clients that never sent a frame, then those silent
-        for longest."""
+        """Order in which idle connections are closed to make room, lowest first.
+
+        Clients that never sent a complete frame come first, then those from which nothing was received for
+        the longest time.
+        """
         return self._session.frames_received > 0, self.last_received_us
 
     def is_frame_overdue(self, since_us: int) -> bool:
-        """Whether it has owed a complete frame since then: some clients send nothing, or never complete
-        one."""
+        """Whether a complete frame has been due since before ``since_us``.
+
+        Some clients connect and send nothing, or never complete a frame.
+        """
         return self._frame_due_since_us is not None and self._frame_due_since_us < since_us
 
     def is_stalled(self, since_us: int) -> bool:
-        """Whether it has taken nothing of its responses since then."""
+        """Whether bytes are unsent, and none could be sent since before ``since_us``."""
         return self._unsent_bytes > 0 and self._last_progress_us < since_us
 
     def can_close_after_go_away(self, quiet_since_us: int) -> bool:
-        """Whether a client that was asked to send no more holds its connection for nothing. A client that
-        only asks for readiness may go on asking."""
+        """Whether GO_AWAY was sent and the connection is no longer needed.
+
+        With an incomplete frame it is needed until incomplete requests are cut off. Otherwise it is needed
+        until nothing has been received since ``quiet_since_us``, or until new requests are rejected; the
+        latter does not count for a client that sends only readiness requests, which may continue.
+        """
         if self.is_busy or not self._session.go_away_sent:
             return False
         rejects_requests = self._host.lifecycle.rejects_requests
@@ -115,8 +131,10 @@
         return is_quiet or (rejects_requests and not asks_readiness_only)
 
     async def serve(self) -> None:
-        """Read until the client closes or is disconnected; then cancel what it has open. It is always read
-        from, also when it takes nothing: its cancels and its close must be seen."""
+        """Read until the connection ends; then cancel the client's open requests.
+
+        It is read even while the client receives no responses, so that its cancels and its close are noticed.
+        """
         reads_in_a_row = 0
         try:
             while True:
@@ -130,17 +148,17 @@
                     await asyncio.sleep(0)
         except StreamClosedError:
             pass
-        except Exception:  # a fault of ours costs this connection, not the task that gives it back
+        except Exception:  # an internal error ends this connection only, and it is still released
             log.exception("exception closed the connection")
         finally:
             self._end()
 
     def close(self) -> None:
-        """Disconnect this client; ``serve`` ends with it."""
+        """Disconnect this client, which makes ``serve`` return."""
         self._end()
 
     def close_with_error(self, reason: str) -> None:
-        """Send an error, answer what was taken before it, and close. From here on what comes is dropped."""
+        """Send an error and close once all open requests are answered; further input is dropped."""
         if not self._is_closing:
             self._is_closing = True
             self._write(write_error(reason))
@@ -151,7 +169,7 @@
         self._write(self._session.go_away())
 
     def _receive(self, data: bytes) -> None:
-        """Handle what the client sent."""
+        """Parse and handle bytes from the client."""
         self.last_received_us = self._host.clock.now_us()
         frames_before = self._session.frames_received
         try:
@@ -161,8 +179,8 @@
             log.warning("invalid frame received", extra=fields(reason=err))
             self.close_with_error(str(err))
             return
-        except Exception:  # a fault of ours in one request costs the client its connection, with an answer
-            log.exception("client input failed")
+        except Exception:  # an internal error ends this connection only, and the client is sent an error
+            log.exception("client input raised an exception")
             self.close_with_error("internal error")
             return
         completed_frame = self._session.frames_received > frames_before
@@ -173,8 +191,11 @@
         self._update_held_bytes()
 
     def _receive_available(self) -> None:
-        """Take in what the client has sent by now, ahead of the event loop's turn: it may be a cancel or its
-        close, and no attempt begins for a client that has gone."""
+        """Read and handle what the client has sent by now, without waiting for the event loop.
+
+        Called right before an attempt is written, so that none is started for a request that the client has
+        cancelled, or for a client that has disconnected.
+        """
         if self._is_closed or self._read is None or self._read.done() or self._stream.closed():
             return
         try:
@@ -202,8 +223,7 @@
                 self._write(write_readiness(stream_id, self._host.lifecycle.is_ready))
 
     def _submit(self, stream_id: int, request: ClientRequest) -> None:
-        """Hand a request to the engine, or reject it: to one that was asked to send no more and goes on, and
-        to one whose request a neighbour is to take."""
+        """Submit a request to the engine, or reject it because the router drains or offloads the request."""
         engine = self._host.engine
         if self._host.rejects_requests or self._host.offloads(request):
             self._write(self._session.respond(stream_id, engine.draining_response()))
@@ -216,8 +236,10 @@
                 is_paused,
                 self._receive_available,
             )
-        except Exception:  # a fault of ours in one request costs no other
-            log.exception("request not taken", extra=fields(request_id=request.request_id))
+        except Exception:  # an internal error fails this request only
+            log.exception(
+                "request submission raised an exception", extra=fields(request_id=request.request_id)
+            )
             self._write(self._session.respond(stream_id, Response(Verdict.FAILED)))
             return
         if is_paused:
@@ -234,18 +256,19 @@
         self._release(stream_id)
 
     def _release(self, stream_id: int) -> None:
-        """The one place where an open request leaves its connection."""
+        """Remove an open request from this connection; nothing else does."""
         self._request_numbers.pop(stream_id, None)
         self._paused.pop(stream_id, None)
         self._close_if_done()
 
     def _close_if_done(self) -> None:
-        """Close once nothing is owed to a client that is sent away."""
+        """Close after an error was sent, once no request is open and no byte unsent."""
         if self._is_closing and not self.is_busy:
             self._end()
 
     def _write(self, chunks: Chunks) -> None:
-        """Hand bytes to the socket; a body goes as a view of the buffer that the upstream side has filled."""
+        """Write chunks to the stream. A body is passed as a view of the buffer it was received in, not
+        copied."""
         if self._stream.closed() or not chunks:
             return
         size = sum(map(len, chunks))
@@ -253,20 +276,20 @@
             for chunk in chunks:
                 written = self._stream.write(memoryview(chunk))
         except StreamClosedError:
-            return  # the client has gone, which must not fail the endpoint's connection that brought this
+            return  # not raised: the caller may be the endpoint's connection, which an exception would close
         if not written.done():
             self._add_unsent_bytes(size)
             written.add_done_callback(lambda _: self._add_unsent_bytes(-size))
 
     def _add_unsent_bytes(self, change: int) -> None:
-        """The one place where unsent bytes are counted, and counted off."""
+        """Add to the number of unsent bytes, or subtract those that were sent; nothing else changes it."""
         if self._unsent_bytes == 0 or change < 0:
             self._last_progress_us = self._host.clock.now_us()
         self._unsent_bytes += change
         self._resume_paused()
         self._close_if_done()
         self._update_held_bytes()
-        if self._unsent_bytes > MAX_UNSENT_BYTES:  # it sends requests without end, and takes no response
+        if self._unsent_bytes > MAX_UNSENT_BYTES:  # it goes on sending requests and receives no responses
             log.warning("slow client disconnected", extra=fields(held_bytes=self.held_bytes))
             self._end()
 
@@ -277,14 +300,14 @@
             self._host.engine.resume(self._request_numbers[stream_id])
 
     def _update_held_bytes(self) -> None:
-        """Tell the host how much is held for this client: what it has not taken, and a frame in part."""
+        """Report to the host how many bytes are held for this client: unsent ones and an incomplete frame."""
         held_bytes = 0 if self._is_closed else self._unsent_bytes + self._session.partial_frame_bytes
         change = held_bytes - self.held_bytes
         self.held_bytes = held_bytes
         self._host.account_held_bytes(change)
 
     def _end(self) -> None:
-        """The one place where a connection is given back."""
+        """Cancel the open requests and release the connection; nothing else does."""
         if self._is_closed:
             return
         self._is_closed = True
--- a/magpieshift/downstream/errors.py
+++ b/magpieshift/downstream/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the client side. Their texts are sent to clients and logged."""
+"""Errors in what clients send. The text of a ``FrameError`` is sent to the client; all are logged."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class DownstreamError(MagpieshiftError):
-    """A client sent what cannot be used."""
+    """A client sent invalid data."""
 
 
 class FrameError(DownstreamError):
-    """Bytes that break the framing or its rules; the connection cannot go on."""
+    """The bytes violate the framing or the rules of the protocol; the connection has to be closed."""
 
 
 class InvalidFieldError(DownstreamError):
-    """A request whose field cannot be used; the connection goes on."""
+    """A field of a request is missing or invalid; the request fails, and the connection stays open."""
--- a/magpieshift/downstream/events.py
+++ b/magpieshift/downstream/events.py
@@ -1,4 +1,4 @@
-"""What a client's bytes mean: the events that a session yields."""
+"""The events that a session yields for the bytes received from a client."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class InvalidRequestReceived:
-    """A request that cannot be used; its stream is open and is owed a response of this verdict."""
+    """An invalid request; its stream is open, and the client must be sent a response with this verdict."""
 
     stream_id: int
     reason: str
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class ClientRequestCancelled:
-    """The client no longer waits for the response on this stream, which is closed."""
+    """The client cancelled the request on this stream; the stream is closed."""
 
     stream_id: int
 
--- a/magpieshift/downstream/frames.py
+++ b/magpieshift/downstream/frames.py
@@ -1,4 +1,5 @@
-"""Client frames: the codec and an incremental parser. Every number is unsigned and little-endian. No I/O."""
+"""Frames of the client protocol: codec and incremental parser. All numbers are unsigned, little-endian. No
+I/O."""
 
 from __future__ import annotations
 
@@ -10,31 +11,31 @@
 from magpieshift.downstream.errors import FrameError
 
 MIN_LENGTH_BYTES = 5
-"""Smallest value of a frame's length: its type and its stream id."""
+"""Minimum value of a frame's length field, which counts the type and the stream id as well."""
 MAX_LENGTH_BYTES = 262_144
-"""Largest value of a frame's length, as the platform's protocol has it."""
+"""Maximum value of a frame's length field, set by the platform's protocol."""
 HEADER = struct.Struct("<IBI")
-"""Length of what follows the length itself, type, stream id."""
+"""Format of a frame's header: length of all that follows the length field, type, stream id."""
 LENGTH = struct.Struct("<I")
 VALUE_LENGTH = struct.Struct("<H")
-"""Length of a field's value."""
+"""Format of the length of a field's value."""
 
 
 class FrameType(IntEnum):
-    """Frame types; the numbers are the wire's."""
+    """Type of a frame; the numbers are those on the wire."""
 
     REQUEST = 1
     RESPONSE = 2
     CANCEL = 3
-    """The client no longer waits for the response."""
+    """The client cancels its request."""
     READINESS_REQUEST = 4
     READINESS = 5
     GO_AWAY = 6
-    """The router asks for no new request on this connection."""
+    """The router asks the client to send no new request on this connection."""
 
 
 class ResponseCode(IntEnum):
-    """First byte of a response; the numbers are the wire's."""
+    """First byte of a response; the numbers are those on the wire."""
 
     OK = 79
     REJECTED = 66
@@ -46,32 +47,34 @@
     """One frame."""
 
     type: int
-    """A ``FrameType``, or a number that is none."""
+    """A ``FrameType``, or a number that is not a known type."""
     stream_id: int
     payload: bytes
-    """Not parsed yet."""
+    """The content after the header, not parsed yet."""
 
 
 class FrameParser:
-    """Bytes in, frames out, however the bytes are cut."""
+    """Incremental parser: takes bytes in chunks of any size and yields frames."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        """The frame that has begun and not ended."""
+        """The received part of an incomplete frame."""
 
     @property
     def partial_bytes(self) -> int:
-        """Bytes of a frame that is not complete yet."""
+        """Number of bytes received of an incomplete frame."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        """The frames that these bytes complete; ``FrameError`` where they are none."""
+        """Yield the frames that these bytes complete; raises ``FrameError`` for an invalid length."""
         self._buffer += data
         start = 0
         try:
             while len(self._buffer) - start >= LENGTH.size:
                 (length,) = LENGTH.unpack_from(self._buffer, start)
-                if not MIN_LENGTH_BYTES <= length <= MAX_LENGTH_BYTES:  # before anything is stored for it
+                if (
+                    not MIN_LENGTH_BYTES <= length <= MAX_LENGTH_BYTES
+                ):  # checked before its bytes are collected
                     raise FrameError(f"frame length {length}")
                 stop = start + LENGTH.size + length
                 if len(self._buffer) < stop:
@@ -86,7 +89,7 @@
 
 
 def read_fields(payload: bytes) -> tuple[dict[str, str], int]:
-    """The fields at the start of a payload, and the position at which the body begins."""
+    """Return the fields at the start of a payload, and the position at which the body begins."""
     fields: dict[str, str] = {}
     if not payload:
         raise FrameError("payload lacks its fields")
@@ -106,7 +109,7 @@
 
 
 def write_fields(fields: Mapping[str, str]) -> bytes:
-    """The inverse of ``read_fields``."""
+    """Encode fields in the form that ``read_fields`` reads."""
     parts = [bytes((len(fields),))]
     for name, value in fields.items():
         raw_name = name.encode()
@@ -116,11 +119,11 @@
 
 
 def frame_head(frame_type: FrameType, stream_id: int, payload: bytes = b"", body_size: int = 0) -> bytes:
-    """A frame up to its body, which follows as it is."""
+    """Encode a frame without its body, which is written after it unchanged."""
     length = HEADER.size - LENGTH.size + len(payload) + body_size
     return HEADER.pack(length, frame_type, stream_id) + payload
 
 
 def response_head(stream_id: int, code: ResponseCode, fields: Mapping[str, str], body_size: int = 0) -> bytes:
-    """A response up to its body, which follows as it is."""
+    """Encode a response frame without its body, which is written after it unchanged."""
     return frame_head(FrameType.RESPONSE, stream_id, bytes((code,)) + write_fields(fields), body_size)
--- a/magpieshift/downstream/host.py
+++ b/magpieshift/downstream/host.py
@@ -1,4 +1,4 @@
-"""What a client's connection needs of the server that owns it."""
+"""The interface of the downstream server that clients' connections use."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ConnectionHost(Protocol):
-    """The server, as its connections see it."""
+    """The server that owns a connection."""
 
     engine: Engine
     clock: LoopClock
@@ -22,13 +22,13 @@
 
     @property
     def rejects_requests(self) -> bool:
-        """Whether new requests are rejected at once."""
+        """Whether new requests are rejected because the router drains."""
         ...
 
     def offloads(self, request: ClientRequest) -> bool:
-        """Whether a request is a neighbour's to take, and is rejected here."""
+        """Whether this request is to be rejected so that the client retries at a neighbour router."""
         ...
 
     def account_held_bytes(self, change: int) -> None:
-        """Count bytes that are held for clients; may close connections."""
+        """Add to the number of bytes held for all clients; may close connections to limit it."""
         ...
--- a/magpieshift/downstream/messages.py
+++ b/magpieshift/downstream/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses of clients: the one place that knows their field names on the wire. No I/O."""
+"""Codec of clients' requests and responses; only this module uses their field names on the wire. No I/O."""
 
 from __future__ import annotations
 
@@ -10,25 +10,28 @@
 from magpieshift.engine.model import ClientRequest, Response, Verdict
 
 Chunks = tuple[bytes | bytearray, ...]
-"""Bytes to write, in pieces, so that a body is not copied."""
+"""Bytes to write; a body is a chunk of its own, so that it is not copied."""
 
 HEX_ID = re.compile(r"[0-9a-fA-F]{16}")
 TOKEN = re.compile(r"[!-+\--~]{1,256}")
-"""Printable, and no comma: it goes into a list on a line of the upstream wire."""
+"""Printable ASCII without space and comma, as it becomes part of a comma-separated list in the upstream
+protocol."""
 
 NETWORK_MARGIN_US = 30_000
-"""Taken off the client's wait, which began before its request was here; our response takes time as well.
-Smaller and responses come too late, larger and work is given up that was still of use."""
+"""Time subtracted from the client's wait for transmission: the wait began before the request arrived, and the
+response takes time to reach the client. Smaller makes responses late, larger ends attempts that would be in
+time."""
 MIN_TIME_LEFT_US = 1000
-"""What a request is given at least, however short its wait: the wire counts whole milliseconds."""
+"""Minimum time left for a request, however short its wait: the upstream protocol counts whole
+milliseconds."""
 MAX_WAIT_MS = 3_600_000
-"""Longest wait that a client may name: an hour."""
+"""Maximum wait that a client may state: one hour."""
 MAX_PART = 2**31
-"""Largest number of an object's part; what is beyond it is garbage."""
+"""Maximum part number of an object; larger ones are invalid."""
 MAX_GROUP = 255
-"""Largest number of an object's purge group, as the platform's protocol has it."""
+"""Maximum number of an object's purge group, set by the platform's protocol."""
 MAX_SIZE_KB = 1e9
-"""Largest size of an object that a client may name; what is beyond it is garbage."""
+"""Maximum size of an object that a client may state; larger ones are invalid."""
 
 RESPONSE_CODES = {
     Verdict.SERVED: ResponseCode.OK,
@@ -38,10 +41,10 @@
 
 
 def read_request(fields: Mapping[str, str], body: bytes, class_numbers: Mapping[str, int]) -> ClientRequest:
-    """The request that a frame's fields describe; ``InvalidFieldError`` where one cannot be used."""
+    """Decode a request from a frame's fields; raises ``InvalidFieldError`` if one is missing or invalid."""
     class_name = fields.get("c", "")
     if class_name not in class_numbers:
-        raise InvalidFieldError(f"class {class_name!r}"[:100])
+        raise InvalidFieldError(f"unknown class {class_name!r}"[:100])
     return ClientRequest(
         request_id=_read_text(fields, "i", HEX_ID, is_required=True),
         class_index=class_numbers[class_name],
@@ -67,19 +70,19 @@
     except ValueError:
         value = -1.0
     if not 0 <= value <= maximum:  # also false for NaN
-        raise InvalidFieldError(f"field {name}: {text!r}")
+        raise InvalidFieldError(f"field {name}: found {text!r}, expected a number from 0 to {maximum}")
     return value
 
 
 def _read_text(fields: Mapping[str, str], name: str, form: re.Pattern[str], is_required: bool) -> str:
     text = fields.get(name, "")
     if (is_required or text) and not form.fullmatch(text):
-        raise InvalidFieldError(f"field {name}: {text!r}"[:100])
+        raise InvalidFieldError(f"field {name}: expected {form.pattern}, found {text!r}"[:100])
     return text
 
 
 def write_response(stream_id: int, response: Response) -> Chunks:
-    """The final answer to a request."""
+    """Encode the final answer to a request."""
     fields: dict[str, str] = {}
     if response.not_modified:
         fields["current"] = "1"
@@ -91,17 +94,17 @@
 
 
 def write_readiness(stream_id: int, is_ready: bool) -> Chunks:
-    """The answer to a client that asks whether the router is ready."""
+    """Encode the answer to a readiness request."""
     code = ResponseCode.OK if is_ready else ResponseCode.REJECTED
     return (frame_head(FrameType.READINESS, stream_id, bytes((code,)) + write_fields({})),)
 
 
 def write_go_away() -> Chunks:
-    """The notice that no new request is to be sent on this connection."""
+    """Encode GO_AWAY, which asks the client to send no new request on this connection."""
     return (frame_head(FrameType.GO_AWAY, 0),)
 
 
 def write_error(text: str) -> Chunks:
-    """An error that belongs to no request."""
+    """Encode an error that belongs to no request, as a response on stream 0."""
     body = text.encode()
     return (response_head(0, ResponseCode.FAILED, {}, len(body)), body)
--- a/magpieshift/downstream/server.py
+++ b/magpieshift/downstream/server.py
@@ -1,4 +1,4 @@
-"""The server for clients: listener, limits on connections and on bytes held, planned end."""
+"""The server for clients: listener, limits on connections and held bytes, planned shutdown."""
 
 from __future__ import annotations
 
@@ -19,25 +19,27 @@
 log = logging.getLogger(__name__)
 
 MAX_UNPARSED_BYTES = 1 << 20
-"""Bytes of one connection that its stream holds unparsed; four of the largest frames."""
+"""Maximum number of received bytes that a connection's stream buffers; four times the largest frame."""
 INCOMPLETE_FRAME_TIMEOUT_S = 2.0
-"""Time for a client to send a complete frame, from its connecting or from the frame's first byte.
-Shorter disconnects slow clients, longer lets mute ones hold descriptors."""
+"""Time within which a client must send a complete frame, measured from connecting or from the frame's first
+byte. Shorter disconnects slow clients, longer lets silent ones hold descriptors."""
 MAX_IDLE_S = 60.0
-"""Time without a byte and with nothing open; clients close after 4 s."""
+"""Time without a received byte after which an idle connection is closed; clients close theirs after 4 s."""
 MAX_STALL_S = 10.0
-"""Time without taking a byte of a response. Longer holds memory for dead clients."""
+"""Time after which a connection is closed if the client receives nothing of its responses. Longer holds
+memory for clients that have failed."""
 MAX_IDLE_AFTER_GO_AWAY_S = 0.3
-"""The same as ``MAX_IDLE_S`` for a client that was asked to send no more: it is not coming back."""
+"""The same as ``MAX_IDLE_S`` in a lame duck router for a client that was sent GO_AWAY, which is not expected
+to send more."""
 SHUTDOWN_POLL_S = 0.005
-"""How often the planned end looks for connections that have become idle; small against its 4 s."""
+"""Poll interval for connections that have become idle during the planned shutdown, which may take 4 s."""
 
 
 class DownstreamServer:
-    """Listens for clients; owner of all their connections."""
+    """Listens for clients, and owns all their connections."""
 
     part = "front"
-    """Its name among the parts whose running figures are shown; operators' tools know it."""
+    """Name of this part in the running settings that operators are shown; their tools match it."""
 
     def __init__(
         self,
@@ -48,69 +50,79 @@
         max_held_bytes: int,
         lifecycle: Lifecycle,
     ) -> None:
-        """``class_numbers`` gives the number of each class that a request may name; its owner keeps it
-        current, in place."""
+        """Create a server that does not listen yet.
+
+        ``class_numbers`` gives the number of each class that a request may name; its owner updates it in
+        place.
+        """
         self.engine = engine
         self.clock = clock
         self.class_numbers = class_numbers
         self.lifecycle = lifecycle
         self.held_bytes = 0
-        """Memory held for all clients: unsent responses and frames in part."""
+        """Number of bytes held for all clients: unsent responses and incomplete frames."""
         self.should_offload: Callable[[ClientRequest], bool] | None = None
-        """Whether a request is a neighbour's to take; None where no neighbour takes any."""
+        """Decides whether a request is offloaded to a neighbour router; None if offloading is off."""
         self.max_held_bytes = max_held_bytes
         self.max_connections = max_connections
         self._connections: set[Connection] = set()
         self._listener: Listener | None = None
         self._closing = LingeringClose()
-        """Owner of the sockets whose connections are closed on our side only."""
+        """Holds the sockets that the router has closed and the client has not."""
         self._is_shutting_down = False
         self._tasks: set[asyncio.Task[None]] = set()
-        """The reading tasks, one a connection; the event loop itself holds them only weakly."""
+        """The tasks that read the connections. The event loop has only weak references to them, so they are
+        kept here."""
 
     def prepare(self, old: Document, new: Document) -> Callable[[], None]:
-        """Nothing to make ready: classes are the engine's, limits are set by their owner."""
+        """Return a commit without effect: the engine updates the classes, ``ResourceLimits`` the limits."""
         return lambda: None
 
     def running(self) -> dict[str, object]:
-        """The classes that requests may name."""
+        """Return the settings in force, which are the classes that requests may name."""
         return {"classes": sorted(self.class_numbers)}
 
     @property
     def connection_count(self) -> int:
-        """How many clients' connections are open."""
+        """Number of open client connections."""
         return len(self._connections)
 
     @property
     def has_unsent(self) -> bool:
-        """Whether there are responses that clients have yet to take."""
+        """Whether any client has unsent bytes of responses."""
         return any(connection.has_unsent for connection in self._connections)
 
     @property
     def rejects_requests(self) -> bool:
-        """Whether new requests are rejected at once."""
+        """Whether new requests are rejected because the router drains."""
         return self._is_shutting_down or self.lifecycle.rejects_requests
 
     def offloads(self, request: ClientRequest) -> bool:
-        """Whether a request is a neighbour's to take, and is rejected here."""
+        """Whether this request is to be rejected so that the client retries at a neighbour router."""
         return self.should_offload is not None and self.should_offload(request)
 
     def listen_on(self, sock: socket.socket) -> None:
-        """Accept connections at this listening socket, and own it."""
+        """Accept connections at this listening socket; takes over its ownership."""
         self._listener = Listener(sock, self._accepted, self._free_descriptor)
 
     def stop_listening(self) -> None:
-        """Listen no more; what waits in the listener's queue is accepted first."""
+        """Stop listening, after accepting the connections in the listen backlog."""
         listener = self._listener
         self._listener = None
         if listener is not None:
             listener.close()
 
     def serve(self, stream: LingeringStream) -> None:
-        """A client has connected: serve it until it closes or is disconnected."""
+        """Serve a client that has connected, until either side closes the connection.
+
+        At the limit of connections an idle one is closed; if none is idle, the new client is rejected.
+        """
         stream.set_nodelay(True)
         if len(self._connections) >= self.max_connections and not self._close_one_idle():
-            log.warning("client rejected", extra=fields(reason="too many", open=len(self._connections)))
+            log.warning(
+                "client connection rejected",
+                extra=fields(reason="connection limit reached, none idle", open=len(self._connections)),
+            )
             stream.close()
             return
         connection = Connection(self, stream, self._remove_connection)
@@ -120,8 +132,11 @@
         task.add_done_callback(self._tasks.discard)
 
     def account_held_bytes(self, change: int) -> None:
-        """Count bytes held for clients. Memory is bounded: the client for which most is held is disconnected,
-        and can tell that its responses broke off."""
+        """Add to the number of bytes held for all clients.
+
+        Above ``max_held_bytes`` the client for which most is held is disconnected; from the disconnect it
+        knows that its responses are incomplete.
+        """
         self.held_bytes += change
         if change > 0 and self.held_bytes > self.max_held_bytes:
             largest = max(self._connections, key=lambda connection: connection.held_bytes)
@@ -129,8 +144,11 @@
             largest.close()
 
     def close_expired(self) -> None:
-        """Close connections on which nothing is open and nothing has come for long, and those whose clients
-        have long taken nothing of their responses or owe the rest of a frame. Called now and then."""
+        """Close the connections that are idle, stalled or overdue with a frame for too long; called
+        periodically.
+
+        While draining, this also sends GO_AWAY to clients that have connected meanwhile.
+        """
         now_us = self.clock.now_us()
         if self.lifecycle.arrivals_settled:
             self.send_go_away()
@@ -139,7 +157,7 @@
 
     def _close_if_expired(self, connection: Connection, now_us: int) -> None:
         def ago_us(duration_s: float) -> int:
-            """The time so long ago."""
+            """Return the time ``duration_s`` before now, in Unix microseconds."""
             return now_us - int(1e6 * duration_s)
 
         is_lame_duck = self.lifecycle.state == State.LAME_DUCK
@@ -151,7 +169,7 @@
         )
         if connection.is_stalled(ago_us(MAX_STALL_S)) or (is_unused and connection.is_idle):
             connection.close()
-        elif is_overdue:  # what it sent before is still answered
+        elif is_overdue:  # earlier requests are still answered
             connection.close_with_error("frame not whole in time")
 
     def send_go_away(self) -> None:
@@ -160,11 +178,13 @@
             connection.send_go_away()
 
     async def shut_down(self, timeout_s: float) -> None:
-        """Listen no more, reject what still comes, and close each connection once nothing is owed on it; all
-        that is open after this time is closed as it is."""
+        """Stop listening, reject new requests, and close each connection once it is idle.
+
+        The connections that are left after ``timeout_s`` are closed, whatever is open on them.
+        """
         self._is_shutting_down = True
         self.stop_listening()
-        # no connection comes any more, so descriptors do not bound how many linger at once
+        # no new connection needs a descriptor, so all of them may be in lingering close at once
         self._closing.max_open += len(self._connections)
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + timeout_s
@@ -178,7 +198,7 @@
             await asyncio.sleep(SHUTDOWN_POLL_S)
 
     def close_all(self) -> None:
-        """Give back every socket, whatever is open."""
+        """Close all sockets, whatever is open on them."""
         self.stop_listening()
         for connection in list(self._connections):
             connection.close()
@@ -188,11 +208,11 @@
         self.serve(LingeringStream(sock, self._closing, MAX_UNPARSED_BYTES))
 
     def _remove_connection(self, connection: Connection) -> None:
-        """The one place where a connection leaves the server."""
+        """Remove an ended connection from the server; nothing else does."""
         self._connections.discard(connection)
 
     def _close_one_idle(self) -> bool:
-        """Close an idle connection, the lowest in eviction rank first; whether there was one."""
+        """Close the idle connection of the lowest eviction rank; returns whether there was one."""
         candidates = (connection for connection in self._connections if not connection.is_busy)
         for connection in sorted(candidates, key=lambda candidate: candidate.eviction_rank):
             if connection.is_idle:
@@ -201,7 +221,8 @@
         return False
 
     def _free_descriptor(self) -> None:
-        """Have a connection that is closing, or is idle, give its descriptor back."""
+        """Free a descriptor: end the oldest lingering close, or that of an idle connection closed for
+        this."""
         if len(self._closing) == 0:
             self._close_one_idle()
         self._closing.drop_oldest()
--- a/magpieshift/downstream/session.py
+++ b/magpieshift/downstream/session.py
@@ -1,6 +1,7 @@
-"""State machine of one client's connection: bytes in, events out, and the bytes of what is to be written.
+"""State machine of one client's connection: turns received bytes into events, and responses into bytes to
+write.
 
-It owns the stream ids of its connection: one is taken in ``feed`` and given back in ``_release``. No I/O.
+It owns the stream ids of its connection: a stream is opened in ``feed`` and closed in ``_release``. No I/O.
 """
 
 from __future__ import annotations
@@ -20,13 +21,15 @@
 from magpieshift.engine.model import Response, Verdict
 
 MAX_OPEN_STREAMS = 32
-"""Requests open at once on one connection, as the platform's protocol has it; those beyond are rejected."""
+"""Maximum number of open requests on one connection, set by the platform's protocol; further ones are
+rejected."""
 MAX_INVALID_REQUESTS = 64
-"""Requests that cannot be used, on one connection; a client that goes on sending them is disconnected.
-Smaller is hard on a client with one bad class, larger lets one keep us busy."""
+"""Maximum number of invalid requests on one connection; a client that sends more is disconnected. Smaller
+disconnects clients with a single wrong class too soon, larger lets a client waste more of the router's
+time."""
 MAX_STREAM_ID_GAP = 4096
-"""Stream ids above the lowest unused one that are remembered, since they may come out of order.
-Larger costs memory, smaller disconnects clients that skip ids."""
+"""Maximum number of used stream ids above the lowest unused one, which are stored as ids may arrive out of
+order. Larger costs memory, smaller disconnects clients that skip ids."""
 
 
 class Session:
@@ -37,41 +40,41 @@
         self._class_numbers = class_numbers
         self._parser = FrameParser()
         self._open: set[int] = set()
-        """Streams whose response is due."""
+        """Streams of requests that are not answered or cancelled yet."""
         self.go_away_sent = False
-        """Whether the client was asked to send no new request."""
+        """Whether GO_AWAY was sent."""
         self.requests_received = 0
-        """A client that only asks whether the router is ready has none."""
+        """Number of requests received; readiness requests do not count."""
         self.frames_received = 0
-        """Complete ones."""
+        """Number of complete frames received."""
         self._invalid_requests = 0
-        """Requests that could not be used, so far."""
+        """Number of invalid requests received."""
         self._used_up_to = 0
-        """Every stream id up to here has been used."""
+        """The highest stream id up to which all ids have been used."""
         self._used_above: set[int] = set()
-        """The used ones above that."""
+        """The used stream ids above ``_used_up_to``."""
 
     @property
     def partial_frame_bytes(self) -> int:
-        """Bytes of a frame that is not complete yet."""
+        """Number of bytes received of an incomplete frame."""
         return self._parser.partial_bytes
 
     def feed(self, data: bytes) -> Iterator[SessionEvent]:
-        """What these bytes mean; ``FrameError`` where the connection cannot go on."""
+        """Yield the events of these bytes; raises ``FrameError`` if the connection has to be closed."""
         for frame in self._parser.feed(data):
             self.frames_received += 1
             if (event := self._event(frame)) is not None:
                 yield event
 
     def respond(self, stream_id: int, response: Response) -> Chunks:
-        """What to write for a final answer; nothing for a stream that is not open."""
+        """Close the stream and return the response to write; nothing for a stream that is not open."""
         if stream_id not in self._open:
             return ()
         self._release(stream_id)
         return write_response(stream_id, response)
 
     def go_away(self) -> Chunks:
-        """What to write, once, to have the client send no new request on this connection."""
+        """Return the GO_AWAY frame to write; nothing if it was returned before."""
         if self.go_away_sent:
             return ()
         self.go_away_sent = True
@@ -82,7 +85,7 @@
             return self._receive_request(frame)
         if frame.type == FrameType.CANCEL:
             if frame.stream_id not in self._open:
-                return None  # it crossed the response
+                return None  # the response was sent before the cancel arrived
             self._release(frame.stream_id)
             return ClientRequestCancelled(frame.stream_id)
         if frame.type == FrameType.READINESS_REQUEST:
@@ -96,7 +99,9 @@
         is_over_limit = len(self._open) >= MAX_OPEN_STREAMS
         self._open.add(stream_id)
         if is_over_limit:
-            return self._invalid_request(stream_id, "too many open requests", Verdict.REJECTED)
+            return self._invalid_request(
+                stream_id, f"more than {MAX_OPEN_STREAMS} open requests on the connection", Verdict.REJECTED
+            )
         fields, body_start = read_fields(frame.payload)
         try:
             request = read_request(fields, frame.payload[body_start:], self._class_numbers)
@@ -105,14 +110,15 @@
         return ClientRequestReceived(stream_id, request)
 
     def _register_stream_id(self, stream_id: int) -> None:
-        """Note that an id is used; ``FrameError`` where it was before, or is too far ahead."""
+        """Mark a stream id as used; raises ``FrameError`` if it was used before, or if too many ids were
+        skipped."""
         if stream_id <= self._used_up_to or stream_id in self._used_above:
             raise FrameError(f"stream {stream_id} is not new")
         self._used_above.add(stream_id)
         while self._used_up_to + 1 in self._used_above:
             self._used_up_to += 1
             self._used_above.remove(self._used_up_to)
-        if len(self._used_above) > MAX_STREAM_ID_GAP:  # each is remembered until the gap is filled
+        if len(self._used_above) > MAX_STREAM_ID_GAP:  # each is stored until the ids below it are used
             raise FrameError("stream ids are too far apart")
 
     def _invalid_request(
@@ -124,5 +130,5 @@
         return InvalidRequestReceived(stream_id, reason, verdict)
 
     def _release(self, stream_id: int) -> None:
-        """The one place where a stream is given back."""
+        """Close a stream; nothing else does."""
         self._open.discard(stream_id)
