--- a/magpieshift/admin/__init__.py
+++ b/magpieshift/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The admin server: operators' commands on a socket of their own, one line each."""
+"""The admin server, which accepts operators' commands on a separate socket, one line each, and its client."""
--- a/magpieshift/admin/answer.py
+++ b/magpieshift/admin/answer.py
@@ -1,7 +1,7 @@
-"""The answer to one admin command: whether it succeeded, was refused, or nothing answered. No I/O.
+"""The answer to one admin command: that it succeeded, that it was refused, or that none arrived. No I/O.
 
-On the wire an answer is one line, ``OK text`` or ``ERR reason``. Any other line is taken for a refusal:
-something answers at that address, but it has not done what was asked.
+On the wire an answer is one line, ``OK text`` or ``ERR reason``. Any other line counts as a refusal: a
+process answers at that address, but it has not executed the command.
 """
 
 from __future__ import annotations
@@ -14,15 +14,16 @@
 
 
 class AnswerStatus(Enum):
-    """How an admin command ended, as its client sees it."""
+    """Result of an admin command, as far as the client knows."""
 
     SUCCEEDED = "succeeded"
     REFUSED = "refused"
-    """The server answered that it did not do it, or something that is no answer to a command."""
+    """The server answered that it did not execute the command, or sent a line that is not a valid answer."""
     NO_ANSWER = "no answer"
-    """Something may hold the address, but no whole line came in time: nothing is known."""
+    """No complete line arrived in time. A process may hold the address; whether it executed the command is
+    unknown."""
     UNREACHABLE = "unreachable"
-    """Nothing listens at the address, so no process holds it."""
+    """Connecting failed: nothing listens at the address, so no process holds it."""
 
 
 @dataclass(frozen=True)
@@ -31,30 +32,30 @@
 
     status: AnswerStatus
     text: str = ""
-    """What was answered behind the status word; the reason where it did not succeed."""
+    """The rest of the line after the status word or, if the command did not succeed, the reason."""
 
     @property
     def succeeded(self) -> bool:
-        """Whether the server did what was asked."""
+        """Whether the server executed the command."""
         return self.status is AnswerStatus.SUCCEEDED
 
     @property
     def refused(self) -> bool:
-        """Whether the server answered that it did not do it."""
+        """Whether the server answered, but not that it executed the command."""
         return self.status is AnswerStatus.REFUSED
 
     @property
     def is_address_free(self) -> bool:
-        """Whether no process holds the address; one that answers holds it, whatever it says."""
+        """Whether no process holds the address. A process that answers holds it, whatever the answer is."""
         return self.status is AnswerStatus.UNREACHABLE
 
     def __str__(self) -> str:
-        """In words, as log lines and errors show it."""
+        """Return the text that log lines and errors show."""
         return f"{self.status.value}: {self.text}" if self.text else self.status.value
 
 
 def parse_answer(line: str) -> AdminAnswer:
-    """The answer that a line from an admin server holds, without its line end."""
+    """Parse a line from an admin server, given without its line end."""
     word, _, text = line.partition(" ")
     if word == OK_WORD:
         return AdminAnswer(AnswerStatus.SUCCEEDED, text)
--- a/magpieshift/admin/client.py
+++ b/magpieshift/admin/client.py
@@ -1,4 +1,4 @@
-"""The client of admin servers: sends one command over a connection of its own, and reads the answer."""
+"""The client of admin servers: sends one command over a new connection, and reads the answer."""
 
 from __future__ import annotations
 
@@ -8,18 +8,20 @@
 from magpieshift.config import Address
 
 COMMAND_TIMEOUT_S = 2.0
-"""For the whole exchange; an admin server owes its answer within one second."""
+"""Time-out of connecting, sending a command and reading its answer; a server should answer within one
+second."""
 MAX_ANSWER_BYTES = 1 << 21
-"""Of an answer's line; the view of a fleet's members is the longest."""
+"""Maximum size of an answer; the longest lists the members of a whole fleet."""
 
 
 async def send_admin_command(
     server: Address, command: str, timeout_s: float = COMMAND_TIMEOUT_S
 ) -> AdminAnswer:
-    """The answer of the admin server at an address to a command, a line without its end.
+    """Send a command, a line without its line end, to the admin server at an address; returns the answer.
 
-    Never raises for what the server does. Only an address that refuses the connection is ``UNREACHABLE``:
-    where the connection is made, or is not decided in time, a process may hold the address.
+    Errors of the connection or the server are returned, not raised. The status is ``UNREACHABLE`` only if
+    connecting fails with an error. If the connection is established, or connecting times out, a process may
+    hold the address.
     """
     writer = None
     try:
--- a/magpieshift/admin/command.py
+++ b/magpieshift/admin/command.py
@@ -1,4 +1,4 @@
-"""One admin command as a state machine: bytes in, one answer out. No I/O.
+"""State machine of one admin command: takes the received bytes and returns the answer. No I/O.
 
 A command is one line: ``WORD``, or ``WORD argument``. The answer is ``OK text`` or ``ERR reason``.
 """
@@ -11,29 +11,30 @@
 from magpieshift.lifecycle import InvalidStateError
 
 MAX_LINE_BYTES = 256
-"""Commands with their arguments are far shorter; what is longer is no command and would fill the memory."""
+"""Maximum size of a command line. Valid commands are far shorter; without a limit a client could fill the
+memory."""
 MAX_SHOWN_CHARACTERS = 80
-"""Of an unknown command, in the answer to it."""
+"""Maximum number of characters of an unknown command that the answer to it repeats."""
 LINE_END = b"\n"
 
 Commands = Mapping[str, Callable[[], str]]
-"""Commands without an argument, by word; each returns the text of its answer."""
+"""Commands without an argument, by their word; each function returns the text of the answer."""
 CommandsWithArgument = Mapping[str, Callable[[str], str]]
-"""Commands that take the rest of the line, by word."""
+"""Commands with an argument, by their word; each function takes the rest of the line."""
 
 
 def ok_answer(text: str) -> bytes:
-    """The answer to a command that succeeded."""
+    """Encode the answer to a command that succeeded."""
     return f"{OK_WORD} {text}\n".encode()
 
 
 def error_answer(reason: str) -> bytes:
-    """The answer to a command that failed."""
+    """Encode the answer to a command that failed or is invalid."""
     return f"{ERROR_WORD} {reason}\n".encode()
 
 
 class AdminCommand:
-    """The command on one connection. What comes behind its first line is not read."""
+    """The command received on one connection. Input after the first line is ignored."""
 
     def __init__(
         self, commands: Commands, commands_with_argument: CommandsWithArgument | None = None
@@ -43,7 +44,7 @@
         self._received = bytearray()
 
     def feed(self, data: bytes) -> bytes | None:
-        """Take these bytes; returns the answer once the line is complete or too long, None until then."""
+        """Add received bytes; returns the answer once the line is complete or too long, None before that."""
         self._received += data
         line, end, _ = self._received.partition(LINE_END)
         if len(line) > MAX_LINE_BYTES:
@@ -51,7 +52,7 @@
         return self._execute(bytes(line).removesuffix(b"\r")) if end else None
 
     def timed_out(self, timeout_s: float) -> bytes:
-        """The answer to a line that was not completed in time."""
+        """Return the answer to a line that was not completed within the time-out."""
         found = f"{len(self._received)} bytes" if self._received else "nothing"
         return error_answer(f"line: found {found} and no end after {timeout_s} s, {self._expected}")
 
@@ -65,12 +66,12 @@
             answer = self._run(text)
         except InvalidStateError as err:
             return error_answer(f"{text} not now: {err}")
-        if answer is None:  # shown so that it is one line again, whatever bytes came
+        if answer is None:  # escaped, so that the answer stays one line whatever bytes were sent
             return error_answer(f"call: found {ascii(text)[:MAX_SHOWN_CHARACTERS]}, {self._expected}")
         return ok_answer(answer)
 
     def _run(self, text: str) -> str | None:
-        """The text of the answer; None for an unknown command."""
+        """Execute the command; returns the text of the answer, None if the command is unknown."""
         if (command := self._commands.get(text)) is not None:
             return command()
         word, _, argument = text.partition(" ")
--- a/magpieshift/admin/server.py
+++ b/magpieshift/admin/server.py
@@ -1,4 +1,4 @@
-"""The admin server's I/O: its listening socket and the operators' connections."""
+"""I/O of the admin server: its listening socket and the operators' connections."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 log = logging.getLogger(__name__)
 
 MAX_CONNECTIONS = 16
-"""At once; they come out of ``limits.RESERVED_DESCRIPTORS``."""
+"""Maximum number of open connections; their descriptors are part of ``limits.RESERVED_DESCRIPTORS``."""
 MAX_LINGERING = 4
-"""Connections that are closing, out of the same."""
+"""Maximum number of connections in lingering close; their descriptors are part of the same reserve."""
 LINE_TIMEOUT_S = 2.0
-"""For a client to send a complete line, and again to take the answer. Longer lets silent
+"""Time-out for a client to send a complete line, and for the answer to be sent to it. Longer lets silent
 clients hold connections, shorter fails slow ones."""
 READ_CHUNK_BYTES = 512
-"""A complete line and more, see ``command.MAX_LINE_BYTES``."""
+"""Maximum size of one read; more than a complete line, see ``command.MAX_LINE_BYTES``."""
 MAX_BUFFERED_BYTES = 1 << 16
-"""Of one connection; far above what a command needs."""
+"""Maximum number of bytes that a connection's stream buffers; far more than a command needs."""
 MAX_LOGGED_BYTES = 200
-"""Of an answer: some are long figures for programs."""
+"""Maximum number of bytes of an answer in the log: some answers are long lists of figures for programs."""
 
 
 class AdminServer:
-    """Owner of the listening socket and of all operators' connections."""
+    """Owns the listening socket and all operators' connections."""
 
     def __init__(
         self,
@@ -53,12 +53,12 @@
         self._listener: Listener | None = None
 
     def open(self, address: Address) -> None:
-        """Listen; ``OSError`` where that is not possible."""
+        """Start to listen at an address; raises ``OSError`` if it is not available."""
         self._listener = Listener(listen_socket(*address), self._accepted, self._closing.drop_oldest)
         log.info("admin server started", extra=fields(console="{}:{}".format(*address)))
 
     def close(self) -> None:
-        """Stop listening, and release every connection."""
+        """Stop listening, and close every connection."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
@@ -67,7 +67,7 @@
         self._closing.close()
 
     def _accepted(self, sock: socket.socket) -> None:
-        # Clients that connect and send nothing must not lock others out: the oldest connection goes.
+        # At the limit the oldest connection is closed, so that silent clients cannot lock others out.
         if len(self._connections) >= MAX_CONNECTIONS:
             self._release(next(iter(self._connections)))
         stream = LingeringStream(sock, self._closing, MAX_BUFFERED_BYTES)
@@ -92,6 +92,6 @@
         return self._release(stream)
 
     def _release(self, stream: LingeringStream) -> None:
-        """Close a connection: the one place where it is released."""
+        """Close a connection and remove it from the open ones; nothing else does."""
         self._connections.pop(stream, None)
         stream.close()
