--- a/tests/admin/test_client.py
+++ b/tests/admin/test_client.py
@@ -13,7 +13,7 @@
 
 
 class ParseAnswer(unittest.TestCase):
-    def test_only_ok_is_consent(self) -> None:
+    def test_only_ok_counts_as_success(self) -> None:
         for line, status, text in (
             ("OK serving", AnswerStatus.SUCCEEDED, "serving"),
             ("OK", AnswerStatus.SUCCEEDED, ""),
@@ -26,13 +26,13 @@
 
 
 class SendAdminCommand(unittest.IsolatedAsyncioTestCase):
-    async def answered(self, data: bytes, is_closed: bool = True) -> AdminAnswer:
+    async def answer_from_server(self, data: bytes, closes: bool = True) -> AdminAnswer:
         """What a client makes of a server that sends these bytes."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readline()
             writer.write(data)
-            if is_closed:
+            if closes:
                 writer.close()
 
         async with await asyncio.start_server(serve, "127.0.0.1", 0) as server:
@@ -40,7 +40,7 @@
 
     async def test_an_address_that_answers_is_not_free_whatever_it_says(self) -> None:
         """Guards against an address taken for free since its answer was no success."""
-        for data, is_closed, status in (
+        for data, closes, status in (
             (b"OK serving\n", True, AnswerStatus.SUCCEEDED),
             (b"ERR starting\n", True, AnswerStatus.REFUSED),
             (b"HTTP/1.1 400\r\n", True, AnswerStatus.REFUSED),
@@ -48,8 +48,8 @@
             (b"OK half", True, AnswerStatus.NO_ANSWER),
             (b"", False, AnswerStatus.NO_ANSWER),
         ):
-            with self.subTest(data=data, is_closed=is_closed):
-                answer = await self.answered(data, is_closed)
+            with self.subTest(data=data, closes=closes):
+                answer = await self.answer_from_server(data, closes)
                 self.assertEqual((answer.status, answer.is_address_free), (status, False))
 
     async def test_an_address_where_nothing_listens_is_free(self) -> None:
--- a/tests/admin/test_command.py
+++ b/tests/admin/test_command.py
@@ -8,8 +8,8 @@
 
 class AdminCommandTest(unittest.TestCase):
     def test_lines_cut_anywhere_and_unknown_commands(self) -> None:
-        told = mock.Mock(return_value="serving")
-        for data, wanted in (
+        ping = mock.Mock(return_value="serving")
+        for data, expected in (
             (b"PING\n", b"OK serving\n"),
             (b"PING \r\nLAMEDUCK\n", b"OK serving\n"),
             (b"ping\n", b"ERR call: found 'ping', expected one of PING\n"),
@@ -18,11 +18,11 @@
         ):
             for size in (1, 2, 1000):
                 with self.subTest(data[:9], size=size):
-                    call, answers = AdminCommand({"PING": told}), []
+                    command, answers = AdminCommand({"PING": ping}), []
                     for at in range(0, len(data), size):
-                        answers.append(call.feed(data[at : at + size]))
-                    self.assertEqual(next(filter(None, answers)), wanted)
-        self.assertIn(b"ERR line: found nothing", AdminCommand({"PING": told}).timed_out(2.0))
+                        answers.append(command.feed(data[at : at + size]))
+                    self.assertEqual(next(filter(None, answers)), expected)
+        self.assertIn(b"ERR line: found nothing", AdminCommand({"PING": ping}).timed_out(2.0))
 
 
 if __name__ == "__main__":
--- a/tests/downstream/server_case.py
+++ b/tests/downstream/server_case.py
@@ -59,18 +59,18 @@
             self.engine, LoopClock(), {"picture": 0}, 2, 3 * HIGH_WATER_BYTES, self.lifecycle
         )
 
-    async def join(self) -> FakeStream:
+    async def connect(self) -> FakeStream:
         stream: Any = FakeStream()
         self.server.serve(stream)
-        await self.settle()
+        await self.run_event_loop()
         return stream  # type: ignore[no-any-return]
 
-    async def settle(self) -> None:
+    async def run_event_loop(self) -> None:
         for _ in range(5):
             await asyncio.sleep(0)
 
-    async def ask(self, client: FakeStream, stream: int) -> Any:
+    async def send_request(self, client: FakeStream, stream: int) -> Any:
         """A request lands; the call that answers it."""
         client.input.put_nowait(request(stream))
-        await self.settle()
+        await self.run_event_loop()
         return self.engine.submit.call_args.args[1]
--- a/tests/downstream/test_frames.py
+++ b/tests/downstream/test_frames.py
@@ -12,8 +12,8 @@
         data = request(1) + frame_head(FrameType.CANCEL, 1)
         for size in (1, 3, 1000):
             parser = FrameParser()
-            cuts = [data[at : at + size] for at in range(0, len(data), size)]
-            frames = [frame for cut in cuts for frame in parser.feed(cut)]
+            chunks = [data[start : start + size] for start in range(0, len(data), size)]
+            frames = [frame for chunk in chunks for frame in parser.feed(chunk)]
             self.assertEqual([(f.type, f.stream_id) for f in frames], [(1, 1), (3, 1)])
             self.assertEqual(read_fields(frames[0].payload)[0], FIELDS)
             self.assertEqual(parser.partial_bytes, 0)
--- a/tests/downstream/test_messages.py
+++ b/tests/downstream/test_messages.py
@@ -16,16 +16,24 @@
 
 
 class Requests(unittest.TestCase):
-    def test_what_is_left_out_is_zero_or_empty(self) -> None:
+    def test_absent_fields_are_zero_or_empty(self) -> None:
         request = read_request(FIELDS, b"", {"picture": 4})
         expected = ClientRequest(
             "00000000000000a1", 4, "picture", "7f3a9c21e0b4d655", 0, 0, 0.0, 870_000, False, "", "", b""
         )
         self.assertEqual(request, expected)
 
-    def test_everything_that_a_request_may_say(self) -> None:
-        more = {"slice": "3", "set": "17", "m": "9.5", "r": "1", "k": "5c0f", "seen": "4be0", "x": "unknown"}
-        request = read_request(FIELDS | more, b"eggs", {"picture": 0})
+    def test_a_request_with_all_fields(self) -> None:
+        optional_fields = {
+            "slice": "3",
+            "set": "17",
+            "m": "9.5",
+            "r": "1",
+            "k": "5c0f",
+            "seen": "4be0",
+            "x": "unknown",
+        }
+        request = read_request(FIELDS | optional_fields, b"eggs", {"picture": 0})
         expected = ClientRequest(
             "00000000000000a1",
             0,
@@ -45,7 +53,7 @@
     def test_a_short_wait_leaves_a_millisecond(self) -> None:
         self.assertEqual(read_request(FIELDS | {"d": "5"}, b"", {"picture": 0}).time_left_us, 1000)
 
-    def test_what_is_missing_or_cannot_stand_on_a_line_is_invalid(self) -> None:
+    def test_missing_fields_and_values_that_cannot_be_sent_on_are_invalid(self) -> None:
         for change in (
             {"c": "pictures"},
             {"i": ""},
@@ -78,7 +86,7 @@
             with self.subTest(response):
                 self.assertEqual(b"".join(write_response(7, response)), bytes.fromhex(expected))
 
-    def test_what_belongs_to_no_request(self) -> None:
+    def test_frames_that_belong_to_no_request(self) -> None:
         self.assertEqual(b"".join(write_go_away()), bytes.fromhex("050000000600000000"))
         self.assertEqual(b"".join(write_readiness(7, True)), bytes.fromhex("0700000005070000004f00"))
         self.assertEqual(b"".join(write_readiness(7, False)), bytes.fromhex("0700000005070000004200"))
--- a/tests/downstream/test_session.py
+++ b/tests/downstream/test_session.py
@@ -31,8 +31,8 @@
                 list(session.feed(request(stream)))
 
     def test_values_that_are_no_numbers_make_a_request_invalid(self) -> None:
-        bad = {"m": "nan", "d": "inf", "slice": "-1", "set": "x", "i": "12"}
-        for field, value in [*bad.items(), ("d", ""), ("set", "256")]:
+        invalid_values = {"m": "nan", "d": "inf", "slice": "-1", "set": "x", "i": "12"}
+        for field, value in [*invalid_values.items(), ("d", ""), ("set", "256")]:
             with self.subTest(field=field):
                 (event,) = Session({"picture": 0}).feed(request(1, **{field: value}))
                 self.assertEqual(type(event).__name__, "InvalidRequestReceived")
--- a/tests/upstream/test_cancel_barrier.py
+++ b/tests/upstream/test_cancel_barrier.py
@@ -17,7 +17,7 @@
 from tests.real.exchange import PATIENCE_S
 from tests.upstream.test_exchange_table import ENDPOINT, upstream_request
 
-ID = "00000000000000a1"
+REQUEST_ID = "00000000000000a1"
 LONG_US = 60_000_000
 
 
@@ -30,14 +30,14 @@
         self.addCleanup(self.listener.close)
         self.results: list[AttemptResult] = []
 
-    def pool(self, may_probe: bool = True) -> ConnectionPool:
+    def new_pool(self, may_probe: bool = True) -> ConnectionPool:
         pool = ConnectionPool(LoopClock(), (), 400_000, LONG_US, 32, max_connections=8, may_probe=may_probe)
         self.addCleanup(pool.close_all)
         return pool
 
     def request(self, cancelled: PendingExchange | None = None) -> UpstreamRequest:
         endpoint = replace(ENDPOINT, address=self.listener.getsockname())
-        return replace(upstream_request(ID), endpoint=endpoint, cancelled=cancelled)
+        return replace(upstream_request(REQUEST_ID), endpoint=endpoint, cancelled=cancelled)
 
     async def accept(self) -> socket.socket:
         """The pool's next connection."""
@@ -46,20 +46,20 @@
         self.addCleanup(connection.close)
         return connection
 
-    async def read(self, connection: socket.socket, text: bytes) -> None:
+    async def read_until(self, connection: socket.socket, text: bytes) -> None:
         """Read until this has come."""
-        got = b""
+        received = b""
         async with asyncio.timeout(PATIENCE_S):
-            while text not in got:
+            while text not in received:
                 data = await asyncio.get_running_loop().sock_recv(connection, 4096)
-                self.assertTrue(data, got)
-                got += data
+                self.assertTrue(data, received)
+                received += data
 
-    async def cancelled(self, pool: ConnectionPool) -> tuple[PendingExchange, socket.socket]:
+    async def start_and_cancel(self, pool: ConnectionPool) -> tuple[PendingExchange, socket.socket]:
         """An attempt that the endpoint has read, cancelled; nothing further is read from its connection."""
         first = pool.start(self.request(), self.results.append)
         connection = await self.accept()
-        await self.read(connection, f"ASK {ID} ".encode())
+        await self.read_until(connection, f"ASK {REQUEST_ID} ".encode())
         self.assertTrue(first.cancel())
         return first, connection
 
@@ -70,47 +70,47 @@
     async def test_a_retry_is_not_written_before_the_endpoint_has_read_the_cancellation(self) -> None:
         """The second connection was read first, and the request was worked on twice at once."""
         with mock.patch.object(cancel_barrier, "MAX_HOLD_US", LONG_US):
-            pool = self.pool()
-            first, connection = await self.cancelled(pool)
+            pool = self.new_pool()
+            first, connection = await self.start_and_cancel(pool)
             pool.start(self.request(first), self.results.append)
             for _ in range(10):  # turns in which it would connect
                 await asyncio.sleep(0)
             self.assert_no_connection()
-            await self.read(connection, f"QUIT {ID}\r\nNOOP p1\r\n".encode())
+            await self.read_until(connection, f"QUIT {REQUEST_ID}\r\nNOOP p1\r\n".encode())
             self.assert_no_connection()
             connection.sendall(b"p1 well - 0\r\n\r\n")
             second = await self.accept()
-            await self.read(second, f"ASK {ID} ".encode())
-            second.sendall(f"{ID} absent - 0\r\n\r\n".encode())
+            await self.read_until(second, f"ASK {REQUEST_ID} ".encode())
+            second.sendall(f"{REQUEST_ID} absent - 0\r\n\r\n".encode())
             async with asyncio.timeout(PATIENCE_S):
                 while not self.results:
                     await asyncio.sleep(0)
         self.assertEqual(self.results, [AttemptResult(Outcome.MISS, body=bytearray())])
 
-    async def test_the_end_of_the_connection_gives_up_what_was_open_on_it(self) -> None:
+    async def test_a_closed_connection_releases_the_retry(self) -> None:
         with mock.patch.object(cancel_barrier, "MAX_HOLD_US", LONG_US):
-            pool = self.pool()
-            first, connection = await self.cancelled(pool)
+            pool = self.new_pool()
+            first, connection = await self.start_and_cancel(pool)
             pool.start(self.request(first), self.results.append)
             connection.close()
-            await self.read(await self.accept(), f"ASK {ID} ".encode())
+            await self.read_until(await self.accept(), f"ASK {REQUEST_ID} ".encode())
 
     async def test_an_endpoint_that_stays_silent_holds_a_retry_for_a_bounded_time(self) -> None:
         for may_probe in (True, False):
             with self.subTest(may_probe=may_probe):
-                pool = self.pool(may_probe)
-                first, _ = await self.cancelled(pool)
+                pool = self.new_pool(may_probe)
+                first, _ = await self.start_and_cancel(pool)
                 pool.start(self.request(first), self.results.append)
                 self.assert_no_connection()
-                await self.read(await self.accept(), f"ASK {ID} ".encode())
+                await self.read_until(await self.accept(), f"ASK {REQUEST_ID} ".encode())
                 pool.close_all()
 
     async def test_a_retry_that_is_cancelled_while_it_is_held_is_never_written(self) -> None:
-        pool = self.pool()
-        first, connection = await self.cancelled(pool)
+        pool = self.new_pool()
+        first, connection = await self.start_and_cancel(pool)
         second = pool.start(self.request(first), self.results.append)
         self.assertFalse(second.cancel())
-        await self.read(connection, b"NOOP p1\r\n")
+        await self.read_until(connection, b"NOOP p1\r\n")
         connection.sendall(b"p1 well - 0\r\n\r\n")
         for _ in range(20):
             await asyncio.sleep(0.001)
--- a/tests/upstream/test_codec.py
+++ b/tests/upstream/test_codec.py
@@ -16,13 +16,13 @@
 
 
 class Requests(unittest.TestCase):
-    def test_what_is_absent_or_zero_is_left_out(self) -> None:
+    def test_absent_and_zero_fields_are_omitted(self) -> None:
         written = b"".join(encode_request(upstream_request(), 0))
         self.assertEqual(
             written, b"ASK 00000000000000a1 class=picture,key=7f3a9c21e0b4d655,part=3,wait=1000 0\r\n\r\n"
         )
 
-    def test_everything_that_a_request_may_say(self) -> None:
+    def test_a_request_with_all_fields(self) -> None:
         client_request = replace(CLIENT_REQUEST, idempotency_key="5c0f", known_version="4be0", body=b"eggs")
         flags = sum(CacheRequestFlag)
         request = replace(
@@ -41,7 +41,7 @@
         )
         self.assertEqual((body, end), (b"eggs", b"\r\n"))
 
-    def test_an_age_below_a_millisecond_does_not_become_no_bound(self) -> None:
+    def test_a_maximum_age_below_a_millisecond_is_rounded_up(self) -> None:
         head = encode_request(replace(upstream_request(), max_age_us=1), 0)[0]
         self.assertIn(b",fresh=1 ", head)
 
@@ -55,13 +55,13 @@
         data = spell(r'"a1 data tag=x,lag=1.5 6\r\nab\r\ncd\r\n" "a2 absent - 0\r\n\r\n" "p1 well\r\n"')
         for size in (1, 2, 7, 1000):
             parser = ResponseParser()
-            cuts = [data[at : at + size] for at in range(0, len(data), size)]
-            responses = [response for cut in cuts for response in parser.feed(cut)]
+            chunks = [data[start : start + size] for start in range(0, len(data), size)]
+            responses = [response for chunk in chunks for response in parser.feed(chunk)]
             expected = [("a1", "data", b"ab\r\ncd"), ("a2", "absent", b""), ("p1", "well", b"")]
             self.assertEqual([(r.request_id, r.status, bytes(r.body)) for r in responses], expected)
 
     def test_lines_that_are_no_answers(self) -> None:
-        unreadable = (
+        invalid_responses = (
             b"\r\n",
             b"a1\r\n",
             b"a1 data - x\r\n",
@@ -74,7 +74,7 @@
             b"\xff a - 0\r\n",
             b"a1 data -\r\n",
         )
-        for line in unreadable:
+        for line in invalid_responses:
             with self.subTest(line[:20]), self.assertRaises(UpstreamProtocolError):
                 list(ResponseParser().feed(line))
 
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -13,7 +13,7 @@
 
 
 class Connections(unittest.IsolatedAsyncioTestCase):
-    async def test_an_endpoint_found_gone_by_the_first_chunk_does_not_raise(self) -> None:
+    async def test_a_write_to_a_closed_stream_does_not_raise(self) -> None:
         """The write raised into the engine, which was left with an attempt that nothing would end before its
         timeout."""
         pool = ConnectionPool(LoopClock(), (), 400_000, 15_000_000, 32, max_connections=8)
--- a/tests/upstream/test_exchange_table.py
+++ b/tests/upstream/test_exchange_table.py
@@ -31,13 +31,13 @@
         """Open an exchange under this id."""
         self.table.open_request(upstream_request(request_id, known_version), 0, self.callback)
 
-    def test_what_a_response_tells(self) -> None:
+    def test_load_figures_are_read_under_the_settings_names_and_their_aliases(self) -> None:
         """A report goes by the settings' names; read by the others alone, none ever arrived."""
         for stats in (b"inflight:7;util:0.61", b"concurrent:7;load_share:0.61"):
             table = ExchangeTable(("load_share", "concurrent"))
             table.open_probe(True, self.callback)
-            ((ended, result),) = table.feed(b"p1 well how=jammed,lag=1.5,stats=%b 0\r\n\r\n" % stats)
-            self.assertIs(ended, self.callback)
+            ((callback, result),) = table.feed(b"p1 well how=jammed,lag=1.5,stats=%b 0\r\n\r\n" % stats)
+            self.assertIs(callback, self.callback)
             self.assertEqual(result, AttemptResult(Outcome.OK, 9, 1500, (0.61, 7.0), bytearray()))
 
     def test_an_id_in_use_is_not_opened_again(self) -> None:
@@ -85,13 +85,13 @@
         with self.assertRaises(UpstreamProtocolError):
             list(self.table.feed(f"{probe_id} data - 0\r\n\r\n".encode()))
 
-    def test_a_response_that_has_begun_is_seen(self) -> None:
+    def test_a_response_received_in_part_is_recognized(self) -> None:
         self.open("a1")
         self.assertEqual(list(self.table.feed(b"a1 data - 9\r\nco")), [])
         self.assertTrue(self.table.is_receiving("a1"))
         self.assertFalse(self.table.is_receiving("a2"))
 
-    def test_the_end_of_the_connection_ends_all_that_is_open(self) -> None:
+    def test_abort_all_returns_the_callbacks_of_all_open_exchanges(self) -> None:
         self.open("a1")
         self.table.open_probe(False, self.callback)
         self.assertEqual(self.table.abort_all(), [self.callback, self.callback])
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -12,7 +12,7 @@
 
 
 class Descriptors(unittest.IsolatedAsyncioTestCase):
-    async def test_endpoints_share_them(self) -> None:
+    async def test_endpoints_share_the_descriptors_equally(self) -> None:
         """One endpoint may take no more than its part, and all no more than there are."""
         clock = LoopClock()
         pool = ConnectionPool(clock, (), 400_000, 15_000_000, 32, max_connections=8)
@@ -28,7 +28,7 @@
         self.assertEqual(opened, [2, 2, 2, 2])
 
 
-class Choice(unittest.IsolatedAsyncioTestCase):
+class ConnectionChoice(unittest.IsolatedAsyncioTestCase):
     """Which connection carries an exchange."""
 
     async def asyncSetUp(self) -> None:
@@ -36,29 +36,29 @@
         self.pool = EndpointPool(mock.Mock(), ConnectionSettings((), 1, 1), LoopClock(), self.may_open)
         self.exchange = mock.Mock()
 
-    def connections(self, *loads: int, unfit: tuple[int, ...] = ()) -> list[mock.Mock]:
+    def set_connections(self, *loads: int, rejecting: tuple[int, ...] = ()) -> list[mock.Mock]:
         """Connections with these loads, of which some may not carry the exchange."""
         connections = [
-            mock.Mock(load=load, can_accept=mock.Mock(return_value=index not in unfit))
+            mock.Mock(load=load, can_accept=mock.Mock(return_value=index not in rejecting))
             for index, load in enumerate(loads)
         ]
         self.pool.connections = list(connections)
         return connections
 
-    async def test_the_least_loaded_that_may_carry_it(self) -> None:
-        connections = self.connections(3, 1, 0, 1, unfit=(2,))
+    async def test_the_least_loaded_connection_that_accepts_the_exchange_is_used(self) -> None:
+        connections = self.set_connections(3, 1, 0, 1, rejecting=(2,))
         self.assertTrue(self.pool.submit(self.exchange, 32, 4))
         connections[1].submit.assert_called_once_with(self.exchange)
         self.may_open.assert_not_called()
 
-    async def test_a_new_one_is_wanted_once_all_carry_the_preferred_number(self) -> None:
-        connections = self.connections(5, 4)
+    async def test_a_new_connection_is_wanted_once_all_have_the_preferred_load(self) -> None:
+        connections = self.set_connections(5, 4)
         self.assertTrue(self.pool.submit(self.exchange, 32, 4))
         self.may_open.assert_called_once_with(self.pool)
         connections[1].submit.assert_called_once_with(self.exchange)  # none may be opened
 
-    async def test_none_where_all_are_full_and_none_may_be_opened(self) -> None:
-        self.connections(32, 32)
+    async def test_no_connection_is_used_if_all_are_full_and_none_may_be_opened(self) -> None:
+        self.set_connections(32, 32)
         self.assertFalse(self.pool.submit(self.exchange, 32, 4))
 
 
@@ -79,7 +79,7 @@
 
 
 class HealthChecks(unittest.IsolatedAsyncioTestCase):
-    async def test_one_that_is_not_answered_ends_after_its_timeout(self) -> None:
+    async def test_an_unanswered_health_check_ends_after_its_timeout(self) -> None:
         clock = mock.Mock(now_us=mock.Mock(return_value=0))
         pool = ConnectionPool(clock, (), 400_000, 1_000_000, 32, max_connections=8)
         for is_written, outcome in ((True, Outcome.TIMEOUT), (False, Outcome.CONNECT_FAILED)):
