--- a/tests/admin/test_client.py
+++ b/tests/admin/test_client.py
@@ -1,4 +1,4 @@
-"""The typed answer of an admin server, as its clients read it."""
+"""Answers of an admin server as its client parses and classifies them."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 class SendAdminCommand(unittest.IsolatedAsyncioTestCase):
     async def answer_from_server(self, data: bytes, closes: bool = True) -> AdminAnswer:
-        """What a client makes of a server that sends these bytes."""
+        """Return the client's result for a server that sends these bytes."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readline()
@@ -39,7 +39,7 @@
             return await send_admin_command(server.sockets[0].getsockname(), "PING", TIMEOUT_S)
 
     async def test_an_address_that_answers_is_not_free_whatever_it_says(self) -> None:
-        """Guards against an address taken for free since its answer was no success."""
+        """Guards against an address that counts as free because its process did not answer with success."""
         for data, closes, status in (
             (b"OK serving\n", True, AnswerStatus.SUCCEEDED),
             (b"ERR starting\n", True, AnswerStatus.REFUSED),
--- a/tests/admin/test_command.py
+++ b/tests/admin/test_command.py
@@ -1,4 +1,4 @@
-"""Admin commands: bytes in, answer out."""
+"""The state machine of an admin command, given received bytes."""
 
 import unittest
 from unittest import mock
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -1,4 +1,4 @@
-"""The admin server on a socket."""
+"""The admin server on a real socket."""
 
 import asyncio
 import unittest
@@ -25,9 +25,9 @@
         ]
         reader, writer = await asyncio.open_connection(*listener.getsockname())
         writer.write(b"PING\n")
-        writer.write_eof()  # as some do that call from a shell
+        writer.write_eof()  # as some shell commands do
         self.assertEqual(await reader.read(), b"OK serving\n")
-        self.assertEqual(await silent_clients[0][0].read(), b"")  # the first made room
+        self.assertEqual(await silent_clients[0][0].read(), b"")  # the oldest was closed
         server.close()
         for _, stream in [*silent_clients, (reader, writer)]:
             stream.close()
--- a/tests/downstream/server_case.py
+++ b/tests/downstream/server_case.py
@@ -1,4 +1,4 @@
-"""A server for clients whose connections are streams of the test's own, with an engine that is a mock."""
+"""Base of tests of the downstream server: clients are fake streams, the engine is a mock."""
 
 import asyncio
 import unittest
@@ -17,11 +17,12 @@
 
 
 def request(stream: int, **changes: str) -> bytes:
+    """Encode a request on this stream, with some fields changed."""
     return frame_head(FrameType.REQUEST, stream, write_fields(FIELDS | changes))
 
 
 class FakeStream:
-    """Gives what it is fed, and takes nothing until it is told to."""
+    """Reads come from ``input``; a write stays unsent until the test completes its future in ``written``."""
 
     def __init__(self) -> None:
         self.input: asyncio.Queue[bytes] = asyncio.Queue()
@@ -50,7 +51,7 @@
 
 
 class ServerCase(unittest.IsolatedAsyncioTestCase):
-    """A server whose clients are streams of the test's own."""
+    """A server with fake clients, of which it accepts two at once."""
 
     async def asyncSetUp(self) -> None:
         self.engine = mock.Mock(submit=mock.Mock(side_effect=range(1, 1000)))
@@ -60,17 +61,19 @@
         )
 
     async def connect(self) -> FakeStream:
+        """Connect a client."""
         stream: Any = FakeStream()
         self.server.serve(stream)
         await self.run_event_loop()
         return stream  # type: ignore[no-any-return]
 
     async def run_event_loop(self) -> None:
+        """Let pending tasks and callbacks run."""
         for _ in range(5):
             await asyncio.sleep(0)
 
     async def send_request(self, client: FakeStream, stream: int) -> Any:
-        """A request lands; the call that answers it."""
+        """Send a request; returns the callback by which the engine answers it."""
         client.input.put_nowait(request(stream))
         await self.run_event_loop()
         return self.engine.submit.call_args.args[1]
--- a/tests/downstream/test_connection.py
+++ b/tests/downstream/test_connection.py
@@ -1,4 +1,4 @@
-"""Clients that take nothing, send too much, or leave; on a stream of the test's own."""
+"""Clients that receive nothing, send too much or disconnect, on fake streams."""
 
 import asyncio
 import unittest
@@ -56,7 +56,7 @@
         for reply in (open_reply, next_reply):
             reply(Response(Verdict.SERVED, b"copy"))
         late_reply = self.engine.submit.call_args_list[1].args[1]
-        late_reply(Response(Verdict.FAILED))  # the engine had entered it before it raised
+        late_reply(Response(Verdict.FAILED))  # the engine had registered the request before it raised
         parser = FrameParser()
         frames = [frame for data, _ in client.written for frame in parser.feed(data)]
         answers = [(frame.stream_id, frame.payload[0]) for frame in frames]
@@ -65,7 +65,7 @@
         self.assertFalse(client.closed())
 
     async def test_a_flood_of_one_client_does_not_starve_the_others(self) -> None:
-        """While its bytes were there at once, nobody else was read from."""
+        """Guards against a connection that is read without pause while it has data, so that no other is."""
         flood, other = await self.connect(), await self.connect()
         reads, served = 0, asyncio.get_running_loop().create_future()
 
@@ -98,7 +98,10 @@
         self.assertEqual((self.server.held_bytes, self.server.has_unsent), (0, False))
 
     async def test_a_write_that_finds_the_client_gone_does_not_raise(self) -> None:
-        """It would have closed the store's connection that brought the answer, with all that was on it."""
+        """Guards against an exception in the callback of an endpoint's response.
+
+        It would close the endpoint's connection, with all exchanges that are open on it.
+        """
         client = await self.connect()
         reply = await self.send_request(client, 1)
         with mock.patch.object(client, "write", side_effect=StreamClosedError):
--- a/tests/downstream/test_lame_duck.py
+++ b/tests/downstream/test_lame_duck.py
@@ -1,4 +1,4 @@
-"""Clients' connections of a router that drains as a lame duck."""
+"""Clients' connections to a router that drains as a lame duck."""
 
 import unittest
 from unittest import mock
--- a/tests/downstream/test_replacement.py
+++ b/tests/downstream/test_replacement.py
@@ -1,4 +1,4 @@
-"""Clients' connections of a process that is being replaced."""
+"""Clients' connections to a process that is being replaced."""
 
 import asyncio
 import socket
@@ -11,11 +11,14 @@
 
 class Replaced(server_case.ServerCase):
     async def test_the_listen_backlog_is_accepted_before_the_listener_closes(self) -> None:
-        """They were reset: 338 of 33,422 connections over 40 handovers (``magpieshift lab handover``)."""
+        """Guards against resets of connections in the backlog.
+
+        They were reset in 338 of 33,422 cases over 40 handovers (``magpieshift lab handover``).
+        """
         listener = listen_socket("127.0.0.1", 0)
         self.server.listen_on(listener)
         address = listener.getsockname()
-        with socket.create_connection(address) as client:  # the loop has had no turn to accept it
+        with socket.create_connection(address) as client:  # not accepted yet: the event loop has not run
             self.server.stop_listening()
             with self.assertRaises(ConnectionRefusedError):
                 socket.create_connection(address)
--- a/tests/downstream/test_server.py
+++ b/tests/downstream/test_server.py
@@ -1,4 +1,4 @@
-"""Limits on clients' connections, and the notice of the planned end; on streams of the test's own."""
+"""Limits on clients' connections, and GO_AWAY, on fake streams."""
 
 import unittest
 from unittest import mock
@@ -23,7 +23,7 @@
     async def test_a_client_that_completes_no_frame_in_time_is_disconnected_and_one_that_waits_is_not(
         self,
     ) -> None:
-        """Some connect by the hundreds and say nothing, or send messages that never end (rude day)."""
+        """In scenario "rude day" clients connect by the hundreds and send nothing, or endless frames."""
         silent, incomplete = await self.connect(), await self.connect()
         self.server.max_connections = 3
         waiting = await self.connect()
--- a/tests/downstream/test_session.py
+++ b/tests/downstream/test_session.py
@@ -1,4 +1,4 @@
-"""The state machine of one client's connection, fed bytes."""
+"""The state machine of one client's connection, given received bytes."""
 
 import unittest
 
--- a/tests/upstream/test_cancel_barrier.py
+++ b/tests/upstream/test_cancel_barrier.py
@@ -1,4 +1,4 @@
-"""A retry behind the cancellation of the attempt before it, over real connections."""
+"""A retry that is held until the cancellation of the previous attempt has been read, on real connections."""
 
 from __future__ import annotations
 
@@ -22,7 +22,10 @@
 
 
 class RetryAfterCancel(unittest.IsolatedAsyncioTestCase):
-    """Guards against a second copy: an endpoint that reads its second connection before its first."""
+    """Guards against a request that is executed twice at once.
+
+    An endpoint may read the retry on its second connection before the cancellation on its first.
+    """
 
     async def asyncSetUp(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -40,14 +43,14 @@
         return replace(upstream_request(REQUEST_ID), endpoint=endpoint, cancelled=cancelled)
 
     async def accept(self) -> socket.socket:
-        """The pool's next connection."""
+        """Accept the pool's next connection."""
         async with asyncio.timeout(PATIENCE_S):
             connection, _ = await asyncio.get_running_loop().sock_accept(self.listener)
         self.addCleanup(connection.close)
         return connection
 
     async def read_until(self, connection: socket.socket, text: bytes) -> None:
-        """Read until this has come."""
+        """Read from a connection until this text has been received."""
         received = b""
         async with asyncio.timeout(PATIENCE_S):
             while text not in received:
@@ -56,7 +59,10 @@
                 received += data
 
     async def start_and_cancel(self, pool: ConnectionPool) -> tuple[PendingExchange, socket.socket]:
-        """An attempt that the endpoint has read, cancelled; nothing further is read from its connection."""
+        """Start an attempt, and cancel it when the endpoint has read its request.
+
+        Returns it with its connection, from which nothing further is read.
+        """
         first = pool.start(self.request(), self.results.append)
         connection = await self.accept()
         await self.read_until(connection, f"ASK {REQUEST_ID} ".encode())
@@ -68,12 +74,12 @@
             self.listener.accept()
 
     async def test_a_retry_is_not_written_before_the_endpoint_has_read_the_cancellation(self) -> None:
-        """The second connection was read first, and the request was worked on twice at once."""
+        """Guards against an endpoint that reads the retry first and executes the request twice at once."""
         with mock.patch.object(cancel_barrier, "MAX_HOLD_US", LONG_US):
             pool = self.new_pool()
             first, connection = await self.start_and_cancel(pool)
             pool.start(self.request(first), self.results.append)
-            for _ in range(10):  # turns in which it would connect
+            for _ in range(10):  # enough turns of the event loop to connect
                 await asyncio.sleep(0)
             self.assert_no_connection()
             await self.read_until(connection, f"QUIT {REQUEST_ID}\r\nNOOP p1\r\n".encode())
--- a/tests/upstream/test_codec.py
+++ b/tests/upstream/test_codec.py
@@ -1,4 +1,4 @@
-"""The codec of the upstream wire."""
+"""The codec of the upstream protocol."""
 
 import unittest
 from dataclasses import replace
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -1,4 +1,4 @@
-"""One upstream connection, on a stream of the test's own."""
+"""One upstream connection, on a mock stream."""
 
 import asyncio
 import unittest
@@ -14,8 +14,8 @@
 
 class Connections(unittest.IsolatedAsyncioTestCase):
     async def test_a_write_to_a_closed_stream_does_not_raise(self) -> None:
-        """The write raised into the engine, which was left with an attempt that nothing would end before its
-        timeout."""
+        """Guards against an exception of the first write in the engine, whose attempt would end only by its
+        time-out."""
         pool = ConnectionPool(LoopClock(), (), 400_000, 15_000_000, 32, max_connections=8)
         results = list[AttemptResult]()
         with mock.patch("magpieshift.upstream.connection.IOStream") as stream:
--- a/tests/upstream/test_exchange_table.py
+++ b/tests/upstream/test_exchange_table.py
@@ -1,4 +1,4 @@
-"""The exchanges of one upstream connection, fed bytes."""
+"""The exchange table of one upstream connection, given received bytes."""
 
 import unittest
 from dataclasses import replace
@@ -17,7 +17,7 @@
 
 
 def upstream_request(request_id: str = "00000000000000a1", known_version: str = "") -> UpstreamRequest:
-    """A request for an object, with a second left."""
+    """A request for an object, with one second until its deadline."""
     client_request = replace(CLIENT_REQUEST, request_id=request_id, known_version=known_version)
     return UpstreamRequest(client_request, ENDPOINT, None, 0, 0, 0, 1_000_000, False, lambda: None)
 
@@ -28,11 +28,11 @@
         self.callback = mock.Mock()
 
     def open(self, request_id: str, known_version: str = "") -> None:
-        """Open an exchange under this id."""
+        """Open an exchange for a request with this id."""
         self.table.open_request(upstream_request(request_id, known_version), 0, self.callback)
 
     def test_load_figures_are_read_under_the_settings_names_and_their_aliases(self) -> None:
-        """A report goes by the settings' names; read by the others alone, none ever arrived."""
+        """Guards against lost load reports: endpoints use the settings' names, but only aliases were read."""
         for stats in (b"inflight:7;util:0.61", b"concurrent:7;load_share:0.61"):
             table = ExchangeTable(("load_share", "concurrent"))
             table.open_probe(True, self.callback)
@@ -46,7 +46,7 @@
         self.assertTrue(self.table.can_open("a2"))
 
     def test_a_response_to_a_cancelled_request_is_dropped_and_its_id_stays_taken(self) -> None:
-        """It came late, and passed for the response to a later request under the same id."""
+        """Guards against a late response that is taken for that of a later request under the same id."""
         self.open("a1")
         self.assertEqual(self.table.cancel("a1"), b"QUIT a1\r\n")
         self.assertEqual(list(self.table.feed(b"a1 failed - 0\r\n\r\n")), [])
@@ -54,7 +54,7 @@
         self.assertEqual(self.table.cancel("a1"), b"")
 
     def test_an_answered_id_is_opened_again_only_for_what_may_run_twice(self) -> None:
-        """A second response that came late passed for that of the repeated write."""
+        """Guards against a late second response that is taken for that of a repeated write."""
         self.open("a1")
         self.assertEqual(len(list(self.table.feed(b"a1 failed - 0\r\n\r\n"))), 1)
         self.assertTrue(self.table.can_open("a1"))
@@ -72,7 +72,7 @@
         self.assertFalse(self.table.can_open("a1"))
 
     def test_not_modified_answers_only_a_client_that_holds_a_copy(self) -> None:
-        """A client without a copy was served nothing at all."""
+        """Guards against a client without a copy that is served no content at all."""
         self.open("a1", known_version="4be0")
         ((_, result),) = self.table.feed(b"a1 unchanged - 0\r\n\r\n")
         self.assertEqual((result.outcome, result.not_modified), (Outcome.OK, True))
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -13,7 +13,7 @@
 
 class Descriptors(unittest.IsolatedAsyncioTestCase):
     async def test_endpoints_share_the_descriptors_equally(self) -> None:
-        """One endpoint may take no more than its part, and all no more than there are."""
+        """Each endpoint may open an equal part of the connections, and all together at most the limit."""
         clock = LoopClock()
         pool = ConnectionPool(clock, (), 400_000, 15_000_000, 32, max_connections=8)
         settings = ConnectionSettings((), 400_000, 600_000)
@@ -29,7 +29,7 @@
 
 
 class ConnectionChoice(unittest.IsolatedAsyncioTestCase):
-    """Which connection carries an exchange."""
+    """The choice of a connection for an exchange."""
 
     async def asyncSetUp(self) -> None:
         self.may_open = mock.Mock(return_value=False)
@@ -37,7 +37,7 @@
         self.exchange = mock.Mock()
 
     def set_connections(self, *loads: int, rejecting: tuple[int, ...] = ()) -> list[mock.Mock]:
-        """Connections with these loads, of which some may not carry the exchange."""
+        """Give the pool connections with these loads; those with an index in ``rejecting`` accept nothing."""
         connections = [
             mock.Mock(load=load, can_accept=mock.Mock(return_value=index not in rejecting))
             for index, load in enumerate(loads)
@@ -55,7 +55,7 @@
         connections = self.set_connections(5, 4)
         self.assertTrue(self.pool.submit(self.exchange, 32, 4))
         self.may_open.assert_called_once_with(self.pool)
-        connections[1].submit.assert_called_once_with(self.exchange)  # none may be opened
+        connections[1].submit.assert_called_once_with(self.exchange)  # as no new one may be opened
 
     async def test_no_connection_is_used_if_all_are_full_and_none_may_be_opened(self) -> None:
         self.set_connections(32, 32)
@@ -64,7 +64,7 @@
 
 class Idle(unittest.IsolatedAsyncioTestCase):
     async def test_connections_are_closed_before_the_endpoint_may_close_them(self) -> None:
-        """The endpoint closed first, and the request just written to it was reset."""
+        """Guards against a request that is reset because the endpoint closed the idle connection first."""
         clock = mock.Mock(now_us=mock.Mock(return_value=0))
         pool = ConnectionPool(clock, (), 400_000, 1_000_000, 32, max_connections=8)
         endpoint_pool = EndpointPool(mock.Mock(), ConnectionSettings((), 1, 1), clock, pool.may_open)
