--- a/magpieshift/admin/command.py
+++ b/magpieshift/admin/command.py
@@ -11,8 +11,7 @@
 from magpieshift.lifecycle import InvalidStateError
 
 MAX_LINE_BYTES = 256
-"""Maximum size of a command line. Valid commands are far shorter; without a limit a client could fill the
-memory."""
+"""Maximum size of a command line, so that a client cannot fill the memory; valid commands are far shorter."""
 MAX_SHOWN_CHARACTERS = 80
 """Maximum number of characters of an unknown command that the answer to it repeats."""
 LINE_END = b"\n"
