--- a/magpieshift/config/__init__.py
+++ b/magpieshift/config/__init__.py
@@ -1,4 +1,5 @@
-"""The configuration: the typed document, its reader for the platform's JSON, and the names shown of it."""
+"""The configuration: the typed document, the reader of the platform's JSON, and the names of settings that
+operators see."""
 
 from magpieshift.config.document import (
     MIN_SOCKETS,
--- a/magpieshift/config/document.py
+++ b/magpieshift/config/document.py
@@ -1,4 +1,4 @@
-"""The settings of an installation as typed values, whichever reader they came through."""
+"""The settings of an installation as typed values, independent of the file format they were read from."""
 
 from __future__ import annotations
 
@@ -12,91 +12,92 @@
 """Host and port."""
 
 MIN_SOCKETS = 192
-"""Fewer leave no room for connections to endpoints beside the clients' third and the reserved descriptors."""
+"""Smallest usable number of descriptors. Fewer would leave none for connections to endpoints after the third
+reserved for clients and the descriptors reserved for other uses."""
 
 
 @dataclass(frozen=True)
 class Limits:
-    """What the machine gives the router."""
+    """The machine's resources that the router may use."""
 
     memory_mb: float
     sockets: int
-    """Descriptors, for connections and everything else."""
+    """Number of file descriptors, for connections and all other uses."""
 
 
 @dataclass(frozen=True)
 class Names:
-    """The words of the settings that messages on the sockets use, by number."""
+    """The names of classes, zones and kinds by their numbers, as used in messages on the wire."""
 
     classes: tuple[str, ...]
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     report: tuple[str, ...]
-    """Columns of the endpoints' load reports."""
+    """Names of the columns of the endpoints' load reports."""
 
 
 NO_NAMES = Names((), (), (), ())
-"""Where nothing is ever shown: the simulator."""
+"""For the simulator, which never shows names."""
 
 
 @dataclass(frozen=True)
 class MembershipSettings:
-    """How a router talks with the other routers of its fleet, where it does."""
+    """The settings of a router's membership in a fleet of routers."""
 
     fleet: str
-    """Datagrams of another fleet are dropped."""
+    """Name of the fleet; datagrams of other fleets are dropped."""
     listen: Address
-    """Where it receives datagrams."""
+    """Address on which it receives datagrams."""
     advertise: Address
-    """Where the others send them."""
+    """Address to which the other routers send datagrams."""
     seeds: tuple[Address, ...] = ()
-    """Routers to join the fleet by."""
+    """Addresses of routers through which it joins the fleet."""
     voters: tuple[str, ...] = ()
     """Names of the routers that elect the quota leader."""
     solo_quota: float = 1.0
-    """Part of its share by the settings that a router uses whatever it hears from others."""
+    """Fraction of its configured share that a router may use without contact to the other routers."""
     gossips_overload: bool = False
-    """Whether routers tell each other of failing endpoints."""
+    """Whether routers exchange reports of failing endpoints."""
     may_offload: bool = False
-    """Whether an overloaded router sends clients to its neighbours."""
+    """Whether an overloaded router redirects clients to its neighbours."""
 
 
 @dataclass(frozen=True)
 class Document:
-    """The settings of an installation: what a version of the configuration holds.
+    """The settings of an installation; each version of the configuration consists of one document.
 
     They are read from the platform's JSON (``platform_file``) or an S-expression (``control.schema``).
     """
 
     name: str
-    """Of the router."""
+    """Name of the router."""
     listen: Address
-    """Where clients connect."""
+    """Address on which it accepts clients."""
     limits: Limits
     change_log_address: Address
-    """Where the change log is read."""
+    """Address of the change log."""
     settings: Settings
-    """The policy's."""
+    """The policy's settings."""
     names: Names
-    """Of the numbers in ``settings``."""
+    """The names for the numbers in ``settings``."""
     idle_timeout_us: int
-    """How long a connection to an endpoint stays open without a request, in microseconds."""
+    """Idle timeout of a connection to an endpoint."""
     streams_per_connection: int
-    """Concurrent requests on one connection to an endpoint, at most."""
+    """Most concurrent requests on one connection to an endpoint."""
     admin_address: Address | None = None
-    """Where operators' admin commands come in; nowhere if there is none."""
+    """Address of the admin server; None to run none."""
     membership: MembershipSettings | None = None
-    """None: it talks to no other router."""
+    """Membership in a fleet; None to run without contact to other routers."""
 
 
 @dataclass(frozen=True)
 class Config:
-    """All that the program reads at its start: a document, and what is no setting but true of this start."""
+    """All that the program reads at start: a document, and values that apply to this start only."""
 
     document: Document
     seed: int
-    """Of the policy's random generator."""
+    """Seed of the policy's random generator."""
     known_changes: Mapping[str, Any]
-    """The endpoint list and purges known so far, as the change log writes them."""
+    """The endpoint list and purges from before the start, in the format of the change log."""
     version: int = 0
-    """Of the document; 0 for one without a number, as the platform's."""
+    """Version number of the document; 0 if it has none, like the platform's."""
--- a/magpieshift/config/errors.py
+++ b/magpieshift/config/errors.py
@@ -6,4 +6,4 @@
 
 
 class ConfigError(MagpieshiftError):
-    """A value is missing or cannot be used; the text is one plain line."""
+    """A setting is missing or invalid; the message is a single line."""
--- a/magpieshift/config/platform_file.py
+++ b/magpieshift/config/platform_file.py
@@ -1,7 +1,7 @@
 """Reads the platform's configuration: environment variables and one JSON file.
 
-The nested settings become the policy's ``Settings`` by way of ``simulator_settings``'s parser, which takes
-the same object as ``path=value`` lines.
+The nested settings are converted to ``path=value`` lines, the format of ``simulator_settings``, whose parser
+returns the policy's ``Settings``.
 """
 
 from __future__ import annotations
@@ -22,9 +22,10 @@
 from magpieshift.policy.simulator_settings import parse_settings
 
 CLASS_NAME = re.compile(r"[!-+\--~]{1,64}")
-"""Printable without spaces and commas, as it goes into a list on an endpoint's request line."""
+"""Printable characters except space and comma, since the name is sent in a list on an endpoint's request
+line."""
 MAX_SHOWN_CHARACTERS = 120
-"""Of a bad value, in the error about it."""
+"""Longest part of an invalid value that an error shows."""
 NUMBER = (int, float)
 
 Types = type | tuple[type, ...]
@@ -41,7 +42,7 @@
     except (OSError, ValueError, RecursionError) as err:
         raise ConfigError(f"EDGE_CONFIG cannot be read: {err}") from err
     if not isinstance(data, dict):
-        raise ConfigError("EDGE_CONFIG does not hold an object")
+        raise ConfigError("the file that EDGE_CONFIG names does not hold a JSON object")
     return parse(data, env.get("EDGE_LISTEN"), env.get("EDGE_NAME"), env.get("EDGE_CONSOLE"))
 
 
@@ -51,9 +52,9 @@
     name: str | None = None,
     console: str | None = None,
 ) -> Config:
-    """The typed configuration; ``listen``, ``name`` and ``console`` take precedence over the file's.
+    """Convert the file's data to the typed configuration; the other arguments take precedence over it.
 
-    Raises ``ConfigError`` where a value is missing or cannot be used.
+    Raises ``ConfigError`` if a value is missing or invalid.
     """
     nested = _get(data, "settings", Mapping)
     _check_settings(data)
@@ -61,7 +62,7 @@
     seed = _read_seed(data)
     limits = Limits(_get(data, "limits.memory_mb", NUMBER), _get(data, "limits.sockets", int))
     if limits.sockets < MIN_SOCKETS:
-        raise ConfigError(f"limits.sockets is too small to serve with: {limits.sockets}")
+        raise ConfigError(f"limits.sockets: found {limits.sockets}, expected at least {MIN_SOCKETS}")
     console = console or data.get("console")
     document = Document(
         name=name or str(data.get("name", "")),
@@ -83,7 +84,7 @@
 
 
 def flatten(value: object, path: str = "") -> Iterator[str]:
-    """Nested settings as the ``path=value`` lines that ``simulator_settings`` reads."""
+    """Convert nested settings to the ``path=value`` lines that ``simulator_settings`` parses."""
     if isinstance(value, Mapping):
         for key, inner in value.items():
             yield from flatten(inner, f"{path}.{key}" if path else str(key))
@@ -93,7 +94,7 @@
             yield from flatten(inner, f"{path}.{index}")
     elif isinstance(value, list):
         yield f"{path}=" + ",".join(_plain(inner) for inner in value)
-    elif isinstance(value, float) and not math.isfinite(value):  # every comparison with it would be wrong
+    elif isinstance(value, float) and not math.isfinite(value):  # would make comparisons with it wrong
         raise ConfigError(f"settings.{path}: found {value}, expected a finite number")
     else:
         yield f"{path}={_plain(value)}"
@@ -118,11 +119,14 @@
     try:
         return int(seed, 16) if isinstance(seed, str) else int(seed)
     except ValueError:
-        raise ConfigError(f"configuration has a bad seed: {seed!r}") from None
+        raise ConfigError(
+            f"configuration has a bad seed: found {seed!r}, expected hexadecimal digits"
+        ) from None
 
 
 def _get(data: Mapping[str, Any], path: str, types: Types) -> Any:
-    """The value at a dotted path, if it is of one of these types; true and false are no numbers."""
+    """The value at a dotted path; ``ConfigError`` if it is missing or of another type. Booleans are not
+    numbers."""
     value: Any = data
     for key in path.split("."):
         if isinstance(value, list):
@@ -142,9 +146,10 @@
 
 
 def _check_positive(data: Mapping[str, Any], path: str, types: Types = NUMBER) -> None:
-    """Reject what is no number above zero.
+    """Reject a value that is not a finite number above zero.
 
-    The settings' own reader would take text, true, zero or NaN for some number, and requests be held to it.
+    The parser of ``simulator_settings`` would accept text, true, zero or NaN as some number, and that number
+    would then limit requests.
     """
     value = _get(data, path, types)
     if not 0 < value < math.inf:
@@ -152,18 +157,17 @@
 
 
 def _check_settings(data: Mapping[str, Any]) -> None:
-    """Reject settings that their own reader accepts and the router cannot run on."""
+    """Reject settings that the parser of ``simulator_settings`` accepts, but that the router cannot run
+    with."""
     _check_positive(data, "settings.Caps.MaxAttempts", int)
     _check_positive(data, "settings.Caps.ConnectTimeoutUs")
     seen: set[str] = set()
     for index in range(len(_get(data, "settings.Classes", list))):
         name = _get(data, f"settings.Classes.{index}.Name", str)
         if not CLASS_NAME.fullmatch(name) or name in seen:
-            raise ConfigError(
-                f"settings.Classes.{index}.Name: found {name!r:.80}, expected a word, each once"
-            )
+            raise ConfigError(f"settings.Classes.{index}.Name: found {name!r:.80}, expected a unique word")
         seen.add(name)
         for figure in ("GiveUpUs", "AimUs"):
             _check_positive(data, f"settings.Classes.{index}.{figure}")
     if not seen:
-        raise ConfigError("settings.Classes: found none, expected one at least")
+        raise ConfigError("settings.Classes: found none, expected at least one")
--- a/magpieshift/config/shown_names.py
+++ b/magpieshift/config/shown_names.py
@@ -1,6 +1,7 @@
 """The names under which settings are shown to operators and compared between processes.
 
-They are those of the first version, so that a process of any version can be compared with one of another.
+They are the field names of the first program version, so that processes of different versions can be
+compared.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
     "reports_cache_status": "notes",
     "load_report_columns": "report_columns",
 }
-"""Names under which settings are shown and compared between processes, where the field has another."""
+"""Shown names of the policy's settings, where they differ from the field names."""
 
 SHOWN_CLASS_SETTINGS = {
     "idempotency": "effect",
@@ -50,8 +51,7 @@
     "stale_grace_us": "grace_us",
     "stale_priority_weight": "stale_worth",
 }
-"""The same of the settings of a request class."""
-
+"""Shown names of the settings of a request class, where they differ from the field names."""
 
 SHOWN_MEMBERSHIP = {
     "voters": "council",
@@ -59,11 +59,11 @@
     "gossips_overload": "digests",
     "may_offload": "hand_over",
 }
-"""The same of the membership settings."""
+"""Shown names of the membership settings, where they differ from the field names."""
 
 
 def shown_membership(members: MembershipSettings) -> dict[str, object]:
-    """Membership settings under the names that operators are shown."""
+    """The membership settings under their shown names."""
     values = dataclasses.asdict(members)
     return {SHOWN_MEMBERSHIP.get(name, name): value for name, value in values.items()}
 
@@ -71,9 +71,9 @@
 def settings_by_name(
     settings: Settings, names: Names, classes: Mapping[str, RequestClass]
 ) -> dict[str, object]:
-    """Settings in JSON's types with zones, kinds and classes by name.
+    """The settings as JSON data under their shown names, with zones, kinds and classes by name.
 
-    The same for equal settings, however the parts of a router number them.
+    The result does not depend on how a part of the router numbers zones, kinds and classes.
     """
     shown: dict[str, Any] = {
         SHOWN_SETTINGS.get(field.name, field.name): getattr(settings, field.name)
--- a/magpieshift/config/values.py
+++ b/magpieshift/config/values.py
@@ -1,4 +1,4 @@
-"""Values that several readers of settings check alike."""
+"""Parsers of values that several readers of settings share."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from magpieshift.config.errors import ConfigError
 
 MAX_PORT = 65_535
-"""Of TCP and UDP."""
+"""Highest port number of TCP and UDP."""
 
 
 def read_text(path: str | Path) -> str:
-    """A file's text, as UTF-8; ``ConfigError`` where it cannot be read."""
+    """Read a UTF-8 text file; ``ConfigError`` if it cannot be read."""
     try:
         return Path(path).read_text(encoding="utf-8")
     except (OSError, ValueError) as err:
@@ -20,7 +20,10 @@
 
 
 def parse_address(text: object, name: str) -> Address:
-    """``host:port``, the host as an IPv4 address or a name; ``ConfigError`` that gives the setting's name."""
+    """Parse ``host:port``, the host an IPv4 address or a name; errors contain ``name``, that of the setting.
+
+    Raises ``ConfigError`` if the text is not an address.
+    """
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
         raise ConfigError(f"{name} is not host:port: {text!r}")
