--- a/magpieshift/discovery/__init__.py
+++ b/magpieshift/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: the change log, which tells of endpoints and of purges, read over HTTP."""
+"""Discovery: reads the change log, which announces endpoint lists and purges, over HTTP."""
--- a/magpieshift/discovery/client.py
+++ b/magpieshift/discovery/client.py
@@ -1,4 +1,4 @@
-"""The client of the change log: reads it over HTTP, and reconnects with backoff whenever it breaks off."""
+"""The client of the change log: reads it over HTTP, and reconnects with backoff when the connection ends."""
 
 from __future__ import annotations
 
@@ -21,34 +21,36 @@
 log = logging.getLogger(__name__)
 
 SILENCE_TIMEOUT_S = 2.5
-"""Silence after which the log's machine may be gone: it sends a comment each second, and two may be missing.
-Longer serves from older knowledge, shorter reconnects for nothing."""
+"""Read timeout, after which the change log is considered unreachable. It sends a comment every second, of
+which two may be missing. A longer timeout serves from stale data for longer, a shorter one reconnects
+needlessly."""
 CONNECT_TIMEOUT_S = 1.0
-"""For a connection to come up. Longer delays the next try."""
+"""Time limit for opening a connection. A longer one delays the next attempt."""
 CAUGHT_UP_AFTER_S = 0.15
-"""Silence of an answering log after which all that it had to tell has arrived; well under the 7 s after which
-a replacing process accepts clients all the same."""
+"""After this long without data from a log that has answered, all past changes count as received. Well below
+the 7 s after which a replacing process accepts clients regardless."""
 CATCH_UP_POLL_S = 0.02
-"""How often that silence is looked for."""
+"""Polling interval of ``caught_up``."""
 MIN_BACKOFF_S = 0.05
-"""First wait before the log is read again. Shorter busies a log that has just broken off."""
+"""Shortest delay before the log is read again. A shorter one would put load on a log that has just failed."""
 MAX_BACKOFF_S = 0.8
-"""Longest wait. Also how long a connection must last to prove the log healthy. Longer reads changes later."""
+"""Longest delay before the log is read again, and how long a connection must last to count as healthy. A
+longer one delays changes."""
 JITTER = (0.5, 1.0)
-"""Each wait is this part of its length, drawn anew, so that routers do not come back all at once."""
+"""Range of the random factor applied to each delay, so that routers do not all reconnect at once."""
 UNLIMITED_BODY_BYTES = 1 << 40
-"""The response goes on for as long as the connection; HTTP's own bound must not end it."""
+"""Body size limit of the response, which never ends; the HTTP library's default limit must not cut it off."""
 
 
 class _ResponseReader(HTTPMessageDelegate):
-    """The body of one response, fed to the parser as it comes."""
+    """Parses the body of one response incrementally and passes its events on."""
 
     def __init__(self, client: ChangeLogClient, stream: IOStream) -> None:
         self._client = client
         self._stream = stream
         self._parser = EventStreamParser()
         self._event_began_s: float | None = None
-        """Since when an event is not complete; None if none has begun."""
+        """When the incomplete event at the end of the data began; None if there is none."""
 
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
@@ -75,53 +77,52 @@
             self._stream.close()
 
     def _check_partial_event(self, now_s: float) -> None:
-        """An event that does not end is as bad as silence, though comments prove the sender alive
-        meanwhile."""
+        """Apply the read timeout to an incomplete event, even if other bytes keep arriving meanwhile."""
         if not self._parser.has_partial_event:
             self._event_began_s = None
             return
         self._event_began_s = self._event_began_s or now_s
         if now_s - self._event_began_s > SILENCE_TIMEOUT_S:
-            raise EventStreamError("an event does not end")
+            raise EventStreamError(f"an event is still incomplete after {SILENCE_TIMEOUT_S} s")
 
 
 class ChangeLogClient:
-    """Owner of the one connection to the change log."""
+    """Reads the change log over a single connection."""
 
     part = "feed"
-    """Its name among the parts whose running figures are shown; operators' tools know it."""
+    """Its name among the router's parts, where running settings are shown; operators' tools use it."""
 
     def __init__(self, address: tuple[str, int], changes: ChangeLog, seed: int = 0) -> None:
-        """``seed`` is that of the jitter."""
+        """``seed`` initializes the random generator of the jitter."""
         self._address = address
         self.changes = changes
         self.backoff_s = MIN_BACKOFF_S
-        """The wait before the log is read again, before jitter."""
+        """The current delay before the log is read again, without jitter."""
         self._random = random.Random(seed)
         self._task: asyncio.Task[None] | None = None
-        """The task that reads; None before the start and after the stop."""
+        """The reading task; None before ``start`` and after ``stop``."""
         self._last_received_s = 0.0
-        """When bytes last came, or a connection came up, on the event loop's clock."""
+        """When bytes last arrived or a connection was opened, on the event loop's clock."""
         self.has_answered = False
         """Whether the log has ever answered."""
         self.chunks_read = 0
-        """Chunks of its responses' bodies that were read, so far."""
+        """Count of response body chunks read so far."""
         self._stream: IOStream | None = None
-        """The connection, while it is up."""
+        """The open connection; None if there is none."""
 
     def prepare(self, old: Document, new: Document) -> Callable[[], None]:
-        """Make ready for a new configuration: another address, other names of zones and kinds. What is
-        returned puts it in force."""
+        """Prepare a new configuration: the log's address, and the names of zones and kinds. Returns the
+        function that puts it in force."""
 
         def commit() -> None:
-            """Put it in force."""
+            """Put the new configuration in force."""
             self.changes.names = new.names
             self.set_address(new.change_log_address)
 
         return commit
 
     def running(self) -> dict[str, object]:
-        """Where the log is read, and the names that it is read with."""
+        """The address of the log, and the names of zones and kinds used to decode it."""
         names = self.changes.names
         return {
             "address": list(self._address),
@@ -130,18 +131,18 @@
         }
 
     def start(self) -> None:
-        """Read the log, until ``stop``."""
+        """Read the log until ``stop``."""
         self._task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
-        """Close the connection and read no more; may be called again."""
+        """Close the connection and stop reading; may be called repeatedly."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
     def set_address(self, address: tuple[str, int]) -> None:
-        """Read the log elsewhere from now on; its sequence numbers go on. The old one has nothing more to
-        tell, so its connection is closed at once."""
+        """Read the log from another address, continuing its sequence numbers. The connection to the old
+        address is closed immediately."""
         if address != self._address:
             self._address = address
             if self._task is not None:
@@ -149,25 +150,26 @@
                 self.start()
 
     def note_received(self) -> None:
-        """The log is alive: bytes came, or the connection came up."""
+        """Restart the read timeout: bytes arrived, or a connection was opened."""
         self._last_received_s = asyncio.get_running_loop().time()
 
     def has_read_all(self) -> bool:
-        """Whether the log is connected and everything that has arrived from it by now is read and applied.
-        To be called from the event loop itself."""
+        """Whether the log is connected and all data that has arrived from it is read and applied. Must be
+        called on the event loop."""
         stream = self._stream
         if stream is None or stream.closed() or not stream.reading():
-            return False  # what is not being read may wait between the socket and the changes
+            return False  # data may be buffered between the socket and the change log
         try:
             stream.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return True
         except OSError:
             pass
-        return False  # bytes, or the end of the stream
+        return False  # unread bytes, or the end of the stream
 
     async def caught_up(self, within_s: float) -> bool:
-        """Wait until the log has told what it had to tell; whether it did within this time."""
+        """Wait at most ``within_s`` seconds until the log has answered and then sent nothing for
+        ``CAUGHT_UP_AFTER_S``; returns whether that happened."""
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + within_s
         while not (self.has_answered and loop.time() - self._last_received_s >= CAUGHT_UP_AFTER_S):
@@ -177,7 +179,7 @@
         return True
 
     async def _run(self) -> None:
-        """Read one response after the other, with backoff between them."""
+        """Read one response after another, with backoff in between."""
         while True:
             started_s = asyncio.get_running_loop().time()
             first_sequence = self.changes.last_sequence
@@ -185,9 +187,10 @@
                 await self._read()
             except (OSError, StreamClosedError, TimeoutError) as err:
                 log.debug("change log disconnected", extra=fields(reason=repr(err)))
-            except Exception:  # a fault of ours in one change must not end the reading for ever
+            except Exception:  # a bug in handling one change must not stop the client
                 log.exception("change log failed")
-            # a log that answers and closes at once is not healthy: it was asked 30 times a second
+            # a log that answers and closes immediately must not reset the backoff:
+            # it was requested 30 times a second
             has_lasted = asyncio.get_running_loop().time() - started_s >= MAX_BACKOFF_S
             has_received = self._last_received_s > started_s
             has_advanced = self.changes.last_sequence > first_sequence
@@ -227,7 +230,8 @@
         )
 
     async def _close_when_silent(self, stream: IOStream) -> None:
-        """Take missing comments for the log's end: a machine that vanished sends nothing at all."""
+        """Close the connection after ``SILENCE_TIMEOUT_S`` without data: a machine that fails without notice
+        sends no end of stream."""
         loop = asyncio.get_running_loop()
         while (remaining_s := self._last_received_s + SILENCE_TIMEOUT_S - loop.time()) > 0:
             await asyncio.sleep(remaining_s)
--- a/magpieshift/discovery/codec.py
+++ b/magpieshift/discovery/codec.py
@@ -1,7 +1,7 @@
-"""Codec of the change log: the one place that knows its field names and words. No I/O.
+"""Decoder of the change log; only this module knows its field names and words. No I/O.
 
-The log is JSON from outside, of any shape: what cannot be read raises ``ValueError``, ``KeyError``,
-``TypeError`` or the like, which the callers contain."""
+The log is external JSON of any shape. Changes that cannot be decoded raise ``ValueError``, ``KeyError``,
+``TypeError`` or similar errors, which the callers handle."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 log = logging.getLogger(__name__)
 
 MAX_WEIGHT = 1e9
-"""Weights of endpoints from here on are garbage."""
+"""Endpoint weights must be below this; higher ones are rejected as invalid."""
 MAX_REASON_CHARACTERS = 200
-"""How much of an error goes into a log line, so that the change log cannot fill the router's."""
+"""Longest error text in a log line, so that invalid changes cannot flood the router's log."""
 
 STATES = {
     "SERVING": EndpointState.READY,
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """A list of endpoints, or a change of it."""
+    """A complete list of endpoints, or a change to it."""
 
     kind: EndpointListKind
     version: int
@@ -41,63 +41,66 @@
 
 @dataclass(frozen=True, slots=True)
 class Purge:
-    """Copies of an object, or of a group of objects, from before this time are not to be served."""
+    """Cached copies of an object, or of a group of objects, from before ``purged_at_us`` must not be
+    served."""
 
     object_key: str
     """Hexadecimal; empty for a group."""
     group: int
     purged_at_us: int
-    """Unix time."""
+    """Unix time in microseconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class RawChange:
-    """A change whose content is not read yet."""
+    """A change whose content is not decoded yet."""
 
     sequence: int
     content: Any
 
 
 def describe_error(err: Exception) -> str:
-    """What a log line tells of an unreadable change."""
+    """The reason shown in log lines about unreadable changes and endpoints."""
     return f"{type(err).__name__}: {err}"[:MAX_REASON_CHARACTERS]
 
 
 def read_change(text: str, event_id: str) -> RawChange:
-    """A change of the log; the event's id stands for its sequence number if it has none."""
+    """Decode the envelope of a change; without a ``seq`` field the event's id is its sequence number."""
     content = json.loads(text)
     sequence = content["seq"] if "seq" in content else int(event_id)
     if not isinstance(sequence, int):
-        raise ValueError(f"seq {sequence!r}")
+        raise ValueError(f"seq: found {sequence!r}, expected an integer")
     return RawChange(sequence, content)
 
 
 def read_known_changes(known: Mapping[str, Any]) -> list[Any]:
-    """The contents of the changes that the configuration knows of."""
+    """The contents of the changes that the configuration holds."""
     changes = known.get("results")
     return changes if isinstance(changes, list) else []
 
 
 def read_known_sequence(known: Mapping[str, Any]) -> int:
-    """The number of the last change that the configuration knows of; 0 for none."""
+    """The sequence number of the last change that the configuration holds; 0 for none."""
     sequence = known.get("seq")
     return sequence if isinstance(sequence, int) else 0
 
 
 def has_list(content: Any) -> bool:
-    """Whether a change has a list of endpoints."""
+    """Whether a change contains an endpoint list."""
     return "fleet" in content
 
 
 def raw_list(content: Any) -> Mapping[str, Any]:
-    """The list of endpoints in a change, not read yet."""
+    """The endpoint list in a change, not decoded yet."""
     raw: Mapping[str, Any] = content["fleet"]
     return raw
 
 
 def read_list(raw: Mapping[str, Any], is_initial: bool, names: Names) -> EndpointList:
-    """A list of endpoints. An entry that cannot be read is logged and left out: the others count all the
-    same. A complete list from before the start is ``CACHED``."""
+    """Decode an endpoint list. An entry that cannot be decoded is logged and left out; the others are used.
+
+    A complete list from before the start (``is_initial``) is of the kind ``CACHED``.
+    """
     endpoints = []
     for entry in raw["members"]:
         try:
@@ -113,13 +116,13 @@
     name = str(raw["id"])
     state = STATES[raw["phase"]]
     if not name or any(mark in name for mark in " ,=\r\n"):
-        raise ValueError(f"id {name!r}")
+        raise ValueError(f"id: found {name!r}, expected a word without comma, space and '='")
     weight = float(raw.get("size", 1.0))
-    if not 0 < weight < MAX_WEIGHT:  # also false for NaN, which would make every comparison of caches false
-        raise ValueError(f"size {weight}")
+    if not 0 < weight < MAX_WEIGHT:  # rejects NaN too, which would make every comparison of caches false
+        raise ValueError(f"size: found {weight}, expected a number above 0 and below {MAX_WEIGHT:g}")
     endpoint = Endpoint(
         number=endpoint_number(name),
-        zone=names.zones.index(raw["locality"] or None),  # numbers out of use have an empty name
+        zone=names.zones.index(raw["locality"] or None),  # unused zone numbers have an empty name
         kind=names.kinds.index(raw["flavor"] or None),
         cell=int(raw.get("cell", 0)),
         state=state,
@@ -130,7 +133,7 @@
 
 
 def read_purge(content: Any) -> Purge | None:
-    """The purge in a change; None if it has none."""
+    """Decode the purge in a change; None if it contains none."""
     if "invalidate" not in content:
         return None
     raw = content["invalidate"]
--- a/magpieshift/discovery/errors.py
+++ b/magpieshift/discovery/errors.py
@@ -6,12 +6,12 @@
 
 
 class DiscoveryError(MagpieshiftError):
-    """The change log cannot be followed any further on this connection; it is read again."""
+    """The change log cannot be read further on this connection; the client reconnects."""
 
 
 class MissingChangesError(DiscoveryError):
-    """Changes are missing before the one that came: the log is to be read again from the last one applied."""
+    """Changes before the received one are missing: the log must be read again from the last one applied."""
 
 
 class EventStreamError(DiscoveryError):
-    """The stream of events breaks its bounds."""
+    """The event stream contains an event that is too large or takes too long."""
