--- a/magpieshift/control/__init__.py
+++ b/magpieshift/control/__init__.py
@@ -1,6 +1,7 @@
-"""Versioned configuration: documents, the history of versions, the store, and the control channel.
+"""Versioned configuration: documents, the version history, the version store, and the control channel.
 
-Nothing here is imported by a router that runs without it. ``sexp`` and ``schema`` read settings files,
-``version_history`` decides on versions, ``version_store`` stores them, ``version_manager`` joins these to a
-running router; ``session`` and ``client`` follow a control service, ``publisher`` and ``service`` are one.
+A router without versioned configuration imports none of this package. ``sexp`` and ``schema`` read settings
+files, ``version_history`` accepts or rejects versions, ``version_store`` writes them to disk, and
+``version_manager`` applies them to a running router. ``session`` and ``client`` implement the router's end of
+the control channel, ``publisher`` and ``service`` the control service's end.
 """
--- a/magpieshift/control/checked_records.py
+++ b/magpieshift/control/checked_records.py
@@ -1,7 +1,7 @@
-"""Files of checksummed records, as the version store and a rollout's journal write them.
+"""Files of checksummed records, used by the version store and the rollout journal.
 
-A record is ``mark:4 length:4 crc32c:4 payload``, numbers little-endian. A crash may tear off the end of a
-file; nobody was told of what stood there.
+A record is ``mark:4 length:4 crc32c:4 payload``, numbers little-endian. A crash may leave an incomplete
+record at the end of a file; such a record was never acknowledged.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from crc32c import crc32c
 
 RECORD_HEADER = struct.Struct("<4sII")
-"""Mark, length of the payload, and its CRC-32C."""
+"""Mark, payload length in bytes, and the payload's CRC-32C."""
 PRIVATE_MODE = 0o600
-"""Of new files: settings and start commands are nobody else's."""
+"""Permissions of new files: settings and start commands may be confidential."""
 
 
 def encode_record(mark: bytes, payload: bytes) -> bytes:
@@ -25,8 +25,8 @@
 
 
 def payload_at(data: bytes, start: int) -> bytes | None:
-    """The payload of the record that begins at ``start``; None if it is torn, or its checksum does not
-    match."""
+    """The payload of the record that begins at ``start``; None if the record is incomplete or its checksum
+    does not match."""
     payload_start = start + RECORD_HEADER.size
     if payload_start > len(data):
         return None
@@ -36,13 +36,15 @@
 
 
 def open_file(path: Path, flags: int = 0) -> int:
-    """A descriptor for reading and writing a file, which is made if need be."""
+    """Open a file for reading and writing, creating it if it does not exist; returns the descriptor."""
     return os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | flags, PRIVATE_MODE)
 
 
 def lock_file(path: Path) -> int:
-    """The descriptor of a file that this process holds locked until it is closed; ``BlockingIOError`` if
-    another one does."""
+    """Lock a file exclusively and return its descriptor; closing the descriptor releases the lock.
+
+    Raises ``BlockingIOError`` if another process holds the lock.
+    """
     descriptor = open_file(path)
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -60,7 +62,7 @@
 
 
 def write_at(descriptor: int, data: bytes, offset: int) -> None:
-    """Write all bytes at an offset; ``OSError`` if the disk does not take them."""
+    """Write all bytes at an offset; ``OSError`` if the write fails."""
     while data:
         written = os.pwrite(descriptor, data, offset)
         data = data[written:]
@@ -68,7 +70,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Make a new or renamed file last."""
+    """Flush the folder's entries to disk, so that a new or renamed file survives a crash."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
--- a/magpieshift/control/client.py
+++ b/magpieshift/control/client.py
@@ -1,5 +1,4 @@
-"""The driver of the router's end of the control channel: gRPC streams, one at a time, made anew when they
-end."""
+"""The router's end of the control channel: one gRPC stream at a time, reconnected whenever it ends."""
 
 from __future__ import annotations
 
@@ -28,46 +27,46 @@
 log = logging.getLogger(__name__)
 
 MAX_UNSENT_ANSWERS = 64
-"""A service that takes none is not read from."""
+"""With this many answers unsent, no more messages are read: a service that reads no answers gets no more."""
 MAX_FAILURE_LENGTH = 200
-"""Characters of the reason why a stream ended."""
+"""Longest reported reason for the end of a stream, in characters."""
 DRAIN_TRIES = 20
-"""Looks whether all answers are sent, at the end."""
+"""How often ``stop`` checks whether all answers are sent before it closes the stream anyway."""
 DRAIN_POLL_S = 0.01
-"""Between two such looks: in all a fifth of a second, which the end of the process waits."""
+"""Interval of these checks. Together they delay the end of the process by at most 0.2 s."""
 
 
 class ControlClient:
-    """Owner of the one stream to the control service."""
+    """Follows the control service over one stream and offers its versions to the ``VersionManager``."""
 
     def __init__(
         self, address: str, manager: VersionManager, name: str, boot: str, rand: random.Random | None = None
     ) -> None:
-        """``address`` is host:port of the service; ``name`` is the router's, and ``boot`` new with each of
-        its starts."""
+        """``address`` is the service's host:port, ``name`` the router's name, and ``boot`` an identifier that
+        is new with each start of the router."""
         self._address = address
         self._manager = manager
         self._name = name
         self._boot = boot
         self._backoff = Backoff(rand or random.Random())
         self._task: asyncio.Task[None] | None = None
-        # why the last stream ended, for the next hello
+        # why the last stream ended; the next hello reports it
         self._last_failure = ""
-        # whether the present outage is logged: once, as the service may be away for days
+        # whether the current outage has been logged as a warning: once only, since it may last for days
         self._loss_logged = False
-        # answers that are not sent yet; what was not sent belongs to the stream
+        # answers not sent yet; discarded when their stream ends
         self._unsent: deque[bytes] = deque()
-        # of the present stream
+        # the session of the current stream
         self._session: RouterSession | None = None
         self._queue_changed = asyncio.Event()
         manager.listeners.append(self._queue_answer)
 
     def start(self) -> None:
-        """Follow, until ``stop``."""
+        """Follow the control service until ``stop``."""
         self._task = asyncio.ensure_future(self._run())
 
     async def stop(self) -> None:
-        """Send the answers that are due, as far as the service takes them soon, and close."""
+        """Wait up to ``DRAIN_TRIES * DRAIN_POLL_S`` for unsent answers to be sent, then close the stream."""
         for _ in range(DRAIN_TRIES):
             if not self._unsent or self._session is None:
                 break
@@ -86,7 +85,7 @@
                 failure = "the service ended the stream"
             except STREAM_FAILURES as err:
                 failure = failure_text(err)
-            except Exception as err:  # a fault in taking in one message must not end all following
+            except Exception as err:  # a bug in handling one message must not stop the client
                 log.exception("control stream failed")
                 failure = f"{type(err).__name__}: {err}"
             self._last_failure = failure[:MAX_FAILURE_LENGTH]
@@ -104,7 +103,7 @@
         self._loss_logged = True
 
     async def _follow(self) -> None:
-        """One stream, from hello to its end."""
+        """Run one stream, from the hello to its end."""
         async with grpc.aio.insecure_channel(self._address, options=CHANNEL_OPTIONS) as channel:
             call = channel.stream_stream(FOLLOW_METHOD)()
             writing: asyncio.Task[None] | None = None
@@ -122,7 +121,7 @@
                     self._receive(session, data)
                     await self._wait_for_capacity(writing)
             finally:
-                # what was not sent belongs to this stream; the next hello says what is in force
+                # unsent answers are discarded; the hello of the next stream reports the version in force
                 self._session = None
                 self._unsent.clear()
                 self._queue_changed.set()
@@ -148,7 +147,8 @@
                 self._queue_answer(outcome, 0, 0)
 
     async def _wait_for_capacity(self, writing: asyncio.Task[None]) -> None:
-        """Wait until the service has taken answers, if too many are queued."""
+        """Apply backpressure: wait until fewer than ``MAX_UNSENT_ANSWERS`` are unsent, or writing has
+        ended."""
         while len(self._unsent) >= MAX_UNSENT_ANSWERS and not writing.done():
             self._queue_changed.clear()
             await self._queue_changed.wait()
--- a/magpieshift/control/content.py
+++ b/magpieshift/control/content.py
@@ -1,4 +1,4 @@
-"""What a version holds: a complete settings text, or what differs from another version. No I/O."""
+"""The content of a version: a complete settings text, or a delta to another version. No I/O."""
 
 from __future__ import annotations
 
@@ -14,40 +14,40 @@
 from magpieshift.control.version_records import SHOWN_DIGEST_LENGTH, RejectionReason, VersionOffer
 
 MAX_DETAIL_LENGTH = 1000
-"""Characters of a reason; the log has no use for more, and the channel has bounds."""
+"""Longest detail of a rejection, in characters: it is logged, and sent in a message of limited size."""
 
 
 @dataclass(frozen=True)
 class FullContent:
-    """The complete text."""
+    """A complete document."""
 
     text: str
-    """Of a settings file."""
+    """The text of its settings file."""
 
 
 @dataclass(frozen=True)
 class DeltaContent:
-    """The changes to another version."""
+    """The changes that turn the base version into this version."""
 
     base_digest: str
-    """Of that version's content."""
+    """Digest of the base version's content."""
     changes: tuple[Change, ...]
-    """In order."""
+    """The changes, in the order in which they are applied."""
 
 
 @dataclass(frozen=True)
 class Overrides:
-    """What the environment or the command line sets, whatever a document holds."""
+    """Settings from the environment or the command line, which take precedence over every document."""
 
     name: str = ""
-    """Of the router; empty: the document's."""
+    """Name of the router; empty to use the document's."""
     listen: Address | None = None
-    """None: the document's."""
+    """Address for clients; None to use the document's."""
     console: Address | None = None
-    """Of the admin server; None: the document's."""
+    """Address of the admin server; None to use the document's."""
 
     def apply_to(self, document: Document) -> Document:
-        """The document with what is overridden."""
+        """A copy of the document with these settings replaced."""
         return replace(
             document,
             name=self.name or document.name,
@@ -57,19 +57,21 @@
 
 
 class ContentRejectedError(ControlError):
-    """The content cannot be used."""
+    """The content of an offer cannot be used; ``reason`` tells why."""
 
     def __init__(self, reason: RejectionReason, detail: str) -> None:
-        """``detail`` is the text."""
+        """``detail`` is the error's message."""
         super().__init__(detail)
         self.reason = reason
 
 
 def resolve_offer(offer: VersionOffer, data: Mapping[str, Any], digest: str) -> LoadedDocument:
-    """The checked document of an offer, while ``data`` with this digest is in force;
-    ``ContentRejectedError`` if it cannot be used.
+    """The validated document of an offer.
 
-    Takes milliseconds, and longer for what is large: not for the event loop."""
+    ``data`` and ``digest`` are those of the version in force, on which a delta must build. Raises
+    ``ContentRejectedError`` if the offer cannot be used. Takes milliseconds, more for a large document, so it
+    must not run on the event loop.
+    """
     try:
         document = _read_content(offer.payload, data, digest)
     except UnusableDocumentError as err:
@@ -91,7 +93,7 @@
 
 
 def _read_content(content: object, data: Mapping[str, Any], digest: str) -> sexp.ParsedDocument:
-    """The document that a content gives while ``data`` is in force."""
+    """Parse a full content, or apply a delta to ``data``, the document in force."""
     match content:
         case FullContent(text):
             return sexp.parse(text)
@@ -105,10 +107,10 @@
 
 
 def text_digest(text: str) -> str:
-    """The digest under which a text is announced that is no document."""
+    """The digest of a text that cannot be parsed as a document."""
     return document_digest({"text": text})
 
 
 def without_version(data: Mapping[str, Any]) -> dict[str, Any]:
-    """Without the number, which is no part of the digest."""
+    """The data without its version number, which the digest leaves out."""
     return {name: value for name, value in data.items() if name != "version"}
--- a/magpieshift/control/document_changes.py
+++ b/magpieshift/control/document_changes.py
@@ -1,4 +1,4 @@
-"""What differs between two documents, as data: digests, and changes that make one of the other."""
+"""Digests of documents, and the changes that turn one document into another."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from magpieshift.control.sexp import EntryPath, format_rows
 
 DIGEST_BYTES = 16
-"""Of a document: enough that no two are ever taken for each other."""
+"""Length of a document's digest; long enough to rule out collisions in practice."""
 
 
 def document_digest(data: Mapping[str, Any]) -> str:
-    """A digest of what a document holds, whatever its spacing, comments and order of entries."""
+    """A digest of a document's data, independent of spacing, comments and order of entries."""
     canonical = json.dumps(data, sort_keys=True, separators=(",", ":"))
     return hashlib.blake2b(canonical.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
 @dataclass(frozen=True)
 class Change:
-    """One difference: an entry has a value, or is gone."""
+    """One difference: an entry is set or removed."""
 
     path: EntryPath
-    """Of the entry."""
+    """Path of the entry."""
     value: Any
-    """Its value; None: it is gone."""
+    """The entry's new value; None if it is removed."""
 
     def __str__(self) -> str:
         if self.value is None:
@@ -40,8 +40,8 @@
 
 
 def differences(old: Mapping[str, Any], new: Mapping[str, Any], above: EntryPath = ()) -> list[Change]:
-    """The changes that make ``new`` of ``old``, each as deep in the tree as it goes; their paths begin with
-    ``above``."""
+    """The changes that turn ``old`` into ``new``, each at the deepest entry that differs; their paths begin
+    with ``above``."""
     changes = [Change((*above, name), None) for name in old if name not in new]
     for name, value in new.items():
         path = (*above, name)
@@ -54,12 +54,13 @@
 
 
 def is_identical(one: object, other: object) -> bool:
-    """Equal, and written alike: ``true`` is not 1, and 1 is not 1.0."""
+    """Whether two values are equal and of the same JSON type: ``true`` differs from 1, and 1 from 1.0."""
     return json.dumps(one, sort_keys=True) == json.dumps(other, sort_keys=True)
 
 
 def apply_changes(old: Mapping[str, Any], changes: Iterable[Change]) -> dict[str, Any]:
-    """A new tree with the changes; ``UnusableDocumentError`` if one leads through what is not there."""
+    """A copy of ``old`` with the changes applied; ``UnusableDocumentError`` if the path of a change does not
+    exist."""
     data: dict[str, Any] = copy.deepcopy(dict(old))
     for change in changes:
         parent = _parent_of(data, change)
@@ -71,7 +72,7 @@
 
 
 def _parent_of(data: dict[str, Any], change: Change) -> dict[str, Any]:
-    """The mapping that holds, or is to hold, the changed entry."""
+    """The mapping that contains the changed entry, or that it is added to."""
     parent: Any = data
     for name in change.path[:-1]:
         parent = parent.get(name) if isinstance(parent, dict) else None
--- a/magpieshift/control/document_consistency.py
+++ b/magpieshift/control/document_consistency.py
@@ -1,4 +1,4 @@
-"""Entries of a settings file that are sound by themselves and do not fit each other."""
+"""Checks across the entries of a settings file, each of which is valid by itself."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from magpieshift.control.document_form import DocumentForm, MembersForm, ZoneForm
 
 MAX_NAMED = 8
-"""Names that an error lists."""
+"""Most names that an error lists."""
 
 
 class Inconsistency(NamedTuple):
-    """An entry that does not fit another."""
+    """An entry that is inconsistent with another one."""
 
     path: sexp.EntryPath
-    """Of the entry."""
+    """Path of the entry."""
     found: str
-    """What stands there."""
+    """The entry's value, as an error shows it."""
     expected: str
-    """What would fit."""
+    """A description of consistent values."""
 
 
 def inconsistencies(form: DocumentForm) -> Iterator[Inconsistency]:
-    """Entries that are sound by themselves and do not fit each other."""
+    """Find the entries that are inconsistent with each other."""
     yield from _address_problems(form)
     if form.members is not None:
         yield from _membership_problems(form.members)
--- a/magpieshift/control/document_form.py
+++ b/magpieshift/control/document_form.py
@@ -1,8 +1,8 @@
-"""What may stand in a settings file: its entries, their types, bounds and defaults.
+"""The schema of a settings file: its entries, their types, bounds and defaults.
 
-The file's words stand here, in ``document_reading`` and in ``document_writing`` alone. Times are
-milliseconds. The checks are pydantic's: it finds all that is wrong at once, where msgspec stops at the first
-(docs/design/versioned-configuration.md has the figures).
+Only this module, ``document_reading`` and ``document_writing`` know the names and words of settings files.
+Durations are milliseconds. The validation is pydantic's, since it reports all errors at once, where msgspec
+stops at the first one (docs/design/versioned-configuration.md has the figures).
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from magpieshift.control.validation import Form
 
 MAX_CLASSES = 256
-"""Each costs every endpoint a record of its answers."""
+"""Most request classes; each adds a record of response times to every endpoint."""
 MAX_ZONES = 4096
-"""Four times the product's."""
+"""Most zones: four times as many as the product has."""
 MAX_MS = 24 * 3_600_000.0
-"""A day: nothing in a settings file is longer."""
+"""Longest duration in a settings file: one day."""
 
-# words go on an endpoint's line, where comma and space separate
+# words are sent on an endpoint's request line, where commas and spaces are separators
 Word = Annotated[str, StringConstraints(pattern=r"^[!-+\--~]{1,64}$", strict=True)]
 Ms = Annotated[float, Field(ge=0, le=MAX_MS, allow_inf_nan=False, strict=True)]
 SomeMs = Annotated[float, Field(ge=1, le=MAX_MS, allow_inf_nan=False, strict=True)]
@@ -34,7 +34,7 @@
 
 
 class LimitsForm(Form):
-    """What the process may use."""
+    """Resource limits of the process."""
 
     memory_mb: Annotated[float, Field(ge=8, le=1 << 20, allow_inf_nan=False, strict=True)]
     sockets: Annotated[int, Field(ge=MIN_SOCKETS, le=1 << 20, strict=True)]
@@ -45,7 +45,7 @@
 
     routers: Count = 0
     link_kb_per_s: Amount = 0.0
-    attached_to: Word | None = None  # itself if it is not given
+    attached_to: Word | None = None  # the zone itself if not given
 
 
 class ClassForm(Form):
@@ -68,7 +68,7 @@
 
 
 class StoresForm(Form):
-    """How caches are chosen, warmed and judged."""
+    """How caches are selected, warmed up and checked for overload."""
 
     weights: Literal["sizes", "live"] = "sizes"
     cold_from: Share = 0.2
@@ -84,7 +84,7 @@
 
 
 class ParentsForm(Form):
-    """How parents are."""
+    """Slow start and overload detection of parent caches."""
 
     cold_from: Share = 0.1
     cold_ms: Ms = 19_000.0
@@ -92,14 +92,14 @@
 
 
 class PurgesForm(Form):
-    """How long purges take."""
+    """Grace period and propagation time of purges."""
 
     grace_ms: Ms = 500.0
     done_ms: Ms = 6_000.0
 
 
 class AttemptsForm(Form):
-    """Which attempts are made, and what the platform allows."""
+    """Limits of attempts, and which kinds of actions the platform allows."""
 
     most: Annotated[int, Field(ge=1, le=64, strict=True)] = 8
     connect_timeout_ms: SomeMs = 400.0
@@ -111,14 +111,14 @@
 
 
 class ConnectionsForm(Form):
-    """Connections to endpoints."""
+    """Limits of connections to endpoints."""
 
     idle_ms: SomeMs = 15_000.0
     streams: Annotated[int, Field(ge=1, le=4096, strict=True)] = 32
 
 
 class MembersForm(Form):
-    """The gossip between routers."""
+    """Membership of the router's fleet, and the gossip between routers."""
 
     fleet: Word
     listen: Word
@@ -160,7 +160,7 @@
 
 
 def known_entries(path: tuple[str, ...]) -> list[str]:
-    """The names of the entries that a place may have."""
+    """The names of the entries that are allowed at a path."""
     forms: dict[str, type[Form]] = {
         "limits": LimitsForm,
         "stores": StoresForm,
--- a/magpieshift/control/document_reading.py
+++ b/magpieshift/control/document_reading.py
@@ -1,5 +1,5 @@
-"""A checked form to the typed ``Document`` that the router runs on: times become microseconds, words the
-numbers of what they name."""
+"""Converts a validated form to the typed ``Document`` that the router runs on: durations become microseconds,
+and names of zones and kinds become their indexes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from magpieshift.control.document_form import ClassForm, DocumentForm, MembersForm, ZoneForm
 from magpieshift.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-# the file's words
+# words of settings files
 EFFECTS = {
     "free": Idempotency.IDEMPOTENT,
     "keyed": Idempotency.WITH_KEY,
@@ -21,7 +21,7 @@
 
 
 def document_of(form: DocumentForm) -> Document:
-    """The document of a form."""
+    """Convert a form to a document."""
     settings = _settings(form)
     names = Names(tuple(form.classes), tuple(form.zones), tuple(form.kinds), settings.load_report_columns)
     return Document(
@@ -39,7 +39,7 @@
 
 
 def _zones(form: DocumentForm) -> dict[str, ZoneForm]:
-    """Zones by name; one that is named alone has the defaults."""
+    """The zones by name; a zone without entries gets the defaults."""
     return {name: zone if isinstance(zone, ZoneForm) else ZoneForm() for name, zone in form.zones.items()}
 
 
--- a/magpieshift/control/document_writing.py
+++ b/magpieshift/control/document_writing.py
@@ -1,4 +1,4 @@
-"""A typed ``Document`` back to the data of a settings file."""
+"""Converts a typed ``Document`` back to the data of a settings file."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 
 
 def to_data(document: Document) -> dict[str, Any]:
-    """The data of a document, whichever reader it came through; read again it gives an equal document."""
+    """The settings-file data of a document, from whichever format it was read; parsing it gives an equal
+    document."""
     settings = document.settings
     names = document.names
     return {
@@ -125,7 +126,7 @@
 
 
 def _words(values: Sequence[str]) -> str | list[str]:
-    """One word stands by itself, as it does when it is read."""
+    """A list of words as settings-file data: a single word is not a list, as when it is parsed."""
     return values[0] if len(values) == 1 else list(values)
 
 
--- a/magpieshift/control/errors.py
+++ b/magpieshift/control/errors.py
@@ -14,16 +14,16 @@
 
 @dataclass(frozen=True)
 class Problem:
-    """One thing in a document that cannot be used."""
+    """One invalid entry of a document."""
 
     where: str
-    """The entry's path, in words."""
+    """The entry's path, its names separated by spaces."""
     line: int
-    """From 1; 0 if there is none."""
+    """The entry's line number, from 1; 0 if it has none."""
     found: str
-    """What stands there."""
+    """What was found."""
     expected: str
-    """What could stand there."""
+    """What would be valid."""
 
     def __str__(self) -> str:
         place = f"line {self.line}: " if self.line else ""
@@ -31,24 +31,24 @@
 
 
 class UnusableDocumentError(ControlError):
-    """A document cannot be used; ``problems`` holds every reason that was found."""
+    """A document is invalid; ``problems`` lists every problem that was found."""
 
     def __init__(self, problems: Sequence[Problem]) -> None:
-        """The text is that of all problems."""
+        """The message joins all problems."""
         super().__init__("; ".join(map(str, problems)))
         self.problems = tuple(problems)
 
 
 class VersionStoreError(ControlError):
-    """Versions cannot be stored, or read; the text says why, in one line."""
+    """Versions cannot be stored or read; the message gives the reason in one line."""
 
 
 class NoSettingsError(ControlError, LookupError):
-    """There are neither settings to start with nor a stored version."""
+    """There is neither a settings file nor a usable stored version to start with."""
 
 
 class VersionNumberError(ControlError, ValueError):
-    """A version to be published has a number that is not above all others."""
+    """The number of a version to be published is not higher than all published ones."""
 
 
 class UnreadableMessageError(ControlError, ValueError):
--- a/magpieshift/control/publisher.py
+++ b/magpieshift/control/publisher.py
@@ -1,9 +1,10 @@
-"""What a control service does, without I/O: which version each router is sent, and what its answers mean.
+"""The protocol logic of a control service, without I/O: selects the version to send to each router, and
+interprets the routers' answers.
 
-A router that sends a hello is sent the newest version, as a delta if the service knows what the router has in
-force, in full otherwise. Answers are matched by nonce: one to an older nonce says nothing of what was sent
-since, and is only counted. A version that a router rejects is not sent to it again until the next hello, but
-in full if it asked for that.
+A hello is answered with the newest version: as a delta if the service knows the version that the router has
+in force, in full otherwise. Answers are matched to messages by nonce. An answer to an earlier nonce tells
+nothing about the message sent last, and is only counted. A version that a router rejected is not sent to it
+again before its next hello, unless the router asked for it in full.
 """
 
 from __future__ import annotations
@@ -29,27 +30,27 @@
 from magpieshift.control.wire import control_pb2 as wire
 
 MAX_PUBLISHED = 256
-"""Versions that deltas can build on: a router that is further behind gets a full one."""
+"""Versions that are retained as bases of deltas; a router with an older version gets a full one."""
 VERSION_FILE = re.compile(r"(\d{1,18})\.sexp")
-"""Names of the files in a folder of versions."""
+"""File names in a folder of versions; the number is that of the version."""
 
 
 @dataclass(frozen=True)
 class PublishedVersion:
-    """A version as the service has it."""
+    """A version that the service publishes."""
 
     number: int
-    """From 1."""
+    """Version number, from 1."""
     text: str
-    """Of its settings file."""
+    """The text of its settings file."""
     digest: str
-    """Of its content."""
+    """Digest of its content."""
     data: Mapping[str, Any] | None
-    """Its entries without the number; None if its text is no document."""
+    """Its entries without the version number; None if its text cannot be parsed."""
 
     @classmethod
     def parse(cls, number: int, text: str) -> PublishedVersion:
-        """The version of a text, which may be no document."""
+        """A version with this text, even if the text cannot be parsed."""
         try:
             data = without_version(sexp.parse(text).data)
         except UnusableDocumentError:
@@ -62,50 +63,50 @@
     """A version that a router rejected."""
 
     number: int
-    """Of the version."""
+    """Number of the version."""
     reason: RejectionReason
-    """Why."""
+    """Why it was rejected."""
     detail: str
-    """The same in words."""
+    """The reason as text, with details."""
 
 
 @dataclass
 class RouterSubscription:
-    """A router, as its own messages describe it."""
+    """The state of a subscribed router, as reported by its own messages."""
 
     router: str = ""
-    """Its name; empty before its hello."""
+    """The router's name; empty before its hello."""
     boot: str = ""
-    """New with each of its starts."""
+    """An identifier that is new with each start of the router."""
     in_force: int = 0
-    """Number of the version in force there."""
+    """Number of the version in force at the router."""
     digest: str = ""
-    """Of that version."""
+    """Digest of that version."""
     running_digests: dict[str, str] = field(default_factory=dict)
-    """Of the figures that each of its parts runs on."""
+    """By part of the router, a digest of the settings that the part runs on."""
     nonce: str = ""
-    """Of what was last sent, until it is answered."""
+    """Nonce of the last message sent to the router; empty once it is answered."""
     sent_number: int = 0
-    """Of the version last sent."""
+    """Number of the version last sent to the router."""
     answer_count: int = 0
-    """Answers so far."""
+    """Answers received so far."""
     stale_answers: int = 0
-    """Answers to an old nonce."""
+    """Answers with the nonce of an earlier message."""
     rejection: Rejection | None = None
-    """The newest version that it rejected."""
+    """The last version that the router rejected."""
     last_failure: str = ""
-    """Why its stream before this one ended."""
+    """Why the router's previous stream ended, as its hello reports it."""
 
 
 class Publisher:
-    """The versions, and what routers that follow them are sent."""
+    """Holds the published versions and encodes the messages to subscribed routers."""
 
     def __init__(self) -> None:
         self.versions: dict[int, PublishedVersion] = {}
-        """By number."""
-        # of those that are documents
+        """The published versions by number."""
+        # versions by digest, without those that cannot be parsed
         self._by_digest: dict[str, PublishedVersion] = {}
-        # how many messages were sent
+        # count of encoded messages; part of each nonce
         self._sent = 0
 
     @property
@@ -114,9 +115,9 @@
         return self.versions[max(self.versions)] if self.versions else None
 
     def publish(self, version: PublishedVersion) -> None:
-        """Add a version; ``VersionNumberError`` if its number is not above all others."""
+        """Add a version; ``VersionNumberError`` if its number is not higher than all published ones."""
         if (newest := self.newest) is not None and version.number <= newest.number:
-            raise VersionNumberError(f"version {version.number} is not above {newest.number}")
+            raise VersionNumberError(f"version {version.number} is not higher than version {newest.number}")
         self.versions[version.number] = version
         if version.data is not None:
             self._by_digest[version.digest] = version
@@ -126,11 +127,14 @@
                 del self._by_digest[oldest.digest]
 
     def receive(self, router: RouterSubscription, data: bytes) -> bytes | None:
-        """A router's message, and what to send it now; ``UnreadableMessageError`` if it is none."""
+        """Handle a message of a router. Returns the message to send back, or None.
+
+        Raises ``UnreadableMessageError`` if the message cannot be decoded or is empty.
+        """
         try:
             message = wire.FromRouter.FromString(data)
         except DecodeError as err:
-            raise UnreadableMessageError(f"no message: {err}") from None
+            raise UnreadableMessageError(f"router message cannot be decoded: {err}") from None
         match message.WhichOneof("said"):
             case "hello":
                 hello = message.hello
@@ -143,7 +147,7 @@
                 return self.next_message(router)
             case "answer":
                 return self._receive_answer(router, message.answer)
-        raise UnreadableMessageError("an empty message")
+        raise UnreadableMessageError("router message is empty, expected a hello or an answer")
 
     def _receive_answer(self, router: RouterSubscription, answer: wire.Answer) -> bytes | None:
         router.answer_count += 1
@@ -163,8 +167,11 @@
         return None
 
     def next_message(self, router: RouterSubscription) -> bytes | None:
-        """The newest version, if the router does not have it. One that is ahead of the service, after it lost
-        versions say, is left as it is: numbers only rise, and the operator must publish a higher one."""
+        """A message with the newest version; None if the router has it already, or has a higher one.
+
+        A router has a higher version if the service has lost versions, for example. Version numbers never
+        decrease, so nothing is sent to it until the operator publishes a higher number.
+        """
         newest = self.newest
         if newest is None or newest.digest == router.digest or newest.number < router.in_force:
             return None
@@ -173,7 +180,7 @@
     def encode_version(
         self, router: RouterSubscription, version: PublishedVersion, full: bool = False
     ) -> bytes:
-        """A message with this version, under a nonce of its own; ``full``: not as a delta."""
+        """Encode a message with this version and a new nonce; ``full`` rules out a delta."""
         self._sent += 1
         router.nonce = f"{version.number}-{self._sent}"
         router.sent_number = version.number
@@ -191,8 +198,10 @@
 def read_version_folder(
     folder: str | Path, above: int = -1, known: Collection[int] = ()
 ) -> list[PublishedVersion]:
-    """The versions in a folder's files ``NUMBER.sexp`` with numbers above one and not known, in order; other
-    files are not read."""
+    """Read the versions in a folder's files ``NUMBER.sexp``, in ascending order.
+
+    Skips numbers up to ``above``, numbers in ``known``, and files with other names.
+    """
     versions = []
     for path in Path(folder).iterdir():
         match = VERSION_FILE.fullmatch(path.name)
--- a/magpieshift/control/schema.py
+++ b/magpieshift/control/schema.py
@@ -1,4 +1,4 @@
-"""Settings files: their text to a checked ``Document``, or all that is wrong in it."""
+"""Parses and validates settings files: returns a ``Document``, or reports all errors at once."""
 
 from __future__ import annotations
 
@@ -23,41 +23,43 @@
 __all__ = ("LoadedDocument", "load_data", "load_file", "load_text", "to_data")
 
 INTERNAL_PLACES = ("[key]", "ZoneForm", "list[any]")
-"""Parts of pydantic's places that are no entries."""
+"""Parts of pydantic's error locations that are not names of entries."""
 
 
 @dataclass(frozen=True)
 class LoadedDocument:
-    """A settings file that can be used."""
+    """A valid settings file."""
 
     data: Mapping[str, Any]
-    """As it was written, without its version."""
+    """Its data as written, without the version number."""
     version: int
-    """0 if the file names none."""
+    """Its version number; 0 if it has none."""
     document: Document
-    """What the router runs on."""
+    """The typed document that the router runs on."""
 
     @property
     def digest(self) -> str:
-        """Of the content."""
+        """Digest of the content."""
         return document_digest(self.data)
 
 
 def load_text(text: str, source: str = "document") -> LoadedDocument:
-    """Read a settings text; ``UnusableDocumentError`` with all that is wrong in it."""
+    """Parse and validate a settings text; ``UnusableDocumentError`` lists all errors in it."""
     parsed = sexp.parse(text, source)
     return load_data(parsed.data, parsed.lines)
 
 
 def load_file(path: str | Path) -> LoadedDocument:
-    """Read a settings file; ``ConfigError`` if it cannot be read, ``UnusableDocumentError`` if it cannot be
-    used."""
+    """Read a settings file; ``ConfigError`` if it cannot be read, ``UnusableDocumentError`` if it is
+    invalid."""
     return load_text(read_text(path), str(path))
 
 
 def load_data(data: Mapping[str, Any], lines: Lines | None = None) -> LoadedDocument:
-    """Check data and turn it into a document; ``UnusableDocumentError`` with all that is wrong in it.
-    ``lines`` says where entries stand."""
+    """Validate data and convert it to a document; ``UnusableDocumentError`` lists all errors in it.
+
+    ``lines`` gives the line numbers of entries, for the errors.
+    """
     lines = lines or {}
     try:
         form = DocumentForm.model_validate(data)
@@ -75,7 +77,7 @@
 
 
 def _problem(error: Any, data: Any, lines: Lines) -> Problem:
-    """One of pydantic's errors, in the words of settings files."""
+    """Convert one of pydantic's errors to a problem in the terms of settings files."""
     path = tuple(str(part) for part in error["loc"] if part not in INTERNAL_PLACES)
     where = " ".join(path) or "document"
     line = nearest_line(path, lines)
--- a/magpieshift/control/service.py
+++ b/magpieshift/control/service.py
@@ -1,4 +1,5 @@
-"""A control service: the driver round ``Publisher``, serving versions from a folder or a program."""
+"""A control service: the gRPC server around ``Publisher``, which serves versions from a folder or from the
+calling program."""
 
 from __future__ import annotations
 
@@ -25,37 +26,37 @@
 log = logging.getLogger(__name__)
 
 POLL_INTERVAL_S = 0.3
-"""Between two looks into the folder: a small part of the seconds in which a version is in force."""
+"""Polling interval of the folder; short against the seconds that a version takes to come into force."""
 MAX_UNSENT_MESSAGES = 64
-"""To one router; older ones make room, as only the newest version counts."""
+"""Most unsent messages per router. The oldest are dropped first, since only the newest version matters."""
 
 
 class RouterStream:
-    """One router's stream: what it is still to be sent."""
+    """One router's stream and its queue of unsent messages."""
 
     def __init__(self, publisher: Publisher) -> None:
-        """``publisher`` holds the versions."""
+        """``publisher`` holds the published versions."""
         self.subscriber = RouterSubscription()
-        """The router."""
+        """State of the router at the other end."""
         self.publisher = publisher
-        """The versions it is sent."""
+        """Holds the published versions."""
         self._unsent: deque[bytes] = deque(maxlen=MAX_UNSENT_MESSAGES)
         self._changed = asyncio.Event()
         self._ended = False
 
     def send(self, data: bytes | None) -> None:
-        """Queue a message, if there is one."""
+        """Queue a message; None is ignored."""
         if data is not None:
             self._unsent.append(data)
             self._changed.set()
 
     def end(self) -> None:
-        """Send nothing more."""
+        """Stop sending and end the stream."""
         self._ended = True
         self._changed.set()
 
     async def messages(self) -> AsyncIterator[bytes]:
-        """What is queued, until the end."""
+        """Yields the queued messages as they come, until ``end``."""
         while not self._ended:
             while self._unsent and not self._ended:
                 yield self._unsent.popleft()
@@ -65,39 +66,39 @@
 
 
 class ControlService(grpc.GenericRpcHandler):  # type: ignore[misc]  # the library is not typed
-    """Owner of the server and of all routers' streams."""
+    """The gRPC server and the streams of all routers."""
 
     def __init__(self, publisher: Publisher | None = None) -> None:
         """``publisher`` may hold versions already."""
         self.publisher = publisher or Publisher()
-        """The versions."""
+        """Holds the published versions."""
         self.streams: set[RouterStream] = set()
-        """All that are open."""
+        """All open streams."""
         self.on_message: Callable[[RouterStream, bytes], None] = lambda stream, data: None
-        """Called with each message of a router, after it was taken in."""
+        """Called with each message of a router, after the publisher has handled it."""
         self.port = 0
-        """On which it listens, once started."""
+        """Port that it listens on, once started."""
         self._server: Any = None
 
     def service(self, details: Any) -> Any:
-        """The handler of a method, for gRPC."""
+        """Called by gRPC: returns the handler of a method, or None for an unknown one."""
         if details.method.endswith("/Follow"):
             return grpc.stream_stream_rpc_method_handler(self._follow)
         return None
 
     async def start(self, listen: str) -> None:
-        """Listen on ``host:port``; port 0 picks a free one. ``OSError`` if that cannot be."""
+        """Listen on ``host:port``; port 0 picks a free port. ``OSError`` if the address cannot be bound."""
         self._server, self.port = await start_server(self, listen)
 
     async def stop(self) -> None:
-        """End all streams, at once."""
+        """End all streams immediately and stop the server."""
         for stream in list(self.streams):
             stream.end()
         await self._server.stop(0)
 
     def publish(self, version: PublishedVersion) -> None:
-        """Add a version and send it to all routers; ``VersionNumberError`` if its number is not above all
-        others."""
+        """Add a version and send it to all routers; ``VersionNumberError`` if its number is not
+        higher than all published ones."""
         self.publisher.publish(version)
         for stream in list(self.streams):
             if stream.subscriber.router:
@@ -110,7 +111,7 @@
         try:
             async for message in stream.messages():
                 await context.write(message)
-        except grpc.aio.BaseError:  # the router has gone under a message
+        except grpc.aio.BaseError:  # the router disconnected while a message was being sent
             pass
         finally:
             reading.cancel()
@@ -122,15 +123,17 @@
                 reply = self.publisher.receive(stream.subscriber, data)
                 self.on_message(stream, data)
                 stream.send(reply)
-        except ValueError as err:  # an unreadable message, or a reason that this version does not know
+        except ValueError as err:  # an unreadable message, or an unknown rejection reason
             log.warning("router message not read", extra=fields(reason=err))
         finally:
             stream.end()
 
 
 async def serve_folder(folder: str, listen: str, ready: Callable[[int], None] = lambda port: None) -> None:
-    """Serve a folder's versions, and those that are added to it, until cancelled; ``ready`` is called with
-    the port."""
+    """Serve the versions in a folder, including ones added later, until cancelled.
+
+    ``ready`` is called with the port once the service listens.
+    """
     service = ControlService()
     service.on_message = _log_router
     await service.start(listen)
@@ -159,7 +162,7 @@
 
 
 def _log_router(stream: RouterStream, data: bytes) -> None:
-    """One line of what a router has in force, and of what it rejected."""
+    """Log the version that a router has in force, and the version that it rejected last."""
     router = stream.subscriber
     pairs: dict[str, object] = {
         "router": router.router,
--- a/magpieshift/control/session.py
+++ b/magpieshift/control/session.py
@@ -1,6 +1,7 @@
-"""The router's end of one control stream as a state machine: messages in, offers out, answers to send back.
+"""The router's end of one control stream, without I/O: decodes messages to offers, and encodes the hello and
+the answers.
 
-The wire's field names of the control channel stand here and in ``publisher`` alone.
+Only this module and ``publisher`` know the field names of the control channel's messages.
 """
 
 from __future__ import annotations
@@ -20,21 +21,22 @@
 from magpieshift.control.wire import control_pb2 as wire
 
 MAX_MESSAGE_BYTES = 1 << 20
-"""Of one message; a document of a thousand zones takes a tenth."""
+"""Largest message, in bytes; ten times the size of a document with 1000 zones."""
 MAX_CHANGES = 10_000
-"""In one delta; a document of a thousand zones has half as many entries."""
+"""Most changes in one delta; a document with 1000 zones has half as many entries."""
 MAX_UINT32 = (1 << 32) - 1
-"""What the wire's durations hold."""
+"""Largest duration that the answer's uint32 fields can hold, in microseconds."""
 MAX_DETAIL_LENGTH = 500
-"""Characters of the reason for which a delta is rejected."""
+"""Longest reason for rejecting a delta, in characters."""
 MAX_ERROR_LENGTH = 200
-"""Characters of protobuf's own errors."""
+"""Longest reported protobuf decoding error, in characters."""
 OFFER_SOURCE = "control"
-"""The source of offers, in the history of versions."""
+"""Source that the version history shows for offers of the control service."""
 
 
 def running_digests(running: Mapping[str, RunningSettings]) -> dict[str, str]:
-    """Of each part's figures, a short digest that the control service can compare with what it expects."""
+    """By part of the router, a short digest of its running settings, for comparison at the control
+    service."""
     return {
         part: hashlib.blake2b(json.dumps(figures, sort_keys=True).encode(), digest_size=8).hexdigest()
         for part, figures in running.items()
@@ -42,13 +44,13 @@
 
 
 class RouterSession:
-    """One stream. It sends a hello first, and answers every message exactly once."""
+    """The session of one stream: the router sends a hello first, then answers every message exactly once."""
 
     def __init__(self) -> None:
         self.received = 0
-        """Messages so far."""
+        """Messages received so far."""
         self.answered = 0
-        """Answers so far."""
+        """Answers encoded so far."""
 
     def encode_hello(
         self,
@@ -58,7 +60,8 @@
         running: Mapping[str, RunningSettings],
         last_failure: str = "",
     ) -> bytes:
-        """The first message: the router, what it runs on, and why the stream before ended."""
+        """Encode the first message of the stream: the router, its version in force, its running settings, and
+        why its previous stream ended."""
         hello = wire.Hello(
             router=router,
             boot=boot,
@@ -71,7 +74,7 @@
         return bytes(wire.FromRouter(hello=hello).SerializeToString())
 
     def receive(self, data: bytes) -> VersionOffer | OfferOutcome:
-        """A message: a version that is offered, or the answer to what is none."""
+        """Decode a message: the version that it offers, or the rejection to answer if it holds none."""
         self.received += 1
         unknown = VersionOffer(0, hashlib.blake2b(data, digest_size=16).hexdigest(), OFFER_SOURCE)
         try:
@@ -90,8 +93,11 @@
         apply_us: int = 0,
         pause_us: int = 0,
     ) -> bytes:
-        """The answer to an offer. ``apply_us``: from its arrival until it was in force; ``pause_us``: for how
-        long the event loop was held up."""
+        """Encode the answer to an offer.
+
+        ``apply_us`` is the time from its arrival until it was in force, ``pause_us`` the longest time for
+        which applying it blocked the event loop.
+        """
         self.answered += 1
         offer = outcome.offer
         answer = wire.Answer(
@@ -131,7 +137,7 @@
 
 
 def read_changes(delta: wire.Delta) -> tuple[Change, ...]:
-    """A delta's changes; ``UnusableDocumentError`` if one cannot be read."""
+    """Decode a delta's changes; ``UnusableDocumentError`` if one is invalid or there are too many."""
     if len(delta.changes) > MAX_CHANGES:
         raise _unusable("delta", f"{len(delta.changes)} changes", f"at most {MAX_CHANGES}")
     changes = []
@@ -154,7 +160,7 @@
 
 
 def write_changes(changes: list[Change]) -> list[wire.Change]:
-    """Changes as a delta holds them."""
+    """Encode changes for a delta."""
     return [
         wire.Change(path=change.path)
         if change.value is None
--- a/magpieshift/control/sexp.py
+++ b/magpieshift/control/sexp.py
@@ -1,9 +1,9 @@
-"""S-expressions as plain data, with the line of each entry, and back.
+"""Reads S-expressions as plain data with the line number of each entry, and writes data as S-expressions.
 
 Data is a mapping of names to data, a list of atoms, or an atom (text, number, ``true``/``false``). A form
 ``(name x)`` is an entry with an atom, ``(name x y)`` one with a list, and ``(name (a 1) (b 2))`` one with a
-mapping; ``(name)`` holds an empty list. Reading is sexpdata's; this module bounds it and gives its lists
-meaning.
+mapping; ``(name)`` holds an empty list. The parser is
+sexpdata's; this module bounds it, and converts its nested lists to data.
 """
 
 from __future__ import annotations
@@ -19,52 +19,53 @@
 from magpieshift.control.errors import Problem, UnusableDocumentError
 
 DOCUMENT_HEAD = "magpieshift"
-"""The word with which a settings file begins."""
+"""The first word of a settings file's form."""
 MAX_TEXT_LENGTH = 4 << 20
-"""Characters; a thousand classes take a tenth of it."""
+"""Longest text, in characters; ten times the length of a document with 1000 request classes."""
 MAX_DEPTH = 16
-"""The documents nest four deep; deeper text only serves to exhaust the stack."""
+"""Deepest nesting of lists. Valid documents nest four levels deep; the limit keeps deeper texts from
+exhausting the stack."""
 MAX_SHOWN_LENGTH = 60
-"""Characters of a value that an error shows."""
+"""Longest value that an error shows, in characters."""
 MAX_SHOWN_ENTRIES = 4
-"""Entries that an error names."""
+"""Most entries that an error names."""
 MAX_FLAT_LENGTH = 100
-"""Characters of a mapping that is written on one line."""
+"""Longest mapping that is written on one line, in characters."""
 
 EntryPath = tuple[str, ...]
-"""The names that lead to an entry."""
+"""The names on the path from the document to an entry, that of the entry last."""
 
 BARE_WORD = re.compile(r"[A-Za-z_*/][\w*/.:+-]*", re.ASCII)
-"""Texts that are written without quotes."""
+"""Texts that may be written without quotes, unless they match ``NUMBER_LIKE``."""
 NUMBER_LIKE = re.compile(r"[+-]?(inf|infinity|nan|true|false)", re.I)
-"""Words that would be read as something else."""
+"""Words that must be quoted, as they would be read as a number or a truth value."""
 
 
 @dataclass(frozen=True)
 class ParsedDocument:
-    """What a text holds."""
+    """The content of a parsed text."""
 
     data: dict[str, Any]
     """Its entries."""
     lines: Mapping[EntryPath, int]
-    """On which line each entry begins."""
+    """The line number on which each entry begins, from 1."""
 
 
 class _NestingError(Exception):
-    """Lists within lists, beyond the bound; holds the position in the text."""
+    """Lists are nested deeper than ``MAX_DEPTH``; the argument is the position in the text."""
 
 
 class _BoundedParser(sexpdata.Parser):  # type: ignore[misc]  # the library is not typed
-    """Sexpdata's parser, bounded in depth, recording where each list begins."""
+    """Sexpdata's parser with a depth limit; records the position at which each list begins."""
 
     def __init__(self, text: str) -> None:
         super().__init__(text, nil=None, true="true", false="false")
-        # by identity of the list, all of which the result keeps alive
+        # by id() of the list; the parse result keeps all lists alive, so no id is reused
         self.starts: dict[int, int] = {}
         self._depth = 0
 
     def parse_sexp(self, i: int) -> tuple[int, list[Any]]:
-        """A list that begins at ``i``, for sexpdata."""
+        """Called by sexpdata: parses the list that begins at ``i``."""
         if self._depth > MAX_DEPTH:
             raise _NestingError(i)
         self._depth += 1
@@ -75,7 +76,7 @@
 
 
 def shorten(value: object) -> str:
-    """A value as an error shows it: short, and on one line."""
+    """A value as error messages show it: on one line, and cut to ``MAX_SHOWN_LENGTH``."""
     if isinstance(value, Mapping):
         names = ", ".join(map(str, list(value)[:MAX_SHOWN_ENTRIES]))
         return f"entries {names}" if value else "nothing"
@@ -85,8 +86,11 @@
 
 
 def parse(text: str, source: str = "document", wanted_head: str = DOCUMENT_HEAD) -> ParsedDocument:
-    """The one form of a text; ``UnusableDocumentError`` if it has none, several, or one that makes no sense.
-    ``source`` names the text in errors."""
+    """Parse a text that consists of one form ``(wanted_head ...)``.
+
+    Raises ``UnusableDocumentError`` if it holds no form, several forms or an invalid one. ``source`` names
+    the text in errors.
+    """
     if len(text) > MAX_TEXT_LENGTH:
         raise _unusable(source, 0, f"{len(text)} characters", f"at most {MAX_TEXT_LENGTH}")
     parser = _BoundedParser(text)
@@ -113,7 +117,7 @@
         raise _unusable(source, line, "deep nesting", f"at most {MAX_DEPTH} levels") from None
     except sexpdata.ExpectNothing:
         raise _unusable(source, 0, "a closing bracket too many", "as many as were opened") from None
-    except Exception:  # a text or an escape that breaks off, for which sexpdata has no error of its own
+    except Exception:  # sexpdata has no own error for a text that ends early
         line = text.count("\n") + 1
         raise _unusable(source, line, "the end of the text", "every bracket and quote closed") from None
     return forms
@@ -124,7 +128,7 @@
 
 
 class _FormReader:
-    """Lists to data, collecting all that is wrong on the way."""
+    """Converts sexpdata's lists to data and collects all problems."""
 
     def __init__(self, text: str, starts: Mapping[int, int], source: str) -> None:
         self.problems: list[Problem] = []
@@ -134,24 +138,24 @@
         self._line_ends = [match.start() for match in re.finditer("\n", text)]
 
     def line(self, form: list[Any]) -> int:
-        """On which a form begins."""
+        """The line number on which a form begins."""
         return bisect.bisect_left(self._line_ends, self._starts.get(id(form), 0)) + 1
 
     def report(self, form: list[Any], path: EntryPath, found: str, expected: str) -> None:
-        """Something in a form cannot be used."""
+        """Add a problem at a form."""
         self.problems.append(Problem(" ".join(path) or self._source, self.line(form), found, expected))
 
     def name(self, form: list[Any], above: EntryPath) -> str:
-        """A form's first word; empty if it has none."""
+        """A form's name, its first word; reports a problem and returns an empty string if it has none."""
         if form and isinstance(form[0], sexpdata.Symbol):
             return str(form[0].value())
-        if form and isinstance(form[0], str):  # a name that would be read as a number stands in quotes
+        if form and isinstance(form[0], str):  # a name that looks like a number is written in quotes
             return form[0]
         self.report(form, above, shorten(form[0]) if form else "()", "a name as the first word")
         return ""
 
     def value(self, form: list[Any], path: EntryPath) -> Any:
-        """What stands behind a form's name."""
+        """The value of a form: all that follows its name."""
         rest = form[1:]
         nested = [item for item in rest if isinstance(item, list)]
         if not nested:
@@ -212,5 +216,5 @@
 
 
 def format_document(data: Mapping[str, Any], head: str = DOCUMENT_HEAD) -> str:
-    """The text of a tree; parsed again it gives equal data."""
+    """Write data as text; parsing the text gives equal data."""
     return "\n".join(format_rows(head, data, 0)) + "\n"
--- a/magpieshift/control/stored_versions.py
+++ b/magpieshift/control/stored_versions.py
@@ -1,8 +1,8 @@
-"""The file of a version store: its records, and reading it however damaged.
+"""The file format of the version store: encoding of records, and recovery from damaged files.
 
-Each record is written twice, one behind the other, in one append: a bit that flips in the newest, with
-nothing else to fall back on, costs nothing. Reading looks for marks, so one damaged record hides no other.
-The keys and words on disk stand here alone, and stay as they are.
+Each append writes two consecutive copies of a record, so that a flipped bit does not lose the newest record,
+for which there is no other source. Reading searches for record marks, so a damaged record does not hide the
+ones after it. Only this module knows the keys and words on disk; they must not change.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 VERSIONS_FILE = "versions.log"
 FILE_HEADER = b"magpieshift versions 1\n"
 FORM_LENGTH = 12
-"""Bytes of the header by which a file is one of versions, of whatever form."""
+"""Length in bytes of the header's prefix that marks a version file of any format version."""
 MARK = b"\xabMV\x01"
-"""With which each record begins; no JSON text holds its first byte."""
+"""First bytes of each record. Payloads are ASCII JSON, which does not contain the first byte."""
 MAX_STORED = 64
-"""Versions and rejections that stay; the file is rewritten when it holds twice as many."""
+"""Records (versions and rejections) that are retained; the file is rewritten when it holds twice as many."""
 
 
 @dataclass(frozen=True)
@@ -32,36 +32,36 @@
     """A record on disk."""
 
     record: VersionRecord
-    """The version, and what became of it."""
+    """The version and its state."""
     text: str = ""
-    """The complete document of a version that came into force."""
+    """The complete document of a version that came into force; empty for a rejected one."""
 
 
 @dataclass(frozen=True)
 class StoreContents:
-    """What a file holds."""
+    """The content of a version file."""
 
     versions: tuple[StoredVersion, ...]
-    """Oldest first."""
+    """The intact records, oldest first."""
     damaged_stretches: int
-    """Stretches of bytes that are no record, apart from a torn tail."""
+    """Byte ranges that are not valid records, except for the bytes after the last record."""
     torn_bytes: int
     """Bytes after the last complete record."""
     single_copies: int
-    """Records of which only one of the two copies is complete."""
+    """Records of which only one of the two copies is intact."""
 
     @property
     def in_force(self) -> StoredVersion | None:
-        """The version that came into force last."""
+        """The version that came into force last; None if none did."""
         return newest_in_force(self.versions)
 
 
 EMPTY = StoreContents((), 0, 0, 0)
-"""Of a folder without a file."""
+"""Content of a folder without a version file."""
 
 
 def newest_in_force(versions: Sequence[StoredVersion]) -> StoredVersion | None:
-    """The last of the versions that came into force, if any did."""
+    """The last version that came into force; None if none did."""
     for version in reversed(versions):
         if version.record.state is VersionState.IN_FORCE:
             return version
@@ -86,7 +86,7 @@
 
 
 def decode_version(payload: bytes) -> StoredVersion:
-    """A record; ``ValueError``, ``KeyError`` or ``TypeError`` if it is none."""
+    """Decode a record; ``ValueError``, ``KeyError`` or ``TypeError`` if the payload is not a version."""
     row: dict[str, Any] = json.loads(payload)
     record = VersionRecord(
         number=row["number"],
@@ -102,8 +102,8 @@
 
 
 def parse_store(data: bytes) -> StoreContents:
-    """The records in a file's bytes, however damaged; ``VersionStoreError`` if it is a file of another
-    form."""
+    """Decode the intact records of a file that may be damaged; ``VersionStoreError`` if the file has another
+    format."""
     if not data:
         return EMPTY
     if not data.startswith(FILE_HEADER[:FORM_LENGTH]):
@@ -116,7 +116,7 @@
     versions: list[StoredVersion] = []
     damaged = 0
     single = 0
-    # up to where records were found, and the last payload while its second copy is awaited
+    # end of the last record found, and the payload whose second copy is expected next
     end = min(len(FILE_HEADER), len(data))
     awaited = b""
     for start, payload in _payloads(data, len(FILE_HEADER)):
@@ -130,7 +130,7 @@
         try:
             versions.append(decode_version(payload))
         except (ValueError, KeyError, TypeError):
-            damaged += 1  # checksums that match over what is no record: another program wrote it
+            damaged += 1  # the checksum matches, but the payload is not a version: another program wrote it
             continue
         awaited = payload
         single += 1
@@ -138,7 +138,7 @@
 
 
 def _payloads(data: bytes, start: int) -> Iterable[tuple[int, bytes]]:
-    """Where complete records begin, and their payloads."""
+    """The positions of the intact records and their payloads."""
     while (start := data.find(MARK, start)) >= 0:
         payload = payload_at(data, start)
         if payload is None:
@@ -149,7 +149,7 @@
 
 
 def read_store(folder: str | Path) -> StoreContents:
-    """What a folder holds, without touching it; nothing if it holds no file yet."""
+    """Read a folder's version file without changing it; returns ``EMPTY`` if there is none yet."""
     try:
         data = (Path(folder) / VERSIONS_FILE).read_bytes()
     except FileNotFoundError:
@@ -162,7 +162,8 @@
 
 
 def retained_versions(versions: Sequence[StoredVersion]) -> list[StoredVersion]:
-    """The newest that fit the bound; what is in force stays, however many were rejected since."""
+    """The newest ``MAX_STORED`` records, always including the version in force, however many rejections
+    followed it."""
     newest = list(versions[-MAX_STORED:])
     in_force = newest_in_force(versions)
     if in_force is not None and in_force not in newest:
@@ -171,7 +172,8 @@
 
 
 def stored_history(contents: StoreContents) -> list[StoredVersion]:
-    """The records as people want them: one of them in force, those before it replaced."""
+    """The records as shown to operators: the last version that came into force is in force, earlier ones are
+    replaced."""
     in_force = contents.in_force
     return [
         replace(version, record=replace(version.record, state=VersionState.REPLACED))
--- a/magpieshift/control/validation.py
+++ b/magpieshift/control/validation.py
@@ -1,4 +1,4 @@
-"""What files for people have in common: forms that report all that is wrong with them at once."""
+"""Shared by all hand-written files: pydantic forms whose validation reports all errors at once."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 Seconds = Annotated[float, Field(ge=0, le=86_400, allow_inf_nan=False)]
 Lines = Mapping[sexp.EntryPath, int]
-"""On which line of its file each entry stands."""
+"""The line number of each entry in its file."""
 
 
 def nearest_line(path: sexp.EntryPath, lines: Lines) -> int:
-    """The line of an entry, or of the nearest one round it that has one; 0 if none has."""
+    """The line number of an entry, or of its innermost enclosing entry that has one; 0 if none has."""
     return next((lines[path[:end]] for end in range(len(path), 0, -1) if path[:end] in lines), 0)
 
 
 class Form(BaseModel):
-    """Entries in words with hyphens; an unknown one is a mistake."""
+    """A form whose entry names are the field names with hyphens; unknown entries are errors."""
 
     model_config = ConfigDict(
         extra="forbid", alias_generator=lambda name: name.replace("_", "-"), populate_by_name=True
@@ -32,8 +32,8 @@
 
 
 def validate_form(form: type[AnyForm], data: Mapping[str, Any], lines: Lines) -> AnyForm:
-    """The data as a form; ``UnusableDocumentError`` with every mistake, its place, what was found and what
-    expected."""
+    """Validate data as a form; ``UnusableDocumentError`` lists every error with its path and line, and what
+    was found and expected."""
     try:
         return form.model_validate(data)
     except ValidationError as err:
--- a/magpieshift/control/version_history.py
+++ b/magpieshift/control/version_history.py
@@ -1,16 +1,18 @@
-"""The history of versions at one router: what was offered, is being prepared, is in force, or was rejected.
-
-It is the one truth that log, command line and control service read. No I/O and no clock: it is given the
-time. The rules of numbers, each tested:
-
-- a number above that in force is taken up; those skipped between are a gap, recorded and allowed: a control
-  service that publishes faster than routers apply may skip some;
-- the number in force with the same content is a repeat: acknowledged again, nothing is done; with other
-  content it is a conflict, and rejected;
-- a number below that in force is a step back, and rejected: a rollback is a new version with old content;
-- a number that was rejected gets the same answer again, unless the reason was of that moment
-  (``TRANSIENT_REASONS``), and a conflict if its content differs now;
-- of what comes while another is prepared, the newest waits, and what it supersedes is rejected.
+"""The version history of one router: the versions that were offered, are being prepared, are in force, or
+were rejected.
+
+The log, the command line and the control service all report this state. No I/O and no clock: callers pass the
+time. The rules for version numbers, each covered by a test:
+
+- A number above the one in force is accepted for preparation. Numbers skipped in between are recorded as a
+  gap and allowed: a control service that publishes faster than routers apply may skip some.
+- The number in force with the same content is a repeat: it is acknowledged again and otherwise ignored. With
+  different content it is rejected as a conflict.
+- A number below the one in force is rejected as out of order: a rollback is a new version with old content.
+- A number that was rejected gets the same answer again, unless the reason was transient
+  (``TRANSIENT_REASONS``). With different content it is rejected as a conflict.
+- While one version is prepared, only the newest of the other offers waits; the ones that it supersedes are
+  rejected.
 """
 
 from __future__ import annotations
@@ -31,35 +33,36 @@
 )
 
 MAX_HISTORY = 64
-"""Records that are remembered: some days of changes by hand."""
+"""Most records in the history; enough for several days of manual changes."""
 MAX_REMEMBERED_REJECTIONS = 256
-"""Numbers above that in force, each remembered to be answered alike."""
+"""Most rejected numbers above the one in force that are remembered, so that a repeated offer gets the same
+answer."""
 MAX_VERSION_NUMBER = (1 << 63) - 1
-"""What a signed field holds."""
+"""Largest version number: the maximum of a signed 64-bit integer."""
 
 
 class VersionHistory:
-    """The state of all versions at one router. What ``offer``, ``accept`` and ``reject`` return must be
-    sent."""
+    """The state of all versions at one router. The caller must report the outcomes that ``offer``, ``accept``
+    and ``reject`` return."""
 
     def __init__(self, in_force: VersionRecord) -> None:
-        """Begin with a version in force."""
+        """Start a history with the version in force."""
         self.in_force = in_force
         """The version that the router runs on."""
         self.records: deque[VersionRecord] = deque([in_force], maxlen=MAX_HISTORY)
-        """What is remembered, oldest first."""
+        """The history's records, oldest first."""
         self.preparing: VersionOffer | None = None
-        """The version that is being taken up."""
+        """The version that is being prepared; None if none is."""
         self.waiting: VersionOffer | None = None
-        """The newest that came meanwhile."""
-        # rejected versions with numbers above that in force
+        """The newest offer received while another version is being prepared; it is prepared next."""
+        # rejected versions with numbers above the one in force, by number
         self._rejections: OrderedDict[int, VersionRecord] = OrderedDict()
-        # rejected numbers up to here may have been forgotten
+        # highest rejected number that was dropped from _rejections
         self._forgotten_up_to = 0
 
     @classmethod
     def restored(cls, records: Iterable[VersionRecord], start: VersionRecord) -> VersionHistory:
-        """The history as stored records give it; ``start`` is in force if none of them was."""
+        """Rebuild the history from stored records; ``start`` is in force if none of them came into force."""
         stored = list(records)
         in_force = [
             record for record in stored if record.state in (VersionState.IN_FORCE, VersionState.REPLACED)
@@ -84,13 +87,17 @@
     # --- offers
 
     def offer(self, offer: VersionOffer, now_us: int) -> list[OfferOutcome]:
-        """Take in a version. No outcome for it yet means that it is to be taken up with ``take_next``."""
+        """Handle an offer and return the outcomes that are known at once, of this offer or of a superseded
+        one.
+
+        An offer without an outcome waits, and is prepared once ``take_next`` returns it.
+        """
         outcome = self._decide_by_number(offer)
         if outcome is not None:
             self._record_rejection(outcome, now_us)
             return [outcome]
         if self.preparing is not None and self.preparing.is_same_version(offer):
-            self.preparing = offer  # sent once more, on a new connection: the answer goes to the newest nonce
+            self.preparing = offer  # sent again on a new connection: answer its newest nonce
             return []
         waiting = self.waiting
         if waiting is None or waiting.is_same_version(offer):
@@ -102,7 +109,8 @@
         return [OfferOutcome(older, False, RejectionReason.SUPERSEDED, detail)]
 
     def _decide_by_number(self, offer: VersionOffer) -> OfferOutcome | None:
-        """The outcome that the numbers alone decide."""
+        """The outcome that follows from the offer's number and digest; None if the version must be
+        prepared."""
         now = self.in_force
         if not 0 < offer.number <= MAX_VERSION_NUMBER:
             detail = f"found {offer.number}, expected 1 to {MAX_VERSION_NUMBER}"
@@ -126,10 +134,10 @@
             return _out_of_order(offer, f"version {preparing.number} is being prepared")
         return None if offer.digest == preparing.digest else _conflict(offer, preparing.digest)
 
-    # --- taking up
+    # --- preparing
 
     def take_next(self) -> VersionOffer | None:
-        """The version to prepare next, if none is being prepared."""
+        """Start preparing the waiting version and return it; None if none waits or one is being prepared."""
         if self.preparing is not None or self.waiting is None:
             return None
         self.preparing = self.waiting
@@ -137,7 +145,7 @@
         return self.preparing
 
     def accept(self, now_us: int) -> tuple[VersionRecord, OfferOutcome]:
-        """The version being prepared is in force from now on."""
+        """Record that the version being prepared is now in force."""
         offer = self._finish_preparing()
         old = self.in_force
         self.in_force = VersionRecord(
@@ -164,7 +172,7 @@
                 self.records[index] = replaced
 
     def reject(self, reason: RejectionReason, detail: str, now_us: int) -> OfferOutcome:
-        """The version being prepared cannot be used; what is in force stays."""
+        """Record that the version being prepared is rejected; the version in force does not change."""
         outcome = OfferOutcome(self._finish_preparing(), False, reason, detail)
         self._record_rejection(outcome, now_us)
         return outcome
@@ -177,7 +185,7 @@
         return offer
 
     def _record_rejection(self, outcome: OfferOutcome, now_us: int) -> None:
-        """Remember a version that was rejected; a repeated rejection is nothing new."""
+        """Add a record of a rejected version, unless the same rejection is recorded already."""
         offer = outcome.offer
         transient = outcome.reason in TRANSIENT_REASONS
         if outcome.accepted or (offer.number in self._rejections and not transient):
@@ -194,7 +202,7 @@
         self.records.append(record)
         if not transient and offer.number > self.in_force.number:
             self._remember(record)
-        if self.in_force not in self.records:  # a flood of bad versions must not push out what is in force
+        if self.in_force not in self.records:  # many rejections must not displace it
             self.records[0] = self.in_force
 
     def _remember(self, record: VersionRecord) -> None:
--- a/magpieshift/control/version_host.py
+++ b/magpieshift/control/version_host.py
@@ -1,4 +1,4 @@
-"""What a ``VersionManager`` needs of the router it works for, and what it calls with outcomes."""
+"""The interfaces of ``VersionManager``: to the router that it manages, and to the listeners of outcomes."""
 
 from __future__ import annotations
 
@@ -12,36 +12,40 @@
 
 
 class VersionHost(Protocol):
-    """The router that versions are for."""
+    """The router whose versions are managed."""
 
     def running(self) -> Mapping[str, RunningSettings]:
-        """What each part runs on."""
+        """The running settings of each part of the router."""
         ...
 
     async def prepare(self, document: Document) -> Prepared:
-        """Have every part prepare a document; ``PreparationError`` if one cannot."""
+        """Let every part of the router prepare a document; ``PreparationError`` if one fails or rejects
+        it."""
         ...
 
     def commit(self, prepared: Prepared, version: int) -> None:
-        """Put in force what was prepared. It must not fail."""
+        """Put a prepared document in force. Must not fail."""
         ...
 
 
 class OutcomeListener(Protocol):
-    """What is called with each outcome."""
+    """A callback for the outcomes of offers."""
 
     def __call__(self, answer: OfferOutcome, apply_us: int, pause_us: int) -> None:
-        """``apply_us``: from the offer's arrival until it was in force; ``pause_us``: for how long the event
-        loop was held up at most."""
+        """Handle an outcome.
+
+        ``apply_us`` is the time from the offer's arrival until it was in force, ``pause_us`` the longest time
+        for which applying it blocked the event loop.
+        """
         ...
 
 
 class PauseTimer:
-    """The longest time for which the event loop was held up."""
+    """Measures the longest of the timed steps, each of which may block the event loop."""
 
     def __init__(self) -> None:
         self.pause_us = 0
-        """So far."""
+        """Longest time so far, in microseconds."""
         self._began_s = 0.0
 
     def __enter__(self) -> None:
--- a/magpieshift/control/version_manager.py
+++ b/magpieshift/control/version_manager.py
@@ -1,9 +1,10 @@
-"""The manager of a running router's versions: takes offers in, applies one after the other, reports the
+"""The version manager of a running router: receives offers, applies one version at a time, and reports the
 outcomes.
 
-The order of a version's steps is what its promises rest on: it is read and checked (in a thread), every part
-of the router prepares it, it is written through to the disk, it is put in force, and only then acknowledged.
-A crash before the writing leaves the old version, one after it the new; neither is ever half in force.
+The guarantees depend on the order of the steps. A version is parsed and validated (in a thread), every part
+of the router prepares it, it is written and flushed to disk, it is put in force, and only then acknowledged.
+After a crash before the write the router restarts with the old version, after a later crash with the new one;
+neither is ever partly in force.
 """
 
 from __future__ import annotations
@@ -41,16 +42,16 @@
     FailureKind.TIMED_OUT: RejectionReason.PART_TIMED_OUT,
     FailureKind.RAISED: RejectionReason.PART_FAILED,
 }
-"""By the kind of a failed preparation."""
+"""The rejection reason for each kind of preparation failure."""
 MAX_ERROR_LENGTH = 200
-"""Characters of an unexpected error that are reported."""
+"""Longest reported text of an unexpected exception, in characters."""
 
 Clock = Callable[[], int]
-"""Gives the Unix time in microseconds."""
+"""Returns the Unix time in microseconds."""
 
 
 class _RejectionError(Exception):
-    """The version being applied cannot be used."""
+    """The version being applied is rejected; ``reason`` tells why."""
 
     def __init__(self, reason: RejectionReason, detail: str) -> None:
         super().__init__(detail)
@@ -58,21 +59,21 @@
 
 
 class _Document(NamedTuple):
-    """The document of an offer."""
+    """The validated document of an offer, and its text."""
 
     loaded: LoadedDocument
-    """Checked."""
+    """The validated document."""
     text: str
-    """As it is stored."""
+    """Its text, as it is stored on disk."""
 
 
 def unix_now_us() -> int:
-    """The Unix time."""
+    """The Unix time in microseconds."""
     return time.time_ns() // 1000
 
 
 class VersionManager:
-    """Owner of the history and of the store; everything that offers versions does it here."""
+    """Owns the version history and the version store; every source of versions offers them here."""
 
     def __init__(
         self,
@@ -84,14 +85,17 @@
         overrides: Overrides | None = None,
         clock: Clock = unix_now_us,
     ) -> None:
-        """``data`` is the document in force. ``store_failure``: a store was wanted and is not to be had, so
-        that no version can be promised."""
+        """``data`` is the document in force.
+
+        ``store_failure`` is not empty if a store was configured but cannot be opened: every version is then
+        rejected, since it could not survive a restart.
+        """
         self.versions = versions
-        """The history."""
+        """The version history."""
         self.listeners: list[OutcomeListener] = []
         """Called with each outcome."""
         self.on_step: Callable[[str], None] = lambda name: None
-        """For tests that end the process at each step of a version."""
+        """Called with the name of each step of a version; a hook for tests that kill the process there."""
         self._host = host
         self._data = data
         self._store = store
@@ -100,16 +104,16 @@
         self._clock = clock
         self._offered = asyncio.Event()
         self._worker: asyncio.Task[None] | None = None
-        # when the versions that wait or are prepared arrived, by number and digest
+        # arrival times of the offers that wait or are being prepared, by number and digest
         self._arrivals_us: dict[tuple[int, str], int] = {}
 
     def start(self) -> None:
-        """Take up versions, until ``stop``."""
+        """Apply offered versions until ``stop``."""
         self._worker = asyncio.ensure_future(self._work())
 
     async def stop(self) -> None:
-        """Take up nothing more. A version not yet on its way to the disk is rejected; one that is comes to
-        its end first."""
+        """Apply no more versions. A version whose write has begun is completed first; one that is not written
+        yet is rejected."""
         worker = self._worker
         self._worker = None
         if worker is not None:
@@ -127,13 +131,13 @@
         return self.versions.in_force
 
     def running(self) -> Mapping[str, RunningSettings]:
-        """What each part of the router runs on."""
+        """The running settings of each part of the router."""
         return self._host.running()
 
     # --- offers
 
     def offer(self, offer: VersionOffer) -> None:
-        """Take in a version; the outcome goes to the listeners."""
+        """Receive an offer; its outcome is reported to the listeners."""
         self.on_step("received")
         self._arrivals_us.setdefault((offer.number, offer.digest), self._clock())
         for outcome in self.versions.offer(offer, self._clock()):
@@ -142,7 +146,11 @@
         self._offered.set()
 
     def offer_file(self, loaded: LoadedDocument, source: str) -> None:
-        """Settings that a person has changed: a version of its own, the next one if the file gives none."""
+        """Offer a settings file that an operator has changed.
+
+        A file without a version number gets the next number; a file with the content in force
+        is ignored, unless it gives another number.
+        """
         if loaded.digest == self.in_force.digest and loaded.version in (0, self.in_force.number):
             log.info("configuration unchanged", extra=fields(version=self.in_force.number, source=source))
             return
@@ -151,7 +159,7 @@
         self.offer(VersionOffer(number, loaded.digest, source, payload=payload))
 
     def _open_offers(self) -> list[VersionOffer]:
-        """What waits or is prepared."""
+        """The offers that wait or are being prepared."""
         offers = (self.versions.preparing, self.versions.waiting)
         return [offer for offer in offers if offer is not None]
 
@@ -159,11 +167,11 @@
         return max((offer.number for offer in self._open_offers()), default=0)
 
     def _forget_arrivals(self) -> None:
-        """Only what waits or is prepared has a time of arrival."""
+        """Drop the arrival times of offers that neither wait nor are being prepared."""
         open_keys = {(offer.number, offer.digest) for offer in self._open_offers()}
         self._arrivals_us = {key: us for key, us in self._arrivals_us.items() if key in open_keys}
 
-    # --- one version after the other
+    # --- applying one version at a time
 
     async def _work(self) -> None:
         while self._worker is not None:
@@ -173,7 +181,7 @@
                 continue
             try:
                 await self._apply_or_reject(offer)
-            except Exception as err:  # a fault of ours must not end all changes until the next start
+            except Exception as err:  # a bug must not block all versions until the next start
                 log.exception("version failed", extra=fields(version=offer.number))
                 if self.versions.preparing is not None:
                     detail = f"{type(err).__name__}: {err}"[:MAX_ERROR_LENGTH]
@@ -186,7 +194,7 @@
             await self._reject(err.reason, str(err))
 
     async def _apply(self, offer: VersionOffer) -> None:
-        """Take one version through its steps; ``_RejectionError`` if one of them fails."""
+        """Run all steps of one version; ``_RejectionError`` if one of them fails."""
         self.on_step("taken")
         document = await self._read(offer)
         self.on_step("read")
@@ -228,7 +236,8 @@
             raise _RejectionError(PREPARATION_REASONS[err.kind], str(err)) from None
 
     async def _write(self, offer: VersionOffer, text: str) -> None:
-        """Write the version through to the disk, unless the router ends."""
+        """Write and flush the version to disk; ``_RejectionError`` if that fails or the router is
+        stopping."""
         if self._worker is None:
             raise _RejectionError(RejectionReason.STOPPING, "the router ends")
         if self._store_failure:
@@ -268,7 +277,7 @@
             )
             try:
                 await self._append(StoredVersion(record))
-            except VersionStoreError as err:  # it is reported and logged; only the history lacks it
+            except VersionStoreError as err:  # it was reported already; only the stored history lacks it
                 log.warning("rejection not stored", extra=fields(version=offer.number, reason=err))
 
     def _report(self, outcome: OfferOutcome, pause_us: int = 0) -> None:
@@ -291,6 +300,6 @@
 
 
 def _read_offer(offer: VersionOffer, data: Mapping[str, Any], digest: str) -> _Document:
-    """The document of an offer; takes too long for the event loop."""
+    """Parse and validate an offer; runs in a thread, since it would block the event loop for too long."""
     loaded = resolve_offer(offer, data, digest)
     return _Document(loaded, sexp.format_document(loaded.data))
--- a/magpieshift/control/version_records.py
+++ b/magpieshift/control/version_records.py
@@ -1,4 +1,4 @@
-"""Versions, what was offered, and what became of it."""
+"""Records of configuration versions: offers, their outcomes, and the states of versions."""
 
 from __future__ import annotations
 
@@ -6,45 +6,46 @@
 from enum import Enum, IntEnum
 
 SHOWN_DIGEST_LENGTH = 12
-"""Characters of a digest in texts for people."""
+"""Length of a digest in log lines and other texts for operators, in characters."""
 
 
 class RejectionReason(IntEnum):
-    """Why a version was rejected. The numbers go over the control channel and to the disk."""
+    """Why a version was rejected. The numeric values are sent over the control channel and stored on disk."""
 
     NONE = 0
     MALFORMED = 1
-    """No document at all."""
+    """The content cannot be parsed as a document."""
     INVALID = 2
-    """A document that does not fit the schema."""
+    """The document violates the schema."""
     NEEDS_RESTART = 3
-    """It changes what only a restart can change."""
+    """It changes a setting that only a restart can change."""
     PART_UNABLE = 4
-    """A part of the router cannot go over to it now."""
+    """A part of the router cannot apply it while it runs."""
     PART_TIMED_OUT = 5
-    """A part was not ready in time."""
+    """A part of the router did not prepare it in time."""
     PART_FAILED = 6
-    """A part failed."""
+    """A part of the router, or the manager itself, failed with an exception."""
     OUT_OF_ORDER = 7
-    """Its number is below one in force, being prepared or used up."""
+    """Its number is below the one in force or being prepared, or among rejected numbers that are
+    forgotten."""
     CONFLICT = 8
-    """Its number is known with other content."""
+    """Its number is already known with different content."""
     WRONG_DIGEST = 9
-    """Its content does not have its digest."""
+    """Its content does not match its digest."""
     WRONG_BASE = 10
-    """A delta against another version than that in force; a full one is wanted."""
+    """Its delta builds on a version other than the one in force; the full version is requested."""
     SUPERSEDED = 11
-    """A newer one came before it was taken up."""
+    """A newer version was offered before it was prepared."""
     NOT_STORED = 12
-    """The disk did not take it."""
+    """It could not be written to disk."""
     STOPPING = 13
-    """The router ends."""
+    """The router is shutting down."""
     INVALID_NUMBER = 14
-    """No version can have this number."""
+    """Its number is outside the valid range."""
 
     @property
     def word(self) -> str:
-        """The word for it in logs, reports of relays and ``--json`` output."""
+        """The name of the reason in logs, reports of relays and ``--json`` output."""
         return _REASON_WORDS.get(self, self.name.lower())
 
 
@@ -57,7 +58,7 @@
     RejectionReason.NOT_STORED: "not_kept",
     RejectionReason.INVALID_NUMBER: "number",
 }
-"""Words that readers of logs and ``--json`` output know, where the names differ."""
+"""Established names in logs and ``--json`` output, where they differ from the member's name."""
 
 TRANSIENT_REASONS = frozenset(
     {
@@ -70,16 +71,16 @@
         RejectionReason.STOPPING,
     }
 )
-"""Reasons that say nothing against the version itself: offered again, it is judged anew."""
+"""Reasons that do not lie in the version itself: if it is offered again, it is prepared again."""
 
 NUMBER_REASONS = frozenset(
     {RejectionReason.CONFLICT, RejectionReason.OUT_OF_ORDER, RejectionReason.INVALID_NUMBER}
 )
-"""Reasons that follow from the number alone, and are found again without being remembered."""
+"""Reasons that follow from the number; they are determined again for each offer and not remembered."""
 
 
 class VersionState(Enum):
-    """What became of a version; the value is its word on disk and for people."""
+    """The state of a version; the values are stored on disk and shown to operators."""
 
     PREPARING = "preparing"
     IN_FORCE = "in force"
@@ -89,20 +90,20 @@
 
 @dataclass(frozen=True)
 class VersionOffer:
-    """A version as it was offered."""
+    """An offered version."""
 
     number: int
-    """From 1."""
+    """Version number, from 1."""
     digest: str
-    """Of its content."""
+    """Digest of its content."""
     source: str
-    """Where the offer came from, for people."""
+    """Source of the offer, as shown to operators."""
     nonce: str = ""
-    """By which a control service knows the answer."""
+    """Identifies the offer in the answer to the control service."""
     base: str | None = None
     """Digest of the version that a delta builds on; None for a full one."""
     payload: object = None
-    """The content, at which the history does not look."""
+    """The content; opaque to the version history."""
 
     def is_same_version(self, other: VersionOffer) -> bool:
         """Whether both offer the same content under the same number."""
@@ -111,24 +112,24 @@
 
 @dataclass(frozen=True)
 class VersionRecord:
-    """A version, and what became of it."""
+    """A version and its state."""
 
     number: int
-    """From 1; 0 for settings without a number."""
+    """Version number, from 1; 0 for settings without a number."""
     digest: str
-    """Of its content."""
+    """Digest of its content."""
     source: str
-    """Where the offer came from, for people."""
+    """Source of the offer, as shown to operators."""
     state: VersionState
-    """What became of it."""
+    """State of the version."""
     since_us: int
-    """Unix time of when it came into force, or was rejected."""
+    """When it came into force or was rejected, as Unix time in microseconds."""
     reason: RejectionReason = RejectionReason.NONE
     """Why it was rejected."""
     detail: str = ""
-    """The same in words, with what was found and expected."""
+    """Details of the rejection: what was found and what was expected."""
     skipped_numbers: int = 0
-    """Numbers between the version before it and this one."""
+    """Count of numbers skipped between the version in force before it and this one."""
 
 
 @dataclass(frozen=True)
@@ -136,16 +137,16 @@
     """The answer to an offer."""
 
     offer: VersionOffer
-    """What was offered."""
+    """The offer that is answered."""
     accepted: bool
     """Whether the version is in force."""
     reason: RejectionReason = RejectionReason.NONE
     """Why it was rejected."""
     detail: str = ""
-    """The same in words."""
+    """Details of the rejection."""
 
     @property
     def wants_full(self) -> bool:
-        """Whether the version may be offered again in full, as its delta did not fit."""
+        """Whether the full version is requested, since the delta's base or digest did not match."""
         mismatched = self.reason in (RejectionReason.WRONG_BASE, RejectionReason.WRONG_DIGEST)
         return mismatched and self.offer.base is not None
--- a/magpieshift/control/version_startup.py
+++ b/magpieshift/control/version_startup.py
@@ -1,4 +1,4 @@
-"""What a router starts with: its settings file's version, or the newest usable one that is stored."""
+"""Selects the version that a router starts with: its settings file's, or the newest usable stored one."""
 
 from __future__ import annotations
 
@@ -20,16 +20,17 @@
 
 
 class _UsableVersion(NamedTuple):
-    """A stored version that this program can use."""
+    """A stored version that this program version can use."""
 
     stored: StoredVersion
-    """As it stands on disk."""
+    """The record on disk."""
     loaded: LoadedDocument
-    """Its document."""
+    """The document loaded from it."""
 
 
 def open_store(folder: str) -> tuple[VersionStore | None, str]:
-    """The store of a folder, or why it is not to be had; a router serves all the same."""
+    """Open a folder's version store. Returns None and the reason if it cannot be opened; the router serves
+    without it."""
     try:
         return VersionStore(folder), ""
     except VersionStoreError as err:
@@ -40,8 +41,12 @@
 def first_version(
     start: LoadedDocument | None, store: VersionStore | None, source: str
 ) -> tuple[VersionHistory, LoadedDocument]:
-    """What to start with: the newer of the settings file's version (``start``, of the file ``source``) and
-    the newest usable one stored. ``NoSettingsError`` if there is neither."""
+    """Select the version to start with, and rebuild the history.
+
+    It is the settings file's version (``start``, read from the file ``source``) if its number is higher than
+    that of the newest usable stored version, else the stored one. Raises ``NoSettingsError`` if there is
+    neither.
+    """
     stored = store.versions if store is not None else []
     usable = _newest_usable(stored)
     if start is not None and (usable is None or start.version > usable.stored.record.number):
@@ -49,7 +54,7 @@
         earlier = [version.record for version in stored if version.record.number < start.version]
         return VersionHistory.restored([*earlier, record], record), start
     if usable is None:
-        raise NoSettingsError("no settings: neither a file nor a kept version")
+        raise NoSettingsError("no settings: there is neither a settings file nor a stored version")
     newest = usable.stored.record
     log.info("stored version loaded", extra=fields(version=newest.number, digest=newest.digest))
     records = [
@@ -61,8 +66,10 @@
 
 
 def _newest_usable(stored: list[StoredVersion]) -> _UsableVersion | None:
-    """The newest version in force that can be used. One that cannot any more, by a newer program say, is
-    passed over in one line."""
+    """The newest usable version that came into force; None if there is none.
+
+    Versions that cannot be used any more, after an update of the program for example, are logged and skipped.
+    """
     for version in reversed(stored):
         record = version.record
         if record.state is not VersionState.IN_FORCE:
@@ -76,5 +83,5 @@
 
 
 def loaded_without_version(document: Document) -> LoadedDocument:
-    """The platform's configuration as a version without a number."""
+    """A document of the platform's configuration, as a version without a number."""
     return LoadedDocument(to_data(document), 0, document)
--- a/magpieshift/control/version_store.py
+++ b/magpieshift/control/version_store.py
@@ -1,7 +1,9 @@
-"""Versions on disk: an append-only file of checksummed records, written through before anyone is told.
+"""The version store: an append-only file of checksummed records, flushed to disk before a version is
+acknowledged.
 
-What a crash tore off was never acknowledged, and is cut away when the file is opened to be written. All calls
-block; ``VersionManager`` makes them in a thread. One process may hold a folder open for writing.
+A record that a crash left incomplete was never acknowledged, and is removed when the file is opened for
+writing. All calls block; ``VersionManager`` runs appends in a thread. Only one process at a time may open a
+folder for writing.
 """
 
 from __future__ import annotations
@@ -30,22 +32,23 @@
 REWRITE_FILE = "versions.new"
 LOCK_FILE = "lock"
 CLOSED = -1
-"""In place of a descriptor."""
+"""Value of a descriptor that is not open."""
 
 
 class VersionStore:
-    """The owner of a folder of versions; ``close`` gives it back."""
+    """A folder of stored versions, open for writing until ``close``."""
 
     def __init__(self, folder: str | Path) -> None:
-        """Open it for writing, and repair what a crash left; ``VersionStoreError`` if that cannot be."""
+        """Open the folder for writing and repair the file after a crash; ``VersionStoreError`` if that
+        fails."""
         self.versions: list[StoredVersion] = []
-        """What is stored, oldest first."""
+        """The stored records, oldest first."""
         self._folder = Path(folder)
         self._file = CLOSED
         self._lock = CLOSED
-        # of the file, as far as it is known good
+        # length in bytes of the part of the file that holds valid records
         self._size = 0
-        # why nothing can be stored any more; empty while it can
+        # why no more records can be stored; empty while they can
         self._failure = ""
         try:
             self._open()
@@ -62,7 +65,7 @@
     def _open(self) -> None:
         self._folder.mkdir(parents=True, exist_ok=True)
         self._lock = lock_file(self._folder / LOCK_FILE)
-        (self._folder / REWRITE_FILE).unlink(missing_ok=True)  # of a rewriting that a crash broke off
+        (self._folder / REWRITE_FILE).unlink(missing_ok=True)  # left by a rewrite that a crash interrupted
         self._file = open_file(self._folder / VERSIONS_FILE)
         contents = parse_store(read_all(self._file))
         self.versions = list(contents.versions)
@@ -88,11 +91,11 @@
 
     @property
     def in_force(self) -> StoredVersion | None:
-        """The version that came into force last."""
+        """The version that came into force last; None if none did."""
         return newest_in_force(self.versions)
 
     def append(self, version: StoredVersion) -> None:
-        """Write a record through to the disk; ``VersionStoreError`` if that failed, and then it is not
+        """Write and flush a record to disk. ``VersionStoreError`` if that fails; the record is then not
         stored."""
         if self._failure:
             raise VersionStoreError(self._failure)
@@ -107,11 +110,12 @@
         if len(self.versions) >= 2 * MAX_STORED:
             try:
                 self._rewrite()
-            except OSError as err:  # all that is stored stands in the old file as well
+            except OSError as err:  # the old file still holds all records
                 log.warning("version store not rewritten", extra=fields(reason=err.strerror or err))
 
     def _undo_append(self, error: OSError) -> None:
-        """What was rejected for the disk's sake must not come into force at the next start."""
+        """Remove a partly written record: its version is rejected, so it must not come into force at the next
+        start."""
         try:
             os.ftruncate(self._file, self._size)
             os.fsync(self._file)
@@ -121,7 +125,7 @@
             log.error("version store failed", extra=fields(folder=self._folder, reason=reason))
 
     def _rewrite(self) -> None:
-        """Write what stays to a new file and put that in the old one's place, in one step."""
+        """Write the retained records to a new file and atomically replace the old file with it."""
         retained = retained_versions(self.versions)
         path = self._folder / REWRITE_FILE
         new = open_file(path, os.O_TRUNC)
@@ -141,7 +145,7 @@
         self.versions = retained
 
     def close(self) -> None:
-        """Give the folder back."""
+        """Close the file and release the folder's lock."""
         for descriptor in (self._file, self._lock):
             if descriptor != CLOSED:
                 os.close(descriptor)
