--- a/magpieshift/control/client.py
+++ b/magpieshift/control/client.py
@@ -112,7 +112,7 @@
                 await connect(channel)
                 await call.write(self._hello(session))
                 if self._loss_logged:
-                    log.info("control service found", extra=fields(address=self._address))
+                    log.info("control service connected", extra=fields(address=self._address))
                 self._loss_logged = False
                 self._session = session
                 writing = asyncio.ensure_future(self._write(call.write))
@@ -141,7 +141,7 @@
                 self._manager.offer(offer)
             case OfferOutcome() as outcome:
                 log.warning(
-                    "message rejected",
+                    "control message rejected",
                     extra=fields(reason=outcome.detail, version=outcome.offer.number),
                 )
                 self._queue_answer(outcome, 0, 0)
--- a/magpieshift/control/service.py
+++ b/magpieshift/control/service.py
@@ -124,7 +124,7 @@
                 self.on_message(stream, data)
                 stream.send(reply)
         except ValueError as err:  # an unreadable message, or an unknown rejection reason
-            log.warning("router message not read", extra=fields(reason=err))
+            log.warning("unreadable router message", extra=fields(reason=err))
         finally:
             stream.end()
 
@@ -178,7 +178,7 @@
         }
     if router.last_failure:
         pairs["trouble"] = router.last_failure
-    log.info("router reported", extra=fields(**pairs))
+    log.info("router state received", extra=fields(**pairs))
 
 
 def _read_new(folder: str, known: set[int]) -> list[PublishedVersion]:
--- a/magpieshift/control/version_manager.py
+++ b/magpieshift/control/version_manager.py
@@ -182,7 +182,7 @@
             try:
                 await self._apply_or_reject(offer)
             except Exception as err:  # a bug must not block all versions until the next start
-                log.exception("version failed", extra=fields(version=offer.number))
+                log.exception("version application failed", extra=fields(version=offer.number))
                 if self.versions.preparing is not None:
                     detail = f"{type(err).__name__}: {err}"[:MAX_ERROR_LENGTH]
                     await self._reject(RejectionReason.PART_FAILED, detail)
--- a/magpieshift/control/version_startup.py
+++ b/magpieshift/control/version_startup.py
@@ -34,7 +34,7 @@
     try:
         return VersionStore(folder), ""
     except VersionStoreError as err:
-        log.error("versions not stored", extra=fields(reason=err))
+        log.error("version store unavailable", extra=fields(reason=err))
         return None, str(err)
 
 
--- a/magpieshift/discovery/changes.py
+++ b/magpieshift/discovery/changes.py
@@ -125,7 +125,7 @@
         self._unlogged_count = 0
         self._log_at_once = False
         if count:
-            log.info("change applied", extra=fields(seq=self.last_sequence, count=count))
+            log.info("changes applied", extra=fields(seq=self.last_sequence, count=count))
         return count > 0
 
     def _apply(self, content: Any, is_initial: bool = False) -> None:
--- a/magpieshift/discovery/client.py
+++ b/magpieshift/discovery/client.py
@@ -59,7 +59,7 @@
         if code == 200:
             self._client.has_answered = True
         else:
-            log.warning("change log refused", extra=fields(code=code))
+            log.warning("change log request rejected", extra=fields(code=code))
             self._stream.close()
 
     def data_received(self, chunk: bytes) -> None:
@@ -73,7 +73,7 @@
             self._check_partial_event(now_s)
             self._client.changes.log_if_due(now_s)
         except DiscoveryError as err:
-            log.warning("change log interrupted", extra=fields(reason=err))
+            log.warning("change log connection closed", extra=fields(reason=err))
             self._stream.close()
 
     def _check_partial_event(self, now_s: float) -> None:
@@ -188,7 +188,7 @@
             except (OSError, StreamClosedError, TimeoutError) as err:
                 log.debug("change log disconnected", extra=fields(reason=repr(err)))
             except Exception:  # a bug in handling one change must not stop the client
-                log.exception("change log failed")
+                log.exception("change log client failed")
             # a log that answers and closes immediately must not reset the backoff:
             # it was requested 30 times a second
             has_lasted = asyncio.get_running_loop().time() - started_s >= MAX_BACKOFF_S
--- a/magpieshift/lab/experiments/episode.py
+++ b/magpieshift/lab/experiments/episode.py
@@ -125,7 +125,7 @@
     async def _up(self, log: Path) -> None:
         """The router is ready, and has read the list."""
         end = time.monotonic() + UP_S
-        while "change applied" not in log.read_text():
+        while "changes applied" not in log.read_text():
             if time.monotonic() > end:
                 raise RuntimeError(f"the router did not come up: {log.read_text()[-800:]}")
             await asyncio.sleep(0.02)
--- a/tests/capture/test_process.py
+++ b/tests/capture/test_process.py
@@ -117,7 +117,7 @@
             )
         client = RequestGenerator(world.router_port, random.Random(1), lambda: True)
         try:
-            await self.says(log, "change applied")
+            await self.says(log, "changes applied")
             load = asyncio.ensure_future(client.run(200, lambda: ["picture"]))
             await self.served(client, 30)
             data = world.settings()
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -247,8 +247,8 @@
         start = self.folder / "start.sexp"
         start.write_text(sexp.format_document(self.settings()))
         for form, found in (
-            ("pairs", r"event=\"versions not stored\""),
-            ("json", r'"event": "versions not stored"'),
+            ("pairs", r"event=\"version store unavailable\""),
+            ("json", r'"event": "version store unavailable"'),
         ):
             process = subprocess.Popen(
                 [
