--- a/magpieshift/cli/configuration.py
+++ b/magpieshift/cli/configuration.py
@@ -132,14 +132,14 @@
     if as_json:
         versions = [_record_figures(record) for record in records]
         output.print_json(
-            {"damaged": contents.damaged_stretches, "torn_bytes": contents.torn_bytes, "versions": versions}
+            {"damaged": contents.damaged_ranges, "torn_bytes": contents.torn_bytes, "versions": versions}
         )
         return
     head = ("version", "state", "since (UTC)", "from", "digest", "why")
     output.print_table(head, [_record_row(record) for record in records])
-    if contents.damaged_stretches or contents.torn_bytes:
+    if contents.damaged_ranges or contents.torn_bytes:
         click.echo(
-            f"{contents.damaged_stretches} damaged stretches, {contents.torn_bytes} bytes torn off", err=True
+            f"{contents.damaged_ranges} damaged stretches, {contents.torn_bytes} bytes torn off", err=True
         )
 
 
--- a/magpieshift/config/platform_file.py
+++ b/magpieshift/config/platform_file.py
@@ -167,7 +167,7 @@
         if not CLASS_NAME.fullmatch(name) or name in seen:
             raise ConfigError(f"settings.Classes.{index}.Name: found {name!r:.80}, expected a unique word")
         seen.add(name)
-        for figure in ("GiveUpUs", "AimUs"):
-            _check_positive(data, f"settings.Classes.{index}.{figure}")
+        for setting in ("GiveUpUs", "AimUs"):
+            _check_positive(data, f"settings.Classes.{index}.{setting}")
     if not seen:
         raise ConfigError("settings.Classes: found none, expected at least one")
--- a/magpieshift/control/client.py
+++ b/magpieshift/control/client.py
@@ -30,7 +30,7 @@
 """With this many answers unsent, no more messages are read: a service that reads no answers gets no more."""
 MAX_FAILURE_LENGTH = 200
 """Longest reported reason for the end of a stream, in characters."""
-DRAIN_TRIES = 20
+MAX_DRAIN_POLLS = 20
 """How often ``stop`` checks whether all answers are sent before it closes the stream anyway."""
 DRAIN_POLL_S = 0.01
 """Interval of these checks. Together they delay the end of the process by at most 0.2 s."""
@@ -66,8 +66,8 @@
         self._task = asyncio.ensure_future(self._run())
 
     async def stop(self) -> None:
-        """Wait up to ``DRAIN_TRIES * DRAIN_POLL_S`` for unsent answers to be sent, then close the stream."""
-        for _ in range(DRAIN_TRIES):
+        """Wait up to ``MAX_DRAIN_POLLS * DRAIN_POLL_S`` for unsent answers to be sent, then close."""
+        for _ in range(MAX_DRAIN_POLLS):
             if not self._unsent or self._session is None:
                 break
             await asyncio.sleep(DRAIN_POLL_S)
--- a/magpieshift/control/document_consistency.py
+++ b/magpieshift/control/document_consistency.py
@@ -9,7 +9,7 @@
 from magpieshift.control import sexp
 from magpieshift.control.document_form import DocumentForm, MembersForm, ZoneForm
 
-MAX_NAMED = 8
+MAX_LISTED_NAMES = 8
 """Most names that an error lists."""
 
 
@@ -68,7 +68,7 @@
 
 
 def _zone_problems(form: DocumentForm) -> Iterator[Inconsistency]:
-    one_of = f"one of the zones: {', '.join(list(form.zones)[:MAX_NAMED])}"
+    one_of = f"one of the zones: {', '.join(list(form.zones)[:MAX_LISTED_NAMES])}"
     if form.zone not in form.zones:
         yield Inconsistency(("zone",), sexp.shorten(form.zone), one_of)
     for name, zone in form.zones.items():
@@ -86,7 +86,7 @@
     for key, kind in (("parent-kind", form.parent_kind), ("origin-kind", form.origin_kind)):
         if kind not in kinds:
             yield Inconsistency(
-                (key,), sexp.shorten(kind), f"one of the kinds: {', '.join(kinds[:MAX_NAMED])}"
+                (key,), sexp.shorten(kind), f"one of the kinds: {', '.join(kinds[:MAX_LISTED_NAMES])}"
             )
     if form.parent_kind == form.origin_kind:
         yield Inconsistency(("parent-kind",), sexp.shorten(form.parent_kind), "another kind than origin-kind")
--- a/magpieshift/control/document_form.py
+++ b/magpieshift/control/document_form.py
@@ -24,11 +24,11 @@
 # words are sent on an endpoint's request line, where commas and spaces are separators
 Word = Annotated[str, StringConstraints(pattern=r"^[!-+\--~]{1,64}$", strict=True)]
 Ms = Annotated[float, Field(ge=0, le=MAX_MS, allow_inf_nan=False, strict=True)]
-SomeMs = Annotated[float, Field(ge=1, le=MAX_MS, allow_inf_nan=False, strict=True)]
-Share = Annotated[float, Field(ge=0, le=1, allow_inf_nan=False, strict=True)]
+PositiveMs = Annotated[float, Field(ge=1, le=MAX_MS, allow_inf_nan=False, strict=True)]
+Fraction = Annotated[float, Field(ge=0, le=1, allow_inf_nan=False, strict=True)]
 Amount = Annotated[float, Field(ge=0, le=1e12, allow_inf_nan=False, strict=True)]
 Count = Annotated[int, Field(ge=0, le=1_000_000, strict=True)]
-Some = Annotated[int, Field(ge=1, le=1_000_000, strict=True)]
+PositiveCount = Annotated[int, Field(ge=1, le=1_000_000, strict=True)]
 Flag = Annotated[bool, Field(strict=True)]
 Words = Annotated[list[Word], BeforeValidator(lambda value: value if isinstance(value, list) else [value])]
 
@@ -51,9 +51,9 @@
 class ClassForm(Form):
     """A class of requests."""
 
-    aim_ms: SomeMs
+    aim_ms: PositiveMs
     aim_stretch: Amount = 0.0
-    deadline_ms: SomeMs
+    deadline_ms: PositiveMs
     effect: Literal["free", "keyed", "unsafe"] = "free"
     scope: Literal["all", "zone", "cell"] = "all"
     dedup_ms: Ms = 0.0
@@ -71,10 +71,10 @@
     """How caches are selected, warmed up and checked for overload."""
 
     weights: Literal["sizes", "live"] = "sizes"
-    cold_from: Share = 0.2
+    cold_from: Fraction = 0.2
     cold_ms: Ms = 18_000.0
     fall_multiple: Amount = 2.5
-    fall_ms: SomeMs = 1_000.0
+    fall_ms: PositiveMs = 1_000.0
     drain_ms: Ms = 250.0
     answer_slack_ms: Ms = 8.0
     notes: Flag = True
@@ -86,7 +86,7 @@
 class ParentsForm(Form):
     """Slow start and overload detection of parent caches."""
 
-    cold_from: Share = 0.1
+    cold_from: Fraction = 0.1
     cold_ms: Ms = 19_000.0
     fall_multiple: Amount = 2.0
 
@@ -102,7 +102,7 @@
     """Limits of attempts, and which kinds of actions the platform allows."""
 
     most: Annotated[int, Field(ge=1, le=64, strict=True)] = 8
-    connect_timeout_ms: SomeMs = 400.0
+    connect_timeout_ms: PositiveMs = 400.0
     cancel: Flag = True
     probe: Flag = True
     message: Flag = False
@@ -113,7 +113,7 @@
 class ConnectionsForm(Form):
     """Limits of connections to endpoints."""
 
-    idle_ms: SomeMs = 15_000.0
+    idle_ms: PositiveMs = 15_000.0
     streams: Annotated[int, Field(ge=1, le=4096, strict=True)] = 32
 
 
@@ -125,7 +125,7 @@
     advertise: Word | None = None
     seeds: Words = []
     council: Words = []
-    alone: Share = 1.0
+    alone: Fraction = 1.0
     digests: Flag = False
     hand_over: Flag = False
 
@@ -139,7 +139,7 @@
     console: Word | None = None
     change_log: Word
     zone: Word
-    routers: Some = 1
+    routers: PositiveCount = 1
     router_index: Count = 0
     limits: LimitsForm
     zones: Annotated[dict[Word, ZoneForm | list[Any]], Field(min_length=1, max_length=MAX_ZONES)]
@@ -154,7 +154,7 @@
     connections: ConnectionsForm = ConnectionsForm()
     members: MembersForm | None = None
     retry_after_ms: Ms = 900.0
-    tick_ms: SomeMs = 2.0
+    tick_ms: PositiveMs = 2.0
     client_kb_per_s: Amount = 0.0
     must_subscribe: Flag = False
 
--- a/magpieshift/control/schema.py
+++ b/magpieshift/control/schema.py
@@ -22,7 +22,7 @@
 
 __all__ = ("LoadedDocument", "load_data", "load_file", "load_text", "to_data")
 
-INTERNAL_PLACES = ("[key]", "ZoneForm", "list[any]")
+INTERNAL_LOCATION_PARTS = ("[key]", "ZoneForm", "list[any]")
 """Parts of pydantic's error locations that are not names of entries."""
 
 
@@ -72,13 +72,13 @@
     ]
     if problems:
         raise UnusableDocumentError(problems)
-    bare = {name: value for name, value in data.items() if name != "version"}
-    return LoadedDocument(bare, form.version, document_of(form))
+    unversioned_data = {name: value for name, value in data.items() if name != "version"}
+    return LoadedDocument(unversioned_data, form.version, document_of(form))
 
 
 def _problem(error: Any, data: Any, lines: Lines) -> Problem:
     """Convert one of pydantic's errors to a problem in the terms of settings files."""
-    path = tuple(str(part) for part in error["loc"] if part not in INTERNAL_PLACES)
+    path = tuple(str(part) for part in error["loc"] if part not in INTERNAL_LOCATION_PARTS)
     where = " ".join(path) or "document"
     line = nearest_line(path, lines)
     if error["type"] == "missing":
--- a/magpieshift/control/sexp.py
+++ b/magpieshift/control/sexp.py
@@ -85,8 +85,8 @@
     return text if len(text) <= MAX_SHOWN_LENGTH else text[: MAX_SHOWN_LENGTH - 3] + "..."
 
 
-def parse(text: str, source: str = "document", wanted_head: str = DOCUMENT_HEAD) -> ParsedDocument:
-    """Parse a text that consists of one form ``(wanted_head ...)``.
+def parse(text: str, source: str = "document", expected_head: str = DOCUMENT_HEAD) -> ParsedDocument:
+    """Parse a text that consists of one form ``(expected_head ...)``.
 
     Raises ``UnusableDocumentError`` if it holds no form, several forms or an invalid one. ``source`` names
     the text in errors.
@@ -100,8 +100,8 @@
     reader = _FormReader(text, parser.starts, source)
     head = reader.name(forms[0], ())
     data = reader.value(forms[0], ())
-    if head and head != wanted_head:
-        reader.report(forms[0], (), shorten(head), f"({wanted_head} ...)")
+    if head and head != expected_head:
+        reader.report(forms[0], (), shorten(head), f"({expected_head} ...)")
     if not isinstance(data, dict):
         reader.report(forms[0], (), shorten(data), "entries, each in brackets")
     if reader.problems:
--- a/magpieshift/control/stored_versions.py
+++ b/magpieshift/control/stored_versions.py
@@ -19,7 +19,7 @@
 
 VERSIONS_FILE = "versions.log"
 FILE_HEADER = b"magpieshift versions 1\n"
-FORM_LENGTH = 12
+HEADER_PREFIX_LENGTH = 12
 """Length in bytes of the header's prefix that marks a version file of any format version."""
 MARK = b"\xabMV\x01"
 """First bytes of each record. Payloads are ASCII JSON, which does not contain the first byte."""
@@ -43,7 +43,7 @@
 
     versions: tuple[StoredVersion, ...]
     """The intact records, oldest first."""
-    damaged_stretches: int
+    damaged_ranges: int
     """Byte ranges that are not valid records, except for the bytes after the last record."""
     torn_bytes: int
     """Bytes after the last complete record."""
@@ -106,9 +106,9 @@
     format."""
     if not data:
         return EMPTY
-    if not data.startswith(FILE_HEADER[:FORM_LENGTH]):
+    if not data.startswith(FILE_HEADER[:HEADER_PREFIX_LENGTH]):
         raise VersionStoreError(
-            f"{VERSIONS_FILE} begins with {data[:FORM_LENGTH]!r}, expected {FILE_HEADER!r}"
+            f"{VERSIONS_FILE} begins with {data[:HEADER_PREFIX_LENGTH]!r}, expected {FILE_HEADER!r}"
         )
     header = data[: len(FILE_HEADER)]
     if header != FILE_HEADER and len(data) >= len(FILE_HEADER):
@@ -118,13 +118,13 @@
     single = 0
     # end of the last record found, and the payload whose second copy is expected next
     end = min(len(FILE_HEADER), len(data))
-    awaited = b""
+    expected_copy = b""
     for start, payload in _payloads(data, len(FILE_HEADER)):
         if start != end:
             damaged += 1
         end = start + RECORD_HEADER.size + len(payload)
-        if payload == awaited:
-            awaited = b""
+        if payload == expected_copy:
+            expected_copy = b""
             single -= 1
             continue
         try:
@@ -132,7 +132,7 @@
         except (ValueError, KeyError, TypeError):
             damaged += 1  # the checksum matches, but the payload is not a version: another program wrote it
             continue
-        awaited = payload
+        expected_copy = payload
         single += 1
     return StoreContents(tuple(versions), damaged, len(data) - end, single)
 
--- a/magpieshift/control/version_manager.py
+++ b/magpieshift/control/version_manager.py
@@ -195,7 +195,7 @@
 
     async def _apply(self, offer: VersionOffer) -> None:
         """Run all steps of one version; ``_RejectionError`` if one of them fails."""
-        self.on_step("taken")
+        self.on_step("started")
         document = await self._read(offer)
         self.on_step("read")
         pause = PauseTimer()
@@ -203,7 +203,7 @@
             prepared = await self._prepare(document.loaded)
         self.on_step("prepared")
         await self._write(offer, document.text)
-        self.on_step("kept")
+        self.on_step("stored")
         with pause:
             record, outcome = self.versions.accept(self._clock())
             self._host.commit(prepared, record.number)
--- a/magpieshift/control/version_store.py
+++ b/magpieshift/control/version_store.py
@@ -73,7 +73,7 @@
         self._repair(contents)
 
     def _repair(self, contents: StoreContents) -> None:
-        is_intact = not (contents.damaged_stretches or contents.single_copies or contents.torn_bytes)
+        is_intact = not (contents.damaged_ranges or contents.single_copies or contents.torn_bytes)
         if is_intact and self._size >= len(FILE_HEADER):
             return
         if self._size:
@@ -81,7 +81,7 @@
                 "version store repaired",
                 extra=fields(
                     folder=self._folder,
-                    damaged=contents.damaged_stretches,
+                    damaged=contents.damaged_ranges,
                     half=contents.single_copies,
                     torn_bytes=contents.torn_bytes,
                     kept=len(self.versions),
--- a/magpieshift/discovery/client.py
+++ b/magpieshift/discovery/client.py
@@ -201,20 +201,20 @@
     async def _read(self) -> None:
         """Read one response to its end."""
         stream = IOStream(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
-        watch: asyncio.Task[None] | None = None
+        watchdog: asyncio.Task[None] | None = None
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await stream.connect(self._address)
             self.note_received()
             self._stream = stream
-            watch = asyncio.ensure_future(self._close_when_silent(stream))
+            watchdog = asyncio.ensure_future(self._close_when_silent(stream))
             parameters = HTTP1ConnectionParameters(no_keep_alive=True, max_body_size=UNLIMITED_BODY_BYTES)
             http = HTTP1Connection(stream, is_client=True, params=parameters)
             await http.write_headers(RequestStartLine("GET", "/changes", "HTTP/1.1"), self._headers())
             await http.read_response(_ResponseReader(self, stream))
         finally:
-            if watch is not None:
-                watch.cancel()
+            if watchdog is not None:
+                watchdog.cancel()
             self._stream = None
             stream.close()
             self.changes.log_applied()
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -25,7 +25,7 @@
 from tests.control.test_schema import EXAMPLE
 from tests.real.exchange import PATIENCE_S, ROOT, config
 
-STEPS = ("received", "taken", "read", "prepared", "kept", "committed", "answered")
+STEPS = ("received", "started", "read", "prepared", "stored", "committed", "answered")
 KILLED_AT = """
 import os, signal, sys
 from magpieshift.cli import main
@@ -132,7 +132,7 @@
                 await service.stop()
         kept = read_store(state).in_force
         assert kept is not None
-        self.assertEqual(kept.record.number, 2 if step in ("kept", "committed", "answered") else 1)
+        self.assertEqual(kept.record.number, 2 if step in ("stored", "committed", "answered") else 1)
         self.assertGreaterEqual(kept.record.number, max(acknowledged))
         self.assertEqual(sexp.parse(kept.text).data, documents[kept.record.number])
         # the control service is gone: the router starts from what it has kept, and says so
--- a/tests/control/test_version_store.py
+++ b/tests/control/test_version_store.py
@@ -63,7 +63,7 @@
             again = VersionStore(self.folder)
         again.close()
         self.assertEqual(read_store(self.folder).versions, tuple(again.versions))
-        self.assertEqual(read_store(self.folder).damaged_stretches, 0)
+        self.assertEqual(read_store(self.folder).damaged_ranges, 0)
         return again.versions
 
     def test_what_was_written_is_read_again(self) -> None:
@@ -204,7 +204,7 @@
 
     def test_its_records_are_read_and_written_byte_for_byte(self) -> None:
         contents = read_store(self.folder)
-        self.assertEqual((contents.damaged_stretches, contents.torn_bytes), (0, 400))
+        self.assertEqual((contents.damaged_ranges, contents.torn_bytes), (0, 400))
         data = FILE_HEADER + b"".join(map(encode_version, contents.versions))
         self.assertEqual(data, OLD_FILE.read_bytes()[:-400])
 
