--- a/tests/control/test_channel.py
+++ b/tests/control/test_channel.py
@@ -1,5 +1,5 @@
-"""The control channel over real gRPC on loopback: a manager on a router of the test's own, and a control
-service that dies, forgets, steps back, and sends what is no version."""
+"""The control channel over real gRPC on loopback, between a version manager with a fake router and a control
+service that is killed, loses its versions, goes back to older ones, and sends malformed messages."""
 
 import asyncio
 import logging
@@ -48,7 +48,7 @@
 
 
 class FakeRouter:
-    """Parts that prepare as the test says."""
+    """A router whose preparation blocks or fails as the test sets it."""
 
     part = "fake"
 
@@ -121,7 +121,7 @@
         return found()[-1]
 
     async def again(self, publisher: Publisher) -> None:
-        """The service dies and another comes up in its place."""
+        """Stop the service and start another one with this publisher on the same port."""
         await self.service.stop()
         self.service = ControlService(publisher)
         self.service.on_message = lambda stream, data: self.heard.append(wire.FromRouter.FromString(data))
@@ -186,7 +186,9 @@
         older = Publisher()
         older.publish(version(4))
         await self.again(older)
-        self.stream.send(older.encode_version(self.stream.subscriber, version(4), full=True))  # it insists
+        self.stream.send(
+            older.encode_version(self.stream.subscriber, version(4), full=True)
+        )  # sent all the same
         answer = await self.answer_to(4)
         self.assertEqual((RejectionReason(answer.reason), answer.in_force), (RejectionReason.OUT_OF_ORDER, 5))
         self.service.publish(version(6))
@@ -253,7 +255,8 @@
         self.assertIn("RESOURCE_EXHAUSTED", self.heard[0].hello.trouble)
 
     async def test_a_silent_service_is_given_up(self) -> None:
-        """Its machine has vanished: connections stay open, and nothing comes. Keep-alive finds out."""
+        """Its machine fails without notice: the connection stays open and nothing arrives, until gRPC's
+        keepalive ends it."""
         silent = await asyncio.start_server(self._swallow, "127.0.0.1", 0)
         other = ControlClient(
             f"127.0.0.1:{silent.sockets[0].getsockname()[1]}", self.manager, "r1", "b1", random.Random(1)
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -1,5 +1,5 @@
-"""The program as a process: killed at every step of a version, without its control service, and its command
-line."""
+"""The program as a process: killed at every step of applying a version, restarted without its control
+service, and its command line."""
 
 import asyncio
 import json
@@ -85,14 +85,13 @@
         from magpieshift import parse
 
         data = to_data(parse(config(ports)).document)
-        (port,) = free_ports(1)  # not an ephemeral one: a router that starts again must find it free
+        (port,) = free_ports(1)  # no ephemeral port: it must still be free when the router restarts
         return data | {"listen": f"127.0.0.1:{port}"}
 
 
 class Killed(FolderCase):
     async def test_after_a_kill_at_any_step_the_version_in_force_is_complete(self) -> None:
-        """What was acknowledged, or the version after it; and the router serves from it with nobody to
-        ask."""
+        """The router restarts with the acknowledged version or the next one, without a control service."""
         for step in STEPS:
             with self.subTest(step):
                 await self.killed_at(step, self.folder / step)
@@ -135,7 +134,7 @@
         self.assertEqual(kept.record.number, 2 if step in ("stored", "committed", "answered") else 1)
         self.assertGreaterEqual(kept.record.number, max(acknowledged))
         self.assertEqual(sexp.parse(kept.text).data, documents[kept.record.number])
-        # the control service is gone: the router starts from what it has kept, and says so
+        # without the control service the router starts from its stored version and logs it
         text = await self.until_ready(words)
         self.assertRegex(text, rf"event=ready name=n1 seq=0 version={kept.record.number}\b")
         self.assertRegex(text, rf'event="control service lost".*version={kept.record.number}\b')
@@ -167,7 +166,8 @@
         self.assertGreater(min(report.accepted, report.rejected, report.requests), 10)
 
     async def test_a_part_that_does_not_commit_is_reported(self) -> None:
-        """The check can fail: here the back says that it is ready, and stays as it was."""
+        """The check detects a part that does not commit: here the upstream pool (part ``back``) prepares new
+        settings, but never applies them."""
         broken = (sys.executable, "-c", HALF)
         report = await play(Plan(count=30, invalid=0, kills=0, breaks=0, seed=5, program=broken))
         self.assertFalse(report.good)
@@ -177,7 +177,7 @@
 
 class Measurements(unittest.TestCase):
     def test_they_run_and_give_figures(self) -> None:
-        """In small: the figures themselves are for the pages, not for a test."""
+        """A small run; checks that figures are reported, not their size."""
         done = program("lab", "apply", "--members", "20", "--rounds", "2", "--json")
         rows = {row["version changes"]: row for row in json.loads(done.stdout)}
         self.assertEqual(set(rows), {"a figure", "classes", "zones anew", "none"})
--- a/tests/control/test_publisher.py
+++ b/tests/control/test_publisher.py
@@ -1,4 +1,4 @@
-"""A folder of versions: what is read of it, and what is not read again."""
+"""Reading a folder of versions: which files are read, and which are skipped."""
 
 import tempfile
 import unittest
@@ -19,7 +19,7 @@
         (self.home / "notes.txt").write_text("no version")
 
     def read(self, known: set[int]) -> tuple[list[int], int]:
-        """The numbers that were found, and how many files were read for them."""
+        """The numbers of the versions found, and how many files were parsed for them."""
         with mock.patch.object(
             publisher.PublishedVersion, "parse", wraps=publisher.PublishedVersion.parse
         ) as reading:
@@ -30,7 +30,7 @@
         self.assertEqual(self.read(set()), ([1, 2, 10], 3))
 
     def test_what_is_known_is_not_read_again(self) -> None:
-        """Each look read and parsed every version kept: 4 ms each, several times a second."""
+        """Each poll used to read and parse every version in the folder: 4 ms each, several times a second."""
         self.assertEqual(self.read({1, 10}), ([2], 1))
         self.assertEqual(self.read({1, 2, 10}), ([], 0))
 
--- a/tests/control/test_schema.py
+++ b/tests/control/test_schema.py
@@ -1,5 +1,5 @@
-"""The reader of settings files: what it takes, what it says of what it does not, and that both readers
-agree."""
+"""The reader of settings files: valid documents, the errors about invalid ones, and agreement with the reader
+of the platform's JSON."""
 
 import unittest
 from pathlib import Path
@@ -39,7 +39,7 @@
 
 class Documents(unittest.TestCase):
     def test_both_readers_give_one_document(self) -> None:
-        """The platform's JSON, written as a settings file and read again, is the same to the last figure."""
+        """The platform's JSON, written as a settings file and read again, gives an equal document."""
         document = parse(config(PORTS)).document
         text = sexp.format_document(schema.to_data(document))
         self.assertEqual(schema.load_text(text).document, document)
--- a/tests/control/test_version_history.py
+++ b/tests/control/test_version_history.py
@@ -1,4 +1,4 @@
-"""The history: each rule by itself, and random histories against a model that only remembers everything."""
+"""The version history: each rule by itself, and random sequences compared with a model that never forgets."""
 
 import unittest
 from typing import Any
@@ -44,13 +44,13 @@
         self.assertEqual(
             self.versions.offer(offer(3, "c"), 1), [OfferOutcome(offer(3, "c"), True)]
         )  # a repeat
-        self.assertIsNone(self.versions.take_next())  # for which nothing is done
+        self.assertIsNone(self.versions.take_next())  # no version is prepared for it
         self.assertEqual(self.refused(offer(3, "other")), RejectionReason.CONFLICT)
         self.assertEqual(self.refused(offer(2)), RejectionReason.OUT_OF_ORDER)
         for number in (0, -1, 1 << 63):
             self.assertEqual(self.refused(offer(number)), RejectionReason.INVALID_NUMBER)
         self.assertEqual(self.accept(offer(4)).skipped_numbers, 0)
-        self.assertEqual(self.accept(offer(9)).skipped_numbers, 4)  # a gap is noted
+        self.assertEqual(self.accept(offer(9)).skipped_numbers, 4)  # the gap is recorded
         self.assertEqual([r.state for r in self.versions.records if r.number == 4], [VersionState.REPLACED])
 
     def test_a_rejected_version_stays_rejected_unless_the_reason_was_transient(self) -> None:
@@ -101,7 +101,7 @@
         self.assertIn(START, self.versions.records)
         self.assertEqual(
             self.refused(offer(5)), RejectionReason.OUT_OF_ORDER
-        )  # long forgotten, and not taken for new
+        )  # its rejection is forgotten, but its number still counts as used
 
     def test_restored_it_answers_as_before(self) -> None:
         self.accept(offer(4, "d"))
@@ -118,7 +118,7 @@
 
 
 class Histories(RuleBasedStateMachine):
-    """The model keeps every version ever judged; the history must never disagree with it."""
+    """A model that remembers every rejected version; the history must always agree with it."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -126,7 +126,7 @@
         self.force = (3, "c")
         self.forces = [self.force]
         self.judged: dict[int, tuple[str, RejectionReason]] = {}
-        self.open: list[VersionOffer] = []  # offered and not answered yet
+        self.open: list[VersionOffer] = []  # offers without an outcome
         self.nonce = 0
 
     def answered(self, answers: list[OfferOutcome]) -> None:
@@ -144,9 +144,9 @@
         if (number, digest) == self.force:
             assert accepted
         else:
-            assert not accepted, "only what is in force may be accepted at once"
+            assert not accepted, "only the version in force may be accepted without preparation"
         if number <= self.force[0] and (number, digest) != self.force:
-            assert mine, "what is not above the version in force is never prepared"
+            assert mine, "a version not above the one in force must never be prepared"
         elif number in self.judged and not (before and before.number == number):
             known, reason = self.judged[number]
             assert mine
@@ -154,7 +154,7 @@
                 before is not None and number < before.number
             )
         if not mine:
-            # one that is sent again is answered once, to its newest nonce
+            # a version that is offered again gets one answer, with its newest nonce
             self.open = [o for o in self.open if (o.number, o.digest) != (number, digest)]
             self.open.append(what)
         self.answered(answers)
@@ -194,12 +194,14 @@
     @invariant()
     def agrees(self) -> None:
         assert (self.versions.in_force.number, self.versions.in_force.digest) == self.force
-        assert [n for n, _ in self.forces] == sorted({n for n, _ in self.forces}), "numbers only rise"
+        assert [n for n, _ in self.forces] == sorted({n for n, _ in self.forces}), "numbers must only rise"
         assert [r for r in self.versions.records if r.state is VersionState.IN_FORCE] == [
             self.versions.in_force
         ]
         held = [o for o in (self.versions.preparing, self.versions.waiting) if o is not None]
-        assert sorted(o.nonce for o in held) == sorted(o.nonce for o in self.open), "each offer is answered"
+        assert sorted(o.nonce for o in held) == sorted(o.nonce for o in self.open), (
+            "each offer must be answered exactly once"
+        )
 
 
 HistoriesTest = Histories.TestCase
--- a/tests/control/test_version_store.py
+++ b/tests/control/test_version_store.py
@@ -1,4 +1,5 @@
-"""The store: what stays after torn tails, flipped bits, full disks, and folders that cannot be written."""
+"""The version store: what is recovered after incomplete writes, flipped bits and full disks, and folders that
+cannot be written."""
 
 import errno
 import os
@@ -74,7 +75,7 @@
         self.assertEqual(states, [VersionState.REPLACED, VersionState.REJECTED, VersionState.IN_FORCE])
 
     def test_a_torn_tail_at_every_byte(self) -> None:
-        """What came before stays; the torn one is there whole or not at all."""
+        """The earlier record stays; the incomplete one is recovered completely or not at all."""
         self.fill(force(1))
         short = self.file.read_bytes()
         self.fill(force(2))
@@ -124,7 +125,7 @@
         with mock.patch("os.pwrite", full), self.assertRaisesRegex(VersionStoreError, "No space left"):
             opened.append(force(2))
         self.assertEqual(read_store(self.folder).versions, (force(1),))
-        opened.append(force(3))  # there is room again
+        opened.append(force(3))  # the disk has space again
         opened.close()
         self.assertEqual(self.opened(), [force(1), force(3)])
 
@@ -164,7 +165,8 @@
         self.assertEqual(read_store(self.folder).in_force, force(1))
 
     def test_a_rewriting_broken_off_anywhere_leaves_the_old_file(self) -> None:
-        """Every call that touches the disk fails once; then again a process comes and reads."""
+        """A rewrite fails at each kind of disk call; a new process then reads all records from the old
+        file."""
         for name in ("os.rename", "os.fsync", "os.pwrite"):
             with self.subTest(name):
                 self.file.unlink(missing_ok=True)
@@ -172,7 +174,7 @@
                 opened = VersionStore(self.folder)
                 real, calls = getattr(os, name.partition(".")[2]), [0]
 
-                spare = 0 if "rename" in name else 1  # the record's own call goes well
+                spare = 0 if "rename" in name else 1  # the call that appends the record succeeds
 
                 def fails(
                     *args: object, real: object = real, calls: list[int] = calls, spare: int = spare
@@ -193,8 +195,8 @@
 
 
 class EarlierVersion(unittest.TestCase):
-    """A router of 723f792 crashed while it wrote its seventh version to the disk; this version takes its
-    folder over. The file was written by that version's store: 3 and 5 in force, 4 and 6 rejected."""
+    """The file was written by the store of program version 723f792, which was killed while it appended
+    version 7. Versions 3 and 5 came into force, 4 and 6 were rejected. The current program must read it."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
--- a/tests/discovery/test_changes.py
+++ b/tests/discovery/test_changes.py
@@ -1,4 +1,4 @@
-"""The change log's events: their order, what they mean, and how they are logged."""
+"""The change log's events: their order, decoding, and log lines."""
 
 import logging
 import unittest
@@ -24,7 +24,7 @@
         self.assertEqual((self.listener.purged.call_count, self.changes.last_sequence), (2, 2))
 
     def test_the_log_is_read_again_for_missing_changes_but_once(self) -> None:
-        """A log that no longer has them would be read again without end."""
+        """Otherwise a log that no longer has these changes would be read again endlessly."""
         self.changes.receive(PURGE % 1)
         with self.assertRaises(MissingChangesError):
             self.changes.receive(PURGE % 4)
@@ -40,7 +40,7 @@
         self.assertEqual(self.changes.last_sequence, 1)
 
     def test_an_unreadable_change_takes_its_number_and_changes_nothing(self) -> None:
-        """One that is read again and again would hold up all that come after it."""
+        """If its number were not counted, it would be requested again forever and block all later changes."""
         for sequence, content in enumerate(
             ('"fleet":null', '"fleet":{}', '"invalidate":null', '"invalidate":{"object":"x","time":1}'), 1
         ):
@@ -53,7 +53,7 @@
 
 class Changes(unittest.TestCase):
     def test_an_unreadable_endpoint_does_not_hide_the_others(self) -> None:
-        """A size that is no number would have made every comparison of caches false."""
+        """A size of NaN would make every comparison of caches false."""
         read, listener = parse(config(PORTS)), mock.Mock()
         (fleet, _) = read.known_changes["results"]
         good = fleet["fleet"]["members"]
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: what is read, and what is rejected."""
+"""The platform's configuration: valid files are read, invalid values rejected."""
 
 import json
 import unittest
@@ -35,7 +35,7 @@
 
 class NewSettings(unittest.TestCase):
     def test_nothing_is_taken_from_a_file_with_a_bad_value(self) -> None:
-        """A negative deadline was taken, with all other settings of its file, and every request failed."""
+        """A negative deadline used to be accepted with the rest of the file, and every request failed."""
         figures: tuple[Any, ...] = (0, -5, "500", True, float("nan"), float("inf"), None, [])
         for path in ("Classes.0.GiveUpUs", "Classes.1.AimUs", "Caps.MaxAttempts", "Caps.ConnectTimeoutUs"):
             for value in figures:
