--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -26,27 +26,27 @@
 from tests.real.exchange import PATIENCE_S, ROOT, config
 
 STEPS = ("received", "started", "read", "prepared", "stored", "committed", "answered")
-KILLED_AT = """
+KILL_AT_STEP = """
 import os, signal, sys
 from magpieshift.cli import main
 from magpieshift.extensions import runner
-plain = runner.run
-def at(name, installation):
+original_run = runner.run
+def kill_at_step(name, installation):
     if name == sys.argv[1] and installation.router.version == 1 + (name in ("committed", "answered")):
         os.kill(os.getpid(), signal.SIGKILL)
-def prepared(installation):
-    installation.manager.on_step = lambda name: at(name, installation)
-runner.run = lambda options: plain(options, prepared)
+def install_hook(installation):
+    installation.manager.on_step = lambda name: kill_at_step(name, installation)
+runner.run = lambda options: original_run(options, install_hook)
 main.run(sys.argv[2:])
 """
-HALF = """
+POOL_WITHOUT_COMMIT = """
 import sys
 from magpieshift.upstream.pool import ConnectionPool
 from magpieshift.cli.main import run
 ConnectionPool.prepare = lambda self, old, new: lambda: None
 sys.exit(run(sys.argv[1:]))
 """
-HEAVY = (
+OPTIONAL_MODULES = (
     "grpc",
     "google.protobuf",
     "pydantic",
@@ -63,9 +63,9 @@
 )
 
 
-def program(*words: str, **environment: str) -> subprocess.CompletedProcess[str]:
+def program(*arguments: str, **environment: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "magpieshift", *words],
+        [sys.executable, "-m", "magpieshift", *arguments],
         capture_output=True,
         text=True,
         cwd=ROOT,
@@ -89,14 +89,14 @@
         return data | {"listen": f"127.0.0.1:{port}"}
 
 
-class Killed(FolderCase):
+class KilledAtEachStep(FolderCase):
     async def test_after_a_kill_at_any_step_the_version_in_force_is_complete(self) -> None:
         """The router restarts with the acknowledged version or the next one, without a control service."""
         for step in STEPS:
             with self.subTest(step):
-                await self.killed_at(step, self.folder / step)
+                await self.kill_at(step, self.folder / step)
 
-    async def killed_at(self, step: str, folder: Path) -> None:
+    async def kill_at(self, step: str, folder: Path) -> None:
         folder.mkdir()
         service, first = ControlService(), self.settings()
         await service.start("127.0.0.1:0")
@@ -104,7 +104,7 @@
         service.on_message = lambda stream, data: acknowledged.append(stream.subscriber.in_force)
         start, state = folder / "start.sexp", folder / "state"
         start.write_text(sexp.format_document(first))
-        words = [
+        arguments = [
             "run",
             "--config",
             str(start),
@@ -117,7 +117,7 @@
         service.publish(PublishedVersion.parse(1, sexp.format_document(documents[1])))
         with (folder / "log").open("wb") as log:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-c", KILLED_AT, step, *words, stderr=log, cwd=ROOT
+                sys.executable, "-c", KILL_AT_STEP, step, *arguments, stderr=log, cwd=ROOT
             )
             try:
                 async with asyncio.timeout(PATIENCE_S):
@@ -129,19 +129,19 @@
                 if process.returncode is None:
                     process.kill()
                 await service.stop()
-        kept = read_store(state).in_force
-        assert kept is not None
-        self.assertEqual(kept.record.number, 2 if step in ("stored", "committed", "answered") else 1)
-        self.assertGreaterEqual(kept.record.number, max(acknowledged))
-        self.assertEqual(sexp.parse(kept.text).data, documents[kept.record.number])
+        stored = read_store(state).in_force
+        assert stored is not None
+        self.assertEqual(stored.record.number, 2 if step in ("stored", "committed", "answered") else 1)
+        self.assertGreaterEqual(stored.record.number, max(acknowledged))
+        self.assertEqual(sexp.parse(stored.text).data, documents[stored.record.number])
         # without the control service the router starts from its stored version and logs it
-        text = await self.until_ready(words)
-        self.assertRegex(text, rf"event=ready name=n1 seq=0 version={kept.record.number}\b")
-        self.assertRegex(text, rf'event="control service lost".*version={kept.record.number}\b')
+        text = await self.until_ready(arguments)
+        self.assertRegex(text, rf"event=ready name=n1 seq=0 version={stored.record.number}\b")
+        self.assertRegex(text, rf'event="control service lost".*version={stored.record.number}\b')
 
-    async def until_ready(self, words: list[str]) -> str:
+    async def until_ready(self, arguments: list[str]) -> str:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "magpieshift", *words, stderr=subprocess.PIPE, cwd=ROOT
+            sys.executable, "-m", "magpieshift", *arguments, stderr=subprocess.PIPE, cwd=ROOT
         )
         assert process.stderr is not None
         text = ""
@@ -159,7 +159,7 @@
 
 
 class Laboratory(unittest.IsolatedAsyncioTestCase):
-    async def test_a_short_run_finds_nothing(self) -> None:
+    async def test_a_short_run_finds_no_faults(self) -> None:
         report = await play(Plan(count=60, invalid=0.3, kills=2, breaks=2, seed=5, rate=40))
         self.assertTrue(report.good, (report.figures(), report.findings))
         self.assertEqual((report.sent, report.kills, report.breaks), (60, 2, 2))
@@ -168,7 +168,7 @@
     async def test_a_part_that_does_not_commit_is_reported(self) -> None:
         """The check detects a part that does not commit: here the upstream pool (part ``back``) prepares new
         settings, but never applies them."""
-        broken = (sys.executable, "-c", HALF)
+        broken = (sys.executable, "-c", POOL_WITHOUT_COMMIT)
         report = await play(Plan(count=30, invalid=0, kills=0, breaks=0, seed=5, program=broken))
         self.assertFalse(report.good)
         self.assertGreater(report.half_applied, 0)
@@ -176,24 +176,24 @@
 
 
 class Measurements(unittest.TestCase):
-    def test_they_run_and_give_figures(self) -> None:
+    def test_measurements_run_and_report_figures(self) -> None:
         """A small run; checks that figures are reported, not their size."""
-        done = program("lab", "apply", "--members", "20", "--rounds", "2", "--json")
-        rows = {row["version changes"]: row for row in json.loads(done.stdout)}
+        result = program("lab", "apply", "--members", "20", "--rounds", "2", "--json")
+        rows = {row["version changes"]: row for row in json.loads(result.stdout)}
         self.assertEqual(set(rows), {"a figure", "classes", "zones anew", "none"})
         self.assertGreater(rows["classes"]["apply p50 ms"], 0)
-        words = ["lab", "cost", "--rounds", "1", "--requests", "50", "--rate", "200", "--json"]
-        (row,) = json.loads(program(*words).stdout)
+        arguments = ["lab", "cost", "--rounds", "1", "--requests", "50", "--rate", "200", "--json"]
+        (row,) = json.loads(program(*arguments).stdout)
         self.assertGreater(row["us a request"], 0)
         self.assertEqual(row["lost"], 0)
 
 
 class CommandLine(FolderCase):
-    def test_the_platforms_run_imports_none_of_what_others_need(self) -> None:
-        found = f"print([m for m in {HEAVY} if m in sys.modules])"
+    def test_the_platforms_run_imports_no_optional_modules(self) -> None:
+        found = f"print([m for m in {OPTIONAL_MODULES} if m in sys.modules])"
         code = f"import sys, magpieshift.__main__, magpieshift.app; {found}"
-        done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT)
-        self.assertEqual(done.stdout, "[]\n", done.stderr)
+        result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT)
+        self.assertEqual(result.stdout, "[]\n", result.stderr)
 
     def test_check(self) -> None:
         bad = self.folder / "bad.sexp"
@@ -201,42 +201,46 @@
         good, wrong = program("config", "check", str(EXAMPLE)), program("config", "check", str(bad))
         self.assertEqual((good.returncode, wrong.returncode), (0, 1), good.stderr)
         self.assertRegex(wrong.stderr, r"line \d+: limits sockets: found 12, expected")
-        said = json.loads(program("config", "check", str(bad), "--json").stdout)
-        self.assertEqual([p["where"] for p in said["problems"]], ["limits sockets"])
+        report = json.loads(program("config", "check", str(bad), "--json").stdout)
+        self.assertEqual([p["where"] for p in report["problems"]], ["limits sockets"])
 
-    def test_bad_words_get_a_hint_and_help_has_examples(self) -> None:
-        done = program("confg")
-        self.assertEqual(done.returncode, 2)
-        self.assertIn("did you mean 'config'?", done.stderr)
-        for words in (["--help"], ["run", "-h"], ["config", "diff", "-h"], ["control", "serve", "-h"]):
-            self.assertRegex(program(*words).stdout, r"Examples?:\n +magpieshift")
-        for words in (["run"], ["config", "show", "/no/such"], ["config", "history", "--state", "/no/such"]):
-            done = program(*words)
-            self.assertEqual((done.returncode, done.stderr.count("\n")), (2, 1), done.stderr)
+    def test_unknown_commands_get_a_hint_and_help_has_examples(self) -> None:
+        result = program("confg")
+        self.assertEqual(result.returncode, 2)
+        self.assertIn("did you mean 'config'?", result.stderr)
+        for arguments in (["--help"], ["run", "-h"], ["config", "diff", "-h"], ["control", "serve", "-h"]):
+            self.assertRegex(program(*arguments).stdout, r"Examples?:\n +magpieshift")
+        for arguments in (
+            ["run"],
+            ["config", "show", "/no/such"],
+            ["config", "history", "--state", "/no/such"],
+        ):
+            result = program(*arguments)
+            self.assertEqual((result.returncode, result.stderr.count("\n")), (2, 1), result.stderr)
 
     def test_history_show_diff_and_rollback(self) -> None:
         first = self.settings()
         texts = {n: sexp.format_document(first | {"retry-after-ms": 100 + n}) for n in (1, 2)}
-        kept = VersionStore(self.folder / "state")
+        store = VersionStore(self.folder / "state")
         for number, text in texts.items():
             digest = document_digest(sexp.parse(text).data)
             record = VersionRecord(number, digest, "control", VersionState.IN_FORCE, 1_764_576_000_000_000)
-            kept.append(StoredVersion(record, text))
-        kept.close()
+            store.append(StoredVersion(record, text))
+        store.close()
         state = ["--state", str(self.folder / "state")]
         table = program("config", "history", *state).stdout.splitlines()
         self.assertRegex(table[1], r"^1 +replaced +2025-12-01 08:00:00 +control")
         self.assertRegex(table[2], r"^2 +in force")
         shown = json.loads(program("config", "show", *state, "--json").stdout)
         self.assertEqual(load_data(shown["settings"]), load_data(sexp.parse(texts[2]).data))
-        done = program("config", "diff", "1", "2", *state)
-        self.assertEqual((done.returncode, done.stdout), (1, "retry-after-ms: (retry-after-ms 102)\n"))
+        result = program("config", "diff", "1", "2", *state)
+        self.assertEqual((result.returncode, result.stdout), (1, "retry-after-ms: (retry-after-ms 102)\n"))
         folder = self.folder / "versions"
         folder.mkdir()
         for number, text in texts.items():
             (folder / f"{number}.sexp").write_text(text)
-        done = program("config", "rollback", "1", "--versions", str(folder))
-        self.assertEqual(done.stdout, "version 3 has the content of version 1\n")
+        result = program("config", "rollback", "1", "--versions", str(folder))
+        self.assertEqual(result.stdout, "version 3 has the content of version 1\n")
         self.assertEqual(
             program("config", "diff", str(folder / "1.sexp"), str(folder / "3.sexp")).returncode, 0
         )
--- a/tests/control/test_schema.py
+++ b/tests/control/test_schema.py
@@ -44,7 +44,7 @@
         text = sexp.format_document(schema.to_data(document))
         self.assertEqual(schema.load_text(text).document, document)
 
-    def test_the_example_can_be_used(self) -> None:
+    def test_the_example_is_valid(self) -> None:
         loaded = schema.load_file(EXAMPLE)
         self.assertEqual(schema.load_data(schema.to_data(loaded.document)).document, loaded.document)
 
@@ -69,9 +69,9 @@
             any("classes picture aim-ms: found -5, expected greater than" in p for p in found), found
         )
 
-    def test_entries_that_do_not_fit_each_other(self) -> None:
+    def test_inconsistent_entries_are_reported(self) -> None:
         text = EXAMPLE.read_text()
-        for old, new, said in (
+        for old, new, expected in (
             ("(zone shop)", "(zone moon)", "zone: found 'moon', expected one of the zones"),
             ("(origin-kind origin)", "(origin-kind sun)", "origin-kind: found 'sun'"),
             ("(aim-ms 500)", "(aim-ms 9000)", "at most deadline-ms"),
@@ -81,10 +81,10 @@
         ):
             with self.subTest(new):
                 self.assertIn(old, text)
-                self.assertIn(said, "\n".join(problems(text.replace(old, new, 1))))
+                self.assertIn(expected, "\n".join(problems(text.replace(old, new, 1))))
 
-    def test_texts_that_are_no_document(self) -> None:
-        for text, said in (
+    def test_texts_that_cannot_be_parsed_are_reported(self) -> None:
+        for text, expected in (
             ("", "0 forms"),
             ("(magpieshift", "closed"),
             ("(magpieshift))", "too many"),
@@ -101,7 +101,7 @@
             ("(magpieshift " + "x" * sexp.MAX_TEXT_LENGTH + ")", "at most"),
         ):
             with self.subTest(text[:30]):
-                self.assertIn(said, "\n".join(problems(text)))
+                self.assertIn(expected, "\n".join(problems(text)))
 
     @given(trees)
     @settings(max_examples=60, deadline=None)
@@ -111,7 +111,9 @@
 
     @given(trees, trees)
     @settings(max_examples=60, deadline=None)
-    def test_differences_make_the_one_of_the_other(self, old: dict[str, Any], new: dict[str, Any]) -> None:
+    def test_differences_turn_one_document_into_the_other(
+        self, old: dict[str, Any], new: dict[str, Any]
+    ) -> None:
         changes = differences(old, new)
         self.assertEqual(document_digest(apply_changes(old, changes)), document_digest(new))
         self.assertEqual(bool(changes), document_digest(old) != document_digest(new))
--- a/tests/control/test_version_history.py
+++ b/tests/control/test_version_history.py
@@ -24,37 +24,37 @@
     return VersionOffer(number, digest, "test", **more)
 
 
-class Ledgers(unittest.TestCase):
+class Rules(unittest.TestCase):
     def setUp(self) -> None:
         self.versions = VersionHistory(START)
 
-    def refused(self, what: VersionOffer) -> RejectionReason:
-        (answer,) = self.versions.offer(what, 1)
+    def rejection_reason(self, version: VersionOffer) -> RejectionReason:
+        (answer,) = self.versions.offer(version, 1)
         self.assertFalse(answer.accepted)
         return answer.reason
 
-    def accept(self, what: VersionOffer) -> VersionRecord:
-        self.assertEqual(self.versions.offer(what, 1), [])
-        self.assertEqual(self.versions.take_next(), what)
+    def accept(self, version: VersionOffer) -> VersionRecord:
+        self.assertEqual(self.versions.offer(version, 1), [])
+        self.assertEqual(self.versions.take_next(), version)
         record, answer = self.versions.accept(2)
-        self.assertEqual(answer, OfferOutcome(what, True))
+        self.assertEqual(answer, OfferOutcome(version, True))
         return record
 
-    def test_numbers(self) -> None:
+    def test_rules_for_version_numbers(self) -> None:
         self.assertEqual(
             self.versions.offer(offer(3, "c"), 1), [OfferOutcome(offer(3, "c"), True)]
         )  # a repeat
         self.assertIsNone(self.versions.take_next())  # no version is prepared for it
-        self.assertEqual(self.refused(offer(3, "other")), RejectionReason.CONFLICT)
-        self.assertEqual(self.refused(offer(2)), RejectionReason.OUT_OF_ORDER)
+        self.assertEqual(self.rejection_reason(offer(3, "other")), RejectionReason.CONFLICT)
+        self.assertEqual(self.rejection_reason(offer(2)), RejectionReason.OUT_OF_ORDER)
         for number in (0, -1, 1 << 63):
-            self.assertEqual(self.refused(offer(number)), RejectionReason.INVALID_NUMBER)
+            self.assertEqual(self.rejection_reason(offer(number)), RejectionReason.INVALID_NUMBER)
         self.assertEqual(self.accept(offer(4)).skipped_numbers, 0)
         self.assertEqual(self.accept(offer(9)).skipped_numbers, 4)  # the gap is recorded
         self.assertEqual([r.state for r in self.versions.records if r.number == 4], [VersionState.REPLACED])
 
     def test_a_rejected_version_stays_rejected_unless_the_reason_was_transient(self) -> None:
-        for number, reason, again in (
+        for number, reason, is_transient in (
             (5, RejectionReason.INVALID, False),
             (6, RejectionReason.PART_TIMED_OUT, True),
         ):
@@ -62,36 +62,36 @@
             self.versions.take_next()
             self.assertEqual(self.versions.reject(reason, "why", 2).detail, "why")
             self.assertEqual(self.versions.in_force, START)
-            if again:
+            if is_transient:
                 self.assertEqual(self.versions.offer(offer(number), 3), [])
                 self.versions.take_next()
             else:
                 self.assertEqual(
                     self.versions.offer(offer(number), 3), [OfferOutcome(offer(number), False, reason, "why")]
                 )
-                self.assertEqual(self.refused(offer(number, "y")), RejectionReason.CONFLICT)
+                self.assertEqual(self.rejection_reason(offer(number, "y")), RejectionReason.CONFLICT)
 
-    def test_two_come_while_one_is_prepared(self) -> None:
+    def test_of_two_offers_during_a_preparation_the_newer_waits(self) -> None:
         self.versions.offer(offer(4), 1)
         self.versions.take_next()
         self.assertEqual(self.versions.offer(offer(5), 1), [])
-        (late,) = self.versions.offer(offer(6), 1)
-        self.assertEqual((late.offer.number, late.reason), (5, RejectionReason.SUPERSEDED))
-        (late,) = self.versions.offer(offer(5), 1)
-        self.assertEqual((late.offer.number, late.reason), (5, RejectionReason.SUPERSEDED))
+        (outcome,) = self.versions.offer(offer(6), 1)
+        self.assertEqual((outcome.offer.number, outcome.reason), (5, RejectionReason.SUPERSEDED))
+        (outcome,) = self.versions.offer(offer(5), 1)
+        self.assertEqual((outcome.offer.number, outcome.reason), (5, RejectionReason.SUPERSEDED))
         self.assertIsNone(self.versions.take_next())
-        self.assertEqual(self.refused(offer(4, "other")), RejectionReason.CONFLICT)
+        self.assertEqual(self.rejection_reason(offer(4, "other")), RejectionReason.CONFLICT)
         self.versions.accept(2)
         self.assertEqual(self.versions.take_next(), offer(6))
 
-    def test_sent_again_while_prepared_it_is_answered_to_the_newest_nonce(self) -> None:
+    def test_an_offer_repeated_during_its_preparation_is_answered_with_the_newest_nonce(self) -> None:
         self.versions.offer(offer(4, nonce="old"), 1)
         self.versions.take_next()
         self.assertEqual(self.versions.offer(offer(4, nonce="new"), 1), [])
         self.assertEqual(self.versions.accept(2)[1].offer.nonce, "new")
         self.assertIsNone(self.versions.take_next())
 
-    def test_a_flood_of_bad_versions_is_bounded_and_hides_nothing(self) -> None:
+    def test_many_rejections_are_bounded_and_do_not_displace_the_version_in_force(self) -> None:
         for number in range(4, 4 + 3 * MAX_REMEMBERED_REJECTIONS):
             self.versions.offer(offer(number), 1)
             self.versions.take_next()
@@ -100,21 +100,21 @@
         self.assertEqual(len(self.versions.records), MAX_HISTORY)
         self.assertIn(START, self.versions.records)
         self.assertEqual(
-            self.refused(offer(5)), RejectionReason.OUT_OF_ORDER
+            self.rejection_reason(offer(5)), RejectionReason.OUT_OF_ORDER
         )  # its rejection is forgotten, but its number still counts as used
 
-    def test_restored_it_answers_as_before(self) -> None:
+    def test_a_restored_history_answers_as_before(self) -> None:
         self.accept(offer(4, "d"))
         self.versions.offer(offer(6), 1)
         self.versions.take_next()
         self.versions.reject(RejectionReason.NEEDS_RESTART, "listen", 2)
-        again = VersionHistory.restored(
+        restored = VersionHistory.restored(
             [r for r in self.versions.records if r is not START],
             VersionRecord(0, "", "", VersionState.IN_FORCE, 0),
         )
-        self.assertEqual(again.in_force, self.versions.in_force)
-        for what in (offer(4, "d"), offer(6), offer(6, "z"), offer(2), offer(7)):
-            self.assertEqual(again.offer(what, 5), self.versions.offer(what, 5))
+        self.assertEqual(restored.in_force, self.versions.in_force)
+        for offered in (offer(4, "d"), offer(6), offer(6, "z"), offer(2), offer(7)):
+            self.assertEqual(restored.offer(offered, 5), self.versions.offer(offered, 5))
 
 
 class Histories(RuleBasedStateMachine):
@@ -123,9 +123,9 @@
     def __init__(self) -> None:
         super().__init__()
         self.versions = VersionHistory(START)
-        self.force = (3, "c")
-        self.forces = [self.force]
-        self.judged: dict[int, tuple[str, RejectionReason]] = {}
+        self.in_force = (3, "c")
+        self.all_in_force = [self.in_force]
+        self.rejected: dict[int, tuple[str, RejectionReason]] = {}
         self.open: list[VersionOffer] = []  # offers without an outcome
         self.nonce = 0
 
@@ -137,43 +137,43 @@
     @rule(number=st.integers(-1, 12), digest=st.sampled_from("cd"))
     def offers(self, number: int, digest: str) -> None:
         self.nonce += 1
-        what, before = offer(number, digest, nonce=str(self.nonce)), self.versions.preparing
-        answers = self.versions.offer(what, self.nonce)
-        mine = [a for a in answers if a.offer is what]
-        accepted = bool(mine) and mine[0].accepted
-        if (number, digest) == self.force:
+        offered, before = offer(number, digest, nonce=str(self.nonce)), self.versions.preparing
+        answers = self.versions.offer(offered, self.nonce)
+        own_answers = [a for a in answers if a.offer is offered]
+        accepted = bool(own_answers) and own_answers[0].accepted
+        if (number, digest) == self.in_force:
             assert accepted
         else:
             assert not accepted, "only the version in force may be accepted without preparation"
-        if number <= self.force[0] and (number, digest) != self.force:
-            assert mine, "a version not above the one in force must never be prepared"
-        elif number in self.judged and not (before and before.number == number):
-            known, reason = self.judged[number]
-            assert mine
-            assert mine[0].reason == (reason if known == digest else RejectionReason.CONFLICT) or (
+        if number <= self.in_force[0] and (number, digest) != self.in_force:
+            assert own_answers, "a version not above the one in force must never be prepared"
+        elif number in self.rejected and not (before and before.number == number):
+            known, reason = self.rejected[number]
+            assert own_answers
+            assert own_answers[0].reason == (reason if known == digest else RejectionReason.CONFLICT) or (
                 before is not None and number < before.number
             )
-        if not mine:
+        if not own_answers:
             # a version that is offered again gets one answer, with its newest nonce
             self.open = [o for o in self.open if (o.number, o.digest) != (number, digest)]
-            self.open.append(what)
+            self.open.append(offered)
         self.answered(answers)
 
     @rule()
     def takes(self) -> None:
-        busy, waiting = self.versions.preparing, self.versions.waiting
-        taken = self.versions.take_next()
-        assert taken is (None if busy else waiting)
+        preparing, waiting = self.versions.preparing, self.versions.waiting
+        next_offer = self.versions.take_next()
+        assert next_offer is (None if preparing else waiting)
 
     @rule()
     def accepts(self) -> None:
-        if (taken := self.versions.preparing) is not None:
+        if (preparing := self.versions.preparing) is not None:
             record, answer = self.versions.accept(self.nonce)
             self.answered([answer])
-            self.force = (taken.number, taken.digest)
-            assert (record.number, record.digest) == self.force
-            self.forces.append(self.force)
-            self.judged = {n: v for n, v in self.judged.items() if n > taken.number}
+            self.in_force = (preparing.number, preparing.digest)
+            assert (record.number, record.digest) == self.in_force
+            self.all_in_force.append(self.in_force)
+            self.rejected = {n: v for n, v in self.rejected.items() if n > preparing.number}
 
     @rule(
         reason=st.sampled_from(
@@ -185,21 +185,23 @@
             ]
         )
     )
-    def turns_down(self, reason: RejectionReason) -> None:
-        if (taken := self.versions.preparing) is not None:
+    def rejects(self, reason: RejectionReason) -> None:
+        if (preparing := self.versions.preparing) is not None:
             self.answered([self.versions.reject(reason, "", self.nonce)])
             if reason not in TRANSIENT_REASONS:
-                self.judged[taken.number] = (taken.digest, reason)
+                self.rejected[preparing.number] = (preparing.digest, reason)
 
     @invariant()
     def agrees(self) -> None:
-        assert (self.versions.in_force.number, self.versions.in_force.digest) == self.force
-        assert [n for n, _ in self.forces] == sorted({n for n, _ in self.forces}), "numbers must only rise"
+        assert (self.versions.in_force.number, self.versions.in_force.digest) == self.in_force
+        assert [n for n, _ in self.all_in_force] == sorted({n for n, _ in self.all_in_force}), (
+            "numbers must only rise"
+        )
         assert [r for r in self.versions.records if r.state is VersionState.IN_FORCE] == [
             self.versions.in_force
         ]
-        held = [o for o in (self.versions.preparing, self.versions.waiting) if o is not None]
-        assert sorted(o.nonce for o in held) == sorted(o.nonce for o in self.open), (
+        unanswered = [o for o in (self.versions.preparing, self.versions.waiting) if o is not None]
+        assert sorted(o.nonce for o in unanswered) == sorted(o.nonce for o in self.open), (
             "each offer must be answered exactly once"
         )
 
--- a/tests/discovery/test_catch_up.py
+++ b/tests/discovery/test_catch_up.py
@@ -10,19 +10,19 @@
 class CatchUp(unittest.IsolatedAsyncioTestCase):
     async def test_a_replacement_waits_until_the_change_log_is_read(self) -> None:
         """A purge or drain made between the starts of the two processes is only in the change log."""
-        feed, loop = ChangeLogClient(("127.0.0.1", 1), mock.Mock()), mock.Mock()
+        client, loop = ChangeLogClient(("127.0.0.1", 1), mock.Mock()), mock.Mock()
         times = iter(range(0, 1000))
         loop.time.side_effect = lambda: next(times) / 100  # each reading of the clock advances it by 0.01 s
         with (
             mock.patch.object(asyncio, "get_running_loop", return_value=loop),
-            mock.patch.object(asyncio, "sleep", mock.AsyncMock()) as waits,
+            mock.patch.object(asyncio, "sleep", mock.AsyncMock()) as sleep,
         ):
-            self.assertFalse(await feed.caught_up(0.5))  # no response: gives up at the deadline
-            feed.has_answered = True
-            feed.note_received()
-            waits.reset_mock()
-            self.assertTrue(await feed.caught_up(5.0))
-            self.assertGreater(waits.await_count, 3)  # data has just arrived, so more may follow
+            self.assertFalse(await client.caught_up(0.5))  # no response: gives up at the deadline
+            client.has_answered = True
+            client.note_received()
+            sleep.reset_mock()
+            self.assertTrue(await client.caught_up(5.0))
+            self.assertGreater(sleep.await_count, 3)  # data has just arrived, so more may follow
 
 
 if __name__ == "__main__":
--- a/tests/discovery/test_changes.py
+++ b/tests/discovery/test_changes.py
@@ -23,7 +23,7 @@
             self.changes.receive(PURGE % sequence)
         self.assertEqual((self.listener.purged.call_count, self.changes.last_sequence), (2, 2))
 
-    def test_the_log_is_read_again_for_missing_changes_but_once(self) -> None:
+    def test_the_log_is_read_again_only_once_for_missing_changes(self) -> None:
         """Otherwise a log that no longer has these changes would be read again endlessly."""
         self.changes.receive(PURGE % 1)
         with self.assertRaises(MissingChangesError):
@@ -34,12 +34,12 @@
         with self.assertRaises(MissingChangesError):
             self.changes.receive(PURGE % 6)
 
-    def test_the_id_of_the_event_stands_for_its_number(self) -> None:
+    def test_the_event_id_replaces_a_missing_sequence_number(self) -> None:
         self.changes.receive('{"invalidate":{"object":"7f3a9c21e0b4d655","time":1764576000480}}', "1")
         self.listener.purged.assert_called_once_with("7f3a9c21e0b4d655", 0, 1_764_576_000_480_000)
         self.assertEqual(self.changes.last_sequence, 1)
 
-    def test_an_unreadable_change_takes_its_number_and_changes_nothing(self) -> None:
+    def test_an_unreadable_change_counts_its_number_and_changes_nothing(self) -> None:
         """If its number were not counted, it would be requested again forever and block all later changes."""
         for sequence, content in enumerate(
             ('"fleet":null', '"fleet":{}', '"invalidate":null', '"invalidate":{"object":"x","time":1}'), 1
@@ -54,19 +54,19 @@
 class Changes(unittest.TestCase):
     def test_an_unreadable_endpoint_does_not_hide_the_others(self) -> None:
         """A size of NaN would make every comparison of caches false."""
-        read, listener = parse(config(PORTS)), mock.Mock()
-        (fleet, _) = read.known_changes["results"]
+        configuration, listener = parse(config(PORTS)), mock.Mock()
+        (fleet, _) = configuration.known_changes["results"]
         good = fleet["fleet"]["members"]
         bad = [{"size": float("nan")}, {"id": "a b"}, {"locality": "moon"}, {"host_port": "x"}, {"phase": 1}]
         fleet["fleet"]["members"] = [good[0] | change for change in bad] + good
         with self.assertLogs("magpieshift.discovery.codec", "WARNING") as logs:
-            ChangeLog(read.document.names, listener).apply_known(read.known_changes)
+            ChangeLog(configuration.document.names, listener).apply_known(configuration.known_changes)
         self.assertEqual(len([r for r in logs.records if r.levelno == logging.WARNING]), len(bad))
         (kind, version, members), _ = listener.list_changed.call_args
         self.assertEqual([kind, version, *(m.name for m in members)], [2, 1, "s-cache", "s-origin"])
         listener.purged.assert_called_once_with("", 200, 1_764_576_000_480_000)
 
-    def test_purges_are_logged_together_and_a_list_at_once(self) -> None:
+    def test_purges_are_logged_together_and_a_list_immediately(self) -> None:
         changes = ChangeLog(parse(config(PORTS)).document.names, mock.Mock())
         fleet = '{"seq":%d,"fleet":{"revision":2,"complete":false,"members":[]}}'
         batches = [
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,14 +11,16 @@
 
 
 class Configuration(unittest.TestCase):
-    def test_it_is_read(self) -> None:
-        read = parse(config(PORTS), listen="127.0.0.1:80", name="n9")
-        document = read.document
-        self.assertEqual((document.name, document.listen, read.seed), ("n9", ("127.0.0.1", 80), 0xA7))
+    def test_a_valid_file_is_read(self) -> None:
+        configuration = parse(config(PORTS), listen="127.0.0.1:80", name="n9")
+        document = configuration.document
+        self.assertEqual(
+            (document.name, document.listen, configuration.seed), ("n9", ("127.0.0.1", 80), 0xA7)
+        )
         self.assertEqual(document.settings.zone_link_kb_per_s, (0.0, 90000.0))
         self.assertEqual(document.names.report, ("load_share", "concurrent", "x1"))
 
-    def test_a_bad_value_is_named_in_one_line(self) -> None:
+    def test_an_invalid_value_is_named_in_a_one_line_error(self) -> None:
         bad: list[tuple[str, Any]] = [
             ("changelog", "nowhere"),
             ("seed", "xyz"),
@@ -34,7 +36,7 @@
 
 
 class NewSettings(unittest.TestCase):
-    def test_nothing_is_taken_from_a_file_with_a_bad_value(self) -> None:
+    def test_a_file_with_an_invalid_value_is_rejected(self) -> None:
         """A negative deadline used to be accepted with the rest of the file, and every request failed."""
         figures: tuple[Any, ...] = (0, -5, "500", True, float("nan"), float("inf"), None, [])
         for path in ("Classes.0.GiveUpUs", "Classes.1.AimUs", "Caps.MaxAttempts", "Caps.ConnectTimeoutUs"):
@@ -53,7 +55,7 @@
             with self.subTest(path, value=value), self.assertRaises(ConfigError):
                 parse(changed(config(PORTS), {path: json.dumps(value)}))
 
-    def test_the_admin_address_is_read_from_the_file_and_the_variable_wins(self) -> None:
+    def test_the_admin_address_is_read_from_the_file_and_the_variable_takes_precedence(self) -> None:
         self.assertIsNone(parse(config(PORTS)).document.admin_address)
         data = config(PORTS) | {"console": "127.0.0.1:7"}
         self.assertEqual(parse(data).document.admin_address, ("127.0.0.1", 7))
