--- a/magpieshift/config/shown_names.py
+++ b/magpieshift/config/shown_names.py
@@ -1,6 +1,6 @@
 """The names under which settings are shown to operators and compared between processes.
 
-They are the field names of the first program version, so that processes of different versions can be
+They are the names used by the first program version, so that processes of different versions can be
 compared.
 """
 
--- a/magpieshift/control/version_records.py
+++ b/magpieshift/control/version_records.py
@@ -76,7 +76,7 @@
 NUMBER_REASONS = frozenset(
     {RejectionReason.CONFLICT, RejectionReason.OUT_OF_ORDER, RejectionReason.INVALID_NUMBER}
 )
-"""Reasons that follow from the number; they are determined again for each offer and not remembered."""
+"""Reasons that follow from number and digest; they are determined anew for each offer, not remembered."""
 
 
 class VersionState(Enum):
