--- a/magpieshift/control/document_consistency.py
+++ b/magpieshift/control/document_consistency.py
@@ -1,4 +1,4 @@
-"""Entries of a settings file that are sound by themselves and do not fit each other."""
+"""Checks across the entries of a settings file, each of which is valid by itself."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from magpieshift.control import sexp
 from magpieshift.control.document_form import DocumentForm, MembersForm, ZoneForm
 
-MAX_NAMED = 8
-"""Names that an error lists."""
+MAX_LISTED_NAMES = 8
+"""Most names that an error lists."""
 
 
 class Inconsistency(NamedTuple):
-    """An entry that does not fit another."""
+    """An entry that is inconsistent with another one."""
 
     path: sexp.EntryPath
-    """Of the entry."""
+    """Path of the entry."""
     found: str
-    """What stands there."""
+    """The entry's value, as an error shows it."""
     expected: str
-    """What would fit."""
+    """A description of consistent values."""
 
 
 def inconsistencies(form: DocumentForm) -> Iterator[Inconsistency]:
-    """Entries that are sound by themselves and do not fit each other."""
+    """Find the entries that are inconsistent with each other."""
     yield from _address_problems(form)
     if form.members is not None:
         yield from _membership_problems(form.members)
@@ -68,7 +68,7 @@
 
 
 def _zone_problems(form: DocumentForm) -> Iterator[Inconsistency]:
-    one_of = f"one of the zones: {', '.join(list(form.zones)[:MAX_NAMED])}"
+    one_of = f"one of the zones: {', '.join(list(form.zones)[:MAX_LISTED_NAMES])}"
     if form.zone not in form.zones:
         yield Inconsistency(("zone",), sexp.shorten(form.zone), one_of)
     for name, zone in form.zones.items():
@@ -86,7 +86,7 @@
     for key, kind in (("parent-kind", form.parent_kind), ("origin-kind", form.origin_kind)):
         if kind not in kinds:
             yield Inconsistency(
-                (key,), sexp.shorten(kind), f"one of the kinds: {', '.join(kinds[:MAX_NAMED])}"
+                (key,), sexp.shorten(kind), f"one of the kinds: {', '.join(kinds[:MAX_LISTED_NAMES])}"
             )
     if form.parent_kind == form.origin_kind:
         yield Inconsistency(("parent-kind",), sexp.shorten(form.parent_kind), "another kind than origin-kind")
--- a/magpieshift/control/document_form.py
+++ b/magpieshift/control/document_form.py
@@ -1,8 +1,8 @@
-"""What may stand in a settings file: its entries, their types, bounds and defaults.
+"""The schema of a settings file: its entries, their types, bounds and defaults.
 
-The file's words stand here, in ``document_reading`` and in ``document_writing`` alone. Times are
-milliseconds. The checks are pydantic's: it finds all that is wrong at once, where msgspec stops at the first
-(docs/design/versioned-configuration.md has the figures).
+Only this module, ``document_reading`` and ``document_writing`` know the names and words of settings files.
+Durations are milliseconds. The validation is pydantic's, since it reports all errors at once, where msgspec
+stops at the first one (docs/design/versioned-configuration.md has the figures).
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 from magpieshift.control.validation import Form
 
 MAX_CLASSES = 256
-"""Each costs every endpoint a record of its answers."""
+"""Most request classes; each adds a record of response times to every endpoint."""
 MAX_ZONES = 4096
-"""Four times the product's."""
+"""Most zones: four times as many as the product has."""
 MAX_MS = 24 * 3_600_000.0
-"""A day: nothing in a settings file is longer."""
+"""Longest duration in a settings file: one day."""
 
-# words go on an endpoint's line, where comma and space separate
+# words are sent on an endpoint's request line, where commas and spaces are separators
 Word = Annotated[str, StringConstraints(pattern=r"^[!-+\--~]{1,64}$", strict=True)]
 Ms = Annotated[float, Field(ge=0, le=MAX_MS, allow_inf_nan=False, strict=True)]
-SomeMs = Annotated[float, Field(ge=1, le=MAX_MS, allow_inf_nan=False, strict=True)]
-Share = Annotated[float, Field(ge=0, le=1, allow_inf_nan=False, strict=True)]
+PositiveMs = Annotated[float, Field(ge=1, le=MAX_MS, allow_inf_nan=False, strict=True)]
+Fraction = Annotated[float, Field(ge=0, le=1, allow_inf_nan=False, strict=True)]
 Amount = Annotated[float, Field(ge=0, le=1e12, allow_inf_nan=False, strict=True)]
 Count = Annotated[int, Field(ge=0, le=1_000_000, strict=True)]
-Some = Annotated[int, Field(ge=1, le=1_000_000, strict=True)]
+PositiveCount = Annotated[int, Field(ge=1, le=1_000_000, strict=True)]
 Flag = Annotated[bool, Field(strict=True)]
 Words = Annotated[list[Word], BeforeValidator(lambda value: value if isinstance(value, list) else [value])]
 
 
 class LimitsForm(Form):
-    """What the process may use."""
+    """Resource limits of the process."""
 
     memory_mb: Annotated[float, Field(ge=8, le=1 << 20, allow_inf_nan=False, strict=True)]
     sockets: Annotated[int, Field(ge=MIN_SOCKETS, le=1 << 20, strict=True)]
@@ -45,15 +45,15 @@
 
     routers: Count = 0
     link_kb_per_s: Amount = 0.0
-    attached_to: Word | None = None  # itself if it is not given
+    attached_to: Word | None = None  # the zone itself if not given
 
 
 class ClassForm(Form):
     """A class of requests."""
 
-    aim_ms: SomeMs
+    aim_ms: PositiveMs
     aim_stretch: Amount = 0.0
-    deadline_ms: SomeMs
+    deadline_ms: PositiveMs
     effect: Literal["free", "keyed", "unsafe"] = "free"
     scope: Literal["all", "zone", "cell"] = "all"
     dedup_ms: Ms = 0.0
@@ -68,13 +68,13 @@
 
 
 class StoresForm(Form):
-    """How caches are chosen, warmed and judged."""
+    """How caches are selected, warmed up and checked for overload."""
 
     weights: Literal["sizes", "live"] = "sizes"
-    cold_from: Share = 0.2
+    cold_from: Fraction = 0.2
     cold_ms: Ms = 18_000.0
     fall_multiple: Amount = 2.5
-    fall_ms: SomeMs = 1_000.0
+    fall_ms: PositiveMs = 1_000.0
     drain_ms: Ms = 250.0
     answer_slack_ms: Ms = 8.0
     notes: Flag = True
@@ -84,25 +84,25 @@
 
 
 class ParentsForm(Form):
-    """How parents are."""
+    """Slow start and overload detection of parent caches."""
 
-    cold_from: Share = 0.1
+    cold_from: Fraction = 0.1
     cold_ms: Ms = 19_000.0
     fall_multiple: Amount = 2.0
 
 
 class PurgesForm(Form):
-    """How long purges take."""
+    """Grace period and propagation time of purges."""
 
     grace_ms: Ms = 500.0
     done_ms: Ms = 6_000.0
 
 
 class AttemptsForm(Form):
-    """Which attempts are made, and what the platform allows."""
+    """Limits of attempts, and which kinds of actions the platform allows."""
 
     most: Annotated[int, Field(ge=1, le=64, strict=True)] = 8
-    connect_timeout_ms: SomeMs = 400.0
+    connect_timeout_ms: PositiveMs = 400.0
     cancel: Flag = True
     probe: Flag = True
     message: Flag = False
@@ -111,21 +111,21 @@
 
 
 class ConnectionsForm(Form):
-    """Connections to endpoints."""
+    """Limits of connections to endpoints."""
 
-    idle_ms: SomeMs = 15_000.0
+    idle_ms: PositiveMs = 15_000.0
     streams: Annotated[int, Field(ge=1, le=4096, strict=True)] = 32
 
 
 class MembersForm(Form):
-    """The gossip between routers."""
+    """Membership of the router's fleet, and the gossip between routers."""
 
     fleet: Word
     listen: Word
     advertise: Word | None = None
     seeds: Words = []
     council: Words = []
-    alone: Share = 1.0
+    alone: Fraction = 1.0
     digests: Flag = False
     hand_over: Flag = False
 
@@ -139,7 +139,7 @@
     console: Word | None = None
     change_log: Word
     zone: Word
-    routers: Some = 1
+    routers: PositiveCount = 1
     router_index: Count = 0
     limits: LimitsForm
     zones: Annotated[dict[Word, ZoneForm | list[Any]], Field(min_length=1, max_length=MAX_ZONES)]
@@ -154,13 +154,13 @@
     connections: ConnectionsForm = ConnectionsForm()
     members: MembersForm | None = None
     retry_after_ms: Ms = 900.0
-    tick_ms: SomeMs = 2.0
+    tick_ms: PositiveMs = 2.0
     client_kb_per_s: Amount = 0.0
     must_subscribe: Flag = False
 
 
 def known_entries(path: tuple[str, ...]) -> list[str]:
-    """The names of the entries that a place may have."""
+    """The names of the entries that are allowed at a path."""
     forms: dict[str, type[Form]] = {
         "limits": LimitsForm,
         "stores": StoresForm,
