--- a/magpieshift/cli/__init__.py
+++ b/magpieshift/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: sub-commands on click, log lines on structlog."""
+"""The command-line interface: sub-commands based on click, log output based on structlog."""
--- a/magpieshift/cli/captures.py
+++ b/magpieshift/cli/captures.py
@@ -1,4 +1,4 @@
-"""Sub-commands of captures and episodes."""
+"""Commands that inspect, cut, verify and replay captures."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 
 
 def _records(file: str) -> Iterator[Any]:
-    """The records of a capture, protobuf messages, with a ``segments.Missing`` for each gap between files."""
+    """The records of a capture as protobuf messages; a ``segments.Missing`` stands where part of the capture
+    is missing or damaged."""
     from magpieshift.capture import segments
 
     return segments.read(file)
@@ -25,22 +26,22 @@
 
 @click.group(cls=SuggestingGroup)
 def capture() -> None:
-    """Captures of the events that the policy was given (recorded by run --capture)."""
+    """Inspect captures: recordings of the events that the policy received (made by run --capture)."""
 
 
 @dataclass
 class _Summary:
-    """What was counted over the records of a capture."""
+    """Counts over the records of a capture."""
 
     counts: Counter[str] = field(default_factory=Counter)
-    """Records by kind."""
+    """Number of records by kind."""
     missing: list[str] = field(default_factory=list)
-    """A line for each gap."""
+    """One line for each gap or damaged part."""
     first_us: int = 0
     last_us: int = 0
-    """Times of the first and the last batch; 0 for none."""
+    """Unix times of the first and the last batch in microseconds; 0 without batches."""
     header: Any = None
-    """The last header, a protobuf message; None for none."""
+    """The last header, a protobuf message; None if no header was read."""
 
     def add(self, record: Any) -> None:
         """Count one record."""
@@ -55,7 +56,7 @@
             self.last_us = record.batch.now_us
 
     def header_figures(self) -> dict[str, Any]:
-        """What the header tells of the process that recorded."""
+        """The header's description of the process that recorded the capture, for the report."""
         if not self.header:
             return {"router": "", "program": "", "policy": "", "hashed": False, "config_version": 0}
         return {
@@ -71,7 +72,7 @@
 @click.argument("file")
 @JSON_OPTION
 def info(file: str, as_json: bool) -> None:
-    """What a capture holds, and what it lacks."""
+    """Show the contents of a capture, and what is missing from it."""
     from magpieshift.capture import segments
     from magpieshift.capture.explanation import time_of_day
 
@@ -112,7 +113,7 @@
 @click.argument("file")
 @click.argument("request")
 def why(file: str, request: str) -> None:
-    """Explain what happened to REQUEST, given as its id in the log or as the policy's number."""
+    """Explain how the policy handled REQUEST: its id in the log, or its number in the policy."""
     from magpieshift.capture import explanation
 
     try:
@@ -130,10 +131,12 @@
 @click.option(
     "--from", "from_s", type=FiniteNumber(), required=True, help="Seconds after the capture's first batch."
 )
-@click.option("--to", "to_s", type=FiniteNumber(), required=True, help="Likewise.")
+@click.option(
+    "--to", "to_s", type=FiniteNumber(), required=True, help="Seconds after the capture's first batch."
+)
 @JSON_OPTION
 def cut(file: str, out: str, from_s: float, to_s: float, as_json: bool) -> None:
-    """Copy a part of a capture, with a keyframe at its beginning, to the file OUT."""
+    """Copy the part of a capture between two times to the file OUT; the copy begins with a keyframe."""
     from pathlib import Path
 
     from magpieshift.capture import cut as cutting
@@ -157,7 +160,8 @@
 @click.argument("file")
 @JSON_OPTION
 def verify(file: str, as_json: bool) -> None:
-    """Whether a capture is complete and this checkout's policy decides as recorded; exit code 1 if not."""
+    """Check that a capture is complete and that this checkout's policy makes the recorded decisions; exit
+    code 1 if not."""
     from magpieshift.capture.replay import Replay
 
     result = Replay().run(_records(file))
@@ -173,10 +177,15 @@
 @click.command(epilog="\b\nExample:\n  magpieshift replay capture/ --against ../altered")
 @click.argument("file")
 @click.option("--times", default=1, show_default=True, type=WholeNumber(1, 10_000))
-@click.option("--against", default="", help="Folder of a checkout whose policy is run beside this one's.")
+@click.option(
+    "--against",
+    default="",
+    help="Folder of another checkout; its policy is run beside this one's and compared with it.",
+)
 @JSON_OPTION
 def replay(file: str, times: int, against: str, as_json: bool) -> None:
-    """Feed a capture to the policy and compare; exit code 1 on any difference."""
+    """Replay a capture through the policy and compare its decisions with the recorded ones; exit code 1 if
+    they differ or the capture contains no batches to replay."""
     from magpieshift.capture import explanation, policy
     from magpieshift.capture.replay import Replay, ReplayResult
 
@@ -208,7 +217,8 @@
         )
         if not figures["policy_as_recorded"]:
             click.echo(
-                "the policy's text differs from that which recorded: " + ", ".join(sorted(result.policies))
+                "this policy's source differs from the policy that was recorded, digest "
+                + ", ".join(sorted(result.policies))
             )
         for text in result.missing:
             click.echo(f"missing: {text}")
--- a/magpieshift/cli/configuration.py
+++ b/magpieshift/cli/configuration.py
@@ -1,4 +1,4 @@
-"""Sub-commands of settings files and versions."""
+"""Commands that check, show, compare and roll back settings files and configuration versions."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
     from magpieshift.control.version_records import VersionRecord
 
 SHOWN_DIGEST_CHARACTERS = 12
-"""Of a digest in tables; enough to tell versions apart."""
+"""Length to which digests are cut in tables; enough to tell versions apart."""
 MAX_SHOWN_REASON_CHARACTERS = 100
-"""Of a reason in tables, which must stay readable."""
+"""Length to which rejection reasons are cut, to keep tables readable."""
 
 
 @click.group(cls=SuggestingGroup)
 def config() -> None:
-    """Settings files and versions."""
+    """Check, show and compare settings files and stored configuration versions."""
 
 
 @config.command(epilog="\b\nExample:\n  magpieshift config check router.sexp")
 @click.argument("file")
 @JSON_OPTION
 def check(file: str, as_json: bool) -> None:
-    """Check a settings file; exit code 1 if it cannot be used."""
+    """Validate a settings file; exit code 1 if it is invalid."""
     from magpieshift.control import schema
     from magpieshift.control.errors import UnusableDocumentError
 
@@ -48,18 +48,19 @@
     else:
         document = loaded.document
         click.echo(
-            f"{file}: can be used; {len(document.names.classes)} classes, {len(document.names.zones)} zones, "
+            f"{file}: valid; {len(document.names.classes)} classes, {len(document.names.zones)} zones, "
             f"digest {loaded.digest}"
         )
 
 
 STATE_OPTION = click.option(
-    "--state", envvar="EDGE_STATE", default="", help="Folder where a router keeps versions."
+    "--state", envvar="EDGE_STATE", default="", help="Folder where a router stores its versions."
 )
 
 
 def _read_data(name: str, state: str) -> dict[str, Any]:
-    """A document's data: that of a file, or with a state folder that of the version of this number."""
+    """The data of a document: the file ``name``, or, given a state folder, the stored version with that
+    number."""
     from magpieshift.control import schema
     from magpieshift.control.stored_versions import read_store
     from magpieshift.extensions import runner
@@ -78,14 +79,14 @@
 @STATE_OPTION
 @JSON_OPTION
 def show_(what: str, state: str, as_json: bool) -> None:
-    """Show WHAT as a settings file: a file of either kind, or with --state a version's number; the version in
-    force where WHAT is left out."""
+    """Print WHAT in the form of a settings file. WHAT is a settings file, the platform's JSON file or, with
+    --state, the number of a stored version; without WHAT, the version in force is printed."""
     from magpieshift.control import sexp
     from magpieshift.control.document_changes import document_digest
     from magpieshift.control.stored_versions import read_store
 
     if not what and not state:
-        raise click.UsageError("name a file, or a folder with --state")
+        raise click.UsageError("found neither WHAT nor --state, expected a settings file or --state FOLDER")
     if not what:
         in_force = read_store(state).in_force
         if in_force is None:
@@ -104,7 +105,8 @@
 @STATE_OPTION
 @JSON_OPTION
 def diff(a: str, b: str, state: str, as_json: bool) -> None:
-    """What makes B of A, each a file or with --state a version's number; exit code 1 if anything does."""
+    """Show the changes from A to B, each a settings file or, with --state, the number of a stored version;
+    exit code 1 if there are any."""
     from magpieshift.control.document_changes import differences
 
     changes = differences(_read_data(a, state), _read_data(b, state))
@@ -122,11 +124,13 @@
 @STATE_OPTION
 @JSON_OPTION
 def history(state: str, as_json: bool) -> None:
-    """The versions that a router has kept: what came into force when, and what was turned down and why."""
+    """List a router's stored versions: when each came into force, or when and why it was rejected."""
     from magpieshift.control.stored_versions import read_store, stored_history
 
     if not state:
-        raise click.UsageError("name the folder with --state")
+        raise click.UsageError(
+            "--state: found nothing, expected the folder where a router stores its versions"
+        )
     contents = read_store(state)
     records = [stored.record for stored in stored_history(contents)]
     if as_json:
@@ -139,12 +143,14 @@
     output.print_table(head, [_record_row(record) for record in records])
     if contents.damaged_stretches or contents.torn_bytes:
         click.echo(
-            f"{contents.damaged_stretches} damaged stretches, {contents.torn_bytes} bytes torn off", err=True
+            f"version store: {contents.damaged_stretches} damaged byte ranges, "
+            f"{contents.torn_bytes} bytes of an incomplete record at the end",
+            err=True,
         )
 
 
 def _record_figures(record: VersionRecord) -> dict[str, object]:
-    """A version's record for machines."""
+    """A version record for JSON output."""
     return {
         "number": record.number,
         "state": record.state.value,
@@ -158,7 +164,7 @@
 
 
 def _record_row(record: VersionRecord) -> tuple[object, ...]:
-    """A version's record for people."""
+    """A version record as a row of the history table."""
     since = datetime.datetime.fromtimestamp(record.since_us / 1e6, datetime.UTC).strftime("%Y-%m-%d %H:%M:%S")
     reason = f"{record.reason.word}: {record.detail}" if record.detail else ""
     return (
@@ -173,10 +179,10 @@
 
 @config.command(epilog="\b\nExample:\n  magpieshift config rollback 12 --versions versions/")
 @click.argument("number", type=WholeNumber(0, 10**18 - 1))
-@click.option("--versions", required=True, help="The control service's folder.")
+@click.option("--versions", required=True, help="Folder of versions that the control service serves.")
 @JSON_OPTION
 def rollback(number: int, versions: str, as_json: bool) -> None:
-    """Publish the content of version NUMBER again, as a new version above all others."""
+    """Publish the content of version NUMBER again as a new version, numbered one above the highest so far."""
     import os
     from pathlib import Path
 
@@ -185,7 +191,7 @@
     from magpieshift.control.publisher import read_version_folder
 
     if not Path(versions).is_dir():
-        raise ConfigError(f"{versions} is no folder")
+        raise ConfigError(f"--versions: found {versions!r}, expected a folder")
     published = {version.number: version for version in read_version_folder(versions)}
     if number not in published:
         raise ConfigError(f"{versions} has no version {number}")
@@ -197,7 +203,7 @@
     path = Path(versions) / f"{new_number}.sexp"
     unfinished = path.with_suffix(".new")
     unfinished.write_text(f"; version {number} again\n{sexp.format_document(data)}", encoding="utf-8")
-    os.rename(unfinished, path)  # the service must not read half of it
+    os.rename(unfinished, path)  # atomic: the service must not read a partly written file
     if as_json:
         output.print_json({"version": new_number, "of": number, "digest": published[number].digest})
     else:
--- a/magpieshift/cli/control.py
+++ b/magpieshift/cli/control.py
@@ -1,4 +1,4 @@
-"""Sub-commands of the control service."""
+"""Commands that run the control service."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @click.group(cls=SuggestingGroup)
 def control() -> None:
-    """The control service."""
+    """Run the control service."""
 
 
 @control.command(
@@ -25,18 +25,19 @@
 @click.option("--listen", default="127.0.0.1:7080", show_default=True, type=Address(any_port=True))
 @LOG_OPTION
 def serve_(folder: str, listen: str, log_form: str) -> None:
-    """Serve the versions in FOLDER (files NUMBER.sexp, also ones that come later) to all routers that ask."""
+    """Serve the versions in FOLDER to all routers that connect. Versions are files named NUMBER.sexp; files
+    that are added later are served too."""
     from pathlib import Path
 
     from magpieshift.control.service import serve_folder
     from magpieshift.signals import ignore_reload, signal_handlers
 
     async def serve_until_signal() -> None:
-        """Serve, and end as planned at a signal."""
+        """Serve until a stop signal arrives, then shut down in order."""
         serving = asyncio.ensure_future(serve_folder(folder, listen))
 
         def stop() -> None:
-            """Break the service off; it closes what it has open."""
+            """Cancel the service, which then closes its connections."""
             serving.cancel()
 
         with signal_handlers(stop, ignore_reload), suppress(asyncio.CancelledError):
@@ -44,7 +45,7 @@
 
     setup(log_form)
     if not Path(folder).is_dir():
-        raise ConfigError(f"{folder} is no folder")
+        raise ConfigError(f"FOLDER: found {folder!r}, expected a folder")
     try:
         asyncio.run(serve_until_signal())
     except OSError as err:
--- a/magpieshift/cli/errors.py
+++ b/magpieshift/cli/errors.py
@@ -1,4 +1,5 @@
-"""How the command line ends: an exit code, and one line on standard error for what the caller can mend."""
+"""Exit codes of the command line, and the reporting of errors that the caller can correct: one line on
+standard error."""
 
 from __future__ import annotations
 
@@ -15,19 +16,19 @@
 
 
 class ExitCode(IntEnum):
-    """The exit codes of all commands; some use 1 for differences that they found."""
+    """The exit codes of all commands."""
 
     OK = 0
     FAILED = 1
-    """It failed or was rejected, or a comparison found differences."""
+    """The command failed or was rejected, or a comparison or check found differences."""
     UNUSABLE_INPUT = 2
-    """The call, or a file that it names, cannot be used."""
+    """The command line is invalid, or a file that it names cannot be used."""
     INTERRUPTED = 130
 
 
 def unusable_input_errors() -> tuple[type[Exception], ...]:
-    """The errors whose text says in one line which input cannot be used. Those of optional parts are known
-    only where their libraries are installed."""
+    """The errors whose one-line message names the unusable input. The errors of optional parts are included
+    only if the libraries of these parts are installed."""
     errors: list[type[Exception]] = [ConfigError]
     with suppress(ImportError):
         from magpieshift.control.errors import UnusableDocumentError
@@ -45,7 +46,7 @@
 
 
 def usage_error_line(err: click.UsageError) -> str:
-    """The command, the parameter if it is one, and what is wrong."""
+    """A usage error as one line: the command, the parameter if the error is about one, and the message."""
     command = err.ctx.command_path if err.ctx is not None else PROGRAM
     message = err.format_message()
     if isinstance(err, click.BadParameter) and not isinstance(err, click.MissingParameter) and err.param:
@@ -55,7 +56,8 @@
 
 
 def exit_code_of(command: Callable[[], object]) -> int:
-    """Run a command; its exit code, after one line for what the caller can mend."""
+    """Run a command and return its exit code; an error that the caller can correct is reported as one line on
+    standard error."""
     try:
         command()
     except click.exceptions.Exit as err:
--- a/magpieshift/cli/groups.py
+++ b/magpieshift/cli/groups.py
@@ -1,4 +1,4 @@
-"""What all groups of sub-commands share."""
+"""The command group class and the option that commands share."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class SuggestingGroup(click.Group):
-    """A group that suggests the sub-command that was meant."""
+    """A command group that suggests the closest name for an unknown sub-command."""
 
     def resolve_command(
         self, ctx: click.Context, args: list[str]
     ) -> tuple[str | None, click.Command | None, list[str]]:
-        """The sub-command that the arguments name; ``UsageError`` with a suggestion where there is none."""
+        """The sub-command that the arguments name; ``UsageError`` with a suggestion if it does not exist."""
         name = args[0] if args else ""
         if name and not name.startswith("-") and self.get_command(ctx, name) is None:
             known = self.list_commands(ctx)
--- a/magpieshift/cli/lab_capacity.py
+++ b/magpieshift/cli/lab_capacity.py
@@ -1,4 +1,4 @@
-"""The command that measures what each role costs by what grows."""
+"""The command ``lab capacity``: measures how the cost of each role grows with the size of the fleet."""
 
 from __future__ import annotations
 
@@ -44,8 +44,8 @@
 
 
 def _role_names() -> list[str]:
-    """What can be named as --role; looked up only when one is named, since that takes the laboratory's
-    libraries."""
+    """The names accepted by --role: roles and groups of roles. Looked up only when --role is given, because
+    the lookup imports the laboratory's libraries."""
     from magpieshift.lab.capacity.roles import every_role
 
     names = {role.name for role in every_role()}
@@ -53,7 +53,7 @@
 
 
 def _group(name: str) -> str:
-    """What stands before the colon, or the whole name."""
+    """The group of a role: the part of its name before the colon, or the whole name without a colon."""
     return name.partition(":")[0]
 
 
@@ -63,20 +63,26 @@
     "names",
     multiple=True,
     type=LazyChoice(_role_names),
-    help="Only this role, or all with this before the colon; may be given again.",
+    help="Measure only this role, or all roles of this group (the name before the colon); may be repeated.",
 )
-@click.option("--list", "listing", is_flag=True, help="Name the roles, and measure nothing.")
+@click.option("--list", "listing", is_flag=True, help="List the roles without measuring.")
 @click.option(
     "--quick",
     is_flag=True,
-    help="A trial, not a result: fewer sizes, once each, without sources and relays.",
+    help="Trial run, not a valid result: fewer sizes, each measured once, without sources and relays.",
 )
 @click.option(
-    "--seed", default=1, show_default=True, type=SEED_TYPE, help="Of the order of turns and of the changes."
+    "--seed",
+    default=1,
+    show_default=True,
+    type=SEED_TYPE,
+    help="Seed of the measurement order and of the generated changes.",
+)
+@click.option("--router", "folder", default="", help="Folder of another checkout; its router is measured.")
+@click.option("--save", default="", type=WritableFile(), help="File to write the result to, as JSON.")
+@click.option(
+    "--page", "make_page", is_flag=True, help="Regenerate the tables of docs/CAPACITY.md from saved results."
 )
-@click.option("--router", "folder", default="", help="Folder of another checkout, whose router is started.")
-@click.option("--save", default="", type=WritableFile(), help="File for the result.")
-@click.option("--page", "make_page", is_flag=True, help="Make docs/CAPACITY.md's tables from saved results.")
 @JSON_OPTION
 def capacity(
     names: tuple[str, ...],
@@ -88,16 +94,19 @@
     make_page: bool,
     as_json: bool,
 ) -> None:
-    """Measure what each role costs by what grows with the fleet, fit it, and hold it against its budget."""
+    """Measure how the cost of each role grows with the fleet, fit a curve, and compare the cost at the target
+    size with its budget."""
     from magpieshift.lab.capacity import measure, page, results
     from magpieshift.lab.capacity.roles import every_role
     from magpieshift.lab.capacity.routers import REPOSITORY_ROOT
 
     if make_page:
-        click.echo("made anew" if page.rewrite() else "unchanged")
+        click.echo("regenerated" if page.rewrite() else "unchanged")
         return
     if folder and not (Path(folder) / "magpieshift" / "__main__.py").is_file():
-        raise ConfigError(f"--router: found {folder!r}, expected the folder of a checkout")
+        raise ConfigError(
+            f"--router: found {folder!r}, expected the folder of a checkout with magpieshift/__main__.py"
+        )
     roles = every_role(folder or REPOSITORY_ROOT)
     if listing:
         output.print_rows(
@@ -126,19 +135,20 @@
 
 
 def _choose_roles(roles: Sequence[Role], names: tuple[str, ...], quick: bool) -> list[Role]:
-    """The roles of these names or groups, all without names; ``ConfigError`` where one has no trial and a
-    trial is wanted."""
+    """The roles of these names or groups, or all roles if no name is given. ``ConfigError`` if ``quick`` is
+    set and a named role has no sizes for a trial run."""
     chosen = [role for role in roles if not names or {role.name, _group(role.name)} & set(names)]
     without_trial = [role.name for role in chosen if not role.quick_sizes]
     if quick and names and without_trial:
         raise ConfigError(
-            f"--quick: found {without_trial[0]!r}, expected a role that has a trial; leave it out"
+            f"--quick: found {without_trial[0]!r}, which has no trial run; measure it without --quick"
         )
     return chosen
 
 
 def _command_line(names: tuple[str, ...], seed: int, quick: bool, folder: str) -> str:
-    """The call as a saved result tells it; folders differ between machines and are left out."""
+    """The command line recorded in a saved result. Folders differ between machines and are replaced by a
+    placeholder."""
     words = ["magpieshift lab capacity --json", *(f"--role {name!r}" for name in names), f"--seed {seed}"]
     if quick:
         words.append("--quick")
--- a/magpieshift/cli/lab_episode.py
+++ b/magpieshift/cli/lab_episode.py
@@ -1,4 +1,4 @@
-"""Sub-commands of the laboratory that run one router through an episode of failures."""
+"""Laboratory commands that run one router through an episode of injected faults, and report on it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def _scenario(file: str, seconds: float, seed: int, rate: float) -> Scenario:
-    """The scenario of a file; without one, a bad morning from the seed."""
+    """The scenario in a file, or a random one drawn from the seed if no file is given."""
     from magpieshift.control.errors import UnusableDocumentError
     from magpieshift.lab.experiments import scenario
 
@@ -33,7 +33,7 @@
 
 
 def _progress_bar(seconds: float, is_shown: bool) -> AbstractContextManager[Any]:
-    """A progress bar on standard error, or None in its place."""
+    """A progress bar on standard error; a context that yields None if it is not shown."""
     import contextlib
     import sys
 
@@ -52,20 +52,25 @@
     default=120.0,
     show_default=True,
     type=FiniteNumber(0, 10_000, above_minimum=True),
-    help="Requests a second.",
+    help="Requests per second.",
 )
 @click.option(
-    "--scenario", "file", default="", help="A file of its own, in place of a bad morning from the seed."
+    "--scenario",
+    "file",
+    default="",
+    help="Scenario file; without one, a random scenario is drawn from the seed.",
 )
-@click.option("--capture", "folder", default="", type=WritableFolder(), help="Record into this folder.")
-@click.option("--report", default="", type=WritableFile(), help="Write an HTML report here.")
-@click.option("--save", default="", type=WritableFile(), help="Write the run here, for lab report.")
+@click.option(
+    "--capture", "folder", default="", type=WritableFolder(), help="Record a capture in this folder."
+)
+@click.option("--report", default="", type=WritableFile(), help="Write an HTML report to this file.")
+@click.option("--save", default="", type=WritableFile(), help="Save the run to this file, for lab report.")
 @JSON_OPTION
 def episode(
     seconds: float, seed: int, rate: float, file: str, folder: str, report: str, save: str, as_json: bool
 ) -> None:
-    """A real router amid emulated endpoints that fail: caches and parents die, the list runs late, the origin
-    slows. Exit code 1 if a rule was broken."""
+    """Run a real router with emulated endpoints that fail: caches and parent caches die, the endpoint list is
+    late, the origin slows down. Exit code 1 if a rule was broken."""
     outcome = _play(_scenario(file, seconds, seed, rate), folder, report, save, not as_json)
     if as_json:
         output.print_json(outcome.as_json())
@@ -77,7 +82,7 @@
 
 
 def _play(scenario: Scenario, folder: str, report: str, save: str, show_progress: bool) -> Outcome:
-    """Run the episode, and write what was asked for."""
+    """Run the episode, and write the requested report and saved run."""
     import json
     from pathlib import Path
 
@@ -88,7 +93,7 @@
         shown_s = 0
 
         def show_elapsed(seconds: float) -> None:
-            """Move the bar on."""
+            """Advance the progress bar to this many seconds."""
             nonlocal shown_s
             if bar is not None:
                 bar.update(int(seconds) - shown_s)
@@ -110,7 +115,7 @@
 @click.argument("runs", nargs=-1, required=True)
 @click.option("--out", default="report.html", show_default=True, type=WritableFile())
 def report_(runs: Iterable[str], out: str) -> None:
-    """Put saved runs side by side in one HTML file."""
+    """Compare saved runs side by side in one HTML report."""
     from magpieshift.lab.experiments import episode_report as reports
 
     reports.write(out, {name: reports.load(name) for name in runs})
@@ -127,7 +132,8 @@
     help="Folder for the report and the capture.",
 )
 def demo(seconds: float, out: str) -> None:
-    """A first look at all of it: emulated endpoints, a router and load come up, endpoints die and return."""
+    """Demonstration: start emulated endpoints, a router and load; endpoints fail and recover, and a report is
+    written."""
     import shutil
     from pathlib import Path
 
@@ -135,7 +141,7 @@
     shutil.rmtree(folder / "capture", ignore_errors=True)
     folder.mkdir(parents=True, exist_ok=True)
     scenario = _scenario("", seconds, 2, 100.0)
-    click.echo("What will go wrong:")
+    click.echo("Faults to be injected:")
     for failure in scenario.faults:
         click.echo(f"  {failure}")
     outcome = _play(
--- a/magpieshift/cli/lab_fleet.py
+++ b/magpieshift/cli/lab_fleet.py
@@ -1,4 +1,5 @@
-"""Sub-commands of the laboratory for whole fleets: membership and overload simulated, faults in processes."""
+"""Laboratory commands for whole fleets: simulated membership and overload, and fault injection into real
+router processes."""
 
 from __future__ import annotations
 
@@ -37,7 +38,7 @@
     default="8,50",
     show_default=True,
     type=WholeNumberList(2, 10_000),
-    help="Sizes of the fleet.",
+    help="Fleet sizes to simulate.",
 )
 @click.option("--seed", default=1, show_default=True, type=SEED_TYPE)
 @click.option(
@@ -45,20 +46,32 @@
     default=2.0,
     show_default=True,
     type=FiniteNumber(0, 10_000),
-    help="Under loss and pauses, simulated.",
+    help="Simulated minutes with datagram loss and pauses.",
 )
 @click.option(
-    "--loss", default=0.3, show_default=True, type=FRACTION_TYPE, help="Share of datagrams lost meanwhile."
+    "--loss",
+    default=0.3,
+    show_default=True,
+    type=FRACTION_TYPE,
+    help="Share of datagrams lost during that time.",
+)
+@click.option(
+    "--deaths",
+    default=5,
+    show_default=True,
+    type=WholeNumber(0),
+    help="Routers that die after that, one after another; at most a third of the fleet.",
 )
 @click.option(
-    "--deaths", default=5, show_default=True, type=WholeNumber(0), help="One after another, afterwards."
+    "--without",
+    type=click.Choice(["health", "observers"]),
+    help="Ablation: disable this part of failure detection.",
 )
-@click.option("--without", type=click.Choice(["health", "observers"]), help="An ablation.")
 @click.option(
     "--explore",
     default=0,
     type=WholeNumber(0, 1 << 40),
-    help="Instead: all histories of three, to so many states.",
+    help="Instead explore all histories of three members, up to this number of states.",
 )
 @JSON_OPTION
 def lab_members(
@@ -71,7 +84,7 @@
     explore: int,
     as_json: bool,
 ) -> None:
-    """Membership on a simulated network: loss, pauses, deaths, a partition and its healing."""
+    """Run membership on a simulated network: datagram loss, pauses, deaths, a partition and its healing."""
     if explore:
         from magpieshift.lab.experiments import membership_exploration
 
@@ -110,7 +123,7 @@
 
 
 def _overload_scenarios() -> Iterable[str]:
-    """What can be named as --scenario."""
+    """The names accepted by --scenario."""
     from magpieshift.lab.experiments.overload import SCENARIOS
 
     return SCENARIOS
@@ -121,7 +134,7 @@
     "--scenario",
     default="",
     type=LazyChoice(_overload_scenarios),
-    help="One of them; all where none is named.",
+    help="Scenario to run; all scenarios if not given.",
 )
 @click.option("--routers", default=40, show_default=True, type=WholeNumber(1, 10_000))
 @click.option("--seed", default=1, show_default=True, type=SEED_TYPE)
@@ -130,24 +143,26 @@
     default=1.0,
     show_default=True,
     type=FiniteNumber(0, 1000, above_minimum=True),
-    help="Times what the installation was made for.",
+    help="Offered load as a multiple of the load that the installation is designed for.",
 )
-@click.option("--without", is_flag=True, help="Routers do not gossip.")
+@click.option("--without", is_flag=True, help="Disable gossip between the routers.")
 @click.option(
     "--digests-lost",
     default=0.0,
     show_default=True,
     type=FRACTION_TYPE,
-    help="Share of their digests that is lost.",
+    help="Share of gossip digests that are lost.",
 )
 @click.option(
     "--liars",
     default=0,
     show_default=True,
     type=WholeNumber(0),
-    help="Routers that report that all endpoints fail.",
+    help="Number of routers that falsely report all endpoints as failing.",
+)
+@click.option(
+    "--map", "show_map", is_flag=True, help="Instead run all combinations of loads, triggers and clients."
 )
-@click.option("--map", "show_map", is_flag=True, help="Instead: loads, triggers and clients, one by one.")
 @JSON_OPTION
 def lab_overload(
     scenario: str,
@@ -160,14 +175,15 @@
     show_map: bool,
     as_json: bool,
 ) -> None:
-    """Overload on a simulated fleet of real engines and policies: what all routers do together."""
+    """Run overload scenarios on a simulated fleet of real engines and policies, to measure the combined
+    behaviour of all routers."""
     import os
 
     from magpieshift.lab.experiments.overload import SCENARIOS, GossipSettings, map_of, play
     from magpieshift.lab.simulated.fleet_state import FleetSize
 
     if liars > routers:
-        raise ConfigError(f"--liars: found {liars}, expected no more than the {routers} routers")
+        raise ConfigError(f"--liars: found {liars}, expected at most {routers}, the number of routers")
     form = FleetSize(routers=routers, seed=seed, load_factor=load)
     if show_map:
         output.print_rows([vars(point) for point in map_of(form, os.cpu_count() or 1)], as_json)
@@ -182,20 +198,23 @@
 
 @click.command("fleet-run", epilog="\b\nExample:\n  magpieshift lab fleet-run paused --seed 2 --json")
 @click.argument("scenario", required=False)
-@click.option("--routers", default=0, type=WholeNumber(0, 16), help="In place of the scenario's.")
-@click.option("--seed", default=0, type=SEED_TYPE, help="In place of the scenario's.")
-@click.option("--list", "listed", is_flag=True, help="The scenarios that need no file.")
+@click.option(
+    "--routers", default=0, type=WholeNumber(0, 16), help="Number of routers; replaces the scenario's."
+)
+@click.option("--seed", default=0, type=SEED_TYPE, help="Seed; replaces the scenario's.")
+@click.option("--list", "listed", is_flag=True, help="List the built-in scenarios, which need no file.")
 @click.option(
     "--folder",
     default="",
     type=WritableFolder(),
-    help="Where settings, logs and the verdict are left; else in /tmp.",
+    help="Folder for settings, logs and the verdict; a new folder in the temporary directory if not given.",
 )
 @JSON_OPTION
 def fleet_run(
     scenario: str | None, routers: int, seed: int, listed: bool, folder: str, as_json: bool
 ) -> None:
-    """Real router processes, and faults between and in them; exit code 1 if a rule was broken."""
+    """Run real router processes and inject faults into them and the network between them; exit code 1 if a
+    rule was broken or a process was left running."""
     import tempfile
     from pathlib import Path
 
@@ -209,7 +228,9 @@
             click.echo(f"{name}: {len(data.get('faults', {}))} faults in {data['seconds']} s")
         return
     if scenario is None:
-        raise click.UsageError("SCENARIO: found nothing, expected a file or one of --list")
+        raise click.UsageError(
+            "SCENARIO: found nothing, expected a scenario file or a scenario listed by --list"
+        )
     try:
         plan = scenarios.find_scenario(scenario)
         plan = scenarios.resized(plan, routers or plan.routers, seed or plan.seed)
@@ -217,7 +238,7 @@
         raise ConfigError(f"{scenario}: {err}") from err
     path = Path(folder) if folder else Path(tempfile.mkdtemp(prefix="fleet-run-"))
     verdict = asyncio.run(runs.play(plan, path, (lambda line: None) if as_json else click.echo))
-    with contextlib.suppress(ImportError):  # plots take a library that need not be installed
+    with contextlib.suppress(ImportError):  # the plotting library is optional
         runs.plot(path)
     click.echo(json.dumps(verdict | {"folder": str(path)}))
     if verdict["rules_broken"] or verdict["left_running"]:
@@ -226,19 +247,33 @@
 
 @click.command("trials", epilog="\b\nExample:\n  magpieshift lab trials --runs 4 --seed 100 --json")
 @click.option(
-    "--runs", default=1, show_default=True, type=WholeNumber(), help="Histories, seeds counting up."
+    "--runs",
+    default=1,
+    show_default=True,
+    type=WholeNumber(),
+    help="Number of random histories; seeds count up.",
 )
 @click.option("--seed", default=1, show_default=True, type=SEED_TYPE)
 @click.option("--routers", default=6, show_default=True, type=WholeNumber(2, 16))
 @click.option("--seconds", default=40.0, show_default=True, type=FiniteNumber(10, 3600))
 @click.option("--faults", default=8, show_default=True, type=WholeNumber(0, 1000))
-@click.option("--shrink/--no-shrink", default=True, help="Cut a failing one down to a scenario.")
-@click.option("--folder", default="", type=WritableFolder(), help="Where all is left; else in /tmp.")
+@click.option(
+    "--shrink/--no-shrink",
+    default=True,
+    help="Reduce a failing history to a smaller scenario that still fails.",
+)
+@click.option(
+    "--folder",
+    default="",
+    type=WritableFolder(),
+    help="Folder for all results; a new folder in the temporary directory if not given.",
+)
 @JSON_OPTION
 def trials(
     runs: int, seed: int, routers: int, seconds: float, faults: int, shrink: bool, folder: str, as_json: bool
 ) -> None:
-    """Random histories with real processes; exit code 1 if one broke a rule."""
+    """Run random fault histories with real router processes; exit code 1 if one broke a rule or left a
+    process running."""
     import tempfile
     from pathlib import Path
 
@@ -257,9 +292,9 @@
         if as_json:
             click.echo(json.dumps(verdict | {"folder": str(path / f"{run_seed}")}))
         else:
-            rules = "; ".join(verdict["rules_broken"]) or "all held"
+            rules = "; ".join(verdict["rules_broken"]) or "no rule broken"
             click.echo(
-                f"seed {run_seed}: {len(run.faults)} faults, asked {verdict['asked']}, "
+                f"seed {run_seed}: {len(run.faults)} faults, sent {verdict['asked']}, "
                 f"served {verdict['served']}: {rules}"
             )
     if broken_count:
@@ -267,14 +302,14 @@
 
 
 def _shrink(run: Scenario, path: Path, name: str) -> str:
-    """Cut a failing history down to a scenario that still fails; the path of its file."""
+    """Reduce a failing history to a smaller scenario that still fails; returns the path of its file."""
     from magpieshift.lab.fault_injection import random_runs, scenario
     from magpieshift.lab.fault_injection import run as fault_runs
 
     attempts = itertools.count()
 
     async def still_fails(smaller: Scenario) -> bool:
-        """Whether this part of the history breaks a rule as well."""
+        """Whether this part of the history breaks a rule too."""
         verdict = await fault_runs.play(smaller, path / f"{name}-{next(attempts)}")
         return bool(verdict["rules_broken"])
 
--- a/magpieshift/cli/lab_rollout.py
+++ b/magpieshift/cli/lab_rollout.py
@@ -1,4 +1,4 @@
-"""Sub-command of the laboratory that plays whole rollouts, of real processes or simulated."""
+"""The command ``lab rollout``: complete rollouts with real router processes or in simulation."""
 
 from __future__ import annotations
 
@@ -14,30 +14,49 @@
 from magpieshift.cli.parameters import SEED_TYPE, WholeNumber, WritableFolder
 
 MIN_REAL_ROUTERS = 2
-"""A rollout compares old with new, which takes one of each."""
+"""Smallest number of router processes: a rollout compares at least one old router with one new one."""
 MAX_REAL_ROUTERS = 16
-"""Router processes that one machine runs beside their load. More disturb what is
-compared."""
+"""Largest number of router processes: one machine also generates their load, and more processes would disturb
+the comparison."""
 DEFAULT_REAL_ROUTERS = 8
-"""More take longer and disturb each other, fewer leave stages of one router."""
+"""Default number of router processes: more take longer and disturb each other; with fewer, some stages
+contain a single router."""
 DEFAULT_SIMULATED_ROUTERS = 200
-"""More take longer, fewer show less of what many routers do together."""
+"""Default number of simulated routers: more take longer; fewer show less of the combined behaviour of many
+routers."""
 
 
 @click.command("rollout", epilog="\b\nExample:\n  magpieshift lab rollout --scenario leak --simulated")
-@click.option("--scenario", default="", help="One of them; all where none is named.")
-@click.option("--routers", default=0, type=WholeNumber(0, 10_000), help="8 real ones, or 200 simulated.")
+@click.option("--scenario", default="", help="Scenario to run; all scenarios if not given.")
+@click.option(
+    "--routers",
+    default=0,
+    type=WholeNumber(0, 10_000),
+    help="Number of routers; 0: 8 real or 200 simulated ones.",
+)
 @click.option("--seed", default=1, show_default=True, type=SEED_TYPE)
-@click.option("--simulated", is_flag=True, help="The same plan, judge and coordinator on a fake clock.")
 @click.option(
-    "--runs", default=1, show_default=True, type=WholeNumber(), help="Simulated: so many, seeds counting up."
+    "--simulated",
+    is_flag=True,
+    help="Simulate the routers; plan, analysis and coordinator are the real ones, on a simulated clock.",
+)
+@click.option(
+    "--runs",
+    default=1,
+    show_default=True,
+    type=WholeNumber(),
+    help="With --simulated: number of rollouts per scenario; seeds count up.",
+)
+@click.option(
+    "--before",
+    is_flag=True,
+    help="With --simulated, an ablation: compare new routers with the old ones before the stage.",
 )
-@click.option("--before", is_flag=True, help="Simulated, an ablation: compare with what was before.")
 @click.option(
     "--folder",
     default="",
     type=WritableFolder(),
-    help="Where logs, settings and the journal are left; else in /tmp.",
+    help="Folder for logs, settings and the journal; a new folder in the temporary directory if not given.",
 )
 @JSON_OPTION
 def lab_rollout(
@@ -50,8 +69,8 @@
     folder: str,
     as_json: bool,
 ) -> None:
-    """Whole rollouts: of real processes under load, or thousands simulated; exit code 1 if one was judged
-    wrongly or a rule was broken."""
+    """Run complete rollouts: of real processes under load, or thousands in simulation; exit code 1 if a
+    rollout reached a wrong verdict or broke a rule."""
     from magpieshift.lab.fault_injection import rollouts as real
     from magpieshift.lab.simulated import rollout_scenarios
 
@@ -61,7 +80,7 @@
     if not simulated and routers and not MIN_REAL_ROUTERS <= routers <= MAX_REAL_ROUTERS:
         raise click.UsageError(
             f"--routers: found {routers}, expected {MIN_REAL_ROUTERS} to {MAX_REAL_ROUTERS} "
-            "where they are no simulation"
+            "unless --simulated is given"
         )
     has_failed = False
     for name in [scenario] if scenario else list(known):
@@ -81,7 +100,8 @@
 def _play_simulated(
     name: str, routers: int, runs: int, seed: int, before: bool
 ) -> tuple[dict[str, Any], bool]:
-    """The figures of simulated rollouts, and whether all were judged rightly and ended."""
+    """The figures of simulated rollouts, and whether all of them ended, none was stopped wrongly and no two
+    coordinators had steps under way at the same time."""
     import os
 
     from magpieshift.lab.simulated import rollout as simulation
@@ -91,7 +111,8 @@
 
 
 def _play_real(name: str, routers: int, seed: int, folder: str) -> tuple[dict[str, Any], bool]:
-    """The figures of a rollout of real processes, and whether it was judged rightly and broke no rule."""
+    """The figures of a rollout of real processes, and whether its verdict was right and no rule was
+    broken."""
     import tempfile
 
     from magpieshift.lab.fault_injection import rollouts as real
--- a/magpieshift/cli/lab_router.py
+++ b/magpieshift/cli/lab_router.py
@@ -1,4 +1,4 @@
-"""Sub-commands of the laboratory that measure one router, its parts, or the logs of many."""
+"""Laboratory commands that measure one router or its parts, or evaluate the logs of many routers."""
 
 from __future__ import annotations
 
@@ -20,33 +20,40 @@
 
 
 @click.command(epilog="\b\nExample:\n  magpieshift lab versions --count 1000 --invalid 0.2 --seed 7 --json")
-@click.option("--count", default=1000, show_default=True, type=WholeNumber(), help="Versions to send.")
 @click.option(
-    "--invalid", default=0.2, show_default=True, type=FRACTION_TYPE, help="Share of them that cannot be used."
+    "--count", default=1000, show_default=True, type=WholeNumber(), help="Number of versions to send."
+)
+@click.option(
+    "--invalid", default=0.2, show_default=True, type=FRACTION_TYPE, help="Share of invalid versions."
 )
 @click.option(
     "--kills",
     default=6,
     show_default=True,
     type=WholeNumber(0, 1000),
-    help="Times the router is killed (SIGKILL).",
+    help="Number of times the router is killed (SIGKILL).",
 )
 @click.option(
     "--breaks",
     default=10,
     show_default=True,
     type=WholeNumber(0, 1000),
-    help="Times the connection is broken.",
+    help="Number of times the connection to the control service is broken.",
 )
 @click.option(
-    "--rate", default=20.0, show_default=True, type=REQUEST_RATE_TYPE, help="Requests a second meanwhile."
+    "--rate",
+    default=20.0,
+    show_default=True,
+    type=REQUEST_RATE_TYPE,
+    help="Client requests per second meanwhile.",
 )
 @click.option("--seed", default=1, show_default=True, type=SEED_TYPE)
 @JSON_OPTION
 def versions(
     count: int, invalid: float, kills: int, breaks: int, rate: float, seed: int, as_json: bool
 ) -> None:
-    """Send a real router numbered versions, break its connection, kill it, and check what it has in force."""
+    """Send numbered versions to a real router, break its connection, kill it, and check which version it has
+    in force. Exit code 1 if a check failed."""
     from magpieshift.lab.experiments.versions import Plan, play
 
     setup("pairs", "ERROR")
@@ -62,12 +69,18 @@
 
 @click.command("apply", epilog="\b\nExample:\n  magpieshift lab apply --members 1000")
 @click.option(
-    "--members", default=1000, show_default=True, type=WholeNumber(1, 100_000), help="Endpoints in the list."
+    "--members",
+    default=1000,
+    show_default=True,
+    type=WholeNumber(1, 100_000),
+    help="Number of endpoints in the endpoint list.",
+)
+@click.option(
+    "--rounds", default=100, show_default=True, type=WholeNumber(), help="Number of versions of each kind."
 )
-@click.option("--rounds", default=100, show_default=True, type=WholeNumber(), help="Versions of each kind.")
 @JSON_OPTION
 def apply_(members: int, rounds: int, as_json: bool) -> None:
-    """Measure how long versions take to come into force, and how long the event loop is held."""
+    """Measure how long versions take to come into force, and how long they block the event loop."""
     from magpieshift.lab.experiments.apply import measure
 
     setup("pairs", "ERROR")
@@ -76,19 +89,23 @@
 
 
 @click.command(epilog="\b\nExample:\n  magpieshift lab cost --against ../earlier")
-@click.option("--against", default="", help="Folder of another checkout, measured in turn with this one.")
+@click.option("--against", default="", help="Folder of another checkout, measured alternately with this one.")
 @click.option(
-    "--capture", is_flag=True, help="Measure run with and without recording, in place of the bare program."
+    "--capture",
+    is_flag=True,
+    help="Measure the run command with and without recording, instead of the program without sub-command.",
+)
+@click.option(
+    "--stuck", is_flag=True, help="Like --capture, and also with a disk that blocks writes for 10 s."
 )
-@click.option("--stuck", is_flag=True, help="Likewise, and with a disk that is stuck for 10 s.")
 @click.option("--rounds", default=5, show_default=True, type=WholeNumber())
-@click.option("--requests", default=4000, show_default=True, type=WholeNumber(), help="In each run.")
-@click.option("--rate", default=400.0, show_default=True, type=REQUEST_RATE_TYPE, help="Requests a second.")
+@click.option("--requests", default=4000, show_default=True, type=WholeNumber(), help="Requests in each run.")
+@click.option("--rate", default=400.0, show_default=True, type=REQUEST_RATE_TYPE, help="Requests per second.")
 @JSON_OPTION
 def cost(
     against: str, capture: bool, stuck: bool, rounds: int, requests: int, rate: float, as_json: bool
 ) -> None:
-    """Measure processor time a request, memory and lateness of the event loop, of the bare program or of
+    """Measure processor time per request, memory and event loop lag, of the program without sub-command or of
     run."""
     from pathlib import Path
 
@@ -124,28 +141,36 @@
 @click.command(epilog="\b\nExample:\n  magpieshift lab door --calls 500")
 @click.option("--calls", default=500, show_default=True, type=WholeNumber())
 @click.option(
-    "--rate", default=300.0, show_default=True, type=REQUEST_RATE_TYPE, help="Requests a second meanwhile."
+    "--rate",
+    default=300.0,
+    show_default=True,
+    type=REQUEST_RATE_TYPE,
+    help="Client requests per second meanwhile.",
 )
 @JSON_OPTION
 def door(calls: int, rate: float, as_json: bool) -> None:
-    """Measure how long the admin server takes to answer under load, with mute callers crowding it."""
+    """Measure how long the admin server takes to answer under load while silent clients occupy its
+    connections."""
     from magpieshift.lab.experiments.admin_client import measure
 
     output.print_rows([asyncio.run(measure(calls, rate))], as_json)
 
 
 @click.command(epilog="\b\nExample:\n  magpieshift lab handover --rounds 40")
-@click.option("--rounds", default=40, show_default=True, type=WholeNumber(), help="Handovers of each way.")
+@click.option(
+    "--rounds", default=40, show_default=True, type=WholeNumber(), help="Number of handovers by each method."
+)
 @click.option(
     "--clients",
     default=16,
     show_default=True,
     type=WholeNumber(1, 1000),
-    help="Threads that connect all the time.",
+    help="Number of client threads that connect continuously.",
 )
 @JSON_OPTION
 def handover(rounds: int, clients: int, as_json: bool) -> None:
-    """Count connections lost while one listener takes an address over, by the way it is done."""
+    """Count the connections lost while one listener takes over an address from another, by handover
+    method."""
     from magpieshift.lab.experiments.handover import OUTCOMES, measure
 
     counts_by_way = measure(rounds, clients)
@@ -157,10 +182,10 @@
 
 @click.command(epilog="\b\nExample:\n  magpieshift lab fleet logs/")
 @click.argument("folder")
-@click.option("--stores", is_flag=True, help="A row an endpoint in place of a row a second.")
+@click.option("--stores", is_flag=True, help="One row per endpoint instead of one row per second.")
 @JSON_OPTION
 def fleet(folder: str, stores: bool, as_json: bool) -> None:
-    """Count what all routers of a fleet did together, from their logs (one file a router, run with
+    """Count the events of all routers of a fleet from their logs (one file per router; routers must run with
     EDGE_TRACE=1)."""
     from pathlib import Path
 
--- a/magpieshift/cli/lab_scale.py
+++ b/magpieshift/cli/lab_scale.py
@@ -1,5 +1,5 @@
-"""The sub-commands of the laboratory of scale. Exit codes: 0 all rules held; 1 one broke, or a process of the
-run ended; 2 the call cannot be used."""
+"""The command ``lab scale`` and the processes that it starts. Exit codes: 0 no invariant was broken; 1 one
+was broken, or a process of the run exited; 2 invalid command line."""
 
 from __future__ import annotations
 
@@ -32,22 +32,22 @@
 CALIBRATE = "calibrate"
 TOPOLOGY = "topology"
 MIN_LOAD_S = 2.0
-"""Shortest load; in less, nothing is measured."""
+"""Shortest duration of the load; a shorter one yields no measurements."""
 MAX_LOAD_S = 86_400.0
-"""Longest load: a day."""
+"""Longest duration of the load: one day."""
 ROLES = ("log", "control", "node", "network", "worker")
-"""The processes of a run."""
+"""Roles of the processes of a run."""
 
 
 def scenario_names() -> Iterable[str]:
-    """What can be named as SCENARIO."""
+    """The names accepted as SCENARIO."""
     from magpieshift.lab.scale.scenario import SCENARIOS
 
     return [*SCENARIOS, CALIBRATE, TOPOLOGY]
 
 
 def feed_names() -> Iterable[str]:
-    """The ways to feed a router."""
+    """The names accepted by --feed: how routers receive changes."""
     from magpieshift.lab.scale.run import FEEDS
 
     return FEEDS
@@ -59,44 +59,64 @@
     "  magpieshift lab scale calibrate --runs 3 --save docs/capacity/calibration.json",
 )
 @click.argument("scenario", required=False, type=LazyChoice(scenario_names))
-@click.option("--list", "listed", is_flag=True, help="The scenarios.")
-@click.option("--routers", type=WholeNumber(), default=20, show_default=True, help="Hollow routers.")
-@click.option("--seed", type=SEED_TYPE, default=1, show_default=True, help="Of the load and of the topology.")
+@click.option("--list", "listed", is_flag=True, help="List the scenarios.")
+@click.option(
+    "--routers", type=WholeNumber(), default=20, show_default=True, help="Number of hollow routers."
+)
+@click.option(
+    "--seed", type=SEED_TYPE, default=1, show_default=True, help="Seed of the load and of the topology."
+)
 @click.option(
     "--seconds",
     type=FiniteNumber(MIN_LOAD_S, MAX_LOAD_S),
     default=20.0,
     show_default=True,
-    help="Length of the load.",
+    help="Duration of the load in seconds.",
 )
 @click.option(
     "--settle",
     type=FiniteNumber(0.0, MAX_LOAD_S),
     default=15.0,
     show_default=True,
-    help="Seconds after it for all to catch up.",
+    help="Longest wait in seconds after the load until all routers have caught up.",
 )
 @click.option(
-    "--feed", type=LazyChoice(feed_names), default="direct", show_default=True, help="How routers are fed."
+    "--feed",
+    type=LazyChoice(feed_names),
+    default="direct",
+    show_default=True,
+    help="How routers receive changes.",
 )
-@click.option("--caches", type=WholeNumber(), default=1000, show_default=True, help="Caches in the list.")
-@click.option("--topology", default="", help="File with the places of routers, in place of --routers.")
 @click.option(
-    "--runs", type=WholeNumber(), default=3, show_default=True, help="Of each size and kind, with calibrate."
+    "--caches",
+    type=WholeNumber(),
+    default=1000,
+    show_default=True,
+    help="Number of caches in the endpoint list.",
+)
+@click.option(
+    "--topology", default="", help="Topology file with the locations of the routers; replaces --routers."
+)
+@click.option(
+    "--runs",
+    type=WholeNumber(),
+    default=3,
+    show_default=True,
+    help="With calibrate: runs of each size and kind.",
 )
 @click.option(
     "--sizes",
     type=WholeNumberList(),
     default="1,4,10",
     show_default=True,
-    help="Numbers of routers, with calibrate.",
+    help="With calibrate: numbers of routers.",
 )
 @click.option(
     "--drop-every",
     type=WholeNumber(0),
     default=0,
     hidden=True,
-    help="Planted fault: routers drop every such purge.",
+    help="Fault injection for tests: each router skips every N-th purge; 0: none.",
 )
 @click.option("--logs", type=WritableFolder(), default="", help="Folder for the log lines of all processes.")
 @click.option("--save", type=WritableFile(), default="", help="File to write the whole result to, as JSON.")
@@ -118,9 +138,9 @@
     save: str,
     as_json: bool,
 ) -> None:
-    """Many hollow routers (the control side of real ones) under the load of a large fleet; exit code 1 if an
-    invariant broke. SCENARIO is one of --list; or "calibrate", which holds hollow ones against real ones; or
-    "topology", which prints a generated file for --topology."""
+    """Run many hollow routers (only the control plane of real ones) under the load of a large fleet; exit
+    code 1 if an invariant was broken. SCENARIO is one of --list; or "calibrate", which compares hollow
+    routers with real ones; or "topology", which prints a generated file for --topology."""
     from magpieshift.lab.scale.calibration import Calibration
     from magpieshift.lab.scale.processes import ProcessExitedError
     from magpieshift.lab.scale.run import Plan
@@ -158,11 +178,11 @@
     except ProcessExitedError as err:
         raise click.ClickException(str(err)) from None
     except TimeoutError:
-        raise click.ClickException("the processes of the run were not ready in time") from None
+        raise click.ClickException("timeout: the processes of the run were not ready in time") from None
 
 
 def _play(plan: Plan, save: str, as_json: bool) -> None:
-    """Run a scenario, and show its result; exit code 1 if an invariant broke."""
+    """Run a scenario and print its result; exit code 1 if an invariant was broken."""
     from magpieshift.lab.scale.run import Run
     from magpieshift.lab.scale.saved import save_result
 
@@ -171,7 +191,7 @@
     progress.clear()
     if save:
         save_result(save, result.as_data(), plan.seed)
-    for note in [*result.notes, *(f"broken: {rule}" for rule in result.rules_broken)]:
+    for note in [*result.notes, *(f"invariant broken: {rule}" for rule in result.rules_broken)]:
         click.echo(note, err=True)
     if as_json:
         click.echo(json.dumps(result.as_data()))
@@ -182,14 +202,14 @@
 
 
 def _print_figures(figures: dict[str, object]) -> None:
-    """Figures for people, one a line."""
+    """Print the figures as a table, one per line."""
     output.print_table(
         ("figure", "value"), [(name, "unknown" if v is None else v) for name, v in figures.items()]
     )
 
 
 def _calibrate(plan: Calibration, save: str, as_json: bool) -> None:
-    """Measure hollow routers against real ones, and show the result."""
+    """Measure hollow routers and real ones under the same load, and print the comparison."""
     from magpieshift.lab.scale.calibration import calibrate
     from magpieshift.lab.scale.saved import save_result
 
@@ -205,18 +225,18 @@
 
 
 class Progress:
-    """One line on a terminal that is written over; nothing elsewhere."""
+    """A progress line on standard error that overwrites itself; shown only on a terminal."""
 
     def __init__(self) -> None:
         self._is_shown = sys.stderr.isatty()
 
     def show(self, line: str) -> None:
-        """Write this line over the last one."""
+        """Replace the progress line with this one."""
         if self._is_shown:
             click.echo(f"\r\033[K{line}", err=True, nl=False)
 
     def clear(self) -> None:
-        """Remove the last line."""
+        """Remove the progress line."""
         if self._is_shown:
             click.echo("\r\033[K", err=True, nl=False)
 
@@ -224,10 +244,11 @@
 @click.command("scale-process", hidden=True)
 @click.argument("role", type=LazyChoice(lambda: ROLES))
 def scale_process(role: str) -> None:
-    """A process of ``lab scale``, which speaks on standard input and output."""
+    """Run one process of ``lab scale``, which exchanges messages with its parent over standard input and
+    output."""
     from magpieshift.lab.scale import changelog, controller, network, node, worker
 
-    setup("pairs")  # as ``run`` has it: what a router logs is part of what it costs
+    setup("pairs")  # the same log setup as ``run``: logging is part of a router's cost
     parts = {
         "log": changelog.run,
         "control": controller.run,
--- a/magpieshift/cli/lab_soak.py
+++ b/magpieshift/cli/lab_soak.py
@@ -1,4 +1,4 @@
-"""The laboratory's command for short lives of routers."""
+"""The command ``lab soak``: short randomized runs of real routers with signals."""
 
 from __future__ import annotations
 
@@ -19,23 +19,33 @@
     "soak",
     epilog="\b\nExamples:\n  magpieshift lab soak --first 1 --seeds 50\n  magpieshift lab soak --only 17",
 )
-@click.option("--first", default=1, show_default=True, type=SEED_TYPE, help="Seed of the first life.")
-@click.option("--seeds", default=DEFAULT_SEEDS, show_default=True, type=WholeNumber(), help="Lives.")
-@click.option("--only", default=None, type=SEED_TYPE, help="Play the life of this seed alone.")
+@click.option("--first", default=1, show_default=True, type=SEED_TYPE, help="Seed of the first run.")
 @click.option(
-    "--parallel", default=1, show_default=True, type=WholeNumber(1, MAX_PARALLEL), help="Lives at a time."
+    "--seeds",
+    default=DEFAULT_SEEDS,
+    show_default=True,
+    type=WholeNumber(),
+    help="Number of runs; seeds count up.",
+)
+@click.option("--only", default=None, type=SEED_TYPE, help="Execute only the run with this seed.")
+@click.option(
+    "--parallel",
+    default=1,
+    show_default=True,
+    type=WholeNumber(1, MAX_PARALLEL),
+    help="Number of concurrent runs.",
 )
 @JSON_OPTION
 def soak(first: int, seeds: int, only: int | None, parallel: int, as_json: bool) -> None:
-    """Play short lives of real routers, full of signals, and judge each to the last request. Exit code 1 if a
-    rule was broken; a life is played again by its seed."""
+    """Execute short randomized runs of real routers that receive many signals, and check the outcome of every
+    request. Exit code 1 if a rule was broken; --only repeats the run with a given seed."""
     from magpieshift.lab.soak.life import LifeReport
     from magpieshift.lab.soak.run import play_lives
 
     setup("pairs", "ERROR")
 
     def tell_findings(report: LifeReport) -> None:
-        """Print what a failing life has shown."""
+        """Print the plan and the findings of a run that broke a rule."""
         if report.findings:
             click.echo(f"seed {report.plan.seed}: {report.plan.describe()}", err=True)
             for finding in report.findings:
--- a/magpieshift/cli/logs.py
+++ b/magpieshift/cli/logs.py
@@ -1,4 +1,4 @@
-"""Log lines by structlog on the standard ``logging``, as key=value pairs or as JSON."""
+"""Configures the standard ``logging`` to write lines through structlog, as key=value pairs or as JSON."""
 
 from __future__ import annotations
 
@@ -17,12 +17,13 @@
     type=click.Choice(["pairs", "json"]),
     default="pairs",
     envvar="EDGE_LOG",
-    help="Form of the log's lines.  [pairs]",
+    help="Format of log lines: key=value pairs or JSON.  [default: pairs]",
 )
 
 
 def _record_pairs(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
-    """The pairs that ``magpieshift.log.fields`` put on the record, the time and the logger's name."""
+    """A structlog processor: puts time, level, logger name and event first, then the fields that
+    ``magpieshift.log.fields`` attached to the record."""
     record: logging.LogRecord = event["_record"]
     pairs: dict[str, Any] = {
         "time": f"{record.created:.3f}",
@@ -35,12 +36,12 @@
 
 
 def _loggable(value: object) -> object:
-    """The value if a renderer shows it as it is; its text else."""
+    """The value if the renderers accept its type, otherwise its text."""
     return value if isinstance(value, str | int | float | bool) else str(value)
 
 
 def setup(form: str = "pairs", level: str = "INFO") -> None:
-    """Send everything to standard error, one line a record; ``form`` is ``pairs`` or ``json``."""
+    """Send all log records to standard error, one line per record; ``form`` is ``pairs`` or ``json``."""
     renderer: Any = (
         structlog.processors.JSONRenderer()
         if form == "json"
@@ -64,7 +65,7 @@
 
 
 def _one_line(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
-    """The event with its line ends escaped: one record must stay one line."""
+    """A structlog processor: escapes line breaks, so that each record stays on one line."""
     return {
         name: value.replace("\r", "\\r").replace("\n", "\\n") if isinstance(value, str) else value
         for name, value in event.items()
--- a/magpieshift/cli/main.py
+++ b/magpieshift/cli/main.py
@@ -1,4 +1,5 @@
-"""The sub-commands; ``magpieshift.cli.errors`` has their exit codes."""
+"""The tree of all commands, and the function that runs a command line; ``magpieshift.cli.errors`` defines the
+exit codes."""
 
 from __future__ import annotations
 
@@ -37,14 +38,14 @@
 @click.group(cls=SuggestingGroup, epilog=EXAMPLES, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="magpieshift")
 def cli() -> None:
-    """An edge router for the caches of a small content network. Without a sub-command, one is run as
-    EDGE_CONFIG, EDGE_LISTEN and EDGE_NAME say."""
+    """An edge router for the caches of a small content network. Without a sub-command, a router is run with
+    the settings named by EDGE_CONFIG, EDGE_LISTEN and EDGE_NAME."""
 
 
 @cli.group(cls=SuggestingGroup)
 def lab() -> None:
-    """The laboratory: failures on purpose, on loopback, and what they show."""
-    # ended from outside, it still ends the routers that it has started
+    """The laboratory: experiments with injected faults and measurements, on loopback or simulated."""
+    # SIGTERM raises KeyboardInterrupt, so that a terminated experiment still stops the routers it has started
     signal.signal(signal.SIGTERM, signal.default_int_handler)
 
 
@@ -86,5 +87,5 @@
 
 
 def run(args: Sequence[str]) -> int:
-    """Run the command line; its exit code."""
+    """Run the command line and return its exit code."""
     return exit_code_of(lambda: cli.main(args=list(args), prog_name=PROGRAM, standalone_mode=False))
--- a/magpieshift/cli/membership.py
+++ b/magpieshift/cli/membership.py
@@ -1,4 +1,4 @@
-"""Commands on what one router sees of the others: membership and overload gossip."""
+"""Commands that show one router's view of the other routers: membership and overload gossip."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
     "load",
     "why",
 )
-"""What is printed of each member; ``--json`` has more."""
+"""Columns of the members table; ``--json`` prints more."""
 TALK_KEYS = ("failing", "left", "over", "share", "why", "pressure", "rate")
-"""What an answer to the admin command TALK must have."""
+"""Keys that an answer to the admin command TALK must have."""
 MEMBERS_KEYS = (
     "members",
     "history",
@@ -41,11 +41,11 @@
     "share",
     "zone_share",
 )
-"""What an answer to the admin command MEMBERS must have."""
+"""Keys that an answer to the admin command MEMBERS must have."""
 ANSWER_TIMEOUT_S = 3.0
-"""For a router's admin server to answer, which a busy one does late."""
+"""Timeout for an answer of a router's admin server; a busy router answers late."""
 MAX_SHOWN_CHARACTERS = 120
-"""Of an answer, in an error."""
+"""Length to which an answer is cut in an error message."""
 
 CONSOLE_OPTION = click.option(
     "--console",
@@ -57,8 +57,8 @@
 
 
 def _query(console: str, command: str, keys: Sequence[str], hint: str) -> dict[str, Any]:
-    """What a router's admin server answers to a command, from JSON, with these keys; ``ConfigError`` where it
-    does not."""
+    """Send an admin command and return the decoded JSON answer. ``ConfigError`` if the server rejects the
+    command (``hint`` then says what to check), does not answer, or answers without these keys."""
     server = parse_address(console, "console")
     answer = asyncio.run(send_admin_command(server, command, ANSWER_TIMEOUT_S))
     if answer.refused:
@@ -79,7 +79,8 @@
 @CONSOLE_OPTION
 @JSON_OPTION
 def talk(console: str, as_json: bool) -> None:
-    """What one router reports and hears of failing endpoints, and whether it hands clients over."""
+    """Show which endpoints routers report as failing, as one router sees it, and whether it offloads
+    requests."""
     answer = _query(console, "TALK", TALK_KEYS, "is (members (digests yes) ...) set?")
     if as_json:
         output.print_json(answer)
@@ -89,18 +90,18 @@
         for endpoint, reporters in answer["failing"].items()
     ]
     output.print_rows(rows, as_json=False)
-    offload = (
-        f"hands over {answer['share']:.0%} ({answer['why']})" if answer["over"] else "hands nothing over"
-    )
+    offload = f"offloads {answer['share']:.0%} ({answer['why']})" if answer["over"] else "offloads nothing"
     click.echo(f"pressure {answer['pressure']:.2f}, {answer['rate']:.0f} requests a second, {offload}")
 
 
 @click.command(epilog="\b\nExample:\n  magpieshift members --console 127.0.0.1:6566")
 @CONSOLE_OPTION
-@click.option("--history", is_flag=True, help="The last changes of its view.")
+@click.option(
+    "--history", is_flag=True, help="Show the last changes of the router's view instead of its members."
+)
 @JSON_OPTION
 def members(console: str, history: bool, as_json: bool) -> None:
-    """The members as one router sees them, and why it suspects any."""
+    """Show the members as one router sees them, and why it suspects any of them."""
     answer = _query(console, "MEMBERS", MEMBERS_KEYS, "is (members ...) set?")
     if as_json:
         output.print_json(answer)
@@ -109,7 +110,7 @@
     if not history:
         rows = [{name: row[name] for name in MEMBER_COLUMNS} for row in answer["members"]]
     output.print_rows(rows, as_json=False)
-    isolated = ", hears nobody" if answer["isolated"] else ""
+    isolated = ", isolated: receives no datagrams from other members" if answer["isolated"] else ""
     click.echo(
         f"{answer['own']}: view {answer['view']} {answer['digest']}, {answer['here']} here{isolated}; "
         f"share {answer['share']:.4f} of all, {answer['zone_share']:.4f} of its zone"
--- a/magpieshift/cli/output.py
+++ b/magpieshift/cli/output.py
@@ -1,4 +1,4 @@
-"""Results on standard output: tables for people, JSON for machines."""
+"""Prints results on standard output: as tables, or as JSON for programs."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
 
 
 def print_rows(rows: Sequence[Mapping[str, object]], as_json: bool) -> None:
-    """Print rows that have the same keys: as a list of objects, or as a table; nothing for no rows."""
+    """Print rows that have the same keys: as a JSON list of objects, or as a table. An empty table is not
+    printed."""
     if as_json:
         print_json(list(rows))
     elif rows:
--- a/magpieshift/cli/parameters.py
+++ b/magpieshift/cli/parameters.py
@@ -1,5 +1,5 @@
-"""Types of parameters that reject bad values before a command begins, saying what was found and what was
-expected. ``magpieshift.cli.errors`` puts the command and the parameter before it."""
+"""Parameter types that reject invalid values before a command starts. The message says what was found and
+what was expected; ``magpieshift.cli.errors`` prefixes it with the command and the parameter."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from magpieshift.config import ConfigError, parse_address
 
 MAX_COUNT = 1_000_000
-"""Largest count where a parameter names no bound of its own; beyond it is a slip of the keyboard."""
+"""Default upper bound of counts; a larger one is taken for a typing error."""
 MAX_NUMBER = 1e6
-"""Likewise of numbers that need not be whole."""
+"""Default upper bound of numbers that need not be whole; a larger one is taken for a typing error."""
 MAX_SEED = (1 << 63) - 1
-"""Largest seed: what a signed number of 64 bits holds."""
+"""Largest seed: the largest signed 64-bit number."""
 
 
 class WholeNumber(click.IntRange):
-    """A whole number from a minimum to a maximum, both included."""
+    """A whole number between a minimum and a maximum, both included."""
 
     name = "number"
 
@@ -38,14 +38,14 @@
 
 
 class FiniteNumber(click.FloatRange):
-    """A finite number from a minimum to a maximum."""
+    """A finite number between a minimum and a maximum, both included."""
 
     name = "number"
 
     def __init__(
         self, minimum: float = 0.0, maximum: float = MAX_NUMBER, above_minimum: bool = False
     ) -> None:
-        """``above_minimum``: the minimum itself is rejected."""
+        """``above_minimum``: the minimum itself is rejected, so the number must be greater."""
         super().__init__(minimum, maximum, min_open=above_minimum)
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
@@ -61,7 +61,7 @@
 
 
 class WholeNumberList(click.ParamType[Any]):
-    """Whole numbers with commas between them, as a tuple."""
+    """Whole numbers separated by commas, converted to a tuple."""
 
     name = "numbers"
 
@@ -77,23 +77,23 @@
         except click.BadParameter:
             self.fail(
                 f"found {value!r}, expected whole numbers from {self._element.min} to {self._element.max} "
-                "with commas between them",
+                "separated by commas",
                 param,
                 ctx,
             )
 
 
 class Address(click.ParamType[Any]):
-    """``host:port``, which stays text; an empty one stands for none."""
+    """A ``host:port`` address, checked but left as text; an empty text means no address."""
 
     name = "host:port"
 
     def __init__(self, any_port: bool = False) -> None:
-        """``any_port``: port 0 stands for one that is free."""
+        """``any_port``: port 0 is accepted; the operating system then picks a free port."""
         self._any_port = any_port
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
-        """The text."""
+        """The address as given."""
         host, _, port = str(value).rpartition(":")
         if not value or (self._any_port and host and port == "0"):
             return value
@@ -105,8 +105,8 @@
 
 
 class LazyChoice(click.ParamType[Any]):
-    """One of several names, which are looked up only when a value is given, since that may import optional
-    libraries; an empty one stands for none."""
+    """One of several names; an empty text means no name. The names are looked up only when a value is given,
+    because the lookup may import optional libraries."""
 
     name = "name"
 
@@ -121,13 +121,13 @@
 
 
 def _nearest_existing(path: Path) -> Path:
-    """The path, or the nearest folder above it that exists."""
+    """The path if it exists, otherwise its nearest existing parent folder."""
     absolute = path.absolute()
     return next(candidate for candidate in (absolute, *absolute.parents) if candidate.exists())
 
 
 class WritableFile(click.ParamType[Any]):
-    """A path that a file can be written to; an empty one stands for none."""
+    """The path of a file that can be written; an empty text means no file."""
 
     name = "file"
 
@@ -145,7 +145,8 @@
 
 
 class WritableFolder(click.ParamType[Any]):
-    """A path of a folder to write into, made where there is none; an empty one stands for none."""
+    """The path of a folder to write into, which the command creates if it does not exist; an empty text means
+    no folder."""
 
     name = "folder"
 
@@ -155,11 +156,15 @@
             return value
         existing = _nearest_existing(Path(value))
         if not existing.is_dir() or not os.access(existing, os.W_OK):
-            self.fail(f"found {value!r}, expected a folder that can be made or written to", param, ctx)
+            self.fail(
+                f"found {value!r}, expected a folder that exists or can be created, and can be written to",
+                param,
+                ctx,
+            )
         return value
 
 
 SEED_TYPE = WholeNumber(0, MAX_SEED)
 FRACTION_TYPE = FiniteNumber(0.0, 1.0)
 REQUEST_RATE_TYPE = FiniteNumber(0.0, 100_000.0, above_minimum=True)
-"""Requests a second; beyond the maximum is a slip of the keyboard."""
+"""Requests per second; a rate above the maximum is taken for a typing error."""
--- a/magpieshift/cli/relays.py
+++ b/magpieshift/cli/relays.py
@@ -1,4 +1,4 @@
-"""Commands of the fan-out tier: run a source or a relay, and see how far behind its followers are."""
+"""Commands of the fan-out tier: run a source or a relay, and show how far behind its followers are."""
 
 from __future__ import annotations
 
@@ -19,10 +19,13 @@
     from magpieshift.relay.node import RelayNode, SourceNode
 
 LISTEN_OPTION = click.option(
-    "--listen", required=True, type=Address(any_port=True), help="host:port for relays and routers."
+    "--listen",
+    required=True,
+    type=Address(any_port=True),
+    help="host:port to listen on for relays and routers.",
 )
 SHOWN_DIGEST_CHARACTERS = 12
-"""Of a digest; enough to tell versions apart."""
+"""Length to which digests are cut; enough to tell versions apart."""
 
 EXAMPLES = """\b
 Examples:
@@ -35,7 +38,7 @@
 
 @click.group(cls=SuggestingGroup, epilog=EXAMPLES)
 def relay() -> None:
-    """The fan-out tier between the change log and the routers."""
+    """Run and inspect the fan-out tier between the change log and the routers."""
 
 
 @relay.command(
@@ -45,10 +48,11 @@
 @click.option("--versions", default="", help="Folder of configuration versions (files NUMBER.sexp).")
 @LISTEN_OPTION
 @click.option("--name", default="source", show_default=True)
-@click.option("--region", default="", help="Where it stands.")
+@click.option("--region", default="", help="Region of the source.")
 @LOG_OPTION
 def source(changelog: str, versions: str, listen: str, name: str, region: str, log_form: str) -> None:
-    """Number the changes of the change log and of a folder of versions, and serve them to relays."""
+    """Run a source: merge the changes of the change log and a folder of versions into one numbered log, and
+    serve it to relays."""
     from magpieshift.relay.node import SourceNode, SourceOptions
 
     if versions and not Path(versions).is_dir():
@@ -62,13 +66,18 @@
     epilog="\b\nExample:\n  magpieshift relay serve --source 10.0.0.1:7090 --listen 0.0.0.0:7091 "
     "--name n1 --region north"
 )
-@click.option("--source", "sources", required=True, help="host:port of the source; several with commas.")
+@click.option(
+    "--source",
+    "sources",
+    required=True,
+    help="[REGION/]host:port of the source; several separated by commas.",
+)
 @LISTEN_OPTION
-@click.option("--name", required=True, help="Unique among the source's relays.")
-@click.option("--region", required=True, help="Where it stands.")
+@click.option("--name", required=True, help="Name of the relay, unique among the source's relays.")
+@click.option("--region", required=True, help="Region of the relay.")
 @LOG_OPTION
 def serve(sources: str, listen: str, name: str, region: str, log_form: str) -> None:
-    """Follow a source, and serve its changes to routers."""
+    """Run a relay: follow a source, and serve its changes to routers."""
     from magpieshift.relay.addresses import read_relays
     from magpieshift.relay.node import RelayNode, RelayOptions
 
@@ -80,12 +89,12 @@
 
 
 def _run(make_node: Callable[[], SourceNode | RelayNode]) -> None:
-    """Run a node until a signal ends it. It is made on the event loop."""
+    """Run a node until a stop signal arrives. The node is created on the running event loop."""
     from magpieshift.relay.errors import SourceSupersededError
     from magpieshift.signals import ignore_reload, signal_handlers
 
     async def run_node() -> None:
-        """Make the node and run it."""
+        """Create the node and run it."""
         node = make_node()
         with signal_handlers(node.stop, ignore_reload):
             await node.run()
@@ -100,8 +109,8 @@
 @click.argument("place", metavar="HOST:PORT", type=Address())
 @JSON_OPTION
 def status_(place: str, as_json: bool) -> None:
-    """How far behind each follower is, as a source or relay reports it; exit code 1 where it does not
-    answer."""
+    """Show how far behind each follower of a source or relay is, as that source or relay reports it; exit
+    code 1 if it does not answer."""
     from magpieshift.relay import status
     from magpieshift.relay.errors import RelayUnreachableError
 
--- a/magpieshift/cli/rollouts.py
+++ b/magpieshift/cli/rollouts.py
@@ -1,4 +1,4 @@
-"""Commands on rollouts: plan, start, look at, stop and put back."""
+"""Commands that check, start, resume, inspect, pause, stop and roll back rollouts."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 if TYPE_CHECKING:
     from magpieshift.rollout.plan import Plan
 
-STATE_OPTION = click.option("--state", required=True, help="Folder of the rollout's journal.")
+STATE_OPTION = click.option("--state", required=True, help="Folder with the rollout's journal and status.")
 WATCH_INTERVAL_S = 1.0
-"""How often ``status --watch`` looks; its help says each second."""
+"""Polling interval of ``status --watch``; the option's help text states it."""
 MAX_SHOWN_CHANGES = 12
-"""Routers named in a row of a plan; a table must stay readable."""
+"""Largest number of routers named in a row of ``rollout check``, to keep the table readable."""
 STATUS_KEYS = (
     "name",
     "term",
@@ -41,11 +41,11 @@
 
 @click.group(cls=SuggestingGroup)
 def rollout() -> None:
-    """Change a fleet in stages, with old and new compared side by side."""
+    """Roll out a new version to a fleet in stages, comparing old and new routers side by side."""
 
 
 def _load_plan(path: str) -> Plan:
-    """The plan in a file; ``ConfigError`` where it cannot be used."""
+    """The plan in a file; ``ConfigError`` if it cannot be used."""
     from magpieshift.control.errors import UnusableDocumentError
     from magpieshift.rollout.plan_reader import load_plan_file
 
@@ -59,7 +59,7 @@
 @click.argument("plan")
 @JSON_OPTION
 def check(plan: str, as_json: bool) -> None:
-    """Whether a plan can be used, and what it would change when."""
+    """Validate a plan, and show which routers each stage would change."""
     loaded = _load_plan(plan)
     changed: set[str] = set()
     rows = []
@@ -80,7 +80,8 @@
 
 
 def _carry_out(plan_path: str, state: str, as_json: bool, is_new: bool, put_back: bool = False) -> None:
-    """Run a coordinator to its end; exit code 1 where the fleet is not what was wanted then."""
+    """Run a coordinator until its rollout is over, held or superseded; exit code 1 if not all routers run
+    the new version then, or with ``put_back`` the old one."""
     from magpieshift.rollout.errors import JournalError, TermUnknownError
     from magpieshift.rollout.journal import read_rows
     from magpieshift.rollout.runner import RolloutRunner
@@ -90,7 +91,7 @@
     last_line = ""
 
     def print_status(status: Any) -> None:
-        """Print a status, unless it reads like the last one."""
+        """Print a status line, unless it equals the previous one."""
         nonlocal last_line
         line = (
             f"{status['way']:8} {status['stage']:10} new {len(status['new'])} old {len(status['old'])} "
@@ -103,7 +104,9 @@
     setup("pairs")
     try:
         if is_new and read_rows(folder):
-            raise ConfigError(f"{state} holds a rollout already: resume it, or name another folder")
+            raise ConfigError(
+                f"--state: {state} already contains a rollout; resume it, or choose another folder"
+            )
         status = asyncio.run(RolloutRunner(plan, folder, on_status=print_status, roll_back=put_back).run())
     except (JournalError, ValueError) as err:
         raise ConfigError(str(err)) from err
@@ -121,37 +124,45 @@
 @STATE_OPTION
 @JSON_OPTION
 def start(plan: str, state: str, as_json: bool) -> None:
-    """Carry a plan out. Exit code 1 where the fleet is not all new at the end."""
+    """Carry out a plan. Exit code 1 if not all routers run the new version at the end."""
     _carry_out(plan, state, as_json, is_new=True)
 
 
 @rollout.command(epilog="\b\nExample:\n  magpieshift rollout resume plan.sexp --state rollouts/new-7")
 @click.argument("plan")
 @STATE_OPTION
-@click.option("--back", "put_back", is_flag=True, help="Put all back in place of going on.")
+@click.option("--back", "put_back", is_flag=True, help="Roll all routers back instead of continuing.")
 @JSON_OPTION
 def resume(plan: str, state: str, put_back: bool, as_json: bool) -> None:
-    """Go on with a rollout whose coordinator has ended or held, under a later term."""
+    """Resume, under a new term, a rollout whose coordinator has exited or put it on hold. Exit code 1 if not
+    all routers run the new version at the end, or with --back the old one."""
     _carry_out(plan, state, as_json, is_new=False, put_back=put_back)
 
 
 def _read_status(path: Path) -> dict[str, Any]:
-    """What a coordinator has left in its folder; ``ConfigError`` where that is no status."""
+    """The status that a coordinator wrote to its folder; ``ConfigError`` if it is missing or invalid."""
     try:
         read_status = json.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError, RecursionError) as err:
-        raise ConfigError(f"{path.parent}: no status: {err}") from err
+        raise ConfigError(f"{path.parent}: the rollout status cannot be read: {err}") from err
     if not isinstance(read_status, dict) or not read_status.keys() >= set(STATUS_KEYS):
-        raise ConfigError(f"{path}: found {read_status!r:.80}, expected {', '.join(STATUS_KEYS)}")
+        raise ConfigError(
+            f"{path}: found {read_status!r:.80}, expected a status with the keys {', '.join(STATUS_KEYS)}"
+        )
     return read_status
 
 
 @rollout.command(epilog="\b\nExample:\n  magpieshift rollout status --state rollouts/new-7 --watch")
 @STATE_OPTION
-@click.option("--watch", is_flag=True, help="Again every second, until it is over.")
+@click.option(
+    "--watch",
+    is_flag=True,
+    help="Print the status every second until the rollout is over, held or superseded.",
+)
 @JSON_OPTION
 def status(state: str, watch: bool, as_json: bool) -> None:
-    """Where a rollout stands: stages, routers, both sides' figures, and why it does what it does."""
+    """Show the status of a rollout: stages, routers, figures of old and new routers, the verdict and its
+    reason."""
     from magpieshift.rollout.state_folder import STATUS_FILE
 
     while True:
@@ -166,10 +177,10 @@
 
 
 def _print_status(current: dict[str, Any]) -> None:
-    """A rollout's status for people."""
+    """Print a rollout's status as text."""
     stages = " ".join(f"[{stage}]" if stage == current["stage"] else stage for stage in current["stages"])
     click.echo(f"{current['name']} (term {current['term']}): {current['way']}, {stages}")
-    away = ", ".join(current["away"]) or "nobody"
+    away = ", ".join(current["away"]) or "none"
     click.echo(f"new {len(current['new'])}, old {len(current['old'])}, away: {away}")
     rows = [
         {
@@ -189,7 +200,7 @@
 @rollout.command(epilog="\b\nExample:\n  magpieshift rollout report --state rollouts/v7")
 @STATE_OPTION
 def report(state: str) -> None:
-    """An HTML report with plots of a rollout, under way or over; needs the laboratory's libraries."""
+    """Write an HTML report with plots of a running or finished rollout; needs the laboratory's libraries."""
     from magpieshift.lab.experiments import rollout_report
     from magpieshift.rollout.errors import JournalError
 
@@ -200,26 +211,26 @@
 
 
 def _require_rollout(folder: Path) -> None:
-    """``ConfigError`` where no coordinator has ever worked in this folder."""
+    """``ConfigError`` unless a coordinator has written a journal in this folder."""
     from magpieshift.rollout.errors import JournalError
     from magpieshift.rollout.journal import read_rows
 
     if not folder.is_dir():
-        raise ConfigError(f"{folder} is no folder")
+        raise ConfigError(f"--state: found {str(folder)!r}, expected a folder")
     try:
         records = read_rows(folder)
     except JournalError as err:
         raise ConfigError(f"{folder}: {err}") from err
     if not records:
-        raise ConfigError(f"{folder} holds no rollout")
+        raise ConfigError(f"--state: {folder} contains no rollout")
 
 
 def _add_control_command(word: str, help_text: str) -> None:
-    """Add a sub-command that gives a running coordinator this word."""
+    """Add a sub-command that sends this action to a running coordinator."""
 
     @rollout.command(word, help=help_text)
     @STATE_OPTION
-    @click.option("--why", default="", help="For the journal.")
+    @click.option("--why", default="", help="Reason to record in the journal.")
     def _control(state: str, why: str) -> None:
         from magpieshift.rollout.state_folder import request_action
 
@@ -228,9 +239,9 @@
 
 
 for _word, _help_text in (
-    ("pause", "Begin no further step until resumed."),
-    ("go-on", "Go on after a pause."),
-    ("stop", "Stop where it stands."),
-    ("back", "Put all back."),
+    ("pause", "Start no further steps until go-on is given."),
+    ("go-on", "Continue after a pause."),
+    ("stop", "Put the rollout on hold; routers keep the versions that they run."),
+    ("back", "Roll all routers back to the old version."),
 ):
     _add_control_command(_word, _help_text)
--- a/magpieshift/cli/router.py
+++ b/magpieshift/cli/router.py
@@ -1,4 +1,4 @@
-"""The command that runs a router."""
+"""The command ``run``: an edge router with all extensions."""
 
 from __future__ import annotations
 
@@ -11,37 +11,65 @@
 @click.command(
     "run", epilog="\b\nExample:\n  magpieshift run --config router.sexp --state /var/lib/magpieshift"
 )
-@click.option("--config", envvar="EDGE_CONFIG", default="", help="Settings file.")
+@click.option(
+    "--config", envvar="EDGE_CONFIG", default="", help="Settings file (S-expression or the platform's JSON)."
+)
 @click.option("--state", envvar="EDGE_STATE", default="", help="Folder where versions are stored.")
 @click.option(
     "--control", envvar="EDGE_CONTROL", default="", type=Address(), help="host:port of the control service."
 )
-@click.option("--name", envvar="EDGE_NAME", default="", help="Wins over the settings' name.")
+@click.option("--name", envvar="EDGE_NAME", default="", help="Router name; replaces the one in the settings.")
+@click.option(
+    "--listen",
+    envvar="EDGE_LISTEN",
+    default="",
+    type=Address(),
+    help="host:port to listen on; replaces the one in the settings.",
+)
 @click.option(
-    "--listen", envvar="EDGE_LISTEN", default="", type=Address(), help="Wins over the settings' listen."
+    "--console",
+    envvar="EDGE_CONSOLE",
+    default="",
+    type=Address(),
+    help="host:port of the admin server; replaces the one in the settings.",
 )
 @click.option(
-    "--console", envvar="EDGE_CONSOLE", default="", type=Address(), help="host:port for operators' calls."
+    "--capture", envvar="EDGE_CAPTURE", default="", help="Folder to record a capture of all decisions in."
 )
-@click.option("--capture", envvar="EDGE_CAPTURE", default="", help="Folder to record all decisions into.")
 @click.option(
     "--capture-mb", envvar="EDGE_CAPTURE_MB", default=512, show_default=True, type=WholeNumber(64, 1 << 30)
 )
 @click.option(
-    "--hash-key", envvar="EDGE_HASH_KEY", default="", help="File with a key to hash object ids under."
+    "--hash-key",
+    envvar="EDGE_HASH_KEY",
+    default="",
+    help="File with a key; captures contain keyed hashes in place of object ids.",
+)
+@click.option(
+    "--label",
+    envvar="EDGE_LABEL",
+    default="",
+    help="The rollout's label for what this process runs; reported with its counters.",
 )
-@click.option("--label", envvar="EDGE_LABEL", default="", help="What this process runs, as a rollout says.")
 @click.option(
     "--term",
     envvar="EDGE_TERM",
     default=-1,
     type=WholeNumber(-1, 1 << 53),
-    help="Of the rollout that starts it; -1: none.",
+    help="Term of the rollout that starts this router; commands of older terms are rejected. -1: none.",
+)
+@click.option(
+    "--relays",
+    envvar="EDGE_RELAYS",
+    default="",
+    help="Relays [REGION/]host:port,... to follow instead of the change log.",
 )
 @click.option(
-    "--relays", envvar="EDGE_RELAYS", default="", help="[REGION/]host:port,... to follow, not the change log."
+    "--region",
+    envvar="EDGE_REGION",
+    default="",
+    help="Region of this router; relays of the same region are preferred.",
 )
-@click.option("--region", envvar="EDGE_REGION", default="", help="Where it stands; its relays come first.")
 @LOG_OPTION
 def run_(
     config: str,
@@ -59,7 +87,8 @@
     region: str,
     log_form: str,
 ) -> None:
-    """Run an edge router, with versions stored and followed where the options say so."""
+    """Run an edge router. With --state it stores configuration versions; with --control or --relays it
+    follows new ones."""
     from magpieshift.extensions.runner import Options, run
 
     setup(log_form)
