--- a/magpieshift/cli/configuration.py
+++ b/magpieshift/cli/configuration.py
@@ -139,8 +139,8 @@
             {"damaged": contents.damaged_stretches, "torn_bytes": contents.torn_bytes, "versions": versions}
         )
         return
-    head = ("version", "state", "since (UTC)", "from", "digest", "why")
-    output.print_table(head, [_record_row(record) for record in records])
+    header = ("version", "state", "since (UTC)", "from", "digest", "why")
+    output.print_table(header, [_record_row(record) for record in records])
     if contents.damaged_stretches or contents.torn_bytes:
         click.echo(
             f"version store: {contents.damaged_stretches} damaged byte ranges, "
@@ -201,9 +201,9 @@
         raise ConfigError(f"{Path(versions) / f'{number}.sexp'}: {err}") from err
     new_number = max(published) + 1
     path = Path(versions) / f"{new_number}.sexp"
-    unfinished = path.with_suffix(".new")
-    unfinished.write_text(f"; version {number} again\n{sexp.format_document(data)}", encoding="utf-8")
-    os.rename(unfinished, path)  # atomic: the service must not read a partly written file
+    temporary_path = path.with_suffix(".new")
+    temporary_path.write_text(f"; version {number} again\n{sexp.format_document(data)}", encoding="utf-8")
+    os.rename(temporary_path, path)  # atomic: the service must not read a partly written file
     if as_json:
         output.print_json({"version": new_number, "of": number, "digest": published[number].digest})
     else:
--- a/magpieshift/cli/lab_episode.py
+++ b/magpieshift/cli/lab_episode.py
@@ -19,7 +19,7 @@
     from magpieshift.lab.experiments.scenario import Scenario
 
 
-def _scenario(file: str, seconds: float, seed: int, rate: float) -> Scenario:
+def _load_or_draw_scenario(file: str, seconds: float, seed: int, rate: float) -> Scenario:
     """The scenario in a file, or a random one drawn from the seed if no file is given."""
     from magpieshift.control.errors import UnusableDocumentError
     from magpieshift.lab.experiments import scenario
@@ -71,7 +71,9 @@
 ) -> None:
     """Run a real router with emulated endpoints that fail: caches and parent caches die, the endpoint list is
     late, the origin slows down. Exit code 1 if a rule was broken."""
-    outcome = _play(_scenario(file, seconds, seed, rate), folder, report, save, not as_json)
+    outcome = _run_episode(
+        _load_or_draw_scenario(file, seconds, seed, rate), folder, report, save, not as_json
+    )
     if as_json:
         output.print_json(outcome.as_json())
     else:
@@ -81,7 +83,7 @@
     raise SystemExit(0 if outcome.good else 1)
 
 
-def _play(scenario: Scenario, folder: str, report: str, save: str, show_progress: bool) -> Outcome:
+def _run_episode(scenario: Scenario, folder: str, report: str, save: str, show_progress: bool) -> Outcome:
     """Run the episode, and write the requested report and saved run."""
     import json
     from pathlib import Path
@@ -140,11 +142,11 @@
     folder = Path(out)
     shutil.rmtree(folder / "capture", ignore_errors=True)
     folder.mkdir(parents=True, exist_ok=True)
-    scenario = _scenario("", seconds, 2, 100.0)
+    scenario = _load_or_draw_scenario("", seconds, 2, 100.0)
     click.echo("Faults to be injected:")
     for failure in scenario.faults:
         click.echo(f"  {failure}")
-    outcome = _play(
+    outcome = _run_episode(
         scenario, str(folder / "capture"), str(folder / "report.html"), str(folder / "run.json"), True
     )
     output.print_table(("figure", "value"), list(outcome.as_json().items()))
--- a/magpieshift/cli/lab_fleet.py
+++ b/magpieshift/cli/lab_fleet.py
@@ -184,12 +184,12 @@
 
     if liars > routers:
         raise ConfigError(f"--liars: found {liars}, expected at most {routers}, the number of routers")
-    form = FleetSize(routers=routers, seed=seed, load_factor=load)
+    fleet_size = FleetSize(routers=routers, seed=seed, load_factor=load)
     if show_map:
-        output.print_rows([vars(point) for point in map_of(form, os.cpu_count() or 1)], as_json)
+        output.print_rows([vars(point) for point in map_of(fleet_size, os.cpu_count() or 1)], as_json)
         return
     for name in [scenario] if scenario else SCENARIOS:
-        row = play(name, form, None if without else GossipSettings(digests_lost, liars)).row()
+        row = play(name, fleet_size, None if without else GossipSettings(digests_lost, liars)).row()
         if as_json:
             click.echo(json.dumps(row))
         else:
--- a/magpieshift/cli/lab_rollout.py
+++ b/magpieshift/cli/lab_rollout.py
@@ -85,9 +85,9 @@
     has_failed = False
     for name in [scenario] if scenario else list(known):
         if simulated:
-            row, is_good = _play_simulated(name, routers or DEFAULT_SIMULATED_ROUTERS, runs, seed, before)
+            row, is_good = _run_simulated(name, routers or DEFAULT_SIMULATED_ROUTERS, runs, seed, before)
         else:
-            row, is_good = _play_real(name, routers or DEFAULT_REAL_ROUTERS, seed, folder)
+            row, is_good = _run_real(name, routers or DEFAULT_REAL_ROUTERS, seed, folder)
         has_failed |= not is_good
         if as_json:
             click.echo(json.dumps(row))
@@ -97,7 +97,7 @@
         raise SystemExit(1)
 
 
-def _play_simulated(
+def _run_simulated(
     name: str, routers: int, runs: int, seed: int, before: bool
 ) -> tuple[dict[str, Any], bool]:
     """The figures of simulated rollouts, and whether all of them ended, none was stopped wrongly and no two
@@ -110,7 +110,7 @@
     return row, not (row["stopped_wrongly"] or row["not_ended"] or row["terms_at_once"])
 
 
-def _play_real(name: str, routers: int, seed: int, folder: str) -> tuple[dict[str, Any], bool]:
+def _run_real(name: str, routers: int, seed: int, folder: str) -> tuple[dict[str, Any], bool]:
     """The figures of a rollout of real processes, and whether its verdict was right and no rule was
     broken."""
     import tempfile
--- a/magpieshift/cli/lab_router.py
+++ b/magpieshift/cli/lab_router.py
@@ -173,9 +173,12 @@
     method."""
     from magpieshift.lab.experiments.handover import OUTCOMES, measure
 
-    counts_by_way = measure(rounds, clients)
+    counts_by_method = measure(rounds, clients)
     output.print_rows(
-        [{"way": way} | {name: counts[name] for name in OUTCOMES} for way, counts in counts_by_way.items()],
+        [
+            {"way": method} | {name: counts[name] for name in OUTCOMES}
+            for method, counts in counts_by_method.items()
+        ],
         as_json,
     )
 
--- a/magpieshift/cli/lab_scale.py
+++ b/magpieshift/cli/lab_scale.py
@@ -174,19 +174,19 @@
             logs=logs,
         )
         Path(logs or ".").mkdir(parents=True, exist_ok=True)
-        _play(plan, save, as_json)
+        _run_scenario(plan, save, as_json)
     except ProcessExitedError as err:
         raise click.ClickException(str(err)) from None
     except TimeoutError:
         raise click.ClickException("timeout: the processes of the run were not ready in time") from None
 
 
-def _play(plan: Plan, save: str, as_json: bool) -> None:
+def _run_scenario(plan: Plan, save: str, as_json: bool) -> None:
     """Run a scenario and print its result; exit code 1 if an invariant was broken."""
     from magpieshift.lab.scale.run import Run
     from magpieshift.lab.scale.saved import save_result
 
-    progress = Progress()
+    progress = ProgressLine()
     result = asyncio.run(Run(plan, progress.show).play())
     progress.clear()
     if save:
@@ -213,7 +213,7 @@
     from magpieshift.lab.scale.calibration import calibrate
     from magpieshift.lab.scale.saved import save_result
 
-    progress = Progress()
+    progress = ProgressLine()
     result = asyncio.run(calibrate(plan, progress.show))
     progress.clear()
     if save:
@@ -224,7 +224,7 @@
         output.print_rows(result["rows"], as_json=False)
 
 
-class Progress:
+class ProgressLine:
     """A progress line on standard error that overwrites itself; shown only on a terminal."""
 
     def __init__(self) -> None:
@@ -249,11 +249,11 @@
     from magpieshift.lab.scale import changelog, controller, network, node, worker
 
     setup("pairs")  # the same log setup as ``run``: logging is part of a router's cost
-    parts = {
+    run_by_role = {
         "log": changelog.run,
         "control": controller.run,
         "node": node.run,
         "network": network.run,
         "worker": worker.run,
     }
-    asyncio.run(parts[role]())
+    asyncio.run(run_by_role[role]())
--- a/magpieshift/cli/lab_soak.py
+++ b/magpieshift/cli/lab_soak.py
@@ -44,7 +44,7 @@
 
     setup("pairs", "ERROR")
 
-    def tell_findings(report: LifeReport) -> None:
+    def print_findings(report: LifeReport) -> None:
         """Print the plan and the findings of a run that broke a rule."""
         if report.findings:
             click.echo(f"seed {report.plan.seed}: {report.plan.describe()}", err=True)
@@ -52,6 +52,6 @@
                 click.echo(f"  {finding}", err=True)
 
     chosen = range(first, first + seeds) if only is None else [only]
-    reports = asyncio.run(play_lives(chosen, parallel, on_report=tell_findings))
+    reports = asyncio.run(play_lives(chosen, parallel, on_report=print_findings))
     output.print_rows([report.as_row() for report in reports], as_json)
     raise SystemExit(1 if any(report.findings for report in reports) else 0)
--- a/magpieshift/cli/membership.py
+++ b/magpieshift/cli/membership.py
@@ -90,8 +90,8 @@
         for endpoint, reporters in answer["failing"].items()
     ]
     output.print_rows(rows, as_json=False)
-    offload = f"offloads {answer['share']:.0%} ({answer['why']})" if answer["over"] else "offloads nothing"
-    click.echo(f"pressure {answer['pressure']:.2f}, {answer['rate']:.0f} requests a second, {offload}")
+    offloading = f"offloads {answer['share']:.0%} ({answer['why']})" if answer["over"] else "offloads nothing"
+    click.echo(f"pressure {answer['pressure']:.2f}, {answer['rate']:.0f} requests a second, {offloading}")
 
 
 @click.command(epilog="\b\nExample:\n  magpieshift members --console 127.0.0.1:6566")
--- a/magpieshift/cli/output.py
+++ b/magpieshift/cli/output.py
@@ -13,10 +13,10 @@
     click.echo(json.dumps(value))
 
 
-def print_table(head: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
+def print_table(header: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
     """Print a table whose columns are as wide as their widest cell."""
-    cells = [list(map(str, row)) for row in [head, *rows]]
-    widths = [max(len(row[column]) for row in cells) for column in range(len(head))]
+    cells = [list(map(str, row)) for row in [header, *rows]]
+    widths = [max(len(row[column]) for row in cells) for column in range(len(header))]
     for row in cells:
         click.echo("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip())
 
--- a/magpieshift/cli/rollouts.py
+++ b/magpieshift/cli/rollouts.py
@@ -21,7 +21,7 @@
 STATE_OPTION = click.option("--state", required=True, help="Folder with the rollout's journal and status.")
 WATCH_INTERVAL_S = 1.0
 """Polling interval of ``status --watch``; the option's help text states it."""
-MAX_SHOWN_CHANGES = 12
+MAX_SHOWN_ROUTERS = 12
 """Largest number of routers named in a row of ``rollout check``, to keep the table readable."""
 STATUS_KEYS = (
     "name",
@@ -73,15 +73,17 @@
                 "of": len(loaded.routers),
                 "soak_s": stage.bake_s,
                 "most_s": stage.max_bake_s,
-                "changes": " ".join(changes[:MAX_SHOWN_CHANGES]),
+                "changes": " ".join(changes[:MAX_SHOWN_ROUTERS]),
             }
         )
     output.print_rows(rows, as_json)
 
 
-def _carry_out(plan_path: str, state: str, as_json: bool, is_new: bool, put_back: bool = False) -> None:
+def _run_coordinator(
+    plan_path: str, state: str, as_json: bool, is_new: bool, roll_back: bool = False
+) -> None:
     """Run a coordinator until its rollout is over, held or superseded; exit code 1 if not all routers run
-    the new version then, or with ``put_back`` the old one."""
+    the new version then, or with ``roll_back`` the old one."""
     from magpieshift.rollout.errors import JournalError, TermUnknownError
     from magpieshift.rollout.journal import read_rows
     from magpieshift.rollout.runner import RolloutRunner
@@ -107,15 +109,15 @@
             raise ConfigError(
                 f"--state: {state} already contains a rollout; resume it, or choose another folder"
             )
-        status = asyncio.run(RolloutRunner(plan, folder, on_status=print_status, roll_back=put_back).run())
+        status = asyncio.run(RolloutRunner(plan, folder, on_status=print_status, roll_back=roll_back).run())
     except (JournalError, ValueError) as err:
         raise ConfigError(str(err)) from err
     except TermUnknownError as err:
         raise click.ClickException(str(err)) from err
     if as_json:
         click.echo(json.dumps(status))
-    wanted = "old" if put_back else "new"
-    if status["way"] != "ended" or status[wanted] != sorted(plan.routers):
+    target = "old" if roll_back else "new"
+    if status["way"] != "ended" or status[target] != sorted(plan.routers):
         raise SystemExit(1)
 
 
@@ -125,31 +127,31 @@
 @JSON_OPTION
 def start(plan: str, state: str, as_json: bool) -> None:
     """Carry out a plan. Exit code 1 if not all routers run the new version at the end."""
-    _carry_out(plan, state, as_json, is_new=True)
+    _run_coordinator(plan, state, as_json, is_new=True)
 
 
 @rollout.command(epilog="\b\nExample:\n  magpieshift rollout resume plan.sexp --state rollouts/new-7")
 @click.argument("plan")
 @STATE_OPTION
-@click.option("--back", "put_back", is_flag=True, help="Roll all routers back instead of continuing.")
+@click.option("--back", "roll_back", is_flag=True, help="Roll all routers back instead of continuing.")
 @JSON_OPTION
-def resume(plan: str, state: str, put_back: bool, as_json: bool) -> None:
+def resume(plan: str, state: str, roll_back: bool, as_json: bool) -> None:
     """Resume, under a new term, a rollout whose coordinator has exited or put it on hold. Exit code 1 if not
     all routers run the new version at the end, or with --back the old one."""
-    _carry_out(plan, state, as_json, is_new=False, put_back=put_back)
+    _run_coordinator(plan, state, as_json, is_new=False, roll_back=roll_back)
 
 
 def _read_status(path: Path) -> dict[str, Any]:
     """The status that a coordinator wrote to its folder; ``ConfigError`` if it is missing or invalid."""
     try:
-        read_status = json.loads(path.read_text(encoding="utf-8"))
+        status_data = json.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError, RecursionError) as err:
         raise ConfigError(f"{path.parent}: the rollout status cannot be read: {err}") from err
-    if not isinstance(read_status, dict) or not read_status.keys() >= set(STATUS_KEYS):
+    if not isinstance(status_data, dict) or not status_data.keys() >= set(STATUS_KEYS):
         raise ConfigError(
-            f"{path}: found {read_status!r:.80}, expected a status with the keys {', '.join(STATUS_KEYS)}"
+            f"{path}: found {status_data!r:.80}, expected a status with the keys {', '.join(STATUS_KEYS)}"
         )
-    return read_status
+    return status_data
 
 
 @rollout.command(epilog="\b\nExample:\n  magpieshift rollout status --state rollouts/new-7 --watch")
