--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,9 +1,8 @@
-"""Bad input to every command: one clear line on standard error, and exit code 2.
+"""Invalid input to every command must give one line on standard error and exit code 2.
 
-``ROWS`` has what each command is called with; a command of the tree without a row fails the test. What does
-not need a row of its own (an unknown option, a parameter whose type takes no such text) is tried at every
-command by the tree itself.
-"""
+``ROWS`` lists the invalid calls of each command; a command without an entry fails the test. Unknown options
+and option values that the parameter type rejects need no entry: they are tried with every command of the
+tree."""
 
 from __future__ import annotations
 
@@ -28,13 +27,16 @@
 from tests.control.test_schema import EXAMPLE
 from tests.real.exchange import ROOT
 
-REFUSED_WITHIN_S = 30  # a command that takes longer was not refused but begun
-NONSENSE = "?"  # no number, no address, no name of anything
+REFUSED_WITHIN_S = 30  # a command that runs longer has accepted the input and started
+NONSENSE = "?"  # not a number, an address or a valid name
 
-# what comes after the command's words, and what the line must say besides; {good} is a settings file, {plan}
-# a rollout's plan, {text} a file of other text, {bytes} one that is no text, {folder} an empty folder, {none}
-# nothing, {under} a path under a file, {door} the address of something that answers nonsense, {closed} one
-# where nobody listens, {state} the folder of a rollout whose status is damaged
+# The arguments after the command's name, and a text that the error line must contain. Placeholders: {good} is
+# a valid settings file, {plan} a valid rollout plan, {text} a text file in no accepted format, {bytes} a file
+# that is not UTF-8, {json} a JSON file that is not a saved episode, {folder} an empty folder, {versions} a
+# folder of unusable versions, {logs} a folder with a folder in place of a log file, {capture} a valid
+# capture, {none} a path that does not exist, {under} a path below a file, {door} the address of a server that
+# gives invalid answers, {closed} an address without a listener, {state} the folder of a rollout whose status
+# file is invalid.
 Row = tuple[str, str]
 FILES: list[Row] = [
     ("{none}", "{none}"),
@@ -96,7 +98,7 @@
         ("1 --versions {text}", "{text}"),
         ("1 --versions {folder}", "{folder} has no version 1"),
         ("1 --versions {versions}", "1.sexp: line 1"),
-        ("2 --versions {versions}", "has no version 2"),  # a folder of that name
+        ("2 --versions {versions}", "has no version 2"),  # 2.sexp is a folder
         ("-- -1 --versions {folder}", "NUMBER: found '-1'"),
         ("1", "--versions"),
     ],
@@ -246,7 +248,7 @@
 
 
 def leaves(group: click.Group, before: str = "") -> Iterator[tuple[str, click.Command]]:
-    """All commands below a group, by the words they are called with."""
+    """All commands below a group, each with its full name on the command line."""
     for name, command in group.commands.items():
         words = f"{before} {name}".strip()
         if isinstance(command, click.Group):
@@ -256,7 +258,7 @@
 
 
 def groups(group: click.Group, before: str = "") -> Iterator[str]:
-    """The words of a group and of all groups below it."""
+    """The names of a group and of all groups below it."""
     yield before
     for name, command in group.commands.items():
         if isinstance(command, click.Group):
@@ -264,7 +266,8 @@
 
 
 def takes_any_text(option: click.Option) -> bool:
-    """Whether nonsense is no mistake: a flag takes no value, and a plain text any."""
+    """Whether an option cannot be tested with an invalid value: flags take no value, text and folder options
+    take any text."""
     anything = (click.STRING, parameters.WritableFile, parameters.WritableFolder)
     return option.is_flag or option.type is click.STRING or isinstance(option.type, anything[1:])
 
@@ -283,10 +286,11 @@
 
     @staticmethod
     def too_late(number: int, frame: object) -> None:
-        raise AssertionError(f"it was not refused within {REFUSED_WITHIN_S} s")
+        raise AssertionError(f"the command was not rejected within {REFUSED_WITHIN_S} s")
 
     def made(self) -> dict[str, str]:
-        """What the rows name, by the names that they use."""
+        """Create the files and servers that the placeholders of ``ROWS`` stand for: their paths and addresses
+        by placeholder."""
         home = self.home
         for name in ("folder", "versions", "versions/2.sexp", "logs", "logs/r0.log", "state"):
             (home / name).mkdir()
@@ -313,7 +317,7 @@
         }
 
     def door(self) -> str:
-        """The address of something that answers each call with what is no answer."""
+        """Start a server that answers each connection with invalid JSON; returns its address."""
         listener = socket.create_server(("127.0.0.1", 0))
 
         def answer() -> None:
@@ -332,12 +336,13 @@
 
     @staticmethod
     def closed() -> str:
-        """An address where nobody listens."""
+        """An address without a listener."""
         with socket.create_server(("127.0.0.1", 0)) as listener:
             return f"127.0.0.1:{listener.getsockname()[1]}"
 
     def refused(self, words: list[str], said: str) -> None:
-        """One line that says so, exit code 2, and nothing on standard output."""
+        """Check that a call gives exit code 2, one line on standard error that contains the text ``said``,
+        and nothing on standard output."""
         out, err = io.StringIO(), io.StringIO()
         signal.alarm(REFUSED_WITHIN_S)
         try:
--- a/tests/cli/test_rollouts.py
+++ b/tests/cli/test_rollouts.py
@@ -1,4 +1,4 @@
-"""What the commands on rollouts print."""
+"""Tests of the output of the rollout commands."""
 
 import contextlib
 import io
@@ -11,7 +11,8 @@
 
 class Check(unittest.TestCase):
     def test_a_plan_is_shown_stage_by_stage(self) -> None:
-        """The command raised AttributeError once the fields of a stage had been renamed under it."""
+        """Guards against a rename of a stage's fields that does not reach the command: it then raised
+        AttributeError."""
         out = io.StringIO()
         with contextlib.redirect_stdout(out):
             self.assertEqual(run(["rollout", "check", str(ROOT / "deploy" / "rollout.sexp"), "--json"]), 0)
--- a/tests/interoperability.py
+++ b/tests/interoperability.py
@@ -1,12 +1,12 @@
-"""Processes of another version and of this one, side by side: run by hand, with that version's interpreter.
+"""Interoperability tests of this version with another one, run by hand with that version's interpreter.
 
 usage: python -m tests.interoperability OTHER_PYTHON [fleet|versions|relays ...]
 
 ``OTHER_PYTHON`` is the interpreter of a virtual environment where the other version is installed with the
-lab's requirements. Played are: a fleet of both versions that agree on their members, gossip, and replace each
-other under load (``fleet``); the control stream with either as the service (``versions``); a relay tier and a
-router of different versions (``relays``). The exit code is 0 only where all held.
-"""
+lab's requirements. The tests are: a fleet with routers of both versions, which must agree on the membership,
+gossip and replace each other under load (``fleet``); the control stream with either version as the service
+(``versions``); a relay tier and a router of different versions (``relays``). The exit code is 0 only if all
+tests passed."""
 
 from __future__ import annotations
 
@@ -39,12 +39,13 @@
 
 
 def other_program(interpreter: str) -> tuple[str, ...]:
-    """The command of the other version, wherever it is started from."""
+    """The command that runs the other version, independent of the working directory (``-P``)."""
     return (interpreter, "-P", "-m", "magpieshift")
 
 
 async def replace_with(cluster: Cluster, name: str, program: Sequence[str]) -> None:
-    """Replace a router's process by one of another program, as operators do."""
+    """Replace a router's process by one of another program: start the successor, wait until it is ready, and
+    stop the old process with SIGTERM."""
     router = cluster.routers[name]
     old = router.process
     assert old is not None
@@ -56,11 +57,13 @@
 
     await cluster.wait_until(ready, f"the new {name} is ready", READY_S)
     old.terminate()
-    assert await asyncio.wait_for(old.wait(), READY_S) == 0, f"{name} did not end as planned"
+    assert await asyncio.wait_for(old.wait(), READY_S) == 0, (
+        f"the replaced process of {name} did not exit with code 0"
+    )
 
 
 async def keys(cluster: Cluster, name: str) -> dict[str, list[str]]:
-    """The keys of a router's answers to operators."""
+    """The keys of a router's answers to admin commands, or the answer's status if it is not a JSON object."""
     found: dict[str, list[str]] = {}
     for word in ANSWERS:
         answer = await cluster.call(name, word)
@@ -71,22 +74,32 @@
 
 
 async def fleet(other: Sequence[str]) -> None:
-    """Two routers of each version see each other, and each kind is replaced by the other under load."""
+    """Run two routers of each version: their membership views must agree, and a router of each version is
+    replaced by one of the other under load without lost or doubled requests."""
     with tempfile.TemporaryDirectory() as folder:
         async with Cluster(Path(folder), 4, seed=3, digests=True, slack_s=1.0) as cluster:
             await cluster.start("r0", "r1", program=other)
             await cluster.start("r2", "r3", program=OWN)
             await cluster.wait_until_serving("r0", "r1", "r2", "r3")
-            await cluster.wait_until(cluster.views_agree, "all have one view", READY_S)
-            assert await keys(cluster, "r0") == await keys(cluster, "r2"), "answers to operators differ"
+            await cluster.wait_until(cluster.views_agree, "all membership views agree", READY_S)
+            assert await keys(cluster, "r0") == await keys(cluster, "r2"), (
+                "the keys of admin answers differ between the versions"
+            )
             cluster.start_load()
             await asyncio.sleep(2.0)
             await replace_with(cluster, "r0", OWN)
             await replace_with(cluster, "r2", other)
             await asyncio.sleep(2.0)
-            await cluster.wait_until(cluster.views_agree, "all have one view again", READY_S)
+            await cluster.wait_until(cluster.views_agree, "all membership views agree again", READY_S)
             counted = await cluster.finish()
-            print("fleet:", counted, "broken:", cluster.violations, "ended wrong:", cluster.unexpected_exits)
+            print(
+                "fleet:",
+                counted,
+                "broken:",
+                cluster.violations,
+                "unexpected exits:",
+                cluster.unexpected_exits,
+            )
             assert counted["sent"] > 100 and counted["lost"] == counted["doubles"] == 0, (
                 cluster.lost_examples()
             )
@@ -94,7 +107,7 @@
 
 
 async def control_stream(other: Sequence[str]) -> None:
-    """This version's control service with the other's router, and the other way round."""
+    """Run the control stream with this version's service and the other's router, and the reverse."""
     report = await versions.play(versions.Plan(count=40, kills=1, breaks=1, seed=8, program=tuple(other)))
     print("versions, own service:", report.findings)
     assert report.good
@@ -105,7 +118,7 @@
 
 
 def relay_tier(other: Sequence[str], of_other: frozenset[str]) -> None:
-    """The relay tests with the processes of these names taken from the other version."""
+    """Run the relay tests with the processes named in ``of_other`` started from the other version."""
 
     class Mixed(relay_processes.Processes):
         async def start(self, name: str, *words: str) -> None:
@@ -123,7 +136,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Play what is asked for, or all."""
+    """Run the named tests, or all of them."""
     other = other_program(arguments[0])
     wanted = arguments[1:] or ["fleet", "versions", "relays"]
     if "fleet" in wanted:
--- a/tests/test_public_names.py
+++ b/tests/test_public_names.py
@@ -1,9 +1,8 @@
-"""What operators type, store and parse keeps its names: commands, options, settings, keys of answers.
+"""The names that operators use stay unchanged: commands, options, settings and keys of answers.
 
-Their scripts, settings files and dashboards were written against 723f792, whose names are listed in
-``public_names.json``. A rename inside the code must never reach them, so the same list is made of this
-version and compared. ``python -m tests.test_public_names`` prints it.
-"""
+Operators' scripts, settings files and dashboards were written against commit 723f792, whose names are listed
+in ``public_names.json``. A rename inside the code must not change these names, so the test generates the same
+list from this version and compares the two. ``python -m tests.test_public_names`` prints the list."""
 
 from __future__ import annotations
 
@@ -38,7 +37,7 @@
 
 
 def option(parameter: click.Parameter) -> str:
-    """One parameter of a command, with what a caller must know of it."""
+    """A parameter of a command as listed: its names, and whether it is a flag or required."""
     if not isinstance(parameter, click.Option):
         return f"<{parameter.name}>"
     names = "/".join(sorted([*parameter.opts, *parameter.secondary_opts]))
@@ -46,7 +45,7 @@
 
 
 def commands(command: click.Command, path: tuple[str, ...] = ()) -> Iterator[tuple[str, list[str]]]:
-    """Every command of the tree with its options."""
+    """The full names of all commands, each with its parameters."""
     if isinstance(command, click.Group):
         for name, inner in command.commands.items():
             yield from commands(inner, (*path, name))
@@ -66,7 +65,7 @@
 
 
 def without(data: dict[str, Any], path: tuple[str, ...]) -> str:
-    """What the program says of a configuration that lacks one value."""
+    """The error message for a configuration that lacks the value at this path."""
     changed = copy.deepcopy(data)
     place: Any = changed
     for key in path[:-1]:
@@ -80,13 +79,13 @@
 
 
 def platform_settings() -> dict[str, Any]:
-    """A complete configuration in the platform's form."""
+    """A complete configuration in the platform's JSON format."""
     data: dict[str, Any] = json.loads((ROOT / "tests/real/config.json").read_text())
     return data | {"changelog": "127.0.0.1:9"}
 
 
 def keys(value: Any) -> Any:
-    """The keys of an answer, without its values."""
+    """The keys of an answer; each value is replaced by the name of its type."""
     if isinstance(value, dict):
         return {key: keys(inner) for key, inner in value.items()}
     if isinstance(value, list):
@@ -95,7 +94,7 @@
 
 
 def answer(*words: str) -> Any:
-    """What a command prints: its keys, or the lines of its help."""
+    """The exit code of a command, and its output: the keys of a JSON answer, or the text."""
     command = [sys.executable, "-m", "magpieshift", *words]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
     found = keys(json.loads(done.stdout)) if done.stdout.startswith(("{", "[")) else done.stdout
@@ -103,14 +102,14 @@
 
 
 def schema(value: Any) -> Any:
-    """A schema without its prose, and without the names that the code gives its parts."""
+    """A JSON schema without descriptions and titles, which are no public names."""
     if isinstance(value, dict):
         return {key: schema(inner) for key, inner in value.items() if key not in ("description", "title")}
     return [schema(inner) for inner in value] if isinstance(value, list) else value
 
 
 def public_names() -> dict[str, Any]:
-    """The list of this version."""
+    """The public names of this version, in the structure of ``public_names.json``."""
     data = platform_settings()
     document = magpieshift.parse(data).document
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
@@ -128,7 +127,7 @@
 
 
 def plain(found: dict[str, Any]) -> dict[str, Any]:
-    """As JSON reads it back."""
+    """The value after a round trip through JSON, comparable with the stored list."""
     read: dict[str, Any] = json.loads(json.dumps(found))
     return read
 
@@ -150,7 +149,7 @@
     except magpieshift.ConfigError as err:
         assert str(err) == "EDGE_CONFIG is not set"
     else:
-        raise AssertionError("a router starts without a configuration")
+        raise AssertionError("load() accepted an environment without EDGE_CONFIG")
     document = magpieshift.parse(data, *variables.values()).document
     assert (document.listen, document.name, document.admin_address) == (
         ("127.0.0.1", 2),
@@ -159,10 +158,10 @@
     )
     try:
         magpieshift.load({"EDGE_CONFIG": str(path)} | variables)
-    except magpieshift.ConfigError as err:  # its addresses stand for what a test puts there
+    except magpieshift.ConfigError as err:  # the file's change log address is a placeholder
         assert "changelog" in str(err)
     else:
-        raise AssertionError("a change log without an address is taken")
+        raise AssertionError("load() accepted a change log without a valid address")
 
 
 if __name__ == "__main__":
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example is run as it stands."""
+"""Runs the README's Python example unchanged and checks its output."""
 
 import re
 import subprocess
