--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,8 +1,9 @@
 """Invalid input to every command must give one line on standard error and exit code 2.
 
-``ROWS`` lists the invalid calls of each command; a command without an entry fails the test. Unknown options
-and option values that the parameter type rejects need no entry: they are tried with every command of the
-tree."""
+``INVALID_CALLS`` lists the invalid calls of each command; a command without an entry fails the test. Unknown
+options and option values that the parameter type rejects need no entry: they are tried with every command of
+the tree.
+"""
 
 from __future__ import annotations
 
@@ -27,41 +28,47 @@
 from tests.control.test_schema import EXAMPLE
 from tests.real.exchange import ROOT
 
-REFUSED_WITHIN_S = 30  # a command that runs longer has accepted the input and started
-NONSENSE = "?"  # not a number, an address or a valid name
+REJECTION_TIMEOUT_S = 30  # a command that runs longer has accepted the input and started
+INVALID_VALUE = "?"  # not a number, an address or a valid name
 
 # The arguments after the command's name, and a text that the error line must contain. Placeholders: {good} is
 # a valid settings file, {plan} a valid rollout plan, {text} a text file in no accepted format, {bytes} a file
 # that is not UTF-8, {json} a JSON file that is not a saved episode, {folder} an empty folder, {versions} a
 # folder of unusable versions, {logs} a folder with a folder in place of a log file, {capture} a valid
-# capture, {none} a path that does not exist, {under} a path below a file, {door} the address of a server that
-# gives invalid answers, {closed} an address without a listener, {state} the folder of a rollout whose status
-# file is invalid.
-Row = tuple[str, str]
-FILES: list[Row] = [
+# capture, {none} a path that does not exist, {under} a path below a file, {garbage_server} the address of a
+# server that gives invalid answers, {closed_port} an address without a listener, {state} the folder of a
+# rollout whose status file is invalid.
+InvalidCall = tuple[str, str]
+BAD_FILES: list[InvalidCall] = [
     ("{none}", "{none}"),
     ("{folder}", "{folder}"),
     ("{bytes}", "{bytes}"),
     ("{text}", "{text}"),
     ("", "Missing"),
 ]
-CAPTURES: list[Row] = [("{none}", "no capture"), ("{folder}", "no capture"), ("{text}", "expected")]
-DOORS: list[Row] = [
+BAD_CAPTURES: list[InvalidCall] = [
+    ("{none}", "no capture"),
+    ("{folder}", "no capture"),
+    ("{text}", "expected"),
+]
+BAD_ADMIN_ADDRESSES: list[InvalidCall] = [
     ("--console {none}", "expected host:port"),
     ("--console 127.0.0.1:0", "expected host:port"),
     ("--console 127.0.0.1:99999", "expected host:port"),
-    ("--console {closed}", "no answer"),
-    ("--console {door}", "found"),
+    ("--console {closed_port}", "no answer"),
+    ("--console {garbage_server}", "found"),
     ("", "--console"),
 ]
-STATES: list[Row] = [
+BAD_STATE_FOLDERS: list[InvalidCall] = [
     ("--state {none}", "{none}"),
     ("--state {folder}", "{folder}"),
     ("--state {text}", "{text}"),
     ("", "--state"),
 ]
-PLANS: list[Row] = [(f"{words} --state {{none}}".strip(), said) for words, said in FILES]
-ROWS: dict[str, list[Row]] = {
+BAD_PLANS: list[InvalidCall] = [
+    (f"{words} --state {{none}}".strip(), expected_text) for words, expected_text in BAD_FILES
+]
+INVALID_CALLS: dict[str, list[InvalidCall]] = {
     "run": [
         ("", "no settings"),
         ("--config {none}", "{none}"),
@@ -80,7 +87,7 @@
     ],
     "config check": [("{none}", "{none}"), ("{folder}", "{folder}"), ("{bytes}", "{bytes}"), ("", "FILE")],
     "config show": [
-        *FILES[:-1],
+        *BAD_FILES[:-1],
         ("", "--state"),
         ("--state {none}", "{none}"),
         ("--state {folder}", "no version in force"),
@@ -88,7 +95,7 @@
         ("--state {text} 3", "{text}"),
     ],
     "config diff": [
-        *((f"{{good}} {words}".strip(), said) for words, said in FILES),
+        *((f"{{good}} {words}".strip(), expected_text) for words, expected_text in BAD_FILES),
         ("--state {none} 1 2", "{none}"),
         ("1 2", "1 cannot be read"),
     ],
@@ -107,56 +114,62 @@
         ("{text}", "{text}"),
         ("{folder} --listen nowhere", "expected host:port"),
     ],
-    "members": DOORS,
-    "talk": DOORS,
+    "members": BAD_ADMIN_ADDRESSES,
+    "talk": BAD_ADMIN_ADDRESSES,
     "relay source": [
-        ("--changelog {closed} --listen nowhere", "--listen: found 'nowhere', expected host:port"),
+        ("--changelog {closed_port} --listen nowhere", "--listen: found 'nowhere', expected host:port"),
         ("--changelog nowhere --listen 127.0.0.1:0", "--changelog: found 'nowhere', expected host:port"),
-        ("--changelog {closed} --listen 127.0.0.1:0 --versions {none}", "--versions: found '{none}'"),
-        ("--changelog {closed} --listen 127.0.0.1:0 --versions {text}", "--versions: found '{text}'"),
-        ("--changelog {closed}", "--listen"),
+        ("--changelog {closed_port} --listen 127.0.0.1:0 --versions {none}", "--versions: found '{none}'"),
+        ("--changelog {closed_port} --listen 127.0.0.1:0 --versions {text}", "--versions: found '{text}'"),
+        ("--changelog {closed_port}", "--listen"),
         ("--listen 127.0.0.1:0", "--changelog"),
     ],
     "relay serve": [
         ("--source nowhere --listen 127.0.0.1:0 --name n --region r", "--source: found 'nowhere', expected"),
         ("--source /1.1.1.1:1 --listen 127.0.0.1:0 --name n --region r", "expected [REGION/]HOST:PORT"),
-        ("--source {door},{door} --listen 127.0.0.1:0 --name n --region r", "expected each address once"),
-        ("--source {closed} --listen 127.0.0.1:99999 --name n --region r", "--listen: found"),
-        ("--source {closed} --listen 127.0.0.1:0 --region r", "--name"),
-        ("--source {closed} --listen 127.0.0.1:0 --name n", "--region"),
+        (
+            "--source {garbage_server},{garbage_server} --listen 127.0.0.1:0 --name n --region r",
+            "expected each address once",
+        ),
+        ("--source {closed_port} --listen 127.0.0.1:99999 --name n --region r", "--listen: found"),
+        ("--source {closed_port} --listen 127.0.0.1:0 --region r", "--name"),
+        ("--source {closed_port} --listen 127.0.0.1:0 --name n", "--region"),
     ],
     "relay status": [
         ("nowhere", "expected host:port"),
         ("127.0.0.1:0", "expected host:port"),
         ("", "HOST:PORT"),
     ],
-    "rollout check": FILES,
+    "rollout check": BAD_FILES,
     "rollout start": [
-        *PLANS,
+        *BAD_PLANS,
         ("{plan} --state {text}", "{text}"),
         ("{plan} --state {state}", "already"),
         ("{plan}", "--state"),
     ],
-    "rollout resume": [*PLANS, ("{plan} --state {text}", "{text}"), ("{plan}", "--state")],
-    "rollout status": [*STATES, ("--state {state}", "status.json: found")],
-    "rollout report": STATES,
-    "rollout pause": STATES,
-    "rollout go-on": STATES,
-    "rollout stop": STATES,
-    "rollout back": STATES,
-    "capture info": CAPTURES,
-    "capture why": [*((f"{words} 1", said) for words, said in CAPTURES), ("{capture} 1", "{capture}")],
+    "rollout resume": [*BAD_PLANS, ("{plan} --state {text}", "{text}"), ("{plan}", "--state")],
+    "rollout status": [*BAD_STATE_FOLDERS, ("--state {state}", "status.json: found")],
+    "rollout report": BAD_STATE_FOLDERS,
+    "rollout pause": BAD_STATE_FOLDERS,
+    "rollout go-on": BAD_STATE_FOLDERS,
+    "rollout stop": BAD_STATE_FOLDERS,
+    "rollout back": BAD_STATE_FOLDERS,
+    "capture info": BAD_CAPTURES,
+    "capture why": [
+        *((f"{words} 1", expected_text) for words, expected_text in BAD_CAPTURES),
+        ("{capture} 1", "{capture}"),
+    ],
     "capture cut": [
-        *((f"{words} {{none}} --from 0 --to 1", said) for words, said in CAPTURES),
+        *((f"{words} {{none}} --from 0 --to 1", expected_text) for words, expected_text in BAD_CAPTURES),
         ("{capture} {none} --from 5 --to 1", "nothing that can be replayed lies from"),
         ("{capture} {folder} --from 0 --to 1", "OUT"),
         ("{capture} {under} --from 0 --to 1", "OUT"),
         ("{capture} {none} --from nan --to 1", "--from"),
         ("{capture} {none} --from 0", "--to"),
     ],
-    "capture verify": CAPTURES,
+    "capture verify": BAD_CAPTURES,
     "replay": [
-        *CAPTURES,
+        *BAD_CAPTURES,
         ("{capture} --against {none}", "{none}"),
         ("{capture} --against {folder}", "{folder}"),
         ("{capture} --times 0", "--times: found '0', expected a whole number from 1"),
@@ -223,7 +236,7 @@
         ("--capture {text}", "--capture"),
     ],
     "lab report": [
-        *FILES,
+        *BAD_FILES,
         ("{json}", "{json} is no saved episode: slices: found 3, expected a valid"),
         ("{json} --out {folder}", "--out"),
     ],
@@ -265,11 +278,11 @@
             yield from groups(command, f"{before} {name}".strip())
 
 
-def takes_any_text(option: click.Option) -> bool:
+def accepts_any_text(option: click.Option) -> bool:
     """Whether an option cannot be tested with an invalid value: flags take no value, text and folder options
     take any text."""
-    anything = (click.STRING, parameters.WritableFile, parameters.WritableFolder)
-    return option.is_flag or option.type is click.STRING or isinstance(option.type, anything[1:])
+    any_text_types = (click.STRING, parameters.WritableFile, parameters.WritableFolder)
+    return option.is_flag or option.type is click.STRING or isinstance(option.type, any_text_types[1:])
 
 
 class BadInput(unittest.TestCase):
@@ -277,20 +290,20 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.home = Path(folder.name)
-        self.places = self.made()
+        self.inputs = self.create_inputs()
         handlers = logging.getLogger().handlers[:]
         self.addCleanup(lambda: logging.getLogger().handlers.__setitem__(slice(None), handlers))
         for number in (signal.SIGTERM, signal.SIGALRM):
             self.addCleanup(signal.signal, number, signal.getsignal(number))
-        signal.signal(signal.SIGALRM, self.too_late)
+        signal.signal(signal.SIGALRM, self.time_out)
 
     @staticmethod
-    def too_late(number: int, frame: object) -> None:
-        raise AssertionError(f"the command was not rejected within {REFUSED_WITHIN_S} s")
+    def time_out(number: int, frame: object) -> None:
+        raise AssertionError(f"the command was not rejected within {REJECTION_TIMEOUT_S} s")
 
-    def made(self) -> dict[str, str]:
-        """Create the files and servers that the placeholders of ``ROWS`` stand for: their paths and addresses
-        by placeholder."""
+    def create_inputs(self) -> dict[str, str]:
+        """Create the files and servers that the placeholders of ``INVALID_CALLS`` stand for: their paths and
+        addresses by placeholder."""
         home = self.home
         for name in ("folder", "versions", "versions/2.sexp", "logs", "logs/r0.log", "state"):
             (home / name).mkdir()
@@ -300,9 +313,9 @@
         (home / "json").write_text(
             '{"figures": {}, "slices": 3, "stores": {}, "examples": [], "failures": []}'
         )
-        held = journal.Journal(home / "state")
-        held.append({"what": "begin", "term": 1})
-        held.close()
+        rollout_journal = journal.Journal(home / "state")
+        rollout_journal.append({"what": "begin", "term": 1})
+        rollout_journal.close()
         (home / "state" / "status.json").write_text("[]")
         places = {path.name: str(path) for path in home.iterdir()}
         captures = ROOT / "tests" / "capture" / "captures"
@@ -312,11 +325,11 @@
             "good": str(EXAMPLE),
             "plan": str(ROOT / "deploy" / "rollout.sexp"),
             "capture": str(next(captures.iterdir())),
-            "door": self.door(),
-            "closed": self.closed(),
+            "garbage_server": self.garbage_server(),
+            "closed_port": self.closed_port(),
         }
 
-    def door(self) -> str:
+    def garbage_server(self) -> str:
         """Start a server that answers each connection with invalid JSON; returns its address."""
         listener = socket.create_server(("127.0.0.1", 0))
 
@@ -335,16 +348,16 @@
         return f"127.0.0.1:{listener.getsockname()[1]}"
 
     @staticmethod
-    def closed() -> str:
+    def closed_port() -> str:
         """An address without a listener."""
         with socket.create_server(("127.0.0.1", 0)) as listener:
             return f"127.0.0.1:{listener.getsockname()[1]}"
 
-    def refused(self, words: list[str], said: str) -> None:
-        """Check that a call gives exit code 2, one line on standard error that contains the text ``said``,
-        and nothing on standard output."""
+    def assert_rejected(self, words: list[str], expected_text: str) -> None:
+        """Check that a call gives exit code 2, one line on standard error that contains the text
+        ``expected_text``, and nothing on standard output."""
         out, err = io.StringIO(), io.StringIO()
-        signal.alarm(REFUSED_WITHIN_S)
+        signal.alarm(REJECTION_TIMEOUT_S)
         try:
             with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
                 code = run(words)
@@ -353,48 +366,48 @@
         text = err.getvalue()
         self.assertEqual((code, text.count("\n"), out.getvalue()), (2, 1, ""), text)
         self.assertTrue(text.startswith("magpieshift"), text)
-        self.assertIn(said, text)
+        self.assertIn(expected_text, text)
 
-    def test_every_command_has_a_row_and_every_row_a_command(self) -> None:
-        self.assertEqual(sorted(ROWS), sorted(words for words, _ in leaves(cli)))
-        self.assertEqual([words for words, rows in ROWS.items() if not rows], [])
+    def test_invalid_calls_are_listed_for_exactly_the_existing_commands(self) -> None:
+        self.assertEqual(sorted(INVALID_CALLS), sorted(words for words, _ in leaves(cli)))
+        self.assertEqual([words for words, rows in INVALID_CALLS.items() if not rows], [])
 
-    def test_every_row_is_refused_in_one_line(self) -> None:
-        for words, rows in ROWS.items():
-            for more, said in rows:
+    def test_every_invalid_call_is_rejected_in_one_line(self) -> None:
+        for words, rows in INVALID_CALLS.items():
+            for more, expected_text in rows:
                 with self.subTest(f"{words} {more}"):
-                    called = [*words.split(), *(word.format(**self.places) for word in more.split())]
-                    self.refused(called, said.format(**self.places))
-        self.assertEqual({path.name for path in self.home.iterdir()} - set(self.places), set())
+                    called = [*words.split(), *(word.format(**self.inputs) for word in more.split())]
+                    self.assert_rejected(called, expected_text.format(**self.inputs))
+        self.assertEqual({path.name for path in self.home.iterdir()} - set(self.inputs), set())
 
-    def test_what_no_parameter_takes_is_refused_everywhere(self) -> None:
+    def test_every_command_rejects_unknown_options_and_invalid_values(self) -> None:
         for words, command in leaves(cli):
             with self.subTest(words):
-                self.refused([*words.split(), "--no-such-option"], "--no-such-option")
+                self.assert_rejected([*words.split(), "--no-such-option"], "--no-such-option")
             for option in command.params:
-                if not isinstance(option, click.Option) or takes_any_text(option):
+                if not isinstance(option, click.Option) or accepts_any_text(option):
                     continue
                 with self.subTest(f"{words} {option.opts[0]}"):
-                    self.refused([*words.split(), option.opts[0], NONSENSE], option.opts[0])
+                    self.assert_rejected([*words.split(), option.opts[0], INVALID_VALUE], option.opts[0])
                 if isinstance(option.type, parameters.FiniteNumber):
-                    self.refused([*words.split(), option.opts[0], "nan"], option.opts[0])
+                    self.assert_rejected([*words.split(), option.opts[0], "nan"], option.opts[0])
 
-    def test_words_that_are_no_command_are_refused_in_every_group(self) -> None:
+    def test_unknown_commands_are_rejected_in_every_group(self) -> None:
         for words in groups(cli):
             with self.subTest(words):
-                self.refused([*words.split(), "no-such-word"], "no such command 'no-such-word'")
+                self.assert_rejected([*words.split(), "no-such-word"], "no such command 'no-such-word'")
 
-    def test_an_option_from_the_environment_is_checked_alike(self) -> None:
+    def test_option_values_from_the_environment_are_checked(self) -> None:
         os.environ["EDGE_CONSOLE"] = "nowhere"
         self.addCleanup(os.environ.pop, "EDGE_CONSOLE")
-        self.refused(["members"], "--console: found 'nowhere', expected host:port")
+        self.assert_rejected(["members"], "--console: found 'nowhere', expected host:port")
 
 
-class Types(unittest.TestCase):
+class ParameterTypes(unittest.TestCase):
     def converted(self, kind: click.ParamType[Any], value: str) -> Any:
         return kind.convert(value, None, None)
 
-    def test_what_is_good_is_taken(self) -> None:
+    def test_valid_values_are_accepted(self) -> None:
         self.assertEqual(self.converted(parameters.WholeNumberList(), "4,12"), (4, 12))
         self.assertEqual(self.converted(parameters.FiniteNumber(), "0"), 0.0)
         self.assertEqual(self.converted(parameters.WholeNumber(-1, 3), "-1"), -1)
--- a/tests/cli/test_rollouts.py
+++ b/tests/cli/test_rollouts.py
@@ -9,7 +9,7 @@
 from tests.real.exchange import ROOT
 
 
-class Check(unittest.TestCase):
+class RolloutCheck(unittest.TestCase):
     def test_a_plan_is_shown_stage_by_stage(self) -> None:
         """Guards against a rename of a stage's fields that does not reach the command: it then raised
         AttributeError."""
--- a/tests/interoperability.py
+++ b/tests/interoperability.py
@@ -6,7 +6,8 @@
 lab's requirements. The tests are: a fleet with routers of both versions, which must agree on the membership,
 gossip and replace each other under load (``fleet``); the control stream with either version as the service
 (``versions``); a relay tier and a router of different versions (``relays``). The exit code is 0 only if all
-tests passed."""
+tests passed.
+"""
 
 from __future__ import annotations
 
@@ -27,8 +28,8 @@
 from tests.relay import test_processes as relay_processes
 
 OWN = (sys.executable, "-P", "-m", "magpieshift")
-READY_S = 20.0
-ANSWERS = ("MEMBERS", "TALK", "FIGURES", "TERM")
+READY_TIMEOUT_S = 20.0
+ADMIN_COMMANDS = ("MEMBERS", "TALK", "FIGURES", "TERM")
 OTHER_SERVICE = """
 import asyncio, sys
 from magpieshift.lab.experiments.versions import Plan, play
@@ -43,7 +44,7 @@
     return (interpreter, "-P", "-m", "magpieshift")
 
 
-async def replace_with(cluster: Cluster, name: str, program: Sequence[str]) -> None:
+async def replace_process(cluster: Cluster, name: str, program: Sequence[str]) -> None:
     """Replace a router's process by one of another program: start the successor, wait until it is ready, and
     stop the old process with SIGTERM."""
     router = cluster.routers[name]
@@ -55,17 +56,17 @@
     async def ready() -> bool:
         return "event=ready " in log.read_text(errors="replace")
 
-    await cluster.wait_until(ready, f"the new {name} is ready", READY_S)
+    await cluster.wait_until(ready, f"the new {name} is ready", READY_TIMEOUT_S)
     old.terminate()
-    assert await asyncio.wait_for(old.wait(), READY_S) == 0, (
+    assert await asyncio.wait_for(old.wait(), READY_TIMEOUT_S) == 0, (
         f"the replaced process of {name} did not exit with code 0"
     )
 
 
-async def keys(cluster: Cluster, name: str) -> dict[str, list[str]]:
+async def answer_keys(cluster: Cluster, name: str) -> dict[str, list[str]]:
     """The keys of a router's answers to admin commands, or the answer's status if it is not a JSON object."""
     found: dict[str, list[str]] = {}
-    for word in ANSWERS:
+    for word in ADMIN_COMMANDS:
         answer = await cluster.call(name, word)
         is_object = answer.succeeded and answer.text.startswith("{")
         value: Any = json.loads(answer.text) if is_object else answer.status.value
@@ -81,16 +82,16 @@
             await cluster.start("r0", "r1", program=other)
             await cluster.start("r2", "r3", program=OWN)
             await cluster.wait_until_serving("r0", "r1", "r2", "r3")
-            await cluster.wait_until(cluster.views_agree, "all membership views agree", READY_S)
-            assert await keys(cluster, "r0") == await keys(cluster, "r2"), (
+            await cluster.wait_until(cluster.views_agree, "all membership views agree", READY_TIMEOUT_S)
+            assert await answer_keys(cluster, "r0") == await answer_keys(cluster, "r2"), (
                 "the keys of admin answers differ between the versions"
             )
             cluster.start_load()
             await asyncio.sleep(2.0)
-            await replace_with(cluster, "r0", OWN)
-            await replace_with(cluster, "r2", other)
+            await replace_process(cluster, "r0", OWN)
+            await replace_process(cluster, "r2", other)
             await asyncio.sleep(2.0)
-            await cluster.wait_until(cluster.views_agree, "all membership views agree again", READY_S)
+            await cluster.wait_until(cluster.views_agree, "all membership views agree again", READY_TIMEOUT_S)
             counted = await cluster.finish()
             print(
                 "fleet:",
--- a/tests/test_public_names.py
+++ b/tests/test_public_names.py
@@ -2,7 +2,8 @@
 
 Operators' scripts, settings files and dashboards were written against commit 723f792, whose names are listed
 in ``public_names.json``. A rename inside the code must not change these names, so the test generates the same
-list from this version and compares the two. ``python -m tests.test_public_names`` prints the list."""
+list from this version and compares the two. ``python -m tests.test_public_names`` prints the list.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +25,7 @@
 from magpieshift.expected_settings import expected_settings
 
 ROOT = Path(__file__).resolve().parents[1]
-LISTED = Path(__file__).with_name("public_names.json")
+LISTED_NAMES = Path(__file__).with_name("public_names.json")
 CAPTURE = "tests/capture/captures/hub-and-box-die-with-a-late-list.seg"
 SETTINGS = "deploy/magpieshift.sexp"
 JSON_COMMANDS = (
@@ -64,7 +65,7 @@
         yield path
 
 
-def without(data: dict[str, Any], path: tuple[str, ...]) -> str:
+def error_without(data: dict[str, Any], path: tuple[str, ...]) -> str:
     """The error message for a configuration that lacks the value at this path."""
     changed = copy.deepcopy(data)
     place: Any = changed
@@ -119,28 +120,30 @@
         "settings file": schema(DocumentForm.model_json_schema()),
         "settings file of the platform's settings": to_data(document),
         "platform settings": {
-            ".".join(path): without(data, path) for path in leaves(data) if path[0] not in ("known", "listen")
+            ".".join(path): error_without(data, path)
+            for path in leaves(data)
+            if path[0] not in ("known", "listen")
         },
         "shown as running": expected_settings(document),
         "deploy keys": sorted(deploy),
     }
 
 
-def plain(found: dict[str, Any]) -> dict[str, Any]:
+def json_round_trip(found: dict[str, Any]) -> dict[str, Any]:
     """The value after a round trip through JSON, comparable with the stored list."""
     read: dict[str, Any] = json.loads(json.dumps(found))
     return read
 
 
-def test_operators_find_every_name_as_it_was() -> None:
-    listed = json.loads(LISTED.read_text())
-    found = plain(public_names())
+def test_public_names_are_unchanged() -> None:
+    listed = json.loads(LISTED_NAMES.read_text())
+    found = json_round_trip(public_names())
     assert sorted(found) == sorted(listed)
     for part in listed:
         assert found[part] == listed[part], part
 
 
-def test_the_environment_keeps_its_names() -> None:
+def test_environment_variable_names_are_unchanged() -> None:
     data = platform_settings()
     variables = {"EDGE_LISTEN": "127.0.0.1:2", "EDGE_NAME": "other", "EDGE_CONSOLE": "127.0.0.1:3"}
     path = ROOT / "tests/real/config.json"
