--- a/magpieshift/cli/captures.py
+++ b/magpieshift/cli/captures.py
@@ -217,7 +217,7 @@
         )
         if not figures["policy_as_recorded"]:
             click.echo(
-                "this policy's source differs from the policy that was recorded, digest "
+                "this checkout's policy differs from the policy that made the recording, with digest "
                 + ", ".join(sorted(result.policies))
             )
         for text in result.missing:
--- a/magpieshift/cli/lab_rollout.py
+++ b/magpieshift/cli/lab_rollout.py
@@ -70,7 +70,7 @@
     as_json: bool,
 ) -> None:
     """Run complete rollouts: of real processes under load, or thousands in simulation; exit code 1 if a
-    rollout reached a wrong verdict or broke a rule."""
+    rollout reached a wrong verdict, did not end or broke a rule."""
     from magpieshift.lab.fault_injection import rollouts as real
     from magpieshift.lab.simulated import rollout_scenarios
 
--- a/magpieshift/cli/membership.py
+++ b/magpieshift/cli/membership.py
@@ -81,7 +81,9 @@
 def talk(console: str, as_json: bool) -> None:
     """Show which endpoints routers report as failing, as one router sees it, and whether it offloads
     requests."""
-    answer = _query(console, "TALK", TALK_KEYS, "is (members (digests yes) ...) set?")
+    answer = _query(
+        console, "TALK", TALK_KEYS, "check that the router's settings contain (members (digests yes) ...)"
+    )
     if as_json:
         output.print_json(answer)
         return
@@ -102,7 +104,9 @@
 @JSON_OPTION
 def members(console: str, history: bool, as_json: bool) -> None:
     """Show the members as one router sees them, and why it suspects any of them."""
-    answer = _query(console, "MEMBERS", MEMBERS_KEYS, "is (members ...) set?")
+    answer = _query(
+        console, "MEMBERS", MEMBERS_KEYS, "check that the router's settings contain (members ...)"
+    )
     if as_json:
         output.print_json(answer)
         return
--- a/magpieshift/cli/parameters.py
+++ b/magpieshift/cli/parameters.py
@@ -30,7 +30,7 @@
         super().__init__(minimum, maximum)
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
-        """The number."""
+        """The value as a number; ``BadParameter`` if it is none or out of range."""
         try:
             return super().convert(value, param, ctx)
         except click.BadParameter:
@@ -49,7 +49,7 @@
         super().__init__(minimum, maximum, min_open=above_minimum)
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
-        """The number."""
+        """The value as a number; ``BadParameter`` if it is none or out of range."""
         try:
             number = super().convert(value, param, ctx)
         except click.BadParameter:
@@ -69,7 +69,7 @@
         self._element = WholeNumber(minimum, maximum)
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
-        """The numbers."""
+        """The value as a tuple; ``BadParameter`` if one of the numbers is invalid."""
         if isinstance(value, tuple):
             return value
         try:
@@ -93,7 +93,7 @@
         self._any_port = any_port
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
-        """The address as given."""
+        """The address as given; ``BadParameter`` if it is invalid."""
         host, _, port = str(value).rpartition(":")
         if not value or (self._any_port and host and port == "0"):
             return value
@@ -114,7 +114,7 @@
         self._names = names
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
-        """The name."""
+        """The name as given; ``BadParameter`` if it is unknown."""
         if value and value not in (names := list(self._names())):
             self.fail(f"found {value!r}, expected one of {', '.join(names)}", param, ctx)
         return value
@@ -132,7 +132,7 @@
     name = "file"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
-        """The path."""
+        """The path as given; ``BadParameter`` if the file cannot be written."""
         if not value:
             return value
         path = Path(value)
@@ -151,7 +151,7 @@
     name = "folder"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
-        """The path."""
+        """The path as given; ``BadParameter`` if the folder cannot be created or written to."""
         if not value:
             return value
         existing = _nearest_existing(Path(value))
--- a/magpieshift/cli/relays.py
+++ b/magpieshift/cli/relays.py
@@ -123,8 +123,8 @@
         return
     age = f"{report.age_us / 1e6:.1f} s old" if report.HasField("age_us") else "not current"
     click.echo(
-        f"{report.name} {report.region} after {report.upstream}: epoch {report.epoch.term}, "
-        f"entry {report.head}, done everywhere {report.done}, {age}"
+        f"{report.name} {report.region}, upstream {report.upstream}: epoch {report.epoch.term}, "
+        f"log head {report.head}, watermark {report.done}, {age}"
     )
     version = (
         f"version {report.version} {report.digest[:SHOWN_DIGEST_CHARACTERS]}"
@@ -133,7 +133,7 @@
     )
     click.echo(
         f"{version}; {report.followers_count} followers, "
-        f"{report.behind_count} without it: {' '.join(report.behind)}"
+        f"{report.behind_count} without this version: {' '.join(report.behind)}"
     )
     output.print_table(
         ("follower", "connected", "counts", "applied", "behind", "heard s ago", "version", "refused"),
