--- a/tests/test_public_names.py
+++ b/tests/test_public_names.py
@@ -1,8 +1,8 @@
-"""What operators type, store and parse keeps its names: commands, options, settings, keys of answers.
+"""The names that operators use stay unchanged: commands, options, settings and keys of answers.
 
-Their scripts, settings files and dashboards were written against 723f792, whose names are listed in
-``public_names.json``. A rename inside the code must never reach them, so the same list is made of this
-version and compared. ``python -m tests.test_public_names`` prints it.
+Operators' scripts, settings files and dashboards were written against commit 723f792, whose names are listed
+in ``public_names.json``. A rename inside the code must not change these names, so the test generates the same
+list from this version and compares the two. ``python -m tests.test_public_names`` prints the list.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from magpieshift.expected_settings import expected_settings
 
 ROOT = Path(__file__).resolve().parents[1]
-LISTED = Path(__file__).with_name("public_names.json")
+LISTED_NAMES = Path(__file__).with_name("public_names.json")
 CAPTURE = "tests/capture/captures/hub-and-box-die-with-a-late-list.seg"
 SETTINGS = "deploy/magpieshift.sexp"
 JSON_COMMANDS = (
@@ -38,7 +38,7 @@
 
 
 def option(parameter: click.Parameter) -> str:
-    """One parameter of a command, with what a caller must know of it."""
+    """A parameter of a command as listed: its names, and whether it is a flag or required."""
     if not isinstance(parameter, click.Option):
         return f"<{parameter.name}>"
     names = "/".join(sorted([*parameter.opts, *parameter.secondary_opts]))
@@ -46,7 +46,7 @@
 
 
 def commands(command: click.Command, path: tuple[str, ...] = ()) -> Iterator[tuple[str, list[str]]]:
-    """Every command of the tree with its options."""
+    """The full names of all commands, each with its parameters."""
     if isinstance(command, click.Group):
         for name, inner in command.commands.items():
             yield from commands(inner, (*path, name))
@@ -65,8 +65,8 @@
         yield path
 
 
-def without(data: dict[str, Any], path: tuple[str, ...]) -> str:
-    """What the program says of a configuration that lacks one value."""
+def error_without(data: dict[str, Any], path: tuple[str, ...]) -> str:
+    """The error message for a configuration that lacks the value at this path."""
     changed = copy.deepcopy(data)
     place: Any = changed
     for key in path[:-1]:
@@ -80,13 +80,13 @@
 
 
 def platform_settings() -> dict[str, Any]:
-    """A complete configuration in the platform's form."""
+    """A complete configuration in the platform's JSON format."""
     data: dict[str, Any] = json.loads((ROOT / "tests/real/config.json").read_text())
     return data | {"changelog": "127.0.0.1:9"}
 
 
 def keys(value: Any) -> Any:
-    """The keys of an answer, without its values."""
+    """The keys of an answer; each value is replaced by the name of its type."""
     if isinstance(value, dict):
         return {key: keys(inner) for key, inner in value.items()}
     if isinstance(value, list):
@@ -95,7 +95,7 @@
 
 
 def answer(*words: str) -> Any:
-    """What a command prints: its keys, or the lines of its help."""
+    """The exit code of a command, and its output: the keys of a JSON answer, or the text."""
     command = [sys.executable, "-m", "magpieshift", *words]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
     found = keys(json.loads(done.stdout)) if done.stdout.startswith(("{", "[")) else done.stdout
@@ -103,14 +103,14 @@
 
 
 def schema(value: Any) -> Any:
-    """A schema without its prose, and without the names that the code gives its parts."""
+    """A JSON schema without descriptions and titles, which are no public names."""
     if isinstance(value, dict):
         return {key: schema(inner) for key, inner in value.items() if key not in ("description", "title")}
     return [schema(inner) for inner in value] if isinstance(value, list) else value
 
 
 def public_names() -> dict[str, Any]:
-    """The list of this version."""
+    """The public names of this version, in the structure of ``public_names.json``."""
     data = platform_settings()
     document = magpieshift.parse(data).document
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
@@ -120,28 +120,30 @@
         "settings file": schema(DocumentForm.model_json_schema()),
         "settings file of the platform's settings": to_data(document),
         "platform settings": {
-            ".".join(path): without(data, path) for path in leaves(data) if path[0] not in ("known", "listen")
+            ".".join(path): error_without(data, path)
+            for path in leaves(data)
+            if path[0] not in ("known", "listen")
         },
         "shown as running": expected_settings(document),
         "deploy keys": sorted(deploy),
     }
 
 
-def plain(found: dict[str, Any]) -> dict[str, Any]:
-    """As JSON reads it back."""
+def json_round_trip(found: dict[str, Any]) -> dict[str, Any]:
+    """The value after a round trip through JSON, comparable with the stored list."""
     read: dict[str, Any] = json.loads(json.dumps(found))
     return read
 
 
-def test_operators_find_every_name_as_it_was() -> None:
-    listed = json.loads(LISTED.read_text())
-    found = plain(public_names())
+def test_public_names_are_unchanged() -> None:
+    listed = json.loads(LISTED_NAMES.read_text())
+    found = json_round_trip(public_names())
     assert sorted(found) == sorted(listed)
     for part in listed:
         assert found[part] == listed[part], part
 
 
-def test_the_environment_keeps_its_names() -> None:
+def test_environment_variable_names_are_unchanged() -> None:
     data = platform_settings()
     variables = {"EDGE_LISTEN": "127.0.0.1:2", "EDGE_NAME": "other", "EDGE_CONSOLE": "127.0.0.1:3"}
     path = ROOT / "tests/real/config.json"
@@ -150,7 +152,7 @@
     except magpieshift.ConfigError as err:
         assert str(err) == "EDGE_CONFIG is not set"
     else:
-        raise AssertionError("a router starts without a configuration")
+        raise AssertionError("load() accepted an environment without EDGE_CONFIG")
     document = magpieshift.parse(data, *variables.values()).document
     assert (document.listen, document.name, document.admin_address) == (
         ("127.0.0.1", 2),
@@ -159,10 +161,10 @@
     )
     try:
         magpieshift.load({"EDGE_CONFIG": str(path)} | variables)
-    except magpieshift.ConfigError as err:  # its addresses stand for what a test puts there
+    except magpieshift.ConfigError as err:  # the file's change log address is a placeholder
         assert "changelog" in str(err)
     else:
-        raise AssertionError("a change log without an address is taken")
+        raise AssertionError("load() accepted a change log without a valid address")
 
 
 if __name__ == "__main__":
