--- a/magpieshift/rollout/canary_analysis.py
+++ b/magpieshift/rollout/canary_analysis.py
@@ -153,11 +153,11 @@
             return Verdict.WORSE
         if self._usual_rate and self._recent_rate < COMMON_FAULT_FRACTION * self._usual_rate:
             self.reason = (
-                f"the old side's success rate fell to {self._recent_rate:.3f}, usually {self._usual_rate:.3f}"
+                f"the old side itself serves {self._recent_rate:.3f}, usually {self._usual_rate:.3f}"
             )
             return Verdict.COMMON_FAULT
         undecided = self._undecided_reason(next_fraction)
-        self.reason = undecided or "no request class is worse by more than the plan allows"
+        self.reason = undecided or "no class worse by more than the plan allows"
         return Verdict.UNDECIDED if undecided else Verdict.NO_WORSE
 
     def _worse_reason(self, now_us: int) -> str:
@@ -185,9 +185,8 @@
                 rate_new = difference.served_new / difference.requests_new
                 rate_old = difference.served_old / difference.requests_old
                 return (
-                    f"{name}: served in time {rate_new:.4f} of {difference.requests_new} requests "
-                    "on the new side, "
-                    f"{rate_old:.4f} on the old side; "
+                    f"{name}: served in time {rate_new:.4f} of {difference.requests_new}, "
+                    f"the old side {rate_old:.4f}; "
                     f"worse by {-highest:.4f} to {-lowest:.4f}"
                 )
         return ""
@@ -196,16 +195,18 @@
         """Reason if it is not yet known that the new side is no worse; else empty."""
         total = sum(each.requests_new + each.requests_old for each in self.differences.values())
         if not total:
-            return "no requests yet"
+            return "nothing was asked"
         for name, difference in sorted(self.differences.items()):
             if difference.requests_new + difference.requests_old < RARE_CLASS_FRACTION * total:
                 continue
             lowest, _ = difference.confidence_interval(self._class_error_rate())
             if difference.requests_new < MIN_REQUESTS:
-                return f"{name}: {difference.requests_new} of {MIN_REQUESTS} needed requests on the new side"
+                return (
+                    f"{name}: {difference.requests_new} requests on the new side, {MIN_REQUESTS} are needed"
+                )
             allowed = self._tolerances.success_rate / max(next_fraction, 1e-6)
             if lowest < -allowed:
-                return f"{name}: may be worse by up to {-lowest:.4f}, allowed is {allowed:.4f}"
+                return f"{name}: may be worse by {-lowest:.4f}, allowed is {allowed:.4f}"
         return ""
 
     def _memory_reason(self) -> str:
@@ -228,8 +229,7 @@
         ]
         if 2 * len(leaking) > len(new):
             return (
-                f"memory of new processes grows by up to {max(leaking):.2f} MB per minute, "
-                f"of old ones by {usual:.2f}"
+                f"memory of new processes grows by {max(leaking):.2f} MB a minute, of old ones by {usual:.2f}"
             )
         return ""
 
--- a/magpieshift/rollout/coordinator.py
+++ b/magpieshift/rollout/coordinator.py
@@ -88,9 +88,7 @@
         unfinished = self.state.unfinished_step
         if unfinished is not None:
             # its outcome is unknown: the router is observed, and a new step is started if needed
-            failed = StepFailed(
-                unfinished.step, unfinished.router, unfinished.label, "interrupted", self.term
-            )
+            failed = StepFailed(unfinished.step, unfinished.router, unfinished.label, "broken off", self.term)
             instructions.append(RecordDecision(failed))
             self.state.unfinished_step = None
         if self.state.phase is RolloutPhase.HELD:
@@ -161,7 +159,7 @@
         attempts = self.state.failed_attempts[router]
         if self.state.phase is RolloutPhase.ADVANCING and attempts >= MAX_STEP_ATTEMPTS:
             instructions += self._apply_on_failure(
-                f"{router}: replacing the process failed {attempts} times: {failure}"
+                f"{router} could not be changed {attempts} times: {failure}"
             )
         return instructions
 
@@ -231,16 +229,16 @@
             return None
         if len(unreachable) + 1 > self.plan.max_unreachable:
             self.waiting_reason = (
-                f"unreachable: {', '.join(unreachable)}; "
-                f"at most {self.plan.max_unreachable} may be unavailable, including the next one to change"
+                f"away: {', '.join(unreachable)}; "
+                f"{self.plan.max_unreachable} may be, the next to change included"
             )
             return None
         if verdict is Verdict.COMMON_FAULT and self.state.phase is RolloutPhase.ADVANCING:
-            self.waiting_reason = "a common fault affects the old and the new side"
+            self.waiting_reason = "something strikes old and new alike"
             return None
         ready = [name for name in candidates if now_us >= self._next_attempt_us.get(name, 0)]
         if not ready:
-            self.waiting_reason = f"{candidates[0]}: waiting to retry a failed step"
+            self.waiting_reason = f"{candidates[0]} is tried again soon"
             return None
         step = ReplaceProcess(self.state.last_step + 1, ready[0], self.target_label(ready[0]))
         started = StepStarted(step.step, step.router, step.label, self.term)
@@ -258,20 +256,20 @@
         for name in (*targets, *others):
             view = self.routers[name]
             if view.last_answer_us is None and name not in unreachable:
-                self.waiting_reason = f"{name} has not answered yet"
+                self.waiting_reason = f"{name} has not been looked at yet"
             elif name not in unreachable and (view.two_processes or view.label != self.target_label(name)):
                 candidates.append(name)
         rolling_back = self.state.phase is RolloutPhase.ROLLING_BACK
         missing = [name for name in unreachable if name in targets or rolling_back]
         if not candidates and missing and not self.waiting_reason:
-            self.waiting_reason = f"unreachable: {', '.join(missing)}"
+            self.waiting_reason = f"away: {', '.join(missing)}"
         return candidates
 
     def _bake(self, now_us: int, elapsed_us: int, verdict: Verdict, reason: str) -> list[Instruction]:
         """Called when no router needs a change: end a rollback, or count the bake time and pass or hold the
         stage, depending on that time and the verdict."""
         if self.state.phase is RolloutPhase.ROLLING_BACK:
-            return self._end(f"rolled back: {self.state.reason}")
+            return self._end(f"put back: {self.state.reason}")
         if self._complete_since_us is None:
             self._complete_since_us = now_us
             self._baked_us = 0
@@ -279,7 +277,7 @@
             self._baked_us += elapsed_us
         stage = self.stage
         if self._baked_us < stage.bake_s * 1e6:
-            self.waiting_reason = f"stage {stage.name}: within the minimum bake time"
+            self.waiting_reason = f"stage {stage.name} is being looked at"
             return []
         is_last = len(stage.targets) == len(self.plan.routers)
         # in a stage of all routers there is no old side left to compare with, so an undecided verdict passes
@@ -288,7 +286,7 @@
         if self._baked_us >= stage.max_bake_s * 1e6:
             # neither worse nor no worse has been shown: an operator has to decide
             return self._change_phase(
-                RolloutPhase.HELD, f"stage {stage.name}: undecided after {stage.max_bake_s:g} s: {reason}"
+                RolloutPhase.HELD, f"stage {stage.name}: not known in {stage.max_bake_s:g} s: {reason}"
             )
         self.waiting_reason = f"stage {stage.name}: {verdict.value}: {reason}"
         return []
--- a/magpieshift/rollout/cpu_comparison.py
+++ b/magpieshift/rollout/cpu_comparison.py
@@ -76,5 +76,5 @@
         variance = sum((ratio - mean) ** 2 for ratio in ratios) / (len(ratios) - 1)
         error = math.sqrt(variance / len(ratios))
         if mean - CPU_SIGMAS * error > 1 + tolerance:
-            return f"processor time per request is {mean:.2f} times the old side's ({len(ratios)} blocks)"
+            return f"processor time a request is {mean:.2f} times the old side's ({len(ratios)} blocks)"
         return ""
--- a/magpieshift/rollout/executor.py
+++ b/magpieshift/rollout/executor.py
@@ -57,13 +57,11 @@
             start_new_session=True,
         )
     except OSError as err:
-        raise StepFailedError(f"start command {words[0]} cannot be run: {err.strerror or err}") from err
+        raise StepFailedError(f"{words[0]} cannot be started: {err.strerror or err}") from err
     _, errors = await process.communicate()
     if process.returncode:
         last = errors.decode("utf-8", "replace").strip().splitlines()[-1:] or [""]
-        raise StepFailedError(
-            f"start command {words[0]} ended with status {process.returncode}: {last[0][:MAX_REASON_LENGTH]}"
-        )
+        raise StepFailedError(f"{words[0]} ended with {process.returncode}: {last[0][:MAX_REASON_LENGTH]}")
 
 
 @dataclass(frozen=True)
@@ -152,7 +150,7 @@
         accepted = sum(any(answer.succeeded for answer in each) for each in answers.values())
         if not self._is_majority(accepted):
             raise StepFailedError(
-                f"{accepted} of {len(answers)} routers accepted term {self._term}, expected more than half: "
+                f"{accepted} of {len(answers)} routers go by term {self._term}, more than half must: "
                 + _failed_answers_text(answers)
             )
 
@@ -198,9 +196,7 @@
         found = await self._inspect(router)
         # a process of unknown label is neither kept nor ended
         for server, reason in found.unreadable.items():
-            raise StepFailedError(
-                "admin address {}:{} is used by a process of unknown label: ".format(*server) + reason
-            )
+            raise StepFailedError("{}:{} is held by a process of unknown label: ".format(*server) + reason)
         if not any(counters.label == label for counters in found.counters.values()):
             await self._start(place, self._free_address(found), build, self._term)
             await self._wait_until_serving(router, label)
@@ -212,7 +208,7 @@
     def _free_address(found: RouterProcesses) -> Address:
         """An admin address for a new process; raises ``StepFailedError`` if all are in use."""
         if not found.free:
-            raise StepFailedError("all admin addresses are in use, but none by a process of the target label")
+            raise StepFailedError("all admin addresses are held, and by no process of the wanted label")
         return found.free[-1]
 
     async def _wait_until_serving(self, router: str, label: str) -> None:
@@ -228,7 +224,7 @@
                 # end a process that was started but does not serve, so that it does not start serving later
                 if counters.label == label:
                     answer = await self._ask_in_term(server, "END")
-                    failure += "" if answer.succeeded else f", and its END command failed ({answer})"
+                    failure += "" if answer.succeeded else f", and its end was not taken ({answer})"
             raise StepFailedError(failure) from None
 
     async def _is_serving(self, router: str, label: str) -> bool:
@@ -243,7 +239,7 @@
             async with asyncio.timeout(timeout_s):
                 while not (answer := await self._ask_in_term(server, "END")).is_address_free:
                     if answer.refused:
-                        raise StepFailedError(f"the replaced process rejected END: {answer.text}")
+                        raise StepFailedError(f"the process before refused to end: {answer.text}")
                     await asyncio.sleep(POLL_INTERVAL_S)
         except TimeoutError:
-            raise StepFailedError(f"the replaced process did not end within {timeout_s:g} s") from None
+            raise StepFailedError(f"the process before did not end within {timeout_s:g} s") from None
--- a/magpieshift/rollout/process_counters.py
+++ b/magpieshift/rollout/process_counters.py
@@ -98,9 +98,7 @@
         )
     except (ValueError, KeyError, TypeError, AttributeError) as err:
         shown = f"{text[:MAX_SHOWN_LENGTH]!r}"
-        raise UnreadableCountersError(
-            f"found {shown}, expected a JSON object of counters: {type(err).__name__}"
-        ) from None
+        raise UnreadableCountersError(f"found {shown}: {type(err).__name__}") from None
 
 
 def _parse_counts(row: Mapping[str, Any]) -> RequestCounts:
--- a/magpieshift/rollout/process_losses.py
+++ b/magpieshift/rollout/process_losses.py
@@ -79,7 +79,7 @@
     if new_routers and all(
         router.is_lost and now_us - router.last_heard_us >= ALL_LOST_AFTER_US for router in new_routers
     ):
-        return f"all {len(new_routers)} new processes are lost, and none has come back"
+        return f"all {len(new_routers)} new processes have gone, and none came back"
     new_fraction = new.time_us / max(1, new.time_us + old.time_us)
     total = new.losses + old.losses
     # binomial tail: the probability that at least this many of all losses fall on the new side by chance
@@ -88,7 +88,7 @@
         for k in range(new.losses, total + 1)
     )
     if tail < false_positive_rate * LOSS_ERROR_FRACTION and new.losses > 1:
-        return f"{new.losses} new processes were lost or restarted unexpectedly, {old.losses} old ones"
+        return f"{new.losses} new processes have gone by themselves, {old.losses} old ones"
     return ""
 
 
@@ -99,5 +99,5 @@
     new_rate = new.requests / new.compared_s
     old_rate = old.requests / old.compared_s
     if new_rate < IDLE_FRACTION * old_rate and old_rate * new.compared_s >= MIN_EXPECTED_REQUESTS:
-        return f"new processes handle {new_rate:.1f} requests per second each, old ones {old_rate:.1f}"
+        return f"new processes end {new_rate:.1f} requests a second each, old ones {old_rate:.1f}"
     return ""
--- a/magpieshift/rollout/runner.py
+++ b/magpieshift/rollout/runner.py
@@ -112,7 +112,7 @@
             return self._publish(Verdict.UNDECIDED)
         await self._execute(coordinator.begin())
         if roll_back:
-            await self._execute(coordinator.stop("rollback requested on resuming", roll_back=True))
+            await self._execute(coordinator.stop("asked for on resuming", roll_back=True))
         while not coordinator.is_over:
             began_s = time.monotonic()
             await self._round()
@@ -166,7 +166,7 @@
         if action.request in (Request.PAUSE, Request.GO_ON):
             return self._coordinator.pause(action.request is Request.PAUSE)
         roll_back = action.request is Request.ROLL_BACK
-        return self._coordinator.stop(action.reason or "requested by an operator", roll_back)
+        return self._coordinator.stop(action.reason or "asked for", roll_back)
 
     async def _execute(self, instructions: list[Instruction]) -> None:
         """Carry out instructions in order. If a record cannot be written, the instructions after it are not
--- a/tests/rollout/test_coordinator.py
+++ b/tests/rollout/test_coordinator.py
@@ -69,7 +69,7 @@
         for _ in range(30):
             self.harness.run_second()
         self.assertEqual(set(self.harness.labels.values()), {"v6"})
-        self.assertIn("unreachable", self.harness.coordinator.waiting_reason)
+        self.assertIn("away", self.harness.coordinator.waiting_reason)
         self.harness.unreachable = set()
         self.harness.run()
         self.assertEqual(set(self.harness.labels.values()), {"v7"})
@@ -82,7 +82,7 @@
         self.harness.start_coordinator()
         self.harness.run()
         self.assertEqual(set(self.harness.labels.values()), {"v6"})
-        self.assertIn("replacing the process failed 3 times", replay(self.harness.records).reason)
+        self.assertIn("could not be changed 3 times", replay(self.harness.records).reason)
 
     def test_pause_and_common_fault_delay_steps_and_stop_rolls_back(self) -> None:
         self.harness.start_coordinator()
--- a/tests/rollout/test_executor.py
+++ b/tests/rollout/test_executor.py
@@ -126,7 +126,7 @@
         """Guards against starting a process at the admin address of one that hangs."""
         old = counters_answer("old", "serving")
         executor = await self.executor({"r0": [{"FIGURES": old, "PING": "OK serving"}, {}]})
-        with self.assertRaisesRegex(StepFailedError, "all admin addresses are in use"):
+        with self.assertRaisesRegex(StepFailedError, "all admin addresses are held"):
             await executor.replace_process("r0", "new")
         self.assertEqual(self.routers.started, [])
 
@@ -138,7 +138,7 @@
         executor = await self.executor({"r0": [old, new]})
         with (
             self.assertLogs("magpieshift.rollout.executor", "WARNING") as logged,
-            self.assertRaisesRegex(StepFailedError, f"rejected END: {reason}"),
+            self.assertRaisesRegex(StepFailedError, f"refused to end: {reason}"),
         ):
             await executor.replace_process("r0", "new")
         self.assertEqual(sum(line.endswith("END") for _, line in self.routers.commands), 1)
--- a/tests/rollout/test_processes.py
+++ b/tests/rollout/test_processes.py
@@ -119,7 +119,7 @@
         self.assertEqual(await cluster.call(lame_duck_router, "LAMEDUCK"), lame_duck)
 
         async def rollout_waits() -> bool:
-            return any("unreachable" in why and unreachable_router in why for why in reasons)
+            return any("away" in why and unreachable_router in why for why in reasons)
 
         await cluster.wait_until(rollout_waits, "the router is unreachable, and no step starts", 90.0)
         cluster.resume(unreachable_router)
@@ -130,7 +130,7 @@
     async def test_a_build_that_cannot_start_or_fails_requests_is_rolled_back(self) -> None:
         cluster = self.cluster
         for defect, magnitude, reason in (
-            ("no-start", 0.0, "replacing the process failed"),
+            ("no-start", 0.0, "could not be changed"),
             ("worse", 0.6, "served in time"),
         ):
             with self.subTest(defect):
