--- a/magpieshift/membership/failure_detector.py
+++ b/magpieshift/membership/failure_detector.py
@@ -296,4 +296,4 @@
         own = self.view.own
         prefix = own.name[: MAX_TEXT_CHARACTERS - BOOT_ID_SUFFIX_CHARACTERS]
         self.view.rename_own(f"{prefix}~{own.boot_id:08x}", self.now_us)
-        self.view.merge(holder, self.now_us, "started later under the name that this router had")
+        self.view.merge(holder, self.now_us, "holds the name this router was given")
--- a/magpieshift/membership/record_merger.py
+++ b/magpieshift/membership/record_merger.py
@@ -54,7 +54,7 @@
         is_reported = False
         for member in datagram.members:
             if member.name != own.name:
-                self.merge_record(now_us, member, f"record received from {datagram.sender.name}")
+                self.merge_record(now_us, member, f"told by {datagram.sender.name}")
             elif member.generation != own.generation:
                 self._name_conflict.observe(member)
         for report in datagram.suspicions:
--- a/magpieshift/membership/suspicion.py
+++ b/magpieshift/membership/suspicion.py
@@ -76,10 +76,10 @@
             has_quorum = len(reporters) >= quorum
             suspected_for_us = now_us - known.state_since_us
             if known.state == MemberState.ALIVE and has_quorum:
-                reason = f"no heartbeat after {known.member.heartbeat} received by {', '.join(reporters)}"
+                reason = f"nothing heard since beat {known.member.heartbeat} by {', '.join(reporters)}"
                 self._view.set_state(name, MemberState.SUSPECT, now_us, reason)
             elif known.state == MemberState.SUSPECT and not has_quorum:
-                self._view.set_state(name, MemberState.ALIVE, now_us, "fewer reporters than the quorum")
+                self._view.set_state(name, MemberState.ALIVE, now_us, "too few accuse it any more")
             elif (
                 known.state == MemberState.SUSPECT
                 and may_declare_dead
