--- a/magpieshift/config_transaction.py
+++ b/magpieshift/config_transaction.py
@@ -121,7 +121,7 @@
         kind = FailureKind.NEEDS_RESTART if err.needs_restart else FailureKind.REJECTED
         raise PreparationError(part.part, str(err), kind) from None
     except TimeoutError:
-        detail = f"prepare timed out after {timeout_s} s"
+        detail = f"not ready after {timeout_s} s"
         raise PreparationError(part.part, detail, FailureKind.TIMED_OUT) from None
     except Exception as err:  # any error rejects the document; the router continues with the old one
         log.exception("part failed to prepare", extra=fields(part=part.part))
--- a/magpieshift/engine/reconfiguration.py
+++ b/magpieshift/engine/reconfiguration.py
@@ -75,5 +75,5 @@
         for number in sorted(in_use):
             if before[number] not in after:
                 raise SettingsRejectedError(
-                    f"{what} {before[number]} is missing from the document, but listed endpoints belong to it"
+                    f"{what} {before[number]} is left out, and endpoints are listed in it"
                 )
--- a/magpieshift/engine/settings_in_force.py
+++ b/magpieshift/engine/settings_in_force.py
@@ -93,7 +93,7 @@
         If policy and engine have different settings, only an error entry.
         """
         if self._policy_calls.policy.settings is not self.settings:
-            return {"module": "the policy and the engine have different settings"}
+            return {"module": "runs on other settings than the engine"}
         settings = self.document_settings
         classes = {name: settings.classes[number] for name, number in self.class_numbers.items()}
         return settings_by_name(settings, self.names, classes)
