--- a/magpieshift/policy/simulator_settings.py
+++ b/magpieshift/policy/simulator_settings.py
@@ -41,7 +41,7 @@
         try:
             return convert(self._values[path])
         except (ValueError, KeyError) as err:
-            raise SettingsError(f"setting {path} has an invalid value: {self._values[path]!r}") from err
+            raise SettingsError(f"setting {path} cannot be read: {self._values[path]!r}") from err
 
     def read_list(self, path: str, convert: Callable[[str], T]) -> tuple[T, ...]:
         """A comma-separated list; an empty text is an empty list."""
