--- a/magpieshift/membership/wire/__init__.py
+++ b/magpieshift/membership/wire/__init__.py
@@ -1,1 +1,1 @@
-"""The control channel's messages. ``control_pb2`` is made from ``control.proto`` by ``make proto``."""
+"""The membership datagrams. ``members_pb2`` is generated from ``members.proto`` by ``make proto``."""
