--- a/magpieshift/extensions/__init__.py
+++ b/magpieshift/extensions/__init__.py
@@ -1,1 +1,1 @@
-"""The optional parts of a router; the platform's run imports none of them."""
+"""The optional parts of a router. ``python -m magpieshift`` as the platform runs it imports none of them."""
--- a/magpieshift/extensions/assembly.py
+++ b/magpieshift/extensions/assembly.py
@@ -1,6 +1,6 @@
-"""Which extensions a router has, by its options and settings.
+"""Creates the extensions that a router's options and settings ask for.
 
-The modules of an extension are imported only where it is used: a router without it loads none of its
+The modules of an extension are imported only if it is used, so that a router without it loads none of its
 libraries.
 """
 
@@ -16,9 +16,10 @@
 
 
 def assemble(options: Options, router: EdgeRouter, manager: VersionManager, seed: int) -> list[Extension]:
-    """The extensions of a router, in the order in which they start.
+    """Create the extensions of a router; returns them in the order in which they start.
 
-    ``seed`` is of the random generators of membership. Raises ``ConfigError`` where one cannot be made.
+    ``seed`` seeds the random generators of membership and its gossip. Raises ``ConfigError`` if an extension
+    cannot be created.
     """
     extensions: list[Extension] = []
     name = router.document.name
--- a/magpieshift/extensions/capture_recording.py
+++ b/magpieshift/extensions/capture_recording.py
@@ -1,4 +1,4 @@
-"""The capture extension: records all that goes into and comes out of a router's policy."""
+"""The capture extension: records all events passed to a router's policy and all actions it returns."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
 from magpieshift.config import ConfigError
 from magpieshift.extensions.extension import BaseExtension
 
-MIN_KEY_BYTES = 16  # shorter keys can be searched
+MIN_KEY_BYTES = 16  # a shorter key can be found by brute force
 MAX_KEY_BYTES = hashlib.blake2b.MAX_KEY_SIZE
 OBJECT_NUMBER_BYTES = 8
 
 
 class CaptureRecording(BaseExtension):
-    """Owner of the recorder."""
+    """Owns the recorder: starts it with the router and stops it with the router."""
 
     name = "capture"
 
     def __init__(
         self, router: EdgeRouter, folder: str, limits: Limits | None = None, hashed: bool = False
     ) -> None:
-        """``hashed``: object numbers are hashes under a key."""
+        """``hashed``: whether object numbers are keyed hashes, which the capture's header states."""
         self.recorder = attach(router, folder, limits, hashed)
 
     def start(self) -> None:
-        """Begin to record."""
+        """Start recording."""
         self.recorder.start()
 
     async def stop(self) -> None:
-        """Write what is pending and close the files."""
+        """Write the queued records and close the files."""
         self.recorder.stop()
 
 
 def attach(router: EdgeRouter, folder: str, limits: Limits | None = None, hashed: bool = False) -> Recorder:
-    """A recorder of this router's policy; the caller starts and stops it."""
+    """Create a recorder and attach it to this router's policy; the caller starts and stops it."""
     header = wire.Header(
         format=FORMAT,
         program=version("magpieshift"),
@@ -59,21 +59,22 @@
 
 
 def keyed_hash(key_file: str) -> Callable[[str], int]:
-    """A function from an object's id to its number, so that a capture does not show the objects requested.
+    """Return a keyed hash that maps an object's id to its number, so that captures do not reveal object ids.
 
-    Placement goes by these numbers: all routers of a network need the same key, or an object has another
-    place at each. Raises ``ConfigError`` where the file holds no key.
+    Placement depends on these numbers: all routers of a network need the same key, or each of them places an
+    object elsewhere. Raises ``ConfigError`` if the file cannot be read or does not hold a key of valid
+    length.
     """
     try:
         key = Path(key_file).read_bytes().strip()
     except OSError as err:
-        raise ConfigError(f"{key_file} cannot be read: {err.strerror or err}") from err
+        raise ConfigError(f"key file {key_file} cannot be read: {err.strerror or err}") from err
     if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
-        raise ConfigError(f"{key_file}: found {len(key)} bytes, expected a key of {MIN_KEY_BYTES} to 64")
+        raise ConfigError(f"key file {key_file}: found {len(key)} bytes, expected {MIN_KEY_BYTES} to 64")
 
     def object_number(hexadecimal: str) -> int:
         text = hexadecimal.lower().encode()
         digest = hashlib.blake2b(text, digest_size=OBJECT_NUMBER_BYTES, key=key).digest()
-        return int.from_bytes(digest, "big") or 1 << 64  # so that no object has the number 0
+        return int.from_bytes(digest, "big") or 1 << 64  # 0 means that a request has no object
 
     return object_number
--- a/magpieshift/extensions/control_channel.py
+++ b/magpieshift/extensions/control_channel.py
@@ -1,4 +1,4 @@
-"""The control extension: a router follows a control service."""
+"""The control extension: a router receives versions of its configuration from a control service."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from magpieshift.extensions.extension import BaseExtension
 from magpieshift.lifecycle import State
 
-INSTANCE_ID_BYTES = 4  # drawn at each start, so that the service tells two processes of one name apart
+INSTANCE_ID_BYTES = 4  # random at each start: lets the service distinguish two processes of the same name
 
 
 class ControlChannel(BaseExtension):
-    """Owner of the client of the control channel, which connects once the router serves."""
+    """Owns the control channel's client, which connects once the router is serving."""
 
     name = "control"
 
     def __init__(self, router: EdgeRouter, manager: VersionManager, service: str, name: str) -> None:
-        """``service`` is the service's host and port, ``name`` the router's."""
+        """``service`` is the address of the control service (host:port); ``name`` is the router's name."""
         instance_id = secrets.token_hex(INSTANCE_ID_BYTES)
         self._client = ControlClient(service, manager, name, instance_id, random.Random())
         self._started = False
         router.lifecycle.listeners.append(self._on_lifecycle_state)
 
     def _on_lifecycle_state(self, state: State) -> None:
-        if state == State.SERVING and not self._started:  # a router also returns to serving from a lame duck
+        if state == State.SERVING and not self._started:  # SERVING also follows LAME_DUCK
             self._started = True
             self._client.start()
 
--- a/magpieshift/extensions/counters.py
+++ b/magpieshift/extensions/counters.py
@@ -1,8 +1,8 @@
-"""The counters extension: requests by class and attempts since the start, for comparing versions.
+"""The counters extension: counts requests by class and attempts since the start, to compare versions.
 
-They are counted where the engine ends requests and attempts, and read by the admin command FIGURES. The
-incarnation tells processes apart: a reader compares it before it takes differences, so that a restart is
-never read as a gain.
+The engine reports each request and attempt when it ends; the admin command FIGURES returns the counters. The
+incarnation identifies the process: a reader compares it before subtracting two answers, so that counters
+reset by a restart are not mistaken for progress.
 """
 
 from __future__ import annotations
@@ -24,9 +24,10 @@
 from magpieshift.policy.outcomes import NEVER_RAN, Outcome
 from magpieshift.policy.settings import RequestClass
 
-MAX_CLASSES = 64  # counted by themselves; settings may name more over time
-MAX_LATENCY_US = 60_000_000  # longer ones count as this
-LATENCY_DIGITS = 2  # significant digits of the histogram
+# Limits memory, as reconfigurations may add classes; requests of further classes are not counted.
+MAX_CLASSES = 64
+MAX_LATENCY_US = 60_000_000  # longer latencies are recorded as this
+LATENCY_DIGITS = 2  # significant decimal digits of latencies in the histogram
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
@@ -36,18 +37,19 @@
 
 @dataclass(slots=True)
 class ClassCounters:
-    """What became of the requests of one class."""
+    """The requests of one class, counted by how they ended."""
 
     received: int = 0
     served_in_time: int = 0  # within the latency objective
     served_late: int = 0
     rejected: int = 0
     failed: int = 0
-    disconnected: int = 0  # the client went away before the answer
-    latency_us: HdrHistogram = field(default_factory=_latency_histogram)  # of answers served; mergeable
+    disconnected: int = 0  # the client disconnected before the answer
+    # of served answers; histograms of several routers can be merged
+    latency_us: HdrHistogram = field(default_factory=_latency_histogram)
 
     def as_json(self) -> dict[str, object]:
-        """Under the keys of the answer to FIGURES."""
+        """Return the counters under the keys that the answer to FIGURES has for a class."""
         return {
             "asked": self.received,
             "failed": self.failed,
@@ -61,43 +63,43 @@
 
 @dataclass(slots=True)
 class AttemptCounters:
-    """What became of attempts at upstreams."""
+    """The attempts at endpoints, counted by what they did and how they ended."""
 
     total: int = 0
-    fills: int = 0  # that filled a cache
-    origin: int = 0  # that went to an origin
-    errors: int = 0  # that ran and did not succeed
+    fills: int = 0  # attempts that named a source to fill the endpoint from
+    origin: int = 0  # attempts whose endpoint or source was the origin
+    errors: int = 0  # attempts that ran at the endpoint and did not succeed
 
 
 class RequestCounters(BaseExtension):
-    """Counts, and answers FIGURES with one line of JSON."""
+    """Counts requests and attempts, and answers FIGURES with the counters as one line of JSON."""
 
     name = "figures"
 
     def __init__(self, router: EdgeRouter, label: str) -> None:
-        """``label`` is the rollout's name of what this process runs."""
+        """``label`` is the name that a rollout gave to the program and settings that this process runs."""
         self._router = router
         self._label = label
-        self._classes: dict[str, ClassCounters] = {}  # by the name of the class
+        self._classes: dict[str, ClassCounters] = {}  # by class name
         self._attempts = AttemptCounters()
         self._incarnation = f"{time.time_ns() // 1_000_000}.{os.getpid()}"
         self._started_us = clock.source.steady_us()
         router.engine.request_observer = self
 
     def commands(self) -> Mapping[str, Callable[[], str]]:
-        """FIGURES shows the counters."""
+        """FIGURES returns the counters."""
         return {"FIGURES": self._status}
 
     async def stop(self) -> None:
-        """Count no more."""
+        """Stop counting."""
         self._router.engine.request_observer = None
 
-    # --- as the engine's observer
+    # --- engine.interfaces.RequestObserver
 
     def request_ended(
         self, request: ClientRequest, request_class: RequestClass, verdict: Verdict | None, duration_us: int
     ) -> None:
-        """Count a request; ``verdict`` None: the client went away."""
+        """Count a request; ``verdict`` is None if the client disconnected before the answer."""
         counters = self._classes.get(request.class_name)
         if counters is None:
             if len(self._classes) >= MAX_CLASSES:
@@ -117,19 +119,19 @@
             counters.failed += 1
 
     def _latency_objective_us(self, request: ClientRequest, request_class: RequestClass) -> float:
-        """The objective of the class, extended by the time that sending the body to the client takes."""
+        """The class's latency objective, extended in proportion to the time that sending the body takes."""
         client_kb_per_s = self._router.document.settings.client_kb_per_s
         sending_us = 1e6 * request.size_kb / client_kb_per_s if client_kb_per_s else 0.0
         return request_class.latency_objective_us + request_class.latency_objective_stretch * sending_us
 
     def attempt_ended(self, outcome: Outcome, filled: bool, origin: bool) -> None:
-        """Count an attempt at an upstream."""
+        """Count an attempt at an endpoint."""
         self._attempts.total += 1
         self._attempts.fills += filled
         self._attempts.origin += origin
         self._attempts.errors += outcome not in NEVER_RAN and outcome != Outcome.OK
 
-    # --- for operators
+    # --- the admin command
 
     def _status(self) -> str:
         resident_kb, descriptors = _process_usage()
@@ -157,7 +159,7 @@
 
 
 def _process_usage() -> tuple[int, int]:
-    """Resident memory in kB and open descriptors; zeros where the system has no /proc."""
+    """Resident memory in kB and number of open descriptors; both 0 if the system has no ``/proc``."""
     try:
         pages = int(Path("/proc/self/statm").read_text().split()[1])
         descriptors = len(os.listdir("/proc/self/fd"))
--- a/magpieshift/extensions/extension.py
+++ b/magpieshift/extensions/extension.py
@@ -1,4 +1,4 @@
-"""The interface by which optional parts join a router."""
+"""The interface of a router's optional parts."""
 
 from __future__ import annotations
 
@@ -11,40 +11,44 @@
 class Extension(Protocol):
     """An optional part of a router.
 
-    Its owner is the ``Installation``, which starts it before clients come and stops it after the last answer.
+    Its owner, the ``Installation``, starts it before the router accepts clients and stops it after the last
+    answer.
     """
 
     @property
     def name(self) -> str:
-        """Its name, for log lines."""
+        """The name of the extension."""
         ...
 
     def start(self) -> None:
-        """The router is about to serve; what needs it serving watches its lifecycle."""
+        """Start, shortly before the router serves.
+
+        Work that needs a serving router begins in a listener on its lifecycle instead.
+        """
         ...
 
     def configuration_changed(self, document: Document, version: int) -> None:
         """A document has come into force.
 
-        Called in the turn of the event loop in which it does; must neither block nor fail.
+        Called in the same iteration of the event loop; must neither block nor fail.
         """
         ...
 
     def commands(self) -> Mapping[str, Callable[[], str]]:
-        """Its admin commands; each returns one line or raises ``lifecycle.InvalidStateError``."""
+        """The extension's admin commands; each returns one line or raises ``lifecycle.InvalidStateError``."""
         ...
 
     def commands_with_argument(self) -> Mapping[str, Callable[[str], str]]:
-        """Its admin commands that take the rest of the line."""
+        """The extension's admin commands whose argument is the rest of the line."""
         ...
 
     async def stop(self) -> None:
-        """Release all that it holds."""
+        """Stop, and release all resources."""
         ...
 
 
 class BaseExtension:
-    """An extension that does nothing; others inherit what they do not need."""
+    """An extension that does nothing; others override what they need."""
 
     name = "plain"
 
--- a/magpieshift/extensions/fencing.py
+++ b/magpieshift/extensions/fencing.py
@@ -1,8 +1,8 @@
-"""The fencing extension: a router obeys the latest coordinator of a rollout only, by its term.
+"""The fencing extension: a router accepts fenced commands only from the coordinator with the latest term.
 
-The latest term lies in a file beside the router's lock file, which all processes of the router read: a
-successor knows the term that its predecessor was given. A command of an older term is rejected, and a process
-that an older term starts does not come to serve.
+The latest term is stored in a file next to the router's process lock file. All processes of the router share
+it, so a replacement process knows the terms that its predecessor received. A command of an older term is
+rejected, and a process that is started with an older term exits before it serves.
 """
 
 from __future__ import annotations
@@ -18,22 +18,23 @@
 from magpieshift.extensions.extension import BaseExtension
 from magpieshift.lifecycle import InvalidStateError
 
-MAX_TERM = 1 << 62  # more is no term of a coordinator
-MAX_FILE_BYTES = 32  # of the file that are read: a term of 20 digits and a line feed
-MAX_SHOWN_CHARACTERS = 60  # of a command in the text of its rejection
+MAX_TERM = 1 << 62  # a larger number in a command is rejected as invalid
+MAX_FILE_BYTES = 32  # read limit; the file holds a term, padded to 20 characters, and a line feed
+MAX_SHOWN_CHARACTERS = 60  # characters of a rejected command that are repeated in the error
 
 
 class FencingTermFile:
-    """The file with the latest term. Each call opens, locks, reads and closes it, as calls are rare."""
+    """The file that stores the latest term. Calls are rare, so each one opens, locks and closes it."""
 
     def __init__(self, listen: Address, folder: str | None = None) -> None:
-        """``listen`` is the router's address, by which its processes find the same file."""
+        """``listen`` is the router's address, which names the file for all processes of the router."""
         self.path = Path(folder or tempfile.gettempdir()) / "magpieshift-{}-{}.term".format(*listen)
 
     def advance(self, term: int) -> int:
-        """Record a term; the latest one, which is larger where the caller's term is over.
+        """Store ``term`` if it is newer than the stored one; returns the latest term.
 
-        Raises ``OSError`` where the file cannot be used: then nothing may be done in any term's name.
+        A result larger than ``term`` means that a newer coordinator has replaced that of ``term``. Raises
+        ``OSError`` if the file cannot be used; then no command of any term may be executed.
         """
         file = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW, 0o600)
         try:
@@ -41,7 +42,8 @@
             text = os.pread(file, MAX_FILE_BYTES, 0).decode("ascii", "replace").strip("\0 \n")
             latest = int(text) if text.isdecimal() else 0
             if term > latest:
-                os.pwrite(file, f"{term:<20}\n".encode(), 0)  # one write of one length: never half a number
+                # a single write of fixed length never leaves part of a number
+                os.pwrite(file, f"{term:<20}\n".encode(), 0)
                 os.fsync(file)
             return max(term, latest)
         finally:
@@ -49,12 +51,15 @@
 
 
 class FencingTerms(BaseExtension):
-    """Answers the admin command ``AS TERM COMMAND``, which only the latest coordinator may give."""
+    """Answers the admin command ``AS TERM COMMAND``, and rejects it if a later term is known."""
 
     name = "terms"
 
     def __init__(self, router: EdgeRouter, term: int) -> None:
-        """``term`` starts this process, -1 for none; ``ConfigError`` where it is over."""
+        """``term`` is that of the coordinator that starts this process, -1 for none.
+
+        Raises ``ConfigError`` if a later term is stored, or the file cannot be used.
+        """
         self._router = router
         self._file = FencingTermFile(router.document.listen)
         lifecycle = router.lifecycle
@@ -67,16 +72,18 @@
         try:
             latest = self._file.advance(max(term, 0))
         except OSError as err:
-            raise ConfigError(f"{self._file.path} cannot be used: {err.strerror or err}") from err
+            raise ConfigError(f"term file {self._file.path} cannot be used: {err.strerror or err}") from err
         if 0 <= term < latest:
-            raise ConfigError(f"term: found {term}, expected {latest} or later: a rollout has gone on since")
+            raise ConfigError(
+                f"term: found {term}, expected {latest} or later, as a newer coordinator has taken over"
+            )
 
     def commands(self) -> Mapping[str, Callable[[], str]]:
-        """TERM shows the latest term."""
+        """TERM returns the latest term."""
         return {"TERM": self._latest_term}
 
     def commands_with_argument(self) -> Mapping[str, Callable[[str], str]]:
-        """AS runs a command in the name of a term."""
+        """AS executes a command for the coordinator of the given term."""
         return {"AS": self._run_as}
 
     def _latest_term(self) -> str:
--- a/magpieshift/extensions/membership.py
+++ b/magpieshift/extensions/membership.py
@@ -1,4 +1,5 @@
-"""The membership extension: which other routers are present, and what part of the whole this one may use."""
+"""The membership extension: detects which other routers are present, and sets the quota of the shared limits
+that this one may use."""
 
 from __future__ import annotations
 
@@ -25,24 +26,24 @@
 
 log = logging.getLogger(__name__)
 
-MAX_HISTORY = 64  # changes of the view kept for the answer to MEMBERS
-BIND_RETRY_S = 0.25  # while a predecessor of this router still has the address
-MAX_ROUTER_COUNT = 1 << 20  # what the engine divides by where nothing may be used
-ROUNDING_TOLERANCE = 1e-9  # so that a quota of exactly 1/n gives the divisor n
+MAX_HISTORY = 64  # membership changes kept for the answer to MEMBERS
+BIND_RETRY_S = 0.25  # retry interval while a replaced process still has the address bound
+MAX_ROUTER_COUNT = 1 << 20  # divisor of the engine's limits if the quota is 0
+ROUNDING_TOLERANCE = 1e-9  # without it, rounding could give n + 1 as the divisor of a quota of 1/n
 
 
 def _divisor(quota: float) -> int:
-    """The whole number of routers that a quota stands for, rounded to the safe side."""
+    """The divisor of shared limits for a quota; rounded up, so that no more than the quota is used."""
     return math.ceil(1 / quota - ROUNDING_TOLERANCE) if quota > 0 else MAX_ROUTER_COUNT
 
 
 class Membership(BaseExtension):
-    """Owner of the membership driver, and with it of the socket."""
+    """Owns the membership driver and thereby its socket."""
 
     name = "members"
 
     def __init__(self, router: EdgeRouter, settings: MembershipSettings, seed: int) -> None:
-        """``seed`` is mixed with the wall clock, so that two starts draw different numbers."""
+        """``seed`` is combined with the wall clock, so that two starts draw different random numbers."""
         self._router = router
         self._settings = settings
         rand = random.Random(seed ^ clock.source.unix_us())
@@ -58,11 +59,13 @@
             self._detector, self._quota_lease, after_tick=self._after_tick, refresh_quota=self._refresh_quota
         )
         self._history: deque[MembershipChange] = deque(maxlen=MAX_HISTORY)
-        self._opening: asyncio.Task[None] | None = None  # until the socket is bound
+        self._opening: asyncio.Task[None] | None = None  # the task that binds the socket
         self._conflicts_logged = 0
         self._quota_logged = -1.0
-        self.after_tick: list[Callable[[], None]] = []  # of other parts, called at the end of each tick
-        self.message_receivers: dict[str, Callable[[bytes, Member], None]] = {}  # of other parts, by topic
+        # callbacks of other parts, called at the end of each tick
+        self.after_tick: list[Callable[[], None]] = []
+        # message handlers of other parts, by topic
+        self.message_receivers: dict[str, Callable[[bytes, Member], None]] = {}
         router.lifecycle.listeners.append(self._on_lifecycle_state)
 
     def _first_record(self, rand: random.Random) -> Member:
@@ -87,15 +90,15 @@
             self._zone_scope: max(1, settings.zone_router_counts[settings.zone]),
         }
 
-    # --- as an extension
+    # --- Extension
 
     def start(self) -> None:
-        """Begin to join; the router serves meanwhile on its solo quota."""
+        """Start joining the fleet; until then the router uses its solo quota."""
         self._router.engine.refresh_quota = self._refresh_quota
         self._opening = asyncio.ensure_future(self._open())
 
     async def _open(self) -> None:
-        """Bind and join, as soon as a process that this one replaces has released the address."""
+        """Bind the socket and join the fleet; retries while a replaced process has the address bound."""
         address = "{}:{}".format(*self._settings.listen)
         failure_logged = False
         while True:
@@ -112,13 +115,13 @@
                 return
 
     def configuration_changed(self, document: Document, version: int) -> None:
-        """Use the router counts of the new configuration, and say its version."""
+        """Use the router counts of the new configuration, and announce its version to the other members."""
         self._quota_lease.router_counts = self._configured_router_counts(document)
         self._detector.update_own_record(settings_version=version)
         self._refresh_quota()
 
     def commands(self) -> Mapping[str, Callable[[], str]]:
-        """MEMBERS shows the view."""
+        """MEMBERS returns the view of the fleet."""
         return {"MEMBERS": self._status}
 
     async def stop(self) -> None:
@@ -137,17 +140,17 @@
         return self._detector.view.own.zone
 
     def alive_members(self) -> list[Member]:
-        """The members that are present and not suspect, this router included."""
+        """The members in the state ``ALIVE`` (present and not suspected), including this router."""
         present = self._detector.view.present_members()
         return [known.member for known in present if known.state == MemberState.ALIVE]
 
     def send_message(self, member: Member, topic: str, data: bytes) -> None:
-        """Send another part's message to a member, at the end of this tick."""
+        """Send a message of another part to a member at the end of the current tick."""
         self._detector.send_extension_message(member, topic, data)
 
     def _receive_extension_message(self, message: ExtensionMessage, sender: Member) -> None:
         receive = self.message_receivers.get(message.topic)
-        if receive is not None:  # else the topic is of a later version
+        if receive is not None:  # an unknown topic comes from a later version of the program
             receive(message.data, sender)
 
     # --- events
@@ -171,16 +174,17 @@
             callback()
 
     def _refresh_quota(self) -> None:
-        """Have the engine divide by what may be used at this instant.
+        """Set the divisors of the engine's limits to the current quotas.
 
-        The engine calls this before each batch as well: a process that resumes from a pause uses nothing of a
-        lease that expired, and one that is being replaced leaves its successor its part from the first batch.
+        The engine also calls this before each batch of events: a process that resumes after a pause then no
+        longer uses a lease that has expired, and a process that is being replaced shares its quota with its
+        successor from the first batch on.
         """
         self._router.check_other_process()
         now_us = steady_us()
         fleet_quota = self._quota_lease.quota(FLEET_SCOPE, now_us)
         zone_quota = self._quota_lease.quota(self._zone_scope, now_us)
-        # the engine divides among the processes of this router
+        # the engine divides the quota further among the processes of this router
         used = fleet_quota / (1 + self._router.engine.sibling_processes)
         if used != self._quota_logged:
             self._quota_logged = used
--- a/magpieshift/extensions/membership_status.py
+++ b/magpieshift/extensions/membership_status.py
@@ -1,4 +1,4 @@
-"""The answer to the admin command MEMBERS: the one place of its JSON keys."""
+"""Formats the answer to the admin command MEMBERS; all of its JSON keys are defined here."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from magpieshift.membership.member import KnownMember, MembershipChange
 from magpieshift.membership.quota_lease import FLEET_SCOPE, QuotaLease
 
-MAX_MEMBERS_SHOWN = 256  # in one answer, which is one line; present members come first
+MAX_MEMBERS_SHOWN = 256  # limits the length of the answer, a single line; present members come first
 
 
 def membership_status(
@@ -20,7 +20,7 @@
     history: Iterable[MembershipChange],
     now_us: int,
 ) -> str:
-    """One router's view and its quotas, as one line of JSON."""
+    """This router's view of the fleet and its quotas, as one line of JSON."""
     view = detector.view
     known_members = sorted(view.members.values(), key=lambda known: (not known.is_present, known.member.name))
     return json.dumps(
--- a/magpieshift/extensions/overload_gossip.py
+++ b/magpieshift/extensions/overload_gossip.py
@@ -1,4 +1,4 @@
-"""The overload extension: gossip of failing endpoints and of load, carried by membership's datagrams."""
+"""The overload extension: gossips failing endpoints and load, in the datagrams of membership."""
 
 from __future__ import annotations
 
@@ -24,49 +24,49 @@
 
 log = logging.getLogger(__name__)
 
-TOPIC = "overload"  # of membership's extension messages
-# Ticks that come so late on the mean show a processor at its capacity, so a pressure of 1.
-# Smaller makes offloading begin at shorter queues in the event loop.
+TOPIC = "overload"  # topic of this extension's messages in membership's datagrams
+# Mean lateness of ticks that counts as a pressure of 1: the processor is at its capacity. A smaller value
+# starts offloading at shorter queues in the event loop.
 FULL_LATENESS_US = 100_000
-LATENESS_WEIGHT = 0.2  # of the latest tick in the moving average; larger follows load sooner and swings more
-RATE_WEIGHT = 0.2  # of the latest interval in the moving average of the request rate
-SEED_SALT = 1  # so that gossip draws other numbers than membership from the same seed
+LATENESS_WEIGHT = 0.2  # of the latest tick in the moving average; larger: reacts faster, oscillates more
+RATE_WEIGHT = 0.2  # of the latest gossip interval in the moving average of the request rate
+SEED_SALT = 1  # gives gossip other random numbers than membership, which uses the same seed
 
 
 class OverloadGossip(BaseExtension):
-    """Runs the gossip at the ticks of membership, and applies what it decides."""
+    """Runs the gossip on the ticks of membership, and carries out its actions."""
 
     name = "talk"
 
     def __init__(self, router: EdgeRouter, membership: Membership, seed: int, may_offload: bool) -> None:
-        """``may_offload``: whether clients may be sent to neighbours."""
+        """``may_offload``: whether requests may be offloaded to neighbours."""
         self._router = router
         self._membership = membership
         rand = random.Random(seed ^ clock.source.unix_us() ^ SEED_SALT)
         self._gossip = Gossip(router.document.name, rand, steady_us())
         self._may_offload = may_offload
-        self._last_call_us = self._last_tick_us = steady_us()  # of membership's tick, and of the gossip's
-        self._lateness_us = 0.0  # of membership's ticks, moving average
-        self._request_rate = 0.0  # requests a second, moving average
-        self._requests_counted = 0  # of the engine, up to the last tick
+        self._last_call_us = self._last_tick_us = steady_us()  # times of membership's and the gossip's tick
+        self._lateness_us = 0.0  # moving average over membership's ticks
+        self._request_rate = 0.0  # moving average, in requests per second
+        self._requests_counted = 0  # the engine's count of requests at the last gossip tick
         self._ejected: set[int] = set()  # numbers of endpoints ejected by gossip
         self._malformed_digests = 0
         membership.after_tick.append(self._after_membership_tick)
         membership.message_receivers[TOPIC] = self._receive
 
-    # --- as an extension
+    # --- Extension
 
     def start(self) -> None:
-        """Let the router offload, where the settings allow it."""
+        """Enable offloading if the settings allow it."""
         if self._may_offload:
             self._router.offload_by(self._should_offload)
 
     def commands(self) -> Mapping[str, Callable[[], str]]:
-        """TALK shows what is reported and done."""
+        """TALK returns the reports received and the state of offloading."""
         return {"TALK": self._status}
 
     async def stop(self) -> None:
-        """Offload no more. The ticks end with those of membership."""
+        """Disable offloading. The gossip itself ends with the ticks of membership."""
         self._router.offload_by(None)
 
     # --- events
@@ -124,7 +124,7 @@
         }
 
     def _pressure(self) -> float:
-        """This router's load by its capacity: of its limits, or of its processor."""
+        """This router's load by its capacity: the higher of those of its limits and of its processor."""
         return max(self._router.pressure, self._lateness_us / FULL_LATENESS_US)
 
     def _should_offload(self, request: ClientRequest) -> bool:
@@ -133,12 +133,12 @@
         is_write = engine.is_write_class(request.class_index)
         return self._gossip.offloading.should_offload(object_number, request.is_repeat, is_write)
 
-    # --- for operators
+    # --- log lines and the admin command
 
     def _log_overrides(
         self, overrides: Collection[HealthOverride], health: Mapping[str, EndpointHealth]
     ) -> None:
-        """A line for each endpoint that begins to be ejected by gossip, and for each that is no more."""
+        """Log each endpoint that is newly ejected by gossip, and each that no longer is."""
         names = {own_view.number: endpoint for endpoint, own_view in health.items()}
         ejected = [override.endpoint for override in overrides if isinstance(override, Eject)]
         readmitted = {override.endpoint for override in overrides if isinstance(override, Readmit)}
@@ -151,7 +151,7 @@
                     extra=fields(endpoint=endpoint, witnesses=",".join(witnesses)),
                 )
         for number in self._ejected - set(ejected):
-            reason = "probed by this router" if number in readmitted else "recovered, or no reports"
+            reason = "probed by this router" if number in readmitted else "recovered, or reports expired"
             log.info(
                 "endpoint readmitted by gossip", extra=fields(endpoint=names.get(number, "-"), reason=reason)
             )
@@ -166,7 +166,7 @@
             )
 
     def _status(self) -> str:
-        """What is reported and done, as one line of JSON."""
+        """The load, the reports received and the state of offloading, as one line of JSON."""
         now_us = steady_us()
         gossip = self._gossip
         offloading = gossip.offloading
--- a/magpieshift/extensions/relay_subscription.py
+++ b/magpieshift/extensions/relay_subscription.py
@@ -1,4 +1,4 @@
-"""The relay extension: a router follows the fan-out tier's relays in place of the change log."""
+"""The relay extension: a router receives changes from a relay of the fan-out instead of the change log."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 log = logging.getLogger(__name__)
 
-MAX_REASON_CHARACTERS = 200  # of a rejection, in a log line and in the report to the relay
-INSTANCE_ID_BYTES = 4  # drawn at each start, so that relays tell two processes of one name apart
+MAX_REASON_CHARACTERS = 200  # of the reason of a rejection, in log lines and in the report to the relay
+INSTANCE_ID_BYTES = 4  # random at each start, so that relays can distinguish two processes of the same name
 
 
 class RelayChangeSource:
-    """A source of changes (``discovery.changes.ChangeSource``) that puts in force what a relay sends."""
+    """A change source (``discovery.changes.ChangeSource``) that applies the changes sent by a relay."""
 
     def __init__(
         self,
@@ -40,23 +40,23 @@
         selection: RelaySelection,
         offer: Callable[[ConfigurationChange], None],
     ) -> None:
-        """``offer`` receives the versions of the configuration."""
+        """``offer`` is called with each version of the configuration that is received."""
         self._router = router
         self._offer = offer
         self.client = RelayClient(follower, selection, self)
 
-    # --- as the router's source of changes
+    # --- discovery.changes.ChangeSource
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Connect to a relay and follow it."""
         self.client.start()
 
     def stop(self) -> None:
-        """Put nothing more in force. The extension closes the stream when it stops."""
+        """Stop applying changes. The stream is closed later, when the extension stops."""
         self.client.stop_receiving()
 
     async def caught_up(self, within_s: float) -> bool:
-        """Wait for a first lease, so many seconds at most; whether there is one."""
+        """Wait for the first lease, for at most ``within_s`` seconds; returns whether one was held."""
         try:
             async with asyncio.timeout(within_s):
                 await self.client.caught_up.wait()
@@ -64,16 +64,16 @@
             return False
         return True
 
-    # --- as the client's receiver
+    # --- receiver of the RelayClient
 
     def apply_entries(self, batch: ApplyEntries) -> None:
-        """Put a batch in force; the router decides by it from here on."""
+        """Apply a batch of entries; from here on the router's decisions take them into account."""
         for entry in batch.entries:
             self._apply(entry)
         self._router.engine.flush()
 
     def restore_snapshot(self, snapshot: Snapshot) -> None:
-        """Put in force what a snapshot holds."""
+        """Apply the endpoint list, the purges and the configuration of a snapshot."""
         if snapshot.endpoint_list_json:
             self._apply(EndpointListChange(snapshot.endpoint_list_json))
         for purge in snapshot.purges:
@@ -83,7 +83,7 @@
         self._router.engine.flush()
 
     def apply_configuration(self, change: ConfigurationChange) -> None:
-        """Offer a full version, which was requested."""
+        """Offer a full version of the configuration, which the follower had requested."""
         self._offer(change)
 
     def _apply(self, entry: Entry) -> None:
@@ -96,16 +96,16 @@
                 self._offer(entry)
 
     def _apply_endpoint_list(self, endpoint_list_json: str) -> None:
-        """Put a list of endpoints in force; one that cannot be read is logged and changes nothing."""
+        """Apply an endpoint list; one that cannot be read is logged and ignored."""
         try:
             self._router.changes.apply_list(json.loads(endpoint_list_json), is_initial=False)
-        except Exception as err:  # contains a list of a form that the router does not know
+        except Exception as err:  # a list in a form unknown to this version must not end the stream
             reason = f"{type(err).__name__}: {err}"[:MAX_REASON_CHARACTERS]
             log.warning("unreadable change", extra=fields(reason=reason))
 
 
 class RelaySubscription(BaseExtension):
-    """Owner of a router's subscription to a relay, and of the versions that it brings."""
+    """Owns a router's subscription to a relay, and offers received versions to the version manager."""
 
     name = "relays"
 
@@ -117,13 +117,13 @@
         region: str,
         name: str,
     ) -> None:
-        """``region`` and ``name`` are the router's; relays of its region are preferred."""
+        """``region`` and ``name`` are those of the router; relays of its region are preferred."""
         self._manager = manager
         self._follower = Follower(name, secrets.token_hex(INSTANCE_ID_BYTES))
         self._follower.configuration_digest = manager.in_force.digest
         selection = RelaySelection(rank_relays(name, region, relays), random.Random())
         self._changes = RelayChangeSource(router, self._follower, selection, self._offer)
-        # versions that arrived before the router serves, to be offered then; None from then on
+        # versions received before the router serves, which are offered when it does; None once it serves
         self._deferred: list[ConfigurationChange] | None = []
         router.change_source = self._changes
         router.engine.copy_age_limit = self._copy_age_limit_us
@@ -131,7 +131,7 @@
         manager.listeners.append(self._on_answer)
 
     def commands(self) -> Mapping[str, Callable[[], str]]:
-        """RELAY shows how far the router follows."""
+        """RELAY returns the relay, the position in the log and the state of the lease."""
         return {"RELAY": self._status}
 
     async def stop(self) -> None:
@@ -178,7 +178,7 @@
             self._report_rejection(change.number, str(err), wants_full=bool(change.base_digest))
 
     def _on_answer(self, answer: OfferOutcome, apply_us: int, pause_us: int) -> None:
-        """The manager has accepted or rejected a version, of this or of another source."""
+        """The version manager has accepted or rejected a version, from this or from another source."""
         follower = self._follower
         follower.configuration_digest = self._manager.in_force.digest
         if answer.offer.source != configuration.OFFER_SOURCE:
@@ -192,7 +192,7 @@
             self._report_rejection(answer.offer.number, reason, answer.wants_full)
 
     def _report_rejection(self, version: int, reason: str, wants_full: bool) -> None:
-        """Have the follower tell the relay of a rejected version."""
+        """Have the follower report a rejected version to the relay."""
         follower = self._follower
         follower.rejected_version = version
         follower.rejection_reason = reason[:MAX_REASON_CHARACTERS]
--- a/magpieshift/extensions/runner.py
+++ b/magpieshift/extensions/runner.py
@@ -1,4 +1,4 @@
-"""Running a router with its versions and extensions."""
+"""Runs a router with its configuration versions and extensions."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 log = logging.getLogger(__name__)
 
-# Of Python's threads. Versions are read in a thread, which would hold the event loop up for 5 ms at a time,
-# the interpreter's default.
+# Switch interval of Python's threads. Versions are parsed in a thread, which at the interpreter's default
+# would delay the event loop by 5 ms at a time.
 SWITCH_S = 0.0005
-SEED_BITS = 64  # of a seed that is drawn where the settings give none
+SEED_BITS = 64  # size of the random seed that is used if the settings contain none
 
 
 class Installation:
-    """Owner of one router, with its versions and extensions."""
+    """Owns one router with its configuration versions and extensions."""
 
     def __init__(self, options: Options) -> None:
-        """Read what is stored and told; ``ConfigError`` where there is nothing to run on."""
+        """Load the settings file and the stored versions; ``ConfigError`` if neither can be used."""
         self._options = options
         overrides = options.overrides
         start, platform = load_any(options.config) if options.config else (None, None)
@@ -52,9 +52,9 @@
             self.router.admin_commands_with_argument.update(extension.commands_with_argument())
 
     def reload(self) -> None:
-        """SIGHUP: offer the settings file as a version."""
+        """Handle SIGHUP: read the settings file again and offer it as a version."""
         if not self._options.config:
-            log.error("configuration not reloaded", extra=fields(reason="there is no settings file"))
+            log.error("configuration not reloaded", extra=fields(reason="started without a settings file"))
             return
         try:
             loaded, _ = load_any(self._options.config)
@@ -64,7 +64,7 @@
         self.manager.offer_file(loaded, self._options.config)
 
     async def run(self, prepared: Callable[[Installation], None] = lambda installation: None) -> None:
-        """Serve until the router is stopped; ``prepared`` is called once before."""
+        """Serve until the router is stopped; ``prepared`` is called once before the start."""
         prepared(self)
         sys.setswitchinterval(SWITCH_S)
         for extension in self.extensions:
@@ -74,7 +74,7 @@
         try:
             await serve(self.router, self.reload)
         finally:
-            if not self.router.is_shutting_down:  # it never came to serve
+            if not self.router.is_shutting_down:  # it raised before its planned shutdown began
                 manager_end.cancel()
                 await self.manager.stop()
             await asyncio.wait([manager_end])
@@ -82,13 +82,13 @@
                 await extension.stop()
 
     async def _stop_manager_with_router(self) -> None:
-        """No version comes into force while the router drains."""
+        """Stop the version manager when the shutdown begins: no version comes into force while draining."""
         await self.router.wait_for_shutdown()
         await self.manager.stop()
 
 
 def run(options: Options, prepared: Callable[[Installation], None] = lambda installation: None) -> None:
-    """Run a router until it is stopped; raises ``ConfigError`` and ``OSError`` where it cannot start."""
+    """Run a router until it is stopped; raises ``ConfigError`` or ``OSError`` if it cannot start."""
 
     async def main() -> None:
         await Installation(options).run(prepared)
--- a/magpieshift/extensions/settings_file.py
+++ b/magpieshift/extensions/settings_file.py
@@ -1,4 +1,4 @@
-"""Reading a settings file of either kind: S-expression, or the platform's JSON."""
+"""Reads a settings file in either format, S-expression or the platform's JSON."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 def load_any(path: str) -> tuple[LoadedDocument, Config | None]:
-    """The settings of a file, with the platform's whole configuration where the file is the platform's.
+    """The settings of a file, and the platform's whole configuration if the file is in the platform's format.
 
-    Raises ``ConfigError`` with one line where the file cannot be used.
+    Raises ``ConfigError`` with a one-line message if the file cannot be used.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
