--- a/magpieshift/capture/recorder.py
+++ b/magpieshift/capture/recorder.py
@@ -81,7 +81,7 @@
     def stop(self) -> None:
         """Write what is pending, as far as the disk takes it soon."""
         if not self._writer.stop():
-            log.error("capture abandoned", extra=fields(folder=self._folder, backlog=self.backlog))
+            log.error("capture writer did not stop", extra=fields(folder=self._folder, backlog=self.backlog))
         log.info("capture ended", extra=fields(batches=self.batches, dropped=self.dropped, gaps=self.gaps))
 
     def register_name(self, number: int, name: str) -> None:
--- a/magpieshift/extensions/membership.py
+++ b/magpieshift/extensions/membership.py
@@ -106,12 +106,12 @@
                 bound = await self._driver.open(self._settings.listen)
             except OSError as err:
                 if not failure_logged:
-                    log.warning("membership not joined yet", extra=fields(address=address, reason=err))
+                    log.warning("membership address not bound", extra=fields(address=address, reason=err))
                 failure_logged = True
                 await asyncio.sleep(BIND_RETRY_S)
             else:
                 address = "{}:{}".format(*bound)
-                log.info("membership opened", extra=fields(address=address, fleet=self._settings.fleet))
+                log.info("membership socket bound", extra=fields(address=address, fleet=self._settings.fleet))
                 return
 
     def configuration_changed(self, document: Document, version: int) -> None:
@@ -189,7 +189,7 @@
         if used != self._quota_logged:
             self._quota_logged = used
             present = self._detector.view.present_count
-            log.info("share", extra=fields(at_us=now_us, share=f"{used:.6f}", here=present))
+            log.info("quota changed", extra=fields(at_us=now_us, share=f"{used:.6f}", here=present))
         self._router.engine.set_router_counts(_divisor(fleet_quota), _divisor(zone_quota))
 
     def _on_change(self, change: MembershipChange) -> None:
@@ -199,7 +199,7 @@
         )
         log.log(
             level,
-            "member",
+            "member state changed",
             extra=fields(
                 name=change.name,
                 before=change.old_state.value if change.old_state else "unknown",
--- a/magpieshift/extensions/overload_gossip.py
+++ b/magpieshift/extensions/overload_gossip.py
@@ -76,7 +76,7 @@
             digest = decode(data)
         except MalformedDigestError as err:
             self._malformed_digests += 1
-            log.debug("digest dropped", extra=fields(source=sender.name, reason=err))
+            log.debug("malformed digest dropped", extra=fields(source=sender.name, reason=err))
             return
         is_neighbour = sender.zone == self._membership.zone
         self._gossip.receive(steady_us(), sender.name, digest, is_neighbour)
--- a/magpieshift/lab/fault_injection/checks.py
+++ b/magpieshift/lab/fault_injection/checks.py
@@ -218,7 +218,7 @@
     """The changes of its quota that a process logged."""
     changes = []
     for line in log.read_text(errors="replace").splitlines():
-        if " event=share " in line:
+        if ' event="quota changed" ' in line:
             pairs = dict(word.split("=", 1) for word in line.split() if "=" in word)
             changes.append(QuotaChange(int(pairs["at_us"]) / 1e6, float(pairs["share"]), log.name))
     return changes
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -65,7 +65,7 @@
         found = set()
         for log in Path(self.folder.name).glob("*.log"):
             for line in log.read_text(errors="replace").splitlines():
-                if " event=member " in line and " after=gone " in line:
+                if ' event="member state changed" ' in line and " after=gone " in line:
                     found.add(line.partition(" name=")[2].split()[0])
         return found
 
