--- a/magpieshift/capture/cut.py
+++ b/magpieshift/capture/cut.py
@@ -1,4 +1,4 @@
-"""A part of a capture as a small file of its own, with a keyframe at its beginning."""
+"""Copies a part of a capture to a file of its own that begins with a keyframe."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 from magpieshift.capture.wire import capture_pb2 as wire
 
 Records = Callable[[], Iterable[wire.Record | Missing]]
-"""Goes through a capture once more from its beginning."""
+"""Reads the records of a capture from its beginning at each call."""
 
 MIN_ENDPOINT_NUMBER = 1 << 32
-"""Endpoints have their address and port as a number, which is larger; requests are counted from 1."""
+"""Larger numbers are those of endpoints, which are 64-bit hashes; requests are numbered from 1."""
 
 
 class _Part:
-    """Gathers the records of a part while the capture is replayed."""
+    """Collects the records of the part while the capture is replayed up to it."""
 
     def __init__(self, from_us: int) -> None:
         self.header: wire.Header | None = None
         self.records: list[wire.Record] = []
-        """From a keyframe on."""
+        """The records to write; the first one is a keyframe."""
         self.has_started = False
-        """Whether a batch at or after ``from_us`` was seen."""
+        """Whether a batch at or after ``from_us`` has been read."""
         self._from_us = from_us
         self._replay = Replay(before=self._before)
 
     def add(self, record: wire.Record | Missing) -> None:
-        """Take in the capture's next record."""
+        """Process the next record of the capture."""
         if isinstance(record, Missing):
             if not self.has_started:
-                self.records.clear()  # what came before cannot be replayed up to here
+                self.records.clear()  # a replay cannot cross the gap
             self._replay.feed(record)
             return
         is_header = record.HasField("header")
@@ -48,7 +48,7 @@
             self.records.append(record)
 
     def _before(self, number: int, record: wire.Batch, player: Player) -> None:
-        """Begin with a keyframe made here, if the policy has decided as recorded up to here."""
+        """Make a keyframe at the part's first batch, if the policy decided as recorded up to there."""
         if self.has_started or record.now_us < self._from_us:
             return
         self.has_started = True
@@ -64,10 +64,11 @@
 
 
 def cut(records: Records, path: Path, from_us: int, to_us: int) -> tuple[int, int]:
-    """Write what lies from one Unix time to another; returns how many batches, and bytes.
+    """Write the records between two Unix times in microseconds to a file; returns its batches and bytes.
 
-    The keyframe is made at the very beginning if the policy of this checkout decides as recorded up to there;
-    else the part begins at the last recorded keyframe before. ``CaptureError`` where nothing lies there.
+    If the policy of this checkout decides as recorded up to ``from_us``, a new keyframe is made there; else
+    the part begins earlier, at the last recorded keyframe before ``from_us``. Raises ``CaptureError`` if no
+    batch that can be replayed lies between the two times.
     """
     part = _Part(from_us)
     for record in records():
@@ -76,5 +77,7 @@
         part.add(record)
     batches = sum(1 for record in part.records if record.HasField("batch"))
     if part.header is None or not part.has_started or not batches:
-        raise CaptureError(f"nothing that can be replayed lies from {from_us} us to {to_us} us")
+        raise CaptureError(
+            f"no batch that can be replayed lies between the Unix times {from_us} us and {to_us} us"
+        )
     return batches, segments.write_file(path, [wire.Record(header=part.header), *part.records])
--- a/magpieshift/capture/explanation.py
+++ b/magpieshift/capture/explanation.py
@@ -1,4 +1,4 @@
-"""A capture as text for people: what the policy knew at a moment, and what happened to one request."""
+"""Describes captures as text: the policy's state before a batch, the course of one request, differences."""
 
 from __future__ import annotations
 
@@ -17,26 +17,27 @@
 from magpieshift.policy.state import FILL, LOOKUP, WRITE, EndpointRecord, PendingRequest
 
 Records = Callable[[], Iterable[wire.Record | Missing]]
-"""Goes through a capture once more from its beginning."""
+"""Reads the records of a capture from its beginning at each call."""
 WORK_KIND_NAMES = {FILL: "fills", LOOKUP: "lookups", WRITE: "writes"}
 MAX_SHOWN = 12
-"""Endpoints, or examples of kinds of difference, that fit on a screen."""
+"""Maximum number of endpoints, or of kinds of difference with an example, shown on one screen."""
 MIN_FAILURE_RATE = 0.005
+"""Smaller failure rates are not shown."""
 MIN_SLOWDOWN = 0.05
-"""Smaller figures are not shown."""
+"""Smaller slowdowns (multiples of the service time) are not shown."""
 MIN_ENDPOINT_NUMBER = 1 << 32
-"""Numbers above are of endpoints, and shown in hexadecimal."""
+"""Larger numbers are those of endpoints, and shown in hexadecimal."""
 FINAL_OR_ATTEMPT = ("Send", "Get", "Refuse", "Fail")
-"""Recorded names of the actions that settle a step of a request."""
+"""Recorded names of the actions that start an attempt or give the final answer of a request."""
 
 
 def time_of_day(us: int) -> str:
-    """A Unix time in microseconds as a time of day in UTC."""
+    """Format a Unix time in microseconds as the time of day in UTC."""
     return datetime.datetime.fromtimestamp(us / 1e6, datetime.UTC).strftime("%H:%M:%S.%f")
 
 
 class Names:
-    """Ids as in the log, in place of the policy's numbers."""
+    """Shows requests and endpoints by their ids in the log instead of the policy's numbers."""
 
     def __init__(self, names: dict[int, str]) -> None:
         self._names = names
@@ -47,7 +48,7 @@
         return self._names.get(number, shown)
 
     def action_text(self, action: RecordedAction) -> str:
-        """One action in words."""
+        """Describe one action."""
         fields = action.fields
         match action.name:
             case "Send" | "Get":
@@ -66,17 +67,19 @@
         endpoint = self(fields["store"])
         timeout = f"{fields['timeout_us'] / 1000:.1f} ms"
         if "source" not in fields:
-            return f"ask {endpoint} for what it holds, {timeout}"
+            return f"send to {endpoint}, time-out {timeout}"
         source = self(fields["source"])
-        return f"get from {endpoint} filled by {source}, {timeout}, age {fields['age_us']} us"
+        return (
+            f"get from {endpoint} filled by {source}, time-out {timeout}, maximum age {fields['age_us']} us"
+        )
 
     def actions_text(self, actions: Iterable[RecordedAction]) -> str:
-        """Several actions in words."""
+        """Describe several actions."""
         return "; ".join(map(self.action_text, actions)) or "nothing"
 
 
 def endpoint_lines(player: Player, names: Names) -> list[str]:
-    """The endpoints as the policy sees them, the busiest first."""
+    """Describe the policy's state of the endpoints, those with the most attempts in flight first."""
     endpoints = sorted(
         player.router.endpoints.values(),
         key=lambda each: (-each.in_flight, -each.failure_rate, each.entry.number),
@@ -105,19 +108,19 @@
         )
         parts.append(f"{kinds}, waiting {len(endpoint.queue)}")
     if endpoint.failure_rate > MIN_FAILURE_RATE:
-        parts.append(f"failures {endpoint.failure_rate:.2f}")
+        parts.append(f"failure rate {endpoint.failure_rate:.2f}")
     if endpoint.ejected_until_us > router.now_us:
         parts.append(f"ejected for {(endpoint.ejected_until_us - router.now_us) / 1000:.0f} ms more")
     if slowdown(endpoint) > MIN_SLOWDOWN:
-        parts.append(f"slower by {slowdown(endpoint):.2f}")
+        parts.append(f"slower by {slowdown(endpoint):.2f} service times")
     if endpoint.next_warming_us > router.now_us:
         wait_ms = (endpoint.next_warming_us - router.now_us) / 1000
-        parts.append(f"warming up, next in {wait_ms:.0f} ms")
+        parts.append(f"warming up, next attempt in {wait_ms:.0f} ms")
     return ", ".join(parts)
 
 
 def request_line(player: Player, request_id: int, names: Names) -> str:
-    """What the policy remembers of a request; "" where that is not pending."""
+    """Describe the policy's state of a pending request; "" if it is not pending."""
     pending: PendingRequest | None = player.router.requests.get(request_id)
     if pending is None:
         return ""
@@ -130,13 +133,13 @@
     if pending.failed_endpoints:
         parts.append("failed at " + " ".join(map(names, sorted(pending.failed_endpoints))))
     if pending.queued_source is not None:
-        parts.append(f"waits for {names(pending.queued_source.entry.number)}")
+        parts.append(f"queued for {names(pending.queued_source.entry.number)}")
     return ", ".join(parts)
 
 
 def lines_before(records: Records, difference: Difference) -> list[str]:
-    """What the policy of this checkout knew right before a difference: the capture is gone through once
-    more, up to there."""
+    """Describe the state of this checkout's policy right before a difference, by replaying the capture up to
+    there."""
     lines: list[str] = []
 
     def before(number: int, record: wire.Batch, player: Player) -> None:
@@ -156,13 +159,13 @@
 
 
 def difference_report(result: ReplayResult, names: Names, records: Records | None = None) -> list[str]:
-    """The differences of a replay: their kinds, the first in full, and one of each other kind."""
+    """Describe the differences of a replay: counts by kind, the first one, and one of each other kind."""
     if not result.differences:
         return ["no differences"]
     lines = [f"{result.differences} differences in {result.batches} batches, by kind:"]
     lines += [f"  {count:6}  {kind}" for kind, count in result.kinds.most_common()]
     if result.subsequent:
-        lines.append(f"  and {result.subsequent} more that followed, until the next keyframe")
+        lines.append(f"  and {result.subsequent} more after the policy had diverged, until the next keyframe")
     first = result.examples[0]
     when = time_of_day(first.now_us)
     lines.append(f"the first, at {when}, batch {first.batch}, request {first.request_id}: {first.kind}")
@@ -188,7 +191,7 @@
 
 
 def find_request(records: Records, request: str) -> int:
-    """The policy's number of a request, given that or the id in the log; ``LookupError`` where it is none."""
+    """The policy's number of a request, given by number or by id in the log; ``LookupError`` if not found."""
     for record in records():
         if isinstance(record, wire.Record) and record.HasField("batch"):
             for name in record.batch.names:
@@ -201,14 +204,15 @@
 
 
 def _event_text(message: wire.Event, names: Names) -> str:
-    """One event of a request in words."""
+    """Describe one event of a request."""
     name = str(message.WhichOneof("what"))
     found = getattr(message, name)
     match name:
         case "Request":
             return (
-                f"asked for object {found.key:016x} part {found.part}, class {found.cls}, "
-                f"{found.patience_us / 1000:.0f} ms to live" + (", a repeat" if found.repeat else "")
+                f"request for object {found.key:016x} part {found.part}, class {found.cls}, "
+                f"{found.patience_us / 1000:.0f} ms until the client gives up"
+                + (", a retry of the client" if found.repeat else "")
             )
         case "Ended":
             status = f", {CacheStatus(found.note).name.lower()}" if found.note else ""
@@ -222,14 +226,14 @@
 
 
 def _request_of(message: wire.Event) -> int:
-    """The request that an event is about; 0 for none."""
+    """Number of the request that an event belongs to; 0 for none."""
     return int(getattr(getattr(message, str(message.WhichOneof("what"))), "id", 0))
 
 
 def explain_request(records: Records, request_id: int) -> list[str]:
-    """One request's story: what the policy was told of it, what it knew then, and what it decided.
+    """Describe the course of one request: its events, the policy's state at each, and the decisions.
 
-    ``LookupError`` where the request is not in the capture, or in a part that cannot be replayed.
+    Raises ``LookupError`` if the request is not in a part of the capture that can be replayed.
     """
     lines: list[str] = []
 
@@ -257,10 +261,10 @@
         replay.feed(record)
     if not lines:
         raise LookupError(
-            f"request {request_id} is not in this capture, or in a part that cannot be replayed"
+            f"request {request_id} is not in this capture, or only in a part that cannot be replayed"
         )
     if replay.result.differences:
         lines.append(
-            "(this checkout's policy decides otherwise in places: what it knew may differ from then)"
+            "(this checkout's policy decides differently in places: states may differ from the recorded ones)"
         )
     return lines
--- a/magpieshift/capture/policy.py
+++ b/magpieshift/capture/policy.py
@@ -1,4 +1,4 @@
-"""The policy of this checkout, or of another folder, side by side in one process."""
+"""Loads the policy of this checkout and of other checkouts side by side in one process."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 from magpieshift.capture.recorded_names import AS_RECORDED, CURRENT, RecordedNames
 
 DIGEST_BYTES = 16
-"""128 bits, so that no two versions ever share a digest by chance."""
+"""128 bits make it practically impossible that two versions have the same digest by chance."""
 
 
 @dataclass(frozen=True)
 class Layout:
-    """Where a version keeps its policy, and under which names."""
+    """The modules and names of the policy's parts in the source code of a version."""
 
     package: str
     type_modules: tuple[str, ...]
-    """Modules of the classes that captures hold."""
+    """Modules with the classes whose instances captures contain."""
     policy_module: str
     policy_class: str
     reconfigure_module: str
     reconfigure: str
-    """The function that puts settings in force."""
+    """Name of the function that puts settings in force."""
     override_module: str
     apply_overrides: str
-    """The function that applies health overrides."""
+    """Name of the function that applies health overrides."""
     eject: str
     readmit: str
-    """The classes of the two overrides."""
+    """``eject`` and ``readmit`` are the names of the classes of the two health overrides."""
     digested_files: tuple[str, ...]
-    """Those whose text makes the digest: every module that decides."""
+    """The files whose text the digest covers: every module that influences decisions."""
     names: RecordedNames
 
     def folder(self, checkout: Path) -> Path:
@@ -46,7 +46,7 @@
         return checkout.joinpath(*self.package.split("."))
 
     def entry_file(self, checkout: Path) -> Path:
-        """The file of the policy's entry, by which the layout is known."""
+        """The file with the policy's main class, whose presence identifies the layout."""
         return self.folder(checkout) / f"{self.policy_module}.py"
 
 
@@ -82,7 +82,7 @@
     ),
     names=CURRENT,
 )
-"""Of this version."""
+"""The layout of this version."""
 
 FORMER_LAYOUT = Layout(
     package="molecleat",
@@ -98,16 +98,16 @@
     digested_files=("control.py", "records.py"),
     names=AS_RECORDED,
 )
-"""Of versions up to 723f792."""
+"""The layout of versions up to commit 723f792."""
 
 
 @dataclass(frozen=True)
 class Policy:
-    """One version of the policy: its classes by their recorded names, and a digest of its text."""
+    """One version of the policy: its functions, its classes, and a digest of its source text."""
 
     type_modules: Sequence[ModuleType]
     new_router: Callable[[Any, int], Any]
-    """A policy instance, of settings and a seed."""
+    """Creates an instance of the policy from settings and a seed."""
     reconfigure: Callable[[Any, Any, frozenset[int]], None]
     """Puts settings in force in an instance; see ``magpieshift.policy.reconfigure``."""
     apply_overrides: Callable[[Any, int, Iterable[Any]], None]
@@ -118,7 +118,7 @@
     digest: str
 
     def class_named(self, recorded: str) -> Any:
-        """A class by its recorded name; None where this version has none."""
+        """The class with this recorded name; None if this version has no such class."""
         own_name = self.names.own_class(recorded)
         for module in self.type_modules:
             found = getattr(module, own_name, None)
@@ -128,7 +128,7 @@
 
 
 def text_digest(folder: Path, layout: Layout = LAYOUT) -> str:
-    """A digest of the text of the modules that decide, in a package's folder."""
+    """The digest of the source text of a policy in its package's folder (``Layout.digested_files``)."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for name in layout.digested_files:
         digest.update((folder / name).read_bytes() + b"\0")
@@ -141,23 +141,24 @@
 
 
 def load(folder: str) -> Policy:
-    """Another checkout's policy: a package ``magpieshift.policy`` or, up to 723f792, ``molecleat``.
+    """Load another checkout's policy: the package ``magpieshift.policy`` or, up to 723f792, ``molecleat``.
 
-    Its code runs: load only what you trust. ``PolicyError`` where there is none, or it cannot be imported.
+    Its code is executed: load only what you trust. Raises ``PolicyError`` if the checkout has no policy, or
+    it cannot be imported.
     """
     checkout = Path(folder).resolve()
     layout = _layout_of(checkout)
     if layout is None:
         expected = (each.entry_file(checkout).relative_to(checkout) for each in (LAYOUT, FORMER_LAYOUT))
-        raise PolicyError(f"{folder} has no {' or '.join(map(str, expected))}")
+        raise PolicyError(f"{folder}: no policy, expected a file {' or '.join(map(str, expected))}")
     try:
         with _importing_from(checkout, layout.package.split(".")[0]):
             found = _import_policy(layout)
-    except Exception as err:  # whatever a foreign module raises when it is imported
-        raise PolicyError(f"{folder}: {type(err).__name__}: {err}") from err
+    except Exception as err:  # a foreign module may raise anything when it is imported
+        raise PolicyError(f"{folder}: the policy cannot be imported: {type(err).__name__}: {err}") from err
     loaded_folder = Path(str(found.type_modules[0].__file__)).resolve().parent
     if loaded_folder != layout.folder(checkout):
-        raise PolicyError(f"{folder}: loaded {loaded_folder} instead")
+        raise PolicyError(f"{folder}: its policy was imported from another folder, {loaded_folder}")
     return found
 
 
@@ -170,8 +171,8 @@
 
 @contextmanager
 def _importing_from(checkout: Path, top: str) -> Iterator[None]:
-    """Import the package ``top`` from a checkout, and put back afterwards what was imported under its
-    name."""
+    """While the context is open, import the top-level package ``top`` from a checkout; afterwards restore the
+    modules that were imported under its name before."""
 
     def loaded() -> dict[str, ModuleType]:
         return {name: module for name, module in sys.modules.items() if name.split(".")[0] == top}
--- a/magpieshift/capture/segments.py
+++ b/magpieshift/capture/segments.py
@@ -1,11 +1,11 @@
-"""The files of a capture: blocks of records, compressed and checksummed, in segments that rotate within a
-budget.
-
-A segment is ``FILE_HEADER`` and then blocks, each ``BLOCK_MARK raw:4 size:4 crc32c:4 payload``, numbers
-little-endian, the payload a zstandard frame of a serialized ``Block``, the checksum over it. The first
-block begins with a ``Header`` and a keyframe, so that every segment can be replayed by itself. A block that
-is torn off or damaged costs what is in it; reading goes on at the next mark, and replaying at the next
-keyframe.
+"""The files of a capture: segments of compressed and checksummed blocks of records; the oldest segments are
+removed to keep to a disk budget.
+
+A segment consists of ``FILE_HEADER`` and blocks of the form ``BLOCK_MARK raw:4 size:4 crc32c:4 payload``.
+Numbers are little-endian; the payload is a zstandard frame with a serialized ``Block``, and the checksum is
+that of the payload. The first block begins with a ``Header`` and a keyframe, so that every segment can be
+replayed by itself. A truncated or damaged block loses only its own records: reading continues at the next
+block mark, and the replay at the next keyframe.
 """
 
 from __future__ import annotations
@@ -24,31 +24,31 @@
 from magpieshift.capture.wire import capture_pb2 as wire
 
 FORMAT = 1
-"""The version of the files' form."""
+"""The version of the file format."""
 FILE_HEADER = b"magpieshift capture %d\n"
 BLOCK_MARK = b"\xc9MC\x02"
-"""Bytes that begin a block, by which reading finds the next one after damage."""
+"""The first bytes of a block, by which a reader finds the next block after a damaged one."""
 BLOCK_HEAD = struct.Struct("<4sIII")
 MAX_BLOCK_BYTES = 64 << 20
-"""Of a block when decompressed; a keyframe of ten thousand requests takes a quarter. A bound on what a
-damaged length can make a reader allocate."""
+"""Maximum decompressed size of a block, which limits what a reader allocates for a damaged length. A keyframe
+of ten thousand requests takes a quarter of it."""
 SEGMENT_NAME = "capture-{:08d}.seg"
 SEGMENT_PATTERN = "capture-*.seg"
 COMPRESSION_LEVEL = 3
-"""zstandard's default: higher levels cost the writer more processor time than they save bytes."""
+"""zstandard's default; higher levels save fewer bytes than the processor time they cost is worth."""
 SHOWN_BYTES = 40
-"""Of a file's first line, in an error."""
+"""Number of bytes of a file's first line that are shown in an error."""
 RECORDS_PER_BLOCK = 2000
-"""In a file that is written at once."""
+"""Records in each block of a file that is written as a whole (``write_file``)."""
 
 
 @dataclass(frozen=True)
 class Missing:
-    """Something that a capture lacks: where, and what is known of it."""
+    """A missing part of a capture: its place and a description."""
 
     file: str
     offset: int
-    """Bytes into the file."""
+    """Offset in the file, in bytes."""
     detail: str
 
     def __str__(self) -> str:
@@ -56,20 +56,20 @@
 
 
 def block(records: Sequence[wire.Record]) -> bytes:
-    """The bytes of a block."""
+    """Encode records as a block."""
     raw = wire.Block(records=records).SerializeToString()
     payload = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(raw)
     return BLOCK_HEAD.pack(BLOCK_MARK, len(raw), len(payload), crc32c(payload)) + payload
 
 
 class Segment:
-    """A file being written, and the owner of its descriptor until ``close``."""
+    """A segment that is being written; owns its file descriptor until ``close``."""
 
     def __init__(self, path: Path) -> None:
-        """Create the file; ``OSError`` where that cannot be, and then there is none."""
+        """Create the file; raises ``OSError`` if that fails, and then leaves no file."""
         self.path = path
         self.size = 0
-        """Bytes written."""
+        """Number of bytes written."""
         self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
         try:
             self._write_bytes(FILE_HEADER % FORMAT)
@@ -80,11 +80,11 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether no block was ever begun in it."""
+        """Whether no block has been begun."""
         return self.size <= len(FILE_HEADER % FORMAT)
 
     def write(self, records: Sequence[wire.Record]) -> None:
-        """Append a block; ``OSError`` where the disk does not take it."""
+        """Append a block; raises ``OSError`` if the write fails."""
         self._write_bytes(block(records))
 
     def _write_bytes(self, data: bytes) -> None:
@@ -93,20 +93,20 @@
             data = data[os.write(self._file, data) :]
 
     def close(self) -> None:
-        """Give the descriptor back; a second call does nothing."""
+        """Close the file descriptor; a second call does nothing."""
         if self._file >= 0:
             os.close(self._file)
             self._file = -1
 
 
 def next_number(folder: Path) -> int:
-    """The number of the next segment: files of earlier runs are never written over."""
+    """The number of the next segment; existing files of earlier runs are never overwritten."""
     return max((int(path.stem.rpartition("-")[2]) for path in folder.glob(SEGMENT_PATTERN)), default=0) + 1
 
 
 def trim(folder: Path, budget_bytes: int, current: Path) -> int:
-    """Remove the oldest segments until the rest fits the budget, but never the current one; returns the bytes
-    that remain."""
+    """Remove the oldest segments, but never the current one, until the rest fits the budget; returns the
+    remaining size in bytes."""
     sizes = {path: path.stat().st_size for path in sorted(folder.glob(SEGMENT_PATTERN))}
     total = sum(sizes.values())
     for path, size in sizes.items():
@@ -119,29 +119,29 @@
 
 
 def files(path: str | Path) -> list[Path]:
-    """The files of a capture: one, or a folder's segments in order; ``CaptureError`` where there is none."""
+    """The files of a capture: the given file, or a folder's segments in order; ``CaptureError`` for none."""
     given = Path(path)
     found = sorted(given.glob(SEGMENT_PATTERN)) if given.is_dir() else [given]
     if not found or not all(file.is_file() for file in found):
-        raise CaptureError(f"{path} is no capture: no file {SEGMENT_PATTERN}")
+        raise CaptureError(f"{path} is not a capture: found no file {SEGMENT_PATTERN}")
     return found
 
 
 def read(path: str | Path) -> Iterator[wire.Record | Missing]:
-    """All records of a capture in order, and what it lacks in their places."""
+    """All records of a capture in order, with a ``Missing`` in the place of each missing part."""
     for file in files(path):
         yield from read_file(file)
 
 
 def read_file(file: Path) -> Iterator[wire.Record | Missing]:
-    """The records of one file; ``CaptureError`` where it is of another form."""
+    """The records of one file; ``CaptureError`` if it cannot be read or has another format."""
     try:
         data = file.read_bytes()
     except OSError as err:
         raise CaptureError(f"{file} cannot be read: {err.strerror or err}") from err
     known = FILE_HEADER % FORMAT
     if not data.startswith(known):
-        if known.startswith(data):  # the process died right after it had made the file
+        if known.startswith(data):  # the process died while it was creating the file
             yield Missing(file.name, 0, "nothing was written")
             return
         line = data.partition(b"\n")[0]
@@ -162,15 +162,15 @@
 
 
 def _next_block(data: bytes, offset: int) -> int:
-    """Where the next whole block begins; -1 where none does."""
+    """Offset of the next complete block; -1 if there is none."""
     start = data.find(BLOCK_MARK, offset)
-    while start >= 0 and _read_block(data, start)[0] is None:  # a mark in the middle of other bytes
+    while start >= 0 and _read_block(data, start)[0] is None:  # a chance match, or a damaged block
         start = data.find(BLOCK_MARK, start + 1)
     return start
 
 
 def _read_block(data: bytes, offset: int) -> tuple[Sequence[wire.Record] | None, int]:
-    """The records of the block at an offset, and where it ends; None where there is no whole one."""
+    """The records of the block at an offset, and the offset of its end; None if the block is not complete."""
     if offset + BLOCK_HEAD.size > len(data):
         return None, offset
     mark, raw_size, size, checksum = BLOCK_HEAD.unpack_from(data, offset)
@@ -188,7 +188,7 @@
 
 
 def write_file(path: Path, records: Sequence[wire.Record], block_records: int = RECORDS_PER_BLOCK) -> int:
-    """A capture in one file, which is there whole or not at all; returns its size in bytes."""
+    """Write a capture to one file, which appears only when complete; returns its size in bytes."""
     partial = path.with_name(path.name + ".new")
     partial.unlink(missing_ok=True)
     segment = Segment(partial)
--- a/magpieshift/capture/state.py
+++ b/magpieshift/capture/state.py
@@ -1,11 +1,11 @@
-"""The policy's whole state as bytes, and back: identities, orders, random generator and running means
-included.
-
-A snapshot walks the objects that a router leads to. Records (dataclasses) are written once each and
-referred to by number, so that what was one object is one again; dictionaries keep their order. Taking it
-copies references only and is for the event loop; ``encode`` makes bytes of it, in any thread. Restoring
-goes by the recorded names of classes and fields; in another version of the policy, what that has not is
-left out, and what it has more begins at its default.
+"""Serializes the policy's whole state and restores it, including object identities, dictionary orders, the
+random generator and running means.
+
+A snapshot contains all objects reachable from a router. Each record (dataclass instance) is stored once and
+referred to by number, so that shared references are restored as shared; dictionaries keep their order. The
+event loop takes the snapshot, which copies references only; ``encode`` can then serialize it in any thread.
+Classes and fields are restored by their recorded names. In another version of the policy, fields that it does
+not have are ignored, and its additional fields get their defaults.
 """
 
 from __future__ import annotations
@@ -23,43 +23,43 @@
 from magpieshift.capture.recorded_names import CURRENT
 
 NOT_STATE = ("actions", "handlers", "reactions")
-"""Attributes of a router that each batch or its constructor makes anew."""
+"""Attributes of a router that are not recorded: each batch or the constructor sets them anew."""
 ATOMS = (int, float, str, bool, type(None))
-"""Types that JSON holds as they are."""
+"""Types that JSON represents directly."""
 RANDOM_STATE_VERSION = 3
-"""Of ``random.Random.getstate``, in all Python versions that are supported."""
+"""Version of the state of ``random.Random.getstate``, the same in all supported Python versions."""
 
 Row = tuple[str, tuple[Any, ...]]
-"""A record: its class's recorded name, and its fields' values."""
+"""A record: the recorded name of its class, and the values of its fields."""
 
 
 @dataclasses.dataclass
 class Snapshot:
-    """References to all that a state is made of, and copies of what changes in place."""
+    """A state: references to its immutable values, and copies of its mutable containers and records."""
 
     root: dict[str, Any]
-    """The router's attributes, by recorded name."""
+    """The attributes of the router by recorded name, or one entry ``record`` (``snapshot_record``)."""
     rows: list[Row]
-    """The records, by number."""
+    """The records; a record's number is its index."""
     fields: dict[str, list[str]]
-    """By recorded class name, the recorded names of its fields."""
+    """By recorded class name: the recorded names of the fields, in the order of a row's values."""
 
 
 class _Walk:
-    """Turns values into what JSON holds: each compound value is an object of one key, its kind."""
+    """Converts values to JSON: each compound value becomes an object with one key, its kind."""
 
     def __init__(self) -> None:
         self.rows: list[Row] = []
         self.fields: dict[str, list[str]] = {}
         self._numbers: dict[int, int] = {}
-        """Numbers of the records seen, by identity."""
+        """Numbers of the records visited, by ``id()``."""
         self._alive: list[Any] = []
-        """The records seen, so that none is freed and its identity given to another meanwhile."""
+        """The records visited, kept alive so that no other object gets the ``id()`` of one of them."""
         self._getters: dict[type, Callable[[Any], Any]] = {}
         self._names: dict[type, str] = {}
 
     def value(self, value: Any) -> Any:
-        """One value; a record as a reference to its row."""
+        """Convert one value; a record becomes a reference to its row."""
         kind = type(value)
         if kind in ATOMS:
             return value
@@ -99,19 +99,19 @@
             self.fields[name] = list(CURRENT.recorded_fields(kind.__name__, names))
         number = self._numbers[id(value)] = len(self.rows)
         self._alive.append(value)
-        self.rows.append((name, ()))  # its place, before what it leads to comes round to it
+        self.rows.append((name, ()))  # reserves the number, as the record's values may refer back to it
         self.rows[number] = name, tuple(self.value(item) for item in getter(value))
         return number
 
 
 def _fields_getter(names: list[str]) -> Callable[[Any], Any]:
-    """A function that gives all the fields; with one name ``attrgetter`` gives the value and no tuple."""
+    """A function that returns all fields as a tuple; ``attrgetter`` of one name returns the value alone."""
     get = operator.attrgetter(*names)
     return get if len(names) > 1 else lambda item: (get(item),)
 
 
 def snapshot(router: Any) -> Snapshot:
-    """What a router's state is made of, right now."""
+    """Take a snapshot of a router's state."""
     walk = _Walk()
     class_name = type(router).__name__
     root = {
@@ -123,18 +123,18 @@
 
 
 def snapshot_record(record: Any) -> Snapshot:
-    """The same for one record, as settings are."""
+    """Take a snapshot of one record, such as the settings."""
     walk = _Walk()
     return Snapshot({"record": walk.value(record)}, walk.rows, walk.fields)
 
 
 def encode(found: Snapshot) -> bytes:
-    """A snapshot as bytes; equal states give equal bytes."""
+    """Serialize a snapshot; equal states give equal bytes."""
     return json.dumps([found.root, found.rows, found.fields], separators=(",", ":")).encode()
 
 
 class _Restoration:
-    """Makes a policy's objects of a snapshot's rows; each record once, when it is first referred to."""
+    """Creates a policy's objects from a snapshot's rows; each record once, at the first reference to it."""
 
     def __init__(
         self, policy: Policy, rows: list[Any], fields: dict[str, list[str]], is_strict: bool
@@ -146,7 +146,7 @@
         self._made: list[Any] = [None] * len(rows)
 
     def value(self, raw: Any) -> Any:
-        """One value of a snapshot."""
+        """Restore one value of a snapshot."""
         if not isinstance(raw, dict):
             return raw
         ((kind, inner),) = raw.items()
@@ -172,11 +172,14 @@
                 made = random.Random()
                 made.setstate((RANDOM_STATE_VERSION, tuple(inner), None))
                 return made
-        raise StateError(f"found {kind!r}, expected a kind of value")
+        raise StateError(f"found the kind of value {kind!r}, expected one of r, t, l, d, s, e, g")
 
     def check_known(self, owner: str, found: Iterable[str], known: Iterable[str]) -> None:
-        """A strict restoration's guard: a field that was renamed without an entry in the table of recorded
-        names would begin at its default, and the replay would differ long after."""
+        """Reject unknown names in a strict restoration.
+
+        If a field was renamed without an entry in ``recorded_names``, it would silently get its default, and
+        the replay would differ only much later.
+        """
         unknown = set(found) - set(known)
         if unknown and self._is_strict:
             names = ", ".join(sorted(unknown))
@@ -193,7 +196,7 @@
             return self._made[number]
         name, values = self._rows[number]
         cls = self._class(name)
-        made = self._made[number] = cls.__new__(cls)  # there already when its own records lead back to it
+        made = self._made[number] = cls.__new__(cls)  # registered first, as its values may refer back to it
         given = dict(zip(self._fields[name], values, strict=True))
         fields = dataclasses.fields(cls)
         recorded_names = self._policy.names.recorded_fields(cls.__name__, [field.name for field in fields])
@@ -207,7 +210,7 @@
 
 
 def _default(class_name: str, recorded: str, field: dataclasses.Field[Any]) -> Any:
-    """What a field begins with that a snapshot lacks."""
+    """The default of a field that a snapshot does not contain."""
     if field.default is not dataclasses.MISSING:
         return field.default
     if field.default_factory is not dataclasses.MISSING:
@@ -220,13 +223,13 @@
         root, rows, fields = json.loads(data)
         return root, _Restoration(policy, rows, fields, is_strict)
     except (ValueError, TypeError, RecursionError) as err:
-        raise StateError(f"no state: {err}") from err
+        raise StateError(f"not a recorded state: {err}") from err
 
 
 def restore(data: bytes, policy: Policy, is_strict: bool = False) -> Any:
-    """A router of this policy in the state that the bytes hold; ``StateError`` where that cannot be.
+    """Create a router of this policy with a serialized state; ``StateError`` if it cannot be restored.
 
-    ``is_strict``: names that the policy does not know are an error, and not left out.
+    ``is_strict``: names that the policy does not know are an error instead of being ignored.
     """
     root, restoration = _read(data, policy, is_strict)
     try:
@@ -241,13 +244,13 @@
                 setattr(router, name, value)
         return router
     except (KeyError, IndexError, TypeError, ValueError, AttributeError, RecursionError) as err:
-        raise StateError(f"no state: {type(err).__name__}: {err}") from err
+        raise StateError(f"not a recorded state: {type(err).__name__}: {err}") from err
 
 
 def restore_record(data: bytes, policy: Policy, is_strict: bool = False) -> Any:
-    """The record of ``snapshot_record``."""
+    """Restore a record that was serialized with ``snapshot_record``."""
     root, restoration = _read(data, policy, is_strict)
     try:
         return restoration.value(root["record"])
     except (KeyError, IndexError, TypeError, ValueError, AttributeError) as err:
-        raise StateError(f"no state: {type(err).__name__}: {err}") from err
+        raise StateError(f"not a recorded state: {type(err).__name__}: {err}") from err
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -339,7 +339,7 @@
             (self.folder / name).write_bytes(text)
             with self.assertRaisesRegex(CaptureError, "expected"):
                 list(segments.read(self.folder / name))
-        with self.assertRaisesRegex(CaptureError, "no capture"):
+        with self.assertRaisesRegex(CaptureError, "is not a capture"):
             list(segments.read(self.folder))
 
 
@@ -393,8 +393,8 @@
         recorder.stop()
         number = explanation.find_request(self.read, "00aa11bb22cc33dd")
         lines = explanation.explain_request(self.read, number)
-        self.assertTrue(any("asked for object" in line for line in lines), lines)
-        self.assertTrue(any("decided: ask" in line or "decided: get" in line for line in lines), lines)
+        self.assertTrue(any("request for object" in line for line in lines), lines)
+        self.assertTrue(any("decided: send" in line or "decided: get" in line for line in lines), lines)
         self.assertTrue(any("attempt 0 at" in line for line in lines), lines)
         with self.assertRaises(LookupError):
             explanation.find_request(self.read, "nobody")
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -43,7 +43,7 @@
     ("{text}", "{text}"),
     ("", "Missing"),
 ]
-CAPTURES: list[Row] = [("{none}", "no capture"), ("{folder}", "no capture"), ("{text}", "expected")]
+CAPTURES: list[Row] = [("{none}", "not a capture"), ("{folder}", "not a capture"), ("{text}", "expected")]
 DOORS: list[Row] = [
     ("--console {none}", "expected host:port"),
     ("--console 127.0.0.1:0", "expected host:port"),
@@ -146,7 +146,7 @@
     "capture why": [*((f"{words} 1", said) for words, said in CAPTURES), ("{capture} 1", "{capture}")],
     "capture cut": [
         *((f"{words} {{none}} --from 0 --to 1", said) for words, said in CAPTURES),
-        ("{capture} {none} --from 5 --to 1", "nothing that can be replayed lies from"),
+        ("{capture} {none} --from 5 --to 1", "no batch that can be replayed lies between"),
         ("{capture} {folder} --from 0 --to 1", "OUT"),
         ("{capture} {under} --from 0 --to 1", "OUT"),
         ("{capture} {none} --from nan --to 1", "--from"),
