--- a/magpieshift/capture/__init__.py
+++ b/magpieshift/capture/__init__.py
@@ -1,8 +1,10 @@
-"""Capture and replay: all events that the policy got, and whether it would decide the same again.
+"""Capture and replay: records the events and actions of the policy, and checks whether a policy decides the
+same on recorded events.
 
-``recorder`` stands between engine and policy, at ``RouterPolicy.handle``; ``writer`` writes what passes
-there in a thread of its own, as ``items`` and ``codec`` make records of it, into the files of ``segments``.
-``state`` is the policy's whole state as bytes, for keyframes. ``policy`` loads the policy of this checkout
-or another one, under the names of ``recorded_names``; ``replay`` feeds a capture to it and finds each
-``difference``; ``explanation`` makes text of that; ``cut`` copies a part of a capture.
+``recorder`` stands between the engine and the policy, at ``RouterPolicy.handle``, and queues what passes for
+``writer``. That converts it to records with ``items`` and ``codec`` in a thread of its own, and writes them
+to the files of ``segments``. ``state`` serializes the policy's whole state for keyframes. ``policy`` loads
+the policy of this or another checkout, whose classes and fields are mapped by ``recorded_names``; ``replay``
+feeds a capture to it and finds each ``difference``; ``explanation`` describes captures and differences as
+text; ``cut`` copies a part of a capture.
 """
--- a/magpieshift/capture/codec.py
+++ b/magpieshift/capture/codec.py
@@ -1,4 +1,4 @@
-"""Events and actions to protobuf records and back, by the recorded names of classes and fields."""
+"""Converts events and actions to protobuf messages and back, by the recorded names of classes and fields."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from magpieshift.capture.wire import capture_pb2 as wire
 
 LOW_BITS = (1 << 64) - 1
-"""The part of an object's number that one protobuf field holds; the field ``key_high`` has the rest."""
+"""Mask of the bits of an object's number that the field ``key`` holds; ``key_high`` holds the rest."""
 
 
 FieldReader = Callable[[Any], Any]
@@ -31,29 +31,29 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordedAction:
-    """An action by its recorded names, so that equal actions of any two versions are equal."""
+    """An action under its recorded names, so that actions of two versions of the policy can be compared."""
 
     name: str
-    """Of its class, or of an error that the policy raised."""
+    """Recorded name of the action's class, or the name of an error that the policy raised."""
     fields: Mapping[str, Any] = dataclass_field(default_factory=dict)
 
     @property
     def request_id(self) -> int:
-        """The request that it is about; 0 for none."""
+        """Number of the request that the action is about; 0 for none."""
         return int(self.fields.get("id", 0))
 
 
 class Codec:
-    """Reads records into the classes of one policy."""
+    """Converts recorded messages to the classes of one policy."""
 
     def __init__(self, policy: Policy) -> None:
         self._policy = policy
         self._classes: dict[str, Any] = {}
         """The policy's classes, by recorded name."""
         self._fields: dict[str, list[tuple[str, str]]] = {}
-        """By recorded name of a class, its fields: the recorded name and the policy's own."""
+        """By recorded class name: the recorded name and the policy's own name of each field."""
         self._readers: dict[str, list[FieldReader]] = {}
-        """By recorded name of a class, one function a field, chosen once: a replay reads many events."""
+        """By recorded class name: a reader for each field, chosen once because a replay reads many events."""
         self._recorded_names: dict[type, str] = {}
         for name in sorted(_RECORDED):
             cls = policy.class_named(name)
@@ -66,7 +66,7 @@
                 self._recorded_names[cls] = name
 
     def event(self, message: wire.Event) -> Any:
-        """An event of this policy."""
+        """Convert a recorded event to one of this policy."""
         name = str(message.WhichOneof("what"))
         found = getattr(message, name)
         if name == "StoreList":
@@ -84,7 +84,7 @@
         return self._classes["StoreList"](class_named("ListKind")(found.kind), found.version, endpoints)
 
     def _reader(self, recorded_field: str) -> FieldReader:
-        """What reads one field of a recorded event, in the policy's type."""
+        """Return the function that reads a field of a recorded event and converts it to the policy's type."""
         if recorded_field == "key":
             return _object_key
         if recorded_field == "load":
@@ -95,14 +95,14 @@
         return attrgetter(recorded_field)
 
     def decided(self, action: Any) -> RecordedAction:
-        """An action of this policy, for comparison."""
+        """Convert an action of this policy for comparison."""
         name = self._recorded_names.get(type(action))
-        if name is None:  # captures have no form for it
+        if name is None:  # this kind of action is not recorded
             return RecordedAction(type(action).__name__)
         return RecordedAction(name, {recorded: getattr(action, own) for recorded, own in self._fields[name]})
 
     def recorded(self, message: wire.Action) -> RecordedAction:
-        """A recorded action, for comparison."""
+        """Convert a recorded action for comparison."""
         name = str(message.WhichOneof("what"))
         found = getattr(message, name)
         return RecordedAction(
@@ -111,7 +111,7 @@
 
 
 def _recorded_fields(item: Any) -> dict[str, Any]:
-    """The fields of an event, an action or an endpoint of this checkout's policy, by their recorded names."""
+    """The fields of an event, action or endpoint of this checkout's policy, by their recorded names."""
     class_name = type(item).__name__
     values = {CURRENT.recorded_field(class_name, name): getattr(item, name) for name in item.__slots__}
     if "key" in values:
@@ -124,23 +124,23 @@
 
 
 def write_event(event: Any) -> wire.Event:
-    """An event of this checkout's policy as a record."""
+    """Convert an event of this checkout's policy to its recorded form."""
     name = CURRENT.recorded_class(type(event).__name__)
     return wire.Event(**{name: getattr(wire, name)(**_recorded_fields(event))})
 
 
 def write_action(action: Any) -> wire.Action:
-    """An action of this checkout's policy as a record."""
+    """Convert an action of this checkout's policy to its recorded form."""
     name = CURRENT.recorded_class(type(action).__name__)
     return wire.Action(**{name: getattr(wire, name)(**_recorded_fields(action))})
 
 
 def is_recorded(item: Any) -> bool:
-    """Whether captures have a form for this event or action; messages between routers have none."""
+    """Whether captures contain this kind of event or action; messages between routers are not recorded."""
     return CURRENT.recorded_class(type(item).__name__) in _RECORDED
 
 
 _RECORDED = frozenset(
     field.name for message in (wire.Event, wire.Action) for field in message.DESCRIPTOR.fields
 )
-"""The recorded names of the classes that captures have a form for."""
+"""The recorded names of the classes of events and actions that captures contain."""
--- a/magpieshift/capture/difference.py
+++ b/magpieshift/capture/difference.py
@@ -1,4 +1,4 @@
-"""What a replay decides otherwise than was recorded, request by request."""
+"""Compares recorded and replayed actions, for each request."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 ATTEMPTS = ("Send", "Get")
 """Recorded names of the actions that start an attempt."""
 REQUESTLESS = ("SetTimer", "Log", "Subscribe", "FetchList")
-"""Recorded names of the actions that are about no single request."""
+"""Recorded names of the actions that do not belong to a single request."""
 NOTHING = RecordedAction("nothing")
 VERBS = {
     "Send": "sent",
@@ -21,26 +21,26 @@
     "Cancel": "cancelled",
     "SetTimer": "timer",
 }
-"""By an action's recorded name, its verb in the kind of a difference."""
+"""By recorded name of an action: the verb that stands for it in ``Difference.kind``."""
 
 
 @dataclass(frozen=True)
 class Difference:
-    """One decision that came out otherwise."""
+    """One decision of the replayed policy that differs from the recorded one."""
 
     batch: int
-    """Number of the batch, from 0, over all the capture."""
+    """Number of the batch in the capture, from 0."""
     now_us: int
     request_id: int
-    """0 where it is about none."""
+    """Number of the request; 0 if the difference belongs to no request."""
     kind: str
-    """What sort of difference it is; reports count them by it."""
+    """The kind of difference, see ``kind_of``; reports count differences by kind."""
     recorded: tuple[RecordedAction, ...]
     replayed: tuple[RecordedAction, ...]
 
 
 def kind_of(recorded: Sequence[RecordedAction], replayed: Sequence[RecordedAction]) -> str:
-    """What sort of difference it is, for people; reports and their JSON count by these words."""
+    """Return the kind of a difference as text; reports and their JSON use these texts as keys."""
     if sorted(recorded, key=repr) == sorted(replayed, key=repr):
         return "other order"
     old = recorded[-1] if recorded else NOTHING
@@ -65,7 +65,7 @@
 def compare(
     batch: int, now_us: int, recorded: Sequence[RecordedAction], replayed: Sequence[RecordedAction]
 ) -> list[Difference]:
-    """The differences of one batch, one a request."""
+    """The differences of one batch, at most one for each request."""
     if recorded == replayed:
         return []
     found = []
@@ -80,7 +80,7 @@
 
 
 def compare_errors(batch: int, now_us: int, recorded: str, replayed: str) -> list[Difference]:
-    """The difference, if it is one, between the errors that the policy raised; "" for none."""
+    """The difference between the recorded and replayed error of the policy, if any; "" means no error."""
     if recorded == replayed:
         return []
     old = (RecordedAction(recorded),)
--- a/magpieshift/capture/errors.py
+++ b/magpieshift/capture/errors.py
@@ -1,4 +1,4 @@
-"""The errors of captures; each text is one plain line that says what was found and what was expected."""
+"""The errors of captures. Each message is a single line that says what was found and what was expected."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class CaptureError(MagpieshiftError):
-    """A file is no capture that this version can read, or holds nothing to replay."""
+    """A file is not a capture that this version can read, or contains nothing that can be replayed."""
 
 
 class PolicyError(CaptureError):
-    """A folder has no policy that can be loaded."""
+    """A folder does not contain a policy that can be loaded."""
 
 
 class StateError(CaptureError):
-    """The bytes of a keyframe are no state of the policy that is to take it over."""
+    """The bytes of a keyframe cannot be restored as a state of the policy."""
--- a/magpieshift/capture/items.py
+++ b/magpieshift/capture/items.py
@@ -1,4 +1,4 @@
-"""What passes from the event loop to the writer's thread, and the record that each item becomes."""
+"""The items that the event loop queues for the writer's thread, and their conversion to records."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from magpieshift.policy.health_override import Eject, HealthOverride
 
 NumberedName = tuple[int, str]
-"""A request's or an endpoint's number, and its id in the log."""
+"""The policy's number of a request or an endpoint, and its id in the log."""
 
 
 @dataclass(slots=True)
 class Batch:
-    """One call of the policy: its events, and what came of them."""
+    """One call of the policy: its events, and the resulting actions or error."""
 
     now_us: int
     events: Sequence[Any]
@@ -24,12 +24,12 @@
     error: str
     """Name of the error that the policy raised after these actions, or ""."""
     names: list[NumberedName]
-    """Of requests and endpoints that are new with it."""
+    """The ids of requests and endpoints that appear for the first time."""
 
 
 @dataclass(slots=True)
 class Keyframe:
-    """The policy's whole state, from which replaying can begin."""
+    """The policy's whole state, from which a replay can begin."""
 
     state: state.Snapshot
     endpoints: list[NumberedName]
@@ -37,17 +37,17 @@
 
 @dataclass(slots=True)
 class Reconfiguration:
-    """Other settings, put in force between two batches."""
+    """New settings, put in force between two batches."""
 
     settings: state.Snapshot
     fresh: list[int]
-    """Numbers of the classes of which nothing learned holds."""
+    """Numbers of the classes whose statistics are reset."""
     config_version: int
 
 
 @dataclass(slots=True)
 class Gap:
-    """Batches that were dropped."""
+    """A gap in the capture: batches that were dropped, and why."""
 
     batches: int
     from_us: int
@@ -67,7 +67,7 @@
 
 
 def to_record(item: Item) -> wire.Record:
-    """An item in the form of captures."""
+    """Convert an item to the record that is written."""
     match item:
         case Batch():
             return wire.Record(batch=_batch(item))
--- a/magpieshift/capture/recorded_names.py
+++ b/magpieshift/capture/recorded_names.py
@@ -1,9 +1,8 @@
-"""The names that captures give the policy's classes and fields: one table, from this version's names to the
-recorded ones.
+"""Maps this version's names of the policy's classes and fields to the names used in captures.
 
-Captures, and the keyframes in them, were first written by a version whose classes and fields had other names.
-The form of a capture keeps those names, so that every version reads what any other wrote. A name that is not
-in the table is recorded as it stands.
+Captures and their keyframes were first written by a version whose classes and fields had other names. The
+capture format keeps those names, so that every version can read the captures of any other. A name that is not
+in the table is recorded unchanged.
 """
 
 from __future__ import annotations
@@ -211,10 +210,10 @@
 
 @dataclass(frozen=True)
 class RecordedNames:
-    """How one version of the policy names what a capture holds.
+    """The mapping between one version's own names and the recorded names.
 
-    ``classes`` and ``fields`` lead from the version's own names to the recorded ones; what is left out is
-    recorded under its own name.
+    ``classes`` and ``fields`` map the version's own names to the recorded ones; other names are recorded
+    unchanged.
     """
 
     classes: Mapping[str, str] = field(default_factory=dict)
@@ -244,7 +243,7 @@
 
 
 CURRENT = RecordedNames(_CLASSES, _FIELDS)
-"""Of this version and of every other that keeps its policy in ``magpieshift.policy``."""
+"""The names of this version and of every other one whose policy is in ``magpieshift.policy``."""
 
 AS_RECORDED = RecordedNames()
-"""Of versions up to 723f792, whose own names the recorded ones are."""
+"""The names of versions up to commit 723f792, which are the recorded names themselves."""
--- a/magpieshift/capture/recorder.py
+++ b/magpieshift/capture/recorder.py
@@ -1,8 +1,9 @@
-"""Hands each batch on to the policy as it is, and what passed to the writer's thread.
+"""Passes each batch on to the policy unchanged, and queues the batch and its actions for the writer's thread.
 
-Traffic is never delayed: on the event loop a batch costs one more call and one entry in a queue, and now and
-then the taking of a snapshot. Where the writer does not keep up (a slow, stuck or full disk), whole batches
-are dropped and counted; once it has caught up, a keyframe and a record of the gap begin anew.
+Recording never blocks the event loop: a batch costs it one more call and one queue entry, and occasionally a
+snapshot of the policy's state. If the writer does not keep up (a slow, blocked or full disk), whole batches
+are dropped and counted; once the writer has caught up, recording resumes with a keyframe and a record of the
+gap.
 """
 
 from __future__ import annotations
@@ -25,9 +26,9 @@
 log = logging.getLogger(__name__)
 
 MAX_BACKLOG = 12_000
-"""Events and actions that wait for the writer, some 5 MB: a bound on memory."""
+"""Maximum number of events and actions that wait for the writer, about 5 MB of memory."""
 RECONFIGURATION_WEIGHT = 50
-"""A reconfiguration's settings count as so many events, about their size."""
+"""Weight of a reconfiguration in the backlog; its settings are about the size of this many events."""
 
 
 class DecidingPolicy(Protocol):
@@ -36,61 +37,61 @@
     actions: list[Action]
 
     def handle(self, now_us: int, events: Sequence[Event]) -> list[Action]:
-        """Take in events; return what to do."""
+        """Process events; returns the actions to carry out."""
         ...
 
 
 class Recorder:
-    """Records what the policy is told and what it decides."""
+    """Records the events that the policy receives and the actions that it returns."""
 
     def __init__(self, folder: str | Path, header: wire.Header, limits: Limits | None = None) -> None:
-        """``header`` begins each segment; the recorder keeps its configuration version current."""
+        """``header`` begins each segment; the recorder keeps its configuration version up to date."""
         self.batches = 0
-        """Batches recorded."""
+        """Number of batches recorded."""
         self.dropped = 0
-        """Batches dropped."""
+        """Number of batches dropped."""
         self.gaps = 0
         self.config_version: Callable[[], int] = lambda: 0
-        """Gives the version of the configuration in force."""
+        """Returns the version of the configuration in force."""
         self.listed_endpoints: Callable[[], Iterable[NumberedName]] = lambda: ()
-        """Gives all endpoints that are listed."""
+        """Returns the numbers and ids of all listed endpoints."""
         self._folder = Path(folder)
         self._header = header
         self._writer = Writer(self._folder, header, limits or Limits())
         self._open_gap: Gap | None = None
-        """The gap being dropped into."""
+        """The current gap, while batches are being dropped."""
         self._ended_gap: Gap | None = None
-        """A gap that is over, and is recorded behind the next keyframe."""
+        """A gap that has ended; it is recorded after the next keyframe."""
         self._names: list[NumberedName] = []
-        """Of requests and endpoints that are new since the last batch."""
+        """The ids of requests and endpoints that are new since the last batch."""
 
     @property
     def backlog(self) -> int:
-        """Events and actions, about, that the writer has yet to take."""
+        """Approximate number of events and actions that wait for the writer."""
         return self._writer.backlog
 
     @property
     def failure(self) -> str:
-        """Why the capture cannot be written, or ""."""
+        """Why the capture cannot be written at present; "" if it can."""
         return self._writer.failure
 
     def start(self) -> None:
-        """Start writing; once."""
+        """Start the writer's thread; may be called once only."""
         self._writer.start()
 
     def stop(self) -> None:
-        """Write what is pending, as far as the disk takes it soon."""
+        """Write the queued items and stop the writer; a blocked disk is given up after a time-out."""
         if not self._writer.stop():
             log.error("capture writer did not stop", extra=fields(folder=self._folder, backlog=self.backlog))
         log.info("capture ended", extra=fields(batches=self.batches, dropped=self.dropped, gaps=self.gaps))
 
     def register_name(self, number: int, name: str) -> None:
-        """Note a request's or an endpoint's id in the log, for people who look for it."""
-        if len(self._names) < MAX_BACKLOG:  # where no batch ever comes, nothing piles up
+        """Record the id that a request or endpoint has in the log, so that it can be found in the capture."""
+        if len(self._names) < MAX_BACKLOG:  # limits memory if no batch follows
             self._names.append((number, name))
 
     def handle(self, policy: DecidingPolicy, now_us: int, events: Sequence[Event]) -> list[Action]:
-        """Let the policy decide, and record what it was told and what it decided."""
+        """Pass events to the policy, and record them with the actions or the error that result."""
         names = self._names
         self._names = []
         is_dropped = self._must_drop(now_us)
@@ -112,7 +113,7 @@
         return actions
 
     def reconfigured(self, settings: Settings, fresh: Collection[int]) -> None:
-        """Record that other settings were put in force, between two batches."""
+        """Record that new settings were put in force between two batches."""
         version = self.config_version()
         self._header.config_version = version
         if self._open_gap is None:
@@ -120,7 +121,7 @@
             self._writer.put(RECONFIGURATION_WEIGHT, item)
 
     def overrides_applied(self, now_us: int, acts: Sequence[HealthOverride]) -> None:
-        """Record that health overrides were applied, between two batches."""
+        """Record that health overrides were applied between two batches."""
         if self._open_gap is None:
             self._writer.put(len(acts), Overrides(now_us, acts))
 
@@ -128,12 +129,15 @@
         self._writer.is_keyframe_wanted = False
         keyframe = Keyframe(state.snapshot(policy), list(self.listed_endpoints()))
         self._writer.put(weight, keyframe)
-        if self._ended_gap is not None:  # behind the keyframe, in the segment that it begins
+        if self._ended_gap is not None:  # after the keyframe, in the segment that begins with it
             self._writer.put(1, self._ended_gap)
             self._ended_gap = None
 
     def _must_drop(self, now_us: int) -> bool:
-        """Whether this batch is dropped: from when too much is pending until the writer has caught up."""
+        """Whether to drop this batch.
+
+        Batches are dropped once the backlog is full or a write has failed, until the writer has caught up.
+        """
         gap = self._open_gap
         if gap is None:
             if self.backlog < MAX_BACKLOG and not self.failure:
@@ -157,6 +161,6 @@
 
 
 def _weight_of(events: Sequence[Event]) -> int:
-    """A batch's events as a part of the backlog; an endpoint list counts by its entries."""
+    """The weight of a batch's events in the backlog; each entry of an endpoint list counts as an event."""
     lists = sum(len(event.endpoints) for event in events if type(event) is EndpointListReceived)
     return 1 + len(events) + lists
--- a/magpieshift/capture/replay.py
+++ b/magpieshift/capture/replay.py
@@ -1,9 +1,9 @@
-"""A capture fed to the policy as fast as it goes, and what that decides otherwise.
+"""Feeds a capture to the policy at full speed and compares its decisions with the recorded ones.
 
-The policy of this checkout must do exactly what was recorded. Another one (``against``) runs beside it: as
-long as they agree each keeps its own state, and where they differ the difference is noted and the other
-takes over the state of the first. So every difference is what the other would have done in the place of the
-first, and none is a mere consequence of one before.
+The policy of this checkout must decide exactly as recorded. Another policy (``against``) can run beside it.
+As long as both decide the same, each keeps its own state. When they differ, the difference is noted and the
+other policy takes over the state of the first. So every difference is a decision that the other policy makes
+in the same state, and none is merely a consequence of an earlier difference.
 """
 
 from __future__ import annotations
@@ -21,16 +21,16 @@
 from magpieshift.capture.wire import capture_pb2 as wire
 
 MAX_EXAMPLES = 1000
-"""Differences that are held in full; all are counted. A bound on memory."""
+"""Maximum number of differences kept in full, to limit memory; all are counted."""
 MAX_NAMES = 100_000
-"""Ids of requests and endpoints that are held, the newest; a bound on memory."""
+"""Maximum number of ids of requests and endpoints kept, to limit memory; the newest are kept."""
 MAX_IDLE_US = 5_000_000
-"""A longer time between two batches is a gap, and does not count as time replayed."""
+"""Maximum time between two batches that counts as replayed; a longer interval is taken for a gap."""
 
 
 @dataclass
 class ReplayResult:
-    """What a replay found."""
+    """The counts and differences of a replay."""
 
     batches: int = 0
     events: int = 0
@@ -39,27 +39,27 @@
     keyframes: int = 0
     reconfigurations: int = 0
     raised: int = 0
-    """Batches in which the policy raised an error."""
+    """Number of batches in which the policy raised an error."""
     first_us: int = 0
-    """Time of the first batch replayed."""
+    """Unix time of the first batch replayed; 0 for none."""
     last_us: int = 0
     span_us: int = 0
-    """Time that the batches replayed cover, gaps left out."""
+    """Time covered by the replayed batches, see ``MAX_IDLE_US``."""
     differences: int = 0
     subsequent: int = 0
-    """More differences, after the policy of this checkout had left the recorded way."""
+    """Further differences in batches after the policy of this checkout diverged from the recording."""
     kinds: Counter[str] = field(default_factory=Counter)
-    """Differences by kind."""
+    """Number of differences by kind."""
     examples: list[Difference] = field(default_factory=list)
     missing: list[str] = field(default_factory=list)
-    """What the capture lacks, for people."""
+    """Descriptions of the missing parts of the capture."""
     skipped: int = 0
-    """Batches after something was missing, until the next keyframe."""
+    """Number of batches not replayed because no state was known: from a gap up to the next keyframe."""
     policies: set[str] = field(default_factory=set)
-    """Digests of the policies that recorded."""
+    """Digests of the policies that were running when the capture was recorded."""
 
     def figures(self) -> dict[str, Any]:
-        """The figures by their names in reports."""
+        """The counts under their names in reports."""
         return {
             "batches": self.batches,
             "events": self.events,
@@ -77,7 +77,7 @@
         }
 
     def count_batch(self, record: wire.Batch) -> None:
-        """Count what was recorded in a batch that is replayed."""
+        """Count a replayed batch and its recorded events and actions."""
         self.batches += 1
         self.events += len(record.events)
         self.requests += sum(1 for event in record.events if event.HasField("Request"))
@@ -89,25 +89,25 @@
         self.last_us = record.now_us
 
     def add(self, differences: list[Difference]) -> None:
-        """Count differences, and hold those that there is room for."""
+        """Count differences, and keep the first ``MAX_EXAMPLES`` of them."""
         self.differences += len(differences)
         self.kinds.update(difference.kind for difference in differences)
         self.examples += differences[: MAX_EXAMPLES - len(self.examples)]
 
 
 class Player:
-    """One policy being fed a capture."""
+    """Runs one policy on the records of a capture."""
 
     def __init__(self, policy: Policy, is_strict: bool = False) -> None:
-        """``is_strict``: a keyframe that holds what this policy does not know is an error."""
+        """``is_strict``: whether a keyframe with classes or fields unknown to this policy is an error."""
         self.policy = policy
         self.codec = Codec(policy)
         self.router: Any = None
-        """The policy's instance; None before the first keyframe."""
+        """The instance of the policy; None before the first keyframe."""
         self._is_strict = is_strict
 
     def take_over(self, data: bytes) -> None:
-        """Go on from a keyframe's state; ``StateError`` where that cannot be."""
+        """Continue from the state of a keyframe; ``StateError`` if it cannot be restored."""
         self.router = state.restore(data, self.policy, self._is_strict)
 
     def reconfigure(self, record: wire.Retune) -> None:
@@ -125,27 +125,27 @@
         policy.apply_overrides(self.router, record.now_us, overrides)
 
     def handle(self, record: wire.Batch) -> tuple[list[RecordedAction], str]:
-        """What the policy does, and the name of the error that it raised, or ""."""
+        """Pass a recorded batch to the policy; returns its actions and the name of its error, or ""."""
         events = [self.codec.event(message) for message in record.events]
         error = ""
         try:
             actions = self.router.handle(record.now_us, events)
-        except Exception as err:  # the recorded one may have raised as well: the names are compared
+        except Exception as err:  # the recorded policy may have raised too: the names are compared
             error = type(err).__name__
             actions = self.router.actions
         return [self.codec.decided(action) for action in actions], error
 
     def state(self) -> bytes:
-        """The policy's state, as a keyframe would hold it."""
+        """The policy's state in the form of a keyframe."""
         return state.encode(state.snapshot(self.router))
 
 
 Observer = Callable[[int, wire.Batch, Player], None]
-"""Called with a batch's number, its record, and the player of this checkout's policy."""
+"""Called with the number of a batch, its record, and the player of this checkout's policy."""
 
 
 class Replay:
-    """Feeds records to a policy and compares; ``against`` is another version of it."""
+    """Feeds records to a policy and compares its decisions with the recorded ones."""
 
     def __init__(
         self,
@@ -154,28 +154,31 @@
         before: Observer | None = None,
         after: Observer | None = None,
     ) -> None:
-        """``before`` and ``after`` are called round each batch that is replayed."""
+        """``policy`` defaults to this checkout's; ``against`` is another version to compare with it.
+
+        ``before`` and ``after`` are called before and after each batch that is replayed.
+        """
         self.result = ReplayResult()
         self.names: dict[int, str] = {}
-        """Ids in the log of requests and endpoints, by number; the newest ``MAX_NAMES``."""
+        """The ids of requests and endpoints in the log, by number; the newest ``MAX_NAMES``."""
         self._own = Player(policy or own(), is_strict=True)
         self._other = Player(against) if against is not None else None
         self._before = before
         self._after = after
         self._has_state = False
-        """Whether nothing is missing since the last keyframe."""
+        """Whether the state is known: there was a keyframe, and nothing is missing since."""
         self._has_diverged = False
-        """Whether the policy of this checkout has left the recorded way since then."""
+        """Whether the policy of this checkout has diverged from the recording since that keyframe."""
         self._batch_number = -1
 
     def run(self, records: Iterable[wire.Record | Missing]) -> ReplayResult:
-        """Go through a capture once."""
+        """Replay all records of a capture."""
         for record in records:
             self.feed(record)
         return self.result
 
     def feed(self, record: wire.Record | Missing) -> None:
-        """Take in the next record, or what is missing in its place."""
+        """Process the next record, or the mark of a missing part."""
         if isinstance(record, Missing):
             self.result.missing.append(str(record))
             self._has_state = False
@@ -215,11 +218,11 @@
             yield self._other
 
     def _keyframe(self, data: bytes) -> None:
-        """Compare states, and take the recorded one over where they differ or nothing was replayed."""
+        """Compare the state with the keyframe; take over the keyframe if they differ or no state is known."""
         self.result.keyframes += 1
         must_take_over = self._has_diverged or not self._has_state
         if not must_take_over and self._own.state() != data:
-            # decided alike up to here, and would not for ever: no decision has rested on the difference yet
+            # no decision has depended on the differing part of the state yet, but later ones would
             kind = "other state at a keyframe"
             self.result.add([Difference(self._batch_number, self.result.last_us, 0, kind, (), ())])
             must_take_over = True
--- a/magpieshift/capture/writer.py
+++ b/magpieshift/capture/writer.py
@@ -1,7 +1,7 @@
 """The thread that writes a capture's segments.
 
-It takes items from a queue that the event loop fills, makes records of them, and writes them in blocks.
-Where the disk fails, what is queued is dropped, and it tries again until it can write.
+It takes items from a queue that the event loop fills, converts them to records, and writes them in blocks.
+If a write fails, the queued items are dropped, and it retries until it can write again.
 """
 
 from __future__ import annotations
@@ -22,50 +22,50 @@
 log = logging.getLogger(__name__)
 
 POLL_S = 0.25
-"""Between two looks at the queue; a router that is killed loses so much. Smaller makes
-smaller blocks, which compress worse."""
+"""Polling interval of the queue. A router that is killed loses what it recorded in that time; a shorter
+interval makes smaller blocks, which compress worse."""
 MAX_BLOCK_WEIGHT = 4_000
-"""Events and actions in a block: what a damaged block costs. Larger compresses better."""
+"""Maximum number of events and actions in a block, all lost if it is damaged; larger ones compress better."""
 RETRY_S = 1.0
-"""After a write that failed. A shorter pause resumes sooner after a full disk."""
+"""Delay before the next attempt after a failed write; a shorter one resumes sooner after a full disk."""
 STOP_TIMEOUT_S = 2.0
-"""For the last block; a disk that is stuck then is abandoned."""
+"""Time-out for writing the queued items at the end; a blocked disk does not delay the router's end longer."""
 MAX_REASON = 200
-"""Characters of a failure's text that are held."""
+"""Maximum number of characters kept of the reason of a failure."""
 
 
 @dataclass(frozen=True)
 class Limits:
-    """How much a capture may take on disk, and how it is cut into segments."""
+    """The disk budget of a capture, and the maximum size and age of its segments."""
 
     budget_bytes: int = 512 << 20
     segment_bytes: int = 16 << 20
     segment_s: float = 60.0
-    """A new segment begins at the latest after so long: what a damaged keyframe costs."""
+    """Maximum duration of a segment; a damaged keyframe loses at most that much."""
 
 
 class Writer:
-    """Owner of a capture's files and of the thread that writes them.
+    """Owns the files of a capture and the thread that writes them.
 
-    Attributes are shared with the event loop without a lock: each is written by one side only, but for
-    ``is_keyframe_wanted``, which the writer sets and the loop clears.
+    Attributes are shared with the event loop without a lock: each is written by one thread only, except
+    ``is_keyframe_wanted``, which the writer sets and the event loop clears.
     """
 
     def __init__(self, folder: Path, header: wire.Header, limits: Limits) -> None:
         self.header = header
-        """Begins each segment."""
+        """Written at the beginning of each segment."""
         self.failure = ""
-        """Why the writer cannot write, or ""; it tries again."""
+        """Why the last write failed; "" while writes succeed."""
         self.is_keyframe_wanted = True
-        """Set where a segment is to begin."""
+        """Asks the event loop for a keyframe, with which a new segment begins."""
         self._folder = folder
         self._limits = limits
         self._queue: deque[tuple[int, Item]] = deque()
-        """Items, each with its weight: the events and actions in it, about."""
+        """Items with their weights, which are about the numbers of events and actions in them."""
         self._queued_weight = 0
-        """Of all items ever queued; counted by the event loop."""
+        """Weight of all items queued since the start; counted by the event loop."""
         self._taken_weight = 0
-        """Of all items ever taken; counted by the writer."""
+        """Weight of all items taken from the queue since the start; counted by the writer."""
         self._segment: segments.Segment | None = None
         self._segment_started_s = 0.0
         self._other_segments_bytes = 0
@@ -76,20 +76,20 @@
 
     @property
     def backlog(self) -> int:
-        """Weight of what is queued."""
+        """Weight of the queued items."""
         return self._queued_weight - self._taken_weight
 
     def put(self, weight: int, item: Item) -> None:
-        """Queue an item; it costs the loop no more than that."""
+        """Queue an item; never blocks the event loop."""
         self._queued_weight += weight
         self._queue.append((weight, item))
 
     def start(self) -> None:
-        """Start the thread; once."""
+        """Start the thread; may be called once only."""
         self._thread.start()
 
     def stop(self) -> bool:
-        """Write what is queued, as far as the disk takes it soon; returns whether it did."""
+        """Write the queued items and end the thread; returns whether it ended within ``STOP_TIMEOUT_S``."""
         self._is_stopping.set()
         self._thread.join(STOP_TIMEOUT_S)
         return not self._thread.is_alive()
@@ -105,7 +105,7 @@
                 if self.failure:
                     log.warning("capture write recovered", extra=fields(folder=self._folder))
                     self.failure = ""
-            except Exception as err:  # a full or broken disk, or what cannot be encoded: the router goes on
+            except Exception as err:  # neither a bad disk nor an item that cannot be encoded ends the thread
                 self._write_failed(err)
                 if self._is_stopping.wait(RETRY_S):
                     return
@@ -115,7 +115,7 @@
                 return
 
     def _write_failed(self, err: Exception) -> None:
-        """Drop what is queued: it belongs to the gap that begins now, and has no place to go to."""
+        """Drop the queued items, which become part of the gap that begins now."""
         reason = err.strerror or str(err) if isinstance(err, OSError) else f"{type(err).__name__}: {err}"
         if not self.failure:
             log.error("capture write failed", extra=fields(folder=self._folder, reason=reason))
@@ -131,9 +131,9 @@
             self._taken_weight += weight
 
     def _write_block(self, is_stopping: bool) -> bool:
-        """Write what is queued, a block at most; returns whether there is more."""
+        """Write queued items, at most a block; returns whether more are queued."""
         if self.failure and self._segment is None:
-            self._open_segment()  # so that a disk that is still full shows before anything is taken
+            self._open_segment()  # a disk that is still full then fails before items are taken
         records: list[wire.Record] = []
         weight = 0
         has_keyframe = False
@@ -141,11 +141,11 @@
             item_weight, item = self._queue.popleft()
             self._taken_weight += item_weight
             if isinstance(item, Keyframe):
-                self._write_records(records)  # a segment begins with its keyframe
+                self._write_records(records)  # each segment begins with a keyframe
                 self._open_segment()
                 records = [wire.Record(header=self.header)]
                 has_keyframe = True
-            if self._segment is not None:  # else there is no keyframe to replay it from
+            if self._segment is not None:  # else there was no keyframe from which to replay the item
                 weight += item_weight
                 records.append(to_record(item))
         self._write_records(records)
@@ -160,10 +160,10 @@
         return is_old or self._segment.size > self._limits.segment_bytes
 
     def _open_segment(self) -> None:
-        """Begin a segment, and make room for it within the budget."""
+        """Begin a segment, and remove old ones to keep to the budget."""
         if self._segment is not None:
             if self._segment.is_empty:
-                return  # opened to see whether the disk takes it
+                return  # opened after a failure to test the disk
             self._segment.close()
             self._segment = None
         self._folder.mkdir(parents=True, exist_ok=True)
