--- a/magpieshift/capture/codec.py
+++ b/magpieshift/capture/codec.py
@@ -65,7 +65,7 @@
                 self._readers[name] = [self._reader(each) for each in recorded]
                 self._recorded_names[cls] = name
 
-    def event(self, message: wire.Event) -> Any:
+    def read_event(self, message: wire.Event) -> Any:
         """Convert a recorded event to one of this policy."""
         name = str(message.WhichOneof("what"))
         found = getattr(message, name)
@@ -94,14 +94,14 @@
             return lambda found: outcome(found.outcome)
         return attrgetter(recorded_field)
 
-    def decided(self, action: Any) -> RecordedAction:
+    def convert_action(self, action: Any) -> RecordedAction:
         """Convert an action of this policy for comparison."""
         name = self._recorded_names.get(type(action))
         if name is None:  # this kind of action is not recorded
             return RecordedAction(type(action).__name__)
         return RecordedAction(name, {recorded: getattr(action, own) for recorded, own in self._fields[name]})
 
-    def recorded(self, message: wire.Action) -> RecordedAction:
+    def read_action(self, message: wire.Action) -> RecordedAction:
         """Convert a recorded action for comparison."""
         name = str(message.WhichOneof("what"))
         found = getattr(message, name)
--- a/magpieshift/capture/cut.py
+++ b/magpieshift/capture/cut.py
@@ -18,7 +18,7 @@
 """Larger numbers are those of endpoints, which are 64-bit hashes; requests are numbered from 1."""
 
 
-class _Part:
+class _PartCollector:
     """Collects the records of the part while the capture is replayed up to it."""
 
     def __init__(self, from_us: int) -> None:
@@ -28,7 +28,7 @@
         self.has_started = False
         """Whether a batch at or after ``from_us`` has been read."""
         self._from_us = from_us
-        self._replay = Replay(before=self._before)
+        self._replay = Replay(before=self._before_batch)
 
     def add(self, record: wire.Record | Missing) -> None:
         """Process the next record of the capture."""
@@ -47,7 +47,7 @@
         if (self.has_started or self.records) and not is_header and not is_earlier_keyframe:
             self.records.append(record)
 
-    def _before(self, number: int, record: wire.Batch, player: Player) -> None:
+    def _before_batch(self, number: int, record: wire.Batch, player: Player) -> None:
         """Make a keyframe at the part's first batch, if the policy decided as recorded up to there."""
         if self.has_started or record.now_us < self._from_us:
             return
@@ -70,14 +70,14 @@
     the part begins earlier, at the last recorded keyframe before ``from_us``. Raises ``CaptureError`` if no
     batch that can be replayed lies between the two times.
     """
-    part = _Part(from_us)
+    collector = _PartCollector(from_us)
     for record in records():
         if not isinstance(record, Missing) and record.HasField("batch") and record.batch.now_us > to_us:
             break
-        part.add(record)
-    batches = sum(1 for record in part.records if record.HasField("batch"))
-    if part.header is None or not part.has_started or not batches:
+        collector.add(record)
+    batches = sum(1 for record in collector.records if record.HasField("batch"))
+    if collector.header is None or not collector.has_started or not batches:
         raise CaptureError(
             f"no batch that can be replayed lies between the Unix times {from_us} us and {to_us} us"
         )
-    return batches, segments.write_file(path, [wire.Record(header=part.header), *part.records])
+    return batches, segments.write_file(path, [wire.Record(header=collector.header), *collector.records])
--- a/magpieshift/capture/difference.py
+++ b/magpieshift/capture/difference.py
@@ -7,11 +7,11 @@
 
 from magpieshift.capture.codec import RecordedAction
 
-ATTEMPTS = ("Send", "Get")
+ATTEMPT_ACTIONS = ("Send", "Get")
 """Recorded names of the actions that start an attempt."""
-REQUESTLESS = ("SetTimer", "Log", "Subscribe", "FetchList")
+ACTIONS_WITHOUT_REQUEST = ("SetTimer", "Log", "Subscribe", "FetchList")
 """Recorded names of the actions that do not belong to a single request."""
-NOTHING = RecordedAction("nothing")
+NO_ACTION = RecordedAction("nothing")
 VERBS = {
     "Send": "sent",
     "Get": "sent",
@@ -43,9 +43,9 @@
     """Return the kind of a difference as text; reports and their JSON use these texts as keys."""
     if sorted(recorded, key=repr) == sorted(replayed, key=repr):
         return "other order"
-    old = recorded[-1] if recorded else NOTHING
-    new = replayed[-1] if replayed else NOTHING
-    if old.name in ATTEMPTS and new.name in ATTEMPTS:
+    old = recorded[-1] if recorded else NO_ACTION
+    new = replayed[-1] if replayed else NO_ACTION
+    if old.name in ATTEMPT_ACTIONS and new.name in ATTEMPT_ACTIONS:
         return _kind_of_attempt(old, new)
     old_verb = VERBS.get(old.name, old.name.lower())
     new_verb = VERBS.get(new.name, new.name.lower())
@@ -89,4 +89,4 @@
 
 
 def _request_of(action: RecordedAction) -> int:
-    return 0 if action.name in REQUESTLESS else action.request_id
+    return 0 if action.name in ACTIONS_WITHOUT_REQUEST else action.request_id
--- a/magpieshift/capture/explanation.py
+++ b/magpieshift/capture/explanation.py
@@ -27,7 +27,7 @@
 """Smaller slowdowns (multiples of the service time) are not shown."""
 MIN_ENDPOINT_NUMBER = 1 << 32
 """Larger numbers are those of endpoints, and shown in hexadecimal."""
-FINAL_OR_ATTEMPT = ("Send", "Get", "Refuse", "Fail")
+ATTEMPT_AND_ANSWER_ACTIONS = ("Send", "Get", "Refuse", "Fail")
 """Recorded names of the actions that start an attempt or give the final answer of a request."""
 
 
@@ -137,7 +137,7 @@
     return ", ".join(parts)
 
 
-def lines_before(records: Records, difference: Difference) -> list[str]:
+def state_lines_before(records: Records, difference: Difference) -> list[str]:
     """Describe the state of this checkout's policy right before a difference, by replaying the capture up to
     there."""
     lines: list[str] = []
@@ -164,13 +164,16 @@
         return ["no differences"]
     lines = [f"{result.differences} differences in {result.batches} batches, by kind:"]
     lines += [f"  {count:6}  {kind}" for kind, count in result.kinds.most_common()]
-    if result.subsequent:
-        lines.append(f"  and {result.subsequent} more after the policy had diverged, until the next keyframe")
+    if result.subsequent_differences:
+        lines.append(
+            f"  and {result.subsequent_differences} more after the policy had diverged, "
+            "until the next keyframe"
+        )
     first = result.examples[0]
     when = time_of_day(first.now_us)
     lines.append(f"the first, at {when}, batch {first.batch}, request {first.request_id}: {first.kind}")
     lines += _actions_lines(first, names)
-    if records is not None and (known := lines_before(records, first)):
+    if records is not None and (known := state_lines_before(records, first)):
         lines.append("what the policy knew right before:")
         lines += [f"  {line}" for line in known]
     shown = {first.kind}
@@ -241,7 +244,7 @@
         events = [event for event in record.events if _request_of(event) == request_id]
         decided = [
             action
-            for action in map(player.codec.recorded, record.actions)
+            for action in map(player.codec.read_action, record.actions)
             if action.name != "SetTimer" and action.request_id == request_id
         ]
         if not events and not decided:
@@ -252,7 +255,7 @@
         known = request_line(player, request_id, names)
         if known:
             lines.append(f"  knew: {known}")
-        if decided and decided[0].name in FINAL_OR_ATTEMPT:
+        if decided and decided[0].name in ATTEMPT_AND_ANSWER_ACTIONS:
             lines.extend(f"    {line}" for line in endpoint_lines(player, names))
         lines.append(f"  decided: {names.actions_text(decided)}")
 
--- a/magpieshift/capture/items.py
+++ b/magpieshift/capture/items.py
@@ -40,7 +40,7 @@
     """New settings, put in force between two batches."""
 
     settings: state.Snapshot
-    fresh: list[int]
+    reset_classes: list[int]
     """Numbers of the classes whose statistics are reset."""
     config_version: int
 
@@ -77,7 +77,9 @@
         case Reconfiguration():
             settings = state.encode(item.settings)
             return wire.Record(
-                retune=wire.Retune(settings=settings, fresh=item.fresh, config_version=item.config_version)
+                retune=wire.Retune(
+                    settings=settings, fresh=item.reset_classes, config_version=item.config_version
+                )
             )
         case Overrides():
             acts = [_override(override) for override in item.overrides]
--- a/magpieshift/capture/policy.py
+++ b/magpieshift/capture/policy.py
@@ -135,7 +135,7 @@
     return digest.hexdigest()
 
 
-def own() -> Policy:
+def own_policy() -> Policy:
     """This checkout's policy."""
     return _import_policy(LAYOUT)
 
@@ -170,15 +170,15 @@
 
 
 @contextmanager
-def _importing_from(checkout: Path, top: str) -> Iterator[None]:
-    """While the context is open, import the top-level package ``top`` from a checkout; afterwards restore the
+def _importing_from(checkout: Path, top_package: str) -> Iterator[None]:
+    """While the context is open, import the package ``top_package`` from a checkout; afterwards restore the
     modules that were imported under its name before."""
 
-    def loaded() -> dict[str, ModuleType]:
-        return {name: module for name, module in sys.modules.items() if name.split(".")[0] == top}
+    def loaded_modules() -> dict[str, ModuleType]:
+        return {name: module for name, module in sys.modules.items() if name.split(".")[0] == top_package}
 
-    aside = loaded()
-    for name in aside:
+    saved_modules = loaded_modules()
+    for name in saved_modules:
         del sys.modules[name]
     sys.path.insert(0, str(checkout))
     importlib.invalidate_caches()
@@ -186,9 +186,9 @@
         yield
     finally:
         sys.path.remove(str(checkout))
-        for name in loaded():
+        for name in loaded_modules():
             del sys.modules[name]
-        sys.modules.update(aside)
+        sys.modules.update(saved_modules)
 
 
 def _import_policy(layout: Layout) -> Policy:
--- a/magpieshift/capture/recorder.py
+++ b/magpieshift/capture/recorder.py
@@ -112,18 +112,18 @@
                 self._writer.put(weight, Batch(now_us, events, actions, error, names))
         return actions
 
-    def reconfigured(self, settings: Settings, fresh: Collection[int]) -> None:
+    def reconfigured(self, settings: Settings, reset_classes: Collection[int]) -> None:
         """Record that new settings were put in force between two batches."""
         version = self.config_version()
         self._header.config_version = version
         if self._open_gap is None:
-            item = Reconfiguration(state.snapshot_record(settings), sorted(fresh), version)
+            item = Reconfiguration(state.snapshot_record(settings), sorted(reset_classes), version)
             self._writer.put(RECONFIGURATION_WEIGHT, item)
 
-    def overrides_applied(self, now_us: int, acts: Sequence[HealthOverride]) -> None:
+    def overrides_applied(self, now_us: int, overrides: Sequence[HealthOverride]) -> None:
         """Record that health overrides were applied between two batches."""
         if self._open_gap is None:
-            self._writer.put(len(acts), Overrides(now_us, acts))
+            self._writer.put(len(overrides), Overrides(now_us, overrides))
 
     def _put_keyframe(self, policy: DecidingPolicy, weight: int) -> None:
         self._writer.is_keyframe_wanted = False
--- a/magpieshift/capture/replay.py
+++ b/magpieshift/capture/replay.py
@@ -16,7 +16,7 @@
 from magpieshift.capture import state
 from magpieshift.capture.codec import Codec, RecordedAction
 from magpieshift.capture.difference import Difference, compare, compare_errors
-from magpieshift.capture.policy import Policy, own
+from magpieshift.capture.policy import Policy, own_policy
 from magpieshift.capture.segments import Missing
 from magpieshift.capture.wire import capture_pb2 as wire
 
@@ -46,16 +46,16 @@
     span_us: int = 0
     """Time covered by the replayed batches, see ``MAX_IDLE_US``."""
     differences: int = 0
-    subsequent: int = 0
+    subsequent_differences: int = 0
     """Further differences in batches after the policy of this checkout diverged from the recording."""
     kinds: Counter[str] = field(default_factory=Counter)
     """Number of differences by kind."""
     examples: list[Difference] = field(default_factory=list)
     missing: list[str] = field(default_factory=list)
     """Descriptions of the missing parts of the capture."""
-    skipped: int = 0
+    skipped_batches: int = 0
     """Number of batches not replayed because no state was known: from a gap up to the next keyframe."""
-    policies: set[str] = field(default_factory=set)
+    policy_digests: set[str] = field(default_factory=set)
     """Digests of the policies that were running when the capture was recorded."""
 
     def figures(self) -> dict[str, Any]:
@@ -66,13 +66,13 @@
             "decisions": self.decisions,
             "requests": self.requests,
             "differences": self.differences,
-            "followed": self.subsequent,
+            "followed": self.subsequent_differences,
             "kinds": dict(self.kinds),
             "keyframes": self.keyframes,
             "retunes": self.reconfigurations,
             "raised": self.raised,
             "missing": len(self.missing),
-            "skipped": self.skipped,
+            "skipped": self.skipped_batches,
             "seconds": round(self.span_us / 1e6, 3),
         }
 
@@ -106,7 +106,7 @@
         """The instance of the policy; None before the first keyframe."""
         self._is_strict = is_strict
 
-    def take_over(self, data: bytes) -> None:
+    def restore_state(self, data: bytes) -> None:
         """Continue from the state of a keyframe; ``StateError`` if it cannot be restored."""
         self.router = state.restore(data, self.policy, self._is_strict)
 
@@ -126,14 +126,14 @@
 
     def handle(self, record: wire.Batch) -> tuple[list[RecordedAction], str]:
         """Pass a recorded batch to the policy; returns its actions and the name of its error, or ""."""
-        events = [self.codec.event(message) for message in record.events]
+        events = [self.codec.read_event(message) for message in record.events]
         error = ""
         try:
             actions = self.router.handle(record.now_us, events)
         except Exception as err:  # the recorded policy may have raised too: the names are compared
             error = type(err).__name__
             actions = self.router.actions
-        return [self.codec.decided(action) for action in actions], error
+        return [self.codec.convert_action(action) for action in actions], error
 
     def state(self) -> bytes:
         """The policy's state in the form of a keyframe."""
@@ -161,7 +161,7 @@
         self.result = ReplayResult()
         self.names: dict[int, str] = {}
         """The ids of requests and endpoints in the log, by number; the newest ``MAX_NAMES``."""
-        self._own = Player(policy or own(), is_strict=True)
+        self._own = Player(policy or own_policy(), is_strict=True)
         self._other = Player(against) if against is not None else None
         self._before = before
         self._after = after
@@ -185,7 +185,7 @@
             return
         match record.WhichOneof("what"):
             case "header":
-                self.result.policies.add(record.header.policy_digest)
+                self.result.policy_digests.add(record.header.policy_digest)
             case "keyframe":
                 self._register_names(record.keyframe.stores)
                 self._keyframe(record.keyframe.state)
@@ -205,7 +205,7 @@
                 if self._has_state:
                     self._batch(record.batch)
                 else:
-                    self.result.skipped += 1
+                    self.result.skipped_batches += 1
 
     def _register_names(self, names: Iterable[wire.Name]) -> None:
         self.names.update((name.id, name.ident) for name in names)
@@ -228,7 +228,7 @@
             must_take_over = True
         if must_take_over:
             for player in self._players():
-                player.take_over(data)
+                player.restore_state(data)
         self._has_state = True
         self._has_diverged = False
 
@@ -236,19 +236,19 @@
         self.result.count_batch(record)
         if self._before is not None:
             self._before(self._batch_number, record, self._own)
-        recorded = [self._own.codec.recorded(action) for action in record.actions]
+        recorded = [self._own.codec.read_action(action) for action in record.actions]
         decided, error = self._own.handle(record)
         self.result.raised += bool(error)
         differences = self._compare(record, recorded, record.raised, decided, error)
         if differences and self._has_diverged:
-            self.result.subsequent += len(differences)
+            self.result.subsequent_differences += len(differences)
             return
         if differences:
             self._has_diverged = True
         elif self._other is not None:
             differences = self._compare(record, decided, error, *self._other.handle(record))
         if self._other is not None and (differences or self._has_diverged):
-            self._other.take_over(self._own.state())
+            self._other.restore_state(self._own.state())
         if self._after is not None:
             self._after(self._batch_number, record, self._own)
         self.result.add(differences)
--- a/magpieshift/capture/segments.py
+++ b/magpieshift/capture/segments.py
@@ -28,7 +28,7 @@
 FILE_HEADER = b"magpieshift capture %d\n"
 BLOCK_MARK = b"\xc9MC\x02"
 """The first bytes of a block, by which a reader finds the next block after a damaged one."""
-BLOCK_HEAD = struct.Struct("<4sIII")
+BLOCK_HEADER = struct.Struct("<4sIII")
 MAX_BLOCK_BYTES = 64 << 20
 """Maximum decompressed size of a block, which limits what a reader allocates for a damaged length. A keyframe
 of ten thousand requests takes a quarter of it."""
@@ -36,7 +36,7 @@
 SEGMENT_PATTERN = "capture-*.seg"
 COMPRESSION_LEVEL = 3
 """zstandard's default; higher levels save fewer bytes than the processor time they cost is worth."""
-SHOWN_BYTES = 40
+MAX_SHOWN_BYTES = 40
 """Number of bytes of a file's first line that are shown in an error."""
 RECORDS_PER_BLOCK = 2000
 """Records in each block of a file that is written as a whole (``write_file``)."""
@@ -55,11 +55,11 @@
         return f"{self.file} at {self.offset}: {self.detail}"
 
 
-def block(records: Sequence[wire.Record]) -> bytes:
+def encode_block(records: Sequence[wire.Record]) -> bytes:
     """Encode records as a block."""
     raw = wire.Block(records=records).SerializeToString()
     payload = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(raw)
-    return BLOCK_HEAD.pack(BLOCK_MARK, len(raw), len(payload), crc32c(payload)) + payload
+    return BLOCK_HEADER.pack(BLOCK_MARK, len(raw), len(payload), crc32c(payload)) + payload
 
 
 class Segment:
@@ -85,7 +85,7 @@
 
     def write(self, records: Sequence[wire.Record]) -> None:
         """Append a block; raises ``OSError`` if the write fails."""
-        self._write_bytes(block(records))
+        self._write_bytes(encode_block(records))
 
     def _write_bytes(self, data: bytes) -> None:
         self.size += len(data)
@@ -145,7 +145,7 @@
             yield Missing(file.name, 0, "nothing was written")
             return
         line = data.partition(b"\n")[0]
-        raise CaptureError(f"{file} begins with {line[:SHOWN_BYTES]!r}, expected {known!r}")
+        raise CaptureError(f"{file} begins with {line[:MAX_SHOWN_BYTES]!r}, expected {known!r}")
     offset = len(known)
     while offset < len(data):
         records, end = _read_block(data, offset)
@@ -171,13 +171,13 @@
 
 def _read_block(data: bytes, offset: int) -> tuple[Sequence[wire.Record] | None, int]:
     """The records of the block at an offset, and the offset of its end; None if the block is not complete."""
-    if offset + BLOCK_HEAD.size > len(data):
+    if offset + BLOCK_HEADER.size > len(data):
         return None, offset
-    mark, raw_size, size, checksum = BLOCK_HEAD.unpack_from(data, offset)
-    end = offset + BLOCK_HEAD.size + size
+    mark, raw_size, size, checksum = BLOCK_HEADER.unpack_from(data, offset)
+    end = offset + BLOCK_HEADER.size + size
     if mark != BLOCK_MARK or end > len(data) or raw_size > MAX_BLOCK_BYTES:
         return None, offset
-    payload = data[offset + BLOCK_HEAD.size : end]
+    payload = data[offset + BLOCK_HEADER.size : end]
     if crc32c(payload) != checksum:
         return None, offset
     try:
--- a/magpieshift/capture/state.py
+++ b/magpieshift/capture/state.py
@@ -22,9 +22,9 @@
 from magpieshift.capture.policy import Policy
 from magpieshift.capture.recorded_names import CURRENT
 
-NOT_STATE = ("actions", "handlers", "reactions")
+UNRECORDED_ATTRIBUTES = ("actions", "handlers", "reactions")
 """Attributes of a router that are not recorded: each batch or the constructor sets them anew."""
-ATOMS = (int, float, str, bool, type(None))
+JSON_SCALAR_TYPES = (int, float, str, bool, type(None))
 """Types that JSON represents directly."""
 RANDOM_STATE_VERSION = 3
 """Version of the state of ``random.Random.getstate``, the same in all supported Python versions."""
@@ -45,7 +45,7 @@
     """By recorded class name: the recorded names of the fields, in the order of a row's values."""
 
 
-class _Walk:
+class _SnapshotBuilder:
     """Converts values to JSON: each compound value becomes an object with one key, its kind."""
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
     def value(self, value: Any) -> Any:
         """Convert one value; a record becomes a reference to its row."""
         kind = type(value)
-        if kind in ATOMS:
+        if kind in JSON_SCALAR_TYPES:
             return value
         if kind is tuple:
             return {"t": [self.value(item) for item in value]}
@@ -69,9 +69,9 @@
             return {"l": [self.value(item) for item in value]}
         if kind is dict:
             return {"d": [[self.value(key), self.value(item)] for key, item in value.items()]}
-        return self._other(kind, value)
+        return self._other_kind(kind, value)
 
-    def _other(self, kind: type, value: Any) -> Any:
+    def _other_kind(self, kind: type, value: Any) -> Any:
         if kind in (set, frozenset):
             return {"s": sorted(value)}
         if isinstance(value, Enum):
@@ -112,20 +112,20 @@
 
 def snapshot(router: Any) -> Snapshot:
     """Take a snapshot of a router's state."""
-    walk = _Walk()
+    builder = _SnapshotBuilder()
     class_name = type(router).__name__
     root = {
-        CURRENT.recorded_field(class_name, name): walk.value(value)
+        CURRENT.recorded_field(class_name, name): builder.value(value)
         for name, value in vars(router).items()
-        if name not in NOT_STATE
+        if name not in UNRECORDED_ATTRIBUTES
     }
-    return Snapshot(root, walk.rows, walk.fields)
+    return Snapshot(root, builder.rows, builder.fields)
 
 
 def snapshot_record(record: Any) -> Snapshot:
     """Take a snapshot of one record, such as the settings."""
-    walk = _Walk()
-    return Snapshot({"record": walk.value(record)}, walk.rows, walk.fields)
+    builder = _SnapshotBuilder()
+    return Snapshot({"record": builder.value(record)}, builder.rows, builder.fields)
 
 
 def encode(found: Snapshot) -> bytes:
@@ -159,9 +159,9 @@
                 return [self.value(item) for item in inner]
             case "d":
                 return {self.value(key): self.value(item) for key, item in inner}
-        return self._other(kind, inner)
+        return self._other_kind(kind, inner)
 
-    def _other(self, kind: str, inner: Any) -> Any:
+    def _other_kind(self, kind: str, inner: Any) -> Any:
         match kind:
             case "s":
                 return set(inner)
--- a/magpieshift/capture/writer.py
+++ b/magpieshift/capture/writer.py
@@ -21,16 +21,16 @@
 
 log = logging.getLogger(__name__)
 
-POLL_S = 0.25
+POLL_INTERVAL_S = 0.25
 """Polling interval of the queue. A router that is killed loses what it recorded in that time; a shorter
 interval makes smaller blocks, which compress worse."""
 MAX_BLOCK_WEIGHT = 4_000
 """Maximum number of events and actions in a block, all lost if it is damaged; larger ones compress better."""
-RETRY_S = 1.0
+RETRY_DELAY_S = 1.0
 """Delay before the next attempt after a failed write; a shorter one resumes sooner after a full disk."""
 STOP_TIMEOUT_S = 2.0
 """Time-out for writing the queued items at the end; a blocked disk does not delay the router's end longer."""
-MAX_REASON = 200
+MAX_REASON_CHARACTERS = 200
 """Maximum number of characters kept of the reason of a failure."""
 
 
@@ -98,7 +98,7 @@
 
     def _run(self) -> None:
         while True:
-            is_stopping = self._is_stopping.wait(POLL_S)
+            is_stopping = self._is_stopping.wait(POLL_INTERVAL_S)
             try:
                 while self._write_block(is_stopping):
                     pass
@@ -107,7 +107,7 @@
                     self.failure = ""
             except Exception as err:  # neither a bad disk nor an item that cannot be encoded ends the thread
                 self._write_failed(err)
-                if self._is_stopping.wait(RETRY_S):
+                if self._is_stopping.wait(RETRY_DELAY_S):
                     return
             if is_stopping:
                 if self._segment is not None:
@@ -119,7 +119,7 @@
         reason = err.strerror or str(err) if isinstance(err, OSError) else f"{type(err).__name__}: {err}"
         if not self.failure:
             log.error("capture write failed", extra=fields(folder=self._folder, reason=reason))
-        self.failure = reason[:MAX_REASON]
+        self.failure = reason[:MAX_REASON_CHARACTERS]
         if self._segment is not None:
             self._segment.close()
             if self._segment.is_empty:
--- a/magpieshift/cli/captures.py
+++ b/magpieshift/cli/captures.py
@@ -180,7 +180,7 @@
     from magpieshift.capture import explanation, policy
     from magpieshift.capture.replay import Replay, ReplayResult
 
-    own = policy.own()
+    own = policy.own_policy()
     other = policy.load(against) if against else None
     differences = 0
     result = ReplayResult()
@@ -197,7 +197,7 @@
         "runs": times,
         "cpu_seconds": round(cpu_s, 3),
         "speed": round(times * result.span_us / 1e6 / cpu_s, 1) if cpu_s else 0.0,
-        "policy_as_recorded": result.policies == {own.digest},
+        "policy_as_recorded": result.policy_digests == {own.digest},
     }
     if as_json:
         output.print_json(figures)
@@ -208,7 +208,8 @@
         )
         if not figures["policy_as_recorded"]:
             click.echo(
-                "the policy's text differs from that which recorded: " + ", ".join(sorted(result.policies))
+                "the policy's text differs from that which recorded: "
+                + ", ".join(sorted(result.policy_digests))
             )
         for text in result.missing:
             click.echo(f"missing: {text}")
--- a/magpieshift/cli/configuration.py
+++ b/magpieshift/cli/configuration.py
@@ -69,7 +69,7 @@
             if stored.record.number == int(name) and stored.text:
                 return dict(schema.load_text(stored.text).data)
         raise ConfigError(f"{state} has no version {name}")
-    loaded, _ = runner.load_any(name)
+    loaded, _ = runner.load_settings_file(name)
     return dict(loaded.data)
 
 
--- a/magpieshift/extensions/capture_recording.py
+++ b/magpieshift/extensions/capture_recording.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from magpieshift.app import EdgeRouter
-from magpieshift.capture.policy import own
+from magpieshift.capture.policy import own_policy
 from magpieshift.capture.recorder import Recorder
 from magpieshift.capture.segments import FORMAT
 from magpieshift.capture.wire import capture_pb2 as wire
@@ -30,7 +30,7 @@
         self, router: EdgeRouter, folder: str, limits: Limits | None = None, hashed: bool = False
     ) -> None:
         """``hashed``: whether object numbers are keyed hashes, which the capture's header states."""
-        self.recorder = attach(router, folder, limits, hashed)
+        self.recorder = attach_recorder(router, folder, limits, hashed)
 
     def start(self) -> None:
         """Start recording."""
@@ -41,12 +41,14 @@
         self.recorder.stop()
 
 
-def attach(router: EdgeRouter, folder: str, limits: Limits | None = None, hashed: bool = False) -> Recorder:
+def attach_recorder(
+    router: EdgeRouter, folder: str, limits: Limits | None = None, hashed: bool = False
+) -> Recorder:
     """Create a recorder and attach it to this router's policy; the caller starts and stops it."""
     header = wire.Header(
         format=FORMAT,
         program=version("magpieshift"),
-        policy_digest=own().digest,
+        policy_digest=own_policy().digest,
         router=router.document.name,
         config_version=router.version,
         hashed=hashed,
--- a/magpieshift/extensions/membership.py
+++ b/magpieshift/extensions/membership.py
@@ -27,7 +27,7 @@
 log = logging.getLogger(__name__)
 
 MAX_HISTORY = 64  # membership changes kept for the answer to MEMBERS
-BIND_RETRY_S = 0.25  # retry interval while a replaced process still has the address bound
+BIND_RETRY_INTERVAL_S = 0.25  # retry interval while a replaced process still has the address bound
 MAX_ROUTER_COUNT = 1 << 20  # divisor of the engine's limits if the quota is 0
 ROUNDING_TOLERANCE = 1e-9  # without it, rounding could give n + 1 as the divisor of a quota of 1/n
 
@@ -47,7 +47,7 @@
         self._router = router
         self._settings = settings
         rand = random.Random(seed ^ clock.source.unix_us())
-        own = self._first_record(rand)
+        own = self._initial_member(rand)
         now_us = steady_us()
         self._detector = FailureDetector(own, settings.fleet, settings.seeds, now_us, rand)
         self._detector.on_extension_message = self._receive_extension_message
@@ -59,16 +59,16 @@
             self._detector, self._quota_lease, after_tick=self._after_tick, refresh_quota=self._refresh_quota
         )
         self._history: deque[MembershipChange] = deque(maxlen=MAX_HISTORY)
-        self._opening: asyncio.Task[None] | None = None  # the task that binds the socket
-        self._conflicts_logged = 0
-        self._quota_logged = -1.0
+        self._bind_task: asyncio.Task[None] | None = None  # the task that binds the socket
+        self._logged_conflicts = 0
+        self._logged_quota = -1.0
         # callbacks of other parts, called at the end of each tick
         self.after_tick: list[Callable[[], None]] = []
         # message handlers of other parts, by topic
         self.message_receivers: dict[str, Callable[[bytes, Member], None]] = {}
         router.lifecycle.listeners.append(self._on_lifecycle_state)
 
-    def _first_record(self, rand: random.Random) -> Member:
+    def _initial_member(self, rand: random.Random) -> Member:
         document = self._router.document
         host, port = self._settings.advertise
         return Member(
@@ -95,9 +95,9 @@
     def start(self) -> None:
         """Start joining the fleet; until then the router uses its solo quota."""
         self._router.engine.refresh_quota = self._refresh_quota
-        self._opening = asyncio.ensure_future(self._open())
+        self._bind_task = asyncio.ensure_future(self._bind())
 
-    async def _open(self) -> None:
+    async def _bind(self) -> None:
         """Bind the socket and join the fleet; retries while a replaced process has the address bound."""
         address = "{}:{}".format(*self._settings.listen)
         failure_logged = False
@@ -108,7 +108,7 @@
                 if not failure_logged:
                     log.warning("membership address not bound", extra=fields(address=address, reason=err))
                 failure_logged = True
-                await asyncio.sleep(BIND_RETRY_S)
+                await asyncio.sleep(BIND_RETRY_INTERVAL_S)
             else:
                 address = "{}:{}".format(*bound)
                 log.info("membership socket bound", extra=fields(address=address, fleet=self._settings.fleet))
@@ -126,9 +126,9 @@
 
     async def stop(self) -> None:
         """Leave the fleet and release the socket."""
-        if self._opening is not None:
-            self._opening.cancel()
-            await asyncio.wait([self._opening])
+        if self._bind_task is not None:
+            self._bind_task.cancel()
+            await asyncio.wait([self._bind_task])
         self._driver.close()
         self._router.engine.refresh_quota = None
 
@@ -163,8 +163,8 @@
         self._detector.expects_successor = lifecycle.replacement_serves or lifecycle.state == State.ENDING
         self._detector.update_own_record(open_requests=self._router.engine.open_requests)
         conflicts = self._detector.counters.conflicts
-        if conflicts != self._conflicts_logged:
-            self._conflicts_logged = conflicts
+        if conflicts != self._logged_conflicts:
+            self._logged_conflicts = conflicts
             log.error(
                 "name conflict found",
                 extra=fields(name=self._router.document.name, goes_on_as=self._detector.view.own.name),
@@ -185,11 +185,11 @@
         fleet_quota = self._quota_lease.quota(FLEET_SCOPE, now_us)
         zone_quota = self._quota_lease.quota(self._zone_scope, now_us)
         # the engine divides the quota further among the processes of this router
-        used = fleet_quota / (1 + self._router.engine.sibling_processes)
-        if used != self._quota_logged:
-            self._quota_logged = used
+        process_quota = fleet_quota / (1 + self._router.engine.sibling_processes)
+        if process_quota != self._logged_quota:
+            self._logged_quota = process_quota
             present = self._detector.view.present_count
-            log.info("quota changed", extra=fields(at_us=now_us, share=f"{used:.6f}", here=present))
+            log.info("quota changed", extra=fields(at_us=now_us, share=f"{process_quota:.6f}", here=present))
         self._router.engine.set_router_counts(_divisor(fleet_quota), _divisor(zone_quota))
 
     def _on_change(self, change: MembershipChange) -> None:
--- a/magpieshift/extensions/overload_gossip.py
+++ b/magpieshift/extensions/overload_gossip.py
@@ -45,7 +45,7 @@
         rand = random.Random(seed ^ clock.source.unix_us() ^ SEED_SALT)
         self._gossip = Gossip(router.document.name, rand, steady_us())
         self._may_offload = may_offload
-        self._last_call_us = self._last_tick_us = steady_us()  # times of membership's and the gossip's tick
+        self._last_membership_tick_us = self._last_gossip_tick_us = steady_us()
         self._lateness_us = 0.0  # moving average over membership's ticks
         self._request_rate = 0.0  # moving average, in requests per second
         self._requests_counted = 0  # the engine's count of requests at the last gossip tick
@@ -83,15 +83,15 @@
 
     def _after_membership_tick(self) -> None:
         now_us = steady_us()
-        lateness_us = max(0, now_us - self._last_call_us - TICK_INTERVAL_US)
-        self._last_call_us = now_us
+        lateness_us = max(0, now_us - self._last_membership_tick_us - TICK_INTERVAL_US)
+        self._last_membership_tick_us = now_us
         self._lateness_us += LATENESS_WEIGHT * (lateness_us - self._lateness_us)
-        elapsed_us = now_us - self._last_tick_us
+        elapsed_us = now_us - self._last_gossip_tick_us
         if elapsed_us >= GOSSIP_INTERVAL_US:
-            self._last_tick_us = now_us
-            self._tick(now_us, elapsed_us)
+            self._last_gossip_tick_us = now_us
+            self._gossip_tick(now_us, elapsed_us)
 
-    def _tick(self, now_us: int, elapsed_us: int) -> None:
+    def _gossip_tick(self, now_us: int, elapsed_us: int) -> None:
         self._update_request_rate(elapsed_us)
         health = self._endpoint_health()
         alive = self._membership.alive_members()
--- a/magpieshift/extensions/relay_subscription.py
+++ b/magpieshift/extensions/relay_subscription.py
@@ -124,11 +124,11 @@
         selection = RelaySelection(rank_relays(name, region, relays), random.Random())
         self._changes = RelayChangeSource(router, self._follower, selection, self._offer)
         # versions received before the router serves, which are offered when it does; None once it serves
-        self._deferred: list[ConfigurationChange] | None = []
+        self._deferred_versions: list[ConfigurationChange] | None = []
         router.change_source = self._changes
         router.engine.copy_age_limit = self._copy_age_limit_us
         router.lifecycle.listeners.append(self._on_lifecycle_state)
-        manager.listeners.append(self._on_answer)
+        manager.listeners.append(self._on_offer_outcome)
 
     def commands(self) -> Mapping[str, Callable[[], str]]:
         """RELAY returns the relay, the position in the log and the state of the lease."""
@@ -136,7 +136,7 @@
 
     async def stop(self) -> None:
         """Close the stream."""
-        self._manager.listeners.remove(self._on_answer)
+        self._manager.listeners.remove(self._on_offer_outcome)
         await self._changes.client.stop()
 
     def _copy_age_limit_us(self) -> int:
@@ -160,16 +160,16 @@
 
     def _on_lifecycle_state(self, state: State) -> None:
         """Offer the deferred versions once the router serves."""
-        if state == State.SERVING and self._deferred is not None:
-            deferred = self._deferred
-            self._deferred = None
+        if state == State.SERVING and self._deferred_versions is not None:
+            deferred = self._deferred_versions
+            self._deferred_versions = None
             for change in deferred:
                 self._offer(change)
 
     def _offer(self, change: ConfigurationChange) -> None:
-        if self._deferred is not None:
+        if self._deferred_versions is not None:
             is_full = not change.base_digest
-            self._deferred = [change] if is_full else [*self._deferred, change]
+            self._deferred_versions = [change] if is_full else [*self._deferred_versions, change]
             return
         try:
             self._manager.offer(configuration.version_offer(change))
@@ -177,7 +177,7 @@
             log.warning("version rejected", extra=fields(version=change.number, reason=err))
             self._report_rejection(change.number, str(err), wants_full=bool(change.base_digest))
 
-    def _on_answer(self, answer: OfferOutcome, apply_us: int, pause_us: int) -> None:
+    def _on_offer_outcome(self, answer: OfferOutcome, apply_us: int, pause_us: int) -> None:
         """The version manager has accepted or rejected a version, from this or from another source."""
         follower = self._follower
         follower.configuration_digest = self._manager.in_force.digest
--- a/magpieshift/extensions/runner.py
+++ b/magpieshift/extensions/runner.py
@@ -14,16 +14,16 @@
 from magpieshift.control.version_startup import first_version, open_store
 from magpieshift.extensions.assembly import assemble
 from magpieshift.extensions.options import Options
-from magpieshift.extensions.settings_file import load_any
+from magpieshift.extensions.settings_file import load_settings_file
 from magpieshift.log import fields
 
-__all__ = ("SWITCH_S", "Installation", "Options", "load_any", "run")
+__all__ = ("THREAD_SWITCH_INTERVAL_S", "Installation", "Options", "load_settings_file", "run")
 
 log = logging.getLogger(__name__)
 
 # Switch interval of Python's threads. Versions are parsed in a thread, which at the interpreter's default
 # would delay the event loop by 5 ms at a time.
-SWITCH_S = 0.0005
+THREAD_SWITCH_INTERVAL_S = 0.0005
 SEED_BITS = 64  # size of the random seed that is used if the settings contain none
 
 
@@ -34,7 +34,7 @@
         """Load the settings file and the stored versions; ``ConfigError`` if neither can be used."""
         self._options = options
         overrides = options.overrides
-        start, platform = load_any(options.config) if options.config else (None, None)
+        start, platform = load_settings_file(options.config) if options.config else (None, None)
         store, store_failure = open_store(options.state) if options.state else (None, "")
         try:
             versions, loaded = first_version(start, store, options.config)
@@ -57,7 +57,7 @@
             log.error("configuration not reloaded", extra=fields(reason="started without a settings file"))
             return
         try:
-            loaded, _ = load_any(self._options.config)
+            loaded, _ = load_settings_file(self._options.config)
         except ConfigError as err:
             log.error("configuration not reloaded", extra=fields(reason=err))
             return
@@ -66,7 +66,7 @@
     async def run(self, prepared: Callable[[Installation], None] = lambda installation: None) -> None:
         """Serve until the router is stopped; ``prepared`` is called once before the start."""
         prepared(self)
-        sys.setswitchinterval(SWITCH_S)
+        sys.setswitchinterval(THREAD_SWITCH_INTERVAL_S)
         for extension in self.extensions:
             extension.start()
         self.manager.start()
--- a/magpieshift/extensions/settings_file.py
+++ b/magpieshift/extensions/settings_file.py
@@ -11,7 +11,7 @@
 from magpieshift.control.version_startup import loaded_without_version
 
 
-def load_any(path: str) -> tuple[LoadedDocument, Config | None]:
+def load_settings_file(path: str) -> tuple[LoadedDocument, Config | None]:
     """The settings of a file, and the platform's whole configuration if the file is in the platform's format.
 
     Raises ``ConfigError`` with a one-line message if the file cannot be used.
--- a/magpieshift/lab/experiments/apply.py
+++ b/magpieshift/lab/experiments/apply.py
@@ -25,7 +25,7 @@
 from magpieshift.control.content import FullContent
 from magpieshift.control.document_changes import document_digest
 from magpieshift.control.version_records import OfferOutcome, VersionOffer
-from magpieshift.extensions.runner import SWITCH_S, Installation, Options
+from magpieshift.extensions.runner import THREAD_SWITCH_INTERVAL_S, Installation, Options
 from magpieshift.lab.emulators.world import LoopbackInstallation
 
 KINDS = ("a figure", "classes", "zones anew")
@@ -103,7 +103,7 @@
                 await asyncio.sleep(TICK_S)
                 figures.late_us[kind].record_value(max(1, int(1e6 * (time.perf_counter() - due))))
 
-        sys.setswitchinterval(SWITCH_S)
+        sys.setswitchinterval(THREAD_SWITCH_INTERVAL_S)
         data = world.settings()
         offers = list[tuple[str, VersionOffer]]()
         for number in range(
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -28,7 +28,7 @@
 from tests.policy.helpers import settings as make_settings
 from tests.real.exchange import PATIENCE_S, ROOT
 
-OWN = policy.own()
+OWN = policy.own_policy()
 HEADER = wire.Header(format=1, router="t", policy_digest=OWN.digest)
 SCRIPT = [("ask", 7 * i) if i % 3 else ("end", i) for i in range(60)] + [("wait", 500)]
 
@@ -120,13 +120,15 @@
         tape, reader = Tape(), codec.Codec(OWN)
         taped(script, tape)
         for _, _, events, actions in tape.batches:
-            self.assertEqual([reader.event(codec.write_event(event)) for event in events], events)
+            self.assertEqual([reader.read_event(codec.write_event(event)) for event in events], events)
             for action in actions:
-                self.assertEqual(reader.recorded(codec.write_action(action)), reader.decided(action))
+                self.assertEqual(
+                    reader.read_action(codec.write_action(action)), reader.convert_action(action)
+                )
 
     def test_an_object_of_number_zero_has_more_than_64_bits(self) -> None:
         event = PurgeReceived(1 << 64, 0, 5)
-        self.assertEqual(codec.Codec(OWN).event(codec.write_event(event)), event)
+        self.assertEqual(codec.Codec(OWN).read_event(codec.write_event(event)), event)
 
 
 class FolderCase(unittest.TestCase):
@@ -169,11 +171,11 @@
         result = self.replayed()
         self.assertEqual((result.differences, result.batches), (0, recorder.batches))
         self.assertGreater(result.decisions, 40)
-        self.assertEqual(result.policies, {OWN.digest})
+        self.assertEqual(result.policy_digests, {OWN.digest})
 
     def test_segments_rotate_within_the_budget_and_each_replays_by_itself(self) -> None:
         recorder = self.recorder(segment_bytes=10_000, segment_s=60.0, budget_bytes=40_000)
-        with mock.patch("magpieshift.capture.writer.POLL_S", 0.001):
+        with mock.patch("magpieshift.capture.writer.POLL_INTERVAL_S", 0.001):
             checker = random_runs.PolicyChecker()
             checker.router = Taped(checker.router, recorder)  # type: ignore[assignment]
             for i in range(400):
@@ -186,7 +188,7 @@
         self.assertLess(sum(path.stat().st_size for path in paths), 40_000)
         for path in paths:
             result = Replay().run(segments.read(path))
-            self.assertEqual((result.differences, result.skipped), (0, 0))
+            self.assertEqual((result.differences, result.skipped_batches), (0, 0))
             self.assertGreater(result.batches, 0)
         self.assertEqual(self.replayed().differences, 0)
 
@@ -277,7 +279,7 @@
         checker.router = Taped(checker.router, recorder)  # type: ignore[assignment]
         with (
             self.assertLogs("magpieshift.capture", "WARNING") as logs,
-            mock.patch("magpieshift.capture.writer.RETRY_S", 0.01),
+            mock.patch("magpieshift.capture.writer.RETRY_DELAY_S", 0.01),
         ):
             with full:
                 checker.ask(0)
@@ -322,7 +324,7 @@
     @given(st.binary(max_size=60), st.integers(0, 10_000))
     @settings(max_examples=80, deadline=None)
     def test_bytes_of_any_kind(self, noise: bytes, at: int) -> None:
-        whole = segments.FILE_HEADER % 1 + segments.block([wire.Record(header=HEADER)] * 3)
+        whole = segments.FILE_HEADER % 1 + segments.encode_block([wire.Record(header=HEADER)] * 3)
         at %= len(whole)
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "x"
@@ -379,7 +381,7 @@
         other = self.altered("INITIAL_LIMIT = 4", "INITIAL_LIMIT = 2", "admission.py")
         player = Replay(other)
         result = player.run(self.read())
-        self.assertNotEqual(result.policies, {other.digest})
+        self.assertNotEqual(result.policy_digests, {other.digest})
         self.assertLessEqual(result.differences, 4)
 
     def test_a_requests_story_is_explained(self) -> None:
@@ -430,7 +432,7 @@
         router = taped(SCRIPT, tape)
         frame = wire.Record(keyframe=wire.Keyframe(state=tape.batches[0][0]))
         player = Player(OWN)
-        player.take_over(tape.batches[0][0])
+        player.restore_state(tape.batches[0][0])
         router = player.router
         router.fill_times_us[0] += 1.0
         odd = wire.Record(keyframe=wire.Keyframe(state=player.state()))
--- a/tests/capture/test_former_layout.py
+++ b/tests/capture/test_former_layout.py
@@ -103,8 +103,8 @@
             for record in segments.read(FORMER)
             if not isinstance(record, segments.Missing) and record.HasField("keyframe")
         )
-        player = Player(policy.own(), is_strict=True)
-        player.take_over(keyframe)
+        player = Player(policy.own_policy(), is_strict=True)
+        player.restore_state(keyframe)
         self.assertEqual(player.state(), keyframe)
 
     def test_a_policy_of_the_former_layout_runs_beside_this_one(self) -> None:
@@ -113,7 +113,7 @@
         self.assertEqual(other.names, policy.FORMER_LAYOUT.names)
         result = Replay(against=other).run(segments.read(FORMER))
         self.assertGreater(result.differences, 500)
-        self.assertEqual(result.subsequent, 0, "this checkout's policy has left the recorded way")
+        self.assertEqual(result.subsequent_differences, 0, "this checkout's policy has left the recorded way")
         self.assertLessEqual(
             {"kept waiting instead of sent", "kept waiting instead of refused"}, set(result.kinds)
         )
@@ -145,13 +145,14 @@
         data = json.dumps(keyframe).encode()
         expected = f"^found {found}.*expected only names that this version knows$"
         with self.assertRaisesRegex(StateError, expected):
-            state.restore(data, policy.own(), is_strict=True)
+            state.restore(data, policy.own_policy(), is_strict=True)
 
     def test_a_field(self) -> None:
         root, rows, fields = self.keyframe()
         fields["Store"][fields["Store"].index("bad")] = "badness"
         self.refused([root, rows, fields], "badness in Store")
-        state.restore(json.dumps([root, rows, fields]).encode(), policy.own())  # another version's: left out
+        # a restoration that is not strict, as for another version, ignores the field
+        state.restore(json.dumps([root, rows, fields]).encode(), policy.own_policy())
 
     def test_an_attribute_of_the_router(self) -> None:
         root, rows, fields = self.keyframe()
@@ -168,7 +169,7 @@
 class Table(unittest.TestCase):
     def test_it_names_only_classes_and_fields_that_there_are(self) -> None:
         """An entry that a rename left behind would record nothing, and say nothing of it."""
-        own = policy.own()
+        own = policy.own_policy()
         for name in CURRENT.classes:
             known = name == "RouterPolicy" or own.class_named(CURRENT.recorded_class(name)) is not None
             self.assertTrue(known, name)
--- a/tests/extensions/test_membership.py
+++ b/tests/extensions/test_membership.py
@@ -90,7 +90,7 @@
     def test_a_capture_with_changes_of_the_view_replays_the_same(self) -> None:
         """The router counts are part of what the policy decides on, so they have to be in the capture."""
         with tempfile.TemporaryDirectory() as folder:
-            header = wire.Header(format=segments.FORMAT, policy_digest=policy.own().digest)
+            header = wire.Header(format=segments.FORMAT, policy_digest=policy.own_policy().digest)
             recorder = Recorder(str(Path(folder) / "capture"), header, Limits())
             recorder.start()
             del self.engine.policy_calls.policy.handle  # the spy, which is no state
--- a/tests/membership/test_fault_injection.py
+++ b/tests/membership/test_fault_injection.py
@@ -50,8 +50,9 @@
         return ["one"]
 
     def log(self, name: str, *shares: tuple[float, float]) -> None:
-        event = 'event="quota changed"'
-        lines = [f"x {event} at_us={int(at * 1e6)} share={share:.6f} here=2" for at, share in shares]
+        lines = [
+            f'x event="quota changed" at_us={int(at * 1e6)} share={share:.6f} here=2' for at, share in shares
+        ]
         (self.folder / f"{name}.log").write_text("\n".join(lines))
 
 
--- a/tests/policy/differential/test_former_decisions.py
+++ b/tests/policy/differential/test_former_decisions.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from magpieshift.capture import state
-from magpieshift.capture.policy import own
+from magpieshift.capture.policy import own_policy
 from magpieshift.policy.health_override import Eject, HealthOverride, Readmit, apply_overrides
 from magpieshift.policy.outcomes import Outcome
 from magpieshift.policy.reconfigure import reconfigure
@@ -34,7 +34,7 @@
 from magpieshift.policy.simulator_settings import parse_settings
 
 FIXTURE = Path(__file__).with_name("decisions.jsonl.xz")
-POLICY = own()
+POLICY = own_policy()
 INSTANCE = 4
 """The instance number in the recorded reply frames."""
 
