--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -1,5 +1,4 @@
-"""Capture and replay without sockets: the state as bytes, the records, the files, the recorder, the
-comparison."""
+"""Capture and replay without sockets: serialized states, records, files, the recorder, and comparisons."""
 
 import os
 import shutil
@@ -33,8 +32,8 @@
 SCRIPT = [("ask", 7 * i) if i % 3 else ("end", i) for i in range(60)] + [("wait", 500)]
 
 
-class Taped:
-    """A module with a recorder before it, in place of the bare one."""
+class RecordedRouter:
+    """Stands in for a router, and passes its batches through a recorder."""
 
     def __init__(self, router: Any, recorder: Any) -> None:
         self._router, self._recorder = router, recorder
@@ -47,8 +46,8 @@
         return getattr(self._router, name)
 
 
-class Tape:
-    """Keeps what passes, and the state before each batch."""
+class BatchLog:
+    """A recorder that keeps each batch in memory, with the state before it."""
 
     def __init__(self) -> None:
         self.batches: list[tuple[bytes, int, Any, list[Action]]] = []
@@ -60,11 +59,11 @@
         return actions
 
 
-def taped(script: list[tuple[str, int]], recorder: Any) -> Any:
-    """A random run, recorded."""
+def record_script(script: list[tuple[str, int]], recorder: Any) -> Any:
+    """Run a script of random events through a recorder; returns the router."""
     checker = random_runs.PolicyChecker()
     router = checker.router
-    checker.router = Taped(router, recorder)  # type: ignore[assignment]
+    checker.router = RecordedRouter(router, recorder)  # type: ignore[assignment]
     for name, pick in script:
         getattr(checker, name)(pick)
     return router
@@ -73,36 +72,36 @@
 class States(unittest.TestCase):
     @given(random_runs.steps, st.integers(0, 1000))
     @settings(derandomize=True, max_examples=60, deadline=None)
-    def test_restored_anywhere_it_goes_on_as_if_it_had_never_stopped(
+    def test_a_state_restored_at_any_batch_decides_the_same_afterwards(
         self, script: list[tuple[str, int]], at: int
     ) -> None:
-        tape = Tape()
-        router = taped(script, tape)
-        if not tape.batches:
+        batch_log = BatchLog()
+        router = record_script(script, batch_log)
+        if not batch_log.batches:
             return
-        start = at % len(tape.batches)
-        again = state.restore(tape.batches[start][0], OWN)
-        for before, now_us, events, actions in tape.batches[start:]:
-            self.assertEqual(state.encode(state.snapshot(again)), before)
-            self.assertEqual(again.handle(now_us, events), actions)
-        self.assertEqual(state.encode(state.snapshot(again)), state.encode(state.snapshot(router)))
-
-    def test_what_was_one_object_is_one_again(self) -> None:
-        router = taped(SCRIPT, Tape())
-        again = state.restore(state.encode(state.snapshot(router)), OWN)
-        self.assertTrue(again.attempts)
-        for attempt in again.attempts.values():
+        start = at % len(batch_log.batches)
+        restored = state.restore(batch_log.batches[start][0], OWN)
+        for before, now_us, events, actions in batch_log.batches[start:]:
+            self.assertEqual(state.encode(state.snapshot(restored)), before)
+            self.assertEqual(restored.handle(now_us, events), actions)
+        self.assertEqual(state.encode(state.snapshot(restored)), state.encode(state.snapshot(router)))
+
+    def test_shared_objects_are_restored_as_shared(self) -> None:
+        router = record_script(SCRIPT, BatchLog())
+        restored = state.restore(state.encode(state.snapshot(router)), OWN)
+        self.assertTrue(restored.attempts)
+        for attempt in restored.attempts.values():
             endpoint = attempt.endpoint
-            self.assertIs(endpoint, again.endpoints.get(endpoint.entry.number, endpoint))
+            self.assertIs(endpoint, restored.endpoints.get(endpoint.entry.number, endpoint))
             self.assertIn(
                 attempt.answer_times, [t for t in endpoint.answer_times.values() if t is attempt.answer_times]
             )
-        for cache in again.caches.values():
-            self.assertIs(cache, again.endpoints[cache.entry.number])
+        for cache in restored.caches.values():
+            self.assertIs(cache, restored.endpoints[cache.entry.number])
 
     @given(st.binary(max_size=80), st.integers(0, 5000))
     @settings(max_examples=80, deadline=None)
-    def test_bytes_that_are_no_state(self, noise: bytes, at: int) -> None:
+    def test_invalid_bytes_raise_no_other_error_than_state_errors(self, noise: bytes, at: int) -> None:
         whole = state.encode(state.snapshot(random_runs.PolicyChecker().router))
         for data in (
             noise,
@@ -116,10 +115,10 @@
 
     @given(random_runs.steps)
     @settings(derandomize=True, max_examples=30, deadline=None)
-    def test_records_give_back_what_was_written(self, script: list[tuple[str, int]]) -> None:
-        tape, reader = Tape(), codec.Codec(OWN)
-        taped(script, tape)
-        for _, _, events, actions in tape.batches:
+    def test_events_and_actions_are_read_back_as_written(self, script: list[tuple[str, int]]) -> None:
+        batch_log, reader = BatchLog(), codec.Codec(OWN)
+        record_script(script, batch_log)
+        for _, _, events, actions in batch_log.batches:
             self.assertEqual([reader.read_event(codec.write_event(event)) for event in events], events)
             for action in actions:
                 self.assertEqual(
@@ -146,7 +145,7 @@
 
     def record(self, script: list[tuple[str, int]] = SCRIPT, **limits: Any) -> Recorder:
         recorder = self.recorder(**limits)
-        taped(script, recorder)
+        record_script(script, recorder)
         recorder.stop()
         return recorder
 
@@ -157,11 +156,11 @@
         return Replay(**more).run(self.read())
 
     @staticmethod
-    def until(what: Callable[[], bool]) -> None:
+    def wait_until(condition: Callable[[], bool]) -> None:
         end = time.monotonic() + PATIENCE_S
-        while not what():
+        while not condition():
             if time.monotonic() > end:
-                raise AssertionError("waited in vain")
+                raise AssertionError(f"condition not met within {PATIENCE_S} s")
             time.sleep(0.005)
 
 
@@ -177,14 +176,14 @@
         recorder = self.recorder(segment_bytes=10_000, segment_s=60.0, budget_bytes=40_000)
         with mock.patch("magpieshift.capture.writer.POLL_INTERVAL_S", 0.001):
             checker = random_runs.PolicyChecker()
-            checker.router = Taped(checker.router, recorder)  # type: ignore[assignment]
+            checker.router = RecordedRouter(checker.router, recorder)  # type: ignore[assignment]
             for i in range(400):
                 checker.ask(i)
                 checker.end(i)
-                self.until(lambda: recorder.backlog == 0)
+                self.wait_until(lambda: recorder.backlog == 0)
         recorder.stop()
         paths = segments.files(self.folder / "capture")
-        self.assertGreater(int(paths[0].stem[-8:]), 1, "the oldest are gone")
+        self.assertGreater(int(paths[0].stem[-8:]), 1, "the oldest segments are still there")
         self.assertLess(sum(path.stat().st_size for path in paths), 40_000)
         for path in paths:
             result = Replay().run(segments.read(path))
@@ -196,9 +195,9 @@
         recorder = self.recorder()
         checker = random_runs.PolicyChecker()
         router = checker.router
-        checker.router = Taped(router, recorder)  # type: ignore[assignment]
+        checker.router = RecordedRouter(router, recorder)  # type: ignore[assignment]
         checker.ask(1)
-        odd = RequestReceived(99, 77, 0, 5, 10**6, 0.0, 1, 0, False, False)  # there is no class 77
+        odd = RequestReceived(99, 77, 0, 5, 10**6, 0.0, 1, 0, False, False)  # class 77 does not exist
         good = RequestReceived(98, 0, 0, 5, 10**6, 0.0, 1, 0, False, False)
         with self.assertRaises(IndexError):
             checker.router.handle(checker.now, [good, odd])
@@ -210,9 +209,9 @@
     def test_time_that_stands_still_and_goes_back(self) -> None:
         recorder = self.recorder()
         checker = random_runs.PolicyChecker()
-        checker.router = Taped(checker.router, recorder)  # type: ignore[assignment]
+        checker.router = RecordedRouter(checker.router, recorder)  # type: ignore[assignment]
         for i in range(5):
-            checker.ask(i)  # in one microsecond
+            checker.ask(i)  # all at the same microsecond
         checker.now -= 10_000
         checker.deadline = dict.fromkeys(checker.deadline, checker.now + 10**9)
         checker.router.handle(checker.now, [PurgeReceived(3, 1, 5)])
@@ -225,7 +224,7 @@
         recorder = self.recorder()
         checker = random_runs.PolicyChecker()
         router = checker.router
-        checker.router = Taped(router, recorder)  # type: ignore[assignment]
+        checker.router = RecordedRouter(router, recorder)  # type: ignore[assignment]
         for i in range(10):
             checker.ask(i)
         new = make_settings(*random_runs.CLASSES, coalesces_fills=True, drain_grace_us=0, max_attempts=2)
@@ -239,7 +238,7 @@
         self.assertEqual((result.differences, result.reconfigurations), (0, 1))
 
     def test_a_stuck_disk_costs_complete_batches_and_is_logged(self) -> None:
-        """The loop goes on at once; memory is bounded; what follows begins with a keyframe."""
+        """The event loop is not delayed, memory is bounded, and recording resumes with a keyframe."""
         release, stuck = threading.Event(), threading.Event()
         real = os.write
 
@@ -250,19 +249,19 @@
 
         recorder = self.recorder()
         checker = random_runs.PolicyChecker()
-        checker.router = Taped(checker.router, recorder)  # type: ignore[assignment]
+        checker.router = RecordedRouter(checker.router, recorder)  # type: ignore[assignment]
         with (
             mock.patch("os.write", write),
             self.assertLogs("magpieshift.capture", "WARNING") as logs,
         ):
             checker.ask(0)
-            self.until(stuck.is_set)
+            self.wait_until(stuck.is_set)
             for i in range(MAX_BACKLOG):
                 checker.purge(i)
                 self.assertLess(recorder.backlog, MAX_BACKLOG + 10)
             self.assertGreater(recorder.dropped, 0)
             release.set()
-            self.until(lambda: recorder.backlog == 0)
+            self.wait_until(lambda: recorder.backlog == 0)
             for i in range(30):
                 checker.ask(i)
             recorder.stop()
@@ -270,23 +269,23 @@
         self.assertEqual((result.differences, recorder.gaps), (0, 1))
         self.assertEqual(result.batches, recorder.batches)
         self.assertRegex(result.missing[0], rf"{recorder.dropped} batches dropped")
-        self.assertEqual(len(logs.records), 2, logs.output)  # interrupted, goes on
+        self.assertEqual(len(logs.records), 2, logs.output)  # interrupted and resumed
 
     def test_a_full_disk_is_logged_once_and_recording_resumes_when_there_is_room(self) -> None:
         full = mock.patch("os.write", side_effect=OSError(28, "No space left on device"))
         recorder = self.recorder()
         checker = random_runs.PolicyChecker()
-        checker.router = Taped(checker.router, recorder)  # type: ignore[assignment]
+        checker.router = RecordedRouter(checker.router, recorder)  # type: ignore[assignment]
         with (
             self.assertLogs("magpieshift.capture", "WARNING") as logs,
             mock.patch("magpieshift.capture.writer.RETRY_DELAY_S", 0.01),
         ):
             with full:
                 checker.ask(0)
-                self.until(lambda: bool(recorder.failure))
+                self.wait_until(lambda: bool(recorder.failure))
                 for i in range(50):
                     checker.ask(i)
-            self.until(lambda: not recorder.failure)
+            self.wait_until(lambda: not recorder.failure)
             for i in range(20):
                 checker.end(i)
             recorder.stop()
@@ -305,7 +304,7 @@
         return result
 
     def test_a_torn_tail(self) -> None:
-        """As SIGKILL leaves it: what is whole replays."""
+        """As after SIGKILL: the complete blocks can be replayed."""
         result = self.damaged(lambda data: data[:-9])
         self.assertIn("torn off", result.missing[0])
 
@@ -323,7 +322,7 @@
 
     @given(st.binary(max_size=60), st.integers(0, 10_000))
     @settings(max_examples=80, deadline=None)
-    def test_bytes_of_any_kind(self, noise: bytes, at: int) -> None:
+    def test_damaged_files_raise_no_other_error_than_capture_errors(self, noise: bytes, at: int) -> None:
         whole = segments.FILE_HEADER % 1 + segments.encode_block([wire.Record(header=HEADER)] * 3)
         at %= len(whole)
         with tempfile.TemporaryDirectory() as folder:
@@ -336,7 +335,7 @@
                     continue
                 self.assertTrue(all(isinstance(r, Missing) or r == wire.Record(header=HEADER) for r in found))
 
-    def test_what_is_no_capture_or_of_another_format(self) -> None:
+    def test_a_file_of_another_format_is_an_error(self) -> None:
         for name, text in (("a", b"GIF89a..."), ("b", segments.FILE_HEADER % 9)):
             (self.folder / name).write_bytes(text)
             with self.assertRaisesRegex(CaptureError, "expected"):
@@ -347,7 +346,7 @@
 
 class Comparing(FolderCase):
     def altered(self, old: str, new: str, file: str = "router_policy.py") -> policy.Policy:
-        """The module with one line changed, in a folder of its own."""
+        """Load a copy of the policy with one text replaced, from a folder of its own."""
         home = self.folder / "altered" / "magpieshift" / "policy"
         home.parent.mkdir(parents=True)
         shutil.copy(ROOT / "magpieshift" / "__init__.py", home.parent)
@@ -362,7 +361,7 @@
         result = self.replayed(against=policy.load(str(ROOT)))
         self.assertEqual((result.differences, result.kinds), (0, {}))
 
-    def test_the_second_parent_never_used(self) -> None:
+    def test_a_policy_that_never_tries_the_second_parent_differs(self) -> None:
         other = self.altered("PARENTS_TRIED = 2", "PARENTS_TRIED = 1", "placement.py")
         self.assertNotEqual(other.digest, OWN.digest)
         self.record([("ask", i) for i in range(0, 300, 3)] + [("end", i) for i in range(200)])
@@ -375,19 +374,19 @@
         self.assertTrue(any("what the policy knew right before" in line for line in lines), lines)
         self.assertTrue(any("parent, ready" in line and "fills" in line for line in lines), lines)
 
-    def test_an_altered_checkout_strays_and_is_called_back_by_a_keyframe(self) -> None:
+    def test_a_policy_that_diverges_continues_from_the_next_keyframe(self) -> None:
         self.record()
         self.record()
         other = self.altered("INITIAL_LIMIT = 4", "INITIAL_LIMIT = 2", "admission.py")
-        player = Replay(other)
-        result = player.run(self.read())
+        replay = Replay(other)
+        result = replay.run(self.read())
         self.assertNotEqual(result.policy_digests, {other.digest})
         self.assertLessEqual(result.differences, 4)
 
-    def test_a_requests_story_is_explained(self) -> None:
+    def test_the_course_of_a_request_is_explained(self) -> None:
         recorder = self.recorder()
         checker = random_runs.PolicyChecker()
-        checker.router = Taped(checker.router, recorder)  # type: ignore[assignment]
+        checker.router = RecordedRouter(checker.router, recorder)  # type: ignore[assignment]
         recorder.register_name(1, "00aa11bb22cc33dd")
         checker.ask(4)
         checker.end(8)
@@ -399,7 +398,7 @@
         self.assertTrue(any("decided: send" in line or "decided: get" in line for line in lines), lines)
         self.assertTrue(any("attempt 0 at" in line for line in lines), lines)
         with self.assertRaises(LookupError):
-            explanation.find_request(self.read, "nobody")
+            explanation.find_request(self.read, "unknown")
 
     def test_a_part_cut_out_replays_like_the_whole(self) -> None:
         self.record(SCRIPT * 4)
@@ -414,8 +413,8 @@
             cut.cut(self.read, self.folder / "none", 0, 1)
 
     def test_the_regression_captures_replay(self) -> None:
-        """Parts of past failures; a change of the policy that is meant to decide otherwise there records
-        anew."""
+        """Captures of past failures. If a change of the policy is meant to decide differently in one of them,
+        it has to be recorded again."""
         found = sorted((ROOT / "tests" / "capture" / "captures").glob("*.seg"))
         self.assertTrue(found)
         for path in found:
@@ -426,13 +425,13 @@
 
 
 class Keyframes(FolderCase):
-    def test_a_keyframe_that_does_not_fit_is_a_difference(self) -> None:
-        """The check can fail: a state that differs in one running mean decides alike for a while."""
-        tape = Tape()
-        router = taped(SCRIPT, tape)
-        frame = wire.Record(keyframe=wire.Keyframe(state=tape.batches[0][0]))
+    def test_a_keyframe_with_another_state_is_a_difference(self) -> None:
+        """Shows that the check can fail: a state with one other running mean decides the same for a while."""
+        batch_log = BatchLog()
+        router = record_script(SCRIPT, batch_log)
+        frame = wire.Record(keyframe=wire.Keyframe(state=batch_log.batches[0][0]))
         player = Player(OWN)
-        player.restore_state(tape.batches[0][0])
+        player.restore_state(batch_log.batches[0][0])
         router = player.router
         router.fill_times_us[0] += 1.0
         odd = wire.Record(keyframe=wire.Keyframe(state=player.state()))
--- a/tests/capture/test_former_layout.py
+++ b/tests/capture/test_former_layout.py
@@ -19,8 +19,8 @@
 from magpieshift.policy import state as policy_state
 from tests.real.exchange import ROOT
 
-FORMER = ROOT / "tests" / "capture" / "captures" / "queued-ejected-warming-written-by-723f792.seg"
-SILENT = """
+FORMER_CAPTURE = ROOT / "tests" / "capture" / "captures" / "queued-ejected-warming-written-by-723f792.seg"
+INACTIVE_POLICY = """
 class Router:
     def __init__(self, cfg, seed):
         self.cfg = cfg
@@ -35,11 +35,11 @@
         assert all(job.req.patience_us > 0 for job in self.jobs.values())
         return []
 """
-"""A policy of the former layout that does nothing, but for looking at its state under the former names."""
+"""A policy of the former layout that returns no actions, and checks that its state has the former names."""
 
 
-def former_text(*modules: ModuleType) -> str:
-    """The classes of modules of this version, as the former version named them."""
+def former_source(*modules: ModuleType) -> str:
+    """Source code that defines the classes of these modules under their former names."""
     lines = ["from dataclasses import dataclass", "from enum import IntEnum"]
     for module in modules:
         for name, cls in vars(module).items():
@@ -67,16 +67,16 @@
         package = self.checkout / "molecleat"
         package.mkdir()
         (package / "__init__.py").touch()
-        (package / "interface.py").write_text(former_text(settings, events, actions, outcomes))
-        (package / "records.py").write_text(former_text(policy_state))
-        (package / "control.py").write_text(SILENT)
+        (package / "interface.py").write_text(former_source(settings, events, actions, outcomes))
+        (package / "records.py").write_text(former_source(policy_state))
+        (package / "control.py").write_text(INACTIVE_POLICY)
         (package / "retune.py").write_text("def retune(router, cfg, fresh):\n    router.cfg = cfg\n")
         (package / "heed.py").write_text(
             "class Leave: pass\nclass Allow: pass\ndef heed(router, now, acts): pass\n"
         )
 
     def test_a_capture_that_the_former_version_wrote_replays_alike(self) -> None:
-        """It begins in the middle of traffic: requests wait, one endpoint is ejected, two warm up."""
+        """The capture begins during traffic: requests are queued, one endpoint is ejected, two warm up."""
         seen: list[tuple[int, int, int]] = []
 
         def before(number: int, record: Any, player: Player) -> None:
@@ -91,7 +91,7 @@
                     )
                 )
 
-        result = Replay(before=before).run(segments.read(FORMER))
+        result = Replay(before=before).run(segments.read(FORMER_CAPTURE))
         self.assertEqual((result.differences, result.missing, result.batches), (0, [], 1116))
         ((queued, ejected, started),) = seen
         self.assertEqual((queued, ejected), (19, 1))
@@ -100,7 +100,7 @@
     def test_a_keyframe_keeps_its_recorded_form_byte_for_byte(self) -> None:
         (keyframe,) = (
             record.keyframe.state
-            for record in segments.read(FORMER)
+            for record in segments.read(FORMER_CAPTURE)
             if not isinstance(record, segments.Missing) and record.HasField("keyframe")
         )
         player = Player(policy.own_policy(), is_strict=True)
@@ -111,9 +111,9 @@
         self.write_former_policy()
         other = policy.load(str(self.checkout))
         self.assertEqual(other.names, policy.FORMER_LAYOUT.names)
-        result = Replay(against=other).run(segments.read(FORMER))
+        result = Replay(against=other).run(segments.read(FORMER_CAPTURE))
         self.assertGreater(result.differences, 500)
-        self.assertEqual(result.subsequent_differences, 0, "this checkout's policy has left the recorded way")
+        self.assertEqual(result.subsequent_differences, 0, "this checkout's policy has diverged")
         self.assertLessEqual(
             {"kept waiting instead of sent", "kept waiting instead of refused"}, set(result.kinds)
         )
@@ -123,7 +123,7 @@
         with self.assertRaisesRegex(PolicyError, expected):
             policy.load(str(self.checkout))
 
-    def test_a_policy_that_lacks_a_module_is_one_plain_error(self) -> None:
+    def test_a_policy_that_lacks_a_module_is_a_policy_error(self) -> None:
         self.write_former_policy()
         (self.checkout / "molecleat" / "heed.py").unlink()
         with self.assertRaisesRegex(PolicyError, "ModuleNotFoundError.*heed"):
@@ -131,49 +131,51 @@
 
 
 class UnknownNames(unittest.TestCase):
-    """A class or field was renamed, and the table of recorded names was not: its state would begin at the
-    default, and the replay would differ long after, or not at all. So it is an error at once, which names
-    it."""
+    """Guards against a class or field that is renamed without an entry in the table of recorded names.
+
+    Its state would begin at the default, and the replay would differ much later or not at all. It must be an
+    error that states the name.
+    """
 
     def keyframe(self) -> Any:
-        for record in segments.read(FORMER):
+        for record in segments.read(FORMER_CAPTURE):
             if not isinstance(record, segments.Missing) and record.HasField("keyframe"):
                 return json.loads(record.keyframe.state)
-        raise AssertionError("no keyframe")
+        raise AssertionError(f"no keyframe in {FORMER_CAPTURE}")
 
-    def refused(self, keyframe: Any, found: str) -> None:
+    def assert_rejected(self, keyframe: Any, found: str) -> None:
         data = json.dumps(keyframe).encode()
         expected = f"^found {found}.*expected only names that this version knows$"
         with self.assertRaisesRegex(StateError, expected):
             state.restore(data, policy.own_policy(), is_strict=True)
 
-    def test_a_field(self) -> None:
+    def test_an_unknown_field(self) -> None:
         root, rows, fields = self.keyframe()
         fields["Store"][fields["Store"].index("bad")] = "badness"
-        self.refused([root, rows, fields], "badness in Store")
+        self.assert_rejected([root, rows, fields], "badness in Store")
         # a restoration that is not strict, as for another version, ignores the field
         state.restore(json.dumps([root, rows, fields]).encode(), policy.own_policy())
 
-    def test_an_attribute_of_the_router(self) -> None:
+    def test_an_unknown_attribute_of_the_router(self) -> None:
         root, rows, fields = self.keyframe()
         root["losses"] = root.pop("lost")
-        self.refused([root, rows, fields], "losses in the router")
+        self.assert_rejected([root, rows, fields], "losses in the router")
 
-    def test_a_class(self) -> None:
+    def test_an_unknown_class(self) -> None:
         root, rows, fields = self.keyframe()
         rows = [["Shop" if name == "Store" else name, values] for name, values in rows]
         fields["Shop"] = fields.pop("Store")
-        self.refused([root, rows, fields], "a record Shop")
+        self.assert_rejected([root, rows, fields], "a record Shop")
 
 
-class Table(unittest.TestCase):
-    def test_it_names_only_classes_and_fields_that_there_are(self) -> None:
-        """An entry that a rename left behind would record nothing, and say nothing of it."""
+class RecordedNamesTable(unittest.TestCase):
+    def test_it_names_only_classes_and_fields_that_exist(self) -> None:
+        """An entry left behind by a rename would have no effect without any error."""
         own = policy.own_policy()
         for name in CURRENT.classes:
             known = name == "RouterPolicy" or own.class_named(CURRENT.recorded_class(name)) is not None
             self.assertTrue(known, name)
-        router = own.new_router(state.restore_record(self.settings(), own), 0)
+        router = own.new_router(state.restore_record(self.encoded_settings(), own), 0)
         for name, renamed in CURRENT.fields.items():
             if name == "RouterPolicy":
                 present = set(vars(router))
@@ -181,10 +183,10 @@
                 cls = own.class_named(CURRENT.recorded_class(name))
                 present = {field.name for field in dataclasses.fields(cls)}
             self.assertLessEqual(set(renamed), present, name)
-            self.assertEqual(len(set(renamed.values())), len(renamed), f"{name}: a recorded name twice")
+            self.assertEqual(len(set(renamed.values())), len(renamed), f"{name}: duplicate recorded name")
 
     @staticmethod
-    def settings() -> bytes:
+    def encoded_settings() -> bytes:
         from tests.policy.helpers import settings as make_settings
 
         return state.encode(state.snapshot_record(make_settings()))
--- a/tests/capture/test_process.py
+++ b/tests/capture/test_process.py
@@ -1,4 +1,5 @@
-"""Episodes with a real router's process: recorded, replayed, killed in the middle of a block."""
+"""Episodes with a real router process that records a capture, which is replayed; in one of them the process
+is killed while it writes a block."""
 
 import asyncio
 import json
@@ -23,18 +24,18 @@
 from tests.control.test_program import program
 from tests.real.exchange import PATIENCE_S, ROOT
 
-KILLED = """
+SELF_KILLING_PROGRAM = """
 import os, signal, sys, types
 from magpieshift.capture import segments
 from magpieshift.cli.main import run
 calls, fake = [0], types.SimpleNamespace(**vars(os))
-def torn(file, data):
+def write_then_kill(file, data):
     calls[0] += 1
     if calls[0] == 6:  # in the middle of a block
         os.write(file, data[: len(data) // 2])
         os.kill(os.getpid(), signal.SIGKILL)
     return os.write(file, data)
-fake.write = torn
+fake.write = write_then_kill
 segments.os = fake
 sys.exit(run(sys.argv[1:]))
 """
@@ -47,16 +48,16 @@
         self.folder = Path(folder.name)
         self.capture = str(self.folder / "capture")
 
-    async def test_a_bad_morning_keeps_the_rules_and_replays_the_same(self) -> None:
+    async def test_an_episode_with_faults_breaks_no_rule_and_replays_the_same(self) -> None:
         plan = scenario.draw_scenario(6.0, seed=4, rate=60.0)
-        self.assertGreaterEqual({f.what for f in plan.faults}, {"die", "slow", "late-list", "purge"})
+        self.assertGreaterEqual({fault.what for fault in plan.faults}, {"die", "slow", "late-list", "purge"})
         key = self.folder / "key"
         key.write_text("0123456789abcdef0123")
         outcome = await episode.play(plan, ["--capture", self.capture, "--hash-key", str(key)])
-        # what a slow machine can break by itself (drains, purges, patience) is for the command, not for a
-        # test
-        lasting = {"second attempt", "repeat", "planned end", "traceback"}
-        self.assertFalse(lasting & set(outcome.broken), outcome.examples)
+        # a slow machine alone can break the rules on drains, purges and deadlines, so only the command checks
+        # those
+        rules_checked = {"second attempt", "repeat", "planned end", "traceback"}
+        self.assertFalse(rules_checked & set(outcome.broken), outcome.examples)
         self.assertGreater(outcome.figures["served"], 30)
         figures = json.loads(program("replay", self.capture, "--times", "3", "--json").stdout)
         self.assertEqual((figures["differences"], figures["runs"], figures["missing"]), (0, 3, 0))
@@ -71,15 +72,15 @@
             if event.HasField("Request")
         }
         self.assertGreater(
-            min(keys), 1 << 32, "ids of objects, which count from 1 here, are not in the capture"
+            min(keys), 1 << 32, "the capture holds object ids, which here count from 1, instead of hashes"
         )
         altered = self.folder / "altered"
         (altered / "magpieshift").mkdir(parents=True)
         shutil.copy(ROOT / "magpieshift" / "__init__.py", altered / "magpieshift")
         shutil.copytree(ROOT / "magpieshift" / "policy", altered / "magpieshift" / "policy")
-        control = altered / "magpieshift" / "policy" / "admission.py"
-        text = control.read_text()
-        control.write_text(
+        admission = altered / "magpieshift" / "policy" / "admission.py"
+        text = admission.read_text()
+        admission.write_text(
             text.replace("return 1 + peak", "return 2 + 2 * peak").replace(
                 "INITIAL_LIMIT = 4", "INITIAL_LIMIT = 1"
             )
@@ -94,19 +95,19 @@
 
     async def test_killed_in_the_middle_of_a_block(self) -> None:
         plan = scenario.load({"seconds": 20, "rate": 50})
-        command = (sys.executable, "-c", KILLED)
-        playing = asyncio.ensure_future(episode.play(plan, ["--capture", self.capture], program=command))
+        command = (sys.executable, "-c", SELF_KILLING_PROGRAM)
+        episode_task = asyncio.ensure_future(episode.play(plan, ["--capture", self.capture], program=command))
         async with asyncio.timeout(30):
-            while not any("torn" in str(m) for m in self.missing()):
+            while not any("torn" in str(m) for m in self.missing_parts()):
                 await asyncio.sleep(0.1)
-        playing.cancel()
-        await asyncio.wait([playing])
+        episode_task.cancel()
+        await asyncio.wait([episode_task])
         result = Replay().run(segments.read(self.capture))
         self.assertEqual((result.differences, len(result.missing)), (0, 1))
         self.assertGreater(result.batches, 10)
 
-    async def test_a_version_that_comes_into_force_in_the_middle(self) -> None:
-        """With requests before and after, and a class that goes while others stay."""
+    async def test_a_version_that_comes_into_force_while_recording(self) -> None:
+        """Requests are sent before and after; the version removes a class and keeps others."""
         world = LoopbackInstallation()
         await world.start()
         start, log = world.write_settings(self.folder), self.folder / "log"
@@ -117,16 +118,16 @@
             )
         client = RequestGenerator(world.router_port, random.Random(1), lambda: True)
         try:
-            await self.says(log, "change applied")
+            await self.wait_for_log(log, "change applied")
             load = asyncio.ensure_future(client.run(200, lambda: ["picture"]))
-            await self.served(client, 30)
+            await self.wait_for_served(client, 30)
             data = world.settings()
             del data["classes"]["basket"]
             data["classes"] = {"film": data["classes"]["picture"]} | data["classes"]
             start.write_text(sexp.format_document(data))
             process.send_signal(signal.SIGHUP)
-            await self.says(log, "version in force")
-            await self.served(client, client.served + 30)
+            await self.wait_for_log(log, "version in force")
+            await self.wait_for_served(client, client.served + 30)
             client.stop_sending()
             await load
             process.terminate()
@@ -141,18 +142,18 @@
         self.assertGreaterEqual(result.requests, 60)
 
     @staticmethod
-    async def says(log: Path, text: str) -> None:
+    async def wait_for_log(log: Path, text: str) -> None:
         async with asyncio.timeout(PATIENCE_S):
             while text not in log.read_text():
                 await asyncio.sleep(0.01)
 
     @staticmethod
-    async def served(client: RequestGenerator, count: int) -> None:
+    async def wait_for_served(client: RequestGenerator, count: int) -> None:
         async with asyncio.timeout(PATIENCE_S):
             while client.served < count:
                 await asyncio.sleep(0.01)
 
-    def missing(self) -> list[segments.Missing]:
+    def missing_parts(self) -> list[segments.Missing]:
         try:
             return [record for record in segments.read(self.capture) if isinstance(record, segments.Missing)]
         except CaptureError:
@@ -160,12 +161,12 @@
 
 
 class Pieces(unittest.TestCase):
-    def test_the_same_seed_gives_the_same_script(self) -> None:
+    def test_the_same_seed_gives_the_same_scenario(self) -> None:
         self.assertEqual(scenario.draw_scenario(60, 5), scenario.draw_scenario(60, 5))
         self.assertNotEqual(scenario.draw_scenario(60, 5), scenario.draw_scenario(60, 6))
 
-    def test_a_scenario_says_what_is_wrong_with_it(self) -> None:
-        for data, said in (
+    def test_an_invalid_scenario_is_rejected_with_the_place_of_the_mistake(self) -> None:
+        for data, expected in (
             (
                 {"seconds": 5, "failures": {"a": {"what": "explode", "at-s": 1}}},
                 "failures a what: found 'explode'",
@@ -178,27 +179,27 @@
         ):
             with self.assertRaises(UnusableDocumentError) as caught:
                 scenario.load(data)
-            self.assertIn(said, str(caught.exception))
+            self.assertIn(expected, str(caught.exception))
 
-    def test_the_checker_sees_what_breaks_a_rule(self) -> None:
+    def test_the_checker_counts_each_kind_of_violation(self) -> None:
         rules = ProtocolChecker()
         rules.attempt_started("a", "s1")
         rules.attempt_started("a", "s2")
         rules.drains_published_s["s1"] = 0.0
         rules.attempt_started("b", "s1")
         rules.purges_s["7"] = 1000.0, 1000.0
-        rules.copy_served("7", 999_000, 1000.4)  # asked for before the rule holds
-        rules.copy_served("7", 1_000_500, 1002.0)  # a newer copy
+        rules.copy_served("7", 999_000, 1000.4)  # sent before the rule applies
+        rules.copy_served("7", 1_000_500, 1002.0)  # the copy was made after the purge
         rules.copy_served("7", 999_000, 1002.0)
         for ident in ("c", "d", "d"):
             rules.request_executed(ident, "order", "s1")
-        rules.request_executed("c", "basket", "s1")  # whose repeats stores know by their key
+        rules.request_executed("c", "basket", "s1")  # its repeats are recognized by idempotency key
         rules.check_slow_start("s1", 0.4, 0.5)
         rules.check_slow_start("s1", 0.6, 0.5)
         wanted = ("second attempt", "drain", "purge", "repeat", "cold store")
         self.assertEqual(rules.violations, dict.fromkeys(wanted, 1))
 
-    def test_the_command_line_says_what_cannot_be_read(self) -> None:
+    def test_unusable_files_are_reported_in_one_line(self) -> None:
         for words in (
             ["replay", "/no/such"],
             ["capture", "info", "README.md"],
