--- a/magpieshift/lab/scale/child.py
+++ b/magpieshift/lab/scale/child.py
@@ -1,5 +1,5 @@
-"""A process of a run: it takes messages on standard input, one a line, and answers in order on
-standard output. It ends when its input does."""
+"""The main loop of a process of a run: it reads messages from standard input, one per line, and writes the
+replies to standard output in the same order. It exits at the end of its input."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 
 async def serve(handle: Handle) -> None:
-    """Hand each message to ``handle``, and write what it returns. An error that it raises is answered by
-    ``Failed``."""
+    """Pass each message to ``handle``, and write the reply that it returns, if any. An exception is reported
+    as a ``Failed`` reply."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
         try:
             answer = await handle(decode(line))
-        except Exception as err:  # any failure of one message: the coordinator must learn of it
-            log.exception("message failed")
+        except Exception as err:  # the coordinator must be informed of any failure
+            log.exception("a message from the coordinator could not be handled")
             answer = Failed(reason=f"{type(err).__name__}: {err}"[:300])
         if answer is not None:
             sys.stdout.buffer.write(encode(answer))
--- a/magpieshift/lab/scale/controller.py
+++ b/magpieshift/lab/scale/controller.py
@@ -1,4 +1,4 @@
-"""The control service of a run, as a process of its own: the project's own service, driven by messages."""
+"""The control service of a run, in a separate process: the real control service, driven by messages."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 async def run() -> None:
-    """The process: a control service that publishes what it is sent."""
+    """Run the process: a control service that publishes the versions it receives from the coordinator."""
     service = ControlService()
 
     async def handle(message: Message) -> Message | None:
@@ -34,7 +34,7 @@
             case FollowerCountRequest():
                 return Count(count=sum(bool(stream.subscriber.router) for stream in service.streams))
             case other:
-                raise RuntimeError(f"a control service knows no {other.kind!r}")
+                raise RuntimeError(f"the control service cannot handle a message of kind {other.kind!r}")
 
     await child.serve(handle)
     if service.port:
--- a/magpieshift/lab/scale/messages.py
+++ b/magpieshift/lab/scale/messages.py
@@ -1,4 +1,4 @@
-"""The messages between the coordinator of a run and its processes: one JSON object a line."""
+"""The messages between the coordinator of a run and its processes: one JSON object per line."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from pydantic import BaseModel, Field, TypeAdapter
 
-MAX_LINE_BYTES = 256 << 20  # bytes; a report on an hour of purges takes a tenth
+MAX_LINE_BYTES = 256 << 20  # a report on an hour of purges takes a tenth of it
 
 
 class StartLog(BaseModel):
-    """To a change log: listen, with so many caches listed."""
+    """To a change log: listen, with ``caches`` caches in the endpoint list."""
 
     kind: Literal["start-log"] = "start-log"
     caches: int
@@ -24,7 +24,8 @@
 
 
 class StartSource(BaseModel):
-    """To a source of the fan-out tier: follow the change log at this port and the folder of versions."""
+    """To the source at the root of the fan-out tier: listen on ``port``, follow the change log at
+    ``log_port``, and publish the version files in the folder ``versions``."""
 
     kind: Literal["start-source"] = "start-source"
     log_port: int
@@ -33,7 +34,7 @@
 
 
 class StartRelay(BaseModel):
-    """To a relay: follow the source that is reached at this port, and serve routers at another."""
+    """To a relay: follow the source at ``source_port``, and serve routers at ``port``."""
 
     kind: Literal["start-relay"] = "start-relay"
     name: str
@@ -43,7 +44,8 @@
 
 
 class StartNetwork(BaseModel):
-    """To a network: carry streams to these ports of loopback, each path by a port of its own for each."""
+    """To a network process: open one listening port for each pair of path and target, and forward its streams
+    to the target's port on loopback."""
 
     kind: Literal["start-network"] = "start-network"
     targets: dict[str, int]
@@ -51,8 +53,8 @@
 
 
 class StartWorker(BaseModel):
-    """To a worker: be ready for hollow routers. ``drop_every`` plants a fault for tests: each router skips
-    every ``drop_every``-th purge; 0 for none."""
+    """To a worker: prepare to start hollow routers. ``drop_every`` injects a fault for tests: each router
+    drops every ``drop_every``-th purge; 0 drops none."""
 
     kind: Literal["start-worker"] = "start-worker"
     caches: int
@@ -61,14 +63,15 @@
 
 
 class Ready(BaseModel):
-    """The answer to a start: where the process listens, by name."""
+    """The reply to a start message: the ports that the process listens on, by name."""
 
     kind: Literal["ready"] = "ready"
     ports: dict[str, int] = {}
 
 
 class AcceptPurges(BaseModel):
-    """To the change log: accept so many purges; the first was made ``made_over_s`` ago, the last now."""
+    """To the change log: accept ``count`` purges, with creation times spread evenly over the last
+    ``made_over_s`` seconds."""
 
     kind: Literal["tell-purges"] = "tell-purges"
     count: int
@@ -76,27 +79,30 @@
 
 
 class ChangeEndpointList(BaseModel):
-    """To the change log: a cache, by its place in the list, drains, goes or serves again."""
+    """To the change log: move the cache at index ``place`` of the list to its next phase (draining, deleted,
+    or serving again)."""
 
     kind: Literal["tell-list-change"] = "tell-list-change"
     place: int
 
 
 class PauseChangeLog(BaseModel):
-    """To the change log: reset all connections and close the port for so long; go on accepting events."""
+    """To the change log: reset all connections, and close the port for ``seconds``. Events are still
+    accepted meanwhile."""
 
     kind: Literal["go-away"] = "go-away"
     seconds: float
 
 
 class HeadRequest(BaseModel):
-    """To the change log: which is the newest event?"""
+    """To the change log: request the newest sequence number and the endpoint list."""
 
     kind: Literal["ask-head"] = "ask-head"
 
 
 class Head(BaseModel):
-    """The number of the last event, of purges so far, and the list as an event's JSON."""
+    """The sequence number of the last event, the number of purges accepted so far, and the complete endpoint
+    list as the JSON of a watch event."""
 
     kind: Literal["head"] = "head"
     sequence: int
@@ -105,13 +111,14 @@
 
 
 class LogReportRequest(BaseModel):
-    """To the change log: which purges were accepted, and how many bytes were written?"""
+    """To the change log: request the acceptance times of purges and the number of bytes written."""
 
     kind: Literal["ask-log"] = "ask-log"
 
 
 class LogReport(BaseModel):
-    """When each purge was accepted, bytes written on all watches since the start, and watches now."""
+    """The acceptance time of each purge, the bytes written to all watches since the start, the number of open
+    watches, and the most bytes written to any one of them."""
 
     kind: Literal["log-report"] = "log-report"
     accepted: list[float]
@@ -121,7 +128,7 @@
 
 
 class Publish(BaseModel):
-    """To the control service: a version's number and text."""
+    """To the control service: publish a version, given by number and text."""
 
     kind: Literal["publish"] = "publish"
     number: int
@@ -129,27 +136,27 @@
 
 
 class PublishedAt(BaseModel):
-    """When a version was taken in."""
+    """The time at which the control service accepted a version, on the monotonic clock."""
 
     kind: Literal["published-at"] = "published-at"
     at_s: float
 
 
 class FollowerCountRequest(BaseModel):
-    """To the control service: how many routers have introduced themselves and are connected?"""
+    """To the control service: request the number of connected routers that have sent their name."""
 
     kind: Literal["ask-followers"] = "ask-followers"
 
 
 class Count(BaseModel):
-    """A number of something that was asked for."""
+    """The reply to a request for a number of routers."""
 
     kind: Literal["count"] = "count"
     count: int
 
 
 class RelayPlace(BaseModel):
-    """A relay as one router reaches it."""
+    """A relay, with the port on which one router connects to it."""
 
     name: str
     region: str
@@ -157,8 +164,8 @@
 
 
 class Place(BaseModel):
-    """A hollow router: its name, its network path, and the ports it is to use; relays, where some are given,
-    in place of change log and control service."""
+    """A hollow router: its name, its network path, and the ports that it connects to. Where ``relays`` are
+    given, it uses them in place of the change log and the control service."""
 
     name: str
     path: str
@@ -169,7 +176,8 @@
 
 
 class StartRouters(BaseModel):
-    """To a worker: start these, knowing what the change log and the control service have sent so far."""
+    """To a worker: start these routers, with the state of the change log in ``head`` and all versions up to
+    ``version`` taken as received."""
 
     kind: Literal["start-routers"] = "start-routers"
     places: list[Place]
@@ -178,20 +186,21 @@
 
 
 class CrashRouters(BaseModel):
-    """To a worker: end these, with all their connections."""
+    """To a worker: crash these routers, closing all their connections."""
 
     kind: Literal["crash-routers"] = "crash-routers"
     names: list[str]
 
 
 class Done(BaseModel):
-    """An order was carried out."""
+    """The reply to a message that was carried out and returns no data."""
 
     kind: Literal["done"] = "done"
 
 
 class PurgesAcceptedBy(BaseModel):
-    """To a worker: so many purges, all that there are, were made by this time of the monotonic clock."""
+    """To a worker: the first ``purges`` purges, which are all accepted so far, were made no later than
+    ``at_s`` on the monotonic clock."""
 
     kind: Literal["made-by"] = "made-by"
     purges: int
@@ -199,39 +208,40 @@
 
 
 class LaggingCountRequest(BaseModel):
-    """To a worker: how many live routers lack any of so many purges, or this version?"""
+    """To a worker: request the number of live routers that lack any of the first ``purges`` purges, or that
+    have a lower version in force."""
 
     kind: Literal["ask-behind"] = "ask-behind"
     purges: int
     version: int
-    names: list[str] = []  # only of these, where some are named
+    names: list[str] = []  # count only these routers; empty: all
 
 
 class WorkerReportRequest(BaseModel):
-    """To a worker: what have your routers applied, of so many purges?"""
+    """To a worker: request a report of what its routers have applied of the first ``purges`` purges."""
 
     kind: Literal["ask-worker"] = "ask-worker"
     purges: int
 
 
 class WorkerReport(BaseModel):
-    """What the routers of one process applied."""
+    """What the routers of one worker have applied. Times are on the monotonic clock."""
 
     kind: Literal["worker-report"] = "worker-report"
     live: int
-    purges: list[float]  # when the last of them had applied each; 0 where none had
-    versions: dict[str, dict[int, float]]
-    missing: list[int]  # purges that some live router owes and has not applied
-    lost: dict[str, int]  # how many of them, by router
+    purges: list[float]  # by purge index: when the last router applied it; 0 where none has
+    versions: dict[str, dict[int, float]]  # by network path and number: when it last came into force
+    missing: list[int]  # indices of purges that some live router should have applied and has not
+    lost: dict[str, int]  # by router: how many purges it should have applied and has not
     out_of_order: int
-    late: list[tuple[int, float, float]]  # purges applied without a lease: index, when, since when without
-    forgotten: int  # purges that were too old to matter when a router had the next ones
+    late: list[tuple[int, float, float]]  # purges applied without a lease: index, time, lapse of the lease
+    forgotten: int  # purges never received that had expired when a later one arrived, summed over routers
     version_behind: dict[str, int]  # by router: the version in force
 
 
 class InjectFault(BaseModel):
-    """To a network: put a fault on all streams of some paths, in one direction or both. ``cut`` holds bytes
-    back, as a system that sends them again would."""
+    """To a network process: inject a fault into all streams of some paths, in one direction or both. While
+    ``cut`` is in force, bytes are held back and not lost, as TCP retransmits after a partition."""
 
     kind: Literal["put-fault"] = "put-fault"
     why: str
@@ -243,14 +253,14 @@
 
 
 class HealFault(BaseModel):
-    """To a network: take a fault away again."""
+    """To a network process: remove the fault with this name."""
 
     kind: Literal["heal-fault"] = "heal-fault"
     why: str
 
 
 class Failed(BaseModel):
-    """The process cannot carry out an order."""
+    """The reply to a message that could not be carried out."""
 
     kind: Literal["failed"] = "failed"
     reason: str
@@ -295,5 +305,5 @@
 
 
 def decode(line: bytes) -> Message:
-    """The message of a line; ``ValueError`` where it is none."""
+    """Parse the message on a line; ``ValueError`` where it is invalid."""
     return _ANY.validate_json(line)
--- a/magpieshift/lab/scale/network.py
+++ b/magpieshift/lab/scale/network.py
@@ -1,5 +1,5 @@
-"""The network of a run, as a process of its own: streams between routers and control, path by path, with
-faults."""
+"""The network of a run, in a separate process: forwards the streams between routers and control, with faults
+injected by path."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from magpieshift.lab.scale.messages import Done, HealFault, InjectFault, Message, Ready, StartNetwork
 from magpieshift.lab.scale.streams import StreamForwarder
 
-CONTROL = "control"  # the other end of every path
+CONTROL = "control"  # the end opposite the routers on every path
 SEPARATOR = "/"
 
 
 def port_name(path: str, target: str) -> str:
-    """The name of the port at which routers on a path reach a target."""
+    """The name of the port on which routers on a path connect to a target."""
     return f"{path}{SEPARATOR}{target}"
 
 
 def put(links: Network, fault: InjectFault) -> None:
-    """Put a fault on the paths that it names, in its direction."""
+    """Inject a fault into the paths that it names, in its direction."""
     for path in fault.paths:
         delay_ms = fault.delay_ms.get(path, 0.0)
         ends = {"to-routers": (CONTROL, path), "from-routers": (path, CONTROL)}
@@ -33,7 +33,7 @@
 
 
 async def run() -> None:
-    """The process: stream forwarders with injected faults."""
+    """Run the process: stream forwarders with injected faults."""
     links = Network()
     passages = list[StreamForwarder]()
 
@@ -53,7 +53,7 @@
                 links.remove_fault(why)
                 return Done()
             case other:
-                raise RuntimeError(f"a network knows no {other.kind!r}")
+                raise RuntimeError(f"a network process cannot handle a message of kind {other.kind!r}")
 
     await child.serve(handle)
     for passage in passages:
--- a/magpieshift/lab/scale/node.py
+++ b/magpieshift/lab/scale/node.py
@@ -1,5 +1,5 @@
-"""A source or relay of the fan-out tier in a run, as a process of its own: the project's own node, given the
-ports of the others."""
+"""A source or relay of the fan-out tier of a run, in a separate process: the real node, connected to the
+ports in its start message."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
             source = RelayAddress("source", region, f"{LOOPBACK}:{source_port}")
             return RelayNode(RelayOptions((source,), f"{LOOPBACK}:{port}", name, region))
         case other:
-            raise RuntimeError(f"a node knows no {other.kind!r}")
+            raise RuntimeError(f"a node cannot handle a message of kind {other.kind!r}")
 
 
 async def run() -> None:
-    """The process: a node that runs until its input ends."""
+    """Run the process: a source or relay, until the end of standard input."""
     running: list[tuple[SourceNode | RelayNode, asyncio.Task[None]]] = []
 
     async def handle(message: Message) -> Message | None:
@@ -36,7 +36,7 @@
         running.append((node, task))
         await ready.wait()
         if task.done():
-            raise RuntimeError("the node has ended at its start")
+            raise RuntimeError("the node stopped before it was ready")
         return Ready(ports={"node": node.service.port})
 
     await child.serve(handle)
--- a/magpieshift/lab/scale/processes.py
+++ b/magpieshift/lab/scale/processes.py
@@ -1,4 +1,5 @@
-"""The coordinator's end of a process of a run: requests, replies, and the process's cost by ``/proc``."""
+"""The coordinator's handle of a process of a run: requests, replies, and the process's CPU time and memory
+from ``/proc``."""
 
 from __future__ import annotations
 
@@ -12,33 +13,35 @@
 from magpieshift.lab.scale.messages import MAX_LINE_BYTES, Failed, Message, Ready, decode, encode
 
 REPLY_TIMEOUT_S = 120.0  # for one reply, the start of all routers of a worker included
-STOP_TIMEOUT_S = 5.0  # for a process to exit by itself; then it is killed
+STOP_TIMEOUT_S = 5.0  # for a process to exit after the end of its input, before it is killed
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 M = TypeVar("M", bound=Message)
 
 
 class ProcessExitedError(Exception):
-    """A process of the run has ended by itself, or cannot carry out an order."""
+    """A process of the run exited unexpectedly, or could not handle a message."""
 
 
 def cpu_seconds(pid: int) -> float:
-    """Processor time of a process with all its threads, system time included; ``OSError`` once it is gone."""
+    """CPU time of a process with all its threads, user and system; ``OSError`` once the process has been
+    reaped."""
     stat = Path(f"/proc/{pid}/stat").read_text(encoding="utf-8", errors="replace")
     user, system = stat.rpartition(")")[2].split()[11:13]
     return (int(user) + int(system)) / TICKS_PER_S
 
 
 def resident_mb(pid: int) -> float:
-    """Resident memory of a process; ``OSError`` once it is gone."""
+    """Resident memory of a process, in MB; ``OSError`` once the process has exited."""
     for line in Path(f"/proc/{pid}/status").read_text(encoding="utf-8").splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1024
-    raise ProcessLookupError(f"process {pid} has no memory")
+    raise ProcessLookupError(f"/proc/{pid}/status has no VmRSS line: the process has exited")
 
 
 class Child:
-    """Owner of one process of the run. ``logs`` is the folder for what all of them log; None: nowhere."""
+    """Owner of one process of the run. ``logs`` is the folder for the log files of all processes; None: logs
+    are discarded."""
 
     logs: Path | None = None
 
@@ -51,7 +54,7 @@
 
     @classmethod
     async def start(cls, name: str, role: str, first: Message) -> Child:
-        """Start a process in a role of ``lab scale-process``, and wait until it is ready."""
+        """Start ``lab scale-process`` in a role, and wait until it is ready."""
         path = cls.logs / f"{name.replace(' ', '-')}.log" if cls.logs is not None else Path(os.devnull)
         with path.open("ab") as log:
             process = await asyncio.create_subprocess_exec(
@@ -81,13 +84,13 @@
         return self._process.pid
 
     def cpu_s(self) -> float:
-        """Its processor time; once it is gone, what was read last."""
+        """CPU seconds of the process so far; once it has been reaped, the last value read."""
         with contextlib.suppress(OSError):
             self._cpu_s = cpu_seconds(self.pid)
         return self._cpu_s
 
     def memory_mb(self) -> float:
-        """Resident memory now; ``OSError`` once the process is gone."""
+        """Current resident memory, in MB; ``OSError`` once the process has exited."""
         return resident_mb(self.pid)
 
     async def send(self, message: Message) -> None:
@@ -97,7 +100,7 @@
             self._process.stdin.write(encode(message))
             await self._process.stdin.drain()
         except ConnectionError:
-            raise ProcessExitedError(f"{self.name} has ended") from None
+            raise ProcessExitedError(f"{self.name} exited before it read {message.kind!r}") from None
 
     async def request(self, message: Message, wanted: type[M]) -> M:
         """Send a message, and return the reply, which must be of this type."""
@@ -107,24 +110,26 @@
             async with asyncio.timeout(REPLY_TIMEOUT_S):
                 line = await self._process.stdout.readline()
         if not line:
-            raise ProcessExitedError(f"{self.name} has ended")
+            raise ProcessExitedError(f"{self.name} exited without a reply to {message.kind!r}")
         match decode(line):
             case Failed(reason=reason):
                 raise ProcessExitedError(f"{self.name}: {reason}")
             case answer if isinstance(answer, wanted):
                 return answer
             case other:
-                raise ProcessExitedError(f"{self.name} answered {other.kind!r} to {message.kind!r}")
+                raise ProcessExitedError(
+                    f"{self.name} sent an unexpected reply {other.kind!r} to {message.kind!r}"
+                )
 
     async def kill(self) -> None:
-        """SIGKILL, as a machine that is lost."""
+        """Send SIGKILL, to simulate the loss of a machine, and wait for the exit."""
         self.cpu_s()
         if self._process.returncode is None:
             self._process.kill()
         await self._process.wait()
 
     async def stop(self) -> None:
-        """End its input, and wait until it is gone."""
+        """Close its standard input, and wait until it exits; kill it after ``STOP_TIMEOUT_S``."""
         self.cpu_s()
         if self._process.stdin is not None:
             self._process.stdin.close()
--- a/magpieshift/lab/scale/streams.py
+++ b/magpieshift/lab/scale/streams.py
@@ -1,5 +1,5 @@
-"""Streams through the network of a run: carried with a delay that does not bound their rate, held back where
-they are cut, slowed down where their reader is slow."""
+"""Forwards the streams between routers and control, with injected faults: a delay that does not limit
+throughput, a cut that holds bytes back, and a rate limit for slow readers."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 from magpieshift.lab.fault_injection.network import Network
 
-CHUNK_BYTES = 65_536  # read at once from a stream
-MAX_CHUNKS_IN_FLIGHT = 64  # in each direction; beyond it the sender waits
-FAULT_POLL_INTERVAL_S = 0.02  # how soon a fault that was put or healed shows
+CHUNK_BYTES = 65_536  # maximum size of one read from a stream
+MAX_CHUNKS_IN_FLIGHT = 64  # delayed chunks in each direction; beyond it, reading from the sender pauses
+FAULT_POLL_INTERVAL_S = 0.02  # polling interval while a path is cut: bounds the delay until a heal shows
 LOOPBACK = "127.0.0.1"
 
 
 class StreamForwarder:
-    """Owner of a listening port, and of all streams from it to a target. ``source`` and ``target`` are the
-    names of the ends in ``links``."""
+    """Owner of a listening port, and of all streams forwarded from it to a target port. ``source`` and
+    ``target`` are the names of the two ends in ``links``."""
 
     def __init__(self, links: Network, source: str, target: str, to_port: int) -> None:
         self._links = links
@@ -27,7 +27,7 @@
         self._connections: set[asyncio.Task[None]] = set()
 
     async def start(self) -> int:
-        """Listen; the port."""
+        """Start listening, and return the port."""
         self._server = await asyncio.start_server(self._accepted, LOOPBACK, 0, backlog=1024)
         return int(self._server.sockets[0].getsockname()[1])
 
@@ -50,7 +50,7 @@
             writer.transport.abort()
 
     async def _forward_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Carry both directions until either ends."""
+        """Forward both directions until either of them ends."""
         await self._wait_until_connected(self._source, self._target)
         target_reader, target_writer = await asyncio.open_connection(LOOPBACK, self._to_port)
         ends = [
