--- a/magpieshift/lab/scale/hollow.py
+++ b/magpieshift/lab/scale/hollow.py
@@ -1,8 +1,8 @@
-"""A hollow router: the control side of a router, whole and real, without downstream and without upstream.
+"""A hollow router: the complete control side of a real router, without downstream and upstream.
 
-It has the change log's reader, the engine with its policy, and versioned configuration with its
-transaction over those parts. It lacks clients and endpoints: every upstream request fails, and no client
-connects. Many of them live in one process, each with its own connections.
+It has the change log client, the engine with its policy, and versioned configuration with transactions over
+these parts. It has no clients and no connections to endpoints: every upstream request fails. One process runs
+many hollow routers, each with its own connections to control.
 """
 
 from __future__ import annotations
@@ -35,31 +35,31 @@
 from magpieshift.policy.settings import Settings
 
 PurgeCallback = Callable[[Sequence[PurgeReceived]], None]
-"""Receives the object purges that the policy has taken in, in one call of it."""
+"""Receives the object purges that the policy has handled in one call."""
 
 
 @dataclass(frozen=True)
 class ChangeLogOverride(Overrides):
-    """Where one router reads the change log, whatever address a version names."""
+    """The address at which one router reads the change log, in place of the address in a version."""
 
     changelog: Address | None = None
 
     def apply_to(self, document: Document) -> Document:
-        """The document with this router's own change log address."""
+        """The document with the change log address of this router."""
         found = super().apply_to(document)
         return found if self.changelog is None else replace(found, change_log_address=self.changelog)
 
 
 class Feed(Protocol):
-    """What brings purges, lists and versions to a hollow router."""
+    """The connections that deliver purges, endpoint lists and versions to a hollow router."""
 
     def start(self) -> None:
-        """Begin to feed it."""
+        """Connect, and start delivering."""
         ...
 
     @property
     def connected(self) -> bool:
-        """Whether it has received what there was at its start."""
+        """Whether the router has received the state as of its start."""
         ...
 
     async def crash(self) -> None:
@@ -68,7 +68,7 @@
 
 
 class _FailedExchange:
-    """An exchange that failed before it was sent."""
+    """An exchange that failed before its request was sent."""
 
     def cancel(self) -> bool:
         return False
@@ -87,11 +87,12 @@
         LoopClock().soon(lambda: done(AttemptResult(Outcome.OK)))
 
     def close_idle(self, member: ListedEndpoint) -> None:
-        """There is no connection."""
+        """Does nothing: there are no connections."""
 
 
 class PurgeObserver:
-    """Stands between engine and policy, and reports purges once the policy has taken them in."""
+    """Passes events from the engine to the policy, and reports purges once the policy has handled them. With
+    ``drop_every``, every such purge is dropped before the policy, as a fault for tests."""
 
     def __init__(self, callback: PurgeCallback, drop_every: int = 0) -> None:
         self._callback = callback
@@ -99,8 +100,7 @@
         self._seen = 0
 
     def handle(self, policy: RouterPolicy, unix_now_us: int, events: Sequence[Event]) -> list[Action]:
-        """Hand events to the policy, then report the object purges among them; returns the policy's
-        actions."""
+        """Pass events to the policy, report the object purges among them, and return the policy's actions."""
         if self._drop_every:
             events = [event for event in events if not self._dropped(event)]
         actions = policy.handle(unix_now_us, events)
@@ -109,7 +109,7 @@
         return actions
 
     def _dropped(self, event: Event) -> bool:
-        """Whether the fault that is planted for tests swallows this event."""
+        """Whether the fault injected for tests drops this event."""
         if not isinstance(event, PurgeReceived):
             return False
         self._seen += 1
@@ -126,7 +126,7 @@
 
 
 class HollowRouter:
-    """Owner of one router's control side."""
+    """Owner of the control side of one router."""
 
     def __init__(
         self, name: str, loaded: LoadedDocument, overrides: Overrides, seed: int, tap: PurgeObserver
@@ -143,7 +143,7 @@
         self.lifecycle = Lifecycle(LoopClock().now_us)
         self.changes = ChangeLog(self.document.names, self)
         self.change_log = ChangeLogClient(self.document.change_log_address, self.changes, seed)
-        self.change_source: ChangeSource = self.change_log  # a feed may put another in its place
+        self.change_source: ChangeSource = self.change_log  # a relay feed replaces it
         self._feed: Feed | None = None
         self._crashed = False
 
@@ -158,11 +158,11 @@
         if not self._crashed:
             self.engine.purged(key, group, made_us)
 
-    # --- the host of versions
+    # --- host of the version manager
 
     @property
     def parts(self) -> list[Part]:
-        """What takes settings, the engine last, as in a router."""
+        """The parts that settings apply to, with the engine last, as in a real router."""
         return [self.change_log, self.engine]
 
     def running(self) -> Mapping[str, RunningSettings]:
@@ -174,7 +174,7 @@
         return await prepare(self.parts, self.document, align_numbers(self.document, document))
 
     def commit(self, prepared: Prepared, version: int) -> None:
-        """Apply what was prepared."""
+        """Apply a prepared document."""
         self.document = prepared.document
         prepared.commit()
 
@@ -182,12 +182,12 @@
 
     @property
     def connected(self) -> bool:
-        """Whether the feed has delivered what there was at its start."""
+        """Whether the feed has delivered the state as of the router's start."""
         return self._feed is not None and self._feed.connected
 
     def start(self, feed: Feed, known: Mapping[str, Any]) -> None:
-        """Follow versions, and start the feed. ``known`` is what the change log had sent before, as a
-        configuration holds it."""
+        """Start the version manager and the feed. ``known`` is the change log's state taken as received
+        already, in the form that a configuration file holds it."""
         self._feed = feed
         self.changes.apply_known(known)
         self.engine.flush()
@@ -195,7 +195,7 @@
         feed.start()
 
     async def crash(self) -> None:
-        """Be gone; connections are closed without a graceful shutdown."""
+        """Stop as a killed process does: connections are closed without a graceful shutdown."""
         self._crashed = True
         if self._feed is not None:
             await self._feed.crash()
@@ -203,7 +203,7 @@
 
 
 class DirectFeed:
-    """The change log and the control service, each by a connection of its own."""
+    """A feed from the change log and the control service, with a connection to each."""
 
     def __init__(self, router: HollowRouter, control: Address, rand: random.Random) -> None:
         self._log = router.change_log
--- a/magpieshift/lab/scale/installation.py
+++ b/magpieshift/lab/scale/installation.py
@@ -1,4 +1,4 @@
-"""The installation that hollow routers see: settings, and the list of caches."""
+"""The emulated installation that hollow routers are configured with: settings, and the list of caches."""
 
 from __future__ import annotations
 
@@ -9,29 +9,30 @@
 from magpieshift.control import sexp
 from magpieshift.lab.emulators.emulated import router_settings
 
-# of all caches; the settings are those of the emulated installation
+# zone and kind of every cache in the list, as named in the settings of the emulated installation
 ZONE = "shop"
 KIND = "box"
-UNUSED_PORT = 9  # of loopback, where no cache listens: hollow routers never connect to one
+UNUSED_PORT = 9  # loopback port of every cache; nothing listens there, as hollow routers never connect
 NEXT_PHASE = {"SERVING": "DRAINING", "DRAINING": "DELETED", "DELETED": "SERVING"}
 
 
 def base_settings(routers: int, log_port: int, zones: Mapping[str, int]) -> dict[str, Any]:
-    """Settings for a fleet of so many routers, with the routers of each zone."""
+    """Settings for a fleet of ``routers`` routers; ``zones`` is the number of routers in each zone."""
     data = router_settings("hollow", UNUSED_PORT, log_port, routers)
     data["zones"] |= {name: {"routers": count, "attached-to": "hub"} for name, count in zones.items()}
     return data
 
 
 def version_text(data: Mapping[str, Any], number: int) -> str:
-    """The text of a version: the settings with one figure that no other version has."""
+    """The text of a version: the settings with an answer slack that is unique to the version."""
     changed = copy.deepcopy(dict(data))
     changed["stores"] = dict(changed.get("stores", {})) | {"answer-slack-ms": 1 + number / 1000}
     return sexp.format_document(changed)
 
 
 def cache(place: int, phase: str = "SERVING", births: int = 0) -> dict[str, Any]:
-    """A cache as the change log lists it; ``births`` counts the processes that its place has had before."""
+    """A cache as the change log lists it. ``births`` is the number of earlier cache processes at the same
+    index of the list."""
     return {
         "id": f"s-{place:05d}-{births}",
         "host_port": f"127.0.0.1:{UNUSED_PORT}",
@@ -58,8 +59,8 @@
         return {"fleet": {"revision": self._revision, "complete": True, "members": members}}
 
     def change(self, place: int) -> dict[str, Any]:
-        """Move a cache to its next state (draining, deleted, or a new process serving in its place), and
-        return the watch event."""
+        """Move the cache at index ``place`` to its next phase (draining, deleted, or serving as a new
+        process), and return the watch event."""
         place %= max(1, len(self._listed))
         self._revision += 1
         phase = NEXT_PHASE[self._listed[place]["phase"]]
--- a/magpieshift/lab/scale/relayed.py
+++ b/magpieshift/lab/scale/relayed.py
@@ -1,4 +1,4 @@
-"""A hollow router that is fed by the fan-out tier's relays, through the extension that real routers have."""
+"""A feed for hollow routers from the relays of the fan-out tier, through the extension of real routers."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 
 class RelayFeed:
-    """A place in the fan-out tier, which brings purges, lists and versions."""
+    """A subscription to a relay of the fan-out tier, which delivers purges, endpoint lists and versions."""
 
     def __init__(self, router: HollowRouter, relays: Sequence[RelayAddress], region: str) -> None:
-        """The extension uses of its router only what a hollow one has."""
+        """Attach the relay extension to the router. The casts are safe: the extension uses only those members
+        of a router that a hollow router has as well."""
         self._router = router
         self._relayed = RelaySubscription(
             cast(EdgeRouter, router), router.manager, relays, region, router.name
@@ -30,12 +31,12 @@
 
     @property
     def leased(self) -> bool:
-        """Whether the engine accepts copies of any age."""
+        """Whether the router holds a lease: the engine then accepts copies of any age."""
         limit = self._router.engine.copy_age_limit
         return limit is not None and limit() == 0
 
     def start(self) -> None:
-        """Connect to a relay, and let the lifecycle go on as in a started router."""
+        """Connect to a relay, and mark the start as completed in the router's lifecycle."""
         self._router.change_source.start()
         self._router.lifecycle.start_completed()
 
--- a/magpieshift/lab/scale/worker.py
+++ b/magpieshift/lab/scale/worker.py
@@ -1,4 +1,4 @@
-"""A process with many hollow routers: starts and crashes them by order, and reports what they applied."""
+"""A process with many hollow routers: starts and crashes them on request, and reports what they applied."""
 
 from __future__ import annotations
 
@@ -41,16 +41,16 @@
 from magpieshift.policy.events import PurgeReceived
 from magpieshift.relay.selection import RelayAddress
 
-THREAD_SWITCH_INTERVAL_S = 0.0005  # as a router process has it: versions are read in a thread
-CONNECT_TIMEOUT_S = 60.0  # for all routers of one order
-POLL_INTERVAL_S = 0.02  # while waiting for them
-LEASE_POLL_INTERVAL_S = 0.05  # bounds the error of the time when a lease lapsed
+THREAD_SWITCH_INTERVAL_S = 0.0005  # same as in a router process, since versions are parsed in a thread
+CONNECT_TIMEOUT_S = 60.0  # for all routers of one StartRouters message to connect
+POLL_INTERVAL_S = 0.02  # between checks whether they have connected
+LEASE_POLL_INTERVAL_S = 0.05  # bounds the error of the recorded time of a lease's lapse
 LOOPBACK = "127.0.0.1"
 
 
 @dataclass(frozen=True)
 class RunningRouter:
-    """A hollow router that runs, and what it has applied."""
+    """A running hollow router with its feed, and the record of what it has applied."""
 
     router: HollowRouter
     tally: RouterTally
@@ -65,12 +65,13 @@
         self._drop_every = start.drop_every
         self.shared = ProcessTally()
         self._running: dict[str, RunningRouter] = {}
-        self._out_of_order = 0  # of those that are gone
+        self._out_of_order = 0  # purges applied out of order by routers that have crashed
         self._applied_without_lease: list[tuple[int, float, float]] = []
         self._watching = asyncio.ensure_future(self._watch_leases())
 
     async def start_routers(self, places: Sequence[Place], head: Head, version: int) -> None:
-        """Start routers that know the change log up to now; returns once all are connected."""
+        """Start routers with the change log's state in ``head`` taken as received; returns once all are
+        connected."""
         known = {"seq": head.sequence, "results": [json.loads(head.list_event)]}
         started = []
         for place in places:
@@ -79,12 +80,12 @@
             live.router.start(live.feed, {} if place.relays else known)
             self._running[place.name] = live
             started.append(live.router)
-            await asyncio.sleep(0)  # one after the other: a list of many caches takes milliseconds
+            await asyncio.sleep(0)  # yield between routers: a list of many caches takes milliseconds to apply
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             while not all(router.connected for router in started):
                 await asyncio.sleep(POLL_INTERVAL_S)
         gc.collect()
-        gc.freeze()  # as a router process does once it serves
+        gc.freeze()  # as a router process does when it starts serving
 
     def _build_router(self, place: Place, applied: RouterTally) -> RunningRouter:
         def purged(purges: Sequence[PurgeReceived]) -> None:
@@ -100,14 +101,14 @@
         return RunningRouter(router, applied, _feed(router, place))
 
     async def crash(self, names: Sequence[str]) -> None:
-        """End these routers, all at once."""
+        """Crash these routers, all at once."""
         gone = [self._running.pop(name) for name in names if name in self._running]
         self._out_of_order += sum(live.tally.out_of_order for live in gone)
         self._applied_without_lease += [each for live in gone for each in live.tally.applied_without_lease]
         await asyncio.gather(*(live.router.crash() for live in gone))
 
     async def _watch_leases(self) -> None:
-        """Record which routers hold no lease."""
+        """Record periodically which routers hold a lease."""
         while True:
             now_s = time.monotonic()
             for live in self._running.values():
@@ -116,14 +117,15 @@
             await asyncio.sleep(LEASE_POLL_INTERVAL_S)
 
     def lagging_count(self, purges: int, version: int, names: Sequence[str]) -> int:
-        """How many live routers lack a purge, or have a lower version in force."""
+        """Count the live routers that lack one of the first ``purges`` purges or have a version below
+        ``version`` in force; only those in ``names``, unless it is empty."""
         chosen = [live for name, live in self._running.items() if not names or name in names]
         return sum(live.tally.missing_count(purges) > 0 or live.tally.version < version for live in chosen)
 
     def report(self, purges: int) -> WorkerReport:
         """What all routers of this process have applied."""
         lost = {name: live.tally.missing_count(purges) for name, live in self._running.items()}
-        missing = bytearray(purges)  # 1 for each purge that some live router lacks
+        missing = bytearray(purges)  # by purge index: 1 where some live router lacks the purge
         for live in self._running.values():
             live.tally.mark_missing(missing)
         out_of_order = sum(live.tally.out_of_order for live in self._running.values())
@@ -144,7 +146,7 @@
 
 
 def _feed(router: HollowRouter, place: Place) -> Feed:
-    """What the router is fed by, as its place says."""
+    """The feed of a router: relays where its place names some, otherwise change log and control service."""
     if place.relays:
         relays = [RelayAddress(each.name, each.region, f"{LOOPBACK}:{each.port}") for each in place.relays]
         return RelayFeed(router, relays, place.region)
@@ -153,7 +155,7 @@
 
 
 async def run() -> None:
-    """The process: hollow routers, started and crashed by order."""
+    """Run the process: hollow routers, started and crashed on request."""
     worker: Worker | None = None
     sys.setswitchinterval(THREAD_SWITCH_INTERVAL_S)
 
@@ -179,6 +181,6 @@
             case WorkerReportRequest(purges=purges):
                 return worker.report(purges)
             case other:
-                raise RuntimeError(f"a worker knows no {other.kind!r}")
+                raise RuntimeError(f"a worker cannot handle a message of kind {other.kind!r}")
 
     await child.serve(handle)
--- a/tests/scale/test_tally.py
+++ b/tests/scale/test_tally.py
@@ -1,4 +1,4 @@
-"""What routers applied: losses and order, and the figures and rules that follow."""
+"""The record of applied purges and versions: losses, order, and the figures and rules computed from it."""
 
 from __future__ import annotations
 
