--- a/magpieshift/lab/scale/changelog.py
+++ b/magpieshift/lab/scale/changelog.py
@@ -1,7 +1,7 @@
-"""The change log of a run, as a process of its own: events by server-sent events to many watches.
+"""The change log of a run, in a separate process: sends its events to many watches as server-sent events.
 
-Each event is encoded once. A watch that does not read holds up only itself: nothing is queued for it beyond
-its transport's buffer, and it gets the rest from the log once it reads again.
+Each event is encoded once. A watch whose client does not read delays no other: nothing is queued for it
+beyond its transport's buffer, and it receives the remaining events from the log once the client reads again.
 """
 
 from __future__ import annotations
@@ -28,23 +28,23 @@
 )
 from magpieshift.lab.scale.tally import object_of
 
-HEARTBEAT_INTERVAL_S = 1.0  # as the platform's change log sends them
+HEARTBEAT_INTERVAL_S = 1.0  # same as the platform's change log
 HEARTBEAT = b": alive\n\n"
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
 LAST_EVENT_ID = re.compile(rb"^last-event-id:\s*(\d+)\s*$", re.I | re.M)
-MAX_EVENTS_PER_WRITE = 4096  # so that a watch far behind does not take the loop for long
-MAX_REQUEST_HEAD_BYTES = 8192  # bytes of a request
+MAX_EVENTS_PER_WRITE = 4096  # limits how long a watch that is far behind blocks the event loop
+MAX_REQUEST_HEAD_BYTES = 8192  # a connection with a longer request head is reset
 
 
 class Watch(asyncio.Protocol):
-    """One connection of a router."""
+    """One connection on which a client follows the change log."""
 
     def __init__(self, changes: ChangeLogServer) -> None:
         self._changes = changes
         self._head = b""
         self._transport: asyncio.Transport | None = None
         self._writable = False
-        self._next_event = 0  # of the events, from 0
+        self._next_event = 0  # index into the server's events
         self.bytes_written = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -54,13 +54,14 @@
         self._changes.watches.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Take this watch out of the server, and keep its byte count."""
+        """Remove this watch from the server, which keeps its byte count."""
         self._changes.watches.discard(self)
         self._changes.watch_closed(self)
         self._writable = False
 
     def data_received(self, data: bytes) -> None:
-        """Collect the request's head; once it is complete, answer and start sending events."""
+        """Collect the request head; once it is complete, send the response head and the events after the
+        ``Last-Event-ID``."""
         if self._writable or self._transport is None:
             return
         self._head += data
@@ -79,12 +80,12 @@
         self._writable = False
 
     def resume_writing(self) -> None:
-        """Go on sending after a pause."""
+        """Resume sending after a pause."""
         self._writable = True
         self.catch_up()
 
     def catch_up(self) -> None:
-        """Write what this watch has not had, as long as it reads."""
+        """Write the events that this watch has not been sent yet, until the transport's buffer is full."""
         events = self._changes.events
         while self._writable and self._next_event < len(events):
             part = events[self._next_event : self._next_event + MAX_EVENTS_PER_WRITE]
@@ -92,7 +93,7 @@
             self._write(b"".join(part))
 
     def send_heartbeat(self) -> None:
-        """Write a comment, which proves that the log is alive."""
+        """Write a comment line, which shows the client that the change log is alive."""
         if self._writable:
             self._write(HEARTBEAT)
 
@@ -113,7 +114,7 @@
     def __init__(self, caches: int) -> None:
         self.events: list[bytes] = []
         self.watches: set[Watch] = set()
-        self.accepted: list[float] = []  # when each purge was, by the monotonic clock
+        self.accepted: list[float] = []  # acceptance time of each purge, on the monotonic clock
         self.port = 0
         self._list = CacheList(caches)
         self._server: asyncio.Server | None = None
@@ -124,7 +125,7 @@
         self._append(self._list.complete_event())
 
     async def start(self, port: int = 0) -> None:
-        """Listen; port 0 picks a free one."""
+        """Start listening; port 0 picks a free port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: Watch(self), "127.0.0.1", port, backlog=4096, reuse_address=True
@@ -149,7 +150,8 @@
                 task.cancel()
 
     def pause(self, seconds: float) -> None:
-        """Close the port for so many seconds, then listen on it again; events are accepted meanwhile."""
+        """Reset all watches and close the port, and listen on it again after ``seconds``. Events are still
+        accepted meanwhile."""
         self.stop()
         self._return_task = asyncio.ensure_future(self._return_after(seconds))
 
@@ -158,7 +160,8 @@
         await self.start(self.port)
 
     def purge(self, count: int, made_over_s: float) -> None:
-        """Accept purges of new objects, made evenly over the time up to now."""
+        """Accept ``count`` purges of new objects, with creation times spread evenly over the last
+        ``made_over_s`` seconds."""
         now_s = time.monotonic()
         now_ms = time.time() * 1000
         for number in range(count):
@@ -187,7 +190,7 @@
         )
 
     def watch_closed(self, watch: Watch) -> None:
-        """Add the byte count of a watch that has ended to the total."""
+        """Add the byte count of a closed watch to the total."""
         self._closed_watch_bytes += watch.bytes_written
 
     def _append(self, event: dict[str, Any]) -> None:
@@ -211,7 +214,7 @@
 
 
 async def run() -> None:
-    """The process: a change log that is driven by messages."""
+    """Run the process: a change log that is driven by messages."""
     server: ChangeLogServer | None = None
 
     async def handle(message: Message) -> Message | None:
@@ -234,7 +237,7 @@
             case LogReportRequest():
                 return server.report()
             case other:
-                raise RuntimeError(f"a change log knows no {other.kind!r}")
+                raise RuntimeError(f"the change log cannot handle a message of kind {other.kind!r}")
         return None
 
     await child.serve(handle)
--- a/magpieshift/lab/scale/fleet.py
+++ b/magpieshift/lab/scale/fleet.py
@@ -1,4 +1,5 @@
-"""The processes of a run, and the routers in them: which are running, where, and by which network path."""
+"""The processes of a run and the routers in them: which routers are live, their worker processes and their
+network paths."""
 
 from __future__ import annotations
 
@@ -18,18 +19,18 @@
 from magpieshift.lab.scale.tier import LOG, Tier
 from magpieshift.lab.scale.topology import Place, Topology
 
-MAX_NETWORKS = 3  # processes
-ROUTERS_PER_NETWORK = 60  # beyond it a further network process is started
+MAX_NETWORKS = 3  # network processes
+ROUTERS_PER_NETWORK = 60  # routers on networked paths per network process, up to MAX_NETWORKS
 LIST_CHANGES_PER_CACHE = 3  # draining, deleted, serving again
 
 
 @dataclass(frozen=True)
 class Size:
-    """How many processes of hollow routers and how many caches a fleet has."""
+    """The numbers of worker processes and of listed caches."""
 
     workers: int
     caches: int
-    drop_every: int = 0  # a planted fault, for tests
+    drop_every: int = 0  # injected fault for tests: routers drop every such purge; 0: none
 
 
 class Fleet:
@@ -41,16 +42,16 @@
         self.tier = tier
         self.places: Mapping[str, Place] = {place.name: place for place in topology.places}
         self.paths: dict[str, str] = {place.name: place.zone for place in topology.places}
-        self.region_internal_paths: set[str] = set()  # paths whose cuts leave what is in the same region
+        self.region_internal_paths: set[str] = set()  # paths whose cuts spare connections in a region
         self.live: set[str] = set()
         self.workers: list[Child] = []
         self.networks: list[Child] = []
-        self._network_of: dict[str, Child] = {}  # by path; the others go straight to control
+        self._network_of: dict[str, Child] = {}  # by path; other paths connect to control directly
         self.published: list[Published] = []
         self.purges = 0
         self.list_changes = 0
         self._log: Child | None = None
-        self._publishing = asyncio.Lock()  # one version after the other
+        self._publishing = asyncio.Lock()  # versions are published one at a time
         self.settings: dict[str, Any] = {}
         self._counter: StreamByteCounter | None = None
         self._first_mb = 0.0
@@ -58,7 +59,8 @@
     # --- start and stop
 
     async def open(self, networked: Collection[str] = ()) -> None:
-        """Start all processes, without a router; the paths that are named lead through a network."""
+        """Start all processes, without any routers. The paths in ``networked`` lead through a network
+        process."""
         self._log = await Child.start("change log", "log", m.StartLog(caches=self._size.caches))
         self.settings = base_settings(len(self.places), self.log.ports[LOG], self.topology.zone_sizes())
         await self.tier.open(self.log)
@@ -67,7 +69,7 @@
         self._counter = StreamByteCounter(self.tier.router_ports) if StreamByteCounter.available() else None
 
     async def _start_networks(self, paths: Sequence[str]) -> None:
-        """Share the paths out among as many processes as their routers need."""
+        """Start network processes, as many as the routers on these paths need, and distribute the paths."""
         routers = sum(path in paths for path in self.paths.values())
         count = min(MAX_NETWORKS, len(paths), 1 + routers // ROUTERS_PER_NETWORK)
         for number in range(count):
@@ -87,7 +89,7 @@
         self._first_mb = sum(worker.memory_mb() for worker in self.workers)
 
     async def close(self) -> None:
-        """End all processes."""
+        """Stop all processes."""
         every = [*self.workers, *self.networks, self._log]
         await asyncio.gather(*(child.stop() for child in every if child is not None), self.tier.close())
 
@@ -99,7 +101,7 @@
 
     @property
     def processes(self) -> int:
-        """How many processes there are, emulated ones included."""
+        """The number of processes, including those of change log, tier and networks."""
         return len(self.workers) + len(self.networks) + 1 + self.tier.processes
 
     # --- routers
@@ -112,7 +114,7 @@
         return [(worker, part) for worker, part in zip(self.workers, parts, strict=True) if part]
 
     def reach(self, path: str, target: str) -> int:
-        """The port at which those on a path reach a target of the tier."""
+        """The port on which the routers on a path connect to a target of the tier."""
         if (network := self._network_of.get(path)) is not None:
             return network.ports[port_name(path, target)]
         return self.tier.targets[target]
@@ -124,7 +126,8 @@
         )
 
     async def start_routers(self, names: Collection[str]) -> None:
-        """Start these, which know what the change log has sent so far; returns once they are connected."""
+        """Start these routers, with the change log's current state taken as received; returns once they are
+        connected."""
         head = await self.log.request(m.HeadRequest(), m.Head)
         version = self.published[-1].number if self.published else 0
         orders = [
@@ -135,21 +138,22 @@
         self.live |= set(names)
 
     async def crash_routers(self, names: Collection[str]) -> None:
-        """These are gone, all at once."""
+        """Crash these routers, all at once."""
         self.live -= set(names)
         orders = [(worker, m.CrashRouters(names=part)) for worker, part in self._by_worker(names)]
         await asyncio.gather(*(worker.request(order, m.Done) for worker, order in orders))
 
     async def all_follow(self) -> bool:
-        """Whether all running routers receive versions."""
+        """Whether all live routers are subscribed to versions."""
         return await self.tier.follow_all(len(self.live))
 
     async def digested(self, without: Collection[str]) -> bool:
-        """Whether the tier has all that the change log has accepted, outside these zones."""
+        """Whether all processes of the tier outside these zones have received all events accepted so far."""
         return await self.tier.digested((await self.log.request(m.HeadRequest(), m.Head)).sequence, without)
 
     async def lagging_count(self, names: Sequence[str] = ()) -> int:
-        """How many live routers (of these) lack a purge or the newest version."""
+        """The number of live routers that lack a purge or the newest version; only those in ``names``, unless
+        it is empty."""
         newest = self.published[-1].number if self.published else 0
         request = m.LaggingCountRequest(purges=self.purges, version=newest, names=list(names))
         counts = await asyncio.gather(*(worker.request(request, m.Count) for worker in self.workers))
@@ -158,24 +162,26 @@
     # --- the load
 
     async def purge(self, count: int, made_over_s: float = 0.0) -> None:
-        """Have the change log accept so many purges."""
+        """Have the change log accept ``count`` purges, with creation times spread over ``made_over_s``."""
         if count:
             self.purges += count
             await self.log.send(m.AcceptPurges(count=count, made_over_s=made_over_s))
 
     async def report_accepted_purges(self) -> None:
-        """Report to all routers' processes that the purges accepted so far were all made by now."""
+        """Tell all workers that the purges accepted so far were made no later than now."""
         order = m.PurgesAcceptedBy(purges=self.purges, at_s=time.monotonic())
         await asyncio.gather(*(worker.request(order, m.Done) for worker in self.workers))
 
     async def change_list(self) -> None:
-        """Move a cache to its next state: draining, deleted, or serving again."""
+        """Move a cache to its next phase: draining, deleted, or serving again. One cache goes through all
+        three before the next one starts."""
         place = self.list_changes // LIST_CHANGES_PER_CACHE
         self.list_changes += 1
         await self.log.send(m.ChangeEndpointList(place=place))
 
     async def publish(self, reachable: frozenset[str] | None) -> None:
-        """Publish the next version, as soon as the control service can be reached."""
+        """Publish the next version, as soon as control accepts it. ``reachable`` are the paths on which
+        routers can receive it; None: all."""
         async with self._publishing:
             number = len(self.published) + 1
             at_s = await self.tier.publish(number, version_text(self.settings, number))
@@ -184,36 +190,37 @@
     # --- the network
 
     async def put_fault(self, fault: m.InjectFault) -> None:
-        """Put a fault on paths that lead through a network."""
+        """Inject a fault into paths that lead through a network process."""
         await asyncio.gather(*(network.request(fault, m.Done) for network in self.networks))
 
     async def heal_fault(self, why: str) -> None:
-        """Remove the fault with this name from all networks."""
+        """Remove the fault with this name from all network processes."""
         await asyncio.gather(*(network.request(m.HealFault(why=why), m.Done) for network in self.networks))
 
     # --- costs and reports
 
     def control_cpu_s(self) -> dict[str, float]:
-        """Processor time of each process of control so far."""
+        """CPU seconds of each control process so far, the change log included."""
         return {"change log": self.log.cpu_s()} | self.tier.cpu_s()
 
     def network_cpu_s(self) -> float:
-        """Processor time of the networks so far."""
+        """CPU seconds of all network processes so far."""
         return sum(network.cpu_s() for network in self.networks)
 
     async def stream_bytes(self) -> int | None:
-        """Payload of all streams between routers and control so far."""
+        """TCP payload of all streams between routers and control so far; None where ``ss`` is missing."""
         return await self._counter.read() if self._counter is not None else None
 
     def counter_of(self, paths: Collection[str]) -> StreamByteCounter | None:
-        """A counter of the streams of some paths alone; None where that cannot be had."""
+        """A counter of the streams on these paths only; None where ``ss`` is missing, or where not all of
+        them lead through a network process."""
         if self._counter is None or not set(paths) <= set(self._network_of):
             return None
         return StreamByteCounter([self.reach(path, target) for path in paths for target in self.tier.targets])
 
     @property
     def mb_per_router(self) -> float | None:
-        """What the routers' processes have grown by since they were ready, for each live router."""
+        """The growth of the workers' resident memory since they were ready, in MB per live router."""
         if not self.live:
             return None
         grown_mb = sum(worker.memory_mb() for worker in self.workers) - self._first_mb
--- a/magpieshift/lab/scale/relays.py
+++ b/magpieshift/lab/scale/relays.py
@@ -1,4 +1,4 @@
-"""The fan-out tier of a run: a source, and relays in every region, each a process of its own."""
+"""The fan-out tier of a run: a source, and relays in every region, each in a separate process."""
 
 from __future__ import annotations
 
@@ -22,41 +22,40 @@
 
 SOURCE = "source"
 LOOPBACK = "127.0.0.1"
-RELAYS_PER_REGION = 2  # so that a region outlives the loss of one
-FIXED_PORT_RANGE = range(
-    20_000, 32_000
-)  # below those that the system gives to connections (ip_local_port_range)
+RELAYS_PER_REGION = 2  # a region keeps its feed when one relay is lost
+FIXED_PORT_RANGE = range(20_000, 32_000)  # below the kernel's ephemeral ports (ip_local_port_range)
 
 
 def fixed_ports(count: int) -> list[int]:
-    """Free ports of loopback, outside the range from which the kernel numbers connections."""
+    """Free loopback ports below the ephemeral range, so that no outgoing connection takes the port of a relay
+    while it is down."""
     found: list[int] = []
     for port in random.sample(FIXED_PORT_RANGE, len(FIXED_PORT_RANGE)):
         with contextlib.suppress(OSError), socket.create_server((LOOPBACK, port)):
             found.append(port)
         if len(found) == count:
             return found
-    raise OSError(f"{count} ports wanted, {len(found)} are free")
+    raise OSError(f"free ports from 20000 to 31999: found {len(found)}, expected {count}")
 
 
 @dataclass
 class RelayMachine:
-    """A relay: where it stands, and its process while it runs."""
+    """A relay: its location, its port, and its process while it runs."""
 
     name: str
     region: str
     zone: str
     port: int
     child: Child | None = None
-    killed_cpu_s: float = 0.0  # processor time of its processes that were killed
+    killed_cpu_s: float = 0.0  # CPU seconds of its killed processes
 
     def cpu_s(self) -> float:
-        """Processor seconds of this relay so far, killed processes included."""
+        """CPU seconds of this relay so far, including killed processes."""
         return self.killed_cpu_s + (self.child.cpu_s() if self.child is not None else 0.0)
 
 
 def relay_machines(topology: Topology) -> list[RelayMachine]:
-    """The relays: in each region that has routers, by turns in its zones."""
+    """The relays of all regions that have routers; those of a region are spread over its zones in turn."""
     found = []
     regions = sorted({place.region for place in topology.places})
     ports = iter(fixed_ports(RELAYS_PER_REGION * len(regions)))
@@ -69,7 +68,7 @@
 
 
 class RelayTier:
-    """Owner of the source, of all relays, and of the folder of versions."""
+    """The fan-out tier: owner of the source, of all relays, and of the folder of version files."""
 
     def __init__(self, topology: Topology) -> None:
         self._machines = {machine.name: machine for machine in relay_machines(topology)}
@@ -81,18 +80,18 @@
         self._reach: PortLookup = lambda path, target: self.targets[target]
 
     async def open(self, log: Child) -> None:
-        """Start the source beside the change log."""
+        """Start the source, which connects to the change log directly."""
         self._log = log
         start = m.StartSource(log_port=log.ports[LOG], versions=self._folder.name)
         self._source = await Child.start(SOURCE, "node", start)
 
     async def start_remaining(self, reach: PortLookup) -> None:
-        """Start all relays; each follows the source by the path of its zone."""
+        """Start all relays; each connects to the source by the network path of its zone."""
         self._reach = reach
         await asyncio.gather(*map(self._start, self._machines.values()))
 
     async def close(self) -> None:
-        """End the source and all relays, and remove the folder of versions."""
+        """Stop the source and all relays, and remove the folder of version files."""
         children = [self._source, *(machine.child for machine in self._machines.values())]
         await asyncio.gather(*(child.stop() for child in children if child is not None))
         self._folder.cleanup()
@@ -125,12 +124,12 @@
 
     @property
     def processes(self) -> int:
-        """The source and all relays."""
+        """The number of processes: the source and all relays."""
         return 1 + len(self._machines)
 
     def address_router(self, place: Place, path: str, reach: PortLookup, inside: bool) -> m.Place:
-        """A router with all relays; inside its region they are reached without a network where a cut leaves
-        the region whole."""
+        """The ports of all relays, on the router's network path. If ``inside`` is set, the router connects
+        directly to the relays of its region, as a cut of the path does not affect them."""
         assert self._log is not None
         relays = [
             m.RelayPlace(
@@ -147,42 +146,45 @@
         )
 
     async def publish(self, number: int, text: str) -> float:
-        """Write the version to the source's folder; when that was, by the monotonic clock."""
+        """Write the version to the source's folder; returns the time of it on the monotonic clock."""
         path = Path(self._folder.name) / f"{number}.sexp"
         part = path.with_suffix(".part")
         part.write_text(text, encoding="utf-8")
         at_s = time.monotonic()
-        part.rename(path)  # the source must not read half of it
+        part.rename(path)  # atomic, so that the source never reads a partly written file
         return at_s
 
     async def follow_all(self, routers: int) -> bool:
-        """A router that has caught up has its place, and versions come to it there."""
+        """Always true: a router counts as connected once it has caught up with its relay, which also delivers
+        versions."""
         return True
 
     async def digested(self, events: int, without: Collection[str]) -> bool:
-        """Whether the source and all relays outside these zones have so many events."""
+        """Whether the source and all relays outside these zones have received the first ``events`` events of
+        the change log."""
         ports = [m.port for m in self._machines.values() if m.zone not in without]
         requests = (status.fetch_status(f"{LOOPBACK}:{port}") for port in [self.source.ports["node"], *ports])
         try:
             reports = await asyncio.gather(*requests)
-        except RelayUnreachableError:  # it is too busy to answer
+        except RelayUnreachableError:  # a node that is busy with many events does not answer in time
             return False
         return all(report.head >= events for report in reports)
 
     @property
     def forgets_after_s(self) -> float:
-        """How long relays retain a purge."""
+        """How long relays retain a purge, in seconds."""
         return PURGE_RETENTION_US / 1e6
 
     async def interrupt(self, machines: int, seconds: float) -> None:
-        """So many relays of the largest region are killed, and started again at their ports."""
+        """Kill this many relays of the largest region, and start them again on the same ports after
+        ``seconds``."""
         lost = [machine for machine in self._machines.values() if machine.region == self._largest][:machines]
         await asyncio.gather(*map(self._kill, lost))
         await asyncio.sleep(seconds)
         await asyncio.gather(*map(self._start, lost))
 
     async def lose_zone(self, zone: str) -> None:
-        """Kill the relays of this zone; they are not started again."""
+        """Kill the relays of this zone, without starting them again."""
         lost = [machine for machine in self._machines.values() if machine.zone == zone]
         await asyncio.gather(*map(self._kill, lost))
 
@@ -194,6 +196,6 @@
             machine.killed_cpu_s += child.cpu_s()
 
     def cpu_s(self) -> dict[str, float]:
-        """Processor seconds so far, by process."""
+        """CPU seconds so far, by process, including killed processes."""
         relays = {machine.name: machine.cpu_s() for machine in self._machines.values()}
         return {SOURCE: self.source.cpu_s()} | relays
--- a/magpieshift/lab/scale/tier.py
+++ b/magpieshift/lab/scale/tier.py
@@ -1,4 +1,4 @@
-"""What stands between the change log and the routers of a run, and how versions come to them."""
+"""The processes between the change log and the routers of a run, and the way versions reach the routers."""
 
 from __future__ import annotations
 
@@ -14,18 +14,19 @@
 CONTROL = "control"
 
 PortLookup = Callable[[str, str], int]
-"""The port at which those on a path reach a target by its name, through a network or straight."""
+"""Returns the port on which the routers on a path connect to a named target, through a network process or
+directly."""
 
 
 class Tier(Protocol):
-    """Owner of the processes of control, except the change log."""
+    """Owner of all control processes except the change log."""
 
     async def open(self, log: Child) -> None:
-        """Start what connects to the change log, and learn all ports."""
+        """Start the processes that connect to the change log; afterwards all ports are known."""
         ...
 
     async def start_remaining(self, reach: PortLookup) -> None:
-        """Start the rest, once the network is there."""
+        """Start the remaining processes, once the network processes are running."""
         ...
 
     async def close(self) -> None:
@@ -34,12 +35,12 @@
 
     @property
     def targets(self) -> Mapping[str, int]:
-        """The ports that networks carry streams to, by name."""
+        """The ports that network processes forward streams to, by name."""
         ...
 
     @property
     def router_ports(self) -> list[int]:
-        """The ports at which routers are served."""
+        """The ports that accept connections from routers."""
         ...
 
     @property
@@ -48,48 +49,51 @@
         ...
 
     def address_router(self, place: Place, path: str, reach: PortLookup, inside: bool) -> m.Place:
-        """The ports by which a router is fed; ``inside``: a cut of its path leaves what is in its region."""
+        """The ports that a router connects to. ``inside``: a cut of its path does not affect connections
+        within its region."""
         ...
 
     async def publish(self, number: int, text: str) -> float:
-        """Publish a version, once that can be; when it was taken in, by the monotonic clock."""
+        """Publish a version, after any outage in progress; returns the time at which it was accepted, on the
+        monotonic clock."""
         ...
 
     async def follow_all(self, routers: int) -> bool:
-        """Whether so many routers receive versions."""
+        """Whether at least this many routers are subscribed to versions."""
         ...
 
     async def digested(self, events: int, without: Collection[str]) -> bool:
-        """Whether so many events of the change log have come to all who stand outside these zones."""
+        """Whether all processes of the tier outside these zones have received the first ``events`` events of
+        the change log."""
         ...
 
     @property
     def forgets_after_s(self) -> float:
-        """How long a purge is retained after its arrival, in seconds: a simulated hour is over once those
-        that came in it have expired."""
+        """How long the tier retains a purge after its arrival, in seconds. A simulated hour has ended once
+        the purges that arrived in it have expired."""
         ...
 
     async def interrupt(self, machines: int, seconds: float) -> None:
-        """So many machines are gone for so long."""
+        """Take this many control machines down for ``seconds``."""
         ...
 
     async def lose_zone(self, zone: str) -> None:
-        """What stands in this zone is gone."""
+        """Take down, for the rest of the run, the processes of the tier that are in this zone."""
         ...
 
     def cpu_s(self) -> dict[str, float]:
-        """Processor time so far, by process."""
+        """CPU seconds so far, by process."""
         ...
 
 
 class DirectTier:
-    """Nothing between: routers follow the change log itself, and one control service."""
+    """No fan-out tier: routers connect to the change log itself, and to one control service."""
 
     def __init__(self) -> None:
         self._log: Child | None = None
         self._control: Child | None = None
-        self._control_lock = asyncio.Lock()  # held while the control service is away
-        self._killed_cpu_s = 0.0  # processor time of those that were killed
+        self._control_lock = asyncio.Lock()  # held while the control service is down
+        self._killed_cpu_s = 0.0  # CPU seconds of killed control services
         self._newest: m.Publish | None = None
 
     async def open(self, log: Child) -> None:
@@ -98,10 +102,10 @@
         self._control = await Child.start("control service", "control", m.StartControl())
 
     async def start_remaining(self, reach: PortLookup) -> None:
-        """Nothing more is to be started."""
+        """Does nothing: ``open`` starts the only process."""
 
     async def close(self) -> None:
-        """End the control service."""
+        """Stop the control service."""
         if self._control is not None:
             await self._control.stop()
 
@@ -124,45 +128,45 @@
 
     @property
     def router_ports(self) -> list[int]:
-        """The same ports: routers connect to both."""
+        """The ports of the change log and of the control service, as routers connect to both."""
         return list(self.targets.values())
 
     @property
     def processes(self) -> int:
-        """The control service alone."""
+        """One: the control service."""
         return 1
 
     def address_router(self, place: Place, path: str, reach: PortLookup, inside: bool) -> m.Place:
-        """A router that connects to both by its network path."""
+        """The ports of change log and control service on the router's network path."""
         return m.Place(
             name=place.name, path=path, log_port=reach(path, LOG), control_port=reach(path, CONTROL)
         )
 
     async def publish(self, number: int, text: str) -> float:
-        """Publish by the control service, after any outage of it."""
+        """Publish through the control service, after any outage of it."""
         async with self._control_lock:
             self._newest = m.Publish(number=number, text=text)
             return (await self.control.request(self._newest, m.PublishedAt)).at_s
 
     async def follow_all(self, routers: int) -> bool:
-        """Whether so many routers are connected to the control service."""
+        """Whether at least this many routers are connected to the control service."""
         return await self.followers() >= routers
 
     async def digested(self, events: int, without: Collection[str]) -> bool:
-        """There is no tier between."""
+        """Always true: there are no processes between the change log and the routers."""
         return True
 
     @property
     def forgets_after_s(self) -> float:
-        """Only the change log retains purges, and it retains all."""
+        """Zero: only the change log retains purges, and it retains all of them."""
         return 0.0
 
     async def followers(self) -> int:
-        """How many routers are connected to the control service."""
+        """The number of routers connected to the control service."""
         return (await self.control.request(m.FollowerCountRequest(), m.Count)).count
 
     async def interrupt(self, machines: int, seconds: float) -> None:
-        """The change log cannot be reached; with two machines the control service is killed besides."""
+        """Make the change log unreachable; with two machines, also kill the control service."""
         lost = [self._lose_log(seconds), self._lose_control(seconds)]
         for beyond in lost[machines:]:
             beyond.close()
@@ -173,7 +177,7 @@
         await asyncio.sleep(seconds)
 
     async def _lose_control(self, seconds: float) -> None:
-        """Another service starts at its port, and knows the newest version alone."""
+        """Kill the control service, then start another on its port that has only the newest version."""
         async with self._control_lock:
             port = self.control.ports[CONTROL]
             await self.control.kill()
@@ -184,8 +188,8 @@
                 await self.control.request(self._newest, m.PublishedAt)
 
     async def lose_zone(self, zone: str) -> None:
-        """Nothing stands in a zone."""
+        """Does nothing: the control service belongs to no zone."""
 
     def cpu_s(self) -> dict[str, float]:
-        """Processor seconds of the control service so far, killed processes included."""
+        """CPU seconds of the control service so far, including killed processes."""
         return {"control service": self.control.cpu_s() + self._killed_cpu_s}
