--- a/magpieshift/lab/scale/__init__.py
+++ b/magpieshift/lab/scale/__init__.py
@@ -1,1 +1,2 @@
-"""The laboratory of scale: hollow routers, their control, and a load at the rates of a large fleet."""
+"""The scale laboratory: hollow routers, the control processes that feed them, and a load at the rates of a
+large fleet."""
--- a/magpieshift/lab/scale/calibration.py
+++ b/magpieshift/lab/scale/calibration.py
@@ -1,12 +1,13 @@
-"""Hollow routers held against real ones: the same control load on ``magpieshift run`` processes, on hollow
-routers in one process together, and on hollow routers in a process each, by turns; what each costs, and the
-ratios.
+"""Compares the cost of hollow routers with that of real ones: the same control load runs in turn on
+``magpieshift run`` processes, on hollow routers that share one process, and on hollow routers with a process
+each. The result is the cost of each kind, and the ratios.
 
-Hollow routers that share a process share its wake-ups: a purge comes to all their sockets at once. Those that
-stand apart show what a hollow router lacks; those together, what sharing saves besides.
+Hollow routers that share a process share its wake-ups, as a purge arrives on all their sockets at once.
+Hollow routers with a process each show what a hollow router lacks compared with a real one; those that share
+a process show the additional saving of sharing.
 
-Memory is compared by increments: what a process has grown by, for each router, beyond one of its kind that
-has loaded its modules and holds no router.
+Memory is compared by increments: the memory per router beyond that of a process of the same kind that has
+loaded its modules and holds no router.
 """
 
 from __future__ import annotations
@@ -32,12 +33,12 @@
 from magpieshift.lab.scale.tier import CONTROL, DirectTier
 from magpieshift.lab.scale.topology import Topology, generate
 
-ROUTER_COUNTS = (1, 4, 10)  # real processes that one machine runs beside each other
-MAX_RATIO_DEVIATION = 0.2  # a larger difference must be explained
-START_TIMEOUT_S = 30.0  # for all router processes to follow
-POLL_INTERVAL_S = 0.1  # while waiting for them
-IDLE_BEFORE_LOAD_S = 1.0  # after the start, before the load
-STOP_TIMEOUT_S = 8.0  # for a router process to exit by itself; then it is killed
+ROUTER_COUNTS = (1, 4, 10)  # numbers of real router processes that one machine can run side by side
+MAX_RATIO_DEVIATION = 0.2  # deviation of a ratio from 1; a larger one is listed and must be explained
+START_TIMEOUT_S = 30.0  # for all router processes to follow the change log and the control service
+POLL_INTERVAL_S = 0.1  # between checks whether they follow
+IDLE_BEFORE_LOAD_S = 1.0  # pause between the start of the routers and the load
+STOP_TIMEOUT_S = 8.0  # for a router process to exit after SIGTERM, before it is killed
 MODULES = (
     "magpieshift.cli.main",
     "structlog",
@@ -49,20 +50,20 @@
 
 
 class Kind(Enum):
-    """What is measured."""
+    """The kind of router whose cost is measured."""
 
     REAL = "real"
-    TOGETHER = "together"  # hollow, in one process
-    APART = "apart"  # hollow, a process each
+    TOGETHER = "together"  # hollow routers that share one process
+    APART = "apart"  # hollow routers with a process each
 
     def workers(self, routers: int) -> int:
-        """Processes of hollow routers."""
+        """The number of worker processes for this many routers; real routers need none."""
         return {Kind.REAL: 0, Kind.TOGETHER: 1, Kind.APART: routers}[self]
 
 
 @dataclass(frozen=True)
 class Calibration:
-    """What is to be measured."""
+    """The parameters of a calibration; ``sizes`` are the numbers of routers to measure."""
 
     runs: int = 3
     seed: int = 1
@@ -73,7 +74,8 @@
 
 @dataclass(frozen=True)
 class Cost:
-    """What one router costs: percent of a core, bytes a second (None: unknown), MB of increment."""
+    """The cost of one router: percent of a core, bytes per second (None: unknown), and increment of resident
+    memory in MB."""
 
     cpu_percent: float
     bytes_s: float | None
@@ -91,7 +93,7 @@
         self._processes: list[asyncio.subprocess.Process] = []
 
     async def start(self) -> None:
-        """Start them all; returns once all follow."""
+        """Start all router processes; returns once all follow the change log and the control service."""
         path = self._folder / "settings.sexp"
         path.write_text(sexp.format_document(self._fleet.settings), encoding="utf-8")
         control = f"127.0.0.1:{self._tier.control.ports[CONTROL]}"
@@ -124,16 +126,18 @@
 
     async def _all_follow(self) -> bool:
         if any(process.returncode is not None for process in self._processes):
-            raise ProcessExitedError("a router process has ended at its start")
+            raise ProcessExitedError(
+                "a router process exited before it followed change log and control service"
+            )
         watches = (await self._fleet.log_report()).watches
         return watches == self._count and await self._tier.followers() == self._count
 
     def cpu_s(self) -> float:
-        """Processor seconds of all router processes so far."""
+        """CPU seconds of all router processes so far."""
         return sum(cpu_seconds(process.pid) for process in self._processes)
 
     def memory_mb(self) -> float:
-        """Resident memory of all router processes."""
+        """Resident memory of all router processes, in MB."""
         return sum(resident_mb(process.pid) for process in self._processes)
 
     async def close(self) -> None:
@@ -151,7 +155,7 @@
 
 
 async def bare_mb() -> float:
-    """Memory of a router process that has loaded its modules and built nothing."""
+    """Resident memory, in MB, of a Python process that has only imported the modules of a router."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-c", BARE_PROCESS_CODE, stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE
     )
@@ -166,7 +170,7 @@
 
 
 async def measure(plan: Calibration, routers: int, run: int, kind: Kind) -> Cost:
-    """One run of one kind: the cost of each of so many routers."""
+    """Measure one run of one kind with ``routers`` routers; returns the mean cost of one router."""
     tier = DirectTier()
     fleet = Fleet(Topology(generate(routers, plan.seed)), Size(kind.workers(routers), plan.caches), tier)
     real: RealRouters | None = None
@@ -207,8 +211,8 @@
 
 
 def compared(routers: int, costs: Mapping[Kind, Sequence[Cost]]) -> dict[str, Any]:
-    """A row: of each figure the mean of every kind, and for both kinds of hollow routers the ratio of the
-    means to real ones, with its lowest and highest over the turns."""
+    """A row of the result: for each figure the mean of every kind, and for both kinds of hollow routers the
+    ratio of the means to that of real routers, with the lowest and highest ratio of any run."""
     row: dict[str, Any] = {"routers": routers, "runs": len(costs[Kind.REAL])}
     for figure in FIGURES:
         by = {kind: [getattr(cost, figure) for cost in found] for kind, found in costs.items()}
@@ -236,7 +240,8 @@
 async def calibrate(
     plan: Calibration, report_progress: Callable[[str], None] = lambda line: None
 ) -> dict[str, Any]:
-    """All sizes, the kinds by turns: one row a size, every single cost, and what differs by over a fifth."""
+    """Measure all sizes, alternating between the kinds. Returns one row per size, the cost of every run, and
+    the ratios that deviate from 1 by more than ``MAX_RATIO_DEVIATION``."""
     rows = []
     costs = []
     differ = []
--- a/magpieshift/lab/scale/faults.py
+++ b/magpieshift/lab/scale/faults.py
@@ -1,4 +1,4 @@
-"""Fault injection: carries a scenario's events out on the fleet, and measures the recovery."""
+"""Fault injection: applies the events of a scenario to the fleet, and measures the recovery."""
 
 from __future__ import annotations
 
@@ -26,25 +26,25 @@
 OWN_PATHS = (SLOW_PATH, STALLED_PATH)
 DISTANCE_DELAY = "distance"
 REGION_PARTITION = "region away"
-POLL_INTERVAL_S = 0.1  # between looks at whether a wait is over; bounds the error of ``return_s``
-RESTART_DOWNTIME_S = 0.5  # for which a router that restarts is gone
-ROUTERS_PER_SLOW_ONE = 10  # the scenarios' "tenth of the routers"
-FOLLOW_TIMEOUT_S = 60.0  # for all routers to receive versions after their start
-DIGEST_TIMEOUT_S = 120.0  # for an hour's purges, which come to the control machines all at once
+POLL_INTERVAL_S = 0.1  # between checks of a condition that is waited for; bounds the error of ``return_s``
+RESTART_DOWNTIME_S = 0.5  # between a router's crash and its restart, for restarts of the load
+ROUTERS_PER_SLOW_ONE = 10  # scenarios that affect a tenth of the routers choose every tenth
+FOLLOW_TIMEOUT_S = 60.0  # for all routers to subscribe to versions after their start
+DIGEST_TIMEOUT_S = 120.0  # for the fan-out tier to receive an hour's purges, which are accepted all at once
 
 
 class Faults:
-    """The events of one scenario, on one fleet. Times are seconds of the load."""
+    """Applies the events of one scenario to one fleet. ``seconds`` is the duration of the load."""
 
     def __init__(self, fleet: Fleet, scenario: Scenario, seconds: float) -> None:
         self._fleet = fleet
         self._scenario = scenario
         self._seconds = seconds
-        self.first_purge = 0  # the first of the load
+        self.first_purge = 0  # index of the first purge of the load
         self.return_s: float | None = None
         self.return_bytes_per_router: float | None = None
         self._cut_paths: set[str] = set()
-        self._cut_paths_by_fault: dict[str, set[str]] = {}  # by the fault that cuts them
+        self._cut_paths_by_fault: dict[str, set[str]] = {}  # by name of the fault
         self._tasks: list[asyncio.Task[None]] = []
         self._region_partition = next(
             (event for event in scenario.events if isinstance(event, RegionPartition)), None
@@ -52,7 +52,8 @@
         self._choose_paths()
 
     def networked(self, all_paths: bool) -> set[str]:
-        """The paths that must lead through a network: all of them, or those that the scenario cuts."""
+        """The paths that must lead through a network process: all of them, or only those on which the
+        scenario injects faults."""
         paths = self._fleet.paths
         if all_paths or self._fleet.topology.cuts:
             return set(paths.values())
@@ -62,8 +63,9 @@
         return found
 
     def _choose_paths(self) -> None:
-        """Give what can be cut by itself a path of its own: racks that are, and every tenth router where
-        these are slow, by turns of either kind."""
+        """Assign a separate path to routers that are cut or slowed without the rest of their zone: each rack
+        that the topology cuts, and, in a scenario with slow readers, every tenth router, alternating between
+        the path of slow and that of stalled readers."""
         cuts = self._fleet.topology.cuts.values()
         if all(cut.region is not None for cut in cuts):
             self._fleet.region_internal_paths = set(self._fleet.topology.form.zones)
@@ -78,13 +80,13 @@
                 )
 
     def reachable_paths(self) -> frozenset[str] | None:
-        """The paths on which control can be reached now; None for all."""
+        """The paths on which control can be reached without a cut or a slow reader now; None: all paths."""
         if not self._cut_paths:
             return None
         return frozenset(self._fleet.paths.values()) - self._cut_paths
 
     def restart_one(self) -> None:
-        """A router restarts, the one whose name comes first in an order that is as good as random."""
+        """Restart the live router whose reversed name sorts first, which is as good as a random choice."""
         if self._fleet.live:
             name = min(self._fleet.live, key=lambda name: name[::-1])
             self._spawn(self._restart([name], RESTART_DOWNTIME_S))
@@ -93,7 +95,7 @@
         self._tasks.append(asyncio.ensure_future(doing))
 
     async def close(self) -> None:
-        """Cancel the running events; raises the error of any that failed."""
+        """Cancel the running events; raises the error of one that failed, if any."""
         for task in self._tasks:
             task.cancel()
         for found in await asyncio.gather(*self._tasks, return_exceptions=True):
@@ -103,7 +105,8 @@
     # --- before the load
 
     async def start_routers(self, purges_per_s: float) -> None:
-        """Start all routers, and bring about what holds when the load begins."""
+        """Start all routers, and establish the faults that are in force when the load begins: the delays by
+        distance, and a region partition with the purges accepted during it."""
         fleet = self._fleet
         if fleet.networks:
             delays = {fleet.paths[p.name]: fleet.topology.delay_ms(p.zone) for p in fleet.places.values()}
@@ -127,7 +130,8 @@
         self.first_purge = fleet.purges
 
     def _partitioned_routers(self) -> list[str]:
-        """The routers of the last region by name that control does not stand in."""
+        """The routers of the last region by name, leaving out the region of control unless it is the only
+        one."""
         places = self._fleet.places.values()
         control = self._fleet.topology.form.control
         regions = sorted({place.region for place in places} - {control}) or [control]
@@ -136,7 +140,7 @@
     # --- during the load
 
     async def play(self) -> None:
-        """Carry out all events at their times, in parallel; returns when all have ended."""
+        """Apply all events and cuts at their times, in parallel; returns when all have ended."""
         for event in self._scenario.events:
             self._spawn(self._run_event(event))
         for name, cut in self._fleet.topology.cuts.items():
@@ -174,7 +178,7 @@
         await self._fleet.start_routers(names)
 
     def _routers_in_scope(self, scope: Scope) -> list[str]:
-        """The live routers of the fullest rack or zone, or every tenth one."""
+        """The live routers of the rack or zone with the most of them, or every tenth live router."""
         live = [place for place in self._fleet.places.values() if place.name in self._fleet.live]
         if scope is Scope.TENTH:
             return [place.name for place in live[::ROUTERS_PER_SLOW_ONE]]
@@ -183,7 +187,7 @@
         return [name for name, at in by.items() if at == largest]
 
     async def _end_region_partition(self, event: RegionPartition) -> None:
-        """The region's cut ends; wait until all in it have everything."""
+        """Reconnect the partitioned region, and start measuring its recovery."""
         await self._wait_fraction(event.until_fraction)
         fleet = self._fleet
         names = self._partitioned_routers()
@@ -195,7 +199,8 @@
     async def _measure_catch_up(
         self, names: list[str], counter: StreamByteCounter | None, first: int
     ) -> None:
-        """Wait until none of these lacks anything, and note how long that took, and how many bytes."""
+        """Wait until none of these routers lacks a purge or the newest version; record the time that took and
+        the bytes transferred per router."""
         loop = asyncio.get_running_loop()
         begin = loop.time()
         while await self._fleet.lagging_count(names):
@@ -222,7 +227,7 @@
     # --- cuts
 
     async def _cut_for(self, name: str, cut: Cut) -> None:
-        """A cut of the topology's file."""
+        """Apply a cut of the topology file from its begin to its end."""
         await asyncio.sleep(cut.from_s)
         paths = {self._fleet.paths[place.name] for place in self._fleet.topology.within(cut)}
         await self._cut(f"cut {name}", paths, cut.direction)
--- a/magpieshift/lab/scale/load.py
+++ b/magpieshift/lab/scale/load.py
@@ -1,7 +1,8 @@
-"""The load of a fleet: when purges, versions, list changes and restarts come, drawn by rate and seed.
+"""The load generator: arrival times of purges, versions, list changes and restarts, drawn by rate and seed.
 
-Arrivals are a Poisson process for each kind. In a burst the rate is a multiple of the mean, and the draws are
-stretched by the cumulated rate, so that one seed gives one schedule. All times are seconds from the start.
+The arrivals of each kind are a Poisson process. In a burst the rate is a multiple of the mean. Random
+intervals are drawn in units of the rate's integral over time, so that the same seed always gives the same
+schedule. All times are seconds since the start.
 """
 
 from __future__ import annotations
@@ -12,15 +13,15 @@
 from enum import Enum
 
 DAY_S = 86_400.0
-TARGET_ROUTERS = 4_800  # the product's target
-BURST_RATE_MULTIPLE = 10.0  # of the mean rate of purges
-BURST_DURATION_S = 5.0  # of one burst
-MACHINE_EVENTS_PER_DAY = 7 + 420  # of routers and caches: failures, and restarts or replacements
-LIST_CHANGES_PER_RESTART = 3  # of the list of caches: draining, gone, serving again
+TARGET_ROUTERS = 4_800  # fleet size that the product must support
+BURST_RATE_MULTIPLE = 10.0  # rate of purges in a burst, as a multiple of the mean rate
+BURST_DURATION_S = 5.0  # duration of one burst
+MACHINE_EVENTS_PER_DAY = 7 + 420  # failures, and restarts or replacements, of routers and caches
+LIST_CHANGES_PER_RESTART = 3  # changes of the endpoint list: draining, deleted, serving again
 
 
 class Kind(Enum):
-    """What arrives."""
+    """The kind of an arrival."""
 
     PURGE = "purge"
     VERSION = "version"
@@ -30,8 +31,8 @@
 
 @dataclass(frozen=True)
 class Rates:
-    """Mean rates of the whole fleet. Each router sees them whole, however few routers are run, except
-    restarts, which are spread over the routers."""
+    """Mean rates of the whole fleet. Each router receives all purges, versions and list changes, so the load
+    per router does not depend on the number of routers; restarts are spread over the routers."""
 
     purges_per_s: float = 110.0
     versions_per_day: float = 20_000.0
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Burst:
-    """A stretch of time in which purges come at a multiple of their mean rate."""
+    """A period in which purges arrive at a multiple of their mean rate."""
 
     begin_s: float
     seconds: float = BURST_DURATION_S
@@ -59,7 +60,7 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """One thing that is to happen."""
+    """One scheduled arrival."""
 
     at_s: float
     kind: Kind
@@ -68,11 +69,11 @@
 def poisson(
     rate: float, seconds: float, rand: random.Random, bursts: Sequence[Burst] = ()
 ) -> Iterator[float]:
-    """Arrival times in ``[0, seconds)`` at a mean rate, raised in bursts, which must not overlap."""
+    """Arrival times in ``[0, seconds)`` at a mean rate, raised in bursts. Bursts must not overlap."""
     if rate <= 0:
         return
     edges = _rate_steps(rate, seconds, bursts)
-    spent = rand.expovariate(1.0)  # in units of the cumulated rate
+    spent = rand.expovariate(1.0)  # integral of the rate from ``begin`` to the next arrival
     for begin, end, now in edges:
         while spent < (end - begin) * now:
             yield begin + spent / now
@@ -81,7 +82,7 @@
 
 
 def _rate_steps(rate: float, seconds: float, bursts: Sequence[Burst]) -> list[tuple[float, float, float]]:
-    """The rate as steps: begin, end, rate."""
+    """The rate as a step function: begin, end and rate of each step."""
     steps = []
     at = 0.0
     for burst in sorted(bursts, key=lambda burst: burst.begin_s):
@@ -93,7 +94,7 @@
 
 
 def arrivals(rates: Rates, seconds: float, seed: int, bursts: Sequence[Burst] = ()) -> list[Arrival]:
-    """All that comes in so many seconds, in order; bursts are of purges."""
+    """All arrivals within ``seconds``, in time order. Bursts affect only purges."""
     found = []
     for kind in Kind:
         rand = random.Random(f"{seed}/{kind.value}")
--- a/magpieshift/lab/scale/player.py
+++ b/magpieshift/lab/scale/player.py
@@ -1,4 +1,4 @@
-"""Plays a schedule of arrivals on a fleet, in real time."""
+"""Applies a schedule of arrivals to a fleet in real time."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 
 class Player:
-    """Owner of what is under way for one load. ``reachable`` returns the paths on which control can be
-    reached, ``restart`` restarts a router."""
+    """Applies the arrivals of one load, and owns the publications in progress. ``reachable`` returns the
+    paths on which control can be reached (None: all), ``restart`` restarts a router."""
 
     def __init__(
         self, fleet: Fleet, reachable: Callable[[], frozenset[str] | None], restart: Callable[[], None]
@@ -22,7 +22,7 @@
         self._publishing: list[asyncio.Task[None]] = []
 
     async def play(self, due: Sequence[Arrival], seconds: float) -> None:
-        """Let everything arrive at its time; returns after so many seconds, when all is published."""
+        """Apply each arrival at its time; returns after ``seconds``, once all versions are published."""
         loop = asyncio.get_running_loop()
         begin = loop.time()
         at = 0
@@ -41,7 +41,9 @@
 
     async def _play_arrival(self, kind: Kind) -> None:
         match kind:
-            case Kind.VERSION:  # waits while the control service is away, and purges do not wait for that
+            case (
+                Kind.VERSION
+            ):  # a task, so that purges continue while it waits for an unreachable control service
                 publishing = self._fleet.publish(self._reachable())
                 self._publishing.append(asyncio.ensure_future(publishing))
             case Kind.LIST_CHANGE:
@@ -50,6 +52,6 @@
                 self._restart()
 
     def close(self) -> None:
-        """Cancel what is under way."""
+        """Cancel the publications in progress."""
         for task in self._publishing:
             task.cancel()
--- a/magpieshift/lab/scale/result.py
+++ b/magpieshift/lab/scale/result.py
@@ -1,6 +1,6 @@
-"""What a run found: the figures, and the rules that it holds them to. No I/O.
+"""The result of a run: the figures, and the rules that they are checked against. No I/O.
 
-A figure that the run could not measure is None, with a line that says why.
+A figure that the run could not measure is None, and a line in ``notes`` says why.
 """
 
 from __future__ import annotations
@@ -14,22 +14,23 @@
 
 MAX_PURGE_DONE_S = 9.7  # the product's rule: from acceptance to the last router
 MAX_VERSION_IN_FORCE_S = 4.0  # the product's rule: from publication to the last router
-MAX_ROUTERS_NAMED = 5  # routers in a rule's line
+MAX_ROUTERS_NAMED = 5  # routers listed by name in the message of a broken rule
 
 
 @dataclass
 class Result:
-    """The figures of a run under the keys of its ``--json`` line, and the conditions it ran under."""
+    """The figures of a run, and the conditions it ran under. The field names are the keys of the ``--json``
+    line."""
 
     routers: int = 0
-    hollow: int = 0  # how many of them lived at the end
+    hollow: int = 0  # hollow routers running at the end
     processes: int = 0
     purges_per_s: float | None = None  # accepted by the change log while the load ran
     versions_per_day: float | None = None
     cpu_percent_per_router: float | None = None  # of a core, in the processes of hollow routers
     mb_per_router: float | None = None  # increment of resident memory
-    bytes_per_router_s: float | None = None  # payload of all TCP streams to control, both directions
-    control_cpu_percent: float | None = None  # of a core, all processes of control together
+    bytes_per_router_s: float | None = None  # TCP payload of all streams to control, both directions
+    control_cpu_percent: float | None = None  # of a core, sum over all control processes
     purge_done_p50_s: float | None = None
     purge_done_p99_s: float | None = None
     purge_done_max_s: float | None = None
@@ -45,32 +46,32 @@
     purges: int = 0
     versions: int = 0
     workers: int = 0
-    worker_busy_max_percent: float | None = None  # of a core, over 2 s; above 90, waiting here counts
+    worker_busy_max_percent: float | None = None  # of a core, over 2 s; above 90, times include waiting in it
     control_cpu_percent_by: dict[str, float] = field(default_factory=dict)
     network_cpu_percent: float | None = None
-    purges_by_lease: int = 0  # applied by a router without a lease, which bounds copies instead
-    purges_forgotten: int = 0  # too old to matter when a router came to the next ones, summed over routers
-    return_s: float | None = None  # from the end of a cut until all who were cut off had everything
+    purges_by_lease: int = 0  # applied by a router without a lease, which limits the age of copies instead
+    purges_forgotten: int = 0  # never received, expired when a later one arrived; summed over routers
+    return_s: float | None = None  # from the end of a region's cut until all its routers had caught up
     return_bytes_per_router: float | None = None
     load_average: float = 0.0  # of the machine, when the load began
     notes: list[str] = field(default_factory=list)
 
     def as_data(self) -> dict[str, Any]:
-        """The figures in JSON's types."""
+        """The figures as values that JSON can represent."""
         return asdict(self)
 
 
 @dataclass(frozen=True)
 class Published:
-    """A version: when the control service took it in, and by which network paths routers could receive it."""
+    """A version: when control accepted it, and on which network paths routers could receive it then."""
 
     number: int
     at_s: float
-    reachable: frozenset[str] | None = None  # None: on all
+    reachable: frozenset[str] | None = None  # None: all paths
 
 
 LateApplication = tuple[int, float, float]
-"""A purge that was applied by a router without a lease: its index, when, and since when it had none."""
+"""A purge applied by a router without a lease: index, time of application, and time of the lease's lapse."""
 
 
 def purge_times(
@@ -80,11 +81,11 @@
     late: Iterable[LateApplication] = (),
     lease_s: float = math.inf,
 ) -> list[float]:
-    """Of each purge, the seconds from its acceptance until it was done at the last router of all processes;
-    infinite where some live router had not applied it at the end, or none had.
+    """For each purge, the seconds from its acceptance until it was done at the last router of all processes;
+    infinite where some live router, or every router, had not applied it at the end.
 
-    A router without a lease accepts no copy older than ``lease_s``: from so long after its acceptance on, a
-    purge is done there, whether it was notified or not."""
+    A router without a lease accepts no copy older than ``lease_s``. A purge is therefore done there
+    ``lease_s`` after its acceptance, even if the router has not received it."""
     latest = [
         max((part[i] for part in applied if i < len(part)), default=NOT_APPLIED) for i in range(len(accepted))
     ]
@@ -100,7 +101,8 @@
 
 
 def quantile(sorted_times: Sequence[float], fraction: float) -> float | None:
-    """The time within which this fraction of all is done; None where that one was not done at all."""
+    """The smallest of the times that at least this fraction of them does not exceed; None where it is
+    infinite, or there are no times."""
     if not sorted_times:
         return None
     found = sorted_times[max(0, math.ceil(fraction * len(sorted_times)) - 1)]
@@ -108,7 +110,8 @@
 
 
 def judge_purges(result: Result, times: Sequence[float]) -> None:
-    """Fill in the times of purges; one that was not done everywhere at the end has an infinite time."""
+    """Record the quantiles of the purge times, and check the rule for them. The time of a purge that was not
+    done at all routers by the end is infinite."""
     ordered = sorted(times)
     not_done = sum(math.isinf(time) for time in ordered)
     result.purge_done_p50_s = quantile(ordered, 0.5)
@@ -128,7 +131,8 @@
 def judge_versions(
     result: Result, published: Sequence[Published], in_force: Sequence[Mapping[str, Mapping[int, float]]]
 ) -> None:
-    """Fill in the longest time in which a version was in force on every path by which it could come."""
+    """Record the longest time from a version's publication until it was in force at the last router on the
+    paths where it could be received, and check the rule for it."""
     worst = None
     late = []
     for version in published:
@@ -153,7 +157,8 @@
 
 
 def judge_losses(result: Result, lost: Mapping[str, int], behind: Mapping[str, int], newest: int) -> None:
-    """Hold the run to: no purge skipped by a live router, none out of order, the newest version in force."""
+    """Check three rules: live routers lost no purge, none was applied out of order, and the newest version is
+    in force at all of them."""
     result.lost = sum(lost.values())
     if lost:
         result.rules_broken.append(f"no purge lost: {result.lost} by {_named(lost)}")
--- a/magpieshift/lab/scale/saved.py
+++ b/magpieshift/lab/scale/saved.py
@@ -1,4 +1,4 @@
-"""Saved results: a run's figures with what is needed to play it again."""
+"""Saved results: the figures of a run with what is needed to reproduce it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def _commit() -> str:
-    """The commit of the source tree, marked where files differ from it; empty where there is none."""
+    """The commit of the source tree, with a suffix if files differ from it; empty if git reports none."""
     try:
         described = subprocess.run(
             ["git", "describe", "--always", "--dirty", "--abbrev=12"],
@@ -32,7 +32,8 @@
 
 
 def save_result(path: str, figures: Mapping[str, Any], seed: int) -> None:
-    """Write figures with the command line, commit, seed, date and machine; ``OSError`` if it cannot."""
+    """Write the figures with command line, commit, seed, date, Python version and number of cores;
+    ``OSError`` if the file cannot be written."""
     command = shlex.join(["magpieshift", *sys.argv[1:]])
     saved = {
         "command": command,
--- a/magpieshift/lab/scale/scenario.py
+++ b/magpieshift/lab/scale/scenario.py
@@ -1,4 +1,5 @@
-"""The scenarios: what happens to a fleet while the load runs. A fraction is of the load's length."""
+"""The scenarios: the faults injected into a fleet while the load runs. Fractions give a point in time as a
+fraction of the load's duration."""
 
 from __future__ import annotations
 
@@ -6,12 +7,12 @@
 from dataclasses import dataclass
 from enum import Enum
 
-CONTROL_OUTAGE_S = 3.0  # for which a lost control machine is gone
+CONTROL_OUTAGE_S = 3.0  # duration of each outage of control machines
 HOUR_S = 3600.0
 
 
 class Scope(Enum):
-    """What is lost at once."""
+    """Which routers crash together."""
 
     RACK = "rack"
     ZONE = "zone"
@@ -20,7 +21,7 @@
 
 @dataclass(frozen=True)
 class RouterCrash:
-    """Routers are gone at ``at_fraction``; they start again after ``restart_after_s``, or not at all."""
+    """Routers crash at ``at_fraction`` and start again after ``restart_after_s``; None: they stay down."""
 
     scope: Scope
     at_fraction: float
@@ -29,10 +30,11 @@
 
 @dataclass(frozen=True)
 class RegionPartition:
-    """A region was cut off for ``duration_s`` before the load begins; it returns at ``until_fraction``.
+    """A region has been partitioned for ``duration_s`` when the load begins; it reconnects at
+    ``until_fraction``.
 
-    The time before the load is simulated: the change log accepts the purges of all that time at once, before
-    any router outside the region starts."""
+    The time before the load is simulated: the change log accepts all purges of that time at once, before any
+    router outside the region starts."""
 
     until_fraction: float
     duration_s: float = HOUR_S
@@ -40,7 +42,7 @@
 
 @dataclass(frozen=True)
 class SlowReaders:
-    """A tenth of the routers: one half reads at ``kb_per_s``, the other half does not read."""
+    """A tenth of the routers read slowly: one half at ``kb_per_s``, the other half not at all."""
 
     from_fraction: float
     until_fraction: float
@@ -49,7 +51,7 @@
 
 @dataclass(frozen=True)
 class ControlOutage:
-    """So many control machines are gone at ``at_fraction`` for ``CONTROL_OUTAGE_S``."""
+    """``machines`` control machines fail at ``at_fraction`` for ``CONTROL_OUTAGE_S``."""
 
     at_fraction: float
     machines: int
@@ -60,7 +62,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """What happens, in the order of time."""
+    """A named sequence of faults, in time order, with an optional burst of purges."""
 
     name: str
     summary: str
@@ -71,22 +73,28 @@
 SCENARIOS: Mapping[str, Scenario] = {
     scenario.name: scenario
     for scenario in (
-        Scenario("steady", "purges, versions and list changes at the target's rates"),
+        Scenario("steady", "purges, versions and list changes at the target rates"),
         Scenario("burst", "purges at ten times the mean for 5 s", burst_at_fraction=0.25),
         Scenario(
             "restarts",
-            "restarts at 420 a day, and a tenth of the routers at once",
+            "router restarts at 420 a day, and one restart of a tenth of the routers at once",
             (RouterCrash(Scope.TENTH, 0.3, restart_after_s=0.5),),
         ),
-        Scenario("rack-lost", "all routers of the fullest rack are gone", (RouterCrash(Scope.RACK, 0.4),)),
-        Scenario("zone-lost", "all routers of the largest zone are gone", (RouterCrash(Scope.ZONE, 0.4),)),
+        Scenario("rack-lost", "all routers of the largest rack crash", (RouterCrash(Scope.RACK, 0.4),)),
+        Scenario("zone-lost", "all routers of the largest zone crash", (RouterCrash(Scope.ZONE, 0.4),)),
         Scenario(
-            "region-cut", "a region is cut off for an hour, then all of it returns", (RegionPartition(0.4),)
+            "region-cut",
+            "a region is partitioned for an hour, then all of it reconnects",
+            (RegionPartition(0.4),),
+        ),
+        Scenario(
+            "slow-routers",
+            "one in ten routers reads slowly or does not read at all",
+            (SlowReaders(0.1, 0.6),),
         ),
-        Scenario("slow-routers", "of ten routers one reads slowly or stands still", (SlowReaders(0.1, 0.6),)),
         Scenario(
             "control-lost",
-            "one control machine is gone for 3 s, then two",
+            "one control machine fails for 3 s, later two at once",
             (ControlOutage(0.2, 1), ControlOutage(0.6, 2)),
         ),
     )
--- a/magpieshift/lab/scale/sockets.py
+++ b/magpieshift/lab/scale/sockets.py
@@ -1,5 +1,5 @@
-"""Bytes carried by the streams of a port, as the kernel counts them: payload of TCP, both directions, with
-whatever framing the libraries above put round messages."""
+"""Bytes transferred by the TCP streams of a port, from the kernel's counters: TCP payload in both directions,
+including the framing that libraries such as gRPC add to messages."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 ENDPOINTS_LINE = re.compile(r"^(?:[A-Z]\S*\s+)?\d+\s+\d+\s+(\S+:\d+)\s+(\S+:\d+)")
 BYTES_ACKED = re.compile(r"\bbytes_acked:(\d+)")
 BYTES_RECEIVED = re.compile(r"\bbytes_received:(\d+)")
-Streams = dict[tuple[str, str], int]  # bytes by both ends
+Streams = dict[tuple[str, str], int]  # bytes transferred, by local and remote address
 
 
 def parse(text: str) -> Streams:
-    """The streams of ``ss -tinH``'s text: a line with the ends, then one with the counters."""
+    """Parse the output of ``ss -tinH``: for each stream a line with both addresses, then one with the
+    counters."""
     found: Streams = {}
     ends: tuple[str, str] | None = None
     for line in text.splitlines():
@@ -30,8 +31,8 @@
 
 
 class StreamByteCounter:
-    """Bytes of all streams of some listening ports since the counter was made. Streams that end are counted
-    up to the last look at them."""
+    """Bytes transferred by all streams of some listening ports. A stream that has ended counts with the value
+    of the last ``read`` that found it."""
 
     def __init__(self, ports: list[int]) -> None:
         self.ports = ports
@@ -39,11 +40,11 @@
 
     @staticmethod
     def available() -> bool:
-        """Whether the machine has the command that reads the counters."""
+        """Whether the command ``ss``, which reads the counters, is installed."""
         return shutil.which("ss") is not None
 
     async def read(self) -> int:
-        """Look at the counters now; the sum over all streams so far."""
+        """Read the counters, and return the sum over all streams so far, including ended ones."""
         ports = " or ".join(f"sport = :{port}" for port in self.ports)
         process = await asyncio.create_subprocess_exec(
             "ss", "-tinH", "state", "established", f"( {ports} )", stdout=asyncio.subprocess.PIPE
--- a/tests/scale/test_load.py
+++ b/tests/scale/test_load.py
@@ -1,4 +1,4 @@
-"""The load generator: rates, bursts, and the same schedule for the same seed."""
+"""The load generator: rates, bursts, and reproducible schedules."""
 
 from __future__ import annotations
 
--- a/tests/scale/test_runs.py
+++ b/tests/scale/test_runs.py
@@ -1,4 +1,4 @@
-"""Short real runs: processes, sockets, hollow routers, and what the command makes of them."""
+"""Short runs with real processes, sockets and hollow routers, and the command ``lab scale``."""
 
 from __future__ import annotations
 
@@ -43,7 +43,9 @@
     "out_of_order",
     "rules_broken",
 ]
-BRISK = Rates(versions_per_day=86_400.0, list_changes_per_day=86_400.0)  # one of each a second
+BRISK = Rates(
+    versions_per_day=86_400.0, list_changes_per_day=86_400.0
+)  # one version and one list change per second
 
 
 ONE_REGION = read("""
@@ -57,7 +59,7 @@
         "caches": 20,
         "rates": BRISK,
         "workers": 1,
-        "settle_s": 20.0,  # it ends as soon as all have everything
+        "settle_s": 20.0,  # an upper bound: the wait ends once all routers have caught up
     } | plan
     return asyncio.run(Run(Plan(scenario, routers, **whole)).play())
 
