--- a/magpieshift/lab/scale/calibration.py
+++ b/magpieshift/lab/scale/calibration.py
@@ -45,7 +45,7 @@
     "magpieshift.extensions.runner",
     "magpieshift.extensions.control_channel",
 )
-BARE_PROCESS_CODE = f"import {', '.join(MODULES)}; print(flush=True); input()"
+EMPTY_PROCESS_CODE = f"import {', '.join(MODULES)}; print(flush=True); input()"
 FIGURES = ("cpu_percent", "bytes_s", "mb")
 
 
@@ -154,10 +154,14 @@
                 await process.wait()
 
 
-async def bare_mb() -> float:
+async def empty_process_mb() -> float:
     """Resident memory, in MB, of a Python process that has only imported the modules of a router."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-c", BARE_PROCESS_CODE, stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE
+        sys.executable,
+        "-c",
+        EMPTY_PROCESS_CODE,
+        stdin=asyncio.subprocess.PIPE,
+        stdout=asyncio.subprocess.PIPE,
     )
     assert process.stdout is not None and process.stdin is not None
     try:
@@ -197,12 +201,12 @@
             last_bytes = await fleet.stream_bytes()
             took_s = time.monotonic() - begin
             if real is not None:
-                mb = real.memory_mb() / routers - await bare_mb()
+                mb = real.memory_mb() / routers - await empty_process_mb()
             else:
                 mb = fleet.mb_per_router or 0.0
             known = first_bytes is not None and last_bytes is not None
-            carried = ((last_bytes or 0) - (first_bytes or 0)) / took_s / routers if known else None
-            return Cost(100 * spent_s / took_s / routers, carried, mb)
+            bytes_s = ((last_bytes or 0) - (first_bytes or 0)) / took_s / routers if known else None
+            return Cost(100 * spent_s / took_s / routers, bytes_s, mb)
         finally:
             player.close()
             if real is not None:
@@ -210,7 +214,7 @@
             await fleet.close()
 
 
-def compared(routers: int, costs: Mapping[Kind, Sequence[Cost]]) -> dict[str, Any]:
+def compare_costs(routers: int, costs: Mapping[Kind, Sequence[Cost]]) -> dict[str, Any]:
     """A row of the result: for each figure the mean of every kind, and for both kinds of hollow routers the
     ratio of the means to that of real routers, with the lowest and highest ratio of any run."""
     row: dict[str, Any] = {"routers": routers, "runs": len(costs[Kind.REAL])}
@@ -253,7 +257,7 @@
                 cost = await measure(plan, routers, run, kind)
                 found[kind].append(cost)
                 costs.append({"routers": routers, "run": run, "kind": kind.value} | asdict(cost))
-        rows.append(row := compared(routers, found))
+        rows.append(row := compare_costs(routers, found))
         for name, ratio in row.items():
             if name.endswith("_ratio") and ratio is not None and abs(ratio - 1) > MAX_RATIO_DEVIATION:
                 differ.append(f"{name} at {routers}: {ratio}")
--- a/magpieshift/lab/scale/faults.py
+++ b/magpieshift/lab/scale/faults.py
@@ -23,14 +23,14 @@
 
 SLOW_PATH = "slow-readers"
 STALLED_PATH = "standing-still"
-OWN_PATHS = (SLOW_PATH, STALLED_PATH)
+SLOW_READER_PATHS = (SLOW_PATH, STALLED_PATH)
 DISTANCE_DELAY = "distance"
 REGION_PARTITION = "region away"
 POLL_INTERVAL_S = 0.1  # between checks of a condition that is waited for; bounds the error of ``return_s``
 RESTART_DOWNTIME_S = 0.5  # between a router's crash and its restart, for restarts of the load
-ROUTERS_PER_SLOW_ONE = 10  # scenarios that affect a tenth of the routers choose every tenth
-FOLLOW_TIMEOUT_S = 60.0  # for all routers to subscribe to versions after their start
-DIGEST_TIMEOUT_S = 120.0  # for the fan-out tier to receive an hour's purges, which are accepted all at once
+SELECTION_STRIDE = 10  # scenarios that affect a tenth of the routers choose every tenth
+SUBSCRIBE_TIMEOUT_S = 60.0  # for all routers to subscribe to versions after their start
+TIER_CATCH_UP_TIMEOUT_S = 120.0  # for the tier to receive an hour's purges, which are accepted at once
 
 
 class Faults:
@@ -51,13 +51,13 @@
         )
         self._choose_paths()
 
-    def networked(self, all_paths: bool) -> set[str]:
+    def networked_paths(self, all_paths: bool) -> set[str]:
         """The paths that must lead through a network process: all of them, or only those on which the
         scenario injects faults."""
         paths = self._fleet.paths
         if all_paths or self._fleet.topology.cuts:
             return set(paths.values())
-        found = {path for path in paths.values() if path in OWN_PATHS}
+        found = {path for path in paths.values() if path in SLOW_READER_PATHS}
         if self._region_partition is not None:
             found |= {paths[name] for name in self._partitioned_routers()}
         return found
@@ -74,10 +74,8 @@
         for number, place in enumerate(self._fleet.places.values()):
             if place.rack in racks:
                 self._fleet.paths[place.name] = place.rack
-            elif slow and number % ROUTERS_PER_SLOW_ONE == 0:
-                self._fleet.paths[place.name] = (
-                    STALLED_PATH if number // ROUTERS_PER_SLOW_ONE % 2 else SLOW_PATH
-                )
+            elif slow and number % SELECTION_STRIDE == 0:
+                self._fleet.paths[place.name] = STALLED_PATH if number // SELECTION_STRIDE % 2 else SLOW_PATH
 
     def reachable_paths(self) -> frozenset[str] | None:
         """The paths on which control can be reached without a cut or a slow reader now; None: all paths."""
@@ -110,22 +108,22 @@
         fleet = self._fleet
         if fleet.networks:
             delays = {fleet.paths[p.name]: fleet.topology.delay_ms(p.zone) for p in fleet.places.values()}
-            far = {path: ms for path, ms in delays.items() if ms and path not in OWN_PATHS}
+            far = {path: ms for path, ms in delays.items() if ms and path not in SLOW_READER_PATHS}
             if far:
-                await fleet.put_fault(InjectFault(why=DISTANCE_DELAY, paths=sorted(far), delay_ms=far))
-        gone = self._partitioned_routers() if self._region_partition is not None else []
-        if (away := self._region_partition) is not None:
-            await fleet.start_routers(gone)
-            await self._cut(REGION_PARTITION, {fleet.paths[name] for name in gone})
-            await fleet.purge(int(away.duration_s * purges_per_s), away.duration_s)
+                await fleet.inject_fault(InjectFault(why=DISTANCE_DELAY, paths=sorted(far), delay_ms=far))
+        partitioned = self._partitioned_routers() if self._region_partition is not None else []
+        if (partition := self._region_partition) is not None:
+            await fleet.start_routers(partitioned)
+            await self._cut(REGION_PARTITION, {fleet.paths[name] for name in partitioned})
+            await fleet.purge(int(partition.duration_s * purges_per_s), partition.duration_s)
             await fleet.report_accepted_purges()
-            async with asyncio.timeout(DIGEST_TIMEOUT_S):
-                while not await fleet.digested({fleet.places[name].zone for name in gone}):
+            async with asyncio.timeout(TIER_CATCH_UP_TIMEOUT_S):
+                while not await fleet.has_received({fleet.places[name].zone for name in partitioned}):
                     await asyncio.sleep(POLL_INTERVAL_S)
-            await asyncio.sleep(fleet.tier.forgets_after_s)
-        await fleet.start_routers([name for name in fleet.places if name not in gone])
-        async with asyncio.timeout(FOLLOW_TIMEOUT_S):
-            while not await fleet.all_follow():
+            await asyncio.sleep(fleet.tier.purge_retention_s)
+        await fleet.start_routers([name for name in fleet.places if name not in partitioned])
+        async with asyncio.timeout(SUBSCRIBE_TIMEOUT_S):
+            while not await fleet.all_subscribed():
                 await asyncio.sleep(POLL_INTERVAL_S)
         self.first_purge = fleet.purges
 
@@ -156,7 +154,7 @@
             case SlowReaders():
                 await self._slow_readers(event)
             case ControlOutage():
-                await self._lose_control(event)
+                await self._interrupt_control(event)
 
     async def _wait_fraction(self, fraction: float) -> None:
         await asyncio.sleep(fraction * self._seconds)
@@ -168,7 +166,7 @@
             fleet = self._fleet
             zone_lost = event.scope is Scope.ZONE
             zones = {fleet.places[name].zone for name in names} if zone_lost else set[str]()
-            await asyncio.gather(fleet.crash_routers(names), *map(fleet.tier.lose_zone, zones))
+            await asyncio.gather(fleet.crash_routers(names), *map(fleet.tier.kill_zone, zones))
         else:
             await self._restart(names, event.restart_after_s)
 
@@ -181,7 +179,7 @@
         """The live routers of the rack or zone with the most of them, or every tenth live router."""
         live = [place for place in self._fleet.places.values() if place.name in self._fleet.live]
         if scope is Scope.TENTH:
-            return [place.name for place in live[::ROUTERS_PER_SLOW_ONE]]
+            return [place.name for place in live[::SELECTION_STRIDE]]
         by = {place.name: place.rack if scope is Scope.RACK else place.zone for place in live}
         largest = max(sorted(set(by.values())), key=list(by.values()).count)
         return [name for name, at in by.items() if at == largest]
@@ -191,7 +189,7 @@
         await self._wait_fraction(event.until_fraction)
         fleet = self._fleet
         names = self._partitioned_routers()
-        counter = fleet.counter_of({fleet.paths[name] for name in names})
+        counter = fleet.counter_for({fleet.paths[name] for name in names})
         first = await counter.read() if counter is not None else 0
         await self._heal(REGION_PARTITION)
         self._spawn(self._measure_catch_up(names, counter, first))
@@ -213,14 +211,14 @@
         await self._wait_fraction(event.from_fraction)
         await self._cut(STALLED_PATH, {STALLED_PATH} & set(self._fleet.paths.values()))
         slow = InjectFault(why=SLOW_PATH, paths=[SLOW_PATH], kb_per_s=event.kb_per_s, direction="to-routers")
-        await self._fleet.put_fault(slow)
+        await self._fleet.inject_fault(slow)
         self._cut_paths.add(SLOW_PATH)
         await self._wait_fraction(event.until_fraction - event.from_fraction)
         await self._heal(STALLED_PATH)
         await self._fleet.heal_fault(SLOW_PATH)
         self._cut_paths.discard(SLOW_PATH)
 
-    async def _lose_control(self, event: ControlOutage) -> None:
+    async def _interrupt_control(self, event: ControlOutage) -> None:
         await self._wait_fraction(event.at_fraction)
         await self._fleet.tier.interrupt(event.machines, CONTROL_OUTAGE_S)
 
@@ -242,7 +240,9 @@
     ) -> None:
         self._cut_paths_by_fault[why] = paths
         self._cut_paths |= paths
-        await self._fleet.put_fault(InjectFault(why=why, paths=sorted(paths), cut=True, direction=direction))
+        await self._fleet.inject_fault(
+            InjectFault(why=why, paths=sorted(paths), cut=True, direction=direction)
+        )
 
     async def _heal(self, why: str) -> None:
         self._cut_paths -= self._cut_paths_by_fault.pop(why)
--- a/magpieshift/lab/scale/fleet.py
+++ b/magpieshift/lab/scale/fleet.py
@@ -54,17 +54,17 @@
         self._publishing = asyncio.Lock()  # versions are published one at a time
         self.settings: dict[str, Any] = {}
         self._counter: StreamByteCounter | None = None
-        self._first_mb = 0.0
+        self._initial_mb = 0.0
 
     # --- start and stop
 
-    async def open(self, networked: Collection[str] = ()) -> None:
-        """Start all processes, without any routers. The paths in ``networked`` lead through a network
+    async def open(self, networked_paths: Collection[str] = ()) -> None:
+        """Start all processes, without any routers. The paths in ``networked_paths`` lead through a network
         process."""
         self._log = await Child.start("change log", "log", m.StartLog(caches=self._size.caches))
         self.settings = base_settings(len(self.places), self.log.ports[LOG], self.topology.zone_sizes())
         await self.tier.open(self.log)
-        await self._start_networks(sorted(networked))
+        await self._start_networks(sorted(networked_paths))
         await asyncio.gather(self.tier.start_remaining(self.reach), self._start_workers())
         self._counter = StreamByteCounter(self.tier.router_ports) if StreamByteCounter.available() else None
 
@@ -86,7 +86,7 @@
         )
         starting = (Child.start(f"worker {i}", "worker", first) for i in range(self._size.workers))
         self.workers = list(await asyncio.gather(*starting))
-        self._first_mb = sum(worker.memory_mb() for worker in self.workers)
+        self._initial_mb = sum(worker.memory_mb() for worker in self.workers)
 
     async def close(self) -> None:
         """Stop all processes."""
@@ -119,7 +119,7 @@
             return network.ports[port_name(path, target)]
         return self.tier.targets[target]
 
-    def _address_router(self, name: str) -> m.Place:
+    def _address_router(self, name: str) -> m.RouterAddresses:
         path = self.paths[name]
         return self.tier.address_router(
             self.places[name], path, self.reach, path in self.region_internal_paths
@@ -143,13 +143,15 @@
         orders = [(worker, m.CrashRouters(names=part)) for worker, part in self._by_worker(names)]
         await asyncio.gather(*(worker.request(order, m.Done) for worker, order in orders))
 
-    async def all_follow(self) -> bool:
+    async def all_subscribed(self) -> bool:
         """Whether all live routers are subscribed to versions."""
-        return await self.tier.follow_all(len(self.live))
+        return await self.tier.all_subscribed(len(self.live))
 
-    async def digested(self, without: Collection[str]) -> bool:
+    async def has_received(self, excluded_zones: Collection[str]) -> bool:
         """Whether all processes of the tier outside these zones have received all events accepted so far."""
-        return await self.tier.digested((await self.log.request(m.HeadRequest(), m.Head)).sequence, without)
+        return await self.tier.has_received(
+            (await self.log.request(m.HeadRequest(), m.Head)).sequence, excluded_zones
+        )
 
     async def lagging_count(self, names: Sequence[str] = ()) -> int:
         """The number of live routers that lack a purge or the newest version; only those in ``names``, unless
@@ -189,7 +191,7 @@
 
     # --- the network
 
-    async def put_fault(self, fault: m.InjectFault) -> None:
+    async def inject_fault(self, fault: m.InjectFault) -> None:
         """Inject a fault into paths that lead through a network process."""
         await asyncio.gather(*(network.request(fault, m.Done) for network in self.networks))
 
@@ -211,7 +213,7 @@
         """TCP payload of all streams between routers and control so far; None where ``ss`` is missing."""
         return await self._counter.read() if self._counter is not None else None
 
-    def counter_of(self, paths: Collection[str]) -> StreamByteCounter | None:
+    def counter_for(self, paths: Collection[str]) -> StreamByteCounter | None:
         """A counter of the streams on these paths only; None where ``ss`` is missing, or where not all of
         them lead through a network process."""
         if self._counter is None or not set(paths) <= set(self._network_of):
@@ -223,7 +225,7 @@
         """The growth of the workers' resident memory since they were ready, in MB per live router."""
         if not self.live:
             return None
-        grown_mb = sum(worker.memory_mb() for worker in self.workers) - self._first_mb
+        grown_mb = sum(worker.memory_mb() for worker in self.workers) - self._initial_mb
         return round(grown_mb / len(self.live), 3)
 
     async def log_report(self) -> m.LogReport:
--- a/magpieshift/lab/scale/hollow.py
+++ b/magpieshift/lab/scale/hollow.py
@@ -129,7 +129,7 @@
     """Owner of the control side of one router."""
 
     def __init__(
-        self, name: str, loaded: LoadedDocument, overrides: Overrides, seed: int, tap: PurgeObserver
+        self, name: str, loaded: LoadedDocument, overrides: Overrides, seed: int, observer: PurgeObserver
     ) -> None:
         self.name = name
         self.seed = seed
@@ -137,7 +137,7 @@
         self.engine = Engine(
             self.document.settings, seed, LoopClock(), DisconnectedUpstream(), names=self.document.names
         )
-        self.engine.policy_observer = tap
+        self.engine.policy_observer = observer
         first = VersionRecord(0, loaded.digest, "start", VersionState.IN_FORCE, unix_now_us())
         self.manager = VersionManager(self, VersionHistory(first), loaded.data, overrides=overrides)
         self.lifecycle = Lifecycle(LoopClock().now_us)
--- a/magpieshift/lab/scale/installation.py
+++ b/magpieshift/lab/scale/installation.py
@@ -30,11 +30,11 @@
     return sexp.format_document(changed)
 
 
-def cache(place: int, phase: str = "SERVING", births: int = 0) -> dict[str, Any]:
-    """A cache as the change log lists it. ``births`` is the number of earlier cache processes at the same
+def cache(place: int, phase: str = "SERVING", incarnation: int = 0) -> dict[str, Any]:
+    """A cache as the change log lists it. ``incarnation`` counts the earlier cache processes at the same
     index of the list."""
     return {
-        "id": f"s-{place:05d}-{births}",
+        "id": f"s-{place:05d}-{incarnation}",
         "host_port": f"127.0.0.1:{UNUSED_PORT}",
         "locality": ZONE,
         "flavor": KIND,
@@ -50,7 +50,7 @@
 
     def __init__(self, caches: int) -> None:
         self._listed = {place: cache(place) for place in range(caches)}
-        self._births = dict.fromkeys(range(caches), 0)
+        self._incarnations = dict.fromkeys(range(caches), 0)
         self._revision = 1
 
     def complete_event(self) -> dict[str, Any]:
@@ -64,6 +64,6 @@
         place %= max(1, len(self._listed))
         self._revision += 1
         phase = NEXT_PHASE[self._listed[place]["phase"]]
-        self._births[place] += phase == "SERVING"
-        self._listed[place] = cache(place, phase, self._births[place])
+        self._incarnations[place] += phase == "SERVING"
+        self._listed[place] = cache(place, phase, self._incarnations[place])
         return {"fleet": {"revision": self._revision, "complete": False, "members": [self._listed[place]]}}
--- a/magpieshift/lab/scale/messages.py
+++ b/magpieshift/lab/scale/messages.py
@@ -155,7 +155,7 @@
     count: int
 
 
-class RelayPlace(BaseModel):
+class RelayTarget(BaseModel):
     """A relay, with the port on which one router connects to it."""
 
     name: str
@@ -163,7 +163,7 @@
     port: int
 
 
-class Place(BaseModel):
+class RouterAddresses(BaseModel):
     """A hollow router: its name, its network path, and the ports that it connects to. Where ``relays`` are
     given, it uses them in place of the change log and the control service."""
 
@@ -172,7 +172,7 @@
     log_port: int
     control_port: int = 0
     region: str = ""
-    relays: list[RelayPlace] = []
+    relays: list[RelayTarget] = []
 
 
 class StartRouters(BaseModel):
@@ -180,7 +180,7 @@
     ``version`` taken as received."""
 
     kind: Literal["start-routers"] = "start-routers"
-    places: list[Place]
+    places: list[RouterAddresses]
     head: Head
     version: int
 
--- a/magpieshift/lab/scale/network.py
+++ b/magpieshift/lab/scale/network.py
@@ -17,7 +17,7 @@
     return f"{path}{SEPARATOR}{target}"
 
 
-def put(links: Network, fault: InjectFault) -> None:
+def inject(links: Network, fault: InjectFault) -> None:
     """Inject a fault into the paths that it names, in its direction."""
     for path in fault.paths:
         delay_ms = fault.delay_ms.get(path, 0.0)
@@ -35,7 +35,7 @@
 async def run() -> None:
     """Run the process: stream forwarders with injected faults."""
     links = Network()
-    passages = list[StreamForwarder]()
+    forwarders = list[StreamForwarder]()
 
     async def handle(message: Message) -> Message | None:
         match message:
@@ -43,11 +43,11 @@
                 ports = {}
                 for path in paths:
                     for name, port in targets.items():
-                        passages.append(StreamForwarder(links, path, CONTROL, port))
-                        ports[port_name(path, name)] = await passages[-1].start()
+                        forwarders.append(StreamForwarder(links, path, CONTROL, port))
+                        ports[port_name(path, name)] = await forwarders[-1].start()
                 return Ready(ports=ports)
             case InjectFault():
-                put(links, message)
+                inject(links, message)
                 return Done()
             case HealFault(why=why):
                 links.remove_fault(why)
@@ -56,5 +56,5 @@
                 raise RuntimeError(f"a network process cannot handle a message of kind {other.kind!r}")
 
     await child.serve(handle)
-    for passage in passages:
-        passage.close()
+    for forwarder in forwarders:
+        forwarder.close()
--- a/magpieshift/lab/scale/node.py
+++ b/magpieshift/lab/scale/node.py
@@ -13,7 +13,7 @@
 LOOPBACK = "127.0.0.1"
 
 
-def _made(message: Message) -> SourceNode | RelayNode:
+def _build_node(message: Message) -> SourceNode | RelayNode:
     match message:
         case StartSource(log_port=log_port, versions=versions, port=port):
             return SourceNode(SourceOptions((LOOPBACK, log_port), f"{LOOPBACK}:{port}", versions))
@@ -29,7 +29,7 @@
     running: list[tuple[SourceNode | RelayNode, asyncio.Task[None]]] = []
 
     async def handle(message: Message) -> Message | None:
-        node = _made(message)
+        node = _build_node(message)
         ready = asyncio.Event()
         task = asyncio.ensure_future(node.run(lambda port: ready.set()))
         task.add_done_callback(lambda _: ready.set())
--- a/magpieshift/lab/scale/player.py
+++ b/magpieshift/lab/scale/player.py
@@ -21,19 +21,19 @@
         self._restart = restart
         self._publishing: list[asyncio.Task[None]] = []
 
-    async def play(self, due: Sequence[Arrival], seconds: float) -> None:
+    async def play(self, schedule: Sequence[Arrival], seconds: float) -> None:
         """Apply each arrival at its time; returns after ``seconds``, once all versions are published."""
         loop = asyncio.get_running_loop()
         begin = loop.time()
         at = 0
-        while at < len(due):
-            await asyncio.sleep(due[at].at_s - (loop.time() - begin))
+        while at < len(schedule):
+            await asyncio.sleep(schedule[at].at_s - (loop.time() - begin))
             purges = 0
-            while at < len(due) and due[at].at_s <= loop.time() - begin:
-                if due[at].kind is Kind.PURGE:
+            while at < len(schedule) and schedule[at].at_s <= loop.time() - begin:
+                if schedule[at].kind is Kind.PURGE:
                     purges += 1
                 else:
-                    await self._play_arrival(due[at].kind)
+                    await self._play_arrival(schedule[at].kind)
                 at += 1
             await self._fleet.purge(purges)
         await asyncio.sleep(seconds - (loop.time() - begin))
--- a/magpieshift/lab/scale/processes.py
+++ b/magpieshift/lab/scale/processes.py
@@ -102,7 +102,7 @@
         except ConnectionError:
             raise ProcessExitedError(f"{self.name} exited before it read {message.kind!r}") from None
 
-    async def request(self, message: Message, wanted: type[M]) -> M:
+    async def request(self, message: Message, reply_type: type[M]) -> M:
         """Send a message, and return the reply, which must be of this type."""
         assert self._process.stdout is not None
         async with self._request_lock:
@@ -114,7 +114,7 @@
         match decode(line):
             case Failed(reason=reason):
                 raise ProcessExitedError(f"{self.name}: {reason}")
-            case answer if isinstance(answer, wanted):
+            case answer if isinstance(answer, reply_type):
                 return answer
             case other:
                 raise ProcessExitedError(
--- a/magpieshift/lab/scale/relays.py
+++ b/magpieshift/lab/scale/relays.py
@@ -73,7 +73,7 @@
     def __init__(self, topology: Topology) -> None:
         self._machines = {machine.name: machine for machine in relay_machines(topology)}
         regions = [place.region for place in topology.places]
-        self._largest = max(sorted(set(regions)), key=regions.count)
+        self._largest_region = max(sorted(set(regions)), key=regions.count)
         self._folder = tempfile.TemporaryDirectory(prefix="scale-versions-")
         self._log: Child | None = None
         self._source: Child | None = None
@@ -127,21 +127,25 @@
         """The number of processes: the source and all relays."""
         return 1 + len(self._machines)
 
-    def address_router(self, place: Place, path: str, reach: PortLookup, inside: bool) -> m.Place:
-        """The ports of all relays, on the router's network path. If ``inside`` is set, the router connects
-        directly to the relays of its region, as a cut of the path does not affect them."""
+    def address_router(
+        self, place: Place, path: str, reach: PortLookup, spares_region: bool
+    ) -> m.RouterAddresses:
+        """The ports of all relays, on the router's network path. If ``spares_region`` is set, the router
+        connects directly to the relays of its region, as a cut of the path does not affect them."""
         assert self._log is not None
         relays = [
-            m.RelayPlace(
+            m.RelayTarget(
                 name=machine.name,
                 region=machine.region,
                 port=(
-                    machine.port if inside and machine.region == place.region else reach(path, machine.name)
+                    machine.port
+                    if spares_region and machine.region == place.region
+                    else reach(path, machine.name)
                 ),
             )
             for machine in self._machines.values()
         ]
-        return m.Place(
+        return m.RouterAddresses(
             name=place.name, path=path, log_port=self._log.ports[LOG], region=place.region, relays=relays
         )
 
@@ -154,15 +158,15 @@
         part.rename(path)  # atomic, so that the source never reads a partly written file
         return at_s
 
-    async def follow_all(self, routers: int) -> bool:
+    async def all_subscribed(self, routers: int) -> bool:
         """Always true: a router counts as connected once it has caught up with its relay, which also delivers
         versions."""
         return True
 
-    async def digested(self, events: int, without: Collection[str]) -> bool:
+    async def has_received(self, events: int, excluded_zones: Collection[str]) -> bool:
         """Whether the source and all relays outside these zones have received the first ``events`` events of
         the change log."""
-        ports = [m.port for m in self._machines.values() if m.zone not in without]
+        ports = [m.port for m in self._machines.values() if m.zone not in excluded_zones]
         requests = (status.fetch_status(f"{LOOPBACK}:{port}") for port in [self.source.ports["node"], *ports])
         try:
             reports = await asyncio.gather(*requests)
@@ -171,22 +175,24 @@
         return all(report.head >= events for report in reports)
 
     @property
-    def forgets_after_s(self) -> float:
+    def purge_retention_s(self) -> float:
         """How long relays retain a purge, in seconds."""
         return PURGE_RETENTION_US / 1e6
 
     async def interrupt(self, machines: int, seconds: float) -> None:
         """Kill this many relays of the largest region, and start them again on the same ports after
         ``seconds``."""
-        lost = [machine for machine in self._machines.values() if machine.region == self._largest][:machines]
-        await asyncio.gather(*map(self._kill, lost))
+        killed = [machine for machine in self._machines.values() if machine.region == self._largest_region][
+            :machines
+        ]
+        await asyncio.gather(*map(self._kill, killed))
         await asyncio.sleep(seconds)
-        await asyncio.gather(*map(self._start, lost))
+        await asyncio.gather(*map(self._start, killed))
 
-    async def lose_zone(self, zone: str) -> None:
+    async def kill_zone(self, zone: str) -> None:
         """Kill the relays of this zone, without starting them again."""
-        lost = [machine for machine in self._machines.values() if machine.zone == zone]
-        await asyncio.gather(*map(self._kill, lost))
+        killed = [machine for machine in self._machines.values() if machine.zone == zone]
+        await asyncio.gather(*map(self._kill, killed))
 
     async def _kill(self, machine: RelayMachine) -> None:
         child = machine.child
--- a/magpieshift/lab/scale/result.py
+++ b/magpieshift/lab/scale/result.py
@@ -109,7 +109,7 @@
     return round(found, 4) if math.isfinite(found) else None
 
 
-def judge_purges(result: Result, times: Sequence[float]) -> None:
+def evaluate_purges(result: Result, times: Sequence[float]) -> None:
     """Record the quantiles of the purge times, and check the rule for them. The time of a purge that was not
     done at all routers by the end is infinite."""
     ordered = sorted(times)
@@ -128,7 +128,7 @@
         )
 
 
-def judge_versions(
+def evaluate_versions(
     result: Result, published: Sequence[Published], in_force: Sequence[Mapping[str, Mapping[int, float]]]
 ) -> None:
     """Record the longest time from a version's publication until it was in force at the last router on the
@@ -156,7 +156,7 @@
         )
 
 
-def judge_losses(result: Result, lost: Mapping[str, int], behind: Mapping[str, int], newest: int) -> None:
+def evaluate_losses(result: Result, lost: Mapping[str, int], behind: Mapping[str, int], newest: int) -> None:
     """Check three rules: live routers lost no purge, none was applied out of order, and the newest version is
     in force at all of them."""
     result.lost = sum(lost.values())
--- a/magpieshift/lab/scale/run.py
+++ b/magpieshift/lab/scale/run.py
@@ -20,9 +20,9 @@
 from magpieshift.lab.scale.relays import RELAYS_PER_REGION, RelayTier
 from magpieshift.lab.scale.result import (
     Result,
-    judge_losses,
-    judge_purges,
-    judge_versions,
+    evaluate_losses,
+    evaluate_purges,
+    evaluate_versions,
     purge_times,
 )
 from magpieshift.lab.scale.scenario import Scenario
@@ -120,10 +120,10 @@
             self._report_progress(
                 f"starting {self.result.routers} routers in {self.plan.processes} processes"
             )
-            await self.fleet.open(self.faults.networked(self.plan.topology is not None))
+            await self.fleet.open(self.faults.networked_paths(self.plan.topology is not None))
             await self.faults.start_routers(self.plan.rates.purges_per_s)
             before = await self._sample()
-            self._note_load()
+            self._record_load_average()
             await self._play_load()
             after = await self._sample()
             self._report_progress("waiting until all routers have applied all purges and the newest version")
@@ -134,7 +134,7 @@
             await self.fleet.close()
         return self.result
 
-    def _note_load(self) -> None:
+    def _record_load_average(self) -> None:
         """Record the machine's load average. If it exceeds the number of cores, all times include waiting for
         a core, and a note says so."""
         load = os.getloadavg()[0]
@@ -225,7 +225,7 @@
         result.purges = len(log.accepted)
         result.versions = len(fleet.published)
         self._record_costs(before, after)
-        self._judge(log, reports)
+        self._evaluate(log, reports)
         result.return_s = self.faults.return_s
         result.return_bytes_per_router = self.faults.return_bytes_per_router
 
@@ -258,7 +258,7 @@
         else:
             result.bytes_per_router_s = round((after.stream_bytes - before.stream_bytes) / took_s / live)
 
-    def _judge(self, log: LogReport, reports: list[WorkerReport]) -> None:
+    def _evaluate(self, log: LogReport, reports: list[WorkerReport]) -> None:
         result = self.result
         first = self.faults.first_purge
         result.out_of_order = sum(report.out_of_order for report in reports)
@@ -268,12 +268,12 @@
         times = purge_times(log.accepted, applied, missing, late, FRESHNESS_LEASE_US / 1e6)[first:]
         result.purges_by_lease = len({index for index, *_ in late if index >= first})
         result.purges_forgotten = sum(report.forgotten for report in reports)
-        judge_purges(result, times)
-        judge_versions(result, self.fleet.published, [report.versions for report in reports])
+        evaluate_purges(result, times)
+        evaluate_versions(result, self.fleet.published, [report.versions for report in reports])
         lost: dict[str, int] = {}
         behind: dict[str, int] = {}
         for report in reports:
             lost |= report.lost
             behind |= report.version_behind
         newest = max((version.number for version in self.fleet.published), default=0)
-        judge_losses(result, lost, behind, newest)
+        evaluate_losses(result, lost, behind, newest)
--- a/magpieshift/lab/scale/streams.py
+++ b/magpieshift/lab/scale/streams.py
@@ -68,13 +68,13 @@
     async def _forward(
         self, source: str, target: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        under_way: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MAX_CHUNKS_IN_FLIGHT)
-        writing = asyncio.ensure_future(self._write_delayed(source, target, under_way, writer))
+        in_flight: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MAX_CHUNKS_IN_FLIGHT)
+        writing = asyncio.ensure_future(self._write_delayed(source, target, in_flight, writer))
         loop = asyncio.get_running_loop()
         try:
             while data := await reader.read(CHUNK_BYTES):
                 delay_ms = sum(fault.delay_ms for fault in self._links.faults_on(source, target))
-                await under_way.put((loop.time() + delay_ms / 1000, data))
+                await in_flight.put((loop.time() + delay_ms / 1000, data))
         finally:
             writing.cancel()
 
@@ -82,13 +82,13 @@
         self,
         source: str,
         target: str,
-        under_way: asyncio.Queue[tuple[float, bytes]],
+        in_flight: asyncio.Queue[tuple[float, bytes]],
         writer: asyncio.StreamWriter,
     ) -> None:
         loop = asyncio.get_running_loop()
         with contextlib.suppress(OSError):
             while True:
-                due, data = await under_way.get()
+                due, data = await in_flight.get()
                 if (remaining_s := due - loop.time()) > 0:
                     await asyncio.sleep(remaining_s)
                 await self._wait_until_connected(source, target)
--- a/magpieshift/lab/scale/tally.py
+++ b/magpieshift/lab/scale/tally.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-PURGE_RELEVANCE_S = 12.0  # age from which a purge has expired: twice ``purges done-ms`` of the settings
+PURGE_EXPIRY_S = 12.0  # age from which a purge has expired: twice ``purges done-ms`` of the settings
 NOT_APPLIED = 0.0  # stands for the time of a purge that no router has applied
 
 
@@ -66,11 +66,11 @@
         observe the order within one call, so it does not count. Purges applied before are ignored."""
         for index in sorted(ages):
             if index > self.next_purge:
-                self._forget_below(index, ages[index], now_s)
+                self._skip_expired(index, ages[index], now_s)
             if index == self.next_purge:
                 self.next_purge += 1
                 if self._applied_ahead:
-                    self._close_up()
+                    self._advance()
             elif index > self.next_purge and index not in self._applied_ahead:
                 self._applied_ahead.add(index)
             else:
@@ -91,14 +91,14 @@
         elif self.lease_lapsed_at_s is None:
             self.lease_lapsed_at_s = now_s
 
-    def _forget_below(self, index: int, age_s: float, now_s: float) -> None:
+    def _skip_expired(self, index: int, age_s: float, now_s: float) -> None:
         """Count missing purges below ``index`` as forgotten if they have expired: snapshots omit expired
         purges. All purges below one that has expired itself have expired; so have those below the index in
-        ``accepted_by``, ``PURGE_RELEVANCE_S`` after the time given there."""
+        ``accepted_by``, ``PURGE_EXPIRY_S`` after the time given there."""
         below, made_by_s = self._shared.accepted_by
-        if age_s >= PURGE_RELEVANCE_S:
+        if age_s >= PURGE_EXPIRY_S:
             oldest = index
-        elif now_s - made_by_s >= PURGE_RELEVANCE_S:
+        elif now_s - made_by_s >= PURGE_EXPIRY_S:
             oldest = min(index, below)
         else:
             oldest = 0
@@ -107,7 +107,7 @@
             self._applied_ahead = {each for each in self._applied_ahead if each >= oldest}
             self.next_purge = oldest
 
-    def _close_up(self) -> None:
+    def _advance(self) -> None:
         while self.next_purge in self._applied_ahead:
             self._applied_ahead.remove(self.next_purge)
             self.next_purge += 1
--- a/magpieshift/lab/scale/tier.py
+++ b/magpieshift/lab/scale/tier.py
@@ -48,9 +48,11 @@
         """How many processes the tier has."""
         ...
 
-    def address_router(self, place: Place, path: str, reach: PortLookup, inside: bool) -> m.Place:
-        """The ports that a router connects to. ``inside``: a cut of its path does not affect connections
-        within its region."""
+    def address_router(
+        self, place: Place, path: str, reach: PortLookup, spares_region: bool
+    ) -> m.RouterAddresses:
+        """The ports that a router connects to. ``spares_region``: a cut of its path does not affect
+        connections within its region."""
         ...
 
     async def publish(self, number: int, text: str) -> float:
@@ -58,17 +60,17 @@
         monotonic clock."""
         ...
 
-    async def follow_all(self, routers: int) -> bool:
+    async def all_subscribed(self, routers: int) -> bool:
         """Whether at least this many routers are subscribed to versions."""
         ...
 
-    async def digested(self, events: int, without: Collection[str]) -> bool:
+    async def has_received(self, events: int, excluded_zones: Collection[str]) -> bool:
         """Whether all processes of the tier outside these zones have received the first ``events`` events of
         the change log."""
         ...
 
     @property
-    def forgets_after_s(self) -> float:
+    def purge_retention_s(self) -> float:
         """How long the tier retains a purge after its arrival, in seconds. A simulated hour has ended once
         the purges that arrived in it have expired."""
         ...
@@ -77,7 +79,7 @@
         """Take this many control machines down for ``seconds``."""
         ...
 
-    async def lose_zone(self, zone: str) -> None:
+    async def kill_zone(self, zone: str) -> None:
         """Take down, for the rest of the run, the processes of the tier that are in this zone."""
         ...
 
@@ -136,9 +138,11 @@
         """One: the control service."""
         return 1
 
-    def address_router(self, place: Place, path: str, reach: PortLookup, inside: bool) -> m.Place:
+    def address_router(
+        self, place: Place, path: str, reach: PortLookup, spares_region: bool
+    ) -> m.RouterAddresses:
         """The ports of change log and control service on the router's network path."""
-        return m.Place(
+        return m.RouterAddresses(
             name=place.name, path=path, log_port=reach(path, LOG), control_port=reach(path, CONTROL)
         )
 
@@ -148,16 +152,16 @@
             self._newest = m.Publish(number=number, text=text)
             return (await self.control.request(self._newest, m.PublishedAt)).at_s
 
-    async def follow_all(self, routers: int) -> bool:
+    async def all_subscribed(self, routers: int) -> bool:
         """Whether at least this many routers are connected to the control service."""
         return await self.followers() >= routers
 
-    async def digested(self, events: int, without: Collection[str]) -> bool:
+    async def has_received(self, events: int, excluded_zones: Collection[str]) -> bool:
         """Always true: there are no processes between the change log and the routers."""
         return True
 
     @property
-    def forgets_after_s(self) -> float:
+    def purge_retention_s(self) -> float:
         """Zero: only the change log retains purges, and it retains all of them."""
         return 0.0
 
@@ -167,16 +171,16 @@
 
     async def interrupt(self, machines: int, seconds: float) -> None:
         """Make the change log unreachable; with two machines, also kill the control service."""
-        lost = [self._lose_log(seconds), self._lose_control(seconds)]
-        for beyond in lost[machines:]:
-            beyond.close()
-        await asyncio.gather(*lost[:machines])
+        outages = [self._interrupt_log(seconds), self._interrupt_control(seconds)]
+        for unused in outages[machines:]:
+            unused.close()
+        await asyncio.gather(*outages[:machines])
 
-    async def _lose_log(self, seconds: float) -> None:
+    async def _interrupt_log(self, seconds: float) -> None:
         await self.log.send(m.PauseChangeLog(seconds=seconds))
         await asyncio.sleep(seconds)
 
-    async def _lose_control(self, seconds: float) -> None:
+    async def _interrupt_control(self, seconds: float) -> None:
         """Kill the control service, then start another on its port that has only the newest version."""
         async with self._control_lock:
             port = self.control.ports[CONTROL]
@@ -187,7 +191,7 @@
             if self._newest is not None:
                 await self.control.request(self._newest, m.PublishedAt)
 
-    async def lose_zone(self, zone: str) -> None:
+    async def kill_zone(self, zone: str) -> None:
         """Does nothing: the control service belongs to no zone."""
 
     def cpu_s(self) -> dict[str, float]:
--- a/magpieshift/lab/scale/topology.py
+++ b/magpieshift/lab/scale/topology.py
@@ -35,7 +35,7 @@
 TARGET_ZONES = 24
 TARGET_REGIONS = 10
 TARGET_ROUTERS = 4_800
-WORLD_KM = 12_000.0  # side of the square in which generated regions are placed
+WORLD_SIDE_KM = 12_000.0  # side of the square in which generated regions are placed
 RETRANSMIT_MS = 200.0  # extra delay of a lost TCP segment: the minimum retransmission timeout of Linux
 
 Km = Annotated[float, Field(ge=-50_000, le=50_000, allow_inf_nan=False)]
@@ -197,7 +197,9 @@
         load[zone] += size
         placed[f"s{number}"] = zone, size
     return TopologyForm(
-        region_km={f"g{i}": (rand.uniform(0, WORLD_KM), rand.uniform(0, WORLD_KM)) for i in range(regions)},
+        region_km={
+            f"g{i}": (rand.uniform(0, WORLD_SIDE_KM), rand.uniform(0, WORLD_SIDE_KM)) for i in range(regions)
+        },
         zones={f"z{i}": f"g{i % regions}" for i in range(zones)},
         sites=placed,
         control="g0",
--- a/magpieshift/lab/scale/worker.py
+++ b/magpieshift/lab/scale/worker.py
@@ -28,9 +28,9 @@
     Head,
     LaggingCountRequest,
     Message,
-    Place,
     PurgesAcceptedBy,
     Ready,
+    RouterAddresses,
     StartRouters,
     StartWorker,
     WorkerReport,
@@ -67,18 +67,18 @@
         self._running: dict[str, RunningRouter] = {}
         self._out_of_order = 0  # purges applied out of order by routers that have crashed
         self._applied_without_lease: list[tuple[int, float, float]] = []
-        self._watching = asyncio.ensure_future(self._watch_leases())
+        self._lease_watch = asyncio.ensure_future(self._record_leases())
 
-    async def start_routers(self, places: Sequence[Place], head: Head, version: int) -> None:
+    async def start_routers(self, places: Sequence[RouterAddresses], head: Head, version: int) -> None:
         """Start routers with the change log's state in ``head`` taken as received; returns once all are
         connected."""
         known = {"seq": head.sequence, "results": [json.loads(head.list_event)]}
         started = []
-        for place in places:
-            applied = RouterTally(self.shared, place.path, head.purges, version)
-            live = self._build_router(place, applied)
-            live.router.start(live.feed, {} if place.relays else known)
-            self._running[place.name] = live
+        for addresses in places:
+            tally = RouterTally(self.shared, addresses.path, head.purges, version)
+            live = self._build_router(addresses, tally)
+            live.router.start(live.feed, {} if addresses.relays else known)
+            self._running[addresses.name] = live
             started.append(live.router)
             await asyncio.sleep(0)  # yield between routers: a list of many caches takes milliseconds to apply
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -87,27 +87,27 @@
         gc.collect()
         gc.freeze()  # as a router process does when it starts serving
 
-    def _build_router(self, place: Place, applied: RouterTally) -> RunningRouter:
+    def _build_router(self, addresses: RouterAddresses, tally: RouterTally) -> RunningRouter:
         def purged(purges: Sequence[PurgeReceived]) -> None:
             ages = {index_of(purge.object_key): purge.age_us / 1e6 for purge in purges}
-            applied.record_purges(ages, time.monotonic())
+            tally.record_purges(ages, time.monotonic())
 
-        overrides = ChangeLogOverride(place.name, changelog=(LOOPBACK, place.log_port))
-        seed = random.Random(place.name).getrandbits(32)
+        overrides = ChangeLogOverride(addresses.name, changelog=(LOOPBACK, addresses.log_port))
+        seed = random.Random(addresses.name).getrandbits(32)
         router = HollowRouter(
-            place.name, self._loaded, overrides, seed, PurgeObserver(purged, self._drop_every)
+            addresses.name, self._loaded, overrides, seed, PurgeObserver(purged, self._drop_every)
         )
-        observe_versions(router.manager, lambda number: applied.record_version(number, time.monotonic()))
-        return RunningRouter(router, applied, _feed(router, place))
+        observe_versions(router.manager, lambda number: tally.record_version(number, time.monotonic()))
+        return RunningRouter(router, tally, _build_feed(router, addresses))
 
     async def crash(self, names: Sequence[str]) -> None:
         """Crash these routers, all at once."""
-        gone = [self._running.pop(name) for name in names if name in self._running]
-        self._out_of_order += sum(live.tally.out_of_order for live in gone)
-        self._applied_without_lease += [each for live in gone for each in live.tally.applied_without_lease]
-        await asyncio.gather(*(live.router.crash() for live in gone))
+        crashed = [self._running.pop(name) for name in names if name in self._running]
+        self._out_of_order += sum(live.tally.out_of_order for live in crashed)
+        self._applied_without_lease += [each for live in crashed for each in live.tally.applied_without_lease]
+        await asyncio.gather(*(live.router.crash() for live in crashed))
 
-    async def _watch_leases(self) -> None:
+    async def _record_leases(self) -> None:
         """Record periodically which routers hold a lease."""
         while True:
             now_s = time.monotonic()
@@ -145,13 +145,15 @@
         )
 
 
-def _feed(router: HollowRouter, place: Place) -> Feed:
-    """The feed of a router: relays where its place names some, otherwise change log and control service."""
-    if place.relays:
-        relays = [RelayAddress(each.name, each.region, f"{LOOPBACK}:{each.port}") for each in place.relays]
-        return RelayFeed(router, relays, place.region)
-    rand = random.Random(f"control/{place.name}")
-    return DirectFeed(router, (LOOPBACK, place.control_port), rand)
+def _build_feed(router: HollowRouter, addresses: RouterAddresses) -> Feed:
+    """The feed of a router: relays where some are given, otherwise change log and control service."""
+    if addresses.relays:
+        relays = [
+            RelayAddress(each.name, each.region, f"{LOOPBACK}:{each.port}") for each in addresses.relays
+        ]
+        return RelayFeed(router, relays, addresses.region)
+    rand = random.Random(f"control/{addresses.name}")
+    return DirectFeed(router, (LOOPBACK, addresses.control_port), rand)
 
 
 async def run() -> None:
--- a/tests/scale/test_load.py
+++ b/tests/scale/test_load.py
@@ -44,9 +44,9 @@
         found = arrivals(Rates(), 20.0, seed=1, bursts=[burst])
         purges = [arrival.at_s for arrival in found if arrival.kind is Kind.PURGE]
         within = sum(10.0 <= at < 15.0 for at in purges)
-        without = len(purges) - within
+        outside = len(purges) - within
         self.assertLess(abs(within - 5500), 5 * 5500**0.5)
-        self.assertLess(abs(without - 1650), 5 * 1650**0.5)
+        self.assertLess(abs(outside - 1650), 5 * 1650**0.5)
         versions = [arrival for arrival in found if arrival.kind is Kind.VERSION]
         quiet = [a for a in arrivals(Rates(), 20.0, seed=1) if a.kind is Kind.VERSION]
         self.assertEqual(versions, quiet)
--- a/tests/scale/test_runs.py
+++ b/tests/scale/test_runs.py
@@ -43,7 +43,7 @@
     "out_of_order",
     "rules_broken",
 ]
-BRISK = Rates(
+FREQUENT_CHANGES = Rates(
     versions_per_day=86_400.0, list_changes_per_day=86_400.0
 )  # one version and one list change per second
 
@@ -54,14 +54,14 @@
 
 
 def play(scenario: Scenario, routers: int = 5, **plan: Any) -> Result:
-    whole: dict[str, Any] = {
+    options: dict[str, Any] = {
         "seconds": 2.0,
         "caches": 20,
-        "rates": BRISK,
+        "rates": FREQUENT_CHANGES,
         "workers": 1,
         "settle_s": 20.0,  # an upper bound: the wait ends once all routers have caught up
     } | plan
-    return asyncio.run(Run(Plan(scenario, routers, **whole)).play())
+    return asyncio.run(Run(Plan(scenario, routers, **options)).play())
 
 
 def call(*args: str) -> tuple[int, str, str]:
@@ -115,7 +115,7 @@
         self.assertEqual((code, len(read(out).places), len(read(out).form.sites)), (0, 4800, 370))
 
     def test_bad_input_is_one_line_and_exit_code_2(self) -> None:
-        for args, told in {
+        for args, expected_text in {
             ("stedy",): "found 'stedy', expected one of steady",
             (): "found nothing, expected one of steady",
             ("steady", "--routers", "0"): "--routers: found '0', expected a whole number",
@@ -131,7 +131,7 @@
                 code, out, err = call(*args)
                 self.assertEqual((code, out), (2, ""))
                 self.assertEqual(len(err.splitlines()), 1, err)
-                self.assertIn(told, err)
+                self.assertIn(expected_text, err)
 
     def test_a_broken_invariant_is_exit_code_1_and_the_result_is_saved(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/scale/test_tally.py
+++ b/tests/scale/test_tally.py
@@ -6,72 +6,74 @@
 
 from magpieshift.config import ConfigError
 from magpieshift.lab.scale import memory
-from magpieshift.lab.scale.calibration import Cost, Kind, compared
+from magpieshift.lab.scale.calibration import Cost, Kind, compare_costs
 from magpieshift.lab.scale.result import (
     Published,
     Result,
-    judge_losses,
-    judge_purges,
-    judge_versions,
+    evaluate_losses,
+    evaluate_purges,
+    evaluate_versions,
     purge_times,
 )
 from magpieshift.lab.scale.sockets import parse
-from magpieshift.lab.scale.tally import PURGE_RELEVANCE_S, ProcessTally, RouterTally, index_of, object_of
+from magpieshift.lab.scale.tally import PURGE_EXPIRY_S, ProcessTally, RouterTally, index_of, object_of
 
 
 class Purges(unittest.TestCase):
     def setUp(self) -> None:
         self.shared = ProcessTally()
-        self.one = RouterTally(self.shared, "z0", first_purge=2, version=0)
+        self.tally = RouterTally(self.shared, "z0", first_purge=2, version=0)
 
     def test_an_object_tells_the_index_of_its_purge(self) -> None:
         self.assertEqual([index_of(int(object_of(i), 16)) for i in (0, 5, 1 << 40)], [0, 5, 1 << 40])
 
     def test_what_came_in_order_is_neither_lost_nor_out_of_order(self) -> None:
         for index in range(2, 6):
-            self.one.record_purges({index: 0.0}, float(index))
-        self.assertEqual((self.one.missing_count(6), self.one.out_of_order), (0, 0))
+            self.tally.record_purges({index: 0.0}, float(index))
+        self.assertEqual((self.tally.missing_count(6), self.tally.out_of_order), (0, 0))
         self.assertEqual(self.shared.purges, [0, 0, 2.0, 3.0, 4.0, 5.0])
 
     def test_a_gap_is_lost_until_it_is_filled_and_then_out_of_order(self) -> None:
-        self.one.record_purges({2: 0.0}, 1.0)
-        self.one.record_purges({4: 0.0}, 2.0)
+        self.tally.record_purges({2: 0.0}, 1.0)
+        self.tally.record_purges({4: 0.0}, 2.0)
         marks = bytearray(6)
-        self.one.mark_missing(marks)
-        self.assertEqual((self.one.missing_count(6), list(marks)), (2, [0, 0, 0, 1, 0, 1]))
-        self.one.record_purges({3: 0.0}, 3.0)
-        self.assertEqual((self.one.missing_count(5), self.one.out_of_order, self.one.next_purge), (0, 1, 5))
+        self.tally.mark_missing(marks)
+        self.assertEqual((self.tally.missing_count(6), list(marks)), (2, [0, 0, 0, 1, 0, 1]))
+        self.tally.record_purges({3: 0.0}, 3.0)
+        self.assertEqual(
+            (self.tally.missing_count(5), self.tally.out_of_order, self.tally.next_purge), (0, 1, 5)
+        )
 
     def test_one_call_has_no_order_and_repeats_count_for_nothing(self) -> None:
-        self.one.record_purges({4: 0.0, 3: 0.1, 2: 0.2}, 1.0)
-        self.one.record_purges({3: 8.1, 2: 8.2}, 9.0)
-        self.assertEqual((self.one.missing_count(5), self.one.out_of_order), (0, 0))
+        self.tally.record_purges({4: 0.0, 3: 0.1, 2: 0.2}, 1.0)
+        self.tally.record_purges({3: 8.1, 2: 8.2}, 9.0)
+        self.assertEqual((self.tally.missing_count(5), self.tally.out_of_order), (0, 0))
         self.assertEqual(self.shared.purges[2:], [1.0, 1.0, 1.0])
 
     def test_what_is_left_out_is_lost_unless_it_was_too_old_to_matter(self) -> None:
-        self.one.record_purges({2: 0.0}, 1.0)
-        self.one.record_purges({500: PURGE_RELEVANCE_S - 1, 501: 1.0}, 2.0)
-        self.assertEqual((self.one.missing_count(502), self.one.forgotten), (497, 0))
-        self.one.record_purges({502: PURGE_RELEVANCE_S, 503: 1.0}, 3.0)
+        self.tally.record_purges({2: 0.0}, 1.0)
+        self.tally.record_purges({500: PURGE_EXPIRY_S - 1, 501: 1.0}, 2.0)
+        self.assertEqual((self.tally.missing_count(502), self.tally.forgotten), (497, 0))
+        self.tally.record_purges({502: PURGE_EXPIRY_S, 503: 1.0}, 3.0)
         self.assertEqual(
-            (self.one.missing_count(504), self.one.forgotten, self.one.out_of_order), (0, 497, 0)
+            (self.tally.missing_count(504), self.tally.forgotten, self.tally.out_of_order), (0, 497, 0)
         )
 
     def test_what_is_known_to_be_old_is_forgotten_before_purges_that_are_not(self) -> None:
-        for now_s, lost in ((100.0 + PURGE_RELEVANCE_S - 1, 7), (100.0 + PURGE_RELEVANCE_S, 2)):
+        for now_s, lost in ((100.0 + PURGE_EXPIRY_S - 1, 7), (100.0 + PURGE_EXPIRY_S, 2)):
             shared = ProcessTally(accepted_by=(5, 100.0))
-            one = RouterTally(shared, "z0", 0, 0)
-            one.record_purges({7: 0.5}, now_s)
-            self.assertEqual(one.missing_count(8), lost)
+            tally = RouterTally(shared, "z0", 0, 0)
+            tally.record_purges({7: 0.5}, now_s)
+            self.assertEqual(tally.missing_count(8), lost)
 
     def test_purges_from_before_its_start_are_not_owed(self) -> None:
-        self.assertEqual(self.one.missing_count(2), 0)
-        self.one.record_purges({0: 0.0}, 1.0)
-        self.assertEqual((self.one.out_of_order, self.shared.purges), (0, []))
+        self.assertEqual(self.tally.missing_count(2), 0)
+        self.tally.record_purges({0: 0.0}, 1.0)
+        self.assertEqual((self.tally.out_of_order, self.shared.purges), (0, []))
 
     def test_a_version_stands_for_all_that_it_replaces(self) -> None:
-        self.one.record_version(3, 7.0)
-        self.one.record_version(2, 8.0)
+        self.tally.record_version(3, 7.0)
+        self.tally.record_version(2, 8.0)
         self.assertEqual(self.shared.versions, {"z0": {1: 7.0, 2: 7.0, 3: 7.0}})
 
 
@@ -91,19 +93,20 @@
 
     def test_what_is_applied_without_a_lease_is_told_apart(self) -> None:
         shared = ProcessTally()
-        one = RouterTally(shared, "z0", 0, 0)
-        one.set_lease_held(False, 3.0)
-        one.set_lease_held(False, 4.0)
-        one.record_purges({0: 0.0}, 5.0)
-        one.set_lease_held(True, 6.0)
-        one.record_purges({1: 0.0}, 7.0)
+        tally = RouterTally(shared, "z0", 0, 0)
+        tally.set_lease_held(False, 3.0)
+        tally.set_lease_held(False, 4.0)
+        tally.record_purges({0: 0.0}, 5.0)
+        tally.set_lease_held(True, 6.0)
+        tally.record_purges({1: 0.0}, 7.0)
         self.assertEqual(
-            (one.applied_without_lease, shared.purges, one.missing_count(2)), ([(0, 5.0, 3.0)], [0.0, 7.0], 0)
+            (tally.applied_without_lease, shared.purges, tally.missing_count(2)),
+            ([(0, 5.0, 3.0)], [0.0, 7.0], 0),
         )
 
     def test_one_that_was_not_done_has_no_time_and_breaks_the_rule(self) -> None:
         result = Result()
-        judge_purges(result, purge_times([1.0, 2.0, 3.0], [[1.5, 2.5, 3.5]], [2]))
+        evaluate_purges(result, purge_times([1.0, 2.0, 3.0], [[1.5, 2.5, 3.5]], [2]))
         self.assertEqual(
             (result.purge_done_p50_s, result.purge_done_p99_s, result.purge_done_max_s), (0.5, None, None)
         )
@@ -113,24 +116,24 @@
     def test_a_late_purge_breaks_the_rule_and_one_in_time_does_not(self) -> None:
         for time, broken in ((9.7, 0), (9.8, 1)):
             result = Result()
-            judge_purges(result, [time])
+            evaluate_purges(result, [time])
             self.assertEqual((result.purge_done_max_s, len(result.rules_broken)), (time, broken))
 
     def test_versions_count_where_they_could_be_heard_of(self) -> None:
         in_force = [{"z0": {1: 1.5}, "z1": {1: 60.0}}]
         result = Result()
-        judge_versions(result, [Published(1, 1.0, frozenset({"z0"}))], in_force)
+        evaluate_versions(result, [Published(1, 1.0, frozenset({"z0"}))], in_force)
         self.assertEqual((result.version_in_force_max_s, result.rules_broken), (0.5, []))
-        judge_versions(result, [Published(1, 1.0)], in_force)
+        evaluate_versions(result, [Published(1, 1.0)], in_force)
         self.assertEqual((result.version_in_force_max_s, len(result.rules_broken)), (59.0, 1))
 
     def test_losses_disorder_and_old_versions_are_rules_by_name(self) -> None:
         result = Result(out_of_order=2)
-        judge_losses(result, {"r7": 3}, {"r7": 4, "r8": 5}, newest=5)
-        told = "; ".join(result.rules_broken)
+        evaluate_losses(result, {"r7": 3}, {"r7": 4, "r8": 5}, newest=5)
+        broken = "; ".join(result.rules_broken)
         self.assertEqual((result.lost, len(result.rules_broken)), (3, 3))
         for part in ("no purge lost: 3 by r7", "in order: 2", "not at r7"):
-            self.assertIn(part, told)
+            self.assertIn(part, broken)
 
 
 class Measured(unittest.TestCase):
@@ -152,7 +155,7 @@
     def test_ratios_are_of_means_with_the_spread_over_turns(self) -> None:
         real = [Cost(4.0, 100.0, 10.0), Cost(6.0, None, 10.0)]
         hollow = [Cost(5.0, 100.0, 5.0), Cost(6.0, 100.0, 5.0)]
-        row = compared(2, {Kind.REAL: real, Kind.TOGETHER: hollow, Kind.APART: real})
+        row = compare_costs(2, {Kind.REAL: real, Kind.TOGETHER: hollow, Kind.APART: real})
         self.assertEqual(row["cpu_percent_together_ratio"], 1.1)
         low, high = row["cpu_percent_together_ratio_low"], row["cpu_percent_together_ratio_high"]
         self.assertEqual((low, high), (1.0, 1.25))
--- a/tests/scale/test_topology.py
+++ b/tests/scale/test_topology.py
@@ -47,12 +47,12 @@
                 "cuts night: found 2 fields, expected exactly one",
             ),
         }
-        for right, (wrong, told) in cases.items():
+        for right, (wrong, expected_text) in cases.items():
             with self.subTest(wrong):
                 self.assertIn(right, SMALL)
                 with self.assertRaises(UnusableDocumentError) as caught:
                     read(SMALL.replace(right, wrong))
-                self.assertIn(told, str(caught.exception))
+                self.assertIn(expected_text, str(caught.exception))
 
     def test_a_file_that_is_not_there_is_one_line(self) -> None:
         with self.assertRaisesRegex(ConfigError, "^/nowhere.sexp cannot be read: .*$"):
