--- a/tests/scale/test_load.py
+++ b/tests/scale/test_load.py
@@ -10,7 +10,7 @@
 
 
 class Schedules(unittest.TestCase):
-    def test_each_kind_comes_at_its_rate(self) -> None:
+    def test_each_kind_arrives_at_its_rate(self) -> None:
         rates = Rates()
         seconds = 3600.0
         counts = Counter(arrival.kind for arrival in arrivals(rates, seconds, seed=7))
@@ -18,7 +18,7 @@
             mean = rates.per_second(kind) * seconds
             self.assertLess(abs(counts[kind] - mean), 5 * mean**0.5, kind)
 
-    def test_the_target_is_what_the_fleet_was_given(self) -> None:
+    def test_default_rates_are_those_of_the_target(self) -> None:
         rates = Rates()
         self.assertEqual(
             (rates.purges_per_s, rates.versions_per_day, rates.restarts_per_day), (110, 20_000, 420)
@@ -31,7 +31,7 @@
         self.assertNotEqual(first, arrivals(Rates(), 30.0, seed=4))
         self.assertEqual(sorted(arrival.at_s for arrival in first), [arrival.at_s for arrival in first])
 
-    def test_gaps_are_those_of_a_poisson_process(self) -> None:
+    def test_intervals_are_those_of_a_poisson_process(self) -> None:
         times = list(poisson(100.0, 400.0, random.Random(1)))
         gaps = [after - before for before, after in zip(times, times[1:], strict=False)]
         mean = sum(gaps) / len(gaps)
@@ -56,7 +56,7 @@
         self.assertLess(max(times), 12.0)
         self.assertGreater(sum(at >= 10.0 for at in times), 100)
 
-    def test_nothing_comes_at_rate_zero(self) -> None:
+    def test_there_are_no_arrivals_at_rate_zero(self) -> None:
         self.assertEqual(list(poisson(0.0, 100.0, random.Random(1))), [])
 
 
--- a/tests/scale/test_runs.py
+++ b/tests/scale/test_runs.py
@@ -81,12 +81,12 @@
         for figure in KEYS[3:13]:
             self.assertIsNotNone(getattr(result, figure), figure)
 
-    def test_restarted_routers_owe_what_was_accepted_since(self) -> None:
+    def test_restarted_routers_apply_all_purges_accepted_since(self) -> None:
         crash = Scenario("half", "", (RouterCrash(Scope.TENTH, 0.2, restart_after_s=0.2),))
         result = play(crash)
         self.assertEqual((result.rules_broken, result.hollow), ([], 5))
 
-    def test_a_cut_region_catches_up_with_what_was_told_meanwhile(self) -> None:
+    def test_a_partitioned_region_catches_up_after_it_reconnects(self) -> None:
         away = Scenario("away", "", (RegionPartition(0.3, duration_s=20.0),))
         result = play(away, routers=6)
         self.assertEqual((result.lost, result.out_of_order), (0, 0))
--- a/tests/scale/test_tally.py
+++ b/tests/scale/test_tally.py
@@ -24,10 +24,10 @@
         self.shared = ProcessTally()
         self.tally = RouterTally(self.shared, "z0", first_purge=2, version=0)
 
-    def test_an_object_tells_the_index_of_its_purge(self) -> None:
+    def test_an_object_key_encodes_the_index_of_its_purge(self) -> None:
         self.assertEqual([index_of(int(object_of(i), 16)) for i in (0, 5, 1 << 40)], [0, 5, 1 << 40])
 
-    def test_what_came_in_order_is_neither_lost_nor_out_of_order(self) -> None:
+    def test_purges_in_order_are_neither_lost_nor_out_of_order(self) -> None:
         for index in range(2, 6):
             self.tally.record_purges({index: 0.0}, float(index))
         self.assertEqual((self.tally.missing_count(6), self.tally.out_of_order), (0, 0))
@@ -44,13 +44,13 @@
             (self.tally.missing_count(5), self.tally.out_of_order, self.tally.next_purge), (0, 1, 5)
         )
 
-    def test_one_call_has_no_order_and_repeats_count_for_nothing(self) -> None:
+    def test_order_within_one_call_and_repeats_are_ignored(self) -> None:
         self.tally.record_purges({4: 0.0, 3: 0.1, 2: 0.2}, 1.0)
         self.tally.record_purges({3: 8.1, 2: 8.2}, 9.0)
         self.assertEqual((self.tally.missing_count(5), self.tally.out_of_order), (0, 0))
         self.assertEqual(self.shared.purges[2:], [1.0, 1.0, 1.0])
 
-    def test_what_is_left_out_is_lost_unless_it_was_too_old_to_matter(self) -> None:
+    def test_a_missing_purge_is_lost_unless_it_has_expired(self) -> None:
         self.tally.record_purges({2: 0.0}, 1.0)
         self.tally.record_purges({500: PURGE_EXPIRY_S - 1, 501: 1.0}, 2.0)
         self.assertEqual((self.tally.missing_count(502), self.tally.forgotten), (497, 0))
@@ -59,29 +59,29 @@
             (self.tally.missing_count(504), self.tally.forgotten, self.tally.out_of_order), (0, 497, 0)
         )
 
-    def test_what_is_known_to_be_old_is_forgotten_before_purges_that_are_not(self) -> None:
+    def test_purges_known_to_have_expired_are_forgotten_when_a_newer_one_arrives(self) -> None:
         for now_s, lost in ((100.0 + PURGE_EXPIRY_S - 1, 7), (100.0 + PURGE_EXPIRY_S, 2)):
             shared = ProcessTally(accepted_by=(5, 100.0))
             tally = RouterTally(shared, "z0", 0, 0)
             tally.record_purges({7: 0.5}, now_s)
             self.assertEqual(tally.missing_count(8), lost)
 
-    def test_purges_from_before_its_start_are_not_owed(self) -> None:
+    def test_purges_before_the_start_are_not_counted_as_missing(self) -> None:
         self.assertEqual(self.tally.missing_count(2), 0)
         self.tally.record_purges({0: 0.0}, 1.0)
         self.assertEqual((self.tally.out_of_order, self.shared.purges), (0, []))
 
-    def test_a_version_stands_for_all_that_it_replaces(self) -> None:
+    def test_a_version_in_force_counts_for_all_earlier_ones(self) -> None:
         self.tally.record_version(3, 7.0)
         self.tally.record_version(2, 8.0)
         self.assertEqual(self.shared.versions, {"z0": {1: 7.0, 2: 7.0, 3: 7.0}})
 
 
-class Judged(unittest.TestCase):
+class Evaluation(unittest.TestCase):
     def test_a_purge_is_done_when_the_last_router_of_any_process_has_it(self) -> None:
         self.assertEqual(purge_times([1.0, 2.0], [[1.5, 2.25], [3.0]], []), [2.0, 0.25])
 
-    def test_a_router_without_a_lease_has_a_purge_done_by_the_age_of_its_copies(self) -> None:
+    def test_without_a_lease_a_purge_is_done_by_the_age_limit_of_copies(self) -> None:
         cases = {
             "applied before the bound": ((0, 6.0, 4.0), 5.0),
             "applied after it": ((0, 60.0, 4.0), 8.0),
@@ -91,7 +91,7 @@
             with self.subTest(name):
                 self.assertEqual(purge_times([1.0], [[1.25]], [], [late], lease_s=8.0), [time])
 
-    def test_what_is_applied_without_a_lease_is_told_apart(self) -> None:
+    def test_purges_applied_without_a_lease_are_recorded_separately(self) -> None:
         shared = ProcessTally()
         tally = RouterTally(shared, "z0", 0, 0)
         tally.set_lease_held(False, 3.0)
@@ -104,7 +104,7 @@
             ([(0, 5.0, 3.0)], [0.0, 7.0], 0),
         )
 
-    def test_one_that_was_not_done_has_no_time_and_breaks_the_rule(self) -> None:
+    def test_a_purge_not_done_everywhere_has_no_time_and_breaks_the_rule(self) -> None:
         result = Result()
         evaluate_purges(result, purge_times([1.0, 2.0, 3.0], [[1.5, 2.5, 3.5]], [2]))
         self.assertEqual(
@@ -119,7 +119,7 @@
             evaluate_purges(result, [time])
             self.assertEqual((result.purge_done_max_s, len(result.rules_broken)), (time, broken))
 
-    def test_versions_count_where_they_could_be_heard_of(self) -> None:
+    def test_versions_are_measured_only_on_reachable_paths(self) -> None:
         in_force = [{"z0": {1: 1.5}, "z1": {1: 60.0}}]
         result = Result()
         evaluate_versions(result, [Published(1, 1.0, frozenset({"z0"}))], in_force)
@@ -127,7 +127,7 @@
         evaluate_versions(result, [Published(1, 1.0)], in_force)
         self.assertEqual((result.version_in_force_max_s, len(result.rules_broken)), (59.0, 1))
 
-    def test_losses_disorder_and_old_versions_are_rules_by_name(self) -> None:
+    def test_losses_wrong_order_and_old_versions_break_rules_that_name_routers(self) -> None:
         result = Result(out_of_order=2)
         evaluate_losses(result, {"r7": 3}, {"r7": 4, "r8": 5}, newest=5)
         broken = "; ".join(result.rules_broken)
@@ -152,7 +152,7 @@
             parse(text), {("127.0.0.1:80", "127.0.0.1:1"): 12, ("127.0.0.1:80", "127.0.0.1:2"): 3}
         )
 
-    def test_ratios_are_of_means_with_the_spread_over_turns(self) -> None:
+    def test_ratios_are_of_means_with_the_spread_over_runs(self) -> None:
         real = [Cost(4.0, 100.0, 10.0), Cost(6.0, None, 10.0)]
         hollow = [Cost(5.0, 100.0, 5.0), Cost(6.0, 100.0, 5.0)]
         row = compare_costs(2, {Kind.REAL: real, Kind.TOGETHER: hollow, Kind.APART: real})
--- a/tests/scale/test_topology.py
+++ b/tests/scale/test_topology.py
@@ -33,7 +33,7 @@
         self.assertEqual(night.direction, "to-routers")
         self.assertEqual([place.name for place in topology.within(rack)], ["r16", "r17", "r18", "r19"])
 
-    def test_every_mistake_is_told_with_its_place_what_was_found_and_what_expected(self) -> None:
+    def test_every_error_states_its_location_what_was_found_and_what_was_expected(self) -> None:
         cases = {
             "(control west)": ("(control moon)", "line 6: control: found moon, expected a region"),
             "(west-a west)": ("(west-a moon)", "zones west-a: found moon, expected a region"),
@@ -54,7 +54,7 @@
                     read(SMALL.replace(right, wrong))
                 self.assertIn(expected_text, str(caught.exception))
 
-    def test_a_file_that_is_not_there_is_one_line(self) -> None:
+    def test_a_missing_file_is_reported_in_one_line(self) -> None:
         with self.assertRaisesRegex(ConfigError, "^/nowhere.sexp cannot be read: .*$"):
             read_file("/nowhere.sexp")
 
@@ -77,7 +77,7 @@
                 self.assertEqual(form, generate(routers, seed=5))
         self.assertNotEqual(generate(50, seed=5), generate(50, seed=6))
 
-    def test_what_is_written_reads_the_same(self) -> None:
+    def test_a_written_topology_reads_as_equal(self) -> None:
         form = generate(50, seed=2)
         self.assertEqual(read(write(form)).form, form)
 
