--- a/magpieshift/lab/scale/faults.py
+++ b/magpieshift/lab/scale/faults.py
@@ -89,8 +89,8 @@
             name = min(self._fleet.live, key=lambda name: name[::-1])
             self._spawn(self._restart([name], RESTART_DOWNTIME_S))
 
-    def _spawn(self, doing: Coroutine[object, None, None]) -> None:
-        self._tasks.append(asyncio.ensure_future(doing))
+    def _spawn(self, coroutine: Coroutine[object, None, None]) -> None:
+        self._tasks.append(asyncio.ensure_future(coroutine))
 
     async def close(self) -> None:
         """Cancel the running events; raises the error of one that failed, if any."""
@@ -180,9 +180,9 @@
         live = [place for place in self._fleet.places.values() if place.name in self._fleet.live]
         if scope is Scope.TENTH:
             return [place.name for place in live[::SELECTION_STRIDE]]
-        by = {place.name: place.rack if scope is Scope.RACK else place.zone for place in live}
-        largest = max(sorted(set(by.values())), key=list(by.values()).count)
-        return [name for name, at in by.items() if at == largest]
+        group_of = {place.name: place.rack if scope is Scope.RACK else place.zone for place in live}
+        largest = max(sorted(set(group_of.values())), key=list(group_of.values()).count)
+        return [name for name, at in group_of.items() if at == largest]
 
     async def _end_region_partition(self, event: RegionPartition) -> None:
         """Reconnect the partitioned region, and start measuring its recovery."""
--- a/magpieshift/lab/scale/fleet.py
+++ b/magpieshift/lab/scale/fleet.py
@@ -65,7 +65,7 @@
         self.settings = base_settings(len(self.places), self.log.ports[LOG], self.topology.zone_sizes())
         await self.tier.open(self.log)
         await self._start_networks(sorted(networked_paths))
-        await asyncio.gather(self.tier.start_remaining(self.reach), self._start_workers())
+        await asyncio.gather(self.tier.start_remaining(self.port_for), self._start_workers())
         self._counter = StreamByteCounter(self.tier.router_ports) if StreamByteCounter.available() else None
 
     async def _start_networks(self, paths: Sequence[str]) -> None:
@@ -90,8 +90,8 @@
 
     async def close(self) -> None:
         """Stop all processes."""
-        every = [*self.workers, *self.networks, self._log]
-        await asyncio.gather(*(child.stop() for child in every if child is not None), self.tier.close())
+        children = [*self.workers, *self.networks, self._log]
+        await asyncio.gather(*(child.stop() for child in children if child is not None), self.tier.close())
 
     @property
     def log(self) -> Child:
@@ -113,7 +113,7 @@
         parts = ([name for name in chosen if numbers[name] % count == i] for i in range(count))
         return [(worker, part) for worker, part in zip(self.workers, parts, strict=True) if part]
 
-    def reach(self, path: str, target: str) -> int:
+    def port_for(self, path: str, target: str) -> int:
         """The port on which the routers on a path connect to a target of the tier."""
         if (network := self._network_of.get(path)) is not None:
             return network.ports[port_name(path, target)]
@@ -122,7 +122,7 @@
     def _address_router(self, name: str) -> m.RouterAddresses:
         path = self.paths[name]
         return self.tier.address_router(
-            self.places[name], path, self.reach, path in self.region_internal_paths
+            self.places[name], path, self.port_for, path in self.region_internal_paths
         )
 
     async def start_routers(self, names: Collection[str]) -> None:
@@ -218,7 +218,9 @@
         them lead through a network process."""
         if self._counter is None or not set(paths) <= set(self._network_of):
             return None
-        return StreamByteCounter([self.reach(path, target) for path in paths for target in self.tier.targets])
+        return StreamByteCounter(
+            [self.port_for(path, target) for path in paths for target in self.tier.targets]
+        )
 
     @property
     def mb_per_router(self) -> float | None:
--- a/magpieshift/lab/scale/load.py
+++ b/magpieshift/lab/scale/load.py
@@ -73,12 +73,12 @@
     if rate <= 0:
         return
     edges = _rate_steps(rate, seconds, bursts)
-    spent = rand.expovariate(1.0)  # integral of the rate from ``begin`` to the next arrival
+    until_next = rand.expovariate(1.0)  # integral of the rate from ``begin`` to the next arrival
     for begin, end, now in edges:
-        while spent < (end - begin) * now:
-            yield begin + spent / now
-            spent += rand.expovariate(1.0)
-        spent -= (end - begin) * now
+        while until_next < (end - begin) * now:
+            yield begin + until_next / now
+            until_next += rand.expovariate(1.0)
+        until_next -= (end - begin) * now
 
 
 def _rate_steps(rate: float, seconds: float, bursts: Sequence[Burst]) -> list[tuple[float, float, float]]:
@@ -98,6 +98,6 @@
     found = []
     for kind in Kind:
         rand = random.Random(f"{seed}/{kind.value}")
-        raised = bursts if kind is Kind.PURGE else ()
-        found += [Arrival(at, kind) for at in poisson(rates.per_second(kind), seconds, rand, raised)]
+        kind_bursts = bursts if kind is Kind.PURGE else ()
+        found += [Arrival(at, kind) for at in poisson(rates.per_second(kind), seconds, rand, kind_bursts)]
     return sorted(found, key=lambda arrival: arrival.at_s)
--- a/magpieshift/lab/scale/relays.py
+++ b/magpieshift/lab/scale/relays.py
@@ -77,7 +77,7 @@
         self._folder = tempfile.TemporaryDirectory(prefix="scale-versions-")
         self._log: Child | None = None
         self._source: Child | None = None
-        self._reach: PortLookup = lambda path, target: self.targets[target]
+        self._port_for: PortLookup = lambda path, target: self.targets[target]
 
     async def open(self, log: Child) -> None:
         """Start the source, which connects to the change log directly."""
@@ -85,9 +85,9 @@
         start = m.StartSource(log_port=log.ports[LOG], versions=self._folder.name)
         self._source = await Child.start(SOURCE, "node", start)
 
-    async def start_remaining(self, reach: PortLookup) -> None:
+    async def start_remaining(self, port_for: PortLookup) -> None:
         """Start all relays; each connects to the source by the network path of its zone."""
-        self._reach = reach
+        self._port_for = port_for
         await asyncio.gather(*map(self._start, self._machines.values()))
 
     async def close(self) -> None:
@@ -101,7 +101,7 @@
             name=machine.name,
             region=machine.region,
             port=machine.port,
-            source_port=self._reach(machine.zone, SOURCE),
+            source_port=self._port_for(machine.zone, SOURCE),
         )
         machine.child = await Child.start(machine.name, "node", start)
 
@@ -128,7 +128,7 @@
         return 1 + len(self._machines)
 
     def address_router(
-        self, place: Place, path: str, reach: PortLookup, spares_region: bool
+        self, place: Place, path: str, port_for: PortLookup, spares_region: bool
     ) -> m.RouterAddresses:
         """The ports of all relays, on the router's network path. If ``spares_region`` is set, the router
         connects directly to the relays of its region, as a cut of the path does not affect them."""
@@ -140,7 +140,7 @@
                 port=(
                     machine.port
                     if spares_region and machine.region == place.region
-                    else reach(path, machine.name)
+                    else port_for(path, machine.name)
                 ),
             )
             for machine in self._machines.values()
--- a/magpieshift/lab/scale/result.py
+++ b/magpieshift/lab/scale/result.py
@@ -161,15 +161,15 @@
     in force at all of them."""
     result.lost = sum(lost.values())
     if lost:
-        result.rules_broken.append(f"no purge lost: {result.lost} by {_named(lost)}")
+        result.rules_broken.append(f"no purge lost: {result.lost} by {_format_names(lost)}")
     if result.out_of_order:
         result.rules_broken.append(f"purges applied in order: {result.out_of_order} were not")
     late = {name: number for name, number in behind.items() if number < newest}
     if late:
-        result.rules_broken.append(f"newest version in force at the end: not at {_named(late)}")
+        result.rules_broken.append(f"newest version in force at the end: not at {_format_names(late)}")
 
 
-def _named(routers: Mapping[str, int]) -> str:
+def _format_names(routers: Mapping[str, int]) -> str:
     names = sorted(routers)
     more = f" and {len(names) - MAX_ROUTERS_NAMED} more" if len(names) > MAX_ROUTERS_NAMED else ""
     return ", ".join(names[:MAX_ROUTERS_NAMED]) + more
--- a/magpieshift/lab/scale/tier.py
+++ b/magpieshift/lab/scale/tier.py
@@ -25,7 +25,7 @@
         """Start the processes that connect to the change log; afterwards all ports are known."""
         ...
 
-    async def start_remaining(self, reach: PortLookup) -> None:
+    async def start_remaining(self, port_for: PortLookup) -> None:
         """Start the remaining processes, once the network processes are running."""
         ...
 
@@ -49,7 +49,7 @@
         ...
 
     def address_router(
-        self, place: Place, path: str, reach: PortLookup, spares_region: bool
+        self, place: Place, path: str, port_for: PortLookup, spares_region: bool
     ) -> m.RouterAddresses:
         """The ports that a router connects to. ``spares_region``: a cut of its path does not affect
         connections within its region."""
@@ -103,7 +103,7 @@
         self._log = log
         self._control = await Child.start("control service", "control", m.StartControl())
 
-    async def start_remaining(self, reach: PortLookup) -> None:
+    async def start_remaining(self, port_for: PortLookup) -> None:
         """Does nothing: ``open`` starts the only process."""
 
     async def close(self) -> None:
@@ -139,11 +139,11 @@
         return 1
 
     def address_router(
-        self, place: Place, path: str, reach: PortLookup, spares_region: bool
+        self, place: Place, path: str, port_for: PortLookup, spares_region: bool
     ) -> m.RouterAddresses:
         """The ports of change log and control service on the router's network path."""
         return m.RouterAddresses(
-            name=place.name, path=path, log_port=reach(path, LOG), control_port=reach(path, CONTROL)
+            name=place.name, path=path, log_port=port_for(path, LOG), control_port=port_for(path, CONTROL)
         )
 
     async def publish(self, number: int, text: str) -> float:
--- a/magpieshift/lab/scale/topology.py
+++ b/magpieshift/lab/scale/topology.py
@@ -150,18 +150,18 @@
         chosen = [each for each in (cut.region, cut.zone, cut.rack) if each is not None]
         if len(chosen) != 1:
             problems.append(
-                _wrong_cut(tree, name, f"{len(chosen)} fields", "exactly one of region, zone and rack")
+                _cut_problem(tree, name, f"{len(chosen)} fields", "exactly one of region, zone and rack")
             )
         elif not topology.within(cut):
-            problems.append(_wrong_cut(tree, name, chosen[0], "a region, zone or rack that has routers"))
+            problems.append(_cut_problem(tree, name, chosen[0], "a region, zone or rack that has routers"))
         elif cut.to_s <= cut.from_s:
-            problems.append(_wrong_cut(tree, name, f"to-s {cut.to_s}", f"a time after from-s {cut.from_s}"))
+            problems.append(_cut_problem(tree, name, f"to-s {cut.to_s}", f"a time after from-s {cut.from_s}"))
     if problems:
         raise UnusableDocumentError(problems)
     return topology
 
 
-def _wrong_cut(tree: sexp.ParsedDocument, name: str, found: str, expected: str) -> Problem:
+def _cut_problem(tree: sexp.ParsedDocument, name: str, found: str, expected: str) -> Problem:
     return Problem(f"cuts {name}", tree.lines.get(("cuts", name), 0), found, expected)
 
 
@@ -190,11 +190,11 @@
     sites = min(sites, routers)
     weights = [rand.paretovariate(1.2) for _ in range(sites)]
     sizes = _proportional_sizes(weights, routers)
-    load = dict.fromkeys((f"z{i}" for i in range(zones)), 0)
+    zone_routers = dict.fromkeys((f"z{i}" for i in range(zones)), 0)
     placed: dict[str, tuple[str, int]] = {}
     for number, size in enumerate(sorted(sizes, reverse=True)):
-        zone = min(load, key=lambda name: (load[name], name))
-        load[zone] += size
+        zone = min(zone_routers, key=lambda name: (zone_routers[name], name))
+        zone_routers[zone] += size
         placed[f"s{number}"] = zone, size
     return TopologyForm(
         region_km={
