--- a/tests/scale/test_topology.py
+++ b/tests/scale/test_topology.py
@@ -41,10 +41,13 @@
             "(w1 west-a 20)": ("(w1 west-a many)", "sites w1 1: found 'many', expected"),
             "(ms-per-1000km 6)": ("(ms-per-1000km -6)", "line 7: ms-per-1000km: found -6, expected"),
             "(to-s 2)": ("(to-s 0)", "cuts rack: found to-s 0.0, expected a time after"),
-            "(rack w1-1)": ("(rack w1-9)", "cuts rack: found w1-9, expected a region, zone or rack that has"),
+            "(rack w1-1)": (
+                "(rack w1-9)",
+                "cuts rack: found w1-9, expected a region, zone or rack that has routers",
+            ),
             "(region east)": (
                 "(region east) (zone east-a)",
-                "cuts night: found 2 fields, expected exactly one",
+                "cuts night: found 2 fields, expected exactly one of",
             ),
         }
         for right, (wrong, expected_text) in cases.items():
