--- a/magpieshift/lab/scale/relays.py
+++ b/magpieshift/lab/scale/relays.py
@@ -35,7 +35,7 @@
             found.append(port)
         if len(found) == count:
             return found
-    raise OSError(f"free ports from 20000 to 31999: found {len(found)}, expected {count}")
+    raise OSError(f"free ports in {FIXED_PORT_RANGE}: found {len(found)}, expected {count}")
 
 
 @dataclass
