--- a/magpieshift/lab/scale/changelog.py
+++ b/magpieshift/lab/scale/changelog.py
@@ -171,7 +171,7 @@
             self._append({"invalidate": {"object": object_of(index), "time": made_ms}})
 
     def change_list(self, place: int) -> None:
-        """Accept the next change of the cache at this place in the list."""
+        """Move the cache at index ``place`` of the list to its next phase, and accept the event for it."""
         self._append(self._list.change(place))
 
     def head(self) -> Head:
--- a/magpieshift/lab/scale/faults.py
+++ b/magpieshift/lab/scale/faults.py
@@ -27,7 +27,7 @@
 DISTANCE_DELAY = "distance"
 REGION_PARTITION = "region away"
 POLL_INTERVAL_S = 0.1  # between checks of a condition that is waited for; bounds the error of ``return_s``
-RESTART_DOWNTIME_S = 0.5  # between a router's crash and its restart, for restarts of the load
+RESTART_DOWNTIME_S = 0.5  # between crash and restart of a router, for the restarts that are part of the load
 SELECTION_STRIDE = 10  # scenarios that affect a tenth of the routers choose every tenth
 SUBSCRIBE_TIMEOUT_S = 60.0  # for all routers to subscribe to versions after their start
 TIER_CATCH_UP_TIMEOUT_S = 120.0  # for the tier to receive an hour's purges, which are accepted at once
@@ -78,7 +78,8 @@
                 self._fleet.paths[place.name] = STALLED_PATH if number // SELECTION_STRIDE % 2 else SLOW_PATH
 
     def reachable_paths(self) -> frozenset[str] | None:
-        """The paths on which control can be reached without a cut or a slow reader now; None: all paths."""
+        """The paths on which control can be reached now, without those that are cut or have slow readers;
+        None: all paths."""
         if not self._cut_paths:
             return None
         return frozenset(self._fleet.paths.values()) - self._cut_paths
--- a/magpieshift/lab/scale/fleet.py
+++ b/magpieshift/lab/scale/fleet.py
@@ -30,7 +30,7 @@
 
     workers: int
     caches: int
-    drop_every: int = 0  # injected fault for tests: routers drop every such purge; 0: none
+    drop_every: int = 0  # injected fault for tests: each router drops every n-th purge; 0: none
 
 
 class Fleet:
@@ -42,7 +42,7 @@
         self.tier = tier
         self.places: Mapping[str, Place] = {place.name: place for place in topology.places}
         self.paths: dict[str, str] = {place.name: place.zone for place in topology.places}
-        self.region_internal_paths: set[str] = set()  # paths whose cuts spare connections in a region
+        self.region_internal_paths: set[str] = set()  # cuts of these leave connections within a region
         self.live: set[str] = set()
         self.workers: list[Child] = []
         self.networks: list[Child] = []
--- a/magpieshift/lab/scale/hollow.py
+++ b/magpieshift/lab/scale/hollow.py
@@ -91,8 +91,8 @@
 
 
 class PurgeObserver:
-    """Passes events from the engine to the policy, and reports purges once the policy has handled them. With
-    ``drop_every``, every such purge is dropped before the policy, as a fault for tests."""
+    """Passes events from the engine to the policy, and reports purges once the policy has handled them. As a
+    fault for tests, every ``drop_every``-th purge is dropped before the policy; 0 drops none."""
 
     def __init__(self, callback: PurgeCallback, drop_every: int = 0) -> None:
         self._callback = callback
--- a/magpieshift/lab/scale/run.py
+++ b/magpieshift/lab/scale/run.py
@@ -62,7 +62,7 @@
     topology: Topology | None = None  # None: generated from the seed
     settle_s: float = 15.0  # maximum wait after the load for all routers to catch up
     workers: int = 0  # worker processes; 0: chosen by the number of routers
-    drop_every: int = 0  # injected fault for tests: routers drop every such purge; 0: none
+    drop_every: int = 0  # injected fault for tests: each router drops every n-th purge; 0: none
     logs: str = ""  # folder for the log files of the processes; empty: logs are discarded
 
     def check(self) -> None:
--- a/magpieshift/lab/scale/tally.py
+++ b/magpieshift/lab/scale/tally.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-PURGE_EXPIRY_S = 12.0  # age from which a purge has expired: twice ``purges done-ms`` of the settings
+PURGE_EXPIRY_S = 12.0  # age from which a purge has expired: twice the setting ``purges done-ms``
 NOT_APPLIED = 0.0  # stands for the time of a purge that no router has applied
 
 
--- a/magpieshift/lab/scale/tier.py
+++ b/magpieshift/lab/scale/tier.py
@@ -30,7 +30,7 @@
         ...
 
     async def close(self) -> None:
-        """End all processes."""
+        """Stop all processes."""
         ...
 
     @property
@@ -45,7 +45,7 @@
 
     @property
     def processes(self) -> int:
-        """How many processes the tier has."""
+        """The number of processes of the tier."""
         ...
 
     def address_router(
