--- a/magpieshift/cli/lab_rollout.py
+++ b/magpieshift/cli/lab_rollout.py
@@ -86,7 +86,7 @@
 
     from magpieshift.lab.simulated import rollout as simulation
 
-    row = simulation.many(name, routers, runs, seed, os.cpu_count() or 1, before)
+    row = simulation.play_many(name, routers, runs, seed, os.cpu_count() or 1, before)
     return row, not (row["stopped_wrongly"] or row["not_ended"] or row["terms_at_once"])
 
 
--- a/tests/rollout/test_simulated.py
+++ b/tests/rollout/test_simulated.py
@@ -16,9 +16,11 @@
     def test_good_builds_pass_and_bad_ones_are_rolled_back(self) -> None:
         for name in ("same", "same-with-outage", "worse-zone", "late-crash", "mute", "no-start", "leak"):
             with self.subTest(name):
-                out = lab.play(name, 16, 3)
-                self.assertEqual((out.stopped, out.terms_at_once), (SCENARIOS[name].bad, 0), out)
-                self.assertLessEqual(out.most_away, plan_of(16).max_unreachable)
+                outcome = lab.play(name, 16, 3)
+                self.assertEqual(
+                    (outcome.stopped, outcome.terms_at_once), (SCENARIOS[name].is_bad, 0), outcome
+                )
+                self.assertLessEqual(outcome.most_away, plan_of(16).max_unreachable)
 
     def test_a_seed_gives_the_same_rollout_in_every_process(self) -> None:
         """Guards against sums that depend on the iteration order of a set of strings, which differs between
