--- a/magpieshift/lab/experiments/overload.py
+++ b/magpieshift/lab/experiments/overload.py
@@ -187,9 +187,9 @@
     fleet = Fleet(form)
     talk = None
     if gossip is not None:
-        from magpieshift.lab.simulated.gossip import Talk  # needs the codec's library
+        from magpieshift.lab.simulated.gossip import SimulatedGossip  # needs the codec's library
 
-        talk = Talk(fleet, max(gossip.loss, scenario.digests_lost), gossip.liars)
+        talk = SimulatedGossip(fleet, max(gossip.loss, scenario.digests_lost), gossip.liars)
     fleet.run(WARM_UP_S + BASELINE_S)
     baseline = fleet.record.by_second[WARM_UP_S : WARM_UP_S + BASELINE_S]
     baseline_work = _work_per_request(baseline)
@@ -204,7 +204,7 @@
     fleet.run(SETTLE_S)
     _judge(outcome, fleet, start_s, end_s, baseline_work)
     if talk is not None:
-        datagrams_per_s, bytes_per_s = talk.cost()
+        datagrams_per_s, bytes_per_s = talk.sent_per_router_s()
         outcome.talk_per_s = round(datagrams_per_s, 2)
         outcome.talk_bytes_per_s = round(bytes_per_s, 2)
     outcome.real_s = round(time.perf_counter() - began, 1)
@@ -274,7 +274,7 @@
 
 def point(load: float, trigger: str, tries: int, form: FleetSize) -> Point:
     """Play one point of the map: no client waits for Retry-After, so that retries are at their worst."""
-    outcome = play(trigger, replace(form, load_factor=load, max_attempts=tries, patient_share=0.0))
+    outcome = play(trigger, replace(form, load_factor=load, max_attempts=tries, retry_after_share=0.0))
     stays_bad = outcome.back_to_95_s >= MAX_RECOVERY_S
     return Point(
         load, trigger, tries, outcome.back_to_95_s, outcome.goodput, outcome.amplification, stays_bad
--- a/magpieshift/lab/simulated/fleet_clients.py
+++ b/magpieshift/lab/simulated/fleet_clients.py
@@ -170,7 +170,7 @@
             return
         intent.attempts += 1
         intent.rejected_by = rejected_by or intent.rejected_by
-        honors_retry_after = self._rand.random() < self._size.patient_share
+        honors_retry_after = self._rand.random() < self._size.retry_after_share
         wait_us = retry_after_us if honors_retry_after else IMMEDIATE_RETRY_WAIT_US
 
         def retry() -> None:
--- a/magpieshift/lab/simulated/fleet_state.py
+++ b/magpieshift/lab/simulated/fleet_state.py
@@ -26,7 +26,7 @@
     size_kb: float = 30.0  # of each object
     write_share: float = 0.05  # of requests
     max_attempts: int = 4  # of a client, the first included
-    patient_share: float = 0.5  # of retries that wait for the Retry-After; the others come at once
+    retry_after_share: float = 0.5  # of retries that wait for the Retry-After; the others come at once
     capacity_factor: float = 1.2  # what endpoints and links can carry over the design rate
     seed: int = 1
 
--- a/magpieshift/lab/simulated/gossip.py
+++ b/magpieshift/lab/simulated/gossip.py
@@ -15,7 +15,7 @@
 FAILURE_DETECTION_US = 2_400_000  # by the others, that a router does not answer
 
 
-class Talk:
+class SimulatedGossip:
     """The talk of all routers of a fleet. ``loss`` is the share of digests that never arrive; ``liars`` say
     of themselves that they have all the room there is, and of each store that it fails."""
 
@@ -97,7 +97,7 @@
             return
         self._instances[id(router.engine)][1].receive(now, sender, decode(data), is_neighbour=False)
 
-    def cost(self) -> tuple[float, float]:
+    def sent_per_router_s(self) -> tuple[float, float]:
         """Datagrams and bytes that a router sent a second, over the whole run."""
         router_seconds = (
             len(self._fleet.routers) * (self._fleet.time.now_us - self._fleet.time.start_us) / SECOND_US
