--- a/magpieshift/lab/capacity/roles/rollouts.py
+++ b/magpieshift/lab/capacity/roles/rollouts.py
@@ -8,8 +8,8 @@
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.processor import count_processor_time
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
-from magpieshift.lab.simulated.rollout import LOOK_S
-from magpieshift.lab.simulated.rollout_fleet import NEW, OLD, plan_of
+from magpieshift.lab.simulated.rollout import ROUND_INTERVAL_S
+from magpieshift.lab.simulated.rollout_fleet import NEW, OLD, rollout_plan
 from magpieshift.rollout.canary_analysis import CanaryAnalysis
 from magpieshift.rollout.coordinator import Coordinator
 from magpieshift.rollout.memory_trend import MAX_SAMPLES, MEMORY_SETTLE_US
@@ -28,7 +28,7 @@
 
     def __init__(self, routers: int, seed: int) -> None:
         self._draw = random.Random(seed)
-        self.plan = plan_of(routers)
+        self.plan = rollout_plan(routers)
         records = [StagePassed()] * STAGES_PASSED
         self.coordinator = Coordinator(self.plan, 1, 0, records)
         zones = {name: router.zone for name, router in self.plan.routers.items()}
@@ -40,7 +40,7 @@
 
     def answers(self) -> dict[str, ProcessCounters | None]:
         """The counters of all admin servers at the next round."""
-        self.now_us += LOOK_S * SECOND_US
+        self.now_us += ROUND_INTERVAL_S * SECOND_US
         return {name: self._figures(name, label) for name, label in self._labels.items()}
 
     def _figures(self, name: str, label: str) -> ProcessCounters:
@@ -77,7 +77,7 @@
         Resource(
             "processor",
             "ms a look",
-            Budget(500.0 * LOOK_S, f"half of the {LOOK_S} s between two looks"),
+            Budget(500.0 * ROUND_INTERVAL_S, f"half of the {ROUND_INTERVAL_S} s between two looks"),
         ),
     )
 
--- a/magpieshift/lab/simulated/rollout.py
+++ b/magpieshift/lab/simulated/rollout.py
@@ -13,7 +13,7 @@
 from functools import partial
 from typing import Any
 
-from magpieshift.lab.simulated.rollout_fleet import NEW, OLD, SECOND_US, SERVED_SHARE, Fleet, plan_of
+from magpieshift.lab.simulated.rollout_fleet import NEW, OLD, SECOND_US, SERVED_SHARE, Fleet, rollout_plan
 from magpieshift.lab.simulated.rollout_scenarios import SCENARIOS
 from magpieshift.rollout.canary_analysis import CanaryAnalysis
 from magpieshift.rollout.coordinator import Coordinator
@@ -22,7 +22,7 @@
 from magpieshift.rollout.records import PhaseChanged, RolloutPhase
 from magpieshift.rollout.verdict import Verdict
 
-LOOK_S = 2
+ROUND_INTERVAL_S = 2
 MAX_ROLLOUT_S = 7_200
 
 
@@ -135,7 +135,7 @@
     next_fault_s = rand.uniform(5, 200) if scenario.has_coordinator_faults else float("inf")
     fault_count = 0
     while not run.coordinator.is_over and fleet.now_us < MAX_ROLLOUT_S * SECOND_US:
-        fleet.run(LOOK_S)
+        fleet.run(ROUND_INTERVAL_S)
         if fleet.now_us >= next_fault_s * SECOND_US:
             fault_count += 1
             next_fault_s = (
@@ -187,7 +187,7 @@
     with ProcessPoolExecutor(workers) as pool:
         outcomes = list(pool.map(play_seed, range(seed, seed + runs), chunksize=1))
     is_bad = SCENARIOS[name].is_bad
-    allowed = plan_of(routers).max_unreachable
+    allowed = rollout_plan(routers).max_unreachable
     return {
         "scenario": name,
         "routers": routers,
--- a/magpieshift/lab/simulated/rollout_fleet.py
+++ b/magpieshift/lab/simulated/rollout_fleet.py
@@ -39,7 +39,7 @@
     crash_at_us: int | None = None
 
 
-def plan_of(routers: int, zones: int = 4) -> Plan:
+def rollout_plan(routers: int, zones: int = 4) -> Plan:
     """The plan that is tried: one, a tenth, a half, all, across zones."""
     admin_addresses = ("127.0.0.1", 1), ("127.0.0.1", 2)
     router_places = {f"r{n}": RouterPlace(f"r{n}", f"z{n % zones}", admin_addresses) for n in range(routers)}
@@ -71,7 +71,7 @@
         self, scenario: Scenario, routers: int, seed: int, rate: float = 20.0, against_baseline: bool = False
     ) -> None:
         self.scenario = scenario
-        self.plan = plan_of(routers)
+        self.plan = rollout_plan(routers)
         self.rate = rate
         self.rand = random.Random(seed)
         self.np_rand = np.random.default_rng(seed)
--- a/tests/rollout/test_simulated.py
+++ b/tests/rollout/test_simulated.py
@@ -8,7 +8,7 @@
 import unittest
 
 from magpieshift.lab.simulated import rollout as lab
-from magpieshift.lab.simulated.rollout_fleet import plan_of
+from magpieshift.lab.simulated.rollout_fleet import rollout_plan
 from magpieshift.lab.simulated.rollout_scenarios import SCENARIOS
 
 
@@ -20,7 +20,7 @@
                 self.assertEqual(
                     (outcome.stopped, outcome.terms_at_once), (SCENARIOS[name].is_bad, 0), outcome
                 )
-                self.assertLessEqual(outcome.most_away, plan_of(16).max_unreachable)
+                self.assertLessEqual(outcome.most_away, rollout_plan(16).max_unreachable)
 
     def test_a_seed_gives_the_same_rollout_in_every_process(self) -> None:
         """Guards against sums that depend on the iteration order of a set of strings, which differs between
