--- a/magpieshift/lab/simulated/endpoints.py
+++ b/magpieshift/lab/simulated/endpoints.py
@@ -1,5 +1,4 @@
-"""Models of endpoints: service slots, a bounded queue, cached objects, and how they fail. Times are
-microseconds."""
+"""Models of endpoints: service slots, a bounded queue, cached objects, and faults. Times are microseconds."""
 
 from __future__ import annotations
 
@@ -13,26 +12,26 @@
 from magpieshift.lab.simulated.time import ScheduledCall, SimulatedTime
 
 US_PER_S = 1_000_000
-ObjectKey = tuple[str, int]  # an object, and which part of it
+ObjectKey = tuple[str, int]  # the object's key, and the number of its part
 
 
 class EndpointCondition(Enum):
-    """How an endpoint does."""
+    """Whether an endpoint works, and how it fails."""
 
     RUNNING = "here"
     CRASHED = "gone"  # connections are refused at once
-    UNRESPONSIVE = "silent"  # nothing is ever answered
+    UNRESPONSIVE = "silent"  # requests are accepted and never answered
 
 
 @dataclass(frozen=True)
 class EndpointCapacity:
-    """What an endpoint can do."""
+    """How many requests an endpoint serves, how fast, and how many objects it caches."""
 
     slots: int  # requests served at the same time
-    us_per_kb: float = 0.0  # service time by size
-    min_service_us: float = 2_000.0  # service time whatever the size
-    max_queued: int = 64  # requests beyond the slots; what comes above that is rejected
-    max_objects: int = 500  # cached objects
+    us_per_kb: float = 0.0  # service time for each kilobyte of the object
+    min_service_us: float = 2_000.0  # lower bound of the service time
+    max_queued: int = 64  # requests waiting for a slot; further ones are rejected
+    max_objects: int = 500  # upper bound of cached objects
 
 
 class Work:
@@ -41,12 +40,12 @@
     __slots__ = ("event", "is_over", "release_slot")
 
     def __init__(self) -> None:
-        self.event: ScheduledCall | None = None  # what happens to it next
-        self.release_slot: Callable[[], None] | None = None  # of the slot that it holds now
+        self.event: ScheduledCall | None = None  # its next step, if one is scheduled
+        self.release_slot: Callable[[], None] | None = None  # releases the slot that it holds
         self.is_over = False
 
     def end(self) -> None:
-        """End it, whether done or cancelled, and release its slot; nothing happens the second time."""
+        """End the request, completed or cancelled, and release its slot; a second call does nothing."""
         if self.is_over:
             return
         self.is_over = True
@@ -63,25 +62,27 @@
 
 
 class SimulatedEndpoint:
-    """One endpoint: a cache, a parent or the origin."""
+    """One endpoint: a cache, a parent cache or the origin."""
 
     def __init__(
         self, listed: ListedEndpoint, capacity: EndpointCapacity, time: SimulatedTime, rand: random.Random
     ) -> None:
-        self.listed = listed  # as routers know it
+        self.listed = listed  # its entry in the endpoint list of routers
         self.capacity = capacity
         self.condition = EndpointCondition.RUNNING
-        self.error_probability = 0.0  # of answering with an error
+        self.error_probability = 0.0  # that a request is answered with an error
         self.slowdowns: dict[str, float] = {}  # factor of service times by request class, "" for all
         self.cached: OrderedDict[ObjectKey, None] = OrderedDict()  # least recently used first
         self._time = time
         self._random = rand
         self._busy_slots = 0
-        self._queue: deque[tuple[Work, float, Callable[[], None]]] = deque()  # with service time, then
+        self._queue: deque[tuple[Work, float, Callable[[], None]]] = (
+            deque()
+        )  # request, service time, ``then``
 
     @property
     def is_failing(self) -> bool:
-        """Whether it is crashed or unresponsive."""
+        """Whether the endpoint has crashed or is unresponsive."""
         return self.condition != EndpointCondition.RUNNING
 
     @property
@@ -94,30 +95,32 @@
         return self.load < self.capacity.slots + self.capacity.max_queued
 
     def draws_error(self) -> bool:
-        """Whether this request is answered with an error; draws only where errors are possible."""
+        """Whether this request is answered with an error. Draws a random number only if
+        ``error_probability`` is above 0."""
         return self.error_probability > 0 and self._random.random() < self.error_probability
 
     def lookup(self, key: ObjectKey) -> bool:
-        """Whether an object is cached; it counts as used."""
+        """Whether an object is cached; if so, it becomes the most recently used one."""
         if key in self.cached:
             self.cached.move_to_end(key)
             return True
         return False
 
     def store(self, key: ObjectKey) -> None:
-        """Cache an object, and evict the least recently used above the limit."""
+        """Cache an object, and evict the least recently used ones above ``max_objects``."""
         self.cached[key] = None
         self.cached.move_to_end(key)
         while len(self.cached) > self.capacity.max_objects:
             self.cached.popitem(last=False)
 
     def service_time_us(self, class_name: str, size_kb: float) -> float:
-        """How long a request holds a slot."""
+        """Time for which a request of this class and size holds a slot."""
         factor = self.slowdowns.get(class_name, self.slowdowns.get("", 1.0))
         return max(self.capacity.min_service_us, size_kb * self.capacity.us_per_kb) * factor
 
     def serve(self, work: Work, service_us: float, then: Callable[[], None]) -> None:
-        """Hold a slot for the service time, after all that is queued, and call ``then``."""
+        """Hold a slot for the service time, then call ``then``. If no slot is free, the request waits in a
+        first-in, first-out queue. ``then`` is not called if the request ends before."""
         if self._busy_slots < self.capacity.slots:
             self._begin(work, service_us, then)
         else:
@@ -144,15 +147,16 @@
 
 
 class ZoneLink:
-    """The link into a zone: transfers run one after the other, so each waits for all before it."""
+    """The network link into a zone. Transfers run one at a time, in the order of their start."""
 
     def __init__(self, time: SimulatedTime, kb_per_s: float) -> None:
         self.kb_per_s = kb_per_s
         self._time = time
-        self._idle_at_us = 0  # when the last transfer ends
+        self._idle_at_us = 0  # end of the last transfer scheduled
 
     def transfer(self, work: Work, size_kb: float, then: Callable[[], None]) -> None:
-        """Transfer so much; call ``then`` unless the work was cancelled: it keeps its time on the link."""
+        """Transfer ``size_kb``, then call ``then`` unless the request was cancelled. A cancelled transfer
+        still occupies the link for its whole duration."""
         start_us = max(self._idle_at_us, self._time.now_us)
         self._idle_at_us = start_us + int(US_PER_S * size_kb / self.kb_per_s)
         work.event = self._time.at(self._idle_at_us, lambda: None if work.is_over else then())
--- a/magpieshift/lab/simulated/fleet.py
+++ b/magpieshift/lab/simulated/fleet.py
@@ -1,7 +1,7 @@
 """A fleet of routers with their clients and endpoints on one fake clock.
 
-Routers are the real engine and policy. The load balancer in front of a zone notices a dead router after half
-a second, and sends its clients to the rest of the zone. Times are microseconds.
+Routers run the real engine and policy. The load balancer of a zone detects a killed router after
+``FAILOVER_DELAY_US`` and sends its clients to the other routers of the zone. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 from magpieshift.lab.simulated.upstreams import SimulatedUpstream, SimulatedUpstreams
 from magpieshift.policy.events import Endpoint, EndpointListKind, EndpointState
 
-FAILOVER_DELAY_US = 500_000  # until a load balancer takes a dead router out of rotation
-CACHE_MISS_RATIO = 0.55  # about what caches of this size miss, by the skew of the keys
+FAILOVER_DELAY_US = 500_000  # time until a load balancer takes a killed router out of rotation
+CACHE_MISS_RATIO = 0.55  # approximate miss ratio of caches of this size with the Zipf-distributed keys
 
 
 class Fleet:
-    """Owner of the clock, the endpoints, the routers and the clients."""
+    """A simulated fleet: its clock, endpoints, routers and clients."""
 
     def __init__(self, size: FleetSize) -> None:
         self.size = size
@@ -50,10 +50,10 @@
         """The counters of the current second."""
         return self.record.counters(self.time)
 
-    # --- the installation
+    # --- endpoints and routers
 
     def _build_endpoints(self) -> None:
-        """Caches in each zone, parents and the origin, sized for the rate that the fleet is made for."""
+        """Create the caches of each zone, the parents and the origin, sized for the design load."""
         size = self.size
         kb_per_s = size.design_rate * size.size_kb
         misses_per_s = CACHE_MISS_RATIO * size.design_rate
@@ -92,7 +92,7 @@
         self.upstreams.by_name[name] = SimulatedEndpoint(listed, capacity, self.time, rand)
 
     def start(self, name: str) -> SimulatedRouter:
-        """Start a new process of this router, without any state."""
+        """Start a new process of this router; it keeps no state of an earlier one."""
         number = int(name[1:])
         document = router_document(self.size, number, int(self.upstreams.links[1].kb_per_s))
         settings = document.settings
@@ -109,17 +109,17 @@
     # --- faults
 
     def kill(self, name: str) -> None:
-        """Kill a router with all its requests; the load balancer notices only after a while."""
+        """Kill a router with all its requests; the load balancer notices after ``FAILOVER_DELAY_US``."""
         router = self.routers[name]
         router.clock.dead = True
         self.time.after(FAILOVER_DELAY_US, partial(setattr, router, "in_rotation", False))
 
     def pause(self, name: str, for_us: int) -> None:
-        """Pause a router; what falls due meanwhile happens when it wakes."""
+        """Pause a router; its calls scheduled for that time run at the end of the pause."""
         self.routers[name].clock.paused_until_us = self.time.now_us + for_us
 
     def set_condition(self, name: str, condition: EndpointCondition) -> None:
-        """An endpoint crashes, becomes unresponsive, or returns with an empty cache."""
+        """Make an endpoint crash, become unresponsive, or run again with an empty cache."""
         endpoint = self.upstreams.by_name[name]
         if condition == EndpointCondition.RUNNING:
             endpoint.cached.clear()
@@ -128,5 +128,5 @@
     # --- running
 
     def run(self, seconds: float) -> None:
-        """Let this many seconds pass."""
+        """Run the simulation for this many seconds."""
         self.time.run(self.time.now_us + int(seconds * SECOND_US))
--- a/magpieshift/lab/simulated/fleet_clients.py
+++ b/magpieshift/lab/simulated/fleet_clients.py
@@ -1,7 +1,7 @@
-"""The clients of a simulated fleet: open arrivals, and retries after rejections and failures.
+"""The clients of a simulated fleet: Poisson arrivals, and retries after rejections and failures.
 
-Clients come to the routers of their zone at random. After a rejection some wait for the Retry-After and some
-retry at once; a load balancer in front sends them to the routers that are in rotation.
+A load balancer sends each attempt to a random router in rotation in the client's zone. After a rejection some
+clients wait for the time in Retry-After, others retry almost at once.
 """
 
 from __future__ import annotations
@@ -19,41 +19,43 @@
 
 PICTURE_CLASS = "picture"  # a cacheable read
 BASKET_CLASS = "basket"  # a write with an idempotency key
-WANTED_WITHIN_US = 800_000  # a response after that is late; above both classes' latency objectives
-REQUEST_DEADLINE_US = 3 * SECOND_US  # what a request states; the deadline of both classes
-CLIENT_TIMEOUT_US = 3_200_000  # the deadline, and a margin for a response under way
-MAX_RETRY_AFTER_WANTED_US = 2 * SECOND_US  # a client gives up that long after its response was wanted
-CONNECT_FAILURE_US = 100_000  # until a client notices that nothing answers
-IMMEDIATE_RETRY_WAIT_US = 50_000  # of a client that ignores the Retry-After; about a human's reload or faster
-MIN_RETRY_WAIT_US = 1_000  # so that a retry never falls on the instant of the rejection
+WANTED_WITHIN_US = 800_000  # later responses count as late; above both classes' latency objectives
+REQUEST_DEADLINE_US = 3 * SECOND_US  # sent with each request; the deadline of both classes
+CLIENT_TIMEOUT_US = 3_200_000  # the deadline, with a margin for a response in flight
+MAX_RETRY_AFTER_WANTED_US = 2 * SECOND_US  # no retries later than this after ``wanted_by_us``
+CONNECT_FAILURE_US = 100_000  # time until a client notices that its connection fails
+IMMEDIATE_RETRY_WAIT_US = (
+    50_000  # wait of a client that ignores Retry-After; as fast as a person reloads, or faster
+)
+MIN_RETRY_WAIT_US = 1_000  # keeps a retry from running at the same time as the rejection
 
 
 @dataclass
 class ClientIntent:
-    """What a client wants, through all its attempts."""
+    """A request of a client, over all its attempts."""
 
     class_name: str
-    key: str  # of the object
-    first_second: int  # in which it was first requested
+    key: str  # of the requested object
+    first_second: int  # second of the simulation in which the first attempt was made
     zone: int
     wanted_by_us: int
     attempts: int = 1
-    rejected_by: str = ""  # the last router that rejected it
+    rejected_by: str = ""  # name of the router that rejected it last; empty: none
 
 
 @dataclass
 class ClientCall:
-    """One request of a client to one router."""
+    """One attempt of a client at one router."""
 
     intent: ClientIntent
     router: SimulatedRouter
     request: ClientRequest
-    is_over: bool = False  # answered, or timed out
+    is_over: bool = False  # answered or timed out
     is_answered: bool = False
 
 
 class SimulatedClients:
-    """All clients; they draw from the fleet's generators."""
+    """All clients of a fleet. ``rand`` is the fleet's own random generator."""
 
     def __init__(
         self,
@@ -69,12 +71,12 @@
         self._rand = rand
         self._record = record
         self._routers = routers
-        self._rate = rate  # requests per second now, over the whole fleet
+        self._rate = rate  # returns the current requests per second of the whole fleet
         self._arrivals = np.random.default_rng(size.seed)
         self._request_count = 0
 
     def next_client(self) -> None:
-        """A client makes a request, and the arrival of the next is scheduled."""
+        """Make a client's request, and schedule the arrival of the next client."""
         self._time.after(float(self._arrivals.exponential(SECOND_US / self._rate())), self.next_client)
         zone = self._rand.randrange(self._size.zones) + 1
         is_write = self._rand.random() < self._size.write_share
@@ -98,7 +100,7 @@
         self._request_count += 1
         call = ClientCall(intent, router, self._client_request(intent, router))
         sent_us = self._time.now_us
-        if sent_us < router.clock.paused_until_us:  # it waits in the socket of the paused router
+        if sent_us < router.clock.paused_until_us:  # the request waits in the socket of the paused router
             self._time.at(router.clock.paused_until_us, lambda: self._submit(call))
         else:
             self._submit(call)
@@ -127,7 +129,9 @@
 
         def answered(response: Response) -> None:
             if call.is_answered:
-                self._record.violations.append(f"two answers at {call.router.name}")
+                self._record.violations.append(
+                    f"found two responses of {call.router.name} to one request, expected one"
+                )
             call.is_answered = True
             if not call.is_over:
                 call.is_over = True
@@ -140,8 +144,10 @@
             return
         call.is_over = True
         clock = call.router.clock
-        if not clock.dead and clock.paused_until_us <= sent_us:  # a paused router is excused
-            self._record.violations.append(f"no answer from {call.router.name}")
+        if not clock.dead and clock.paused_until_us <= sent_us:  # a pause excuses the router
+            self._record.violations.append(
+                f"found no response of {call.router.name} before the client's time-out, expected one"
+            )
         self._retry(call.intent, 0, "")
 
     def _handle_response(self, intent: ClientIntent, router: SimulatedRouter, response: Response) -> None:
@@ -160,9 +166,8 @@
         self._retry(intent, response.retry_after_us, router.name)
 
     def _retry(self, intent: ClientIntent, retry_after_us: int, rejected_by: str) -> None:
-        """Retry after a wait, unless the client gives up; ``rejected_by`` is empty where no answer came.
-
-        An answer "failed" counts as a rejection.
+        """Retry after a wait, unless the client gives up. ``rejected_by`` is the router that rejected or
+        failed the request; empty if no response came.
         """
         gives_up_at_us = intent.wanted_by_us + MAX_RETRY_AFTER_WANTED_US
         if intent.attempts >= self._size.max_attempts or self._time.now_us > gives_up_at_us:
--- a/magpieshift/lab/simulated/fleet_settings.py
+++ b/magpieshift/lab/simulated/fleet_settings.py
@@ -1,4 +1,4 @@
-"""The settings of each router of a simulated fleet, as its settings file would hold them."""
+"""The settings of each router of a simulated fleet, in the form of a settings file."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def router_document(size: FleetSize, number: int, link_kb_per_s: int) -> Document:
-    """The settings of the router with this number, in a fleet whose zones have such links."""
+    """The settings of the router with this number; ``link_kb_per_s`` is the bandwidth of each zone's link."""
     zone = {
         "routers": size.routers // size.zones,
         "attached-to": "hub",
--- a/magpieshift/lab/simulated/fleet_state.py
+++ b/magpieshift/lab/simulated/fleet_state.py
@@ -1,4 +1,4 @@
-"""The size of a simulated fleet, its routers, and what is recorded over a run."""
+"""The parameters of a simulated fleet, its routers, and the record of a run."""
 
 from __future__ import annotations
 
@@ -13,48 +13,48 @@
 
 @dataclass(frozen=True)
 class FleetSize:
-    """What is simulated; rates are requests per second over the whole fleet."""
+    """Size, load and clients of a simulated fleet. Rates are requests per second."""
 
     routers: int = 40
     zones: int = 4
     caches_per_zone: int = 4
     parents: int = 4
-    rate_per_router: float = 10.0  # that endpoints and links are made for
-    load_factor: float = 1.0  # the offered load over that rate
-    objects: int = 4_000  # different objects
-    key_skew: float = 1.1  # exponent of the Zipf distribution of objects
+    rate_per_router: float = 10.0  # design load of each router, for which endpoints and links are sized
+    load_factor: float = 1.0  # offered load divided by the design load
+    objects: int = 4_000  # number of different objects
+    key_skew: float = 1.1  # exponent of the Zipf distribution by which objects are requested
     size_kb: float = 30.0  # of each object
-    write_share: float = 0.05  # of requests
-    max_attempts: int = 4  # of a client, the first included
-    retry_after_share: float = 0.5  # of retries that wait for the Retry-After; the others come at once
-    capacity_factor: float = 1.2  # what endpoints and links can carry over the design rate
+    write_share: float = 0.05  # fraction of requests that are writes
+    max_attempts: int = 4  # of one request by its client, including the first
+    retry_after_share: float = 0.5  # fraction of retries that wait for Retry-After; the rest come at once
+    capacity_factor: float = 1.2  # capacity of endpoints and links divided by the design load
     seed: int = 1
 
     @property
     def design_rate(self) -> float:
-        """The rate that the fleet is made for."""
+        """Requests per second of the whole fleet for which endpoints and links are sized."""
         return self.rate_per_router * self.routers
 
 
 @dataclass
 class SimulatedRouter:
-    """One router: its engine, and whether clients are sent to it."""
+    """One router: its engine, and whether the load balancer sends it clients."""
 
     name: str
     zone: int
     clock: RouterClock
     engine: Engine
-    in_rotation: bool = True  # until the load balancer in front notices that it is dead
+    in_rotation: bool = True  # False once the load balancer has noticed that it was killed
 
 
 @dataclass
 class FleetRecord:
-    """What is counted over the whole of a run."""
+    """Counters over a whole run."""
 
     by_second: list[SecondCounters] = field(default_factory=list)
-    rejected_then_served: int = 0  # served by another router after a rejection
-    rejected_requests: int = 0  # answered "rejected" or "failed" at least once
-    violations: list[str] = field(default_factory=list)  # requests with no response, or with two
+    rejected_then_served: int = 0  # requests rejected by one router and then served by another
+    rejected_requests: int = 0  # requests answered "rejected" or "failed" at least once
+    violations: list[str] = field(default_factory=list)  # requests without a response, or with two
 
     def counters(self, time: SimulatedTime) -> SecondCounters:
         """The counters of the current second."""
--- a/magpieshift/lab/simulated/gossip.py
+++ b/magpieshift/lab/simulated/gossip.py
@@ -1,4 +1,4 @@
-"""Routers of a simulated fleet that may talk: their digests on the fake clock, delayed and lost."""
+"""Overload gossip between the routers of a simulated fleet, with delayed and lost digests."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from magpieshift.overload.gossip import GOSSIP_INTERVAL_US, Gossip
 from magpieshift.overload.probe_election import EndpointHealth
 
-FAILURE_DETECTION_US = 2_400_000  # by the others, that a router does not answer
+FAILURE_DETECTION_US = 2_400_000  # time until the other routers treat a killed router as absent
 
 
 class SimulatedGossip:
-    """The talk of all routers of a fleet. ``loss`` is the share of digests that never arrive; ``liars`` say
-    of themselves that they have all the room there is, and of each store that it fails."""
+    """The gossip of all routers of a fleet. ``loss`` is the fraction of digests that are lost. The first
+    ``false_reporters`` routers report that every endpoint fails, and that their own pressure is 0."""
 
     def __init__(self, fleet: Fleet, loss: float = 0.0, false_reporters: int = 0) -> None:
         self._fleet = fleet
@@ -25,7 +25,7 @@
         self._rand = random.Random(f"talk {fleet.size.seed}")
         self._instances: dict[
             int, tuple[SimulatedRouter, Gossip]
-        ] = {}  # by engine: a later start begins anew
+        ] = {}  # by id of the engine, so that a restarted router gossips anew
         self._false_reporters = set(sorted(fleet.routers)[:false_reporters])
         self._dead_since_us: dict[str, int] = {}
         self.datagrams_sent = 0
@@ -33,7 +33,7 @@
         fleet.time.after(0, self._update_instances)
 
     def _update_instances(self) -> None:
-        """Begin with each router that is new, and note who has died."""
+        """Start gossip for each new router process, and record when routers were killed."""
         fleet = self._fleet
         for name, router in fleet.routers.items():
             if id(router.engine) not in self._instances:
@@ -98,7 +98,7 @@
         self._instances[id(router.engine)][1].receive(now, sender, decode(data), is_neighbour=False)
 
     def sent_per_router_s(self) -> tuple[float, float]:
-        """Datagrams and bytes that a router sent a second, over the whole run."""
+        """Mean datagrams and bytes per second sent by one router, over the whole run."""
         router_seconds = (
             len(self._fleet.routers) * (self._fleet.time.now_us - self._fleet.time.start_us) / SECOND_US
         )
--- a/magpieshift/lab/simulated/second_counters.py
+++ b/magpieshift/lab/simulated/second_counters.py
@@ -1,4 +1,4 @@
-"""What a simulated fleet counts in each second, over all routers and endpoints."""
+"""Counters of each second of a simulated fleet, summed over all routers and endpoints."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass
 class ClassCounters:
-    """Requests of one request class that clients first made in this second."""
+    """Requests of one request class whose first attempt by the client was in this second."""
 
     requests: int = 0
     served_in_time: int = 0
@@ -15,16 +15,16 @@
 
 @dataclass
 class SecondCounters:
-    """What happened in one second."""
+    """Counters of one second."""
 
-    requests: int = 0  # by clients, without their retries
+    requests: int = 0  # first attempts of clients; retries are not counted
     client_retries: int = 0
-    served_in_time: int = 0  # first made in this second, and answered within the wanted time
-    served_late: int = 0  # first made in this second
-    rejections: int = 0  # answers "rejected" or "failed", to requests and to retries
-    abandoned: int = 0  # requests whose client has no retry left
-    attempts: int = 0  # that reached an endpoint, as a cache or directly
-    fills: int = 0  # that reached a parent or the origin through a cache
-    origin_requests: int = 0  # that reached the origin on any way
-    at_failing_endpoints: int = 0  # attempts and fills that reached an endpoint which fails
-    by_class: dict[str, ClassCounters] = field(default_factory=dict)  # by the name of the request class
+    served_in_time: int = 0  # requests first made in this second and served within ``WANTED_WITHIN_US``
+    served_late: int = 0  # requests first made in this second and served later than that
+    rejections: int = 0  # responses "rejected" or "failed", including those to retries
+    abandoned: int = 0  # requests given up by their clients
+    attempts: int = 0  # attempts of routers that reached an endpoint
+    fills: int = 0  # fills that reached a parent or the origin
+    origin_requests: int = 0  # attempts and fills that reached the origin
+    at_failing_endpoints: int = 0  # attempts and fills that reached a failing endpoint
+    by_class: dict[str, ClassCounters] = field(default_factory=dict)  # by name of the request class
--- a/magpieshift/lab/simulated/time.py
+++ b/magpieshift/lab/simulated/time.py
@@ -8,7 +8,7 @@
 
 
 class ScheduledCall:
-    """A call that is due at some time, unless it is cancelled."""
+    """A call scheduled for a certain time; it can be cancelled until then."""
 
     __slots__ = ("call",)
 
@@ -21,8 +21,8 @@
 
 
 class SimulatedTime:
-    """One heap of events under one clock, in microseconds: what falls on one instant happens in the order in
-    which it was asked for, so the same seed gives the same history."""
+    """A clock in microseconds, with a heap of scheduled calls. Calls scheduled for the same time run in the
+    order in which they were scheduled, so the same seed gives the same history."""
 
     def __init__(self, now_us: int = 1_000_000_000) -> None:
         self.now_us = now_us
@@ -31,17 +31,17 @@
         self._order = count()
 
     def at(self, when_us: int, call: Callable[[], object]) -> ScheduledCall:
-        """Schedule a call at a time; one in the past is due now."""
+        """Schedule a call at ``when_us``; if that is in the past, at the current time."""
         event = ScheduledCall(call)
         heapq.heappush(self._heap, (max(when_us, self.now_us), next(self._order), event))
         return event
 
     def after(self, delay_us: float, call: Callable[[], object]) -> ScheduledCall:
-        """Schedule a call after a delay."""
+        """Schedule a call after a delay; fractions of a microsecond are dropped."""
         return self.at(self.now_us + int(delay_us), call)
 
     def run(self, until_us: int) -> None:
-        """Run all calls that are due until then, and stop at that time."""
+        """Run all calls scheduled up to ``until_us``, and leave the clock at that time."""
         while self._heap and self._heap[0][0] <= until_us:
             self.now_us, _, event = heapq.heappop(self._heap)
             if event.call is not None:
@@ -50,13 +50,13 @@
 
     @property
     def second(self) -> int:
-        """Whole seconds since the beginning."""
+        """Whole seconds since the start of the simulation."""
         return (self.now_us - self.start_us) // 1_000_000
 
 
 class RouterClock:
-    """The clock of one router, which may be killed or stand still: what falls due meanwhile never happens, or
-    happens when it wakes, in order."""
+    """The clock of one router, which may be killed or paused. Calls scheduled by a killed router never run;
+    those that fall into a pause run at its end, in order."""
 
     def __init__(self, time: SimulatedTime) -> None:
         self._time = time
@@ -64,11 +64,11 @@
         self.paused_until_us = 0
 
     def now_us(self) -> int:
-        """The time; it goes on while the router is paused."""
+        """The current time; it advances while the router is paused."""
         return self._time.now_us
 
     def after(self, delay_us: int, call: Callable[[], None]) -> ScheduledCall:
-        """Schedule a call after a delay; a negative one is 0."""
+        """Schedule a call after a delay; a negative delay counts as 0."""
         event = ScheduledCall(call)
         self._time.after(max(delay_us, 0), lambda: self._run_due(event))
         return event
--- a/magpieshift/lab/simulated/upstreams.py
+++ b/magpieshift/lab/simulated/upstreams.py
@@ -1,9 +1,9 @@
-"""The simulated endpoints of a fleet, and what a request does there.
+"""The simulated endpoints of a fleet, and how they serve requests.
 
-A cache serves a cached object in a slot, and fills a miss, in no slot, through its zone's link from the
-source that the request names; a parent serves what it has cached and fetches the rest from the origin; the
-origin has every object. Each rejects above its queue. Work stops when the request is cancelled,
-but a transfer keeps its time on the link.
+A cache serves a cached object in a slot. It fills a miss without holding a slot, over its zone's link, from
+the source that the request names. A parent serves what it has cached and fetches the rest from the origin,
+which has every object. Each endpoint rejects requests when its queue is full. A cancelled request ends at
+once, but its transfer still occupies the link.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from magpieshift.policy.actions import CacheRequestFlag
 from magpieshift.policy.outcomes import CacheStatus, Outcome
 
-ONE_WAY_DELAY_US = 500  # between a router and an endpoint, as within one site
+ONE_WAY_DELAY_US = 500  # network delay between a router and an endpoint of the same site
 ORIGIN = "origin"  # the name of the origin among the endpoints
 
 Done = Callable[[AttemptResult], None]
@@ -30,7 +30,7 @@
         self.by_name: dict[str, SimulatedEndpoint] = {}
         self.links: dict[int, ZoneLink] = {}  # by zone
         self._time = time
-        self._counters = counters  # those of the current second
+        self._counters = counters  # returns the counters of the current second
 
     @property
     def origin(self) -> SimulatedEndpoint:
@@ -40,7 +40,7 @@
     def send(self, request: UpstreamRequest, done: Done) -> Work:
         """Send a router's request to its endpoint; ``done`` is called at most once.
 
-        It is not called after the work is ended, nor where an endpoint on the way is unresponsive.
+        It is not called after the request has ended, nor if an endpoint involved is unresponsive.
         """
         work = Work()
         endpoint = self.by_name[request.endpoint.name]
@@ -62,7 +62,7 @@
         work.event = self._time.after(ONE_WAY_DELAY_US, arrived)
 
     def _fails(self, endpoint: SimulatedEndpoint, respond: Done) -> bool:
-        """Whether the request ends at this endpoint unserved, with a response or without one."""
+        """Whether the endpoint fails or rejects the request. If so, responds, unless unresponsive."""
         if endpoint.is_failing:
             self._counters().at_failing_endpoints += 1
             if endpoint.condition == EndpointCondition.CRASHED:
@@ -113,7 +113,7 @@
         cached_only: bool,
         filled: Done,
     ) -> None:
-        """Fill a cache from a source, or a parent that lacks the object from the origin."""
+        """Fill a cache from a source, or a parent that does not have the object from the origin."""
         if self._fill_fails(source, filled):
             return
         client = request.request
@@ -142,7 +142,7 @@
             self._fill(source, self.origin, request, work, False, fetched)
 
     def _fill_fails(self, source: SimulatedEndpoint, filled: Done) -> bool:
-        """Whether a fill ends at its source, with a result or without one."""
+        """Whether the source fails or rejects the fill. If so, reports it, unless unresponsive."""
         self._counters().fills += 1
         if source.is_failing:
             self._counters().at_failing_endpoints += 1
@@ -162,7 +162,8 @@
         work: Work,
         filled: Done,
     ) -> None:
-        """Transfer a fill, through the link of the endpoint's zone where the source is in another."""
+        """Transfer a filled object: over the zone's link if the source is outside the zone, else
+        without delay."""
         zone = endpoint.listed.endpoint.zone
         link = self.links.get(zone) if zone != source.listed.endpoint.zone else None
         result = AttemptResult(Outcome.OK, CacheStatus.FILLED)
@@ -180,16 +181,16 @@
 
 
 class SimulatedUpstream:
-    """One router's way to the endpoints, as its engine sees it."""
+    """The upstream interface of one router's engine, which sends requests to the simulated endpoints."""
 
     def __init__(self, upstreams: SimulatedUpstreams, is_alive: Callable[[], bool]) -> None:
         self._upstreams = upstreams
-        self._is_alive = is_alive  # of the router: a dead one hears no result
+        self._is_alive = is_alive  # whether the router runs; a killed one receives no results
 
     def start(self, request: UpstreamRequest, done: Done) -> SimulatedExchange:
         """Send a request; ``done`` is called at most once.
 
-        It is not called where the request is cancelled, the router has died, or an endpoint on the way is
+        It is not called if the request is cancelled, the router has been killed, or an endpoint involved is
         unresponsive.
         """
 
@@ -200,11 +201,11 @@
         return SimulatedExchange(self._upstreams.send(request, finished))
 
     def probe(self, member: ListedEndpoint, done: Done) -> None:
-        """A health check, which always fails: simulated endpoints answer none."""
+        """A health check. It always fails, because simulated endpoints answer no health checks."""
         done(AttemptResult(Outcome.CONNECT_FAILED))
 
     def close_idle(self, member: ListedEndpoint) -> None:
-        """Nothing to do: there are no connections."""
+        """Do nothing: the simulation has no connections."""
 
 
 class SimulatedExchange:
@@ -214,6 +215,6 @@
         self._work = work
 
     def cancel(self) -> bool:
-        """Cancel it; the endpoint stops at once."""
+        """Cancel the request; the endpoint stops serving it at once."""
         self._work.end()
         return True
