--- a/magpieshift/lab/simulated/rollout.py
+++ b/magpieshift/lab/simulated/rollout.py
@@ -1,8 +1,9 @@
-"""Rollouts on a fake clock: the real plan, judge and coordinator over a fleet of modelled processes.
+"""Rollouts on a fake clock: the real plan, canary analysis and coordinator over modelled processes.
 
-What strikes all (an outage, a slow origin) and what only the new version has are drawn apart, so it is known
-whether a stop was right. Coordinators are killed and resumed, paused and overtaken; steps fail; doors fall
-silent."""
+Faults that affect both versions (outages, killed processes) are drawn independently of the defects of the new
+version, so it is known whether stopping a rollout was right. Coordinators are killed and resumed, or paused
+and superseded; replacement steps fail; admin servers stop responding.
+"""
 
 from __future__ import annotations
 
@@ -22,30 +23,31 @@
 from magpieshift.rollout.records import PhaseChanged, RolloutPhase
 from magpieshift.rollout.verdict import Verdict
 
-ROUND_INTERVAL_S = 2
-MAX_ROLLOUT_S = 7_200
+ROUND_INTERVAL_S = 2  # between two rounds of a coordinator
+MAX_ROLLOUT_S = 7_200  # a rollout that has not ended by then counts as not ended
 
 
 @dataclass
 class Outcome:
-    """What came of one rollout."""
+    """The result of one rollout. Exposure is measured up to the end, including a rollback."""
 
     scenario: str
     seed: int
-    ended: str = ""
-    reason: str = ""
-    is_bad: bool = False
-    stopped: bool = False
-    seconds: float = 0.0
-    exposed_routers: float = 0.0  # the most that were new, of all
-    exposed_requests: float = 0.0  # taken by new processes, of all, until all was put back
-    most_away: int = 0  # that the coordinator took away while others were away, at one time
-    terms_at_once: int = 0  # instants at which two coordinators had steps under way
-    stage: str = ""
+    ended: str = ""  # phase of the coordinator at the end
+    reason: str = ""  # of that phase, or of the coordinator's waiting
+    is_bad: bool = False  # whether the new version should be stopped
+    stopped: bool = False  # whether a rollback began
+    seconds: float = 0.0  # simulated duration
+    exposed_routers: float = 0.0  # highest fraction of routers that ran the new version at one time
+    exposed_requests: float = 0.0  # fraction of all requests that went to new processes
+    most_away: int = 0  # most routers unavailable during a step, including the one being replaced
+    terms_at_once: int = 0  # rounds in which two coordinators each finished a step
+    stage: str = ""  # the last one before a rollback, or at the end
 
 
 class CoordinatorProcess:
-    """A coordinator's process: it may be killed, paused, and resumed under a later term."""
+    """A coordinator's process. It may be killed or paused, and another resumes from its journal with a higher
+    term. With ``own_records`` it writes to a copy of the fleet's journal."""
 
     def __init__(self, fleet: Fleet, own_records: bool = False) -> None:
         self.fleet = fleet
@@ -54,8 +56,10 @@
         plan = fleet.plan
         self.coordinator = Coordinator(plan, fleet.term, fleet.now_us, self.records)
         self.analysis = self._new_analysis()
-        self.step: tuple[int, ReplaceProcess] | None = None  # when it is over
-        self.last_replaced_us = -1  # when a step of its last changed anything
+        self.step: tuple[int, ReplaceProcess] | None = (
+            None  # step under way, with the time (us) at which it finishes
+        )
+        self.last_replaced_us = -1  # when its last successful step finished
         self.paused_until_us = 0
         self.carry_out(self.coordinator.begin())
 
@@ -65,7 +69,7 @@
         return CanaryAnalysis(plan.tolerances, NEW, OLD, zones, self.fleet.now_us)
 
     def carry_out(self, actions: list[Instruction]) -> None:
-        """Carry out what the coordinator says; a replacement takes some seconds."""
+        """Carry out the coordinator's instructions; a replacement takes 1 to 4 s."""
         for action in actions:
             match action:
                 case RecordDecision(record=record):
@@ -78,7 +82,8 @@
                     self.step = self.fleet.now_us + int(duration_s * SECOND_US), action
 
     def run_round(self) -> Verdict:
-        """One round: finish the step that is due, observe, and let the coordinator decide."""
+        """Run one round: finish a step whose time has come, collect the counters of all routers, and let the
+        coordinator decide."""
         fleet = self.fleet
         coordinator = self.coordinator
         now = fleet.now_us
@@ -110,7 +115,8 @@
         return verdict
 
     def _verdict_against_baseline(self, verdict: Verdict) -> Verdict:
-        """The ablation: the new side now against the old one in the calm before, by the same bounds."""
+        """The verdict of the ablation: compares the new side with a fixed baseline, the rate ``SERVED_SHARE``
+        of the old side without faults, in place of the old side at the same time."""
         worst = 0.0
         has_enough = True
         for difference in self.analysis.differences.values():
@@ -125,7 +131,7 @@
 
 
 def play(name: str, routers: int, seed: int, against_baseline: bool = False) -> Outcome:
-    """One rollout to its end."""
+    """Simulate one rollout until it ends, is held, or has taken ``MAX_ROLLOUT_S``."""
     scenario = SCENARIOS[name]
     fleet = Fleet(scenario, routers, seed, against_baseline=against_baseline)
     outcome = Outcome(name, seed, is_bad=scenario.is_bad)
@@ -141,9 +147,9 @@
             next_fault_s = (
                 fleet.now_us / SECOND_US + rand.uniform(60, 400) if fault_count < 3 else float("inf")
             )
-            if rand.random() < 0.5:  # killed, and resumed by its journal
+            if rand.random() < 0.5:  # the coordinator is killed, and resumed from its journal
                 run = CoordinatorProcess(fleet)
-            else:  # it stands still, another takes over from its journal, and it wakes
+            else:  # it is paused, another takes over from its journal, and it resumes
                 run.paused_until_us = fleet.now_us + rand.randrange(2 * SECOND_US, 15 * SECOND_US)
                 previous.append(run)
                 fleet.records = list(run.records)
@@ -181,7 +187,8 @@
 def play_many(
     name: str, routers: int, runs: int, seed: int, workers: int, against_baseline: bool = False
 ) -> dict[str, Any]:
-    """So many rollouts of one scenario, by several processes; the last line's figures."""
+    """Simulate ``runs`` rollouts of a scenario, with seeds from ``seed`` on, in several worker processes.
+    Return the summary that ``--json`` prints."""
     started_s = time.perf_counter()
     play_seed = partial(play, name, routers, against_baseline=against_baseline)
     with ProcessPoolExecutor(workers) as pool:
--- a/magpieshift/lab/simulated/rollout_fleet.py
+++ b/magpieshift/lab/simulated/rollout_fleet.py
@@ -1,7 +1,9 @@
 """A fleet of modelled processes for rollouts on a fake clock.
 
-A process is a rate of requests by class, the share of them that it serves in time, processor time, memory
-and a chance to go away. Processes die and come back, doors fall silent, outages strike all alike."""
+A modelled process has a request rate and a fraction served in time for each request class, processor time,
+memory, and possibly a crash. Processes are killed and restarted, admin servers stop responding, and outages
+affect both versions alike.
+"""
 
 from __future__ import annotations
 
@@ -20,27 +22,29 @@
 from magpieshift.rollout.records import JournalRecord
 
 SECOND_US = 1_000_000
-OLD = "old"
-NEW = "new"
-CLASS_SHARES = {"picture": 0.9, "basket": 0.06, "order": 0.04}
-SERVED_SHARE = 0.97
+OLD = "old"  # label of the version that is replaced
+NEW = "new"  # label of the version that is rolled out
+CLASS_SHARES = {"picture": 0.9, "basket": 0.06, "order": 0.04}  # fraction of requests of each request class
+SERVED_SHARE = 0.97  # fraction of requests served in time without faults or defects
 
 
 @dataclass
 class Process:
-    """A modelled router process, and what it has counted since its start."""
+    """A modelled router process, and its counters since its start."""
 
     label: str
     incarnation: str
     started_us: int
     rss_mb: float = 30.0
     cpu_us: float = 0.0
-    counts: dict[str, list[int]] = field(default_factory=lambda: {name: [0, 0] for name in CLASS_SHARES})
-    crash_at_us: int | None = None
+    counts: dict[str, list[int]] = field(
+        default_factory=lambda: {name: [0, 0] for name in CLASS_SHARES}
+    )  # requests, and those served in time, by request class
+    crash_at_us: int | None = None  # None: does not crash
 
 
 def rollout_plan(routers: int, zones: int = 4) -> Plan:
-    """The plan that is tried: one, a tenth, a half, all, across zones."""
+    """The simulated plan, with stages of one router, a tenth, half and all of them, spread over the zones."""
     admin_addresses = ("127.0.0.1", 1), ("127.0.0.1", 2)
     router_places = {f"r{n}": RouterPlace(f"r{n}", f"z{n % zones}", admin_addresses) for n in range(routers)}
     order = sorted(router_places, key=lambda name: int(name[1:]))
@@ -65,30 +69,30 @@
 
 
 class Fleet:
-    """Modelled processes, and one or two coordinators at work on them."""
+    """The modelled processes of all routers, and what their coordinators share: the highest term and the
+    journal."""
 
     def __init__(
         self, scenario: Scenario, routers: int, seed: int, rate: float = 20.0, against_baseline: bool = False
     ) -> None:
         self.scenario = scenario
         self.plan = rollout_plan(routers)
-        self.rate = rate
+        self.rate = rate  # requests per second of a router, twice that in zone z0
         self.rand = random.Random(seed)
         self.np_rand = np.random.default_rng(seed)
         self.now_us = 0
-        self.against_baseline = (
-            against_baseline  # an ablation: the new side is compared with what the old did before the stage
-        )
+        # ablation: the new side is compared with a fixed baseline, not with the old side at the same time
+        self.against_baseline = against_baseline
         self.processes: dict[str, list[Process]] = {}
         self.unreachable_until_us = dict.fromkeys(self.plan.routers, 0)
         self.dead_since_us: dict[str, int] = {}
-        self.term = 0  # the latest that routers know
+        self.term = 0  # highest term that the routers know
         self.records: list[JournalRecord] = []
         self.requests = {OLD: 0, NEW: 0}
         self._process_count = 0
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
         self._order = count()
-        self.outages: list[tuple[int, int, float]] = []
+        self.outages: list[tuple[int, int, float]] = []  # start, end (us), factor of the served fraction
         for name in self.plan.routers:
             self.processes[name] = [self._new_process(OLD)]
         self._schedule_faults()
@@ -110,7 +114,7 @@
                 self.at(int(at * SECOND_US), call)
 
     def at(self, when_us: int, call: Callable[[], None]) -> None:
-        """Have something happen at this time of the fake clock."""
+        """Schedule a call at this time of the fake clock."""
         heapq.heappush(self._heap, (when_us, next(self._order), call))
 
     def _kill(self) -> None:
@@ -123,7 +127,7 @@
             self.at(back_us, lambda: self._restart(name, label))
 
     def _restart(self, name: str, label: str) -> None:
-        """A process that died is started again by its machine, as it was."""
+        """Restart a killed or crashed process with the same version, unless the router runs again."""
         self.dead_since_us.pop(name, None)
         if not self.processes[name]:
             self.processes[name] = [self._new_process(label)]
@@ -144,7 +148,7 @@
     # --- time
 
     def run(self, seconds: float) -> None:
-        """Let that much time pass, with all that happens in it."""
+        """Run the scheduled faults of the next ``seconds``, then the requests of that time."""
         end_us = self.now_us + int(seconds * SECOND_US)
         while self._heap and self._heap[0][0] <= end_us:
             when_us, _, call = heapq.heappop(self._heap)
@@ -169,7 +173,7 @@
                     self.at(self.now_us + 5 * SECOND_US, partial(self._restart, name, process.label))
             if not processes:
                 continue
-            process = processes[-1]  # what comes new is the later one's
+            process = processes[-1]  # new requests go to the process that was started last
             is_new = process.label == NEW
             if is_new and not version.responds:
                 continue
@@ -196,14 +200,14 @@
             process.cpu_us += 5_000 * seconds
             process.rss_mb += version.leak_mb_per_min * seconds / 60 if is_new else 0.0
 
-    # --- what a coordinator does and sees
+    # --- interface of the coordinators
 
     def reachable_processes(self, name: str) -> list[Process]:
-        """The processes of a router whose admin servers answer now."""
+        """The processes of a router; none while its admin servers do not respond."""
         return [] if self.now_us < self.unreachable_until_us[name] else self.processes[name]
 
     def counters(self, process: Process) -> ProcessCounters:
-        """What a process reports of itself; its memory varies a little from look to look."""
+        """The counters that a process reports; its memory varies by up to 0.2 MB between reports."""
         classes = {
             name: RequestCounts(requests, served, requests - served)
             for name, (requests, served) in process.counts.items()
@@ -220,7 +224,8 @@
         )
 
     def replace(self, name: str, label: str, term: int) -> str:
-        """A step's end: why it failed, or nothing; ``over`` where the term is."""
+        """Finish a replacement step of a coordinator with this term. Return why it failed, or an empty
+        string; ``over`` if the routers know a higher term."""
         if term < self.term:
             return "over"
         if not self.reachable_processes(name):
--- a/magpieshift/lab/simulated/rollout_scenarios.py
+++ b/magpieshift/lab/simulated/rollout_scenarios.py
@@ -1,4 +1,4 @@
-"""What simulated rollouts bring out, and what strikes the fleet meanwhile."""
+"""Scenarios of simulated rollouts: the defects of the new version, and faults of the fleet meanwhile."""
 
 from __future__ import annotations
 
@@ -7,28 +7,34 @@
 
 @dataclass(frozen=True)
 class Version:
-    """How the new version differs from the old."""
-
-    served_loss: dict[str, float] = field(default_factory=dict)  # by class: so much less is served in time
-    only_zone: str = ""  # worse there alone
-    onset_s: float = 0.0  # worse only so long after a process's start
-    cpu_factor: float = 1.0  # times the time a request
+    """Defects of the new version."""
+
+    served_loss: dict[str, float] = field(
+        default_factory=dict
+    )  # drop in the fraction served in time, by request class
+    only_zone: str = ""  # the only zone with that drop; empty: every zone
+    onset_s: float = 0.0  # time from a process's start until that drop begins
+    cpu_factor: float = 1.0  # processor time per request, as a multiple of the old version's
     leak_mb_per_min: float = 0.0
-    starts: bool = True
-    responds: bool = True
-    mean_crash_s: float = 0.0  # mean time until it goes away; 0: it does not
+    starts: bool = True  # whether a new process begins to serve; else each replacement fails
+    responds: bool = True  # whether it serves requests; its admin server always responds
+    mean_crash_s: float = 0.0  # mean time from start to crash, which varies by a fifth; 0: no crash
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """A version, and what strikes both sides meanwhile."""
+    """A new version, and the faults that affect both sides meanwhile."""
 
     version: Version = field(default_factory=Version)
-    is_bad: bool = False  # whether it should be stopped
-    outages: int = 0  # in which all serve less, for some time
-    kills_per_hour: float = 0.0  # routers that die an hour, in all, and come back
-    unreachable_per_hour: float = 0.0  # doors that fall silent an hour, in all
-    has_coordinator_faults: bool = False  # it is killed and resumed, and once a second one takes over
+    is_bad: bool = False  # whether the rollout should be stopped
+    outages: int = 0  # number of outages, in which all processes serve less for 5 to 60 s
+    kills_per_hour: float = 0.0  # router processes of the whole fleet killed per hour, and restarted
+    unreachable_per_hour: float = (
+        0.0  # per hour, how often a router's admin servers stop responding for a time
+    )
+    has_coordinator_faults: bool = (
+        False  # up to three times it is killed and resumed, or paused and superseded
+    )
 
 
 SCENARIOS: dict[str, Scenario] = {
