--- a/tests/relay/test_explored.py
+++ b/tests/relay/test_explored.py
@@ -1,4 +1,4 @@
-"""Exhaustive exploration of a small simulated fan-out tier: no reachable state breaks a rule."""
+"""Exhaustive exploration of a small simulated fan-out tier: no state within the depth breaks a rule."""
 
 from __future__ import annotations
 
@@ -45,8 +45,8 @@
 
 
 def relay_resumes(explorer: Explorer) -> TierState:
-    """``R1``, whose watermark waits for no follower, is paused while two batches arrive for it and a
-    restarted ``E1`` sends it probes, before and after applying its snapshot."""
+    """``R1``, which has no follower that its watermark waits for, is paused. Meanwhile two batches arrive for
+    it, and a restarted ``E1`` sends it probes before and after applying its snapshot."""
     joins: list[Step] = [
         partial(MutableTier.crash, name="E1"),
         *[MutableTier.run_round] * 16,
@@ -78,7 +78,8 @@
 
 
 def router_behind(explorer: Explorer) -> TierState:
-    """``E1`` has been disconnected for longer than its lease, during which two purges were done."""
+    """``E1`` has been disconnected for longer than its lease. Meanwhile two purges were applied everywhere
+    else."""
     away: list[Step] = [
         partial(MutableTier.disconnect, follower="E1"),
         partial(MutableTier.deliver_abandoned, follower="E1"),
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -1,4 +1,4 @@
-"""Fleets on one fake clock: the real engine and module, and models of stores and clients."""
+"""Simulated fleets on one fake clock: the real engine and policy, with modelled endpoints and clients."""
 
 from __future__ import annotations
 
@@ -80,7 +80,8 @@
         self.time.run(self.time.now_us + SECOND_US)
         duration_s, result = self.results[0]
         self.assertEqual(result.outcome, Outcome.OK)
-        self.assertAlmostEqual(duration_s, 0.111, places=3)  # the origin 10 ms, the link 100 ms, two ways
+        # 10 ms at the origin, 100 ms on the link, and two network delays of 0.5 ms
+        self.assertAlmostEqual(duration_s, 0.111, places=3)
         self.assertEqual((self.counters.fills, self.counters.origin_requests), (2, 1))
         self.results.clear()
         self.send("k")
@@ -114,7 +115,7 @@
     def test_every_request_has_one_response_and_the_fleet_recovers_in_every_scenario(self) -> None:
         for name in overload.SCENARIOS:
             if name == "threshold":
-                continue  # two minutes of it are for the command
+                continue  # its fault lasts 120 s, which is too long for a test
             with self.subTest(name):
                 outcome = overload.play(name, SIZE)
                 self.assertEqual(outcome.rules_broken, 0)
@@ -122,7 +123,7 @@
                 self.assertLess(outcome.back_to_95_s, overload.MAX_RECOVERY_S)
 
     def test_a_request_without_a_response_is_detected(self) -> None:
-        """The check can fail: a router that refuses without saying so."""
+        """Routers that reject requests without a response are recorded as violations."""
         fleet = Fleet(SIZE)
         fleet.run(1)
         with mock.patch.object(PolicyActions, "_reject"), mock.patch.object(RequestTable, "_expire"):
