--- a/magpieshift/lab/simulated/endpoints.py
+++ b/magpieshift/lab/simulated/endpoints.py
@@ -70,15 +70,14 @@
         self.listed = listed  # its entry in the endpoint list of routers
         self.capacity = capacity
         self.condition = EndpointCondition.RUNNING
-        self.error_probability = 0.0  # that a request is answered with an error
-        self.slowdowns: dict[str, float] = {}  # factor of service times by request class, "" for all
+        self.error_probability = 0.0  # probability that a request is answered with an error
+        self.slowdowns: dict[str, float] = {}  # factors of service times by request class; "" for all classes
         self.cached: OrderedDict[ObjectKey, None] = OrderedDict()  # least recently used first
         self._time = time
         self._random = rand
         self._busy_slots = 0
-        self._queue: deque[tuple[Work, float, Callable[[], None]]] = (
-            deque()
-        )  # request, service time, ``then``
+        # each with its service time (us) and ``then``
+        self._queue: deque[tuple[Work, float, Callable[[], None]]] = deque()
 
     @property
     def is_failing(self) -> bool:
--- a/magpieshift/lab/simulated/fanout.py
+++ b/magpieshift/lab/simulated/fanout.py
@@ -1,7 +1,7 @@
 """A fan-out tier on one fake clock: a change log, sources, relays and routers, and faults between them.
 
 The processes run the real state machines (``fanout_processes``) over a network that keeps each stream's order
-(``fanout_network``), and are checked at every event against a plain model (``fanout_judge``). Times are
+(``fanout_network``), and are checked at every event against a reference model (``fanout_judge``). Times are
 microseconds; the same seed gives the same history.
 """
 
@@ -31,13 +31,13 @@
 from magpieshift.relay.messages import Epoch, Snapshot, UpstreamMessage
 
 SECOND_US = 1_000_000
-APPLY_PROBABILITY = 0.2  # that a router that applies later does so in a turn; low, so that entries pile up
-MAX_UNREAD_MESSAGES = 8  # on a stream before its writer waits, as for a full socket buffer
-MAX_STREAMS_PER_INCARNATION = 100_000  # more than one opens; keeps the numbers of streams distinct
+APPLY_PROBABILITY = 0.2  # that a router with ``applies_later`` applies in a turn; low, so that entries queue
+MAX_UNREAD_MESSAGES = 8  # a stream with more is not written to, as with a full socket buffer
+MAX_STREAMS_PER_INCARNATION = 100_000  # more than one incarnation opens, so that stream numbers are unique
 
 
 class SimulatedFanout:
-    """A fan-out tier that runs. ``RuleBrokenError`` is raised out of the call that led to it."""
+    """A running fan-out tier. The call during which a rule is broken raises ``RuleBrokenError``."""
 
     def __init__(self, size: FanoutSize) -> None:
         self.size = size
@@ -46,12 +46,12 @@
         self.rand = random.Random(f"fan-out {size.seed}")
         self.change_log = ChangeLog(self.time)
         self.network = Network(self.time, self.rand, self._deliver)
-        self.change_log_readers: dict[str, ChangeLogReader] = {}  # by running source
-        self.bytes_sent: dict[str, int] = {}  # to each host, estimated
-        self.snapshots_sent: dict[str, int] = {}  # to each host
+        self.change_log_readers: dict[str, ChangeLogReader] = {}  # by name of the running source
+        self.bytes_sent: dict[str, int] = {}  # estimated, by receiving host
+        self.snapshots_sent: dict[str, int] = {}  # by receiving host
         layout = fanout_layout(size)
-        self.ranked_relays = layout.ranked_relays  # by follower
-        self._connections: dict[str, RelayConnection] = {}  # of each follower's latest incarnation
+        self.ranked_relays = layout.ranked_relays  # by name of the follower
+        self._connections: dict[str, RelayConnection] = {}  # by follower, each for its latest incarnation
         self._incarnations = 0
         for name, region in layout.regions.items():
             self._add_host(name, region)
@@ -84,15 +84,15 @@
     # --- events
 
     def run(self, for_us: int) -> None:
-        """Let this much time (us) pass."""
+        """Run the simulation for ``for_us``."""
         self.time.run(self.time.now_us + for_us)
 
     def purge(self, key: str = "") -> None:
-        """The change log accepts a purge."""
+        """Have the change log accept a purge."""
         self.checker.purges.append(self.change_log.purge(key))
 
     def start(self, name: str) -> None:
-        """Start a new incarnation of a process; nothing happens if one runs."""
+        """Start a new incarnation of a process; does nothing if the process runs."""
         host = self.network.hosts[name]
         if host.process is not None:
             return
@@ -112,7 +112,7 @@
             self.checker.router_started(name)
 
     def _start_source(self, host: Host, boot: str) -> None:
-        epoch = Epoch(self._incarnations, self._incarnations)  # above every earlier one
+        epoch = Epoch(self._incarnations, self._incarnations)  # higher than all earlier ones
         host.process = Source(host.name, boot, epoch, host.now_us(), self.size.log_entries)
         self.checker.epoch_started(epoch)
         self.change_log_readers[host.name] = ChangeLogReader(self.time, self.rand, self.change_log, host)
@@ -123,7 +123,8 @@
             self.checker.record_overlap(self.time.now_us)
 
     def kill(self, name: str, silently: bool = False) -> None:
-        """Kill a process: its streams are reset or, as if its machine had vanished, fall silent."""
+        """Kill a process. Its streams are reset, or with ``silently`` fall silent as if its machine had
+        failed."""
         host = self.network.hosts[name]
         if host.process is None:
             return
@@ -133,13 +134,14 @@
         self.network.process_lost(host, silently)
 
     def pause(self, name: str, for_us: int) -> None:
-        """Pause a process; its clock goes on, and messages to it wait."""
+        """Pause a process. Its clock advances, and messages to it are held back until it resumes."""
         host = self.network.hosts[name]
         host.paused_until_us = max(host.paused_until_us, self.time.now_us + for_us)
         self.time.at(host.paused_until_us, lambda: self._resume(host))
 
     def _resume(self, host: Host) -> None:
-        """An interrupted attempt goes on first, then what waited, with timers before or after."""
+        """Resume a process: a router's interrupted attempt first, then the messages held back; its timers run
+        before or after them, at random."""
         if host.is_paused:
             return
         if isinstance(host.process, Router):
@@ -149,11 +151,11 @@
         host.drain(self.rand)
 
     def read_slowly(self, name: str, interval_us: int) -> None:
-        """Make a process take ``every_us`` for each message; 0 for no time at all."""
+        """Make a process take ``interval_us`` to read each message; 0 to read at once."""
         self.network.hosts[name].read_interval_us = interval_us
 
     def repair_all(self) -> None:
-        """End all faults, and start every process but a second source."""
+        """End all faults, and start every stopped process; of the sources, one only if none runs."""
         self.network.heal()
         for reader in self.change_log_readers.values():
             reader.is_cut = False
@@ -174,7 +176,7 @@
             self._take_turn(host)
 
     def _take_turn(self, host: Host) -> None:
-        """Let a process do all that is due."""
+        """Let a process read, apply, send and check its time-outs, as far as each is due."""
         process = host.process
         if isinstance(process, Source):
             self.checker.logs[process.log.epoch] += self.change_log_readers[host.name].read(process)
@@ -217,7 +219,7 @@
         self.checker.check_attempt(host.name, router.copy_age_limit(host.now_us()), self.time.now_us)
 
     def _check_invariants(self, host: Host) -> None:
-        """Check what a process claims against the true state."""
+        """Check a source's watermark or a router's lease against the reference model."""
         process = host.process
         if isinstance(process, Source):
             self._record_source_overlap()
@@ -239,7 +241,7 @@
     # --- messages
 
     def _carry_out(self, host: Host, outputs: Iterable[Output]) -> None:
-        """Carry out what a process wants done."""
+        """Carry out the outputs of a process."""
         for output in outputs:
             match output:
                 case OpenStream(stream_id, server, join):
@@ -273,7 +275,7 @@
             self._connections[host.name].failed(stream_id, host.now_us())
 
     def _deliver(self, host: Host, stream: Stream, message: Message | EndOfStream) -> None:
-        """A process reads a message, or the end of a stream."""
+        """Let a process handle a message or the end of a stream."""
         process = host.process
         now_us = host.now_us()
         if isinstance(message, EndOfStream):
--- a/magpieshift/lab/simulated/fanout_changes.py
+++ b/magpieshift/lab/simulated/fanout_changes.py
@@ -1,4 +1,4 @@
-"""The change log of a simulated fan-out tier, and the connection by which a source reads it."""
+"""The change log of a simulated fan-out tier, and the connection over which a source reads it."""
 
 from __future__ import annotations
 
@@ -10,25 +10,26 @@
 from magpieshift.relay.limits import PURGE_RETENTION_US
 from magpieshift.relay.messages import ConfigurationChange, EndpointListChange, Entry, Purge
 
-MAX_DELIVERY_US = 900_000  # the longest that its words are under way to a source
-REPLAY_WINDOW_US = PURGE_RETENTION_US  # entries so old are still told to a source that begins
+MAX_DELIVERY_US = 900_000  # longest time until an accepted entry arrives at a source
+REPLAY_WINDOW_US = PURGE_RETENTION_US  # a source that starts receives all entries of this age or younger
 
 
 class ChangeLog:
-    """What was accepted, when. Lists and versions are told whole, so the newest of each will do."""
+    """The accepted entries, with the time of their acceptance. An endpoint list or configuration version
+    replaces the one before, so a replay contains only the newest of each besides the recent entries."""
 
     def __init__(self, time: SimulatedTime) -> None:
         self._time = time
         self.entries: list[tuple[int, Entry]] = []
 
     def purge(self, key: str = "") -> Purge:
-        """Accept a purge; of an object that was never purged where no key is given."""
+        """Accept a purge; without a key, of an object that was never purged before."""
         purge = Purge(key or f"{len(self.entries):x}", 0, self._time.now_us)
         self._accept(purge)
         return purge
 
     def change_endpoint_list(self) -> None:
-        """Accept a list of stores."""
+        """Accept a new endpoint list."""
         self._accept(
             EndpointListChange(
                 f'{{"complete": true, "revision": {len(self.entries)}, "members": [{{"id": "a"}}]}}'
@@ -44,7 +45,8 @@
         self.entries.append((self._time.now_us, entry))
 
     def replay(self) -> list[Entry]:
-        """What a source that begins is told: the newest list and version, and all that is not too old."""
+        """What a source receives when it starts: the newest endpoint list and configuration version, and all
+        entries of the last ``REPLAY_WINDOW_US``."""
         since_us = self._time.now_us - REPLAY_WINDOW_US
         newest: dict[type, int] = {}
         for position, (_, entry) in enumerate(self.entries):
@@ -58,8 +60,8 @@
 
 
 class ChangeLogReader:
-    """A source's connection to the change log: what that accepted arrives in order after up to
-    ``HELD_MOST_US``, and a comment where nothing is new."""
+    """A source's connection to the change log. Accepted entries arrive in order within ``MAX_DELIVERY_US``;
+    if there are none, a keep-alive comment arrives."""
 
     def __init__(self, time: SimulatedTime, rand: random.Random, log: ChangeLog, host: Host) -> None:
         self.is_cut = False
@@ -67,20 +69,20 @@
         self._rand = rand
         self._log = log
         self._host = host
-        self._delivered = 0  # of the log, so far
+        self._delivered = 0  # number of entries of the log that have arrived
         self._has_replayed = False
         self._socket: list[Entry] = []
-        self._has_unread = False  # something, if only a comment, is in the socket
+        self._has_unread = False  # the socket holds entries or a keep-alive comment
         self._last_empty_us = host.now_us()
         self._is_stopped = False
         self._poll()
 
     def stop(self) -> None:
-        """The source has ended."""
+        """Close the connection, because the source has ended."""
         self._is_stopped = True
 
     def _poll(self) -> None:
-        """Write what is new, or a comment; it was accepted up to ``HELD_MOST_US`` ago."""
+        """Put all new entries, or a keep-alive comment, into the socket, and schedule the next time."""
         if self._is_stopped:
             return
         if not self.is_cut:
@@ -92,8 +94,9 @@
         self._time.after(self._rand.randrange(MAX_DELIVERY_US // 10, MAX_DELIVERY_US), self._poll)
 
     def read(self, source: Source) -> list[Entry]:
-        """Let the source read all there is. What is read arrived after the socket was last seen empty, so the
-        source is current to then; an empty socket by itself proves nothing."""
+        """Let the source read all that is in the socket, and return the entries. What is read arrived after
+        the socket was last seen empty, so the source is current up to that time. An empty socket alone proves
+        nothing, as the network may delay data."""
         now_us = self._host.now_us()
         entries = self._socket
         self._socket = []
--- a/magpieshift/lab/simulated/fanout_connections.py
+++ b/magpieshift/lab/simulated/fanout_connections.py
@@ -1,4 +1,4 @@
-"""The connection of a simulated follower to its relay, with the backoff after it has failed."""
+"""The connection of a simulated follower to its relay or source, with a back-off after a failure."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 
 class RelayConnection:
-    """One incarnation's choice of a relay, and the stream that it follows by. Times are microseconds of the
-    follower's own clock."""
+    """The relay choice and the current stream of one incarnation of a follower. Times are microseconds of
+    the follower's own clock."""
 
     def __init__(self, selection: RelaySelection, now_us: int) -> None:
         self.selection = selection
-        self.retry_at_us = now_us  # no stream is opened before
+        self.retry_at_us = now_us  # earliest time for opening a stream
         self._stream_id: int | None = None  # the stream opened last; None once it has failed
-        self._connected_us: int | None = None  # when its first message came
+        self._connected_us: int | None = None  # when the first message arrived on it
 
     def opened(self, stream_id: int) -> None:
-        """A stream was opened; nothing has come from the relay yet."""
+        """Record that a stream was opened; no message has arrived on it yet."""
         self._connected_us = None
         self._stream_id = stream_id
 
     def received(self, now_us: int) -> None:
-        """A message came on the current stream, so the relay is there."""
+        """Record a message on the current stream; the first one shows that the relay is reachable."""
         if self._connected_us is None:
             self._connected_us = now_us
             self.selection.record_connected(now_us)
 
     def failed(self, stream_id: int, now_us: int) -> None:
-        """A stream has ended: if it was the one opened last, another is opened after a backoff."""
+        """Record the end of a stream. If it was the one opened last, another is opened after a back-off."""
         if self._stream_id != stream_id:
             return
         self._stream_id = None
--- a/magpieshift/lab/simulated/fanout_explored.py
+++ b/magpieshift/lab/simulated/fanout_explored.py
@@ -1,9 +1,8 @@
 """Exhaustive exploration of a small fan-out tier: a source, two relays and two routers.
 
-Breadth first from a given state, every order of deliveries, sends, disconnects, crashes and passing time is
-tried up to a depth. A process that is not scheduled stands still, so pauses of any length are covered. The
-rules are checked in each state. Time advances in large steps, and the machines' clocks drift apart.
-"""
+A breadth-first search from a given state tries every order of deliveries, sends, disconnects, crashes and
+time steps up to a depth. A process without events is paused, so pauses of any length are covered. The rules
+are checked in each state. Time advances in large steps, and the machines' clocks drift apart."""
 
 from __future__ import annotations
 
@@ -27,15 +26,15 @@
     TierState,
 )
 
-MAX_IN_FLIGHT_MESSAGES = 2  # in one direction of a stream; more of them multiply the states
-UNLIMITED_BUDGET = EventBudget(*(1 << 30,) * len(EventBudget._fields))  # more than any script of events uses
-MAX_STATES = 1_000_000  # an exploration stops there: a guard for memory, far above what the scenarios reach
-START_UP_ROUNDS = 25  # rounds after which a purge is done everywhere in a tier that has just started
+MAX_IN_FLIGHT_MESSAGES = 2  # in one direction of a stream; more would multiply the states
+UNLIMITED_BUDGET = EventBudget(*(1 << 30,) * len(EventBudget._fields))  # more than any start sequence uses
+MAX_STATES = 1_000_000  # an exploration stops there to limit memory; scenarios stay far below
+START_UP_ROUNDS = 25  # until a purge is applied everywhere in a tier that has just started
 
 
 @dataclass(frozen=True, slots=True)
 class ExplorationSize:
-    """How much was explored."""
+    """The extent of an exploration."""
 
     states: int  # different states of the whole tier
     transitions: int  # events tried, including those that lead to a known state
@@ -45,12 +44,12 @@
 
 Event = Callable[[MutableTier], None]
 Move = tuple[str, Event]  # an event with its label
-Moves = Callable[[TierState], Iterator[Move]]  # what may happen in a state
-Predecessors = dict[TierState, tuple[TierState, str] | None]  # the state and event that each was found by
+Moves = Callable[[TierState], Iterator[Move]]  # the possible events in a state
+Predecessors = dict[TierState, tuple[TierState, str] | None]  # the state and event that led to each
 
 
 def single_messages(tier: TierState, actors: Collection[str] = PROCESS_NAMES) -> Iterator[Move]:
-    """What may happen, message by message. Of the followers only ``actors`` do anything."""
+    """The possible events, each with at most one message. Of the followers only ``actors`` take part."""
     yield from _faults(tier, actors)
     for follower, stream, abandoned in zip(FOLLOWERS, tier.streams, tier.abandoned_streams, strict=True):
         if follower not in actors:
@@ -63,7 +62,7 @@
 
 
 def _single_steps(follower: str, stream: StreamState) -> Iterator[Move]:
-    """One message arrives or is sent on a stream."""
+    """The events in which one message is sent or arrives on a stream."""
     if stream.to_server:
         yield (
             f"deliver to server {follower}",
@@ -78,14 +77,14 @@
 
 
 def _abandoned_deliveries(follower: str, abandoned: StreamState | None) -> Iterator[Move]:
-    """A message arrives on the stream that a follower has left."""
+    """The event in which a message arrives on the stream that a follower has left."""
     if abandoned is not None and abandoned.to_server:
         yield f"deliver abandoned {follower}", partial(MutableTier.deliver_abandoned, follower=follower)
 
 
 def flushed_directions(tier: TierState, actors: Collection[str] = PROCESS_NAMES) -> Iterator[Move]:
-    """What may happen, where all messages of one direction of a stream arrive at once, so that fewer steps
-    reach further."""
+    """The possible events if all messages in one direction of a stream arrive in one event, so that the same
+    depth covers longer histories."""
     yield from _faults(tier, actors)
     for follower, stream, abandoned in zip(FOLLOWERS, tier.streams, tier.abandoned_streams, strict=True):
         if follower in actors and (stream is not None or abandoned is not None):
@@ -95,7 +94,8 @@
 
 
 def rounds(tier: TierState, actors: Collection[str] = PROCESS_NAMES) -> Iterator[Move]:
-    """What may happen, where all processes, or all but one of ``actors``, exchange what is due."""
+    """The possible events if all processes, or all but one of ``actors``, exchange their due messages at
+    once."""
     yield from _faults(tier, actors)
     if tier.budget.rounds:
         yield "round", MutableTier.run_round
@@ -109,7 +109,8 @@
 
 
 def _faults(tier: TierState, actors: Collection[str]) -> Iterator[Move]:
-    """Time passes, purges are made, and processes and streams fail, as far as the budget goes."""
+    """The events in which time passes, purges are accepted, or processes and streams fail, within the
+    budget."""
     budget = tier.budget
     if budget.ticks:
         yield "tick", MutableTier.tick
@@ -135,7 +136,7 @@
 
 
 def _stream_faults(follower: str, stream: StreamState, budget: EventBudget) -> Iterator[Move]:
-    """A stream breaks, or is left for one to the other relay."""
+    """The events in which a stream breaks, or a router switches to the other relay."""
     if budget.disconnects:
         yield f"disconnect {follower}", partial(MutableTier.disconnect, follower=follower)
     if budget.relay_switches and follower in ROUTERS:
@@ -147,7 +148,7 @@
 
 
 class Explorer(ProcessTable):
-    """Explores from given states; what a process did upon an event is remembered from one to the next."""
+    """Explores from given states. Results of events are cached across explorations."""
 
     def started(self, budget: EventBudget) -> TierState:
         """A state after a start-up without faults, with ``E1`` at ``R1``, ``E2`` at ``R2``, and one purge
@@ -171,7 +172,7 @@
         return tier.state()
 
     def after(self, state: TierState, events: Iterable[Event]) -> TierState:
-        """The state after some events, whatever the budget."""
+        """The state after these events, which do not count towards the budget."""
         tier = MutableTier(self, state)
         for event in events:
             tier.budget = UNLIMITED_BUDGET
--- a/magpieshift/lab/simulated/fanout_frozen.py
+++ b/magpieshift/lab/simulated/fanout_frozen.py
@@ -1,5 +1,5 @@
-"""Processes of the fan-out tier as numbers, for exploration: states that look alike get the same number, and
-what a process does in a state upon an event is worked out once."""
+"""Immutable numbered states of fan-out processes, for exploration. Equal states get the same number, and the
+result of an event in a state is computed once and cached."""
 
 from __future__ import annotations
 
@@ -39,13 +39,14 @@
     Purge,
     Snapshot,
     EndpointListChange,
-)  # compared as they are
+)  # types whose values are immutable and compared by their own equality
 
 Event = Callable[[Process], list[Output]]
 
 
 def canonical(value: Any, visited: dict[int, int] | None = None) -> Hashable:
-    """A value that is equal for objects that look alike. Orders of dictionaries count, as they may matter."""
+    """A hashable value that is equal for objects with equal state. The order of dictionaries counts, because
+    a process may depend on it."""
     if isinstance(value, ATOMIC_TYPES):
         return value
     if isinstance(value, tuple | list | deque):
@@ -65,7 +66,7 @@
 
 
 class FrozenProcesses:
-    """Processes by numbers, and the memory of what they did."""
+    """The states of processes by number, with cached results of events and queries."""
 
     def __init__(self) -> None:
         self._pickled: list[bytes] = []
@@ -77,19 +78,20 @@
         return len(self._pickled)
 
     def freeze(self, process: Process) -> int:
-        """The number of a process as it is."""
+        """The number of a process's current state."""
         number = self._numbers.setdefault(canonical(process), len(self._pickled))
         if number == len(self._pickled):
             self._pickled.append(pickle.dumps(process, pickle.HIGHEST_PROTOCOL))
         return number
 
     def thaw(self, number: int) -> Process:
-        """A copy of the process, which may be changed."""
+        """A mutable copy of the process in this state."""
         process: Process = pickle.loads(self._pickled[number])
         return process
 
     def step(self, number: int, label: Hashable, now_us: int, event: Event) -> tuple[int, tuple[Output, ...]]:
-        """What a process is after an event, and what it wants done. ``what`` names the event."""
+        """The number of the state after an event, and the outputs of the process. ``label`` identifies the
+        event in the cache."""
         key = number, label, now_us
         if (result := self._step_results.get(key)) is None:
             process = self.thaw(number)
@@ -98,7 +100,8 @@
         return result
 
     def query(self, number: int, label: str, now_us: int, question: Callable[[Process], Any]) -> Any:
-        """Something about a process, which is not changed by the asking."""
+        """The answer to a question about a process; its state stays the same. ``label`` identifies the
+        question in the cache."""
         key = number, label, now_us
         if key not in self._query_results:
             self._query_results[key] = question(self.thaw(number))
--- a/magpieshift/lab/simulated/fanout_histories.py
+++ b/magpieshift/lab/simulated/fanout_histories.py
@@ -13,38 +13,38 @@
 from magpieshift.lab.simulated.fanout_layout import FanoutSize
 from magpieshift.lab.simulated.fanout_measures import check_bounds, unsettled
 
-FAULT_PERIOD_S = 45  # how long faults go on
-SETTLE_TIMEOUT_S = 45  # by then all has come back after the last fault, where one source lives
-TWO_SOURCES_SETTLE_TIMEOUT_S = 140  # where there are several, of which the relays that return end all but one
-BURST_RATE_FACTOR = 10
+FAULT_PERIOD_S = 45  # duration of the phase in which faults occur
+SETTLE_TIMEOUT_S = 45  # for recovery after the last fault, with one running source
+TWO_SOURCES_SETTLE_TIMEOUT_S = 140  # with several: all but one end only once relays return
+BURST_RATE_FACTOR = 10  # rate of purges in a burst, as a multiple of the usual rate
 BURST_DURATION_S = 5
 PURGES_PER_S = 2.0
-PAUSE_S = 5.0
-RESTARTED_FRACTION = 0.1  # of the routers, in a burst
+PAUSE_S = 5.0  # a pause shorter than a lease; others are 0.5 s, and longer than a lease
+RESTARTED_FRACTION = 0.1  # fraction of routers restarted during a burst
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What came of a history that broke no rule."""
+    """The result of a history that broke no rule."""
 
     purges: int
     attempts: int
-    unbounded_attempts: int  # of them, without a bound of a copy's age
+    unbounded_attempts: int  # attempts that accepted copies of any age
     faults: int
     epochs: int
-    snapshots: int  # sent
-    settled_s: float  # after the last fault
+    snapshots: int  # snapshots sent
+    settled_s: float  # time from the end of all faults until the tier had settled
 
 
 class History:
-    """One history: faults at random times, several at once now and then, and quiet at its end."""
+    """One history: faults at random times, which may overlap, and a phase without faults at its end."""
 
     def __init__(self, seed: int, size: FanoutSize | None = None) -> None:
         self.rand = random.Random(f"history {seed}")
         size = size or FanoutSize(seed=seed, log_entries=self.rand.choice((16, 64, 1000)))
         self.world = SimulatedFanout(size)
         self.faults = 0
-        self.event_log: list[str] = []  # what happened, for whoever looks into a broken rule
+        self.event_log: list[str] = []  # added to the exception of a broken rule
         self._rate = PURGES_PER_S
         self._has_ended = False
         self._fault_weights: dict[Callable[[], str], float] = {
@@ -61,7 +61,7 @@
         }
 
     def run(self) -> Outcome:
-        """Let it happen. ``RuleBrokenError``, with what happened in its notes."""
+        """Run the history. Raises ``RuleBrokenError`` with the events so far as a note."""
         world = self.world
         try:
             world.time.after(0, self._load)
@@ -88,17 +88,17 @@
         )
 
     def _settle(self) -> float:
-        """End all faults and wait until all is as it should be; returns how long it took (s)."""
+        """End all faults and run until the tier has settled; return how long it took (s)."""
         world = self.world
         self._has_ended = True
         world.repair_all()
-        self._record("mended")
+        self._record("all faults ended")
         timeout_s = SETTLE_TIMEOUT_S if len(world.sources()) == 1 else TWO_SOURCES_SETTLE_TIMEOUT_S
         started_us = world.time.now_us
         while (problem := unsettled(world)) and world.time.now_us < started_us + timeout_s * SECOND_US:
             world.run(SECOND_US // 2)
         if problem:
-            raise RuleBrokenError(f"quiet: after {timeout_s} s {problem}")
+            raise RuleBrokenError(f"quiet: not settled {timeout_s} s after the last fault: {problem}")
         return (world.time.now_us - started_us) / SECOND_US
 
     def _record(self, event: str) -> None:
@@ -125,7 +125,7 @@
         world.time.after(rand.expovariate(self._rate) * SECOND_US, self._load)
 
     def _supervise(self) -> None:
-        """A source is started where none lives."""
+        """Start a source if none runs, and schedule the next check."""
         if not self.world.sources():
             name = self.rand.choice(("S1", "S2"))
             self._record(f"start {name}")
@@ -143,7 +143,7 @@
         self.world.time.after(self.rand.expovariate(1 / gap_s) * SECOND_US, lambda: self._inject_fault(gap_s))
 
     def _schedule_until_end(self, max_delay_s: float, call: Callable[[], object]) -> None:
-        """In some time, unless all faults have ended by then."""
+        """Schedule a call at a random time within ``max_delay_s``; it is dropped if all faults have ended."""
         self.world.time.after(
             self.rand.uniform(0.05, max_delay_s) * SECOND_US, lambda: None if self._has_ended else call()
         )
--- a/magpieshift/lab/simulated/fanout_judge.py
+++ b/magpieshift/lab/simulated/fanout_judge.py
@@ -1,5 +1,5 @@
-"""A plain model of the fan-out tier to judge a simulated one by. It knows the world's true time, the logs of
-all sources and what each router really applied; times are microseconds."""
+"""A reference model of the fan-out tier, against which a simulated tier is checked. It knows the true time,
+the logs of all sources and what each router has applied. Times are microseconds."""
 
 from __future__ import annotations
 
@@ -17,28 +17,26 @@
     Snapshot,
 )
 
-CHECKED_PURGE_AGE_US = (
-    PURGE_RETENTION_US - 3_000_000
-)  # older purges matter no more: snapshots may leave them out
-SOURCE_OVERLAP_US = FRESHNESS_LEASE_US + 100_000  # how long the leases of a source that has ended may hold
+CHECKED_PURGE_AGE_US = PURGE_RETENTION_US - 3_000_000  # older purges are not checked: snapshots may omit them
+SOURCE_OVERLAP_US = FRESHNESS_LEASE_US + 100_000  # leases of an ended source may last this long
 
 
 class RuleBrokenError(AssertionError):
-    """The tier did what it never may."""
+    """The simulated tier broke a rule of the fan-out protocol."""
 
 
 @dataclass(slots=True)
 class RouterRecord:
-    """What one life of a router has applied."""
+    """What one incarnation of a router has applied."""
 
     epoch: Epoch = NO_EPOCH
     sequence: int = 0
-    purges: dict[str, int] = field(default_factory=dict)  # when the newest purge of a key was made
-    checked_purges: int = 0  # purges of the world, in their order, that need not be looked at again
-    checked_watermarks: dict[Epoch, int] = field(default_factory=dict)
+    purges: dict[str, int] = field(default_factory=dict)  # time of the newest purge, by key
+    checked_purges: int = 0  # number of accepted purges that need no further check
+    checked_watermarks: dict[Epoch, int] = field(default_factory=dict)  # how far each log is checked
 
     def has(self, purge: Purge) -> bool:
-        """Whether a purge of the same key, as new or newer, has been applied."""
+        """Whether this purge, or a newer one of the same key, has been applied."""
         return self.purges.get(purge.key, -1) >= purge.issued_us
 
 
@@ -47,30 +45,30 @@
 
     def __init__(self) -> None:
         self.logs: dict[Epoch, list[Entry]] = {}
-        self.purges: list[Purge] = []  # accepted by the change log, in order; ``made_us`` is true time
-        self.routers: dict[str, RouterRecord] = {}  # by name, of the present life
-        self.watermarks: dict[Epoch, int] = {}  # up to where each source has called everything done
-        self.done_at_us: dict[Epoch, list[int]] = {}  # when each entry was first called done
-        self.overlap_until_us = 0  # several sources may have leases out until then
+        self.purges: list[Purge] = []  # accepted by the change log, in order; ``issued_us`` is true time
+        self.routers: dict[str, RouterRecord] = {}  # by name; each router's current incarnation
+        self.watermarks: dict[Epoch, int] = {}  # highest watermark reported by the source of each epoch
+        self.done_at_us: dict[Epoch, list[int]] = {}  # when the watermark first covered each entry
+        self.overlap_until_us = 0  # until then, leases of several sources may be valid
         self.attempts = 0
         self.unbounded_attempts = 0
 
     def epoch_started(self, epoch: Epoch) -> None:
-        """A source began an epoch."""
+        """Record that a source began an epoch."""
         self.logs[epoch] = []
         self.watermarks[epoch] = 0
         self.done_at_us[epoch] = []
 
     def record_overlap(self, now_us: int) -> None:
-        """More than one source is alive now."""
+        """Record that more than one source runs now."""
         self.overlap_until_us = now_us + SOURCE_OVERLAP_US
 
     def router_started(self, name: str) -> None:
-        """A new life of a router, which knows nothing."""
+        """Record a new incarnation of a router, which has applied nothing."""
         self.routers[name] = RouterRecord()
 
     def check_applied(self, name: str, effect: ApplyEntries | RestoreSnapshot, now_us: int) -> None:
-        """A router applied entries or a snapshot: none skipped, none twice, in order."""
+        """Check what a router applied: entries in order, none skipped or repeated, or a complete snapshot."""
         router = self.routers[name]
         if isinstance(effect, ApplyEntries):
             self._check_entries(name, router, effect)
@@ -80,19 +78,23 @@
     def _check_entries(self, name: str, router: RouterRecord, effect: ApplyEntries) -> None:
         if effect.epoch != router.epoch or effect.first != router.sequence + 1:
             raise RuleBrokenError(
-                f"order: {name} at {router.sequence} applied {effect.first} of {effect.epoch}"
+                f"order: {name} applied {effect.first} of {effect.epoch}, "
+                f"expected {router.sequence + 1} of {router.epoch}"
             )
         expected = self.logs[effect.epoch][effect.first - 1 : effect.last]
         if list(effect.entries) != expected:
             raise RuleBrokenError(
-                f"content: {name} applied other entries than {effect.first} to {effect.last}"
+                f"content: {name} applied entries that differ from "
+                f"{effect.first} to {effect.last} of the source's log"
             )
         router.sequence = effect.last
         self._record_purges(router, effect.entries)
 
     def _check_snapshot(self, name: str, router: RouterRecord, snapshot: Snapshot, now_us: int) -> None:
         if (snapshot.epoch, snapshot.applied) < (router.epoch, router.sequence):
-            raise RuleBrokenError(f"order: {name} at {router.sequence} took a snapshot of {snapshot.applied}")
+            raise RuleBrokenError(
+                f"order: {name} at {router.sequence} restored an older snapshot of {snapshot.applied}"
+            )
         received = RouterRecord()
         self._record_purges(received, snapshot.purges)
         expected = self.logs[snapshot.epoch][: snapshot.applied]
@@ -102,7 +104,7 @@
                     break
                 if not received.has(entry):
                     raise RuleBrokenError(
-                        f"skipped: purge {entry.key} is not in the snapshot that {name} took"
+                        f"skipped: the snapshot that {name} restored lacks purge {entry.key}"
                     )
         self._check_snapshot_documents(name, snapshot, expected)
         router.epoch = snapshot.epoch
@@ -114,13 +116,13 @@
         received = snapshot.configuration.digest if snapshot.configuration else ""
         if versions and versions[-1] != received:
             raise RuleBrokenError(
-                f"skipped: {name} took a snapshot with version {received!r} in place of {versions[-1]!r}"
+                f"skipped: {name} restored a snapshot with version {received!r}, expected {versions[-1]!r}"
             )
         if (
             any(isinstance(entry, EndpointListChange) for entry in expected)
             and not snapshot.endpoint_list_json
         ):
-            raise RuleBrokenError(f"skipped: the list of stores is not in the snapshot that {name} took")
+            raise RuleBrokenError(f"skipped: the snapshot that {name} restored lacks the endpoint list")
 
     @staticmethod
     def _record_purges(router: RouterRecord, entries: tuple[Entry, ...]) -> None:
@@ -129,12 +131,16 @@
                 router.purges[entry.key] = max(entry.issued_us, router.purges.get(entry.key, -1))
 
     def check_attempt(self, name: str, limit_us: int, now_us: int) -> None:
-        """A router makes an attempt that accepts copies of at most this age, 0 for any: none from before a
-        purge that was made longer ago than the bound."""
+        """Check an attempt of a router that accepts copies of an age up to ``limit_us``, or of any age if
+        that is 0. A limit must not exceed ``MAX_PURGE_US`` even with clock drift. Without one, the router
+        must have applied every purge that is older than ``MAX_PURGE_US``."""
         self.attempts += 1
         if limit_us:
             if limit_us * (1 + CLOCK_DRIFT) > MAX_PURGE_US:
-                raise RuleBrokenError(f"bound: {name} accepts copies of {limit_us} us")
+                raise RuleBrokenError(
+                    f"bound: {name} accepts copies of {limit_us} us, "
+                    f"expected at most {MAX_PURGE_US} even with clock drift"
+                )
             return
         self.unbounded_attempts += 1
         router = self.routers[name]
@@ -145,40 +151,44 @@
             if purge.issued_us > now_us - CHECKED_PURGE_AGE_US and not router.has(purge):
                 age_s = (now_us - purge.issued_us) / 1e6
                 raise RuleBrokenError(
-                    f"bound: {name} accepts any copy {age_s:.2f} s after a purge it never applied"
+                    f"bound: {name} accepts copies of any age {age_s:.2f} s after a purge it has not applied"
                 )
             router.checked_purges += 1
 
     def check_watermark(self, epoch: Epoch, watermark: int, now_us: int) -> None:
-        """A source calls everything up to ``done`` done everywhere."""
+        """Check a source's watermark: all entries up to it count as applied everywhere."""
         if watermark > len(self.logs[epoch]):
             raise RuleBrokenError(
-                f"watermark: {watermark} of {len(self.logs[epoch])} entries are called done"
+                f"watermark: found {watermark}, expected at most the head {len(self.logs[epoch])}"
             )
         if watermark < self.watermarks[epoch]:
-            raise RuleBrokenError(f"watermark: went back from {self.watermarks[epoch]} to {watermark}")
+            raise RuleBrokenError(f"watermark: it decreased from {self.watermarks[epoch]} to {watermark}")
         self.watermarks[epoch] = watermark
         self.done_at_us[epoch] += [now_us] * (watermark - len(self.done_at_us[epoch]))
 
     def check_lease(self, name: str, is_by_own_epoch: bool, now_us: int) -> None:
-        """A live router holds its lease, ``by_its_epoch`` where by a proof of the epoch that it is in: no
-        source may have called done what it lacks. Excused is only a lease that rests on another source than
-        the one that calls it done, while several live or lived within a lease."""
+        """Check a running router that holds a lease: it must have applied all entries up to the watermark of
+        each source. ``is_by_own_epoch`` tells that the lease comes from a proof of the router's own epoch.
+        Exempt is a lease from another source than the watermark's, while several sources run or ran until
+        less than ``SOURCE_OVERLAP_US`` ago."""
         router = self.routers[name]
         for epoch, watermark in self.watermarks.items():
             if epoch == router.epoch and (is_by_own_epoch or now_us >= self.overlap_until_us):
                 if router.sequence < watermark:
                     raise RuleBrokenError(
-                        f"watermark: {watermark} is done, {name} with a lease is at {router.sequence}"
+                        f"watermark: it is {watermark}, but {name} holds a lease at {router.sequence}"
                     )
             elif now_us >= self.overlap_until_us:
                 self._check_purges(name, router, epoch, now_us)
 
     def _check_purges(self, name: str, router: RouterRecord, epoch: Epoch, now_us: int) -> None:
-        """The same by the purges themselves, for a source of another epoch."""
+        """Check a router with a lease against the watermark of another epoch: its sequence numbers do not
+        compare, so each recent purge up to the watermark must have been applied."""
         checked = router.checked_watermarks.get(epoch, 0)
         for entry in self.logs[epoch][checked : self.watermarks[epoch]]:
             is_recent = isinstance(entry, Purge) and entry.issued_us > now_us - CHECKED_PURGE_AGE_US
             if is_recent and isinstance(entry, Purge) and not router.has(entry):
-                raise RuleBrokenError(f"watermark: purge {entry.key} is done, {name} with a lease lacks it")
+                raise RuleBrokenError(
+                    f"watermark: it covers purge {entry.key}, which {name} with a lease has not applied"
+                )
         router.checked_watermarks[epoch] = self.watermarks[epoch]
--- a/magpieshift/lab/simulated/fanout_layout.py
+++ b/magpieshift/lab/simulated/fanout_layout.py
@@ -9,15 +9,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FanoutSize:
-    """How large a simulated fan-out tier is, and how often its processes take a turn."""
+    """The number of processes of a simulated fan-out tier, and how often each is scheduled."""
 
     regions: int = 2
     relays_per_region: int = 2
     routers_per_region: int = 3
-    sources: int = 2  # of which only the first is started
-    log_entries: int = 64  # in the log of each source and relay
-    turn_interval_us: int = 100_000  # longest time between two turns of a process
-    attempt_probability: float = 0.5  # that a router makes an attempt in a turn
+    sources: int = 2  # hosts for sources; only the first is started at the beginning
+    log_entries: int = 64  # maximum entries in the log of each source and relay
+    turn_interval_us: int = 100_000  # longest time between two turns of a process; the shortest is half of it
+    attempt_probability: float = 0.5  # probability that a router makes an attempt in a turn
     seed: int = 1
 
 
@@ -27,11 +27,13 @@
     ``E0.1`` of region 0, and so on."""
 
     regions: dict[str, str]  # the region of each host, in the order in which the hosts are made
-    ranked_relays: dict[str, tuple[RelayAddress, ...]]  # what each relay and router follows, best first
+    ranked_relays: dict[
+        str, tuple[RelayAddress, ...]
+    ]  # the relays or sources that each follower may follow, preferred first
 
 
 def fanout_layout(size: FanoutSize) -> FanoutLayout:
-    """Lay out the hosts of a tier. Every relay may follow every source."""
+    """Lay out the hosts of a tier. Every relay may follow every source, and every router every relay."""
     regions = [str(region) for region in range(size.regions)]
     sources = tuple(
         RelayAddress(f"S{number + 1}", regions[number % size.regions], "") for number in range(size.sources)
--- a/magpieshift/lab/simulated/fanout_message_sizes.py
+++ b/magpieshift/lab/simulated/fanout_message_sizes.py
@@ -5,12 +5,12 @@
 from magpieshift.lab.simulated.fanout_outputs import Message
 from magpieshift.relay.messages import Batch, Purge, Snapshot
 
-PURGE_BYTES = 28  # a key or group and a time, as protobuf fields
+PURGE_BYTES = 28  # key or group and time as protobuf fields
 MESSAGE_BYTES = 40  # framing, epoch and sequence numbers of any message
 
 
 def estimated_bytes(message: Message) -> int:
-    """About what a message takes on the wire."""
+    """Estimated size of a message on the wire, in bytes."""
     entries = message.entries if isinstance(message, Batch) else ()
     if isinstance(message, Snapshot):
         configuration = message.configuration
--- a/magpieshift/lab/simulated/fanout_network.py
+++ b/magpieshift/lab/simulated/fanout_network.py
@@ -1,7 +1,8 @@
-"""Machines with clocks and sleeps of their own, and streams between them that keep their order.
+"""Machines with their own clocks and pauses, and ordered streams between them.
 
-A direction may be cut: what is sent stays under way until it heals, as with TCP. A stream that breaks loses
-what is under way, and both ends hear of it as far as the directions allow. Times are microseconds.
+A direction between two machines may be cut: as with TCP, messages are delayed until the cut ends. A stream
+that breaks loses the messages in flight; an end to which the direction is cut learns of it after the cut.
+Times are microseconds.
 """
 
 from __future__ import annotations
@@ -15,14 +16,14 @@
 from magpieshift.lab.simulated.fanout_processes import Relay, Router, Source
 from magpieshift.lab.simulated.time import SimulatedTime
 
-# delays within a region and between two
+# shortest and longest network delay within a region and between two regions
 SAME_REGION_DELAY_US = (1_000, 30_000)
 CROSS_REGION_DELAY_US = (20_000, 150_000)
-ANY_HOST = "*"  # in a cut
+ANY_HOST = "*"  # stands for all hosts in a cut
 
 
 class EndOfStream:
-    """The other side has ended the stream."""
+    """Tells the reader that the other side has ended the stream."""
 
 
 END_OF_STREAM = EndOfStream()
@@ -30,33 +31,33 @@
 
 
 class Host:
-    """A machine that runs at most one process. Its clock goes on while the process sleeps."""
+    """A machine that runs at most one process. Its clock advances while the process is paused."""
 
     def __init__(self, name: str, region: str, time: SimulatedTime, drift: float, offset_us: int) -> None:
-        """``rate`` is by how much its clock runs faster than the true one."""
+        """``drift`` is the relative deviation of its clock's rate from true time; positive is faster."""
         self.name = name
         self.region = region
         self.process: Source | Relay | Router | None = None
-        self.paused_until_us = 0  # true time
-        self.read_interval_us = 0  # 0: reads at once
+        self.paused_until_us = 0  # in true time; earlier: not paused
+        self.read_interval_us = 0  # time for reading a message; 0: reads at once
         self._time = time
         self._drift = drift
         self._offset_us = offset_us
         self._unhandled: deque[tuple[Stream, Callable[[], None]]] = deque()
-        self._reading = False  # the next of what waits is due to be read
+        self._reading = False  # reading the next unhandled message is scheduled
 
     def now_us(self) -> int:
-        """Its monotonic clock."""
+        """The machine's monotonic clock."""
         elapsed = self._time.now_us - self._time.start_us
         return self._offset_us + elapsed + int(elapsed * self._drift)
 
     @property
     def is_paused(self) -> bool:
-        """Whether its process stands still."""
+        """Whether the process is paused."""
         return self._time.now_us < self.paused_until_us
 
     def enqueue(self, stream: Stream, handle: Callable[[], None]) -> None:
-        """Something of a stream is in the socket; it is handled when the process gets to it."""
+        """Take a message of a stream into the socket; it is handled once the process reads it."""
         if not (self.is_paused or self._unhandled or self.read_interval_us):
             handle()
             return
@@ -76,7 +77,7 @@
             self._time.after(self.read_interval_us, self._read_one)
 
     def drain(self, rand: random.Random) -> None:
-        """Handle all that waits, the streams in any order but each in its own."""
+        """Handle all unread messages: streams in random order, but the messages of each stream in order."""
         pending: dict[int, deque[Callable[[], None]]] = {}
         for stream, handle in self._unhandled:
             pending.setdefault(id(stream), deque()).append(handle)
@@ -89,14 +90,14 @@
             handle()
 
     def clear_process(self) -> None:
-        """Its process is gone, with all that waited for it."""
+        """Remove the process and the messages that it has not read."""
         self.process = None
         self.paused_until_us = 0
         self._unhandled.clear()
 
 
 class Stream:
-    """A stream that a client's process opened to whatever process runs at the server then."""
+    """A stream opened by a client's process to the process that runs at the server at that time."""
 
     def __init__(self, network: Network, stream_id: int, client: Host, server: Host) -> None:
         self.stream_id = stream_id
@@ -107,39 +108,40 @@
         self._processes = client.process, server.process
         self._open = [True, True]
         pipes: tuple[Pipe, Pipe] = deque(), deque()
-        self._pipes = pipes  # by the side that reads
-        self._arrives_us = [0, 0]
-        self._held = [0, 0]
+        self._pipes = pipes  # unread messages, by reading side
+        self._arrives_us = [0, 0]  # last scheduled arrival, by reading side
+        self._held = [0, 0]  # number of arrivals held up by a cut, by reading side
 
     def other(self, host: Host) -> Host:
         """The machine at the other end."""
         return self._hosts[1 - self._hosts.index(host)]
 
     def unread(self, sender: Host) -> int:
-        """How many messages of the sender the other side has not read yet."""
+        """Number of messages of the sender that the other side has not read."""
         return len(self._pipes[1 - self._hosts.index(sender)])
 
     def is_open_at(self, host: Host) -> bool:
-        """Whether this process of the host has this stream open."""
+        """Whether the host's current process has this stream open."""
         if host not in self._hosts:
             return False
         side = self._hosts.index(host)
         return self._open[side] and self._processes[side] is host.process
 
     def send(self, sender: Host, message: Message | EndOfStream) -> None:
-        """Write a message; nothing happens where the sender has ended the stream."""
+        """Write a message; does nothing if the sender has ended the stream."""
         side = self._hosts.index(sender)
         if self._open[side]:
             self._write(1 - side, message)
 
     def end(self, host: Host) -> None:
-        """One side ends the stream: the other hears of it after what was sent before."""
+        """End the stream at one side; the other learns of it after all messages sent before."""
         self.send(host, END_OF_STREAM)
         self._open[self._hosts.index(host)] = False
         self._network.remove_if_closed(self)
 
     def process_lost(self, host: Host, silently: bool) -> None:
-        """The process at one end is gone."""
+        """Handle the loss of the process at one end: its messages in flight are lost. The other side learns
+        of it unless ``silently``."""
         side = self._hosts.index(host)
         self._pipes[1 - side].clear()
         if silently:
@@ -148,18 +150,18 @@
             self.end(host)
 
     def disconnect(self) -> None:
-        """What is under way is lost; both sides hear of it."""
+        """Break the stream: messages in flight are lost, and both sides learn of it."""
         for reader in (0, 1):
             self._pipes[reader].clear()
             self._write(reader, END_OF_STREAM)
 
     @property
     def is_closed(self) -> bool:
-        """Whether neither side has it open."""
+        """Whether neither side has the stream open."""
         return not any(self._open)
 
     def heal(self) -> None:
-        """What was held up by a cut goes on."""
+        """Continue the delivery of messages held up by a cut."""
         for reader in (0, 1):
             held = self._held[reader]
             self._held[reader] = 0
@@ -185,7 +187,7 @@
             receiver.enqueue(self, partial(self._read, reader))
 
     def _read(self, reader: int) -> None:
-        """The next message of the pipe, whichever arrival this is: that keeps the order."""
+        """Read the oldest message, whichever arrival this is, so that the order is kept."""
         if not self._pipes[reader] or not self._open[reader]:
             self._pipes[reader].clear()
             return
@@ -193,7 +195,9 @@
         host = self._hosts[reader]
         if host.process is None or self._processes[reader] is not host.process:
             self._open[reader] = False
-            if host.process is not None:  # its machine is there and knows no such stream
+            if (
+                host.process is not None
+            ):  # a later process on this machine resets the stream, which it does not know
                 self._write(1 - reader, END_OF_STREAM)
             return
         if isinstance(message, EndOfStream):
@@ -219,21 +223,21 @@
         self._cuts: set[tuple[str, str]] = set()
 
     def delay_us(self, one: Host, other: Host) -> int:
-        """How long a message is under way."""
+        """Random network delay of a message between two hosts."""
         return self._rand.randrange(
             *(SAME_REGION_DELAY_US if one.region == other.region else CROSS_REGION_DELAY_US)
         )
 
     def open(self, stream_id: int, client: Host, server: Host) -> Stream:
-        """A new stream. Where nothing runs at the server, the client hears of it at once or, if the way is
-        cut, never."""
+        """Open a stream. If no process runs at the server, the client is sent the end of the stream; a cut
+        holds that up as well."""
         stream = self.streams[stream_id] = Stream(self, stream_id, client, server)
         if server.process is None:
             stream.end(server)
         return stream
 
     def remove_if_closed(self, stream: Stream) -> None:
-        """A side has ended the stream."""
+        """Remove a stream that neither side has open any more."""
         if stream.is_closed:
             self.streams.pop(stream.stream_id, None)
 
@@ -242,13 +246,15 @@
         return [stream for stream in self.streams.values() if stream.is_open_at(host)]
 
     def process_lost(self, host: Host, silently: bool) -> None:
-        """A host's process is about to go: ``silently`` where its machine goes with it."""
+        """Remove a host's process. With ``silently`` its peers do not learn of it, as if the machine had
+        failed."""
         for stream in self.streams_of(host):
             stream.process_lost(host, silently)
         host.clear_process()
 
     def cut(self, sender: str, receiver: str) -> None:
-        """Hold up what one host, or region as ``region/NAME``, or ``*`` sends to another."""
+        """Hold up messages from one side to another. Each is a host, a region as ``region/NAME``, or
+        ``*``."""
         self._cuts.add((sender, receiver))
 
     def heal(self) -> None:
@@ -258,7 +264,7 @@
             stream.heal()
 
     def is_cut(self, sender: Host, receiver: Host) -> bool:
-        """Whether the direction is cut."""
+        """Whether messages from the sender to the receiver are held up."""
         if not self._cuts:
             return False
         sender_names = (sender.name, f"region/{sender.region}", ANY_HOST)
@@ -266,6 +272,6 @@
         return any((one, other) in self._cuts for one in sender_names for other in receiver_names)
 
     def reachable(self, client: Host, server: Host) -> bool:
-        """Whether a stream could be opened now."""
+        """Whether a stream could be opened now: the server's process runs, and neither direction is cut."""
         is_running = server.process is not None and not server.is_paused
         return is_running and not self.is_cut(client, server) and not self.is_cut(server, client)
--- a/magpieshift/lab/simulated/fanout_outputs.py
+++ b/magpieshift/lab/simulated/fanout_outputs.py
@@ -1,4 +1,4 @@
-"""What a simulated process of the fan-out tier wants done: it returns these, and a world carries them out."""
+"""The outputs of simulated processes of the fan-out tier, which the simulation carries out."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectApplied:
-    """Entries or a snapshot have been applied; nothing is to be done but to check it."""
+    """Reports that entries or a snapshot were applied, so that the simulation can check it."""
 
     effect: ApplyEntries | RestoreSnapshot
 
 
 @dataclass(frozen=True, slots=True)
 class SourceSuperseded:
-    """Stop this source, as there is one with a newer epoch."""
+    """Stop this source, because another one has a newer epoch."""
 
     newer_epoch: Epoch
 
--- a/magpieshift/lab/simulated/fanout_processes.py
+++ b/magpieshift/lab/simulated/fanout_processes.py
@@ -1,7 +1,7 @@
 """Sources, relays and routers made of the fan-out tier's real state machines, without I/O.
 
 Each method takes an event and the process's own clock (microseconds) and returns the outputs to carry out, so
-that the same processes run in a simulated world with a network and under exhaustive exploration.
+that the same processes run in a simulated network and under exhaustive exploration.
 """
 
 from __future__ import annotations
@@ -44,15 +44,15 @@
 def full_configuration(
     before: ConfigurationChange | None, change: ConfigurationChange
 ) -> ConfigurationChange | None:
-    """Emulates the building of full versions: the content of a delta is taken for that of its version. None
-    where the delta's base is not the version ``before``."""
+    """Stands in for applying a delta: the content of the delta is used as the content of its version. None if
+    the delta's base is not the version ``before``."""
     if change.base_digest and (before is None or before.digest != change.base_digest):
         return None
     return ConfigurationChange(change.number, change.digest, "", change.content)
 
 
 def own_age_us(now_us: int) -> int:
-    """How old a source's knowledge of itself is: it never ages."""
+    """Time since a source last had everything that its own log holds: always 0."""
     return 0
 
 
@@ -62,12 +62,12 @@
     def __init__(self, name: str, boot: str) -> None:
         self.name = name
         self.boot = boot  # different in each incarnation
-        self.state = LogState(full_configuration)  # what a snapshot for a follower is made of
+        self.state = LogState(full_configuration)  # from which snapshots for followers are made
         self._streams: set[int] = set()  # open streams of followers
         self.fanout: Fanout  # set by the subclass
 
     def receive_from_follower(self, stream_id: int, message: UpstreamMessage, now_us: int) -> list[Output]:
-        """A message of a follower; a stream whose message can't be accepted is closed."""
+        """Handle a message of a follower; its stream is closed if the message cannot be accepted."""
         try:
             if isinstance(message, Progress):
                 self.fanout.receive_progress(stream_id, message, now_us)
@@ -82,16 +82,16 @@
             return [CloseStream(stream_id)]
 
     def epoch_superseded(self, epoch: Epoch, now_us: int) -> list[Output]:
-        """A follower knows of a higher epoch."""
+        """Handle the report of a follower that a higher epoch exists."""
         raise NotImplementedError
 
     def follower_stream_lost(self, stream_id: int, now_us: int) -> None:
-        """The stream of a follower has ended."""
+        """Handle the end of a follower's stream."""
         self._streams.discard(stream_id)
         self.fanout.close_stream(stream_id, now_us)
 
     def close_silent_streams(self, now_us: int) -> list[Output]:
-        """Close the streams of silent followers, and all of them where this process is stale itself."""
+        """Close the streams of silent followers, or all streams if this process is stale itself."""
         if self.fanout.is_fresh(now_us):
             closing = self.fanout.silent_streams(now_us)
         else:
@@ -101,7 +101,7 @@
         return [CloseStream(stream_id) for stream_id in closing]
 
     def send_due(self, stream_id: int, now_us: int) -> list[Output]:
-        """The messages that a follower's stream is to be sent now; none for an unknown stream."""
+        """The messages to send on a follower's stream now; none for an unknown stream."""
         try:
             messages = self.fanout.messages_to_send(stream_id, now_us)
         except UnknownStreamError:
@@ -110,7 +110,7 @@
 
 
 class Source(ServingProcess):
-    """A source: reads the change log and numbers what it reads."""
+    """A source: reads the change log and assigns sequence numbers to its entries."""
 
     def __init__(
         self, name: str, boot: str, epoch: Epoch, now_us: int, max_entries: int = MAX_LOG_ENTRIES
@@ -127,14 +127,15 @@
         )
 
     def read(self, entries: Iterable[Entry], current_to_us: int, now_us: int) -> None:
-        """All that was in the change log's socket; ``current_to_us`` is when it was last seen empty."""
+        """Append all entries that were in the change log's socket; ``current_to_us`` is when the socket was
+        last seen empty before."""
         for entry in entries:
             self.log.append(entry)
             self.state.apply_entry(entry, now_us)
         self.staleness.record_read(current_to_us)
 
     def epoch_superseded(self, epoch: Epoch, now_us: int) -> list[Output]:
-        """A newer source has taken over, so this one stops."""
+        """Stop, because a newer source has taken over."""
         return [SourceSuperseded(epoch)]
 
 
@@ -144,12 +145,12 @@
     def __init__(self, name: str, boot: str, first_stream_id: int) -> None:
         self.follower = Follower(name, boot)
         self.stream_id: int | None = None  # the current stream
-        self._previous_stream_id: int | None = None  # left, but not yet closed with a farewell
+        self._previous_stream_id: int | None = None  # replaced, but not yet closed
         self._next_stream_id = first_stream_id
 
     def connect(self, server: str, now_us: int) -> list[Output]:
-        """Leave the current stream, if any, and open another. A router closes the one it left only when its
-        lease rests on the new one."""
+        """Leave the current stream, if any, and open another. A router closes the stream it left only when
+        its lease is provided by the new one."""
         outputs = self._close_previous()
         self._previous_stream_id = self.stream_id
         if not isinstance(self, Router):
@@ -159,7 +160,7 @@
         return [*outputs, OpenStream(self.stream_id, server, self.follower.connect(now_us))]
 
     def receive_from_server(self, stream_id: int, message: DownstreamMessage, now_us: int) -> list[Output]:
-        """A message of the relay or source that is followed; one on another stream is ignored."""
+        """Handle a message of the relay or source that is followed; messages on other streams are ignored."""
         if stream_id != self.stream_id:
             return []
         outputs: list[Output] = []
@@ -174,7 +175,7 @@
         return outputs
 
     def apply_effect(self, effect: ApplyEntries | RestoreSnapshot, now_us: int) -> list[Output]:
-        """Apply all of a batch of entries, or a snapshot."""
+        """Apply a batch of entries or a snapshot completely."""
         if isinstance(effect, ApplyEntries):
             self.follower.acknowledge_applied(effect.epoch, effect.last)
         else:
@@ -187,18 +188,19 @@
         self.follower.wants_full = False
 
     def server_stream_lost(self, stream_id: int) -> None:
-        """A stream to a relay or source has ended."""
+        """Handle the end of a stream to a relay or source."""
         if stream_id == self.stream_id:
             self.stream_id = None
         elif stream_id == self._previous_stream_id:
             self._previous_stream_id = None
 
     def acknowledge(self, now_us: int) -> list[Output]:
-        """The progress that is due, if any, and a farewell to the relay that was followed before."""
+        """Send progress if it is due. Once the current stream provides the lease, also release the lease at
+        the relay followed before, and close the stream to it."""
         outputs: list[Output] = []
         if self._previous_stream_id is not None and self.follower.lease_from_stream:
-            farewell = SendMessage(self._previous_stream_id, self.follower.release_previous())
-            outputs = [farewell, *self._close_previous()]
+            release = SendMessage(self._previous_stream_id, self.follower.release_previous())
+            outputs = [release, *self._close_previous()]
         if self.stream_id is not None and (progress := self.follower.progress(now_us)) is not None:
             outputs.append(SendMessage(self.stream_id, progress))
         return outputs
@@ -233,7 +235,7 @@
         return super().apply_effect(effect, now_us)
 
     def apply(self, now_us: int) -> list[Output]:
-        """Apply all that was queued."""
+        """Apply all queued entries and snapshots."""
         outputs: list[Output] = []
         while self._unapplied:
             outputs += super().apply_effect(self._unapplied.popleft(), now_us)
@@ -278,19 +280,19 @@
         return super().apply_effect(effect, now_us)
 
     def store_configuration(self, full: ConfigurationChange) -> None:
-        """Keep a full configuration, also for snapshots."""
+        """Keep a full configuration, also for snapshots to routers."""
         self.state.apply_full_configuration(full)
         super().store_configuration(full)
 
     def acknowledge(self, now_us: int) -> list[Output]:
-        """The progress that is due, if any, with a report on the relay's own followers."""
+        """Send progress if it is due, with a report on the relay's own followers."""
         if self.stream_id is None:
             return []
         progress = self.follower.progress(now_us, self.fanout.report(now_us))
         return [] if progress is None else [SendMessage(self.stream_id, progress)]
 
     def epoch_superseded(self, epoch: Epoch, now_us: int) -> list[Output]:
-        """Follow the newer epoch from the next join on."""
+        """Record the newer epoch; messages of lower epochs are rejected from now on."""
         self.follower.learn_epoch(epoch)
         return []
 
--- a/magpieshift/lab/simulated/fanout_tier.py
+++ b/magpieshift/lab/simulated/fanout_tier.py
@@ -1,5 +1,5 @@
-"""What may happen to a small simulated fan-out tier: time passes, messages arrive, streams break, processes
-crash. Each event changes a mutable copy of the tier's state and carries out what the processes want done."""
+"""The events of a small simulated fan-out tier: time passes, messages arrive, streams break, processes crash.
+Each event changes a mutable copy of the tier's state and carries out the outputs of the processes."""
 
 from __future__ import annotations
 
@@ -38,11 +38,12 @@
 from magpieshift.relay.messages import UpstreamMessage
 
 TICK_US = 4_000_000  # half a lease: one tick leaves a lease valid, two let it lapse
-ROUND_US = 600_000  # long enough that every follower's progress is due
+ROUND_US = 600_000  # long enough for every follower's progress to be due
 
 
 class MutableTier:
-    """A tier while an event happens to it. ``RuleBrokenError`` is raised by the event that breaks a rule."""
+    """A mutable copy of a tier's state, on which events are carried out. An event that breaks a rule raises
+    ``RuleBrokenError``."""
 
     def __init__(self, table: ProcessTable, state: TierState) -> None:
         self._table = table
@@ -58,7 +59,7 @@
         self.source_logs = state.source_logs
 
     def state(self) -> TierState:
-        """The state that the tier is in now."""
+        """The current state as an immutable value."""
         return TierState(
             now_us=self.now_us,
             processes=tuple(self.processes.values()),
@@ -85,7 +86,7 @@
         self.purges_accepted_us += (self.now_us,)
 
     def read_change_log(self) -> None:
-        """The source reads all that the change log has accepted, and is up to date by it."""
+        """The source reads all entries that the change log has accepted, and is current then."""
         positions = tuple(range(self.purges_read, len(self.purges_accepted_us)))
         entries = [purge_at(position, self.purges_accepted_us[position]) for position in positions]
         log = self.source_logs[-1]
@@ -100,7 +101,7 @@
         self._step(SOURCE, ("read", positions), event)
 
     def run_round(self, excluded: str = "") -> None:
-        """A little time passes, in which all processes but ``excluded`` exchange what is due."""
+        """``ROUND_US`` pass, and all processes but ``excluded`` exchange the messages that are due."""
         self.budget = self.budget._replace(rounds=self.budget.rounds - 1)
         self.now_us += ROUND_US
         if excluded != SOURCE:
@@ -113,7 +114,7 @@
     # --- events: messages
 
     def connect(self, follower: str, server: str) -> None:
-        """A follower opens a stream to a server, and leaves the one that it has."""
+        """A follower opens a stream to a server, and leaves its current one."""
         self._step(
             follower,
             ("connect", server),
@@ -121,7 +122,7 @@
         )
 
     def switch_relay(self, follower: str, server: str) -> None:
-        """A router leaves its relay for another while its stream is healthy."""
+        """A router leaves its relay for another although its stream works."""
         self.budget = self.budget._replace(relay_switches=self.budget.relay_switches - 1)
         self.connect(follower, server)
 
@@ -130,13 +131,14 @@
         self._step(follower, "acknowledge", lambda process, now_us: as_follower(process).acknowledge(now_us))
 
     def send(self, follower: str) -> None:
-        """The server of a follower sends it what is due."""
+        """The server of a follower sends it the messages that are due."""
         stream = self.streams.current[follower]
         if stream is not None and stream.server:
             self._step(stream.server, ("send", stream.stream_id), partial(send_if_due, stream.stream_id))
 
     def deliver_to_server(self, follower: str, sends_answer: bool = True) -> None:
-        """The next message of a follower arrives; the server may send at once what is due by it."""
+        """The next message of a follower arrives at its server. With ``sends_answer`` the server at once
+        sends the messages that are due then."""
         stream, number = self.streams.take_to_server(follower)
         self._receive_at_server(stream, number, sends_answer)
 
@@ -146,7 +148,7 @@
         self._receive_at_server(stream, number, sends_answer=False)
 
     def deliver_to_follower(self, follower: str) -> None:
-        """The next message of its server arrives at a follower."""
+        """The next message of the server arrives at its follower."""
         stream, number = self.streams.take_to_follower(follower)
         if number == END_OF_STREAM:
             self.streams.current[follower] = None
@@ -161,7 +163,7 @@
         self._step(follower, ("to follower", stream.stream_id, number), event)
 
     def flush_to_server(self, follower: str) -> None:
-        """All that a follower has to send arrives."""
+        """All messages of a follower, including progress that is due, arrive at its servers."""
         self.acknowledge(follower)
         while (stream := self.streams.current[follower]) is not None and stream.to_server:
             self.deliver_to_server(follower)
@@ -169,7 +171,8 @@
             self.deliver_abandoned(follower)
 
     def flush_to_follower(self, follower: str) -> None:
-        """All that its server has to send arrives at a follower, and is applied."""
+        """All messages of a server, including those that are due, arrive at a follower; a router applies
+        them."""
         self.send(follower)
         while (stream := self.streams.current[follower]) is not None and stream.to_follower:
             self.deliver_to_follower(follower)
@@ -177,7 +180,7 @@
             self.apply(follower)
 
     def apply(self, router: str) -> None:
-        """A router applies what it has received."""
+        """A router applies the entries and snapshots that it has received."""
         self._step(router, "apply", lambda process, now_us: as_router(process).apply(now_us))
 
     # --- events: faults
@@ -191,7 +194,7 @@
         self._notify_stream_lost(follower, stream.stream_id)
 
     def crash(self, name: str) -> None:
-        """A process dies and is started again at once; a new source begins a new epoch."""
+        """A process crashes and is restarted at once; a new source begins a new epoch."""
         if name == SOURCE:
             self.budget = self.budget._replace(source_crashes=self.budget.source_crashes - 1)
         else:
@@ -214,7 +217,8 @@
     # --- rules
 
     def check_rules(self) -> None:
-        """Check what the processes claim against the true state; ``RuleBrokenError`` where they differ."""
+        """Check that each router with a lease has applied all that it must have. Raises ``RuleBrokenError``
+        if one has not."""
         watermark = self._query(
             SOURCE, "watermark", lambda process, now_us: as_server(process).fanout.watermark(now_us)
         )
@@ -253,7 +257,7 @@
         self._step(follower, ("lost", stream_id), event)
 
     def _step(self, name: str, label: object, event: Callable[[Process, int], list[Output]]) -> None:
-        """Let an event happen to a process; ``label`` tells the event from all others of that process."""
+        """Carry out an event at a process; ``label`` identifies the event among all those of the process."""
         now_us = local_clock_us(name, self.now_us)
         self.processes[name], outputs = self._table.frozen.step(
             self.processes[name], label, now_us, lambda process: event(process, now_us)
--- a/magpieshift/lab/simulated/fanout_tier_processes.py
+++ b/magpieshift/lab/simulated/fanout_tier_processes.py
@@ -1,4 +1,4 @@
-"""The processes and messages of a small simulated fan-out tier, shared by all of its states under numbers."""
+"""The processes and messages of a small simulated fan-out tier, which all its states refer to by number."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from magpieshift.lab.simulated.fanout_tier_state import RELAYS, SOURCE
 from magpieshift.relay.messages import Entry, Epoch, Purge
 
-MAX_STREAMS_PER_INCARNATION = 100  # more than one exploration opens; keeps the numbers of streams distinct
-MAX_SOURCE_LOG_ENTRIES = 8  # more than the purges of a scenario; a short log keeps the states few
+MAX_STREAMS_PER_INCARNATION = 100  # more than an exploration opens, so that stream numbers are unique
+MAX_SOURCE_LOG_ENTRIES = 8  # more than the purges of a scenario; a short log means fewer states
 
 
 class ProcessTable:
@@ -51,7 +51,7 @@
 
 
 def send_if_due(stream_id: int, process: Process, now_us: int) -> list[Output]:
-    """What a server sends on a stream now; nothing before its next send is due."""
+    """The messages that a server sends on a stream now; none if no message is due."""
     serving = as_server(process)
     return serving.send_due(stream_id, now_us) if stream_id in serving.fanout.due_streams(now_us) else []
 
--- a/magpieshift/lab/simulated/fanout_tier_rules.py
+++ b/magpieshift/lab/simulated/fanout_tier_rules.py
@@ -1,5 +1,6 @@
 """The rules of the fan-out tier that an exploration checks in each state: entries are applied in order and
-without a gap, and a router with a lease has every purge that it must have. Raise ``RuleBrokenError``."""
+without a gap, and a router with a lease has applied every purge that it must. The checks raise
+``RuleBrokenError``."""
 
 from __future__ import annotations
 
@@ -29,10 +30,12 @@
     term = effect.epoch.term
     last = effect.last
     if (term, effect.first) != (applied.term, applied.sequence + 1):
-        raise RuleBrokenError(f"order: {name} at {applied} applied {effect.first} to {last} of {term}")
+        raise RuleBrokenError(f"order: {name} at {applied} applied {effect.first} to {last} of term {term}")
     received = purge_positions(effect.entries)
     if received != list(logs[term][effect.first - 1 : last]):
-        raise RuleBrokenError(f"content: {name} applied {received}")
+        raise RuleBrokenError(
+            f"content: {name} applied {received}, expected {list(logs[term][effect.first - 1 : last])}"
+        )
     return AppliedState(term, last, applied.purges | frozenset(received))
 
 
@@ -43,9 +46,11 @@
     last = effect.snapshot.applied
     received = purge_positions(effect.snapshot.purges)
     if (term, last) < (applied.term, applied.sequence):
-        raise RuleBrokenError(f"order: {name} at {applied} took a snapshot of {last} of {term}")
+        raise RuleBrokenError(
+            f"order: {name} at {applied} restored an older snapshot of {last} of term {term}"
+        )
     if missing := set(logs[term][:last]).difference(received):
-        raise RuleBrokenError(f"skipped: {name} took a snapshot without {missing}")
+        raise RuleBrokenError(f"skipped: the snapshot that {name} restored lacks purges {missing}")
     return AppliedState(term, last, applied.purges | frozenset(received))
 
 
@@ -56,17 +61,19 @@
     purges_accepted_us: tuple[int, ...],
     now_us: int,
 ) -> None:
-    """A router with a lease, which may serve cached objects of any age, has applied all that is below a
-    watermark, and every purge older than the longest time that a purge may take."""
+    """Check a router with a lease, which may serve cached objects of any age: it must have applied all
+    entries up to each watermark, and every purge older than ``MAX_PURGE_US``."""
     for log in source_logs:
         behind = applied.sequence < log.watermark if log.term == applied.term else False
         if behind or not applied.purges.issuperset(log.entries[: log.watermark]):
             raise RuleBrokenError(
-                f"watermark: {log.watermark} of {log.term} is done, {name} (leased) has {applied}"
+                f"watermark: it is {log.watermark} in term {log.term}, but {name} holds a lease at {applied}"
             )
     for position, accepted_us in enumerate(purges_accepted_us):
         if accepted_us <= now_us - MAX_PURGE_US and position not in applied.purges:
-            raise RuleBrokenError(f"bound: {name} (leased) lacks a purge of {now_us - accepted_us} us ago")
+            raise RuleBrokenError(
+                f"bound: {name} with a lease lacks purge {position}, accepted {now_us - accepted_us} us ago"
+            )
 
 
 def purge_positions(entries: tuple[Entry, ...]) -> list[int]:
--- a/magpieshift/lab/simulated/fanout_tier_state.py
+++ b/magpieshift/lab/simulated/fanout_tier_state.py
@@ -1,5 +1,5 @@
 """The state of a small simulated fan-out tier as plain values: a source, two relays, two routers, and the
-messages in flight between them. Times are microseconds of true time, from which the clocks drift."""
+messages in flight between them. Times are microseconds of true time; the processes' clocks drift from it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 ROUTERS = ("E1", "E2")
 FOLLOWERS = (*RELAYS, *ROUTERS)
 PROCESS_NAMES = (SOURCE, *FOLLOWERS)
-# Of the drift that the protocol allows between two clocks: half between the source and a relay, all of it
+# Differences in clock rate: half of the allowed ``CLOCK_DRIFT`` between the source and a relay, all of it
 # between R1 and E1 and between R2 and E2, none between R1 and E2 or R2 and E1.
 CLOCK_DRIFTS = {
     "S": 0.0,
@@ -21,9 +21,9 @@
     "E1": -CLOCK_DRIFT / 2,
     "E2": CLOCK_DRIFT / 2,
 }
-START_US = 100_000_000  # any time well above 0, so that no age becomes negative
+START_US = 100_000_000  # well above 0, so that no age becomes negative
 END_OF_STREAM = -1  # stands in place of a message number
-NO_SERVER = ""  # the server of a stream whose serving process is gone
+NO_SERVER = ""  # the server of a stream whose serving process has ended
 
 
 class StreamState(NamedTuple):
@@ -38,27 +38,27 @@
 class AppliedState(NamedTuple):
     """What one incarnation of a router has applied: its position in the log, and the purges."""
 
-    term: int = 0  # of the source whose log is followed
-    sequence: int = 0  # of the last entry applied
-    purges: frozenset[int] = frozenset()  # by their positions in the change log
+    term: int = 0  # term of the source whose log is followed
+    sequence: int = 0  # sequence number of the last entry applied
+    purges: frozenset[int] = frozenset()  # positions of the purges in the change log
 
 
 class SourceLog(NamedTuple):
-    """What one incarnation of the source put into its log."""
+    """The log of one incarnation of the source."""
 
     term: int
-    entries: tuple[int, ...] = ()  # purges by their positions in the change log
+    entries: tuple[int, ...] = ()  # positions of its purges in the change log
     watermark: int = 0  # highest count of entries reported as applied everywhere
 
 
 class EventBudget(NamedTuple):
-    """How often each event may still happen."""
+    """How many times each event may still happen in an exploration."""
 
     ticks: int = 3
     rounds: int = 0
     purges: int = 1
     disconnects: int = 1
-    relay_switches: int = 0  # of a router to its other relay while its stream is healthy
+    relay_switches: int = 0  # of a router to its other relay while its stream works
     crashes: int = 0  # of relays and routers
     source_crashes: int = 0
 
@@ -67,9 +67,9 @@
     """The state of the whole tier; hashable, so that an exploration visits each state once."""
 
     now_us: int
-    processes: tuple[int, ...]  # frozen, in the order of PROCESS_NAMES
+    processes: tuple[int, ...]  # numbers of frozen states, in the order of PROCESS_NAMES
     streams: tuple[StreamState | None, ...]  # in the order of FOLLOWERS
-    abandoned_streams: tuple[StreamState | None, ...]  # by FOLLOWERS; left, with messages still in flight
+    abandoned_streams: tuple[StreamState | None, ...]  # in the order of FOLLOWERS; with messages in flight
     applied: tuple[AppliedState, ...]  # in the order of ROUTERS
     purges_accepted_us: tuple[int, ...]  # when the change log accepted each purge
     purges_read: int  # how many of them the source has read
@@ -79,5 +79,5 @@
 
 
 def local_clock_us(name: str, now_us: int) -> int:
-    """The clock of a process's machine at a true time."""
+    """The reading of a process's clock at a true time."""
     return now_us + int((now_us - START_US) * CLOCK_DRIFTS[name])
--- a/magpieshift/lab/simulated/fanout_tier_streams.py
+++ b/magpieshift/lab/simulated/fanout_tier_streams.py
@@ -6,7 +6,7 @@
 
 
 class TierStreams:
-    """One current stream a follower, and one that it has left with messages still in flight."""
+    """For each follower, its current stream, and one that it has left with messages still in flight."""
 
     def __init__(
         self, current: tuple[StreamState | None, ...], abandoned: tuple[StreamState | None, ...]
@@ -21,15 +21,15 @@
         self.current[follower] = StreamState(stream_id, server)
 
     def abandon(self, follower: str, stream: StreamState, ended: bool) -> None:
-        """A follower leaves its current stream: what is in flight to it is lost, what is in flight to the
-        server still arrives, followed by the end of the stream where it has ``ended``."""
+        """A follower leaves its current stream: messages in flight to it are lost, those in flight to the
+        server still arrive, followed by the end of the stream if ``ended``."""
         self.current[follower] = None
         if stream.server:
             to_server = (*stream.to_server, END_OF_STREAM) if ended else stream.to_server
             self.abandoned[follower] = stream._replace(to_server=to_server, to_follower=())
 
     def send_to_server(self, stream_id: int, number: int) -> None:
-        """Put a message of the follower in flight; nothing happens on a stream that has ended."""
+        """Put a message of the follower in flight; does nothing if the stream has ended."""
         for follower, stream in self.current.items():
             if stream is not None and stream.stream_id == stream_id and stream.server:
                 self.current[follower] = stream._replace(to_server=(*stream.to_server, number))
@@ -38,7 +38,7 @@
                 self.abandoned[follower] = abandoned._replace(to_server=(*abandoned.to_server, number))
 
     def send_to_follower(self, stream_id: int, number: int) -> None:
-        """Put a message of the server in flight; nothing happens on a stream that has ended."""
+        """Put a message of the server in flight; does nothing if the stream has ended."""
         for follower, stream in self.current.items():
             if stream is not None and stream.stream_id == stream_id and stream.server:
                 self.current[follower] = stream._replace(to_follower=(*stream.to_follower, number))
@@ -51,7 +51,8 @@
         return stream, stream.to_server[0]
 
     def take_abandoned(self, follower: str) -> tuple[StreamState, int]:
-        """The same of the stream that the follower has left, which is dropped with its last message."""
+        """The oldest message in flight to the server on the stream that the follower has left, taken off it,
+        and the stream before that. The stream is removed with its last message."""
         stream = self.abandoned[follower]
         assert stream is not None
         remaining = stream.to_server[1:]
@@ -66,7 +67,7 @@
         return stream, stream.to_follower[0]
 
     def end(self, name: str, stream_id: int) -> None:
-        """A process ends a stream; the other side learns of it after what was sent before."""
+        """A process ends a stream; the other side learns of it after all messages sent before."""
         for follower, stream in self.current.items():
             if stream is not None and stream.stream_id == stream_id:
                 if follower == name:
@@ -81,7 +82,7 @@
             self.abandoned[name] = abandoned._replace(to_server=to_server)
 
     def reset(self, name: str) -> None:
-        """A process is gone: both ends of its streams are closed, and nothing more reaches it."""
+        """A process has ended: both ends of its streams are closed, and no more messages reach it."""
         for follower in FOLLOWERS:
             stream = self.current[follower]
             abandoned = self.abandoned[follower]
--- a/magpieshift/lab/simulated/fleet_clients.py
+++ b/magpieshift/lab/simulated/fleet_clients.py
@@ -144,7 +144,7 @@
             return
         call.is_over = True
         clock = call.router.clock
-        if not clock.dead and clock.paused_until_us <= sent_us:  # a pause excuses the router
+        if not clock.dead and clock.paused_until_us <= sent_us:  # a router paused meanwhile is exempt
             self._record.violations.append(
                 f"found no response of {call.router.name} before the client's time-out, expected one"
             )
--- a/magpieshift/lab/simulated/fleet_state.py
+++ b/magpieshift/lab/simulated/fleet_state.py
@@ -25,7 +25,7 @@
     key_skew: float = 1.1  # exponent of the Zipf distribution by which objects are requested
     size_kb: float = 30.0  # of each object
     write_share: float = 0.05  # fraction of requests that are writes
-    max_attempts: int = 4  # of one request by its client, including the first
+    max_attempts: int = 4  # attempts of a client for one request, including the first
     retry_after_share: float = 0.5  # fraction of retries that wait for Retry-After; the rest come at once
     capacity_factor: float = 1.2  # capacity of endpoints and links divided by the design load
     seed: int = 1
--- a/magpieshift/lab/simulated/rollout.py
+++ b/magpieshift/lab/simulated/rollout.py
@@ -34,7 +34,7 @@
     scenario: str
     seed: int
     ended: str = ""  # phase of the coordinator at the end
-    reason: str = ""  # of that phase, or of the coordinator's waiting
+    reason: str = ""  # why that phase was entered, or why the coordinator waits
     is_bad: bool = False  # whether the new version should be stopped
     stopped: bool = False  # whether a rollback began
     seconds: float = 0.0  # simulated duration
@@ -42,7 +42,7 @@
     exposed_requests: float = 0.0  # fraction of all requests that went to new processes
     most_away: int = 0  # most routers unavailable during a step, including the one being replaced
     terms_at_once: int = 0  # rounds in which two coordinators each finished a step
-    stage: str = ""  # the last one before a rollback, or at the end
+    stage: str = ""  # the stage in which a rollback began, or the last one
 
 
 class CoordinatorProcess:
@@ -56,9 +56,8 @@
         plan = fleet.plan
         self.coordinator = Coordinator(plan, fleet.term, fleet.now_us, self.records)
         self.analysis = self._new_analysis()
-        self.step: tuple[int, ReplaceProcess] | None = (
-            None  # step under way, with the time (us) at which it finishes
-        )
+        # step under way, with the time (us) at which it finishes
+        self.step: tuple[int, ReplaceProcess] | None = None
         self.last_replaced_us = -1  # when its last successful step finished
         self.paused_until_us = 0
         self.carry_out(self.coordinator.begin())
--- a/magpieshift/lab/simulated/rollout_fleet.py
+++ b/magpieshift/lab/simulated/rollout_fleet.py
@@ -37,9 +37,8 @@
     started_us: int
     rss_mb: float = 30.0
     cpu_us: float = 0.0
-    counts: dict[str, list[int]] = field(
-        default_factory=lambda: {name: [0, 0] for name in CLASS_SHARES}
-    )  # requests, and those served in time, by request class
+    # requests, and those served in time, by request class
+    counts: dict[str, list[int]] = field(default_factory=lambda: {name: [0, 0] for name in CLASS_SHARES})
     crash_at_us: int | None = None  # None: does not crash
 
 
--- a/magpieshift/lab/simulated/rollout_scenarios.py
+++ b/magpieshift/lab/simulated/rollout_scenarios.py
@@ -9,9 +9,8 @@
 class Version:
     """Defects of the new version."""
 
-    served_loss: dict[str, float] = field(
-        default_factory=dict
-    )  # drop in the fraction served in time, by request class
+    # drop in the fraction served in time, by request class
+    served_loss: dict[str, float] = field(default_factory=dict)
     only_zone: str = ""  # the only zone with that drop; empty: every zone
     onset_s: float = 0.0  # time from a process's start until that drop begins
     cpu_factor: float = 1.0  # processor time per request, as a multiple of the old version's
@@ -29,12 +28,10 @@
     is_bad: bool = False  # whether the rollout should be stopped
     outages: int = 0  # number of outages, in which all processes serve less for 5 to 60 s
     kills_per_hour: float = 0.0  # router processes of the whole fleet killed per hour, and restarted
-    unreachable_per_hour: float = (
-        0.0  # per hour, how often a router's admin servers stop responding for a time
-    )
-    has_coordinator_faults: bool = (
-        False  # up to three times it is killed and resumed, or paused and superseded
-    )
+    # per hour, how often a router's admin servers stop responding for a time
+    unreachable_per_hour: float = 0.0
+    # up to three times it is killed and resumed, or paused and superseded
+    has_coordinator_faults: bool = False
 
 
 SCENARIOS: dict[str, Scenario] = {
