--- a/magpieshift/lab/simulated/fleet.py
+++ b/magpieshift/lab/simulated/fleet.py
@@ -98,7 +98,7 @@
         settings = document.settings
         clock = RouterClock(self.time)
         seed = self.size.seed * 1000 + number
-        upstream = SimulatedUpstream(self.upstreams, lambda: not clock.dead)
+        upstream = SimulatedUpstream(self.upstreams, lambda: not clock.is_killed)
         engine = Engine(settings, seed, clock, upstream, names=document.names)
         router = SimulatedRouter(name, settings.zone, clock, engine)
         self.routers[name] = router
@@ -111,7 +111,7 @@
     def kill(self, name: str) -> None:
         """Kill a router with all its requests; the load balancer notices after ``FAILOVER_DELAY_US``."""
         router = self.routers[name]
-        router.clock.dead = True
+        router.clock.is_killed = True
         self.time.after(FAILOVER_DELAY_US, partial(setattr, router, "in_rotation", False))
 
     def pause(self, name: str, for_us: int) -> None:
--- a/magpieshift/lab/simulated/fleet_clients.py
+++ b/magpieshift/lab/simulated/fleet_clients.py
@@ -94,7 +94,7 @@
 
     def _send(self, intent: ClientIntent) -> None:
         router = self._router_for(intent.zone)
-        if router is None or router.clock.dead:
+        if router is None or router.clock.is_killed:
             self._time.after(CONNECT_FAILURE_US, lambda: self._retry(intent, 0, ""))
             return
         self._request_count += 1
@@ -124,7 +124,7 @@
         )
 
     def _submit(self, call: ClientCall) -> None:
-        if call.router.clock.dead or call.is_over:
+        if call.router.clock.is_killed or call.is_over:
             return
 
         def answered(response: Response) -> None:
@@ -144,7 +144,7 @@
             return
         call.is_over = True
         clock = call.router.clock
-        if not clock.dead and clock.paused_until_us <= sent_us:  # a router paused meanwhile is exempt
+        if not clock.is_killed and clock.paused_until_us <= sent_us:  # a router paused meanwhile is exempt
             self._record.violations.append(
                 f"found no response of {call.router.name} before the client's time-out, expected one"
             )
--- a/magpieshift/lab/simulated/gossip.py
+++ b/magpieshift/lab/simulated/gossip.py
@@ -23,9 +23,8 @@
         self._fleet = fleet
         self.loss = loss
         self._rand = random.Random(f"talk {fleet.size.seed}")
-        self._instances: dict[
-            int, tuple[SimulatedRouter, Gossip]
-        ] = {}  # by id of the engine, so that a restarted router gossips anew
+        # by id of the engine, so that a restarted router starts with a new instance
+        self._instances: dict[int, tuple[SimulatedRouter, Gossip]] = {}
         self._false_reporters = set(sorted(fleet.routers)[:false_reporters])
         self._dead_since_us: dict[str, int] = {}
         self.datagrams_sent = 0
@@ -42,34 +41,34 @@
                 router.clock.after(
                     self._rand.randrange(GOSSIP_INTERVAL_US), partial(self._run_round, router, gossip)
                 )
-            if router.clock.dead:
+            if router.clock.is_killed:
                 self._dead_since_us.setdefault(name, fleet.time.now_us)
             else:
                 self._dead_since_us.pop(name, None)
         fleet.time.after(100_000, self._update_instances)
 
     def _assumed_alive(self) -> list[str]:
-        now = self._fleet.time.now_us
+        now_us = self._fleet.time.now_us
         return sorted(
             name
             for name in self._fleet.routers
-            if now - self._dead_since_us.get(name, now) < FAILURE_DETECTION_US
+            if now_us - self._dead_since_us.get(name, now_us) < FAILURE_DETECTION_US
         )
 
     def _run_round(self, router: SimulatedRouter, gossip: Gossip) -> None:
-        now = self._fleet.time.now_us
+        now_us = self._fleet.time.now_us
         health = {
             member.name: EndpointHealth(
                 member.endpoint.number,
                 (member.endpoint.kind, member.endpoint.zone),
-                ejected,
-                failed,
-                succeeded,
+                is_failing,
+                failure_age_us,
+                success_age_us,
             )
-            for member, ejected, failed, succeeded in router.engine.endpoint_health()
+            for member, is_failing, failure_age_us, success_age_us in router.engine.endpoint_health()
         }
         alive = self._assumed_alive()
-        instructions = gossip.tick(now, health, alive)
+        instructions = gossip.tick(now_us, health, alive)
         router.engine.apply_overrides(instructions.overrides)
         sends = instructions.sends
         if router.name in self._false_reporters:
@@ -85,17 +84,17 @@
             self.datagrams_sent += 1
             self.bytes_sent += len(data)
             if self._rand.random() >= self.loss:
-                delay = self._rand.randrange(300, 3_000)
-                self._fleet.time.after(delay, partial(self._arrive, name, router.name, data))
+                delay_us = self._rand.randrange(300, 3_000)
+                self._fleet.time.after(delay_us, partial(self._arrive, name, router.name, data))
         router.clock.after(GOSSIP_INTERVAL_US, partial(self._run_round, router, gossip))
 
     def _arrive(self, name: str, sender: str, data: bytes) -> None:
         router = self._fleet.routers[name]
         clock = router.clock
-        now = self._fleet.time.now_us
-        if clock.dead or now < clock.paused_until_us or id(router.engine) not in self._instances:
+        now_us = self._fleet.time.now_us
+        if clock.is_killed or now_us < clock.paused_until_us or id(router.engine) not in self._instances:
             return
-        self._instances[id(router.engine)][1].receive(now, sender, decode(data), is_neighbour=False)
+        self._instances[id(router.engine)][1].receive(now_us, sender, decode(data), is_neighbour=False)
 
     def sent_per_router_s(self) -> tuple[float, float]:
         """Mean datagrams and bytes per second sent by one router, over the whole run."""
--- a/magpieshift/lab/simulated/time.py
+++ b/magpieshift/lab/simulated/time.py
@@ -60,7 +60,7 @@
 
     def __init__(self, time: SimulatedTime) -> None:
         self._time = time
-        self.dead = False
+        self.is_killed = False
         self.paused_until_us = 0
 
     def now_us(self) -> int:
@@ -78,7 +78,7 @@
         self.after(0, call)
 
     def _run_due(self, event: ScheduledCall) -> None:
-        if event.call is None or self.dead:
+        if event.call is None or self.is_killed:
             return
         if self._time.now_us < self.paused_until_us:
             self._time.at(self.paused_until_us, lambda: self._run_due(event))
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -30,12 +30,12 @@
 class RouterClockTest(unittest.TestCase):
     def test_a_paused_router_runs_missed_calls_in_order_and_a_killed_one_none(self) -> None:
         time, calls = SimulatedTime(), list[str]()
-        clock, dead = RouterClock(time), RouterClock(time)
+        clock, killed = RouterClock(time), RouterClock(time)
         clock.after(SECOND_US, lambda: calls.append("one"))
         clock.after(2 * SECOND_US, lambda: calls.append("two")).cancel()
         clock.after(3 * SECOND_US, lambda: calls.append("three"))
-        dead.after(SECOND_US, lambda: calls.append("never"))
-        clock.paused_until_us, dead.dead = time.now_us + 5 * SECOND_US, True
+        killed.after(SECOND_US, lambda: calls.append("never"))
+        clock.paused_until_us, killed.is_killed = time.now_us + 5 * SECOND_US, True
         time.run(time.now_us + 4 * SECOND_US)
         self.assertEqual(calls, [])
         time.run(time.now_us + 2 * SECOND_US)
