--- a/magpieshift/lab/simulated/fanout_histories.py
+++ b/magpieshift/lab/simulated/fanout_histories.py
@@ -14,12 +14,14 @@
 from magpieshift.lab.simulated.fanout_measures import check_bounds, unsettled
 
 FAULT_PERIOD_S = 45  # duration of the phase in which faults occur
-SETTLE_TIMEOUT_S = 45  # for recovery after the last fault, with one running source
-TWO_SOURCES_SETTLE_TIMEOUT_S = 140  # with several: all but one end only once relays return
+# For recovery after the last fault. With several running sources it takes longer: all but one end only when
+# relays return to the source that they prefer, and report the highest epoch there.
+SETTLE_TIMEOUT_S = 45
+TWO_SOURCES_SETTLE_TIMEOUT_S = 140
 BURST_RATE_FACTOR = 10  # rate of purges in a burst, as a multiple of the usual rate
 BURST_DURATION_S = 5
 PURGES_PER_S = 2.0
-PAUSE_S = 5.0  # a pause shorter than a lease; others are 0.5 s, and longer than a lease
+PAUSE_S = 5.0  # shorter than a lease; other pauses are much shorter, or longer than a lease
 RESTARTED_FRACTION = 0.1  # fraction of routers restarted during a burst
 
 
@@ -44,7 +46,7 @@
         size = size or FanoutSize(seed=seed, log_entries=self.rand.choice((16, 64, 1000)))
         self.world = SimulatedFanout(size)
         self.faults = 0
-        self.event_log: list[str] = []  # added to the exception of a broken rule
+        self.event_log: list[str] = []  # events with their times (s), for the note of a broken rule
         self._rate = PURGES_PER_S
         self._has_ended = False
         self._fault_weights: dict[Callable[[], str], float] = {
--- a/magpieshift/lab/simulated/fleet_clients.py
+++ b/magpieshift/lab/simulated/fleet_clients.py
@@ -24,9 +24,7 @@
 CLIENT_TIMEOUT_US = 3_200_000  # the deadline, with a margin for a response in flight
 MAX_RETRY_AFTER_WANTED_US = 2 * SECOND_US  # no retries later than this after ``wanted_by_us``
 CONNECT_FAILURE_US = 100_000  # time until a client notices that its connection fails
-IMMEDIATE_RETRY_WAIT_US = (
-    50_000  # wait of a client that ignores Retry-After; as fast as a person reloads, or faster
-)
+IMMEDIATE_RETRY_WAIT_US = 50_000  # without regard to Retry-After; as fast as a person reloads, or faster
 MIN_RETRY_WAIT_US = 1_000  # keeps a retry from running at the same time as the rejection
 
 
--- a/magpieshift/lab/simulated/second_counters.py
+++ b/magpieshift/lab/simulated/second_counters.py
@@ -26,5 +26,5 @@
     attempts: int = 0  # attempts of routers that reached an endpoint
     fills: int = 0  # fills that reached a parent or the origin
     origin_requests: int = 0  # attempts and fills that reached the origin
-    at_failing_endpoints: int = 0  # attempts and fills that reached a failing endpoint
+    at_failing_endpoints: int = 0  # attempts and fills that an endpoint failed or left unanswered
     by_class: dict[str, ClassCounters] = field(default_factory=dict)  # by name of the request class
