--- a/magpieshift/lab/simulated/fanout.py
+++ b/magpieshift/lab/simulated/fanout.py
@@ -1,7 +1,7 @@
 """A fan-out tier on one fake clock: a change log, sources, relays and routers, and faults between them.
 
 The processes run the real state machines (``fanout_processes``) over a network that keeps each stream's order
-(``fanout_network``), and are checked at every event against a plain model (``fanout_judge``). Times are
+(``fanout_network``), and are checked at every event against a reference model (``fanout_judge``). Times are
 microseconds; the same seed gives the same history.
 """
 
@@ -10,12 +10,12 @@
 import random
 from collections.abc import Iterable
 
-from magpieshift.lab.simulated.fanout_changes import ChangeLog, Reading
+from magpieshift.lab.simulated.fanout_changes import ChangeLog, ChangeLogReader
 from magpieshift.lab.simulated.fanout_connections import RelayConnection
-from magpieshift.lab.simulated.fanout_judge import Judge
+from magpieshift.lab.simulated.fanout_judge import InvariantChecker
 from magpieshift.lab.simulated.fanout_layout import FanoutSize, fanout_layout
 from magpieshift.lab.simulated.fanout_message_sizes import estimated_bytes
-from magpieshift.lab.simulated.fanout_network import EndMark, Host, Network, Stream
+from magpieshift.lab.simulated.fanout_network import EndOfStream, Host, Network, Stream
 from magpieshift.lab.simulated.fanout_outputs import (
     CloseStream,
     EffectApplied,
@@ -31,27 +31,27 @@
 from magpieshift.relay.messages import Epoch, Snapshot, UpstreamMessage
 
 SECOND_US = 1_000_000
-APPLY_PROBABILITY = 0.2  # that a router that applies later does so in a turn; low, so that entries pile up
-MAX_UNREAD_MESSAGES = 8  # on a stream before its writer waits, as for a full socket buffer
-MAX_STREAMS_PER_INCARNATION = 100_000  # more than one opens; keeps the numbers of streams distinct
+APPLY_PROBABILITY = 0.2  # that a router with ``applies_later`` applies in a turn; low, so that entries queue
+MAX_UNREAD_MESSAGES = 8  # a stream with more is not written to, as with a full socket buffer
+MAX_STREAMS_PER_INCARNATION = 100_000  # more than one incarnation opens, so that stream numbers are unique
 
 
 class SimulatedFanout:
-    """A fan-out tier that runs. ``RuleBrokenError`` is raised out of the call that led to it."""
+    """A running fan-out tier. The call during which a rule is broken raises ``RuleBrokenError``."""
 
     def __init__(self, size: FanoutSize) -> None:
         self.size = size
         self.time = SimulatedTime()
-        self.judge = Judge()
+        self.checker = InvariantChecker()
         self.rand = random.Random(f"fan-out {size.seed}")
         self.change_log = ChangeLog(self.time)
         self.network = Network(self.time, self.rand, self._deliver)
-        self.change_log_readers: dict[str, Reading] = {}  # by running source
-        self.bytes_sent: dict[str, int] = {}  # to each host, estimated
-        self.snapshots_sent: dict[str, int] = {}  # to each host
+        self.change_log_readers: dict[str, ChangeLogReader] = {}  # by name of the running source
+        self.bytes_sent: dict[str, int] = {}  # estimated, by receiving host
+        self.snapshots_sent: dict[str, int] = {}  # by receiving host
         layout = fanout_layout(size)
-        self.ranked_relays = layout.ranked_relays  # by follower
-        self._connections: dict[str, RelayConnection] = {}  # of each follower's latest incarnation
+        self.ranked_relays = layout.ranked_relays  # by name of the follower
+        self._connections: dict[str, RelayConnection] = {}  # by follower, each for its latest incarnation
         self._incarnations = 0
         for name, region in layout.regions.items():
             self._add_host(name, region)
@@ -84,15 +84,15 @@
     # --- events
 
     def run(self, for_us: int) -> None:
-        """Let this much time (us) pass."""
+        """Run the simulation for ``for_us``."""
         self.time.run(self.time.now_us + for_us)
 
     def purge(self, key: str = "") -> None:
-        """The change log accepts a purge."""
-        self.judge.purges.append(self.change_log.purge(key))
+        """Have the change log accept a purge."""
+        self.checker.purges.append(self.change_log.purge(key))
 
     def start(self, name: str) -> None:
-        """Start a new incarnation of a process; nothing happens if one runs."""
+        """Start a new incarnation of a process; does nothing if the process runs."""
         host = self.network.hosts[name]
         if host.process is not None:
             return
@@ -109,38 +109,40 @@
             host.process = Relay(name, boot, first_stream, self.size.log_entries)
         else:
             host.process = Router(name, boot, first_stream, applies_later=rand.random() < 0.5)
-            self.judge.router_began(name)
+            self.checker.router_started(name)
 
     def _start_source(self, host: Host, boot: str) -> None:
-        epoch = Epoch(self._incarnations, self._incarnations)  # above every earlier one
+        epoch = Epoch(self._incarnations, self._incarnations)  # higher than all earlier ones
         host.process = Source(host.name, boot, epoch, host.now_us(), self.size.log_entries)
-        self.judge.source_began(epoch)
-        self.change_log_readers[host.name] = Reading(self.time, self.rand, self.change_log, host)
+        self.checker.epoch_started(epoch)
+        self.change_log_readers[host.name] = ChangeLogReader(self.time, self.rand, self.change_log, host)
         self._record_source_overlap()
 
     def _record_source_overlap(self) -> None:
         if len(self.sources()) > 1:
-            self.judge.several_sources(self.time.now_us)
+            self.checker.record_overlap(self.time.now_us)
 
     def kill(self, name: str, silently: bool = False) -> None:
-        """Kill a process: its streams are reset or, as if its machine had vanished, fall silent."""
+        """Kill a process. Its streams are reset, or with ``silently`` fall silent as if its machine had
+        failed."""
         host = self.network.hosts[name]
         if host.process is None:
             return
         self._record_source_overlap()
         if isinstance(host.process, Source):
             self.change_log_readers.pop(name).stop()
-        self.network.lost(host, silently)
+        self.network.process_lost(host, silently)
 
     def pause(self, name: str, for_us: int) -> None:
-        """Pause a process; its clock goes on, and messages to it wait."""
+        """Pause a process. Its clock advances, and messages to it are held back until it resumes."""
         host = self.network.hosts[name]
-        host.asleep_until_us = max(host.asleep_until_us, self.time.now_us + for_us)
-        self.time.at(host.asleep_until_us, lambda: self._wake(host))
+        host.paused_until_us = max(host.paused_until_us, self.time.now_us + for_us)
+        self.time.at(host.paused_until_us, lambda: self._resume(host))
 
-    def _wake(self, host: Host) -> None:
-        """An interrupted attempt goes on first, then what waited, with timers before or after."""
-        if host.asleep:
+    def _resume(self, host: Host) -> None:
+        """Resume a process: a router's interrupted attempt first, then the messages held back; its timers run
+        before or after them, at random."""
+        if host.is_paused:
             return
         if isinstance(host.process, Router):
             self._attempt(host, host.process)
@@ -148,17 +150,17 @@
             self._take_turn(host)
         host.drain(self.rand)
 
-    def read_slowly(self, name: str, every_us: int) -> None:
-        """Make a process take ``every_us`` for each message; 0 for no time at all."""
-        self.network.hosts[name].read_every_us = every_us
+    def read_slowly(self, name: str, interval_us: int) -> None:
+        """Make a process take ``interval_us`` to read each message; 0 to read at once."""
+        self.network.hosts[name].read_interval_us = interval_us
 
     def repair_all(self) -> None:
-        """End all faults, and start every process but a second source."""
+        """End all faults, and start every stopped process; of the sources, one only if none runs."""
         self.network.heal()
-        for reading in self.change_log_readers.values():
-            reading.cut = False
+        for reader in self.change_log_readers.values():
+            reader.is_cut = False
         for host in self.network.hosts.values():
-            host.read_every_us = 0
+            host.read_interval_us = 0
             if not host.name.startswith("S"):
                 self.start(host.name)
         if not self.sources():
@@ -170,14 +172,14 @@
         turn_us = self.size.turn_interval_us
         self.time.after(self.rand.randrange(turn_us // 2, turn_us), lambda: self._schedule_turn(name))
         host = self.network.hosts[name]
-        if not host.asleep:
+        if not host.is_paused:
             self._take_turn(host)
 
     def _take_turn(self, host: Host) -> None:
-        """Let a process do all that is due."""
+        """Let a process read, apply, send and check its time-outs, as far as each is due."""
         process = host.process
         if isinstance(process, Source):
-            self.judge.logs[process.log.epoch] += self.change_log_readers[host.name].read(process)
+            self.checker.logs[process.log.epoch] += self.change_log_readers[host.name].read(process)
         if isinstance(process, FollowingProcess):
             self._follow(host, process)
         if isinstance(process, Router):
@@ -187,7 +189,7 @@
                 self._carry_out(host, process.apply(host.now_us()))
         if isinstance(process, ServingProcess):
             self._serve(host, process)
-        self._check_claims(host)
+        self._check_invariants(host)
 
     def _follow(self, host: Host, process: FollowingProcess) -> None:
         connection = self._connections[host.name]
@@ -214,16 +216,16 @@
                 self._carry_out(host, process.send_due(stream_id, now_us))
 
     def _attempt(self, host: Host, router: Router) -> None:
-        self.judge.attempt(host.name, router.copy_age_limit(host.now_us()), self.time.now_us)
+        self.checker.check_attempt(host.name, router.copy_age_limit(host.now_us()), self.time.now_us)
 
-    def _check_claims(self, host: Host) -> None:
-        """Check what a process claims against the true state."""
+    def _check_invariants(self, host: Host) -> None:
+        """Check a source's watermark or a router's lease against the reference model."""
         process = host.process
         if isinstance(process, Source):
             self._record_source_overlap()
             watermark = process.fanout.watermark(host.now_us())
-            if watermark != self.judge.claims[process.log.epoch]:
-                self.judge.called_done(process.log.epoch, watermark, self.time.now_us)
+            if watermark != self.checker.watermarks[process.log.epoch]:
+                self.checker.check_watermark(process.log.epoch, watermark, self.time.now_us)
                 for other, router in self.routers():
                     self._check_lease(other, router)
         elif isinstance(process, Router):
@@ -234,12 +236,12 @@
         if router.copy_age_limit(now_us) == 0:
             age_us = router.follower.staleness.epoch_age_us(now_us)
             is_by_own_epoch = age_us is not None and age_us < limits.FRESHNESS_LEASE_US
-            self.judge.holds_lease(host.name, is_by_own_epoch, self.time.now_us)
+            self.checker.check_lease(host.name, is_by_own_epoch, self.time.now_us)
 
     # --- messages
 
     def _carry_out(self, host: Host, outputs: Iterable[Output]) -> None:
-        """Carry out what a process wants done."""
+        """Carry out the outputs of a process."""
         for output in outputs:
             match output:
                 case OpenStream(stream_id, server, join):
@@ -251,7 +253,7 @@
                     self._end(host, stream_id)
                 case EffectApplied(effect):
                     if isinstance(host.process, Router):
-                        self.judge.took(host.name, effect, self.time.now_us)
+                        self.checker.check_applied(host.name, effect, self.time.now_us)
                 case SourceSuperseded():
                     self.kill(host.name)
 
@@ -272,24 +274,24 @@
         if stream.client is host:
             self._connections[host.name].failed(stream_id, host.now_us())
 
-    def _deliver(self, host: Host, stream: Stream, message: Message | EndMark) -> None:
-        """A process reads a message, or the end of a stream."""
+    def _deliver(self, host: Host, stream: Stream, message: Message | EndOfStream) -> None:
+        """Let a process handle a message or the end of a stream."""
         process = host.process
         now_us = host.now_us()
-        if isinstance(message, EndMark):
+        if isinstance(message, EndOfStream):
             self._stream_lost(host, stream)
         elif isinstance(message, UpstreamMessage) and isinstance(process, ServingProcess):
-            self._carry_out(host, process.receive_from_follower(stream.ident, message, now_us))
+            self._carry_out(host, process.receive_from_follower(stream.stream_id, message, now_us))
         elif isinstance(process, FollowingProcess) and not isinstance(message, UpstreamMessage):
-            if stream.ident == process.stream_id:
+            if stream.stream_id == process.stream_id:
                 self._connections[host.name].received(now_us)
-            self._carry_out(host, process.receive_from_server(stream.ident, message, now_us))
-        self._check_claims(host)
+            self._carry_out(host, process.receive_from_server(stream.stream_id, message, now_us))
+        self._check_invariants(host)
 
     def _stream_lost(self, host: Host, stream: Stream) -> None:
         process = host.process
         if isinstance(process, FollowingProcess) and stream.client is host:
-            process.server_stream_lost(stream.ident)
-            self._connections[host.name].failed(stream.ident, host.now_us())
+            process.server_stream_lost(stream.stream_id)
+            self._connections[host.name].failed(stream.stream_id, host.now_us())
         elif isinstance(process, ServingProcess):
-            process.follower_stream_lost(stream.ident, host.now_us())
+            process.follower_stream_lost(stream.stream_id, host.now_us())
--- a/magpieshift/lab/simulated/fanout_message_sizes.py
+++ b/magpieshift/lab/simulated/fanout_message_sizes.py
@@ -5,21 +5,21 @@
 from magpieshift.lab.simulated.fanout_outputs import Message
 from magpieshift.relay.messages import Batch, Purge, Snapshot
 
-PURGE_BYTES = 28  # a key or group and a time, as protobuf fields
+PURGE_BYTES = 28  # key or group and time as protobuf fields
 MESSAGE_BYTES = 40  # framing, epoch and sequence numbers of any message
 
 
 def estimated_bytes(message: Message) -> int:
-    """About what a message takes on the wire."""
+    """Estimated size of a message on the wire, in bytes."""
     entries = message.entries if isinstance(message, Batch) else ()
     if isinstance(message, Snapshot):
-        whole = message.configuration
+        configuration = message.configuration
         entries = message.purges
         return (
             MESSAGE_BYTES
             + len(message.endpoint_list_json)
             + PURGE_BYTES * len(entries)
-            + (len(whole.content) if whole else 0)
+            + (len(configuration.content) if configuration else 0)
         )
-    rest = sum(PURGE_BYTES if isinstance(entry, Purge) else len(repr(entry)) for entry in entries)
-    return MESSAGE_BYTES + rest
+    entry_bytes = sum(PURGE_BYTES if isinstance(entry, Purge) else len(repr(entry)) for entry in entries)
+    return MESSAGE_BYTES + entry_bytes
--- a/magpieshift/lab/simulated/fleet_clients.py
+++ b/magpieshift/lab/simulated/fleet_clients.py
@@ -1,7 +1,7 @@
-"""The clients of a simulated fleet: open arrivals, and retries after rejections and failures.
+"""The clients of a simulated fleet: Poisson arrivals, and retries after rejections and failures.
 
-Clients come to the routers of their zone at random. After a rejection some wait for the Retry-After and some
-retry at once; a load balancer in front sends them to the routers that are in rotation.
+A load balancer sends each attempt to a random router in rotation in the client's zone. After a rejection some
+clients wait for the time in Retry-After, others retry almost at once.
 """
 
 from __future__ import annotations
@@ -19,41 +19,41 @@
 
 PICTURE_CLASS = "picture"  # a cacheable read
 BASKET_CLASS = "basket"  # a write with an idempotency key
-WANTED_WITHIN_US = 800_000  # a response after that is late; above both classes' latency objectives
-TIME_LEFT_US = 3 * SECOND_US  # what a request states; the deadline of both classes
-CLIENT_TIMEOUT_US = 3_200_000  # the deadline, and a margin for a response under way
-MAX_RETRY_AFTER_WANTED_US = 2 * SECOND_US  # a client gives up that long after its response was wanted
-CONNECT_FAILURE_US = 100_000  # until a client notices that nothing answers
-IMPATIENT_WAIT_US = 50_000  # of a client that ignores the Retry-After; about a human's reload or faster
-MIN_RETRY_WAIT_US = 1_000  # so that a retry never falls on the instant of the rejection
+WANTED_WITHIN_US = 800_000  # later responses count as late; above both classes' latency objectives
+REQUEST_DEADLINE_US = 3 * SECOND_US  # sent with each request; the deadline of both classes
+CLIENT_TIMEOUT_US = 3_200_000  # the deadline, with a margin for a response in flight
+MAX_RETRY_AFTER_WANTED_US = 2 * SECOND_US  # no retries later than this after ``wanted_by_us``
+CONNECT_FAILURE_US = 100_000  # time until a client notices that its connection fails
+IMMEDIATE_RETRY_WAIT_US = 50_000  # without regard to Retry-After; as fast as a person reloads, or faster
+MIN_RETRY_WAIT_US = 1_000  # keeps a retry from running at the same time as the rejection
 
 
 @dataclass
 class ClientIntent:
-    """What a client wants, through all its attempts."""
+    """A request of a client, over all its attempts."""
 
     class_name: str
-    key: str  # of the object
-    first_second: int  # in which it was first requested
+    key: str  # of the requested object
+    first_second: int  # second of the simulation in which the first attempt was made
     zone: int
     wanted_by_us: int
     attempts: int = 1
-    rejected_by: str = ""  # the last router that rejected it
+    rejected_by: str = ""  # name of the router that rejected it last; empty: none
 
 
 @dataclass
 class ClientCall:
-    """One request of a client to one router."""
+    """One attempt of a client at one router."""
 
     intent: ClientIntent
     router: SimulatedRouter
     request: ClientRequest
-    is_over: bool = False  # answered, or timed out
+    is_over: bool = False  # answered or timed out
     is_answered: bool = False
 
 
 class SimulatedClients:
-    """All clients; they draw from the fleet's generators."""
+    """All clients of a fleet. ``rand`` is the fleet's own random generator."""
 
     def __init__(
         self,
@@ -69,12 +69,12 @@
         self._rand = rand
         self._record = record
         self._routers = routers
-        self._rate = rate  # requests per second now, over the whole fleet
+        self._rate = rate  # returns the current requests per second of the whole fleet
         self._arrivals = np.random.default_rng(size.seed)
         self._request_count = 0
 
     def next_client(self) -> None:
-        """A client makes a request, and the arrival of the next is scheduled."""
+        """Make a client's request, and schedule the arrival of the next client."""
         self._time.after(float(self._arrivals.exponential(SECOND_US / self._rate())), self.next_client)
         zone = self._rand.randrange(self._size.zones) + 1
         is_write = self._rand.random() < self._size.write_share
@@ -92,14 +92,14 @@
 
     def _send(self, intent: ClientIntent) -> None:
         router = self._router_for(intent.zone)
-        if router is None or router.clock.dead:
+        if router is None or router.clock.is_killed:
             self._time.after(CONNECT_FAILURE_US, lambda: self._retry(intent, 0, ""))
             return
         self._request_count += 1
         call = ClientCall(intent, router, self._client_request(intent, router))
         sent_us = self._time.now_us
-        if sent_us < router.clock.asleep_until_us:  # it waits in the socket of the paused router
-            self._time.at(router.clock.asleep_until_us, lambda: self._submit(call))
+        if sent_us < router.clock.paused_until_us:  # the request waits in the socket of the paused router
+            self._time.at(router.clock.paused_until_us, lambda: self._submit(call))
         else:
             self._submit(call)
         self._time.after(CLIENT_TIMEOUT_US, lambda: self._time_out(call, sent_us))
@@ -114,7 +114,7 @@
             part=0,
             group=1,
             size_kb=self._size.size_kb,
-            time_left_us=TIME_LEFT_US,
+            time_left_us=REQUEST_DEADLINE_US,
             is_repeat=intent.attempts > 1,
             idempotency_key=request_id if intent.class_name == BASKET_CLASS else "",
             known_version="",
@@ -122,12 +122,14 @@
         )
 
     def _submit(self, call: ClientCall) -> None:
-        if call.router.clock.dead or call.is_over:
+        if call.router.clock.is_killed or call.is_over:
             return
 
         def answered(response: Response) -> None:
             if call.is_answered:
-                self._record.violations.append(f"two answers at {call.router.name}")
+                self._record.violations.append(
+                    f"found two responses of {call.router.name} to one request, expected one"
+                )
             call.is_answered = True
             if not call.is_over:
                 call.is_over = True
@@ -140,8 +142,10 @@
             return
         call.is_over = True
         clock = call.router.clock
-        if not clock.dead and clock.asleep_until_us <= sent_us:  # a paused router is excused
-            self._record.violations.append(f"no answer from {call.router.name}")
+        if not clock.is_killed and clock.paused_until_us <= sent_us:  # a router paused meanwhile is exempt
+            self._record.violations.append(
+                f"found no response of {call.router.name} before the client's time-out, expected one"
+            )
         self._retry(call.intent, 0, "")
 
     def _handle_response(self, intent: ClientIntent, router: SimulatedRouter, response: Response) -> None:
@@ -160,9 +164,8 @@
         self._retry(intent, response.retry_after_us, router.name)
 
     def _retry(self, intent: ClientIntent, retry_after_us: int, rejected_by: str) -> None:
-        """Retry after a wait, unless the client gives up; ``rejected_by`` is empty where no answer came.
-
-        An answer "failed" counts as a rejection.
+        """Retry after a wait, unless the client gives up. ``rejected_by`` is the router that rejected or
+        failed the request; empty if no response came.
         """
         gives_up_at_us = intent.wanted_by_us + MAX_RETRY_AFTER_WANTED_US
         if intent.attempts >= self._size.max_attempts or self._time.now_us > gives_up_at_us:
@@ -170,11 +173,11 @@
             return
         intent.attempts += 1
         intent.rejected_by = rejected_by or intent.rejected_by
-        is_patient = self._rand.random() < self._size.patient_share
-        wait_us = retry_after_us if is_patient else IMPATIENT_WAIT_US
+        honors_retry_after = self._rand.random() < self._size.retry_after_share
+        wait_us = retry_after_us if honors_retry_after else IMMEDIATE_RETRY_WAIT_US
 
-        def send_again() -> None:
+        def retry() -> None:
             self._record.counters(self._time).client_retries += 1
             self._send(intent)
 
-        self._time.after(max(wait_us, MIN_RETRY_WAIT_US), send_again)
+        self._time.after(max(wait_us, MIN_RETRY_WAIT_US), retry)
--- a/tests/relay/test_explored.py
+++ b/tests/relay/test_explored.py
@@ -1,4 +1,4 @@
-"""Exhaustive exploration of a small simulated fan-out tier: no reachable state breaks a rule."""
+"""Exhaustive exploration of a small simulated fan-out tier: no state within the depth breaks a rule."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
     ExplorationSize,
     Explorer,
     Moves,
+    flushed_directions,
     rounds,
     single_messages,
-    whole_directions,
 )
 from magpieshift.lab.simulated.fanout_tier import MutableTier
 from magpieshift.lab.simulated.fanout_tier_state import EventBudget, TierState
@@ -45,8 +45,8 @@
 
 
 def relay_resumes(explorer: Explorer) -> TierState:
-    """``R1``, whose watermark waits for no follower, is paused while two batches arrive for it and a
-    restarted ``E1`` sends it probes, before and after applying its snapshot."""
+    """``R1``, which has no follower that its watermark waits for, is paused. Meanwhile two batches arrive for
+    it, and a restarted ``E1`` sends it probes before and after applying its snapshot."""
     joins: list[Step] = [
         partial(MutableTier.crash, name="E1"),
         *[MutableTier.run_round] * 16,
@@ -78,7 +78,8 @@
 
 
 def router_behind(explorer: Explorer) -> TierState:
-    """``E1`` has been disconnected for longer than its lease, during which two purges were done."""
+    """``E1`` has been disconnected for longer than its lease. Meanwhile two purges were applied everywhere
+    else."""
     away: list[Step] = [
         partial(MutableTier.disconnect, follower="E1"),
         partial(MutableTier.deliver_abandoned, follower="E1"),
@@ -110,9 +111,9 @@
     Scenario(
         "messages and a crash", started(EventBudget(ticks=2, disconnects=0, crashes=1)), single_messages, 4
     ),
-    Scenario("directions", started(EventBudget(ticks=3, purges=2, disconnects=1)), whole_directions, 5),
+    Scenario("directions", started(EventBudget(ticks=3, purges=2, disconnects=1)), flushed_directions, 5),
     Scenario(
-        "a new source", started(EventBudget(ticks=2, disconnects=0, source_crashes=1)), whole_directions, 5
+        "a new source", started(EventBudget(ticks=2, disconnects=0, source_crashes=1)), flushed_directions, 5
     ),
     Scenario("a lost connection", started(EventBudget(ticks=2, rounds=5)), rounds, 4),
     Scenario("a crash", started(EventBudget(ticks=2, rounds=5, disconnects=0, crashes=1)), rounds, 4),
