--- a/magpieshift/lab/capacity/arithmetic.py
+++ b/magpieshift/lab/capacity/arithmetic.py
@@ -9,7 +9,7 @@
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.measure import Row
 from magpieshift.lab.capacity.results import Result
-from magpieshift.lab.capacity.tables import INCONCLUSIVE, Results, growth, number, table
+from magpieshift.lab.capacity.tables import INCONCLUSIVE, Results, format_exponent, format_number, table
 from magpieshift.relay.limits import FRESHNESS_LEASE_US, MAX_SNAPSHOTS_PER_S, RELAY_SILENCE_TIMEOUT_US
 
 MAX_RESPONSE_BYTES = 240_000  # bytes: the largest object part that stores send, and the largest measured
@@ -18,7 +18,7 @@
 UNMEASURED = "unmeasured"
 
 
-def find(result: Result, role: str, resource: str) -> Row | None:
+def find_row(result: Result, role: str, resource: str) -> Row | None:
     """A row of a result."""
     return next((row for row in result.rows if (row.role, row.resource) == (role, resource)), None)
 
@@ -35,14 +35,14 @@
         f" {MAX_RESPONSE_BYTES:,} bytes, and the router sees"
         f" {fleet.BYTES_PER_ROUTER_S / MAX_RESPONSE_BYTES:,.0f} such answers a second.",
     ]
-    lines += [line for name, result in results.items() if (line := _carried(name, result))]
+    lines += [line for name, result in results.items() if (line := _process_capacity(name, result))]
     return "\n".join(lines)
 
 
-def _carried(name: str, result: Result) -> str:
+def _process_capacity(name: str, result: Result) -> str:
     """What one process carries by one result; empty where that did not measure it."""
-    requests = find(result, "router: requests", "processor")
-    answers = find(result, "router: bytes of an answer", "processor")
+    requests = find_row(result, "router: requests", "processor")
+    answers = find_row(result, "router: bytes of an answer", "processor")
     if requests is None or answers is None or not requests.at_target or answers.slope is None:
         return ""
     request_us = 1e4 * requests.at_target / requests.target
@@ -50,12 +50,12 @@
     if byte_us is None:
         return f"- {name}: the cost of a byte did not come out linear, so nothing is said of bytes."
     answer_us = request_us + byte_us * MAX_RESPONSE_BYTES
-    doubt = "; the spread is nearly as large" if growth(answers) == INCONCLUSIVE else ""
+    uncertainty = "; the spread is nearly as large" if format_exponent(answers) == INCONCLUSIVE else ""
     cores = fleet.BYTES_PER_ROUTER_S / MAX_RESPONSE_BYTES * answer_us / 1e6
     return (
         f"- {name}: {fleet.REQUESTS_PER_ROUTER_S:.0f} small requests a second take"
-        f" {number(requests.at_target)}% of a core ({requests.how}), {request_us:.0f} us each; a byte adds"
-        f" {1e3 * byte_us:.3g} ns (fitted, to {number(answers.measured_to)} bytes{doubt})."
+        f" {format_number(requests.at_target)}% of a core ({requests.how}), {request_us:.0f} us each; a byte"
+        f" adds {1e3 * byte_us:.3g} ns (fitted, to {format_number(answers.measured_to)} bytes{uncertainty})."
         f" An answer of the largest size then takes {answer_us:.0f} us (fitted), so one Python process, which"
         f" has one core, carries at most {MAX_RESPONSE_BYTES / answer_us:.0f} MB a second: {100 / cores:.0f}%"
         " of the mean router's bytes. It carries the mean rate of small requests; it does not carry the mean"
@@ -66,7 +66,7 @@
 
 def control_machines(results: Results) -> str:
     """How many relays carry all routers within the budget of one core, and with two of them gone."""
-    relay = _newest(results, "fan-out: relay", "processor")
+    relay = _newest_row(results, "fan-out: relay", "processor")
     if relay is None or relay.budget is None or relay.slope is None or relay.intercept is None:
         return f"Relays needed: {UNMEASURED}."
     if relay.exponent != 1:
@@ -74,13 +74,13 @@
     each = (relay.budget - relay.intercept) / relay.slope
     needed = math.ceil(fleet.ROUTERS / each)
     remaining = fleet.CONTROL_MACHINES - 2
-    spread = fleet.ROUTERS / remaining
-    percent = relay.intercept + relay.slope * spread
+    routers_per_relay = fleet.ROUTERS / remaining
+    percent = relay.intercept + relay.slope * routers_per_relay
     return (
         f"A relay has {each:.0f} routers within {relay.budget:g}% of a core (fitted), so {needed} relays"
         f" carry {fleet.ROUTERS:,}, and {needed + 2} with any two gone, if routers are spread over all that"
-        f" are left. With {fleet.CONTROL_MACHINES} relays and two gone that is {spread:.0f} routers each and"
-        f" {percent:.0f}% of a core (fitted)."
+        f" are left. With {fleet.CONTROL_MACHINES} relays and two gone that is {routers_per_relay:.0f}"
+        f" routers each and {percent:.0f}% of a core (fitted)."
     )
 
 
@@ -91,51 +91,51 @@
     what: str
     size: str
     cost: str
-    promised: str
+    guarantee: str
     basis: str
 
 
 def failures(results: Results) -> str:
     """What failures cost, by the newest result that has what it takes."""
     rows = [
-        (each.what, each.size, each.cost, each.promised, each.basis)
-        for each in (*_of_routers(results), *_of_control(results), *_of_tier(results))
+        (each.what, each.size, each.cost, each.guarantee, each.basis)
+        for each in (*_router_failures(results), *_control_failures(results), *_fan_out_failures(results))
     ]
     return table(("what fails", "size", "cost", "promised meanwhile", "basis"), rows)
 
 
-def _of_routers(results: Results) -> list[Failure]:
-    requests = _newest(results, "router: requests", "processor")
+def _router_failures(results: Results) -> list[Failure]:
+    requests = _newest_row(results, "router: requests", "processor")
     site = ROUTERS_PER_SITE
     zone = fleet.ROUTERS_PER_ZONE
     return [
         Failure(
             "a router's machine (7 a day)",
             "1 router",
-            _more(requests, 1),
+            _added_load(requests, 1),
             "clients' next request goes to another router; what it had in hand is lost with it",
             "fitted",
         ),
         Failure(
             "a rack or a switch (weekly)",
             f"a site's {site:.0f} routers",
-            _more(requests, site),
+            _added_load(requests, site),
             "the same, where the site's clients reach another site",
             "fitted; that a rack or switch is a whole site is assumed",
         ),
         Failure(
             "a zone (a few times a year)",
             f"{zone} routers, {fleet.CACHES_PER_ZONE} caches",
-            _more(requests, zone),
+            _added_load(requests, zone),
             "the others go on; the zone's objects are filled anew from parents",
             "fitted; the fills are unmeasured",
         ),
     ]
 
 
-def _of_control(results: Results) -> list[Failure]:
-    purges = _newest(results, "router: purges", "processor")
-    sent = _newest(results, "router: purges", "bytes")
+def _control_failures(results: Results) -> list[Failure]:
+    purges = _newest_row(results, "router: purges", "processor")
+    sent = _newest_row(results, "router: purges", "bytes")
     return [
         Failure(
             "a region cut off for an hour, on the direct change log",
@@ -162,11 +162,11 @@
     ]
 
 
-def _of_tier(results: Results) -> list[Failure]:
+def _fan_out_failures(results: Results) -> list[Failure]:
     """With routers behind the fan-out tier; none where it was not measured."""
-    relay = _newest(results, "fan-out: relay", "processor")
-    snapshot = _newest(results, "fan-out: snapshot", "bytes")
-    read = _newest(results, "fan-out: snapshot", "read")
+    relay = _newest_row(results, "fan-out: relay", "processor")
+    snapshot = _newest_row(results, "fan-out: snapshot", "bytes")
+    read = _newest_row(results, "fan-out: snapshot", "read")
     if relay is None or snapshot is None or read is None:
         return []
     lease_s = FRESHNESS_LEASE_US / 1e6
@@ -219,14 +219,14 @@
     return one + other if one is not None and other is not None else None
 
 
-def _newest(results: Results, role: str, resource: str) -> Row | None:
+def _newest_row(results: Results, role: str, resource: str) -> Row | None:
     found = None
     for result in results.values():
-        found = find(result, role, resource) or found
+        found = find_row(result, role, resource) or found
     return found
 
 
-def _more(requests: Row | None, lost: float) -> str:
+def _added_load(requests: Row | None, lost: float) -> str:
     """What the remaining routers take on, if all of them share it."""
     remaining = fleet.ROUTERS - lost
     rate = fleet.REQUESTS_PER_S / remaining
--- a/magpieshift/lab/capacity/fit.py
+++ b/magpieshift/lab/capacity/fit.py
@@ -49,7 +49,7 @@
     exponent: float
     interval: tuple[float, float]
 
-    def at(self, size: float) -> float:
+    def cost_at(self, size: float) -> float:
         """The cost at a size."""
         return float(self.intercept + self.slope * size**self.exponent)
 
@@ -76,7 +76,7 @@
     costs = np.array([point.cost for point in points])
     if not np.any(costs):
         return Fit(0.0, 0.0, 1.0, (float(EXPONENTS[0]), float(EXPONENTS[-1])))
-    laws = {float(exponent): _law(sizes, costs, float(exponent)) for exponent in EXPONENTS}
+    laws = {float(exponent): _weighted_fit(sizes, costs, float(exponent)) for exponent in EXPONENTS}
     interval = _interval(laws, len(points))
     best = min(laws, key=lambda exponent: laws[exponent].residual)
     if interval[0] <= 1.0 <= interval[1]:
@@ -85,7 +85,7 @@
     return Fit(law.intercept, law.slope, round(best, 2) if law.slope else 0.0, interval)
 
 
-def _law(sizes: Floats, costs: Floats, exponent: float) -> _Law:
+def _weighted_fit(sizes: Floats, costs: Floats, exponent: float) -> _Law:
     """Weighted least squares with both parameters at least zero."""
     weights = 1.0 / np.maximum(np.abs(costs), 1e-3 * np.abs(costs).max())
     target = costs * weights
@@ -126,7 +126,7 @@
     largest = max(point.size for point in points)
     measured = float(np.median([point.cost for point in points if point.size == largest]))
     try:
-        predicted = fit([point for point in points if point.size <= largest / 2]).at(largest)
+        predicted = fit([point for point in points if point.size <= largest / 2]).cost_at(largest)
     except UnfitError:
         return math.inf
     if not measured:
--- a/magpieshift/lab/capacity/measure.py
+++ b/magpieshift/lab/capacity/measure.py
@@ -70,24 +70,28 @@
     """Every round measures every size of every role once, in an order drawn from the seed, so that a slow
     minute of the machine affects all alike. A measurement that fails is reported and left out. A trial
     (``quick``) is one round, of fewer sizes and several measurements at once."""
-    draw = random.Random(seed)
-    measurements = Measurements({place: [] for place in range(len(roles))})
+    rng = random.Random(seed)
+    measurements = Measurements({role_index: [] for role_index in range(len(roles))})
     rounds = 1 if quick else max(role.repeats for role in roles)
     for round_ in range(rounds):
         order = [
             _Measurement(
-                place, role, size, draw.getrandbits(32), QUICK_OBSERVATION_S if quick else FULL_OBSERVATION_S
+                role_index,
+                role,
+                size,
+                rng.getrandbits(32),
+                QUICK_OBSERVATION_S if quick else FULL_OBSERVATION_S,
             )
-            for place, role in enumerate(roles)
+            for role_index, role in enumerate(roles)
             if quick or round_ < role.repeats
             for size in (role.quick_sizes if quick else role.sizes)
         ]
-        draw.shuffle(order)
+        rng.shuffle(order)
         outcomes = _outcomes_in_parallel(order) if quick else map(_outcome, order)
         for measurement, outcome in zip(order, outcomes, strict=True):
             progress(f"round {round_ + 1} of {rounds}: {measurement}")
             if isinstance(outcome, Sample):
-                measurements.samples[measurement.place].append(outcome)
+                measurements.samples[measurement.role_index].append(outcome)
             else:
                 measurements.failures.append(f"{measurement}: {outcome}")
     return measurements
@@ -97,11 +101,11 @@
 class _Measurement:
     """One measurement to take."""
 
-    place: int
+    role_index: int
     role: Role
     size: float
     seed: int
-    for_s: float
+    duration_s: float
 
     def __str__(self) -> str:
         return f"{self.role.name} at {self.size:g} {self.role.quantity}"
@@ -110,7 +114,7 @@
 def _outcome(measurement: _Measurement) -> Sample | str:
     """The sample, or why there is none."""
     try:
-        return measurement.role.measure(measurement.size, measurement.seed, measurement.for_s)
+        return measurement.role.measure(measurement.size, measurement.seed, measurement.duration_s)
     except (OSError, RuntimeError) as err:  # a timeout is an OSError
         return f"{type(err).__name__}: {err}".removesuffix(": ")
 
@@ -137,7 +141,7 @@
 def row(role: Role, resource: Resource, samples: Sequence[Sample]) -> Row:
     """The row of one resource, from these samples."""
     points = [Point(sample.size, sample.costs[resource.name]) for sample in samples]
-    law = _law(points)
+    law = _fit_or_none(points)
     error = prediction_error(points)
     trusted = law if error <= MAX_PREDICTION_ERROR else None
     largest = max(point.size for point in points)
@@ -154,25 +158,25 @@
         unit=resource.unit,
         target=role.target,
         measured_to=largest,
-        at_half=_figures(at_half),
-        at_target=_figures(at_target),
-        at_twice=_figures(at_twice),
-        budget=_figures(budget.limit) if budget is not None else None,
+        at_half=_three_digits(at_half),
+        at_target=_three_digits(at_target),
+        at_twice=_three_digits(at_twice),
+        budget=_three_digits(budget.limit) if budget is not None else None,
         derivation=budget.derivation if budget is not None else "",
-        ratio=_figures(ratio),
-        intercept=_figures(law.intercept) if law else None,
-        slope=_figures(law.slope) if law else None,
+        ratio=_three_digits(ratio),
+        intercept=_three_digits(law.intercept) if law else None,
+        slope=_three_digits(law.slope) if law else None,
         exponent=law.exponent if law else None,
         interval=law.interval if law else None,
         superlinear=law.superlinear if law else False,
-        prediction_error=_figures(error) if error != float("inf") else None,
+        prediction_error=_three_digits(error) if error != float("inf") else None,
         how=_how(role, points, at_target),
         measurements=len(points),
         command=f"magpieshift lab capacity --json --role '{role.name}'",
     )
 
 
-def _law(points: Sequence[Point]) -> Fit | None:
+def _fit_or_none(points: Sequence[Point]) -> Fit | None:
     try:
         return fit(points)
     except UnfitError:
@@ -184,7 +188,7 @@
     measured = [point.cost for point in points if point.size == size]
     if measured:
         return statistics.median(measured)
-    return law.at(size) if law is not None else None
+    return law.cost_at(size) if law is not None else None
 
 
 def _how(role: Role, points: Sequence[Point], at_target: float | None) -> str:
@@ -195,6 +199,6 @@
     return MEASURED if any(point.size == role.target for point in points) else FITTED
 
 
-def _figures(value: float | None) -> float | None:
+def _three_digits(value: float | None) -> float | None:
     """Three significant digits: no measurement here is better."""
     return float(f"{value:.3g}") if value is not None else None
--- a/magpieshift/lab/capacity/page.py
+++ b/magpieshift/lab/capacity/page.py
@@ -15,12 +15,12 @@
 from magpieshift.lab.capacity.tables import Results
 
 PAGE = Path(REPOSITORY_ROOT) / "docs" / "CAPACITY.md"
-SAVED = Path(REPOSITORY_ROOT) / "docs" / "capacity"
-ORDER = ("as-it-stood", "before", "after", "fan-out", "folder")  # results by name of their file
+RESULTS_FOLDER = Path(REPOSITORY_ROOT) / "docs" / "capacity"
+RESULT_NAMES = ("as-it-stood", "before", "after", "fan-out", "folder")  # results by name of their file
 
-MARKED = re.compile(r"(<!-- capacity ([a-z-]+) -->\n)(.*?)(<!-- end -->)", re.DOTALL)
+SECTION_PATTERN = re.compile(r"(<!-- capacity ([a-z-]+) -->\n)(.*?)(<!-- end -->)", re.DOTALL)
 
-ROLES: Mapping[str, tuple[str, ...]] = {
+ROLE_SECTIONS: Mapping[str, tuple[str, ...]] = {
     "data-path": (
         "router: decisions",
         "router: objects known",
@@ -58,27 +58,27 @@
     "failures": arithmetic.failures,
 }
 
-SCALE: Mapping[str, Callable[[Path], str]] = {
+SCALE_SECTIONS: Mapping[str, Callable[[Path], str]] = {
     "scale": scale_tables.runs,
     "calibration": scale_tables.calibrations,
 }
 """Sections with what ``lab scale`` saved in the folder of results."""
 
 
-def saved(folder: Path = SAVED) -> Results:
+def load_results(folder: Path = RESULTS_FOLDER) -> Results:
     """The saved results by name; ``ConfigError`` where there are none or one cannot be read."""
-    found = {name: folder / f"{name}.json" for name in ORDER}
+    found = {name: folder / f"{name}.json" for name in RESULT_NAMES}
     loaded = {name: results.load(path) for name, path in found.items() if path.is_file()}
     if not loaded:
-        raise ConfigError(f"{folder}: found no results, expected one of {', '.join(ORDER)} (.json)")
+        raise ConfigError(f"{folder}: found no results, expected one of {', '.join(RESULT_NAMES)} (.json)")
     return loaded
 
 
-def regenerated(text: str, found: Results, folder: Path = SAVED) -> str:
+def regenerate(text: str, found: Results, folder: Path = RESULTS_FOLDER) -> str:
     """The page with all that stands between markers made anew; ``ConfigError`` where a section is unknown
     or missing."""
-    names = [match[2] for match in MARKED.finditer(text)]
-    known = [*SECTIONS, *ROLES, *SCALE]
+    names = [match[2] for match in SECTION_PATTERN.finditer(text)]
+    known = [*SECTIONS, *ROLE_SECTIONS, *SCALE_SECTIONS]
     for name in known:
         if names.count(name) != 1:
             raise ConfigError(f"capacity page: found {names.count(name)} sections {name!r}, expected one")
@@ -86,23 +86,25 @@
         raise ConfigError(
             f"capacity page: found section {min(unknown)!r}, expected one of {', '.join(known)}"
         )
-    return MARKED.sub(lambda match: f"{match[1]}{_section(match[2], found, folder)}\n{match[4]}", text)
+    return SECTION_PATTERN.sub(
+        lambda match: f"{match[1]}{_section_text(match[2], found, folder)}\n{match[4]}", text
+    )
 
 
-def _section(name: str, found: Results, folder: Path) -> str:
-    if name in SCALE:
-        return SCALE[name](folder)
-    if name in ROLES:
-        return tables.role(found, *ROLES[name])
+def _section_text(name: str, found: Results, folder: Path) -> str:
+    if name in SCALE_SECTIONS:
+        return SCALE_SECTIONS[name](folder)
+    if name in ROLE_SECTIONS:
+        return tables.role_table(found, *ROLE_SECTIONS[name])
     return SECTIONS[name](found)
 
 
-def rewrite(path: Path = PAGE, folder: Path = SAVED) -> bool:
+def rewrite(path: Path = PAGE, folder: Path = RESULTS_FOLDER) -> bool:
     """Make the page's tables anew; whether that changed anything."""
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as err:
         raise ConfigError(f"{path} cannot be read: {err.strerror or err}") from err
-    made = regenerated(text, saved(folder), folder)
-    path.write_text(made, encoding="utf-8")
-    return made != text
+    new_text = regenerate(text, load_results(folder), folder)
+    path.write_text(new_text, encoding="utf-8")
+    return new_text != text
--- a/magpieshift/lab/capacity/results.py
+++ b/magpieshift/lab/capacity/results.py
@@ -39,7 +39,7 @@
     origin: Origin
     rows: tuple[Row, ...]
 
-    def text(self) -> str:
+    def to_json(self) -> str:
         """As JSON, a row a line, so that a difference between two results is read by the line."""
         rows = ",\n".join("  " + json.dumps(asdict(row)) for row in self.rows)
         return f'{{"origin": {json.dumps(asdict(self.origin))},\n"rows": [\n{rows}\n]}}\n'
@@ -71,7 +71,7 @@
 def save(result: Result, path: str) -> None:
     """Write a result; ``ConfigError`` where that cannot be."""
     try:
-        Path(path).write_text(result.text(), encoding="utf-8")
+        Path(path).write_text(result.to_json(), encoding="utf-8")
     except OSError as err:
         raise ConfigError(f"{path} cannot be written: {err.strerror or err}") from err
 
@@ -80,7 +80,7 @@
     """Read a result; ``ConfigError`` where it is none."""
     try:
         data = json.loads(path.read_text(encoding="utf-8"))
-        rows = tuple(_row(row) for row in data["rows"])
+        rows = tuple(_row_from_json(row) for row in data["rows"])
         origin_data = data["origin"]
         return Result(Origin(**(origin_data | {"failures": tuple(origin_data["failures"])})), rows)
     except OSError as err:
@@ -89,7 +89,7 @@
         raise ConfigError(f"{path}: found {type(err).__name__}: {err}, expected a capacity result") from err
 
 
-def _row(data: dict[str, Any]) -> Row:
+def _row_from_json(data: dict[str, Any]) -> Row:
     wanted = {field.name for field in fields(Row)}
     if set(data) != wanted:
         raise ValueError(f"a row with {sorted(set(data) ^ wanted)} amiss")
--- a/magpieshift/lab/capacity/scale_tables.py
+++ b/magpieshift/lab/capacity/scale_tables.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 from magpieshift.config import ConfigError
-from magpieshift.lab.capacity.tables import NO_VALUE, number, table
+from magpieshift.lab.capacity.tables import NO_VALUE, format_number, table
 
-RUNS = "scale-*.json"
-CALIBRATIONS = "calibration-*.json"
-FIGURES = {
+RUN_FILES = "scale-*.json"
+CALIBRATION_FILES = "calibration-*.json"
+RUN_COLUMNS = {
     "% of a core a router": "cpu_percent_per_router",
     "MB a router": "mb_per_router",
     "bytes a second a router": "bytes_per_router_s",
@@ -24,7 +24,7 @@
     "out of order": "out_of_order",
     "load average": "load_average",
 }
-RATIOS = {
+CALIBRATION_COLUMNS = {
     "processor, in one process": "cpu_percent_together",
     "processor, in a process each": "cpu_percent_apart",
     "bytes": "bytes_s_apart",
@@ -36,24 +36,26 @@
 def runs(folder: Path) -> str:
     """A row for each saved run."""
     rows = []
-    for path in sorted(folder.glob(RUNS), key=_by_size):
+    for path in sorted(folder.glob(RUN_FILES), key=_by_size):
         saved = _load(path)
         figures = saved["figures"]
-        values = [number(figures[key]) for key in FIGURES.values()]
+        values = [format_number(figures[key]) for key in RUN_COLUMNS.values()]
         broken = "; ".join(figures["rules_broken"]) or "none"
         rows.append([path.stem.removeprefix("scale-"), saved["commit"][:7], *values, broken])
-    return table(["run", "commit", *FIGURES, "rules broken"], rows)
+    return table(["run", "commit", *RUN_COLUMNS, "rules broken"], rows)
 
 
 def calibrations(folder: Path) -> str:
     """A row for each size that was calibrated: hollow routers' cost as a part of real ones'."""
     rows = []
-    for path in sorted(folder.glob(CALIBRATIONS), key=_by_size):
+    for path in sorted(folder.glob(CALIBRATION_FILES), key=_by_size):
         saved = _load(path)
         for row in saved["figures"]["rows"]:
-            ratios = [_ratio(row, key) for key in RATIOS.values()]
-            rows.append([number(row["routers"]), number(row["runs"]), saved["commit"][:7], *ratios])
-    return table(["routers", "runs", "commit", *RATIOS], rows)
+            ratios = [_ratio(row, key) for key in CALIBRATION_COLUMNS.values()]
+            rows.append(
+                [format_number(row["routers"]), format_number(row["runs"]), saved["commit"][:7], *ratios]
+            )
+    return table(["routers", "runs", "commit", *CALIBRATION_COLUMNS], rows)
 
 
 def _ratio(row: Mapping[str, Any], key: str) -> str:
@@ -61,7 +63,7 @@
     ratio, low, high = (row.get(f"{key}_ratio{end}") for end in ("", "_low", "_high"))
     if ratio is None:
         return NO_VALUE
-    return f"{number(ratio)} ({number(low)} to {number(high)})"
+    return f"{format_number(ratio)} ({format_number(low)} to {format_number(high)})"
 
 
 def _by_size(path: Path) -> tuple[str, int]:
@@ -73,8 +75,10 @@
     try:
         saved = json.loads(path.read_text(encoding="utf-8"))
         figures = saved["figures"]
-        wanted = ("rows",) if path.match(CALIBRATIONS) else (*FIGURES.values(), "rules_broken")
-        missing = [key for key in wanted if key not in figures]
+        expected_keys = (
+            ("rows",) if path.match(CALIBRATION_FILES) else (*RUN_COLUMNS.values(), "rules_broken")
+        )
+        missing = [key for key in expected_keys if key not in figures]
         if missing or not saved["commit"]:
             raise ValueError(f"no {' '.join(missing) or 'commit'}")
     except (OSError, ValueError, TypeError, KeyError) as err:
--- a/magpieshift/lab/capacity/tables.py
+++ b/magpieshift/lab/capacity/tables.py
@@ -20,7 +20,7 @@
     return "\n".join(f"| {' | '.join(line)} |" for line in lines)
 
 
-def number(value: float | None) -> str:
+def format_number(value: float | None) -> str:
     """Three digits, with commas between thousands."""
     if value is None:
         return NO_VALUE
@@ -29,7 +29,7 @@
     return f"{value:.3g}"
 
 
-def growth(row: Row) -> str:
+def format_exponent(row: Row) -> str:
     """The exponent and its interval, where the measurements determine one."""
     if row.exponent is None or row.interval is None:
         return NO_VALUE
@@ -40,7 +40,7 @@
     return f"{row.exponent:g} ({row.interval[0]:g} to {row.interval[1]:g})"
 
 
-def error(row: Row) -> str:
+def format_prediction_error(row: Row) -> str:
     """The error of the prediction, in percent."""
     return NO_VALUE if row.prediction_error is None else f"{100 * row.prediction_error:.0f}%"
 
@@ -61,7 +61,7 @@
                 origin.date,
                 str(origin.cores),
                 origin.python,
-                number(origin.took_s),
+                format_number(origin.took_s),
                 "; ".join(origin.failures) or "none",
             )
         )
@@ -78,12 +78,12 @@
     for row in ranked(list(newest.values())):
         if row.budget is None:
             continue
-        ratios = [_ratio(result, row) for result in results.values()]
-        lines.append((row.role, row.resource, number(row.budget), row.unit, *ratios))
+        ratios = [_ratio_or_reason(result, row) for result in results.values()]
+        lines.append((row.role, row.resource, format_number(row.budget), row.unit, *ratios))
     return table(("role", "resource", "budget", "unit", *(f"ratio, {name}" for name in results)), lines)
 
 
-def _ratio(result: Result, wanted: Row) -> str:
+def _ratio_or_reason(result: Result, wanted: Row) -> str:
     for row in result.rows:
         if (row.role, row.resource) == (wanted.role, wanted.resource):
             return f"{row.ratio:.3g}" if row.ratio is not None else row.how
@@ -93,8 +93,8 @@
 def superlinear(results: Results) -> str:
     """What grows faster than linearly, by name."""
     lines = [
-        f"- {name}: {row.role}, {row.resource}, by {row.by}: exponent {growth(row)}, measured to"
-        f" {number(row.measured_to)}"
+        f"- {name}: {row.role}, {row.resource}, by {row.by}: exponent {format_exponent(row)}, measured to"
+        f" {format_number(row.measured_to)}"
         for name, result in results.items()
         for row in result.rows
         if row.superlinear
@@ -120,7 +120,7 @@
 )
 
 
-def role(results: Results, *names: str) -> str:
+def role_table(results: Results, *names: str) -> str:
     """All that was measured of these roles: a line a resource and result."""
     chosen = [(name, row) for name, result in results.items() for row in result.rows if row.role in names]
     if not chosen:
@@ -129,28 +129,28 @@
     budgets = dict.fromkeys(f"{row.resource}: {row.derivation}" for _, row in chosen if row.derivation)
     return "\n".join(
         [
-            table(ROLE_COLUMNS, [_role_line(name, row) for name, row in chosen]),
+            table(ROLE_COLUMNS, [_role_cells(name, row) for name, row in chosen]),
             "",
             f"Run: {'; '.join(commands)}. Budgets: {'; '.join(budgets) or 'none'}.",
         ]
     )
 
 
-def _role_line(result: str, row: Row) -> tuple[str, ...]:
+def _role_cells(result: str, row: Row) -> tuple[str, ...]:
     """The cells of ``ROLE_COLUMNS`` for a row of this result."""
     return (
         f"{row.role}: {row.resource}",
-        f"{row.by} ({number(row.target)})",
+        f"{row.by} ({format_number(row.target)})",
         result,
-        number(row.measured_to),
-        number(row.at_half),
-        number(row.at_target),
-        number(row.at_twice),
+        format_number(row.measured_to),
+        format_number(row.at_half),
+        format_number(row.at_target),
+        format_number(row.at_twice),
         row.unit,
-        number(row.slope),
-        growth(row),
-        error(row),
-        number(row.budget),
-        number(row.ratio),
+        format_number(row.slope),
+        format_exponent(row),
+        format_prediction_error(row),
+        format_number(row.budget),
+        format_number(row.ratio),
         row.how,
     )
--- a/tests/capacity/test_fit.py
+++ b/tests/capacity/test_fit.py
@@ -18,9 +18,9 @@
 
 def noisy(intercept: float, slope: float, exponent: float, seed: int, noise: float = 0.03) -> list[Point]:
     """Three measurements a size of a known law, with relative noise."""
-    draw = np.random.default_rng(seed)
+    rng = np.random.default_rng(seed)
     return [
-        Point(size, (intercept + slope * size**exponent) * float(draw.normal(1.0, noise)))
+        Point(size, (intercept + slope * size**exponent) * float(rng.normal(1.0, noise)))
         for size in SIZES
         for _ in range(3)
     ]
@@ -44,7 +44,7 @@
 
     def test_what_does_not_grow_has_no_exponent(self) -> None:
         found = fit(noisy(5.0, 0.0, 1.0, 0, noise=0.0))
-        self.assertAlmostEqual(found.at(1e6), 5.0, places=3)
+        self.assertAlmostEqual(found.cost_at(1e6), 5.0, places=3)
         self.assertFalse(found.superlinear)
 
     def test_costs_never_go_below_zero(self) -> None:
@@ -70,7 +70,7 @@
 
 
 @dataclass
-class Planned:
+class PlannedRole:
     """A role whose costs are a plan's."""
 
     plan: dict[float, float]
@@ -89,54 +89,58 @@
 
     quick_sizes = sizes
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         self.measured.append(size)
         if size in self.failing:
             raise TimeoutError("nobody answered")
         return Sample(size, {"processor": self.plan[size]})
 
 
-def row_of(role: Planned, seed: int = 1) -> Row:
-    turns = measure.measure_roles([role], seed, False, lambda line: None)
-    (row,) = measure.rows(role, turns.samples[0])
+def measured_row(role: PlannedRole, seed: int = 1) -> Row:
+    measurements = measure.measure_roles([role], seed, False, lambda line: None)
+    (row,) = measure.rows(role, measurements.samples[0])
     return row
 
 
 class Rows(unittest.TestCase):
     def test_what_can_be_predicted_is_extrapolated(self) -> None:
-        row = row_of(Planned({size: 2 * size for size in SIZES}, 1000.0))
+        row = measured_row(PlannedRole({size: 2 * size for size in SIZES}, 1000.0))
         self.assertEqual((row.at_half, row.at_target, row.at_twice), (1000.0, 2000.0, 4000.0))
         self.assertEqual((row.how, row.ratio, row.measured_to), (measure.FITTED, 200.0, 300.0))
 
     def test_what_cannot_be_predicted_is_called_unmeasured(self) -> None:
         plan = {size: 1.0 if size <= 100 else 3.0 for size in SIZES}
-        row = row_of(Planned(plan, 1000.0))
+        row = measured_row(PlannedRole(plan, 1000.0))
         self.assertEqual((row.how, row.at_target, row.ratio), (measure.UNMEASURED, None, None))
 
     def test_what_was_measured_at_the_target_stands_whatever_a_fit_says(self) -> None:
         plan = {size: 1.0 if size <= 100 else 3.0 for size in SIZES}
-        row = row_of(Planned(plan, 300.0))
+        row = measured_row(PlannedRole(plan, 300.0))
         self.assertEqual((row.how, row.at_target, row.at_twice), (measure.MEASURED, 3.0, None))
 
     def test_nothing_is_extrapolated_too_far(self) -> None:
         plan = {size: 2 * size for size in SIZES}
-        self.assertEqual(row_of(Planned(plan, 300 * MAX_EXTRAPOLATION_FACTOR + 1)).how, measure.UNMEASURED)
-        self.assertEqual(row_of(Planned(plan, 300 * MAX_EXTRAPOLATION_FACTOR)).how, measure.FITTED)
+        self.assertEqual(
+            measured_row(PlannedRole(plan, 300 * MAX_EXTRAPOLATION_FACTOR + 1)).how, measure.UNMEASURED
+        )
+        self.assertEqual(measured_row(PlannedRole(plan, 300 * MAX_EXTRAPOLATION_FACTOR)).how, measure.FITTED)
 
     def test_a_simulation_is_called_one(self) -> None:
-        self.assertEqual(row_of(Planned({s: s for s in SIZES}, 100.0, simulated=True)).how, measure.SIMULATED)
+        self.assertEqual(
+            measured_row(PlannedRole({s: s for s in SIZES}, 100.0, simulated=True)).how, measure.SIMULATED
+        )
 
     def test_a_measurement_that_fails_is_told_of_and_left_out(self) -> None:
-        role = Planned({size: size for size in SIZES}, 100.0, failing=frozenset({10.0}))
-        turns = measure.measure_roles([role], 1, False, lambda line: None)
-        self.assertEqual(len(turns.samples[0]), (len(SIZES) - 1) * role.repeats)
-        self.assertEqual(turns.failures, ["planned at 10 things: TimeoutError: nobody answered"] * 2)
+        role = PlannedRole({size: size for size in SIZES}, 100.0, failing=frozenset({10.0}))
+        measurements = measure.measure_roles([role], 1, False, lambda line: None)
+        self.assertEqual(len(measurements.samples[0]), (len(SIZES) - 1) * role.repeats)
+        self.assertEqual(measurements.failures, ["planned at 10 things: TimeoutError: nobody answered"] * 2)
 
     def test_turns_are_drawn_from_the_seed(self) -> None:
         orders = []
         for seed in (1, 1, 2):
-            role = Planned({size: size for size in SIZES}, 100.0)
-            row_of(role, seed)
+            role = PlannedRole({size: size for size in SIZES}, 100.0)
+            measured_row(role, seed)
             self.assertEqual(sorted(role.measured), sorted(SIZES * role.repeats))
             orders.append(role.measured)
         self.assertEqual(orders[0], orders[1])
--- a/tests/capacity/test_page.py
+++ b/tests/capacity/test_page.py
@@ -15,7 +15,7 @@
 from magpieshift.lab.capacity.roles import every_role
 
 
-def raised(row: Row) -> Row:
+def with_higher_cost(row: Row) -> Row:
     """A row whose cost at the target is not what was measured."""
     return replace(row, at_target=(row.at_target or 0.0) * 1.1 + 1, measured_to=row.measured_to + 1)
 
@@ -23,42 +23,42 @@
 class Page(unittest.TestCase):
     def setUp(self) -> None:
         self.text = page.PAGE.read_text(encoding="utf-8")
-        self.found = dict(page.saved())
+        self.found = dict(page.load_results())
 
     def test_the_page_is_what_the_results_make_of_it(self) -> None:
-        self.assertEqual(page.regenerated(self.text, self.found), self.text)
+        self.assertEqual(page.regenerate(self.text, self.found), self.text)
 
     def test_a_digit_changed_in_any_table_shows(self) -> None:
-        for match in page.MARKED.finditer(self.text):
+        for match in page.SECTION_PATTERN.finditer(self.text):
             digit = re.search(r"\d", match[3])
             if digit is None:
                 continue
             at = match.start(3) + digit.start()
             changed = self.text[:at] + str((int(digit[0]) + 1) % 10) + self.text[at + 1 :]
             with self.subTest(match[2]):
-                self.assertNotEqual(page.regenerated(changed, self.found), changed)
+                self.assertNotEqual(page.regenerate(changed, self.found), changed)
 
     def test_a_row_changed_in_any_result_shows(self) -> None:
         for name, result in self.found.items():
             for place, row in enumerate(result.rows):
-                rows = (*result.rows[:place], raised(row), *result.rows[place + 1 :])
+                rows = (*result.rows[:place], with_higher_cost(row), *result.rows[place + 1 :])
                 changed = self.found | {name: Result(result.origin, rows)}
                 with self.subTest(name, role=row.role, resource=row.resource):
-                    self.assertNotEqual(page.regenerated(self.text, changed), self.text)
+                    self.assertNotEqual(page.regenerate(self.text, changed), self.text)
 
     def test_each_section_stands_on_the_page_once(self) -> None:
         for text in (self.text.replace("capacity ranking", "capacity rankings"), self.text + self.text):
             with self.assertRaises(ConfigError):
-                page.regenerated(text, self.found)
+                page.regenerate(text, self.found)
 
     def test_every_role_has_its_place(self) -> None:
-        placed = [name for names in page.ROLES.values() for name in names]
+        placed = [name for names in page.ROLE_SECTIONS.values() for name in names]
         self.assertEqual(sorted(placed), sorted({role.name for role in every_role()}))
 
 
 class Saved(unittest.TestCase):
     def test_results_are_read_as_they_were_written(self) -> None:
-        for result in page.saved().values():
+        for result in page.load_results().values():
             with tempfile.TemporaryDirectory() as folder:
                 path = Path(folder) / "result.json"
                 results.save(result, str(path))
@@ -70,7 +70,7 @@
             for text in ("", "[]", '{"origin": {}, "rows": []}', '{"origin": {}, "rows": [{"role": "x"}]}'):
                 path.write_text(text)
                 with self.subTest(text), self.assertRaisesRegex(ConfigError, "before.json: found"):
-                    page.saved(Path(folder))
+                    page.load_results(Path(folder))
             path.unlink()
             with self.assertRaisesRegex(ConfigError, "found no results"):
-                page.saved(Path(folder))
+                page.load_results(Path(folder))
