--- a/magpieshift/lab/capacity/documents.py
+++ b/magpieshift/lab/capacity/documents.py
@@ -30,6 +30,6 @@
     return to_data(load_data(data).document)
 
 
-def changed(data: dict[str, Any], number: int) -> dict[str, Any]:
+def with_change(data: dict[str, Any], number: int) -> dict[str, Any]:
     """The document with one figure changed, another for each number."""
     return data | {"stores": data["stores"] | {"answer-slack-ms": number / 1000}}
--- a/magpieshift/lab/capacity/log_process.py
+++ b/magpieshift/lab/capacity/log_process.py
@@ -18,13 +18,13 @@
 
 async def send_purges(log: peers.ChangeLog, rate: float) -> None:
     """Send purges of objects drawn from all ids at an even rate, until cancelled."""
-    draw = random.Random(SEED)
+    rng = random.Random(SEED)
     started_s = time.monotonic()
     sent = 0
     while True:
         sent += 1
         await asyncio.sleep(max(0.0, started_s + sent / rate - time.monotonic()))
-        log.publish(invalidate={"object": f"{draw.getrandbits(64):016x}", "time": int(time.time() * 1000)})
+        log.publish(invalidate={"object": f"{rng.getrandbits(64):016x}", "time": int(time.time() * 1000)})
 
 
 async def serve(rate: float) -> None:
--- a/magpieshift/lab/capacity/role.py
+++ b/magpieshift/lab/capacity/role.py
@@ -75,7 +75,7 @@
         """The costs that are measured."""
         ...
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """One measurement; processor times, never wall times. A started process is watched ``for_s``
         seconds."""
         ...
--- a/magpieshift/lab/capacity/roles/capture.py
+++ b/magpieshift/lab/capacity/roles/capture.py
@@ -62,21 +62,21 @@
         ),
     )
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """Run the same requests with and without a recorder; the difference is the cost."""
         requests = int(size)
-        plain_s = self._spent(requests, seed, None)
+        plain_s = self._processor_s(requests, seed, None)
         with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as folder:
             recorder = Recorder(folder, wire.Header(format=FORMAT, program="lab", router="lab"))
             recorder.start()
-            recorded_s = self._spent(requests, seed, recorder)
+            recorded_s = self._processor_s(requests, seed, recorder)
             if recorder.dropped:
                 raise RuntimeError(f"the capture dropped {recorder.dropped} batches")
             written = sum(path.stat().st_size for path in Path(folder).iterdir())
         return Sample(size, {"processor": max(0.0, 1e3 * (recorded_s - plain_s)), "bytes": float(written)})
 
     @staticmethod
-    def _spent(requests: int, seed: int, recorder: Recorder | None) -> float:
+    def _processor_s(requests: int, seed: int, recorder: Recorder | None) -> float:
         run = RecordedRun(fleet.CACHES_PER_ZONE, seed, recorder)
         with count_processor_time() as spent:
             for _ in range(requests):
--- a/magpieshift/lab/capacity/roles/changelog.py
+++ b/magpieshift/lab/capacity/roles/changelog.py
@@ -23,7 +23,7 @@
     """One reader of the log, which counts bytes and does nothing else."""
 
     def __init__(self) -> None:
-        self.received = 0
+        self.bytes_received = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the request for events."""
@@ -32,7 +32,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Count the bytes received."""
-        self.received += len(data)
+        self.bytes_received += len(data)
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,8 +65,8 @@
         await process.wait()
 
 
-HALF_CORE = Budget(50.0, "half of the one core that one Python process can use")
-NETWORK = Budget(NETWORK_BYTES_PER_S, "half of a gigabit a second, assumed")
+HALF_CORE_BUDGET = Budget(50.0, "half of the one core that one Python process can use")
+NETWORK_BUDGET = Budget(NETWORK_BYTES_PER_S, "half of a gigabit a second, assumed")
 
 
 class ChangeLogSource:
@@ -80,16 +80,16 @@
     repeats = 2
     simulated = False
     resources = (
-        Resource("processor", "% of a core", HALF_CORE),
-        Resource("bytes", "bytes a second", NETWORK),
+        Resource("processor", "% of a core", HALF_CORE_BUDGET),
+        Resource("bytes", "bytes a second", NETWORK_BUDGET),
         RESIDENT,
     )
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """Connect so many watches, and measure the log's process for a while."""
-        return asyncio.run(self._measure(int(size), for_s))
+        return asyncio.run(self._measure(int(size), duration_s))
 
-    async def _measure(self, watches: int, for_s: float) -> Sample:
+    async def _measure(self, watches: int, duration_s: float) -> Sample:
         loop = asyncio.get_running_loop()
         async with log_process(fleet.PURGES_PER_S) as log:
             watchers = []
@@ -100,12 +100,12 @@
                 transports.append(transport)
             await asyncio.sleep(SETTLE_S)
             processor_seconds = processor_s(log.pid)
-            received = _received(watchers)
+            bytes_received = _total_bytes_received(watchers)
             started_s = time.monotonic()
-            await asyncio.sleep(for_s)
+            await asyncio.sleep(duration_s)
             took_s = time.monotonic() - started_s
             processor_seconds = processor_s(log.pid) - processor_seconds
-            received = _received(watchers) - received
+            bytes_received = _total_bytes_received(watchers) - bytes_received
             memory = resident_mb(log.pid)
             for transport in transports:
                 transport.close()
@@ -113,11 +113,11 @@
             watches,
             {
                 "processor": 100 * processor_seconds / took_s,
-                "bytes": received / took_s,
+                "bytes": bytes_received / took_s,
                 "resident memory": memory,
             },
         )
 
 
-def _received(watchers: list[Watcher]) -> int:
-    return sum(watcher.received for watcher in watchers)
+def _total_bytes_received(watchers: list[Watcher]) -> int:
+    return sum(watcher.bytes_received for watcher in watchers)
--- a/magpieshift/lab/capacity/roles/commands.py
+++ b/magpieshift/lab/capacity/roles/commands.py
@@ -29,7 +29,7 @@
         Resource("document", "bytes", Budget((1 << 20) / 2, "half of what one control message may carry")),
     )
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """Check one settings file with so many zones."""
         text = sexp.format_document(settings(int(size)))
         with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as folder:
--- a/magpieshift/lab/capacity/roles/control.py
+++ b/magpieshift/lab/capacity/roles/control.py
@@ -19,16 +19,18 @@
 from magpieshift.control.session import RouterSession
 from magpieshift.control.version_records import OfferOutcome, VersionOffer, VersionRecord, VersionState
 from magpieshift.lab.capacity import fleet
-from magpieshift.lab.capacity.documents import changed, settings
+from magpieshift.lab.capacity.documents import settings, with_change
 from magpieshift.lab.capacity.listening_process import ListeningProcess, listening_process
 from magpieshift.lab.capacity.processor import count_processor_time, processor_s, resident_mb
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 
-VERSIONS = 2  # published in one measurement
-TIMEOUT_S = 30.0  # for all followers to have a version in force
+MEASURED_VERSIONS = 2  # published in one measurement
+IN_FORCE_TIMEOUT_S = 30.0  # for all followers to have a version in force
 # in the folder, up to a day's
-MANY_VERSIONS = (312.0, 625.0, 1250.0, 2500.0, 5000.0, 10_000.0, 20_000.0)
-IN_FORCE = Budget(1e3 * fleet.VERSION_IN_FORCE_S / 2, "half of the 4 s within which a version is in force")
+FOLDER_SIZES = (312.0, 625.0, 1250.0, 2500.0, 5000.0, 10_000.0, 20_000.0)
+IN_FORCE_BUDGET = Budget(
+    1e3 * fleet.VERSION_IN_FORCE_S / 2, "half of the 4 s within which a version is in force"
+)
 
 
 class Follower:
@@ -36,9 +38,9 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.received = 0  # bytes, of messages
+        self.bytes_received = 0  # bytes, of messages
         self.in_force = VersionRecord(0, "", "lab", VersionState.IN_FORCE, 0)
-        self.changed = asyncio.Event()
+        self.version_changed = asyncio.Event()
 
     async def follow(self, port: int) -> None:
         """Follow until cancelled."""
@@ -47,30 +49,30 @@
             call = channel.stream_stream(FOLLOW_METHOD)()
             await call.write(session.encode_hello(self.name, "lab", self.in_force, {}))
             while (data := await call.read()) is not grpc.aio.EOF:
-                self.received += len(data)
+                self.bytes_received += len(data)
                 offer = session.receive(data)
                 if not isinstance(offer, VersionOffer):
                     raise RuntimeError(f"found {offer.detail}, expected a version")
                 self.in_force = VersionRecord(offer.number, offer.digest, "lab", VersionState.IN_FORCE, 0)
                 await call.write(session.encode_answer(OfferOutcome(offer, True), self.in_force, {}))
-                self.changed.set()
+                self.version_changed.set()
 
-    async def has(self, number: int) -> None:
+    async def wait_for_version(self, number: int) -> None:
         """Wait until this version is in force here."""
         while self.in_force.number < number:
-            self.changed.clear()
+            self.version_changed.clear()
             if self.in_force.number < number:
-                await self.changed.wait()
+                await self.version_changed.wait()
 
 
 def write_version(folder: Path, number: int, zones: int = fleet.ZONES) -> None:
     """A version for the service to find, complete at once under its name."""
-    part = folder / f"{number}.part"
-    part.write_text(sexp.format_document(changed(settings(zones), number)))
-    part.rename(folder / f"{number}.sexp")
+    partial_file = folder / f"{number}.part"
+    partial_file.write_text(sexp.format_document(with_change(settings(zones), number)))
+    partial_file.rename(folder / f"{number}.sexp")
 
 
-def served(folder: str) -> contextlib.AbstractAsyncContextManager[ListeningProcess]:
+def control_service_process(folder: str) -> contextlib.AbstractAsyncContextManager[ListeningProcess]:
     """``magpieshift control serve`` on a folder."""
     return listening_process("the control service", "control", "serve", folder)
 
@@ -86,33 +88,35 @@
     repeats = 2
     simulated = False
     resources = (
-        Resource("processor", "ms a version", IN_FORCE),
+        Resource("processor", "ms a version", IN_FORCE_BUDGET),
         Resource("processor in all", "% of a core", Budget(50.0, "half of the core of one Python process")),
         Resource("bytes", "bytes a version"),
         Resource("resident memory", "MB of the whole process"),
     )
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """Publish versions to so many followers of a started service."""
-        return asyncio.run(self._measure(int(size), for_s))
+        return asyncio.run(self._measure(int(size), duration_s))
 
-    async def _measure(self, count: int, for_s: float) -> Sample:
+    async def _measure(self, count: int, duration_s: float) -> Sample:
         with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as name:
             folder = Path(name)
             write_version(folder, 1)
-            async with served(name) as service:
+            async with control_service_process(name) as service:
                 followers = [Follower(f"router-{number}") for number in range(count)]
                 tasks = [asyncio.ensure_future(follower.follow(service.port)) for follower in followers]
                 try:
-                    await self._all_have(followers, 1)
-                    idle_s = await self._idle(service.pid, for_s)
+                    await self._wait_for_version(followers, 1)
+                    idle_cores = await self._idle_cores(service.pid, duration_s)
                     spent = processor_s(service.pid)
-                    received = sum(f.received for f in followers)
-                    for number in range(2, 2 + VERSIONS):
+                    bytes_received = sum(f.bytes_received for f in followers)
+                    for number in range(2, 2 + MEASURED_VERSIONS):
                         write_version(folder, number)
-                        await self._all_have(followers, number)
-                    each_s = (processor_s(service.pid) - spent) / VERSIONS
-                    bytes_each = (sum(f.received for f in followers) - received) / VERSIONS
+                        await self._wait_for_version(followers, number)
+                    version_s = (processor_s(service.pid) - spent) / MEASURED_VERSIONS
+                    bytes_each = (
+                        sum(f.bytes_received for f in followers) - bytes_received
+                    ) / MEASURED_VERSIONS
                     memory = resident_mb(service.pid)
                 finally:
                     for task in tasks:
@@ -121,24 +125,24 @@
         return Sample(
             count,
             {
-                "processor": 1e3 * each_s,
-                "processor in all": 100 * (idle_s + each_s * fleet.VERSIONS_PER_S),
+                "processor": 1e3 * version_s,
+                "processor in all": 100 * (idle_cores + version_s * fleet.VERSIONS_PER_S),
                 "bytes": bytes_each,
                 "resident memory": memory,
             },
         )
 
     @staticmethod
-    async def _all_have(followers: Sequence[Follower], number: int) -> None:
-        async with asyncio.timeout(TIMEOUT_S):
-            await asyncio.gather(*(follower.has(number) for follower in followers))
+    async def _wait_for_version(followers: Sequence[Follower], number: int) -> None:
+        async with asyncio.timeout(IN_FORCE_TIMEOUT_S):
+            await asyncio.gather(*(follower.wait_for_version(number) for follower in followers))
 
     @staticmethod
-    async def _idle(pid: int, for_s: float) -> float:
+    async def _idle_cores(pid: int, duration_s: float) -> float:
         """Processor seconds a second without a new version."""
         before = processor_s(pid)
-        await asyncio.sleep(for_s)
-        return (processor_s(pid) - before) / for_s
+        await asyncio.sleep(duration_s)
+        return (processor_s(pid) - before) / duration_s
 
 
 class VersionFolderScan:
@@ -152,9 +156,9 @@
     quick_sizes = (10.0, 20.0, 40.0, 80.0)
     repeats = 2
     simulated = False
-    resources = (Resource("processor", "ms a look", IN_FORCE),)
+    resources = (Resource("processor", "ms a look", IN_FORCE_BUDGET),)
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """Read a folder of so many versions once."""
         with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as name:
             text = sexp.format_document(settings(fleet.ZONES))
@@ -170,17 +174,17 @@
 
     quantity = "versions in the folder"
     target = float(fleet.VERSIONS_PER_DAY)
-    sizes = MANY_VERSIONS
+    sizes = FOLDER_SIZES
     quick_sizes = (78.0, 156.0, 312.0, 625.0)
     repeats = 1
     simulated = False
-    resources = (Resource("processor", "ms a look", IN_FORCE),)
+    resources = (Resource("processor", "ms a look", IN_FORCE_BUDGET),)
 
     @staticmethod
     def _scan(numbers: set[int], folder: str) -> Sequence[PublishedVersion]:
         raise NotImplementedError
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """Scan a folder of so many versions once."""
         numbers = set(range(int(size)))
         return Sample(size, {"processor": 1e3 * _scan_s(numbers, partial(self._scan, numbers))})
--- a/magpieshift/lab/capacity/roles/decisions.py
+++ b/magpieshift/lab/capacity/roles/decisions.py
@@ -28,7 +28,7 @@
     simulated = False
     resources = (Resource("processor", "us a request", BUDGET),)
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """Decide on requests in a zone of so many caches."""
         run = Run(int(size), seed)
         for _ in range(2 * OPEN):
--- a/magpieshift/lab/capacity/roles/digests.py
+++ b/magpieshift/lab/capacity/roles/digests.py
@@ -15,7 +15,7 @@
 MEASURED_ROUTERS = 8  # of the routers; a digest to another goes to one of these
 GOSSIP_ROUNDS = 25  # in one measurement
 SIMULATED_S = GOSSIP_ROUNDS * GOSSIP_INTERVAL_US / 1e6
-ALL_CONTROL = "all of control on a router"
+CONTROL_DERIVATION = "all of control on a router"
 
 
 class Digests:
@@ -29,32 +29,32 @@
     repeats = 2
     simulated = True
     resources = (
-        Resource("processor", "% of a core", Budget(fleet.CONTROL_CPU_PERCENT, ALL_CONTROL)),
-        Resource("bytes", "bytes a second", Budget(fleet.CONTROL_BYTES_PER_S, ALL_CONTROL)),
+        Resource("processor", "% of a core", Budget(fleet.CONTROL_CPU_PERCENT, CONTROL_DERIVATION)),
+        Resource("bytes", "bytes a second", Budget(fleet.CONTROL_BYTES_PER_S, CONTROL_DERIVATION)),
         Resource("digest", "bytes"),
     )
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """Exchange digests in a zone of so many routers."""
-        draw = random.Random(seed)
+        rng = random.Random(seed)
         routers = sorted(f"router-{number}" for number in range(int(size)))
         gossips = {
-            name: Gossip(name, random.Random(draw.getrandbits(64)))
-            for name in draw.sample(routers, MEASURED_ROUTERS)
+            name: Gossip(name, random.Random(rng.getrandbits(64)))
+            for name in rng.sample(routers, MEASURED_ROUTERS)
         }
         sent = 0
         sent_bytes = 0
         with count_processor_time() as spent:
-            for turn in range(1, GOSSIP_ROUNDS + 1):
+            for round_ in range(1, GOSSIP_ROUNDS + 1):
                 for gossip in gossips.values():
-                    seen = self._seen(draw)
-                    for name, digest in gossip.tick(turn * GOSSIP_INTERVAL_US, seen, routers).sends:
+                    health = self._observed_health(rng)
+                    for name, digest in gossip.tick(round_ * GOSSIP_INTERVAL_US, health, routers).sends:
                         data = encode(digest)
                         sent = sent + 1
                         sent_bytes = sent_bytes + len(data)
-                        receiver = gossips.get(name) or draw.choice(list(gossips.values()))
+                        receiver = gossips.get(name) or rng.choice(list(gossips.values()))
                         receiver.receive(
-                            turn * GOSSIP_INTERVAL_US, gossip.own, decode(data), is_neighbour=True
+                            round_ * GOSSIP_INTERVAL_US, gossip.own, decode(data), is_neighbour=True
                         )
         return Sample(
             size,
@@ -66,12 +66,12 @@
         )
 
     @staticmethod
-    def _seen(draw: random.Random) -> dict[str, EndpointHealth]:
+    def _observed_health(rng: random.Random) -> dict[str, EndpointHealth]:
         """What a router sees of its zone's endpoints: some failed within the last second."""
         health = {}
         for number in range(fleet.CACHES_PER_ZONE):
             failing = number < FAILING_ENDPOINTS
-            failed_us = draw.randrange(1_000_000) if failing else None
+            failed_us = rng.randrange(1_000_000) if failing else None
             health[f"store-{number}"] = EndpointHealth(
                 number, (0, 1), failing, failed_us, None if failing else 0
             )
--- a/magpieshift/lab/capacity/roles/lists.py
+++ b/magpieshift/lab/capacity/roles/lists.py
@@ -6,7 +6,7 @@
 
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
-from magpieshift.lab.capacity.routers import CountingWorld, StartedRouterRole, started_router
+from magpieshift.lab.capacity.routers import CountingInstallation, StartedRouterRole, started_router
 from magpieshift.lab.emulators import peers
 
 LIST_CHANGES = 40  # in one measurement
@@ -30,20 +30,20 @@
     simulated = False
     resources = (COMPLETE_LIST, CHANGE, MEMORY)
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """Send a list of so many caches to a started router, then changes of it."""
         return asyncio.run(self._measure(int(size)))
 
     async def _measure(self, caches: int) -> Sample:
         async with started_router(self._folder) as router:
             at_rest = router.read()
-            self._send_complete_list(router.world, caches)
-            await router.caught_up()
+            self._send_complete_list(router.installation, caches)
+            await router.wait_until_caught_up()
             listed = router.read()
             for number in range(LIST_CHANGES):
-                self._send_change(router.world, number % caches)
+                self._send_change(router.installation, number % caches)
                 await asyncio.sleep(CHANGE_INTERVAL_S)
-            await router.caught_up()
+            await router.wait_until_caught_up()
             changed = router.read()
         return Sample(
             caches,
@@ -55,18 +55,20 @@
         )
 
     @staticmethod
-    def _send_complete_list(world: CountingWorld, caches: int) -> None:
-        cache = peers.list_entry(world.cache, "shop", "box", 1)
+    def _send_complete_list(installation: CountingInstallation, caches: int) -> None:
+        cache = peers.list_entry(installation.cache, "shop", "box", 1)
         members = [
             {**cache, "id": f"s-{number}", "locality": "shop" if number < caches / fleet.ZONES else "hub"}
             for number in range(caches)
         ]
-        members.append(peers.list_entry(world.origin, "hub", "source", 0))
-        world.change_log.publish(fleet={"revision": 2, "complete": True, "members": members})
+        members.append(peers.list_entry(installation.origin, "hub", "source", 0))
+        installation.change_log.publish(fleet={"revision": 2, "complete": True, "members": members})
 
     @staticmethod
-    def _send_change(world: CountingWorld, number: int) -> None:
+    def _send_change(installation: CountingInstallation, number: int) -> None:
         phase = "DRAINING" if number % 2 else "SERVING"
-        cache = peers.list_entry(world.cache, "shop", "box", 1, phase)
+        cache = peers.list_entry(installation.cache, "shop", "box", 1, phase)
         changed = {**cache, "id": f"s-{number}"}
-        world.change_log.publish(fleet={"revision": 3 + number, "complete": False, "members": [changed]})
+        installation.change_log.publish(
+            fleet={"revision": 3 + number, "complete": False, "members": [changed]}
+        )
--- a/magpieshift/lab/capacity/roles/membership.py
+++ b/magpieshift/lab/capacity/roles/membership.py
@@ -10,7 +10,7 @@
 from magpieshift.membership.messages import Datagram
 
 SIMULATED_S = 3  # in one measurement
-ALL_CONTROL = "all of control on a router"
+CONTROL_DERIVATION = "all of control on a router"
 
 
 def datagram_bytes(datagram: Datagram) -> int:
@@ -31,12 +31,12 @@
     repeats = 1
     simulated = True
     resources = (
-        Resource("processor", "% of a core", Budget(fleet.CONTROL_CPU_PERCENT, ALL_CONTROL)),
-        Resource("bytes", "bytes a second", Budget(fleet.CONTROL_BYTES_PER_S, ALL_CONTROL)),
+        Resource("processor", "% of a core", Budget(fleet.CONTROL_CPU_PERCENT, CONTROL_DERIVATION)),
+        Resource("bytes", "bytes a second", Budget(fleet.CONTROL_BYTES_PER_S, CONTROL_DERIVATION)),
         Resource("datagrams", "a second"),
     )
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """Run a group of so many members on a simulated clock."""
         members = int(size)
         network = started_network(FleetSettings(members), seed)
--- a/magpieshift/lab/capacity/roles/objects.py
+++ b/magpieshift/lab/capacity/roles/objects.py
@@ -17,7 +17,7 @@
 PROGRAM_MEMORY_MB = 16.0  # of the emulated settings' 64 MB, for the program
 
 
-class EveryObjectOnce(Run):
+class DistinctObjectsRun(Run):
     """Requests of which each asks for an object that was never requested."""
 
     def _feed(self, event: Event) -> None:
@@ -41,9 +41,9 @@
         Resource("memory", "MB", Budget(PROGRAM_MEMORY_MB, "a quarter of 64 MB is the program's")),
     )
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """Request so many different objects; the last ones are timed."""
-        run = EveryObjectOnce(fleet.CACHES_PER_ZONE, seed)
+        run = DistinctObjectsRun(fleet.CACHES_PER_ZONE, seed)
         for _ in range(int(size) - MEASURED_REQUESTS):
             run.request()
         with count_processor_time() as spent:
@@ -59,7 +59,7 @@
         """Memory allocated once all were requested; counted in a run of its own, as counting takes time."""
         tracemalloc.start()
         try:
-            run = EveryObjectOnce(fleet.CACHES_PER_ZONE, seed)
+            run = DistinctObjectsRun(fleet.CACHES_PER_ZONE, seed)
             for _ in range(int(size)):
                 run.request()
             return tracemalloc.get_traced_memory()[0] / 1e6
--- a/magpieshift/lab/capacity/roles/purges.py
+++ b/magpieshift/lab/capacity/roles/purges.py
@@ -8,32 +8,34 @@
 
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
-from magpieshift.lab.capacity.routers import CountingWorld, StartedRouterRole, started_router
+from magpieshift.lab.capacity.routers import CountingInstallation, StartedRouterRole, started_router
 
 PURGE_RETENTION_S = 12.0  # twice the time in which a purge is done, in the emulated settings
 
-ALL_CONTROL = "all of control on a router"
-PROCESSOR = Resource("processor", "% of a core", Budget(fleet.CONTROL_CPU_PERCENT, ALL_CONTROL))
-BYTES = Resource("bytes", "bytes a second", Budget(fleet.CONTROL_BYTES_PER_S, ALL_CONTROL))
-MEMORY = Resource("memory", "MB above a router at rest", Budget(fleet.CONTROL_MB, ALL_CONTROL))
+CONTROL_DERIVATION = "all of control on a router"
+PROCESSOR = Resource("processor", "% of a core", Budget(fleet.CONTROL_CPU_PERCENT, CONTROL_DERIVATION))
+BYTES = Resource("bytes", "bytes a second", Budget(fleet.CONTROL_BYTES_PER_S, CONTROL_DERIVATION))
+MEMORY = Resource("memory", "MB above a router at rest", Budget(fleet.CONTROL_MB, CONTROL_DERIVATION))
 RESIDENT = Resource("resident memory", "MB of the whole process")
 
 
-def send_retained_purges(world: CountingWorld, rate: float, draw: random.Random) -> None:
+def send_retained_purges(installation: CountingInstallation, rate: float, rng: random.Random) -> None:
     """Send at once the purges of the time for which a router retains them."""
     now = time.time()
     count = int(rate * PURGE_RETENTION_S)
     for number in range(count):
-        world.purge(draw, now - PURGE_RETENTION_S * (1 - number / count))
+        installation.purge(rng, now - PURGE_RETENTION_S * (1 - number / count))
 
 
-async def send_purges(world: CountingWorld, rate: float, draw: random.Random, for_s: float) -> None:
+async def send_purges(
+    installation: CountingInstallation, rate: float, rng: random.Random, duration_s: float
+) -> None:
     """Send purges at this rate, each by itself, for about so long: a whole number of them."""
     started = time.monotonic()
-    count = max(1, round(rate * for_s))
+    count = max(1, round(rate * duration_s))
     for number in range(1, count + 1):
         await asyncio.sleep(max(0.0, started + number / rate - time.monotonic()))
-        world.purge(draw, time.time())
+        installation.purge(rng, time.time())
 
 
 class RouterPurges(StartedRouterRole):
@@ -48,17 +50,17 @@
     simulated = False
     resources = (PROCESSOR, BYTES, MEMORY, RESIDENT)
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """Send purges to a started router at this rate."""
-        return asyncio.run(self._measure(size, random.Random(seed), for_s))
+        return asyncio.run(self._measure(size, random.Random(seed), duration_s))
 
-    async def _measure(self, rate: float, draw: random.Random, for_s: float) -> Sample:
+    async def _measure(self, rate: float, rng: random.Random, duration_s: float) -> Sample:
         async with started_router(self._folder) as router:
             at_rest = router.read()
-            send_retained_purges(router.world, rate, draw)
-            await router.caught_up()
+            send_retained_purges(router.installation, rate, rng)
+            await router.wait_until_caught_up()
             started = router.read()
-            await send_purges(router.world, rate, draw, for_s)
+            await send_purges(router.installation, rate, rng, duration_s)
             ended = router.read()
         took_s = ended.at_s - started.at_s
         return Sample(
--- a/magpieshift/lab/capacity/roles/relays.py
+++ b/magpieshift/lab/capacity/roles/relays.py
@@ -17,7 +17,7 @@
 from magpieshift.lab.capacity.listening_process import ListeningProcess, listening_process
 from magpieshift.lab.capacity.processor import processor_s, resident_mb
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
-from magpieshift.lab.capacity.roles.changelog import HALF_CORE, NETWORK, log_process
+from magpieshift.lab.capacity.roles.changelog import HALF_CORE_BUDGET, NETWORK_BUDGET, log_process
 from magpieshift.lab.capacity.roles.purges import (
     MEMORY,
     PROCESSOR,
@@ -25,17 +25,17 @@
     send_purges,
     send_retained_purges,
 )
-from magpieshift.lab.capacity.routers import CountingWorld, StartedRouterRole, start_router
+from magpieshift.lab.capacity.routers import CountingInstallation, StartedRouterRole, start_router
 from magpieshift.relay.connection import CHANNEL_OPTIONS
 from magpieshift.relay.decoding import decode_downstream
 from magpieshift.relay.encoding import encode_upstream
 from magpieshift.relay.follower import Follower
 from magpieshift.relay.instructions import ApplyEntries, EndStream, RestoreSnapshot
 
-TIMEOUT_S = 30.0  # for all followers to be current
+FOLLOWERS_TIMEOUT_S = 30.0  # for all followers to be current
 SETTLE_S = 1.0  # before a measurement: the work of connecting is over
 REGION = "lab"
-ALL_CONTROL = Budget(fleet.CONTROL_BYTES_PER_S, "all of control on a router")
+CONTROL_BUDGET = Budget(fleet.CONTROL_BYTES_PER_S, "all of control on a router")
 
 
 class LightFollower:
@@ -43,8 +43,8 @@
 
     def __init__(self, name: str) -> None:
         self._machine = Follower(name, "lab")
-        self.received = 0
-        self.sent = 0
+        self.bytes_received = 0
+        self.bytes_sent = 0
         self.current = asyncio.Event()
 
     async def follow(self, port: int) -> None:
@@ -56,13 +56,13 @@
             progress_task = asyncio.ensure_future(self._send_progress(call))
             try:
                 while (data := await call.read()) is not grpc.aio.EOF:
-                    self._take(bytes(data))
+                    self._receive(bytes(data))
                 raise RuntimeError(f"the stream has ended: {await call.details()}")
             finally:
                 progress_task.cancel()
 
-    def _take(self, data: bytes) -> None:
-        self.received += len(data)
+    def _receive(self, data: bytes) -> None:
+        self.bytes_received += len(data)
         now_us = clock.source.steady_us()
         for effect in self._machine.receive(decode_downstream(data), now_us):
             match effect:
@@ -85,11 +85,11 @@
             )
 
     async def _write(self, call: grpc.aio.StreamStreamCall, data: bytes) -> None:
-        self.sent += len(data)
+        self.bytes_sent += len(data)
         await call.write(data)
 
 
-def node(*arguments: str) -> contextlib.AbstractAsyncContextManager[ListeningProcess]:
+def relay_process(*arguments: str) -> contextlib.AbstractAsyncContextManager[ListeningProcess]:
     """``magpieshift relay`` with these arguments; ``RuntimeError`` where it does not start."""
     return listening_process("a relay", "relay", *arguments, event="event=ready")
 
@@ -105,26 +105,26 @@
 
 
 @contextlib.asynccontextmanager
-async def source_of_log(rate: float) -> AsyncIterator[ListeningProcess]:
+async def source_process(rate: float) -> AsyncIterator[ListeningProcess]:
     """A source whose change log sends purges at this rate a second."""
-    async with log_process(rate) as log, node(*source_arguments(log.port)) as source:
+    async with log_process(rate) as log, relay_process(*source_arguments(log.port)) as source:
         yield source
 
 
 @contextlib.asynccontextmanager
-async def relay_of_log(rate: float) -> AsyncIterator[ListeningProcess]:
+async def relay_behind_source(rate: float) -> AsyncIterator[ListeningProcess]:
     """A relay behind a source, whose change log sends purges at this rate a second."""
-    async with source_of_log(rate) as source, node(*relay_arguments(source)) as relay:
+    async with source_process(rate) as source, relay_process(*relay_arguments(source)) as relay:
         yield relay
 
 
 @contextlib.asynccontextmanager
-async def following(port: int, count: int) -> AsyncIterator[Sequence[LightFollower]]:
+async def connected_followers(port: int, count: int) -> AsyncIterator[Sequence[LightFollower]]:
     """So many followers, all current."""
     followers = [LightFollower(f"follower-{number}") for number in range(count)]
     tasks = [asyncio.ensure_future(follower.follow(port)) for follower in followers]
     try:
-        async with asyncio.timeout(TIMEOUT_S):
+        async with asyncio.timeout(FOLLOWERS_TIMEOUT_S):
             await asyncio.gather(*(follower.current.wait() for follower in followers))
         await asyncio.sleep(SETTLE_S)
         yield followers
@@ -137,39 +137,39 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def cost_of_followers(measured: ListeningProcess, count: int, for_s: float) -> Sample:
+async def cost_of_followers(measured: ListeningProcess, count: int, duration_s: float) -> Sample:
     """What a node spends on followers, at its change log's rate of purges."""
-    async with following(measured.port, count) as followers:
+    async with connected_followers(measured.port, count) as followers:
         spent = processor_s(measured.pid)
         started = time.monotonic()
-        received = sum(follower.received for follower in followers)
-        sent = sum(follower.sent for follower in followers)
-        await asyncio.sleep(for_s)
+        bytes_received = sum(follower.bytes_received for follower in followers)
+        bytes_sent = sum(follower.bytes_sent for follower in followers)
+        await asyncio.sleep(duration_s)
         took_s = time.monotonic() - started
         spent = processor_s(measured.pid) - spent
-        received = sum(follower.received for follower in followers) - received
-        sent = sum(follower.sent for follower in followers) - sent
+        bytes_received = sum(follower.bytes_received for follower in followers) - bytes_received
+        bytes_sent = sum(follower.bytes_sent for follower in followers) - bytes_sent
         memory = resident_mb(measured.pid)
     return Sample(
         count,
         {
             "processor": 100 * spent / took_s,
-            "bytes": received / took_s,
-            "bytes a follower": (received + sent) / took_s / count,
+            "bytes": bytes_received / took_s,
+            "bytes a follower": (bytes_received + bytes_sent) / took_s / count,
             "resident memory": memory,
         },
     )
 
 
 FOLLOWER_RESOURCES = (
-    Resource("processor", "% of a core", HALF_CORE),
-    Resource("bytes", "bytes a second", NETWORK),
-    Resource("bytes a follower", "bytes a second, both ways", ALL_CONTROL),
+    Resource("processor", "% of a core", HALF_CORE_BUDGET),
+    Resource("bytes", "bytes a second", NETWORK_BUDGET),
+    Resource("bytes a follower", "bytes a second, both ways", CONTROL_BUDGET),
     RESIDENT,
 )
 
 
-class _Followers:
+class _FollowersRole:
     """A node at the purges of the target, by those that follow it."""
 
     quick_sizes = ()  # too long for a trial
@@ -177,19 +177,19 @@
     simulated = False
     resources = FOLLOWER_RESOURCES
 
-    def _node(self) -> contextlib.AbstractAsyncContextManager[ListeningProcess]:
+    def _measured_process(self) -> contextlib.AbstractAsyncContextManager[ListeningProcess]:
         raise NotImplementedError
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """Let so many followers follow the node."""
-        return asyncio.run(self._measure(int(size), for_s))
+        return asyncio.run(self._measure(int(size), duration_s))
 
-    async def _measure(self, count: int, for_s: float) -> Sample:
-        async with self._node() as measured:
-            return await cost_of_followers(measured, count, for_s)
+    async def _measure(self, count: int, duration_s: float) -> Sample:
+        async with self._measured_process() as measured:
+            return await cost_of_followers(measured, count, duration_s)
 
 
-class SourceFollowers(_Followers):
+class SourceFollowers(_FollowersRole):
     """The source, by the relays that follow it."""
 
     name = "fan-out: source"
@@ -197,11 +197,11 @@
     target = float(fleet.CONTROL_MACHINES)
     sizes = (2.0, 5.0, 10.0, 20.0, 40.0)
 
-    def _node(self) -> contextlib.AbstractAsyncContextManager[ListeningProcess]:
-        return source_of_log(fleet.PURGES_PER_S)
+    def _measured_process(self) -> contextlib.AbstractAsyncContextManager[ListeningProcess]:
+        return source_process(fleet.PURGES_PER_S)
 
 
-class RelayFollowers(_Followers):
+class RelayFollowers(_FollowersRole):
     """A relay, by the routers that follow it: all of a region's, where the other relay is gone."""
 
     name = "fan-out: relay"
@@ -209,8 +209,8 @@
     target = float(fleet.ROUTERS // fleet.REGIONS)
     sizes = (15.0, 30.0, 60.0, 120.0, 240.0)
 
-    def _node(self) -> contextlib.AbstractAsyncContextManager[ListeningProcess]:
-        return relay_of_log(fleet.PURGES_PER_S)
+    def _measured_process(self) -> contextlib.AbstractAsyncContextManager[ListeningProcess]:
+        return relay_behind_source(fleet.PURGES_PER_S)
 
 
 class RelayPurges:
@@ -226,13 +226,13 @@
     resources = FOLLOWER_RESOURCES
     followers = 48
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """Send purges at this rate through a relay of a few routers."""
-        return asyncio.run(self._measure(size, for_s))
+        return asyncio.run(self._measure(size, duration_s))
 
-    async def _measure(self, rate: float, for_s: float) -> Sample:
-        async with relay_of_log(rate) as relay:
-            found = await cost_of_followers(relay, self.followers, for_s)
+    async def _measure(self, rate: float, duration_s: float) -> Sample:
+        async with relay_behind_source(rate) as relay:
+            found = await cost_of_followers(relay, self.followers, duration_s)
         return Sample(rate, found.costs)
 
 
@@ -248,20 +248,22 @@
     simulated = False
     resources = (PROCESSOR, MEMORY, RESIDENT)
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """Send purges at this rate to a started router by a relay."""
-        return asyncio.run(self._measure(size, random.Random(seed), for_s))
+        return asyncio.run(self._measure(size, random.Random(seed), duration_s))
 
-    async def _measure(self, rate: float, draw: random.Random, for_s: float) -> Sample:
+    async def _measure(self, rate: float, rng: random.Random, duration_s: float) -> Sample:
         async with contextlib.AsyncExitStack() as stack:
             ready = await start_router(
-                stack, self._folder, arguments=lambda world: _behind_relay(stack, world)
+                stack,
+                self._folder,
+                arguments=lambda installation: _start_source_and_relay(stack, installation),
             )
             at_rest = ready.read()
-            send_retained_purges(ready.world, rate, draw)
+            send_retained_purges(ready.installation, rate, rng)
             await asyncio.sleep(SETTLE_S)
             started = ready.read()
-            await send_purges(ready.world, rate, draw, for_s)
+            await send_purges(ready.installation, rate, rng, duration_s)
             ended = ready.read()
         percent = 100 * (ended.processor_s - started.processor_s) / (ended.at_s - started.at_s)
         grown_mb = max(0.0, ended.memory_mb - at_rest.memory_mb)
@@ -271,8 +273,10 @@
         )
 
 
-async def _behind_relay(stack: contextlib.AsyncExitStack, world: CountingWorld) -> Sequence[str]:
+async def _start_source_and_relay(
+    stack: contextlib.AsyncExitStack, installation: CountingInstallation
+) -> Sequence[str]:
     """A source and a relay of this world's change log, and the arguments that make a router follow them."""
-    source = await stack.enter_async_context(node(*source_arguments(world.change_log.port)))
-    relay = await stack.enter_async_context(node(*relay_arguments(source)))
+    source = await stack.enter_async_context(relay_process(*source_arguments(installation.change_log.port)))
+    relay = await stack.enter_async_context(relay_process(*relay_arguments(source)))
     return "run", "--relays", f"127.0.0.1:{relay.port}", "--region", REGION
--- a/magpieshift/lab/capacity/roles/requests.py
+++ b/magpieshift/lab/capacity/roles/requests.py
@@ -12,21 +12,25 @@
 
 SETTLE_S = 0.2  # after the clients start
 CLIENTS = 4  # which share the rate
-HALF_CORE = Budget(50.0, "half of the one core that one Python process can use: the mean is not the most")
+HALF_CORE_BUDGET = Budget(
+    50.0, "half of the one core that one Python process can use: the mean is not the most"
+)
 BYTES_REQUEST_RATE = 60.0  # requests a second, at which bytes are measured
 
 
-async def percent_of_core(router: StartedRouter, rate: float, seed: int, for_s: float) -> tuple[float, float]:
+async def percent_of_core(
+    router: StartedRouter, rate: float, seed: int, duration_s: float
+) -> tuple[float, float]:
     """Percent of a core under requests at this rate, and the requests that were sent a second meanwhile."""
     clients = [
-        RequestGenerator(router.world.router_port, random.Random(seed + n), lambda: True)
+        RequestGenerator(router.installation.router_port, random.Random(seed + n), lambda: True)
         for n in range(CLIENTS)
     ]
     loads = [asyncio.ensure_future(client.run(rate / CLIENTS, lambda: ["picture"])) for client in clients]
     await asyncio.sleep(SETTLE_S)
     started = router.read()
     sent = sum(client.sent for client in clients)
-    await asyncio.sleep(for_s)
+    await asyncio.sleep(duration_s)
     ended = router.read()
     sent = sum(client.sent for client in clients) - sent
     for client in clients:
@@ -49,17 +53,17 @@
     repeats = 2
     simulated = False
     resources = (
-        Resource("processor", "% of a core", HALF_CORE),
+        Resource("processor", "% of a core", HALF_CORE_BUDGET),
         Resource("resident memory", "MB of the whole process"),
     )
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """Send requests to a started router at this rate."""
-        return asyncio.run(self._measure(size, seed, for_s))
+        return asyncio.run(self._measure(size, seed, duration_s))
 
-    async def _measure(self, rate: float, seed: int, for_s: float) -> Sample:
+    async def _measure(self, rate: float, seed: int, duration_s: float) -> Sample:
         async with started_router(self._folder) as router:
-            percent, sent = await percent_of_core(router, rate, seed, for_s)
+            percent, sent = await percent_of_core(router, rate, seed, duration_s)
             memory = router.read().memory_mb
         # arrivals are open and random: the cost is scaled to the requested rate
         return Sample(rate, {"processor": percent * rate / sent, "resident memory": memory})
@@ -86,13 +90,13 @@
         ),
     )
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """Send requests whose responses have so many bytes."""
-        return asyncio.run(self._measure(int(size), seed, for_s))
+        return asyncio.run(self._measure(int(size), seed, duration_s))
 
-    async def _measure(self, size: int, seed: int, for_s: float) -> Sample:
+    async def _measure(self, size: int, seed: int, duration_s: float) -> Sample:
         async with started_router(self._folder) as router:
-            for endpoint in (router.world.cache, router.world.origin):
+            for endpoint in (router.installation.cache, router.installation.origin):
                 endpoint.body = b"x" * size
-            percent, sent = await percent_of_core(router, BYTES_REQUEST_RATE, seed, for_s)
+            percent, sent = await percent_of_core(router, BYTES_REQUEST_RATE, seed, duration_s)
         return Sample(size, {"processor": 1e4 * percent / sent})
--- a/magpieshift/lab/capacity/roles/rollouts.py
+++ b/magpieshift/lab/capacity/roles/rollouts.py
@@ -27,39 +27,39 @@
     """A fleet half of which runs the new version, with its coordinator and judge."""
 
     def __init__(self, routers: int, seed: int) -> None:
-        self._draw = random.Random(seed)
+        self._rng = random.Random(seed)
         self.plan = plan_of(routers)
         records = [StagePassed()] * STAGES_PASSED
         self.coordinator = Coordinator(self.plan, 1, 0, records)
         zones = {name: router.zone for name, router in self.plan.routers.items()}
-        self.judge = CanaryAnalysis(self.plan.tolerances, NEW, OLD, zones, 0)
+        self.analysis = CanaryAnalysis(self.plan.tolerances, NEW, OLD, zones, 0)
         self._counts = dict.fromkeys(self.plan.routers, 0)
         self.now_us = MEMORY_SETTLE_US
         targets = set(self.coordinator.stage.targets)
         self._labels = {name: NEW if name in targets else OLD for name in self.plan.routers}
 
-    def answers(self) -> dict[str, ProcessCounters | None]:
+    def next_counters(self) -> dict[str, ProcessCounters | None]:
         """The counters of all admin servers at the next round."""
         self.now_us += LOOK_S * SECOND_US
-        return {name: self._figures(name, label) for name, label in self._labels.items()}
+        return {name: self._next_process_counters(name, label) for name, label in self._labels.items()}
 
-    def _figures(self, name: str, label: str) -> ProcessCounters:
+    def _next_process_counters(self, name: str, label: str) -> ProcessCounters:
         self._counts[name] += REQUESTS_PER_ROUND
         requests = self._counts[name]
-        served = requests - self._draw.randrange(requests // 50 + 1)
+        served = requests - self._rng.randrange(requests // 50 + 1)
         row = RequestCounts(requests, served)
-        cpu_us = int(1000 * requests * self._draw.uniform(0.95, 1.05))
-        rss_kb = 30_000 + self._draw.randrange(500)
+        cpu_us = int(1000 * requests * self._rng.uniform(0.95, 1.05))
+        rss_kb = 30_000 + self._rng.randrange(500)
         return ProcessCounters(label, f"{name}-1", "serving", self.now_us, {"picture": row}, cpu_us, rss_kb)
 
-    def judge_round(self, answers: dict[str, ProcessCounters | None]) -> Verdict:
+    def run_round(self, counters_by_router: dict[str, ProcessCounters | None]) -> Verdict:
         """One round, as the rollout's loop runs it."""
-        for name, figures in answers.items():
-            if figures is not None:
-                self.coordinator.record_labels(self.now_us, name, frozenset({figures.label}))
-        self.judge.record_round(self.now_us, answers)
-        verdict = self.judge.verdict(self.now_us, self.coordinator.next_fraction)
-        self.coordinator.tick(self.now_us, verdict, self.judge.reason)
+        for name, counters in counters_by_router.items():
+            if counters is not None:
+                self.coordinator.record_labels(self.now_us, name, frozenset({counters.label}))
+        self.analysis.record_round(self.now_us, counters_by_router)
+        verdict = self.analysis.verdict(self.now_us, self.coordinator.next_fraction)
+        self.coordinator.tick(self.now_us, verdict, self.analysis.reason)
         return verdict
 
 
@@ -81,14 +81,14 @@
         ),
     )
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """Judge a fleet of so many routers for several rounds."""
-        watched = ObservedFleet(int(size), seed)
-        watched.judge_round(watched.answers())
-        rounds = [watched.answers() for _ in range(MEASURED_ROUNDS)]
+        observed = ObservedFleet(int(size), seed)
+        observed.run_round(observed.next_counters())
+        rounds = [observed.next_counters() for _ in range(MEASURED_ROUNDS)]
         with count_processor_time() as spent:
-            for answers in rounds:
-                watched.judge_round(answers)
+            for counters_by_router in rounds:
+                observed.run_round(counters_by_router)
         return Sample(size, {"processor": 1e3 * spent.seconds / MEASURED_ROUNDS})
 
 
@@ -106,13 +106,13 @@
         Resource("memory", "MB", Budget(1000.0, "a gigabyte of the machine that rolls out, assumed")),
     )
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """Fill the samples of so many routers, and count the memory allocated."""
         tracemalloc.start()
         try:
-            watched = ObservedFleet(int(size), seed)
+            observed = ObservedFleet(int(size), seed)
             for _ in range(MAX_SAMPLES):
-                watched.judge.record_round(watched.now_us, watched.answers())
+                observed.analysis.record_round(observed.now_us, observed.next_counters())
             return Sample(size, {"memory": tracemalloc.get_traced_memory()[0] / 1e6})
         finally:
             tracemalloc.stop()
--- a/magpieshift/lab/capacity/roles/snapshots.py
+++ b/magpieshift/lab/capacity/roles/snapshots.py
@@ -22,9 +22,9 @@
 NOW_US = 1_764_576_000_000_000  # any Unix time: snapshots of one seed are the same bytes
 
 
-def snapshot(purges: int, draw: random.Random) -> Snapshot:
+def snapshot(purges: int, rng: random.Random) -> Snapshot:
     """A snapshot with so many purges, the target's list of caches and a whole version."""
-    made_us = sorted(NOW_US - draw.randrange(PURGE_RETENTION_US) // 1000 * 1000 for _ in range(purges))
+    created_us = sorted(NOW_US - rng.randrange(PURGE_RETENTION_US) // 1000 * 1000 for _ in range(purges))
     members = [
         {
             "id": f"s-{number}",
@@ -43,7 +43,7 @@
         Epoch(NOW_US // 1000, 1),
         purges,
         json.dumps({"revision": 1, "complete": True, "members": members}),
-        tuple(Purge(f"{draw.getrandbits(64):016x}", 0, at_us) for at_us in made_us),
+        tuple(Purge(f"{rng.getrandbits(64):016x}", 0, at_us) for at_us in created_us),
         ConfigurationChange(1, "0" * 64, "", text.encode()),
     )
 
@@ -72,12 +72,12 @@
         ),
     )
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """Encode and decode a snapshot with so many purges."""
-        made = snapshot(int(size), random.Random(seed))
+        full_snapshot = snapshot(int(size), random.Random(seed))
         with count_processor_time() as written:
             for _ in range(REPETITIONS):
-                data = encode_downstream(made)
+                data = encode_downstream(full_snapshot)
         with count_processor_time() as read:
             for _ in range(REPETITIONS):
                 decode_downstream(data)
--- a/magpieshift/lab/capacity/roles/versions.py
+++ b/magpieshift/lab/capacity/roles/versions.py
@@ -13,7 +13,7 @@
 from magpieshift.control.version_records import OfferOutcome, VersionOffer
 from magpieshift.extensions.runner import Installation, Options
 from magpieshift.lab.capacity import fleet
-from magpieshift.lab.capacity.documents import changed, settings
+from magpieshift.lab.capacity.documents import settings, with_change
 from magpieshift.lab.capacity.processor import count_processor_time
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.emulators.world import LoopbackInstallation
@@ -25,7 +25,7 @@
 )
 
 
-class ZonedWorld(LoopbackInstallation):
+class ZonedInstallation(LoopbackInstallation):
     """Emulated neighbours, and settings with as many zones as the target has."""
 
     def settings(self) -> dict[str, object]:
@@ -45,15 +45,15 @@
     simulated = False
     resources = (Resource("processor", "ms a version", BUDGET),)
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         """Put versions in force on a router with so many caches listed."""
         return asyncio.run(self._measure(int(size)))
 
     async def _measure(self, caches: int) -> Sample:
-        world = ZonedWorld()
-        await world.start(caches)
+        emulated = ZonedInstallation()
+        await emulated.start(caches)
         with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as folder:
-            start = world.write_settings(Path(folder))
+            start = emulated.write_settings(Path(folder))
             installation = Installation(Options(str(start), os.path.join(folder, "state")))
             installation.router.start()
             installation.manager.start()
@@ -61,21 +61,21 @@
                 async with asyncio.timeout(30):
                     while installation.router.engine.endpoint_count < caches + 1:
                         await asyncio.sleep(0.01)
-                spent_s = await self._put_in_force(installation, world.settings())
+                spent_s = await self._apply_versions(installation, emulated.settings())
             finally:
                 await installation.manager.stop()
                 installation.router.close()
-                world.stop()
+                emulated.stop()
         return Sample(caches, {"processor": 1e3 * spent_s / MEASURED_VERSIONS})
 
     @staticmethod
-    async def _put_in_force(installation: Installation, data: dict[str, object]) -> float:
+    async def _apply_versions(installation: Installation, data: dict[str, object]) -> float:
         """Processor seconds of all versions, one after another."""
         done: asyncio.Queue[OfferOutcome] = asyncio.Queue()
         installation.manager.listeners.append(lambda answer, apply_us, pause_us: done.put_nowait(answer))
         offers = []
         for number in range(1, MEASURED_VERSIONS + 1):
-            document = changed(data, number)
+            document = with_change(data, number)
             offers.append(
                 VersionOffer(
                     number,
--- a/magpieshift/lab/capacity/routers.py
+++ b/magpieshift/lab/capacity/routers.py
@@ -60,7 +60,7 @@
         self._writer.close()
 
 
-class CountingWorld(LoopbackInstallation):
+class CountingInstallation(LoopbackInstallation):
     """Emulated neighbours of a router, with a change log that counts."""
 
     change_log: CountingChangeLog
@@ -69,10 +69,10 @@
         super().__init__()
         self.change_log = CountingChangeLog()
 
-    def purge(self, draw: random.Random, made_s: float) -> None:
+    def purge(self, rng: random.Random, created_s: float) -> None:
         """Send one purge of an object drawn from all 64-bit ids, made at this Unix time."""
         self.change_log.publish(
-            invalidate={"object": f"{draw.getrandbits(64):016x}", "time": int(made_s * 1000)}
+            invalidate={"object": f"{rng.getrandbits(64):016x}", "time": int(created_s * 1000)}
         )
 
 
@@ -89,8 +89,8 @@
 class StartedRouter:
     """A router that serves, and its world."""
 
-    def __init__(self, world: CountingWorld, pid: int, log: Path) -> None:
-        self.world = world
+    def __init__(self, installation: CountingInstallation, pid: int, log: Path) -> None:
+        self.installation = installation
         self.pid = pid
         self._log = log
 
@@ -99,29 +99,29 @@
         return Reading(
             processor_s(self.pid),
             resident_mb(self.pid),
-            self.world.change_log.bytes_written,
+            self.installation.change_log.bytes_written,
             time.monotonic(),
         )
 
-    async def caught_up(self) -> None:
+    async def wait_until_caught_up(self) -> None:
         """Wait until the router has applied all that its change log has sent; ``TimeoutError`` where it
         does not."""
-        last = f"seq={self.world.change_log.events_sent}"
+        last = f"seq={self.installation.change_log.events_sent}"
         async with asyncio.timeout(CATCH_UP_TIMEOUT_S):
             while last not in self._log.read_text().split():
                 await asyncio.sleep(POLL_INTERVAL_S)
 
 
 @contextlib.asynccontextmanager
-async def started_router(folder: str = REPOSITORY_ROOT, members: int = 1) -> AsyncIterator[StartedRouter]:
+async def started_router(folder: str = REPOSITORY_ROOT, caches: int = 1) -> AsyncIterator[StartedRouter]:
     """The router of a checkout, started as the platform does, beside a list of so many caches."""
     async with contextlib.AsyncExitStack() as stack:
-        ready = await start_router(stack, folder, members)
-        await ready.caught_up()
-        yield ready
+        router = await start_router(stack, folder, caches)
+        await router.wait_until_caught_up()
+        yield router
 
 
-async def _no_arguments(world: CountingWorld) -> Sequence[str]:
+async def _no_arguments(installation: CountingInstallation) -> Sequence[str]:
     """The arguments after ``-m magpieshift`` of a router as the platform starts it: none."""
     return ()
 
@@ -129,23 +129,23 @@
 async def start_router(
     stack: contextlib.AsyncExitStack,
     folder: str,
-    members: int = 1,
-    arguments: Callable[[CountingWorld], Awaitable[Sequence[str]]] = _no_arguments,
+    caches: int = 1,
+    arguments: Callable[[CountingInstallation], Awaitable[Sequence[str]]] = _no_arguments,
 ) -> StartedRouter:
     """A router that serves, until the stack is closed; another port is tried where the free one was
     taken meanwhile. ``arguments`` returns those of its command line, once its world is there."""
     for _ in range(MAX_START_ATTEMPTS):
-        world = CountingWorld()
-        stack.callback(world.stop)
-        await world.start(members)
-        variant = Variant("router", folder, await arguments(world))
+        installation = CountingInstallation()
+        stack.callback(installation.stop)
+        await installation.start(caches)
+        variant = Variant("router", folder, await arguments(installation))
         try:
-            process, log = await stack.enter_async_context(started(variant, world))
+            process, log = await stack.enter_async_context(started(variant, installation))
         except RuntimeError as err:
             if PORT_TAKEN not in str(err):
                 raise
         else:
-            return StartedRouter(world, process.pid, log)
+            return StartedRouter(installation, process.pid, log)
     raise RuntimeError(f"no free port in {MAX_START_ATTEMPTS} tries")
 
 
