--- a/magpieshift/lab/capacity/__init__.py
+++ b/magpieshift/lab/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What each role of a fleet costs by what grows: measured, fitted, and held against its budget."""
+"""Measures how the cost of each role grows with the fleet, fits a curve and compares it with a budget."""
--- a/magpieshift/lab/capacity/arithmetic.py
+++ b/magpieshift/lab/capacity/arithmetic.py
@@ -1,4 +1,5 @@
-"""What follows from the fleet's size and the measured slopes: the data path, and what failures cost."""
+"""Figures derived from the fleet's size and the measured slopes: data path capacity, the number of relays
+needed, and the cost of failures."""
 
 from __future__ import annotations
 
@@ -12,19 +13,19 @@
 from magpieshift.lab.capacity.tables import INCONCLUSIVE, Results, format_exponent, format_number, table
 from magpieshift.relay.limits import FRESHNESS_LEASE_US, MAX_SNAPSHOTS_PER_S, RELAY_SILENCE_TIMEOUT_US
 
-MAX_RESPONSE_BYTES = 240_000  # bytes: the largest object part that stores send, and the largest measured
+MAX_RESPONSE_BYTES = 240_000  # the largest object part that caches send, and the largest size measured
 HOUR_S = 3_600
 ROUTERS_PER_SITE = fleet.ROUTERS / fleet.SITES
 UNMEASURED = "unmeasured"
 
 
 def find_row(result: Result, role: str, resource: str) -> Row | None:
-    """A row of a result."""
+    """The row of a role and resource in a result; None if there is none."""
     return next((row for row in result.rows if (row.role, row.resource) == (role, resource)), None)
 
 
 def data_path(results: Results) -> str:
-    """The mean of the peak at one router, and what one process carries of it."""
+    """The mean load of one router at the peak, and the part of it that one process can handle."""
     lines = [
         f"- {fleet.REQUESTS_PER_S:,} requests a second over {fleet.ROUTERS:,} routers are"
         f" {fleet.REQUESTS_PER_ROUTER_S:.0f} a second at the mean router.",
@@ -40,7 +41,8 @@
 
 
 def _process_capacity(name: str, result: Result) -> str:
-    """What one process carries by one result; empty where that did not measure it."""
+    """The load that one process can handle according to one result; empty if the result has no such
+    measurement."""
     requests = find_row(result, "router: requests", "processor")
     answers = find_row(result, "router: bytes of an answer", "processor")
     if requests is None or answers is None or not requests.at_target or answers.slope is None:
@@ -65,7 +67,8 @@
 
 
 def control_machines(results: Results) -> str:
-    """How many relays carry all routers within the budget of one core, and with two of them gone."""
+    """The number of relays that serve all routers within the processor budget of a relay, and the load of
+    each relay if two of them fail."""
     relay = _newest_row(results, "fan-out: relay", "processor")
     if relay is None or relay.budget is None or relay.slope is None or relay.intercept is None:
         return f"Relays needed: {UNMEASURED}."
@@ -86,7 +89,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """What fails, what that costs, what is promised meanwhile, and on what the cost rests."""
+    """A failure, the number of machines it affects, its cost, what is guaranteed until recovery, and the
+    basis of the cost: measured, fitted or assumed."""
 
     what: str
     size: str
@@ -96,7 +100,7 @@
 
 
 def failures(results: Results) -> str:
-    """What failures cost, by the newest result that has what it takes."""
+    """The table of the cost of failures, from the newest results that have the rows needed."""
     rows = [
         (each.what, each.size, each.cost, each.guarantee, each.basis)
         for each in (*_router_failures(results), *_control_failures(results), *_fan_out_failures(results))
@@ -163,7 +167,7 @@
 
 
 def _fan_out_failures(results: Results) -> list[Failure]:
-    """With routers behind the fan-out tier; none where it was not measured."""
+    """Failures with routers behind the fan-out tier; empty if the tier was not measured."""
     relay = _newest_row(results, "fan-out: relay", "processor")
     snapshot = _newest_row(results, "fan-out: snapshot", "bytes")
     read = _newest_row(results, "fan-out: snapshot", "read")
@@ -227,7 +231,7 @@
 
 
 def _added_load(requests: Row | None, lost: float) -> str:
-    """What the remaining routers take on, if all of them share it."""
+    """The added load of each remaining router, if all of them share the lost routers' requests evenly."""
     remaining = fleet.ROUTERS - lost
     rate = fleet.REQUESTS_PER_S / remaining
     text = f"{100 * lost / remaining:.2g}% more at each other router: {rate:.0f} requests a second"
@@ -238,7 +242,7 @@
 
 
 def _catch_up(backlog: int, purges: Row | None, sent: Row | None) -> str:
-    """An hour's purges sent to one router after the cut, at the cost of one that is sent by itself."""
+    """The cost for one router to receive the purges it missed, at the cost of purges sent one by one."""
     text = f"{backlog:,} purges each to take in"
     if purges is None or sent is None or purges.at_target is None or sent.at_target is None:
         return f"{text}; {UNMEASURED}"
--- a/magpieshift/lab/capacity/documents.py
+++ b/magpieshift/lab/capacity/documents.py
@@ -1,4 +1,4 @@
-"""Settings files of a given size, for roles that read or carry them."""
+"""Settings documents of a given size, for roles that read or transfer them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 def settings(
     zones: int, change_log: str = "127.0.0.1:7070", listen: str = "127.0.0.1:6565"
 ) -> dict[str, Any]:
-    """The data of a usable document with so many zones; the router's own is the last."""
+    """The data of a valid settings document with ``zones`` zones; the router's own zone is the last one."""
     picture = {"aim-ms": 500, "deadline-ms": 2000, "in-parts": True, "worth": 2}
     basket = {"aim-ms": 700, "deadline-ms": 2000, "effect": "keyed", "dedup-ms": 5000, "write": True}
     named = {f"zone-{number}": {"routers": 1, "attached-to": "hub"} for number in range(zones - 2)}
@@ -31,5 +31,5 @@
 
 
 def with_change(data: dict[str, Any], number: int) -> dict[str, Any]:
-    """The document with one figure changed, another for each number."""
+    """A copy of the document with one setting changed; each ``number`` gives another value."""
     return data | {"stores": data["stores"] | {"answer-slack-ms": number / 1000}}
--- a/magpieshift/lab/capacity/fit.py
+++ b/magpieshift/lab/capacity/fit.py
@@ -1,9 +1,9 @@
 """Fits cost against size by a power law with an intercept, ``y = intercept + slope * x ** exponent``.
 
-Residuals are relative: each measurement is weighted by one over its value, since noise grows with the
-cost. Costs don't go below zero, so neither intercept nor slope does. The interval of the exponent is that of
-the profile likelihood: all exponents under which the residuals are not significantly larger than under the
-best.
+Residuals are relative: each measurement is weighted by the inverse of its value, because noise grows with
+the cost. Costs are never negative, so intercept and slope are at least zero. The confidence interval of the
+exponent comes from the profile likelihood: it contains all exponents whose residuals are not significantly
+larger than those of the best one.
 """
 
 from __future__ import annotations
@@ -18,21 +18,22 @@
 Floats = NDArray[np.float64]
 
 EXPONENTS = np.arange(0.02, 3.0 + 1e-9, 0.02)
-MIN_SIZES = 3  # as many as the law has parameters
-NORMAL_QUANTILE = 1.96  # two-sided 95%
-MIN_RELATIVE_RESIDUAL = 1e-9  # relative; below it a fit is exact
+MIN_SIZES = 3  # the number of parameters of the power law
+NORMAL_QUANTILE = 1.96  # two-sided 95% interval
+MIN_RELATIVE_RESIDUAL = 1e-9  # a smaller relative residual counts as an exact fit
 MIN_SUPERLINEAR_EXPONENT = 1.1
-"""Growth is called superlinear where the exponent's interval lies above this: by a factor of ten in size, an
-exponent of 1.1 adds a quarter to a linear forecast, which is the error that a forecast may have."""
+"""Growth is superlinear if the whole interval of the exponent lies above this. Over a factor of ten in size,
+an exponent of 1.1 adds a quarter to a linear prediction, and a quarter is the largest error that a prediction
+may have."""
 
 
 class UnfitError(ValueError):
-    """There are too few sizes for a fit."""
+    """Too few sizes were measured for a fit."""
 
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """One measurement: ``cost`` of a role at a ``size``."""
+    """One measurement: the ``cost`` of a resource at a ``size``."""
 
     size: float
     cost: float
@@ -40,9 +41,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """A fitted law. ``exponent`` is 1 wherever its interval contains 1, as of all laws that the measurements
-    allow the linear one is the simplest, and 0 where nothing grows; ``interval`` is that of the exponent at
-    95%."""
+    """A fitted power law. ``interval`` is the 95% confidence interval of the exponent. If it contains 1,
+    ``exponent`` is 1, because the linear law is the simplest one that the measurements allow. ``exponent`` is
+    0 if the cost does not grow."""
 
     intercept: float
     slope: float
@@ -50,18 +51,18 @@
     interval: tuple[float, float]
 
     def cost_at(self, size: float) -> float:
-        """The cost at a size."""
+        """The fitted cost at a size."""
         return float(self.intercept + self.slope * size**self.exponent)
 
     @property
     def superlinear(self) -> bool:
-        """Whether the cost grows faster than the size."""
+        """Whether the cost grows significantly faster than the size."""
         return self.interval[0] > MIN_SUPERLINEAR_EXPONENT
 
 
 @dataclass(frozen=True, slots=True)
 class _Law:
-    """The least-squares law under one exponent, and the sum of its squared relative residuals."""
+    """The least-squares fit for one fixed exponent, with the sum of its squared relative residuals."""
 
     intercept: float
     slope: float
@@ -69,7 +70,7 @@
 
 
 def fit(points: Sequence[Point]) -> Fit:
-    """The law of these measurements; ``UnfitError`` with less than ``MIN_SIZES`` sizes."""
+    """Fit a power law to measurements; ``UnfitError`` for fewer than ``MIN_SIZES`` different sizes."""
     if len({point.size for point in points}) < MIN_SIZES:
         raise UnfitError(f"found {len({p.size for p in points})} sizes, expected at least {MIN_SIZES}")
     sizes = np.array([point.size for point in points])
@@ -86,7 +87,7 @@
 
 
 def _weighted_fit(sizes: Floats, costs: Floats, exponent: float) -> _Law:
-    """Weighted least squares with both parameters at least zero."""
+    """Weighted least squares for one exponent, with intercept and slope at least zero."""
     weights = 1.0 / np.maximum(np.abs(costs), 1e-3 * np.abs(costs).max())
     target = costs * weights
     constant = weights
@@ -103,7 +104,7 @@
 
 
 def _interval(laws: Mapping[float, _Law], points: int) -> tuple[float, float]:
-    """The exponents whose residual is within what chance adds to the smallest one."""
+    """The range of the exponents whose residuals are not significantly larger than the smallest one."""
     degrees_of_freedom = max(1, points - MIN_SIZES)
     smallest = max(min(law.residual for law in laws.values()), points * MIN_RELATIVE_RESIDUAL**2)
     bound = smallest * (1.0 + _student_quantile(degrees_of_freedom) ** 2 / degrees_of_freedom)
@@ -112,8 +113,8 @@
 
 
 def _student_quantile(degrees_of_freedom: int) -> float:
-    """The two-sided 95% quantile of Student's distribution (Cornish-Fisher expansion, within 2% from three
-    degrees of freedom on)."""
+    """The two-sided 95% quantile of Student's distribution, by the Cornish-Fisher expansion; its error is
+    within 2% from three degrees of freedom on."""
     z = NORMAL_QUANTILE
     first = (z**3 + z) / 4
     second = (5 * z**5 + 16 * z**3 + 3 * z) / 96
@@ -121,8 +122,8 @@
 
 
 def prediction_error(points: Sequence[Point]) -> float:
-    """How far a fit on the sizes up to half of the largest is from the cost measured at the largest, as a
-    part of that cost; infinite where there are too few sizes up to half, or the cost there is zero."""
+    """The relative error of predicting the cost at the largest size from a fit of the sizes up to half of it.
+    Infinite if too few sizes are that small, or if the measured cost is zero and the predicted one is not."""
     largest = max(point.size for point in points)
     measured = float(np.median([point.cost for point in points if point.size == largest]))
     try:
--- a/magpieshift/lab/capacity/fleet.py
+++ b/magpieshift/lab/capacity/fleet.py
@@ -1,28 +1,28 @@
-"""The fleet that capacity is worked out for: all figures of its size stand here, and nowhere else."""
+"""Size, load and budgets of the target fleet. Capacity code takes all such figures from here."""
 
 from __future__ import annotations
 
-# the product's target, as its operators state it
+# the target stated by the product's operators
 ROUTERS = 4_800
 SITES = 370
 ZONES = 24
 REGIONS = 10
 CACHES = 1_000
-REQUESTS_PER_S = 2_900_000  # at the peak, all routers together
-BITS_PER_S = 16e12  # of responses, likewise
+REQUESTS_PER_S = 2_900_000  # peak of the whole fleet
+BITS_PER_S = 16e12  # responses at the peak of the whole fleet
 PURGES_PER_S = 110
 VERSIONS_PER_DAY = 20_000
 CONTROL_MACHINES = 20
-PURGE_DONE_S = 9.7  # from acceptance to the last router
-VERSION_IN_FORCE_S = 4.0  # from publication to the last router
+PURGE_DONE_S = 9.7  # from the acceptance of a purge until the last router has applied it
+VERSION_IN_FORCE_S = 4.0  # from the publication of a version until it is in force on the last router
 
-CONTROL_CPU_PERCENT = 2.1  # of a core, a router
-CONTROL_MB = 32.0  # a router
-CONTROL_BYTES_PER_S = 5_000  # a router
+CONTROL_CPU_PERCENT = 2.1  # of a core on each router
+CONTROL_MB = 32.0  # on each router
+CONTROL_BYTES_PER_S = 5_000  # on each router
 
 DAY_S = 86_400
 VERSIONS_PER_S = VERSIONS_PER_DAY / DAY_S
-REQUESTS_PER_ROUTER_S = REQUESTS_PER_S / ROUTERS  # at the mean router
+REQUESTS_PER_ROUTER_S = REQUESTS_PER_S / ROUTERS  # mean over all routers
 BYTES_PER_ROUTER_S = BITS_PER_S / 8 / ROUTERS
 BYTES_PER_REQUEST = BITS_PER_S / 8 / REQUESTS_PER_S
 ROUTERS_PER_ZONE = ROUTERS // ZONES
--- a/magpieshift/lab/capacity/listening_process.py
+++ b/magpieshift/lab/capacity/listening_process.py
@@ -1,4 +1,4 @@
-"""A ``magpieshift`` command as a process of its own that listens at a free port and logs it."""
+"""Runs a ``magpieshift`` command as a separate process that listens on a free port and logs the port."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from collections.abc import AsyncIterator
 from dataclasses import dataclass
 
-START_TIMEOUT_S = 30.0  # until the process has logged its port
+START_TIMEOUT_S = 30.0  # until the process logs its port
 PORT = re.compile(r"\bport=(\d+)")
-MAX_LOG_CHARACTERS = 500  # of the log's end in the error of a process that did not start
+MAX_LOG_CHARACTERS = 500  # end of the log that is quoted in the error if the process does not start
 
 
 @dataclass(frozen=True, slots=True)
 class ListeningProcess:
-    """A started process, and the port of loopback that it listens at."""
+    """A started process and the loopback port that it listens on."""
 
     pid: int
     port: int
@@ -26,8 +26,8 @@
 async def listening_process(
     description: str, *arguments: str, event: str = ""
 ) -> AsyncIterator[ListeningProcess]:
-    """``magpieshift`` with these arguments, until the block ends; its port is taken from the first line of
-    its log that has one and contains ``event``. ``RuntimeError`` where it ends before."""
+    """Run ``magpieshift`` with these arguments until the block ends. The port is read from the first log line
+    that has a port and contains ``event``. ``RuntimeError`` if the process ends before such a line."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -42,10 +42,11 @@
     try:
         async with asyncio.timeout(START_TIMEOUT_S):
             port = await _logged_port(process.stderr, description, event)
-        log_reader = asyncio.ensure_future(process.stderr.read())  # a full pipe would stop the process
+        log_reader = asyncio.ensure_future(process.stderr.read())  # a full pipe would block the process
         yield ListeningProcess(process.pid, port)
     finally:
-        if process.returncode is None:  # an ended one raises, which would hide why it has ended
+        # kill() raises for an ended process, which would hide the original error
+        if process.returncode is None:
             process.kill()
         await process.wait()
         if log_reader is not None:
--- a/magpieshift/lab/capacity/log_process.py
+++ b/magpieshift/lab/capacity/log_process.py
@@ -1,7 +1,8 @@
-"""The emulated change log as a process of its own, so that its processor time is not that of its readers.
+"""Runs the emulated change log as a separate process, so that its processor time is not mixed with that of
+its readers.
 
-``python -m magpieshift.lab.capacity.log_process RATE`` prints its port and sends purges at this even rate
-until its standard input ends.
+``python -m magpieshift.lab.capacity.log_process RATE`` prints its port and sends RATE purges a second, evenly
+spaced, until standard input ends.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 
 from magpieshift.lab.emulators import peers
 
-SEED = 1  # of the objects drawn: every run purges the same ones
+SEED = 1  # of the random object ids: every run purges the same objects
 
 
 async def send_purges(log: peers.ChangeLog, rate: float) -> None:
-    """Send purges of objects drawn from all ids at an even rate, until cancelled."""
+    """Send evenly spaced purges of random 64-bit object ids until cancelled."""
     rng = random.Random(SEED)
     started_s = time.monotonic()
     sent = 0
@@ -28,7 +29,7 @@
 
 
 async def serve(rate: float) -> None:
-    """Serve a log until standard input ends."""
+    """Serve the change log until standard input ends."""
     log = peers.ChangeLog()
     await log.start()
     print(log.port, flush=True)
--- a/magpieshift/lab/capacity/measure.py
+++ b/magpieshift/lab/capacity/measure.py
@@ -1,4 +1,4 @@
-"""Measures roles in turns over their sizes, and works out a row for each role and resource."""
+"""Measures roles at all their sizes in random order, and derives one row for each role and resource."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 from magpieshift.lab.capacity.fit import Fit, Point, UnfitError, fit, prediction_error
 from magpieshift.lab.capacity.role import Resource, Role, Sample
 
-MAX_PREDICTION_ERROR = 0.25  # of a prediction; above it nothing is extrapolated
+MAX_PREDICTION_ERROR = 0.25  # relative error at the largest size; above it, nothing is extrapolated
 MAX_EXTRAPOLATION_FACTOR = 64.0
-"""Nothing is extrapolated to more than this many times the largest size measured: the prediction that a fit
-has to pass reaches over a factor of two, and an error of a quarter in it is one of four times over six such
-steps."""
+"""Largest extrapolation, as a multiple of the largest measured size. A fit is checked by a prediction over a
+factor of two; an error of a quarter there becomes a factor of about four over the six doublings up to 64."""
 MEASURED = "measured"
 FITTED = "fitted"
 SIMULATED = "simulated"
 UNMEASURED = "unmeasured at target"
 
-FULL_OBSERVATION_S = 1.5  # for which a started process is observed
-QUICK_OBSERVATION_S = 0.4  # the same in a trial
-MAX_PARALLEL_MEASUREMENTS = 3  # of a trial
+FULL_OBSERVATION_S = 1.5  # observation time of a started process in a full run
+QUICK_OBSERVATION_S = 0.4  # observation time of a started process in a trial
+MAX_PARALLEL_MEASUREMENTS = 3  # in a trial; a full run takes one at a time
 
 Progress = Callable[[str], None]
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """What one resource of one role costs; costs in ``unit``, None where nothing can be said."""
+    """The cost of one resource of one role. Costs are in ``unit``; None if neither measured nor
+    predictable."""
 
     role: str
     resource: str
@@ -45,31 +45,32 @@
     at_twice: float | None
     budget: float | None
     derivation: str
-    ratio: float | None  # at the target, to the budget
+    ratio: float | None  # cost at the target, divided by the budget
     intercept: float | None
     slope: float | None
     exponent: float | None
     interval: tuple[float, float] | None
     superlinear: bool
-    prediction_error: float | None  # None where too few sizes were measured for a prediction
-    how: str  # MEASURED, FITTED, SIMULATED or UNMEASURED, at the target
+    prediction_error: float | None  # relative; None if too few sizes were measured for a prediction
+    how: str  # where the cost at the target is from: MEASURED, FITTED, SIMULATED or UNMEASURED
     measurements: int
     command: str
 
 
 @dataclass(slots=True)
 class Measurements:
-    """The outcome of all measurements: samples by a role's place in the list, and the failures, a line
-    each."""
+    """The outcome of all measurements: samples by the index of the role in the list, and one line for each
+    measurement that failed."""
 
     samples: dict[int, list[Sample]]
     failures: list[str] = field(default_factory=list)
 
 
 def measure_roles(roles: Sequence[Role], seed: int, quick: bool, progress: Progress) -> Measurements:
-    """Every round measures every size of every role once, in an order drawn from the seed, so that a slow
-    minute of the machine affects all alike. A measurement that fails is reported and left out. A trial
-    (``quick``) is one round, of fewer sizes and several measurements at once."""
+    """Measure all roles. Each round measures every size of every role once, in a random order derived from
+    the seed, so that a slow period of the machine does not affect one role more than others. A failed
+    measurement is reported and left out. A trial (``quick``) is one round of fewer sizes, with several
+    measurements at once."""
     rng = random.Random(seed)
     measurements = Measurements({role_index: [] for role_index in range(len(roles))})
     rounds = 1 if quick else max(role.repeats for role in roles)
@@ -99,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Measurement:
-    """One measurement to take."""
+    """A scheduled measurement of one role at one size."""
 
     role_index: int
     role: Role
@@ -112,15 +113,15 @@
 
 
 def _outcome(measurement: _Measurement) -> Sample | str:
-    """The sample, or why there is none."""
+    """Take a measurement; returns the sample, or the reason for the failure."""
     try:
         return measurement.role.measure(measurement.size, measurement.seed, measurement.duration_s)
-    except (OSError, RuntimeError) as err:  # a timeout is an OSError
+    except (OSError, RuntimeError) as err:  # TimeoutError is an OSError
         return f"{type(err).__name__}: {err}".removesuffix(": ")
 
 
 def _outcomes_in_parallel(order: Sequence[_Measurement]) -> Iterator[Sample | str]:
-    """Outcomes from several processes, in this order."""
+    """Take the measurements in several processes; yields the outcomes in the given order."""
     with ProcessPoolExecutor(
         MAX_PARALLEL_MEASUREMENTS, mp_context=multiprocessing.get_context("spawn")
     ) as pool:
@@ -128,18 +129,18 @@
 
 
 def show_progress(line: str) -> None:
-    """A progress line, if standard error is a terminal."""
+    """Replace the progress line on standard error, if that is a terminal."""
     if sys.stderr.isatty():
         print(f"\r\x1b[K{line}", end="", file=sys.stderr, flush=True)
 
 
 def rows(role: Role, samples: Sequence[Sample]) -> list[Row]:
-    """A row for each resource of a role; none where no measurement came through."""
+    """A row for each resource of a role; empty if all its measurements failed."""
     return [row(role, resource, samples) for resource in role.resources] if samples else []
 
 
 def row(role: Role, resource: Resource, samples: Sequence[Sample]) -> Row:
-    """The row of one resource, from these samples."""
+    """The row of one resource, derived from the samples of its role."""
     points = [Point(sample.size, sample.costs[resource.name]) for sample in samples]
     law = _fit_or_none(points)
     error = prediction_error(points)
@@ -184,7 +185,7 @@
 
 
 def _cost(points: Sequence[Point], law: Fit | None, size: float) -> float | None:
-    """The cost at a size: the median where it was measured, by the law where one is trusted."""
+    """The cost at a size: the median of its measurements, otherwise the fitted cost, otherwise None."""
     measured = [point.cost for point in points if point.size == size]
     if measured:
         return statistics.median(measured)
@@ -200,5 +201,5 @@
 
 
 def _three_digits(value: float | None) -> float | None:
-    """Three significant digits: no measurement here is better."""
+    """Round to three significant digits; no measurement here is more precise."""
     return float(f"{value:.3g}") if value is not None else None
--- a/magpieshift/lab/capacity/page.py
+++ b/magpieshift/lab/capacity/page.py
@@ -1,4 +1,4 @@
-"""The capacity page: its tables stand between markers and are made from the saved results.
+"""The capacity page. Its tables stand between markers and are generated from the saved results.
 
 A marker is ``<!-- capacity NAME -->`` and ends with ``<!-- end -->``; NAME is one of ``SECTIONS``.
 """
@@ -16,7 +16,7 @@
 
 PAGE = Path(REPOSITORY_ROOT) / "docs" / "CAPACITY.md"
 RESULTS_FOLDER = Path(REPOSITORY_ROOT) / "docs" / "capacity"
-RESULT_NAMES = ("as-it-stood", "before", "after", "fan-out", "folder")  # results by name of their file
+RESULT_NAMES = ("as-it-stood", "before", "after", "fan-out", "folder")  # of the result files, oldest first
 
 SECTION_PATTERN = re.compile(r"(<!-- capacity ([a-z-]+) -->\n)(.*?)(<!-- end -->)", re.DOTALL)
 
@@ -47,7 +47,7 @@
     "commands": ("operator's commands",),
     "capture": ("capture",),
 }
-"""Sections with the tables of roles."""
+"""Sections with a table of roles, and the names of these roles."""
 
 SECTIONS: Mapping[str, Callable[[Results], str]] = {
     "origins": tables.origins,
@@ -62,11 +62,11 @@
     "scale": scale_tables.runs,
     "calibration": scale_tables.calibrations,
 }
-"""Sections with what ``lab scale`` saved in the folder of results."""
+"""Sections generated from the results of ``lab scale`` in the results folder."""
 
 
 def load_results(folder: Path = RESULTS_FOLDER) -> Results:
-    """The saved results by name; ``ConfigError`` where there are none or one cannot be read."""
+    """The saved results by name; ``ConfigError`` if there are none, or if one cannot be read."""
     found = {name: folder / f"{name}.json" for name in RESULT_NAMES}
     loaded = {name: results.load(path) for name, path in found.items() if path.is_file()}
     if not loaded:
@@ -75,8 +75,8 @@
 
 
 def regenerate(text: str, found: Results, folder: Path = RESULTS_FOLDER) -> str:
-    """The page with all that stands between markers made anew; ``ConfigError`` where a section is unknown
-    or missing."""
+    """The page with all text between markers regenerated; ``ConfigError`` if a section is unknown, missing or
+    repeated."""
     names = [match[2] for match in SECTION_PATTERN.finditer(text)]
     known = [*SECTIONS, *ROLE_SECTIONS, *SCALE_SECTIONS]
     for name in known:
@@ -100,7 +100,7 @@
 
 
 def rewrite(path: Path = PAGE, folder: Path = RESULTS_FOLDER) -> bool:
-    """Make the page's tables anew; whether that changed anything."""
+    """Regenerate the tables of the page file; returns whether the file changed."""
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as err:
--- a/magpieshift/lab/capacity/processor.py
+++ b/magpieshift/lab/capacity/processor.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of processes, as the kernel counts them."""
+"""Processor time and memory of processes, read from the kernel."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-CPUCLOCK_SCHED = 2  # of the kernel's interface: a process's clock of user and system time
+CPUCLOCK_SCHED = 2  # kernel constant that selects a process's clock of user and system time
 
 
 def processor_s(pid: int) -> float:
-    """Processor seconds of a process and its threads so far, to the nanosecond; ``OSError`` where it has
-    ended. The clock's number is that of clock_getcpuclockid(3)."""
+    """Processor seconds used so far by a process and all its threads, with nanosecond resolution. ``OSError``
+    if the process has ended. The clock id is computed as in clock_getcpuclockid(3)."""
     return time.clock_gettime((~pid << 3) | CPUCLOCK_SCHED)
 
 
 def resident_mb(pid: int) -> float:
-    """Resident memory of a process in megabytes (10**6 bytes)."""
+    """Resident memory of a process in megabytes (10**6 bytes); ``OSError`` if the process has ended."""
     status = Path(f"/proc/{pid}/status").read_text()
     found = re.search(r"VmRSS:\s+(\d+) kB", status)
     if found is None:
@@ -28,14 +28,15 @@
 
 
 class ProcessorTime:
-    """Processor seconds that a block took."""
+    """Processor seconds used by a block; set when the block ends."""
 
     seconds = 0.0
 
 
 @contextmanager
 def count_processor_time() -> Iterator[ProcessorTime]:
-    """Count this process's processor time in a block, without pauses for garbage of earlier ones."""
+    """Count this process's processor time in a block. Garbage is collected before, and collection is off
+    within the block, so that garbage of earlier measurements does not count."""
     spent = ProcessorTime()
     gc.collect()
     gc.disable()
--- a/magpieshift/lab/capacity/results.py
+++ b/magpieshift/lab/capacity/results.py
@@ -1,4 +1,4 @@
-"""Results as they are saved: the rows, and which code, machine and seed they come from."""
+"""Saved results: the rows, and the code, machine and seed that they come from."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """Where a result comes from."""
+    """The origin of a result."""
 
     command: str
     commit: str  # of the router that was measured
@@ -29,24 +29,24 @@
     cores: int
     python: str
     took_s: float
-    failures: tuple[str, ...] = ()  # measurements that are missing, and why
+    failures: tuple[str, ...] = ()  # one line for each failed measurement, with the reason
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """A run of all requested roles."""
+    """The result of one run over the requested roles."""
 
     origin: Origin
     rows: tuple[Row, ...]
 
     def to_json(self) -> str:
-        """As JSON, a row a line, so that a difference between two results is read by the line."""
+        """The result as JSON with one row a line, so that a line diff of two results is readable."""
         rows = ",\n".join("  " + json.dumps(asdict(row)) for row in self.rows)
         return f'{{"origin": {json.dumps(asdict(self.origin))},\n"rows": [\n{rows}\n]}}\n'
 
 
 def origin(command: str, folder: str, seed: int, took_s: float, failures: Sequence[str]) -> Origin:
-    """The origin of a run that measured the router in this folder."""
+    """The origin of a run that measured the router of the checkout in ``folder``."""
     now = datetime.datetime.now(datetime.UTC).isoformat(timespec="seconds")
     cores = os.cpu_count() or 0
     python = platform.python_version()
@@ -54,7 +54,7 @@
 
 
 def _commit(folder: str) -> str:
-    """The commit of a checkout, with a mark where files differ from it."""
+    """The commit of a checkout, with the suffix ``-dirty`` if tracked files differ from it."""
     try:
         found = subprocess.run(
             ["git", "-C", folder, "describe", "--always", "--abbrev=7", "--dirty"],
@@ -69,7 +69,7 @@
 
 
 def save(result: Result, path: str) -> None:
-    """Write a result; ``ConfigError`` where that cannot be."""
+    """Write a result; ``ConfigError`` if the file cannot be written."""
     try:
         Path(path).write_text(result.to_json(), encoding="utf-8")
     except OSError as err:
@@ -77,7 +77,7 @@
 
 
 def load(path: Path) -> Result:
-    """Read a result; ``ConfigError`` where it is none."""
+    """Read a result; ``ConfigError`` if the file cannot be read or is not a result."""
     try:
         data = json.loads(path.read_text(encoding="utf-8"))
         rows = tuple(_row_from_json(row) for row in data["rows"])
@@ -92,11 +92,11 @@
 def _row_from_json(data: dict[str, Any]) -> Row:
     wanted = {field.name for field in fields(Row)}
     if set(data) != wanted:
-        raise ValueError(f"a row with {sorted(set(data) ^ wanted)} amiss")
+        raise ValueError(f"row has missing or unknown fields {sorted(set(data) ^ wanted)}")
     interval = data["interval"]
     return Row(**(data | {"interval": tuple(interval) if interval is not None else None}))
 
 
 def ranked(rows: Sequence[Row]) -> list[Row]:
-    """By ratio to budget, the largest first; rows without one after them."""
+    """Rows sorted by ratio to the budget, the largest first; rows without a ratio come last."""
     return sorted(rows, key=lambda row: (row.ratio is None, -(row.ratio or 0.0), row.role, row.resource))
--- a/magpieshift/lab/capacity/role.py
+++ b/magpieshift/lab/capacity/role.py
@@ -1,4 +1,4 @@
-"""A role of the fleet as the laboratory sees it: its size, its costs and their budgets."""
+"""A role of the fleet as the laboratory measures it: its sizes, its resources and their budgets."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """What a resource may cost at the target, in the resource's unit, and how that was derived."""
+    """The largest cost allowed at the target size, in the resource's unit, and how it was derived."""
 
     limit: float
     derivation: str
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resource:
-    """A cost of a role. Only those with a budget are ranked."""
+    """A resource that a role uses. Only resources with a budget are ranked."""
 
     name: str
     unit: str
@@ -33,49 +33,49 @@
 
 
 class Role(Protocol):
-    """A role as the laboratory measures it."""
+    """A part of the fleet whose cost is measured at several sizes."""
 
     @property
     def name(self) -> str:
-        """The role's name, as in saved results and ``--role``."""
+        """The role's name in saved results and in ``--role``."""
         ...
 
     @property
     def quantity(self) -> str:
-        """What grows: the unit of sizes."""
+        """The quantity that grows, such as routers or purges a second; sizes are counted in it."""
         ...
 
     @property
     def target(self) -> float:
-        """What the target fleet has of it."""
+        """The size in the target fleet."""
         ...
 
     @property
     def sizes(self) -> Sequence[float]:
-        """The sizes measured."""
+        """The sizes that a full run measures."""
         ...
 
     @property
     def quick_sizes(self) -> Sequence[float]:
-        """The sizes of a trial; empty where even one takes long."""
+        """The sizes that a trial measures; empty if even one takes too long for a trial."""
         ...
 
     @property
     def repeats(self) -> int:
-        """Measurements of each size."""
+        """How often a full run measures each size."""
         ...
 
     @property
     def simulated(self) -> bool:
-        """Whether state machines run on a simulated clock and network."""
+        """Whether the role runs state machines on a simulated clock and network."""
         ...
 
     @property
     def resources(self) -> Sequence[Resource]:
-        """The costs that are measured."""
+        """The resources that are measured."""
         ...
 
     def measure(self, size: float, seed: int, duration_s: float) -> Sample:
-        """One measurement; processor times, never wall times. A started process is watched ``for_s``
-        seconds."""
+        """Take one measurement. Times are processor time, never wall time. A role that starts a process
+        observes it for ``duration_s`` seconds."""
         ...
--- a/magpieshift/lab/capacity/routers.py
+++ b/magpieshift/lab/capacity/routers.py
@@ -1,4 +1,5 @@
-"""A started router between emulated neighbours, for roles that measure a whole process."""
+"""Starts a router with emulated endpoints and an emulated change log, for roles that measure a whole
+process."""
 
 from __future__ import annotations
 
@@ -16,14 +17,14 @@
 from magpieshift.lab.experiments.cost import Variant, started
 
 REPOSITORY_ROOT = str(Path(__file__).resolve().parents[3])
-CATCH_UP_TIMEOUT_S = 60.0  # for all that the change log has sent
-POLL_INTERVAL_S = 0.02  # between looks at the router's log
-MAX_START_ATTEMPTS = 4  # each at another port
+CATCH_UP_TIMEOUT_S = 60.0  # for the router to apply all events that the change log has sent
+POLL_INTERVAL_S = 0.02  # of the router's log file
+MAX_START_ATTEMPTS = 4  # each with another port
 PORT_TAKEN = "Address already in use"
 
 
 class CountingChangeLog(peers.ChangeLog):
-    """The emulated change log, which counts the bytes that it writes."""
+    """The emulated change log, which counts the events it sends and the bytes it writes."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -31,7 +32,7 @@
         self.events_sent = 0
 
     def publish(self, **event: object) -> None:
-        """Send an event to all watches, and count it."""
+        """Send an event to all watches and count it."""
         super().publish(**event)
         self.events_sent += 1
 
@@ -40,19 +41,19 @@
 
 
 class CountingWriter:
-    """A stream writer that adds what is written to a log's count."""
+    """A stream writer that adds the bytes written to the count of a change log."""
 
     def __init__(self, writer: asyncio.StreamWriter, log: CountingChangeLog) -> None:
         self._writer = writer
         self._log = log
 
     def write(self, data: bytes) -> None:
-        """Write data, and count its bytes."""
+        """Write data and count its bytes."""
         self._log.bytes_written += len(data)
         self._writer.write(data)
 
     async def drain(self) -> None:
-        """Wait until the transport takes more."""
+        """Wait until the transport accepts more data."""
         await self._writer.drain()
 
     def close(self) -> None:
@@ -61,7 +62,7 @@
 
 
 class CountingInstallation(LoopbackInstallation):
-    """Emulated neighbours of a router, with a change log that counts."""
+    """The emulated endpoints of a router, with a change log that counts bytes and events."""
 
     change_log: CountingChangeLog
 
@@ -70,7 +71,7 @@
         self.change_log = CountingChangeLog()
 
     def purge(self, rng: random.Random, created_s: float) -> None:
-        """Send one purge of an object drawn from all 64-bit ids, made at this Unix time."""
+        """Send one purge of a random 64-bit object id, created at this Unix time."""
         self.change_log.publish(
             invalidate={"object": f"{rng.getrandbits(64):016x}", "time": int(created_s * 1000)}
         )
@@ -78,16 +79,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """What the kernel and the emulated change log have counted of a router so far."""
+    """The processor time, memory and change log bytes of a router at one moment."""
 
     processor_s: float
     memory_mb: float
     log_bytes: int
-    at_s: float  # steady clock
+    at_s: float  # monotonic clock
 
 
 class StartedRouter:
-    """A router that serves, and its world."""
+    """A started router and its emulated installation."""
 
     def __init__(self, installation: CountingInstallation, pid: int, log: Path) -> None:
         self.installation = installation
@@ -95,7 +96,7 @@
         self._log = log
 
     def read(self) -> Reading:
-        """The counts now."""
+        """Read the current counts."""
         return Reading(
             processor_s(self.pid),
             resident_mb(self.pid),
@@ -104,8 +105,8 @@
         )
 
     async def wait_until_caught_up(self) -> None:
-        """Wait until the router has applied all that its change log has sent; ``TimeoutError`` where it
-        does not."""
+        """Wait until the router has applied all events that its change log has sent; ``TimeoutError`` after
+        ``CATCH_UP_TIMEOUT_S``."""
         last = f"seq={self.installation.change_log.events_sent}"
         async with asyncio.timeout(CATCH_UP_TIMEOUT_S):
             while last not in self._log.read_text().split():
@@ -114,7 +115,8 @@
 
 @contextlib.asynccontextmanager
 async def started_router(folder: str = REPOSITORY_ROOT, caches: int = 1) -> AsyncIterator[StartedRouter]:
-    """The router of a checkout, started as the platform does, beside a list of so many caches."""
+    """Start the router of a checkout as the platform does, with an endpoint list of ``caches`` caches, and
+    wait until it has caught up."""
     async with contextlib.AsyncExitStack() as stack:
         router = await start_router(stack, folder, caches)
         await router.wait_until_caught_up()
@@ -122,7 +124,7 @@
 
 
 async def _no_arguments(installation: CountingInstallation) -> Sequence[str]:
-    """The arguments after ``-m magpieshift`` of a router as the platform starts it: none."""
+    """The command line arguments with which the platform starts a router: none."""
     return ()
 
 
@@ -132,8 +134,9 @@
     caches: int = 1,
     arguments: Callable[[CountingInstallation], Awaitable[Sequence[str]]] = _no_arguments,
 ) -> StartedRouter:
-    """A router that serves, until the stack is closed; another port is tried where the free one was
-    taken meanwhile. ``arguments`` returns those of its command line, once its world is there."""
+    """Start a router that serves until the stack is closed. If another process has taken the chosen port, the
+    start is repeated with another port. ``arguments`` returns the router's command line arguments; it is
+    called once the emulated installation is running."""
     for _ in range(MAX_START_ATTEMPTS):
         installation = CountingInstallation()
         stack.callback(installation.stop)
@@ -150,7 +153,7 @@
 
 
 class StartedRouterRole:
-    """Base of the roles that start the router of a checkout."""
+    """Base class of the roles that start the router of a checkout."""
 
     def __init__(self, folder: str = REPOSITORY_ROOT) -> None:
         self._folder = folder
--- a/magpieshift/lab/capacity/scale_tables.py
+++ b/magpieshift/lab/capacity/scale_tables.py
@@ -1,4 +1,5 @@
-"""Tables of what ``lab scale`` saved: runs of hollow routers, and their calibration against real ones."""
+"""Tables of results saved by ``lab scale``: runs of hollow routers, and their calibration against real
+routers."""
 
 from __future__ import annotations
 
@@ -34,7 +35,7 @@
 
 
 def runs(folder: Path) -> str:
-    """A row for each saved run."""
+    """The table of runs, one row for each saved run."""
     rows = []
     for path in sorted(folder.glob(RUN_FILES), key=_by_size):
         saved = _load(path)
@@ -46,7 +47,8 @@
 
 
 def calibrations(folder: Path) -> str:
-    """A row for each size that was calibrated: hollow routers' cost as a part of real ones'."""
+    """The table of calibrations, one row for each size: the cost of hollow routers divided by that of real
+    ones."""
     rows = []
     for path in sorted(folder.glob(CALIBRATION_FILES), key=_by_size):
         saved = _load(path)
@@ -59,7 +61,7 @@
 
 
 def _ratio(row: Mapping[str, Any], key: str) -> str:
-    """A ratio of means and its spread over the runs."""
+    """The ratio of the means and its range over the runs."""
     ratio, low, high = (row.get(f"{key}_ratio{end}") for end in ("", "_low", "_high"))
     if ratio is None:
         return NO_VALUE
@@ -80,7 +82,9 @@
         )
         missing = [key for key in expected_keys if key not in figures]
         if missing or not saved["commit"]:
-            raise ValueError(f"no {' '.join(missing) or 'commit'}")
+            raise ValueError(f"missing {' '.join(missing) or 'commit'}")
     except (OSError, ValueError, TypeError, KeyError) as err:
-        raise ConfigError(f"{path}: found {type(err).__name__}: {err}, expected a result of scale") from err
+        raise ConfigError(
+            f"{path}: found {type(err).__name__}: {err}, expected a result of lab scale"
+        ) from err
     return dict(saved)
--- a/magpieshift/lab/capacity/tables.py
+++ b/magpieshift/lab/capacity/tables.py
@@ -1,4 +1,4 @@
-"""Tables of saved results, as Markdown."""
+"""Markdown tables of saved results."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from magpieshift.lab.capacity.measure import Row
 from magpieshift.lab.capacity.results import Result, ranked
 
-Results = Mapping[str, Result]  # by name, in the order in which they were taken
+Results = Mapping[str, Result]  # by name, oldest first
 
-MAX_INTERVAL_WIDTH = 2.0  # of an exponent's interval; a wider one is inconclusive
+MAX_INTERVAL_WIDTH = 2.0  # of the exponent's confidence interval; a wider interval is inconclusive
 NO_VALUE = "–"
 INCONCLUSIVE = "not told"
 
@@ -21,7 +21,8 @@
 
 
 def format_number(value: float | None) -> str:
-    """Three digits, with commas between thousands."""
+    """A number for a table: three significant digits below 100, otherwise rounded to a whole number with
+    commas between thousands."""
     if value is None:
         return NO_VALUE
     if value >= 100 or value == int(value):
@@ -30,7 +31,7 @@
 
 
 def format_exponent(row: Row) -> str:
-    """The exponent and its interval, where the measurements determine one."""
+    """The exponent and its confidence interval, if the measurements determine one."""
     if row.exponent is None or row.interval is None:
         return NO_VALUE
     if row.exponent == 0:
@@ -41,12 +42,12 @@
 
 
 def format_prediction_error(row: Row) -> str:
-    """The error of the prediction, in percent."""
+    """The prediction error in percent."""
     return NO_VALUE if row.prediction_error is None else f"{100 * row.prediction_error:.0f}%"
 
 
 def origins(results: Results) -> str:
-    """Which run each result comes from."""
+    """A table of the runs that the results come from."""
     head = ("result", "command", "commit", "seed", "UTC", "cores", "Python", "s", "failed")
     rows = []
     for name, result in results.items():
@@ -69,7 +70,8 @@
 
 
 def ranking(results: Results) -> str:
-    """Roles by ratio to budget in the newest result that has one, the largest first, with all ratios."""
+    """A table of resources by their ratio to the budget, the largest first. The order uses the newest result
+    that has a ratio; the table shows the ratios of all results."""
     newest: dict[tuple[str, str], Row] = {}
     for row in (row for result in results.values() for row in result.rows):
         if row.ratio is not None or (row.role, row.resource) not in newest:
@@ -91,7 +93,7 @@
 
 
 def superlinear(results: Results) -> str:
-    """What grows faster than linearly, by name."""
+    """A list of the resources whose cost grows faster than linearly, for each result."""
     lines = [
         f"- {name}: {row.role}, {row.resource}, by {row.by}: exponent {format_exponent(row)}, measured to"
         f" {format_number(row.measured_to)}"
@@ -121,7 +123,7 @@
 
 
 def role_table(results: Results, *names: str) -> str:
-    """All that was measured of these roles: a line a resource and result."""
+    """A table of all measurements of these roles, one line for each resource and result."""
     chosen = [(name, row) for name, result in results.items() for row in result.rows if row.role in names]
     if not chosen:
         return "Not run."
@@ -137,7 +139,7 @@
 
 
 def _role_cells(result: str, row: Row) -> tuple[str, ...]:
-    """The cells of ``ROLE_COLUMNS`` for a row of this result."""
+    """The cells of one row of this result, in the order of ``ROLE_COLUMNS``."""
     return (
         f"{row.role}: {row.resource}",
         f"{row.by} ({format_number(row.target)})",
