--- a/magpieshift/lab/capacity/roles/__init__.py
+++ b/magpieshift/lab/capacity/roles/__init__.py
@@ -1,4 +1,4 @@
-"""The roles of a fleet, each with what it grows by and what it may cost."""
+"""The roles of a fleet, each with the quantity that it grows with and the budgets of its resources."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def every_role(router_folder: str = REPOSITORY_ROOT) -> list[Role]:
-    """All roles; routers that are started as the platform does are those of this folder."""
+    """All roles. Roles that start a router process start that of the checkout in ``router_folder``."""
     return [
         Decisions(),
         Objects(),
--- a/magpieshift/lab/capacity/roles/capture.py
+++ b/magpieshift/lab/capacity/roles/capture.py
@@ -1,4 +1,4 @@
-"""Capture: what recording a second of decisions costs, by requests in that second."""
+"""Capture: the cost of recording one second of decisions, by the number of requests in that second."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from magpieshift.policy.actions import SendCacheRequest, SendPlainRequest
 from magpieshift.policy.events import Event
 
-HALF_CORE_MS = 500.0  # a second
-MAX_RECORDING_FRACTION = 0.05  # of a request's processor time that recording may take
-CAPTURE_DURATION_S = 3600.0  # that a capture is to hold
+HALF_CORE_MS = 500.0  # half of a core, as processor time a second
+MAX_RECORDING_FRACTION = 0.05  # recording may add this fraction of the processor time that requests may take
+CAPTURE_DURATION_S = 3600.0  # that a capture has to hold
 MAX_CAPTURE_BYTES = 512e6  # that a capture may take on disk
 
 
 class RecordedRun(Run):
-    """Decisions that pass through a recorder."""
+    """A run whose decisions pass through a recorder, if there is one."""
 
     def __init__(self, caches: int, seed: int, recorder: Recorder | None) -> None:
         self._recorder = recorder
@@ -38,7 +38,8 @@
 
 
 class Capture:
-    """The same requests with and without recording; the writer's thread counts."""
+    """The same requests with and without recording. The processor time includes the capture's writer
+    thread."""
 
     name = "capture"
     quantity = "requests a second"
@@ -63,7 +64,7 @@
     )
 
     def measure(self, size: float, seed: int, duration_s: float) -> Sample:
-        """Run the same requests with and without a recorder; the difference is the cost."""
+        """Run the same requests with and without a recorder; the difference is the cost of recording."""
         requests = int(size)
         plain_s = self._processor_s(requests, seed, None)
         with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as folder:
--- a/magpieshift/lab/capacity/roles/changelog.py
+++ b/magpieshift/lab/capacity/roles/changelog.py
@@ -1,4 +1,4 @@
-"""Change-log source: what it costs to write the purges of the target to so many watches."""
+"""Change-log source: the cost of sending the target rate of purges to watches, by their number."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.capacity.roles.purges import RESIDENT
 
-SETTLE_S = 0.3  # after the watches connect
+SETTLE_S = 0.3  # wait between connecting the watches and the measurement
 WATCH_REQUEST = b"GET /changes HTTP/1.1\r\nHost: log\r\nAccept: text/event-stream\r\n\r\n"
 NETWORK_BYTES_PER_S = 125e6 / 2  # half of a gigabit a second
 
 
 class Watcher(asyncio.Protocol):
-    """One reader of the log, which counts bytes and does nothing else."""
+    """A watch of the change log that only counts the bytes it receives."""
 
     def __init__(self) -> None:
         self.bytes_received = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the request for events."""
+        """Request the event stream."""
         assert isinstance(transport, asyncio.Transport)
         transport.write(WATCH_REQUEST)
 
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogProcess:
-    """A started log."""
+    """A started change log process and its port."""
 
     pid: int
     port: int
@@ -45,7 +45,7 @@
 
 @contextlib.asynccontextmanager
 async def log_process(rate: float) -> AsyncIterator[LogProcess]:
-    """A change log in a process of its own that sends purges at this rate."""
+    """Run a change log in a separate process that sends this many purges a second."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -70,12 +70,13 @@
 
 
 class ChangeLogSource:
-    """The emulated log and watchers that take all at once: without a tier, every router is a watch."""
+    """The emulated change log with watchers that read without delay. Without the fan-out tier, every router
+    is a watch."""
 
     name = "change-log source"
     quantity = "watches"
     target = float(fleet.ROUTERS)
-    sizes = (10.0, 20.0, 40.0, 80.0, 160.0)  # one core is full at some 300
+    sizes = (10.0, 20.0, 40.0, 80.0, 160.0)  # about 300 watches saturate one core
     quick_sizes = (10.0, 20.0, 40.0, 80.0)
     repeats = 2
     simulated = False
@@ -86,7 +87,7 @@
     )
 
     def measure(self, size: float, seed: int, duration_s: float) -> Sample:
-        """Connect so many watches, and measure the log's process for a while."""
+        """Connect ``size`` watches and measure the change log's process for ``duration_s``."""
         return asyncio.run(self._measure(int(size), duration_s))
 
     async def _measure(self, watches: int, duration_s: float) -> Sample:
--- a/magpieshift/lab/capacity/roles/commands.py
+++ b/magpieshift/lab/capacity/roles/commands.py
@@ -1,4 +1,4 @@
-"""Operator's commands: what checking a settings file costs by its size."""
+"""Operator's commands: the cost of checking a settings file, by its number of zones."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ConfigCheck:
-    """``magpieshift config check`` of a file with so many zones, as a process."""
+    """A ``magpieshift config check`` process, by the number of zones in the settings file."""
 
     name = "operator's commands"
     quantity = "zones in the settings"
@@ -30,7 +30,7 @@
     )
 
     def measure(self, size: float, seed: int, duration_s: float) -> Sample:
-        """Check one settings file with so many zones."""
+        """Check one settings file with ``size`` zones."""
         text = sexp.format_document(settings(int(size)))
         with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as folder:
             path = Path(folder) / "settings.sexp"
--- a/magpieshift/lab/capacity/roles/control.py
+++ b/magpieshift/lab/capacity/roles/control.py
@@ -1,4 +1,5 @@
-"""Control service: what a version costs it by its followers, and what versions kept in its folder cost."""
+"""Control service: the cost of a version by the number of followers, and the cost of scanning the version
+folder by the number of versions in it."""
 
 from __future__ import annotations
 
@@ -24,9 +25,9 @@
 from magpieshift.lab.capacity.processor import count_processor_time, processor_s, resident_mb
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 
-MEASURED_VERSIONS = 2  # published in one measurement
-IN_FORCE_TIMEOUT_S = 30.0  # for all followers to have a version in force
-# in the folder, up to a day's
+MEASURED_VERSIONS = 2  # published and measured in one measurement
+IN_FORCE_TIMEOUT_S = 30.0  # for a version to be in force at all followers
+# numbers of versions in the folder; the largest is that of one day
 FOLDER_SIZES = (312.0, 625.0, 1250.0, 2500.0, 5000.0, 10_000.0, 20_000.0)
 IN_FORCE_BUDGET = Budget(
     1e3 * fleet.VERSION_IN_FORCE_S / 2, "half of the 4 s within which a version is in force"
@@ -34,16 +35,16 @@
 
 
 class Follower:
-    """A router's end of the control channel, which accepts every version."""
+    """The router's side of the control channel; it accepts every version at once."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.bytes_received = 0  # bytes, of messages
+        self.bytes_received = 0  # total size of the received messages
         self.in_force = VersionRecord(0, "", "lab", VersionState.IN_FORCE, 0)
         self.version_changed = asyncio.Event()
 
     async def follow(self, port: int) -> None:
-        """Follow until cancelled."""
+        """Follow the control service at this port until cancelled."""
         session = RouterSession()
         async with grpc.aio.insecure_channel(f"127.0.0.1:{port}", options=CLIENT_OPTIONS) as channel:
             call = channel.stream_stream(FOLLOW_METHOD)()
@@ -58,7 +59,7 @@
                 self.version_changed.set()
 
     async def wait_for_version(self, number: int) -> None:
-        """Wait until this version is in force here."""
+        """Wait until this version or a newer one is in force."""
         while self.in_force.number < number:
             self.version_changed.clear()
             if self.in_force.number < number:
@@ -66,19 +67,20 @@
 
 
 def write_version(folder: Path, number: int, zones: int = fleet.ZONES) -> None:
-    """A version for the service to find, complete at once under its name."""
+    """Write a version to the folder. The file is renamed once complete, so that the service never reads a
+    part."""
     partial_file = folder / f"{number}.part"
     partial_file.write_text(sexp.format_document(with_change(settings(zones), number)))
     partial_file.rename(folder / f"{number}.sexp")
 
 
 def control_service_process(folder: str) -> contextlib.AbstractAsyncContextManager[ListeningProcess]:
-    """``magpieshift control serve`` on a folder."""
+    """Run ``magpieshift control serve`` on a folder of versions."""
     return listening_process("the control service", "control", "serve", folder)
 
 
 class ControlService:
-    """One version for so many followers; the folder holds few versions."""
+    """The cost of one version by the number of followers, with few versions in the folder."""
 
     name = "control service: followers"
     quantity = "followers"
@@ -95,7 +97,7 @@
     )
 
     def measure(self, size: float, seed: int, duration_s: float) -> Sample:
-        """Publish versions to so many followers of a started service."""
+        """Publish versions to ``size`` followers of a started service."""
         return asyncio.run(self._measure(int(size), duration_s))
 
     async def _measure(self, count: int, duration_s: float) -> Sample:
@@ -139,15 +141,14 @@
 
     @staticmethod
     async def _idle_cores(pid: int, duration_s: float) -> float:
-        """Processor seconds a second without a new version."""
+        """Processor seconds a second while no version is published."""
         before = processor_s(pid)
         await asyncio.sleep(duration_s)
         return (processor_s(pid) - before) / duration_s
 
 
 class VersionFolderScan:
-    """One scan by the service of a folder with so many versions that it does not know: the first after a
-    start."""
+    """The first scan of the version folder after the service starts, which reads all versions."""
 
     name = "control service: versions kept"
     quantity = "versions in the folder"
@@ -159,7 +160,7 @@
     resources = (Resource("processor", "ms a look", IN_FORCE_BUDGET),)
 
     def measure(self, size: float, seed: int, duration_s: float) -> Sample:
-        """Read a folder of so many versions once."""
+        """Read a folder of ``size`` versions once."""
         with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as name:
             text = sexp.format_document(settings(fleet.ZONES))
             for number in range(int(size)):
@@ -170,7 +171,7 @@
 
 
 class _FolderScan:
-    """One scan of such a folder by a reader that needs none of its versions."""
+    """One scan of the version folder by a reader that needs none of the versions."""
 
     quantity = "versions in the folder"
     target = float(fleet.VERSIONS_PER_DAY)
@@ -185,13 +186,13 @@
         raise NotImplementedError
 
     def measure(self, size: float, seed: int, duration_s: float) -> Sample:
-        """Scan a folder of so many versions once."""
+        """Scan a folder of ``size`` versions once."""
         numbers = set(range(int(size)))
         return Sample(size, {"processor": 1e3 * _scan_s(numbers, partial(self._scan, numbers))})
 
 
 class KnownVersionsScan(_FolderScan):
-    """One scan of the service, which has read all versions."""
+    """One scan by the control service after it has read all versions."""
 
     name = "control service: look at known versions"
 
@@ -201,7 +202,7 @@
 
 
 class SourceScan(_FolderScan):
-    """One scan of the fan-out tier's source, which has forwarded the newest version."""
+    """One scan by the fan-out tier's source after it has forwarded the newest version."""
 
     name = "control service: look of a source"
 
@@ -211,7 +212,7 @@
 
 
 def _scan_s(numbers: Iterable[int], scan: Callable[[str], Sequence[PublishedVersion]]) -> float:
-    """Processor seconds of a scan that reads none of a folder's versions."""
+    """Processor seconds of a folder scan that reads no version; ``RuntimeError`` if it reads one."""
     with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as name:
         for number in numbers:
             (Path(name) / f"{number}.sexp").touch()
--- a/magpieshift/lab/capacity/roles/decisions.py
+++ b/magpieshift/lab/capacity/roles/decisions.py
@@ -1,4 +1,5 @@
-"""Router, data path: the decisions of a request by the caches of the zone, without sockets."""
+"""Router, data path: the cost of the policy's decisions for a request, by the number of caches in the zone.
+No sockets are used."""
 
 from __future__ import annotations
 
@@ -17,7 +18,7 @@
 
 
 class Decisions:
-    """One hit, or one miss and its fill, a request."""
+    """Requests that are each a cache hit, or a miss followed by its fill."""
 
     name = "router: decisions"
     quantity = "caches in the zone"
@@ -29,7 +30,7 @@
     resources = (Resource("processor", "us a request", BUDGET),)
 
     def measure(self, size: float, seed: int, duration_s: float) -> Sample:
-        """Decide on requests in a zone of so many caches."""
+        """Handle requests in a zone of ``size`` caches."""
         run = Run(int(size), seed)
         for _ in range(2 * OPEN):
             run.request()
--- a/magpieshift/lab/capacity/roles/digests.py
+++ b/magpieshift/lab/capacity/roles/digests.py
@@ -1,4 +1,5 @@
-"""Overload digests by the routers that gossip, while endpoints fail: state machines on a simulated clock."""
+"""Overload digests: their cost by the number of routers that gossip while endpoints fail. State machines run
+on a simulated clock."""
 
 from __future__ import annotations
 
@@ -11,15 +12,15 @@
 from magpieshift.overload.gossip import GOSSIP_INTERVAL_US, Gossip
 from magpieshift.overload.probe_election import EndpointHealth
 
-FAILING_ENDPOINTS = 8  # endpoints of a zone at once: a rack of them
-MEASURED_ROUTERS = 8  # of the routers; a digest to another goes to one of these
+FAILING_ENDPOINTS = 8  # failing at once in the zone: a rack of endpoints
+MEASURED_ROUTERS = 8  # routers that run; a digest addressed to any other router is delivered to one of these
 GOSSIP_ROUNDS = 25  # in one measurement
 SIMULATED_S = GOSSIP_ROUNDS * GOSSIP_INTERVAL_US / 1e6
 CONTROL_DERIVATION = "all of control on a router"
 
 
 class Digests:
-    """A zone of so many routers, all of which see the same endpoints fail."""
+    """The routers of one zone, all of which see the same endpoints fail."""
 
     name = "overload digests"
     quantity = "routers that talk"
@@ -35,7 +36,7 @@
     )
 
     def measure(self, size: float, seed: int, duration_s: float) -> Sample:
-        """Exchange digests in a zone of so many routers."""
+        """Exchange digests in a zone of ``size`` routers."""
         rng = random.Random(seed)
         routers = sorted(f"router-{number}" for number in range(int(size)))
         gossips = {
@@ -67,7 +68,7 @@
 
     @staticmethod
     def _observed_health(rng: random.Random) -> dict[str, EndpointHealth]:
-        """What a router sees of its zone's endpoints: some failed within the last second."""
+        """A router's observations of its zone's endpoints. The failing ones failed within the last second."""
         health = {}
         for number in range(fleet.CACHES_PER_ZONE):
             failing = number < FAILING_ENDPOINTS
--- a/magpieshift/lab/capacity/roles/lists.py
+++ b/magpieshift/lab/capacity/roles/lists.py
@@ -1,4 +1,5 @@
-"""Router, control: what the list of caches costs a started router, whole and changed one cache at a time."""
+"""Router, control: the cost of the endpoint list to a started router, for a complete list and for changes of
+one cache."""
 
 from __future__ import annotations
 
@@ -10,7 +11,7 @@
 from magpieshift.lab.emulators import peers
 
 LIST_CHANGES = 40  # in one measurement
-CHANGE_INTERVAL_S = 0.01  # so that each change is applied by itself
+CHANGE_INTERVAL_S = 0.01  # long enough for each change to be applied separately
 CHANGE_BUDGET_DERIVATION = "the loop is held for it, and stores are promised an answer within 8 ms"
 
 COMPLETE_LIST = Resource("whole list", "ms of processor")
@@ -19,7 +20,7 @@
 
 
 class RouterLists(StartedRouterRole):
-    """A whole list of so many caches, then changes of one of them."""
+    """A complete list of caches, followed by changes of one cache each."""
 
     name = "router: list of caches"
     quantity = "caches listed"
@@ -31,7 +32,7 @@
     resources = (COMPLETE_LIST, CHANGE, MEMORY)
 
     def measure(self, size: float, seed: int, duration_s: float) -> Sample:
-        """Send a list of so many caches to a started router, then changes of it."""
+        """Send a complete list of ``size`` caches to a started router, then changes of single caches."""
         return asyncio.run(self._measure(int(size)))
 
     async def _measure(self, caches: int) -> Sample:
--- a/magpieshift/lab/capacity/roles/membership.py
+++ b/magpieshift/lab/capacity/roles/membership.py
@@ -1,4 +1,4 @@
-"""Membership by the members of one group, on a simulated network and clock."""
+"""Membership: its cost by the number of members of a group, on a simulated network and clock."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from magpieshift.membership.codec import decode, encode
 from magpieshift.membership.messages import Datagram
 
-SIMULATED_S = 3  # in one measurement
+SIMULATED_S = 3  # simulated time of one measurement
 CONTROL_DERIVATION = "all of control on a router"
 
 
 def datagram_bytes(datagram: Datagram) -> int:
-    """The size of a datagram, which is written and read as its two ends do."""
+    """The encoded size of a datagram. Encodes and decodes it, so that the cost of both is measured."""
     data = encode(datagram)
     decode(data)
     return len(data)
 
 
 class Membership:
-    """A group at rest, once all agree; a group is the routers of a zone."""
+    """A stable group whose members all agree. A group consists of the routers of one zone."""
 
     name = "membership"
     quantity = "members of a group"
@@ -37,7 +37,7 @@
     )
 
     def measure(self, size: float, seed: int, duration_s: float) -> Sample:
-        """Run a group of so many members on a simulated clock."""
+        """Run a group of ``size`` members on a simulated clock."""
         members = int(size)
         network = started_network(FleetSettings(members), seed)
         network.size = datagram_bytes
--- a/magpieshift/lab/capacity/roles/objects.py
+++ b/magpieshift/lab/capacity/roles/objects.py
@@ -1,4 +1,5 @@
-"""Router, data path: what a request costs, and what the policy keeps, by the objects requested."""
+"""Router, data path: the cost of a request and the memory of the policy, by the number of objects
+requested."""
 
 from __future__ import annotations
 
@@ -12,13 +13,13 @@
 from magpieshift.lab.experiments.decisions import Run
 from magpieshift.policy.events import Event, RequestReceived
 
-TARGET_OBJECTS = 35_000_000_000  # of the whole fleet
-MEASURED_REQUESTS = 100  # requests over which the cost of one is measured
-PROGRAM_MEMORY_MB = 16.0  # of the emulated settings' 64 MB, for the program
+TARGET_OBJECTS = 35_000_000_000  # distinct objects of the whole fleet
+MEASURED_REQUESTS = 100  # the last requests of a run, which are timed
+PROGRAM_MEMORY_MB = 16.0  # the program's part of the 64 MB memory limit in the emulated settings
 
 
 class DistinctObjectsRun(Run):
-    """Requests of which each asks for an object that was never requested."""
+    """A run in which each request asks for an object that was not requested before."""
 
     def _feed(self, event: Event) -> None:
         if isinstance(event, RequestReceived):
@@ -27,7 +28,7 @@
 
 
 class Objects:
-    """So many objects requested, one after another, in a zone of the target's size."""
+    """Distinct objects requested one after another, in a zone of the target fleet's size."""
 
     name = "router: objects known"
     quantity = "objects asked for"
@@ -42,7 +43,7 @@
     )
 
     def measure(self, size: float, seed: int, duration_s: float) -> Sample:
-        """Request so many different objects; the last ones are timed."""
+        """Request ``size`` different objects; the last ``MEASURED_REQUESTS`` requests are timed."""
         run = DistinctObjectsRun(fleet.CACHES_PER_ZONE, seed)
         for _ in range(int(size) - MEASURED_REQUESTS):
             run.request()
@@ -56,7 +57,8 @@
 
     @staticmethod
     def _allocated_mb(size: float, seed: int) -> float:
-        """Memory allocated once all were requested; counted in a run of its own, as counting takes time."""
+        """Memory allocated after all requests. It is counted in a separate run, because counting takes
+        processor time."""
         tracemalloc.start()
         try:
             run = DistinctObjectsRun(fleet.CACHES_PER_ZONE, seed)
--- a/magpieshift/lab/capacity/roles/purges.py
+++ b/magpieshift/lab/capacity/roles/purges.py
@@ -1,4 +1,5 @@
-"""Router, control: what purges cost a started router that gets no requests, on the direct change log."""
+"""Router, control: the cost of purges, by their rate, to a started router that gets no requests and reads the
+change log directly."""
 
 from __future__ import annotations
 
@@ -10,7 +11,7 @@
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.capacity.routers import CountingInstallation, StartedRouterRole, started_router
 
-PURGE_RETENTION_S = 12.0  # twice the time in which a purge is done, in the emulated settings
+PURGE_RETENTION_S = 12.0  # twice the purge propagation time of the emulated settings
 
 CONTROL_DERIVATION = "all of control on a router"
 PROCESSOR = Resource("processor", "% of a core", Budget(fleet.CONTROL_CPU_PERCENT, CONTROL_DERIVATION))
@@ -20,7 +21,8 @@
 
 
 def send_retained_purges(installation: CountingInstallation, rate: float, rng: random.Random) -> None:
-    """Send at once the purges of the time for which a router retains them."""
+    """Send without pause as many purges as arrive at this rate within ``PURGE_RETENTION_S``, with creation
+    times spread over that time."""
     now = time.time()
     count = int(rate * PURGE_RETENTION_S)
     for number in range(count):
@@ -30,7 +32,8 @@
 async def send_purges(
     installation: CountingInstallation, rate: float, rng: random.Random, duration_s: float
 ) -> None:
-    """Send purges at this rate, each by itself, for about so long: a whole number of them."""
+    """Send single, evenly spaced purges at this rate for about ``duration_s``: their number is rounded, and
+    at least one."""
     started = time.monotonic()
     count = max(1, round(rate * duration_s))
     for number in range(1, count + 1):
@@ -39,7 +42,8 @@
 
 
 class RouterPurges(StartedRouterRole):
-    """Purges one by one at an even rate, with as many retained as the rate makes."""
+    """Single purges at an even rate, while the router retains the purges of ``PURGE_RETENTION_S`` at that
+    rate."""
 
     name = "router: purges"
     quantity = "purges a second"
--- a/magpieshift/lab/capacity/roles/relays.py
+++ b/magpieshift/lab/capacity/roles/relays.py
@@ -1,4 +1,5 @@
-"""The fan-out tier: what source and relays cost by their followers, and a router behind a relay by purges."""
+"""Fan-out tier: the cost of a source and of a relay by the number of followers, and the cost of a relay and
+of a router behind it by the rate of purges."""
 
 from __future__ import annotations
 
@@ -32,14 +33,14 @@
 from magpieshift.relay.follower import Follower
 from magpieshift.relay.instructions import ApplyEntries, EndStream, RestoreSnapshot
 
-FOLLOWERS_TIMEOUT_S = 30.0  # for all followers to be current
-SETTLE_S = 1.0  # before a measurement: the work of connecting is over
+FOLLOWERS_TIMEOUT_S = 30.0  # for all followers to get a lease
+SETTLE_S = 1.0  # wait before a measurement, so that the cost of connecting is not included
 REGION = "lab"
 CONTROL_BUDGET = Budget(fleet.CONTROL_BYTES_PER_S, "all of control on a router")
 
 
 class LightFollower:
-    """A follower's state machine on a gRPC stream: it applies everything at once, and counts bytes."""
+    """A follower on a gRPC stream. It acknowledges all entries and snapshots at once, and counts bytes."""
 
     def __init__(self, name: str) -> None:
         self._machine = Follower(name, "lab")
@@ -48,8 +49,7 @@
         self.current = asyncio.Event()
 
     async def follow(self, port: int) -> None:
-        """Follow the relay or source at this port until cancelled; ``RuntimeError`` where it ends the
-        stream."""
+        """Follow the relay or source at this port until cancelled; ``RuntimeError`` if the stream ends."""
         async with grpc.aio.insecure_channel(f"127.0.0.1:{port}", options=CHANNEL_OPTIONS) as channel:
             call = channel.stream_stream(FOLLOW_METHOD)()
             await self._write(call, encode_upstream(self._machine.connect(clock.source.steady_us())))
@@ -90,37 +90,38 @@
 
 
 def relay_process(*arguments: str) -> contextlib.AbstractAsyncContextManager[ListeningProcess]:
-    """``magpieshift relay`` with these arguments; ``RuntimeError`` where it does not start."""
+    """Run ``magpieshift relay`` with these arguments; ``RuntimeError`` if it does not start."""
     return listening_process("a relay", "relay", *arguments, event="event=ready")
 
 
 def source_arguments(change_log_port: int) -> tuple[str, ...]:
-    """The command of a source of this change log."""
+    """The arguments of a source that reads this change log."""
     return "source", "--changelog", f"127.0.0.1:{change_log_port}"
 
 
 def relay_arguments(source: ListeningProcess) -> tuple[str, ...]:
-    """The command of a relay of this source."""
+    """The arguments of a relay that follows this source."""
     return "serve", "--source", f"127.0.0.1:{source.port}", "--name", "n1", "--region", REGION
 
 
 @contextlib.asynccontextmanager
 async def source_process(rate: float) -> AsyncIterator[ListeningProcess]:
-    """A source whose change log sends purges at this rate a second."""
+    """Start a change log that sends this many purges a second, and a source that reads it."""
     async with log_process(rate) as log, relay_process(*source_arguments(log.port)) as source:
         yield source
 
 
 @contextlib.asynccontextmanager
 async def relay_behind_source(rate: float) -> AsyncIterator[ListeningProcess]:
-    """A relay behind a source, whose change log sends purges at this rate a second."""
+    """Start a change log that sends this many purges a second, a source that reads it, and a relay behind the
+    source."""
     async with source_process(rate) as source, relay_process(*relay_arguments(source)) as relay:
         yield relay
 
 
 @contextlib.asynccontextmanager
 async def connected_followers(port: int, count: int) -> AsyncIterator[Sequence[LightFollower]]:
-    """So many followers, all current."""
+    """Connect ``count`` followers and wait until each has a lease from its stream."""
     followers = [LightFollower(f"follower-{number}") for number in range(count)]
     tasks = [asyncio.ensure_future(follower.follow(port)) for follower in followers]
     try:
@@ -130,7 +131,7 @@
         yield followers
         for task in tasks:
             if task.done():
-                task.result()  # a stream that ended makes the measurement void
+                task.result()  # raises if the stream has ended: the measurement is invalid then
     finally:
         for task in tasks:
             task.cancel()
@@ -138,7 +139,7 @@
 
 
 async def cost_of_followers(measured: ListeningProcess, count: int, duration_s: float) -> Sample:
-    """What a node spends on followers, at its change log's rate of purges."""
+    """The cost of a source or relay with ``count`` followers, at the purge rate of its change log."""
     async with connected_followers(measured.port, count) as followers:
         spent = processor_s(measured.pid)
         started = time.monotonic()
@@ -170,9 +171,9 @@
 
 
 class _FollowersRole:
-    """A node at the purges of the target, by those that follow it."""
+    """A source or relay at the target rate of purges, by the number of followers."""
 
-    quick_sizes = ()  # too long for a trial
+    quick_sizes = ()  # takes too long for a trial
     repeats = 2
     simulated = False
     resources = FOLLOWER_RESOURCES
@@ -181,7 +182,7 @@
         raise NotImplementedError
 
     def measure(self, size: float, seed: int, duration_s: float) -> Sample:
-        """Let so many followers follow the node."""
+        """Connect ``size`` followers to the measured process."""
         return asyncio.run(self._measure(int(size), duration_s))
 
     async def _measure(self, count: int, duration_s: float) -> Sample:
@@ -190,7 +191,7 @@
 
 
 class SourceFollowers(_FollowersRole):
-    """The source, by the relays that follow it."""
+    """The source, by the number of relays that follow it."""
 
     name = "fan-out: source"
     quantity = "relays"
@@ -202,7 +203,8 @@
 
 
 class RelayFollowers(_FollowersRole):
-    """A relay, by the routers that follow it: all of a region's, where the other relay is gone."""
+    """A relay, by the number of routers that follow it. The target is all routers of a region: the load of a
+    relay if the region's other relay fails."""
 
     name = "fan-out: relay"
     quantity = "routers"
@@ -214,20 +216,21 @@
 
 
 class RelayPurges:
-    """A relay of a few routers, by purges: what it sends to each is what any number of them would be sent."""
+    """A relay with a fixed, small number of routers, by the rate of purges. The bytes sent to each router do
+    not depend on the number of routers."""
 
     name = "fan-out: relay, by purges"
     quantity = "purges a second"
     target = float(fleet.PURGES_PER_S)
     sizes = (1.0, 27.0, 55.0, 110.0, 220.0, 440.0)
-    quick_sizes = ()  # too long for a trial
+    quick_sizes = ()  # takes too long for a trial
     repeats = 1
     simulated = False
     resources = FOLLOWER_RESOURCES
     followers = 48
 
     def measure(self, size: float, seed: int, duration_s: float) -> Sample:
-        """Send purges at this rate through a relay of a few routers."""
+        """Send purges at this rate through a relay with ``followers`` routers."""
         return asyncio.run(self._measure(size, duration_s))
 
     async def _measure(self, rate: float, duration_s: float) -> Sample:
@@ -237,19 +240,19 @@
 
 
 class RouterBehindRelay(StartedRouterRole):
-    """A started router that follows a relay, and gets no requests, by purges."""
+    """A started router that follows a relay and gets no requests, by the rate of purges."""
 
     name = "fan-out: router"
     quantity = "purges a second"
     target = float(fleet.PURGES_PER_S)
     sizes = (1.0, 27.0, 55.0, 110.0, 220.0, 440.0)
-    quick_sizes = ()  # too long for a trial
+    quick_sizes = ()  # takes too long for a trial
     repeats = 2
     simulated = False
     resources = (PROCESSOR, MEMORY, RESIDENT)
 
     def measure(self, size: float, seed: int, duration_s: float) -> Sample:
-        """Send purges at this rate to a started router by a relay."""
+        """Send purges at this rate to a started router through a relay."""
         return asyncio.run(self._measure(size, random.Random(seed), duration_s))
 
     async def _measure(self, rate: float, rng: random.Random, duration_s: float) -> Sample:
@@ -276,7 +279,8 @@
 async def _start_source_and_relay(
     stack: contextlib.AsyncExitStack, installation: CountingInstallation
 ) -> Sequence[str]:
-    """A source and a relay of this world's change log, and the arguments that make a router follow them."""
+    """Start a source of this installation's change log and a relay behind it; returns the arguments that make
+    a router follow the relay."""
     source = await stack.enter_async_context(relay_process(*source_arguments(installation.change_log.port)))
     relay = await stack.enter_async_context(relay_process(*relay_arguments(source)))
     return "run", "--relays", f"127.0.0.1:{relay.port}", "--region", REGION
--- a/magpieshift/lab/capacity/roles/requests.py
+++ b/magpieshift/lab/capacity/roles/requests.py
@@ -1,4 +1,5 @@
-"""Router, data path: what requests cost a started router, by their rate and by the bytes of an answer."""
+"""Router, data path: the cost of requests to a started router, by their rate and by the size of the
+response."""
 
 from __future__ import annotations
 
@@ -10,18 +11,19 @@
 from magpieshift.lab.capacity.routers import StartedRouter, StartedRouterRole, started_router
 from magpieshift.lab.emulators.request_generator import RequestGenerator
 
-SETTLE_S = 0.2  # after the clients start
-CLIENTS = 4  # which share the rate
+SETTLE_S = 0.2  # wait between the start of the clients and the measurement
+CLIENTS = 4  # each sends an equal part of the request rate
 HALF_CORE_BUDGET = Budget(
     50.0, "half of the one core that one Python process can use: the mean is not the most"
 )
-BYTES_REQUEST_RATE = 60.0  # requests a second, at which bytes are measured
+BYTES_REQUEST_RATE = 60.0  # requests a second while the cost by response size is measured
 
 
 async def percent_of_core(
     router: StartedRouter, rate: float, seed: int, duration_s: float
 ) -> tuple[float, float]:
-    """Percent of a core under requests at this rate, and the requests that were sent a second meanwhile."""
+    """Send requests at this rate; returns percent of a core used by the router, and the requests sent a
+    second."""
     clients = [
         RequestGenerator(router.installation.router_port, random.Random(seed + n), lambda: True)
         for n in range(CLIENTS)
@@ -43,7 +45,7 @@
 
 
 class Requests(StartedRouterRole):
-    """Small objects at a rate, one cache and an origin."""
+    """The cost by the rate of requests for small objects, with one cache and an origin."""
 
     name = "router: requests"
     quantity = "requests a second"
@@ -65,12 +67,13 @@
         async with started_router(self._folder) as router:
             percent, sent = await percent_of_core(router, rate, seed, duration_s)
             memory = router.read().memory_mb
-        # arrivals are open and random: the cost is scaled to the requested rate
+        # arrivals are random and do not wait for responses, so the cost is scaled to the requested rate
         return Sample(rate, {"processor": percent * rate / sent, "resident memory": memory})
 
 
 class ResponseBytes(StartedRouterRole):
-    """What one answer of so many bytes costs; the largest that endpoints may send has 256 KB."""
+    """The cost of a request by the size of its response. Endpoints may send at most 256 KB in one
+    response."""
 
     name = "router: bytes of an answer"
     quantity = "bytes of an answer"
@@ -91,7 +94,7 @@
     )
 
     def measure(self, size: float, seed: int, duration_s: float) -> Sample:
-        """Send requests whose responses have so many bytes."""
+        """Send requests whose responses have ``size`` bytes."""
         return asyncio.run(self._measure(int(size), seed, duration_s))
 
     async def _measure(self, size: int, seed: int, duration_s: float) -> Sample:
--- a/magpieshift/lab/capacity/roles/rollouts.py
+++ b/magpieshift/lab/capacity/roles/rollouts.py
@@ -1,4 +1,5 @@
-"""Rollout coordinator and judge by routers: pure state machines, fed with figures."""
+"""Rollout coordinator and canary analysis, by the number of routers: state machines fed with generated
+counters."""
 
 from __future__ import annotations
 
@@ -18,13 +19,13 @@
 from magpieshift.rollout.verdict import Verdict
 
 MEASURED_ROUNDS = 3  # in one measurement
-REQUESTS_PER_ROUND = 1000  # of each router
-STAGES_PASSED = 2  # of one, tenth, half, all: half of the fleet is new
+REQUESTS_PER_ROUND = 1000  # counted by each router between two rounds
+STAGES_PASSED = 2  # of the stages one, tenth, half and all, so half of the fleet runs the new version
 SECOND_US = 1_000_000
 
 
 class ObservedFleet:
-    """A fleet half of which runs the new version, with its coordinator and judge."""
+    """A fleet of which half runs the new version, with its rollout coordinator and canary analysis."""
 
     def __init__(self, routers: int, seed: int) -> None:
         self._rng = random.Random(seed)
@@ -39,7 +40,8 @@
         self._labels = {name: NEW if name in targets else OLD for name in self.plan.routers}
 
     def next_counters(self) -> dict[str, ProcessCounters | None]:
-        """The counters of all admin servers at the next round."""
+        """Advance the clock by one round; returns the counters that the admin servers of all routers
+        report."""
         self.now_us += LOOK_S * SECOND_US
         return {name: self._next_process_counters(name, label) for name, label in self._labels.items()}
 
@@ -53,7 +55,7 @@
         return ProcessCounters(label, f"{name}-1", "serving", self.now_us, {"picture": row}, cpu_us, rss_kb)
 
     def run_round(self, counters_by_router: dict[str, ProcessCounters | None]) -> Verdict:
-        """One round, as the rollout's loop runs it."""
+        """Run one round of the rollout's loop: record the counters, get a verdict and pass it on."""
         for name, counters in counters_by_router.items():
             if counters is not None:
                 self.coordinator.record_labels(self.now_us, name, frozenset({counters.label}))
@@ -64,7 +66,7 @@
 
 
 class RolloutRound:
-    """One round over all routers, without connecting to their admin servers."""
+    """One round over all routers, without the connections to their admin servers."""
 
     name = "rollout: look"
     quantity = "routers"
@@ -82,7 +84,7 @@
     )
 
     def measure(self, size: float, seed: int, duration_s: float) -> Sample:
-        """Judge a fleet of so many routers for several rounds."""
+        """Run several rounds over a fleet of ``size`` routers."""
         observed = ObservedFleet(int(size), seed)
         observed.run_round(observed.next_counters())
         rounds = [observed.next_counters() for _ in range(MEASURED_ROUNDS)]
@@ -93,7 +95,7 @@
 
 
 class RolloutMemory:
-    """What the judge keeps once its samples of each process are full."""
+    """The memory of the canary analysis once it holds the maximum number of samples of each process."""
 
     name = "rollout: judge's memory"
     quantity = "routers"
@@ -107,7 +109,7 @@
     )
 
     def measure(self, size: float, seed: int, duration_s: float) -> Sample:
-        """Fill the samples of so many routers, and count the memory allocated."""
+        """Fill the samples of ``size`` routers and count the memory allocated."""
         tracemalloc.start()
         try:
             observed = ObservedFleet(int(size), seed)
--- a/magpieshift/lab/capacity/roles/snapshots.py
+++ b/magpieshift/lab/capacity/roles/snapshots.py
@@ -1,4 +1,5 @@
-"""The fan-out tier: what a snapshot takes, by the purges in it; it has the target's list of caches."""
+"""Fan-out tier: the cost of a snapshot by the number of purges in it. It also contains the target fleet's
+endpoint list."""
 
 from __future__ import annotations
 
@@ -16,14 +17,14 @@
 from magpieshift.relay.limits import MAX_SNAPSHOTS_PER_S, PURGE_RETENTION_US, SNAPSHOT_REUSE_US
 from magpieshift.relay.messages import ConfigurationChange, Epoch, Purge, Snapshot
 
-REPETITIONS = 3  # of which a measurement is the mean
+REPETITIONS = 3  # a measurement is the mean of this many runs
 PURGE_RETENTION_S = PURGE_RETENTION_US / 1e6
 SNAPSHOT_REUSE_S = SNAPSHOT_REUSE_US / 1e6
-NOW_US = 1_764_576_000_000_000  # any Unix time: snapshots of one seed are the same bytes
+NOW_US = 1_764_576_000_000_000  # a fixed Unix time, so that the same seed always gives the same bytes
 
 
 def snapshot(purges: int, rng: random.Random) -> Snapshot:
-    """A snapshot with so many purges, the target's list of caches and a whole version."""
+    """A snapshot with ``purges`` purges, the target fleet's list of caches and one full version."""
     created_us = sorted(NOW_US - rng.randrange(PURGE_RETENTION_US) // 1000 * 1000 for _ in range(purges))
     members = [
         {
@@ -49,7 +50,7 @@
 
 
 class Snapshots:
-    """One snapshot, written by a relay and read by a router."""
+    """One snapshot, encoded by a relay and decoded by a router."""
 
     name = "fan-out: snapshot"
     quantity = "purges in it"
@@ -73,7 +74,7 @@
     )
 
     def measure(self, size: float, seed: int, duration_s: float) -> Sample:
-        """Encode and decode a snapshot with so many purges."""
+        """Encode and decode a snapshot with ``size`` purges."""
         full_snapshot = snapshot(int(size), random.Random(seed))
         with count_processor_time() as written:
             for _ in range(REPETITIONS):
--- a/magpieshift/lab/capacity/roles/versions.py
+++ b/magpieshift/lab/capacity/roles/versions.py
@@ -1,4 +1,5 @@
-"""Router, control: what putting a version in force costs a router, by the caches that it has listed."""
+"""Router, control: the cost of putting a version in force on a router, by the number of caches in its
+list."""
 
 from __future__ import annotations
 
@@ -26,15 +27,16 @@
 
 
 class ZonedInstallation(LoopbackInstallation):
-    """Emulated neighbours, and settings with as many zones as the target has."""
+    """A loopback installation whose settings have as many zones as the target fleet."""
 
     def settings(self) -> dict[str, object]:
-        """Settings with ``fleet.ZONES`` zones, for this world's ports."""
+        """Settings with ``fleet.ZONES`` zones and the ports of this installation."""
         return settings(fleet.ZONES, f"127.0.0.1:{self.change_log.port}", f"127.0.0.1:{self.router_port}")
 
 
 class RouterVersions:
-    """Versions that change a figure, whole, read, checked, kept on disk and committed."""
+    """Versions sent as full documents, each with one changed setting. The router parses, checks, stores and
+    commits each of them."""
 
     name = "router: versions"
     quantity = "caches listed"
@@ -46,7 +48,7 @@
     resources = (Resource("processor", "ms a version", BUDGET),)
 
     def measure(self, size: float, seed: int, duration_s: float) -> Sample:
-        """Put versions in force on a router with so many caches listed."""
+        """Put versions in force on a router with ``size`` caches in its list."""
         return asyncio.run(self._measure(int(size)))
 
     async def _measure(self, caches: int) -> Sample:
@@ -70,7 +72,7 @@
 
     @staticmethod
     async def _apply_versions(installation: Installation, data: dict[str, object]) -> float:
-        """Processor seconds of all versions, one after another."""
+        """Offer the versions one after another; returns the processor seconds of all of them."""
         done: asyncio.Queue[OfferOutcome] = asyncio.Queue()
         installation.manager.listeners.append(lambda answer, apply_us, pause_us: done.put_nowait(answer))
         offers = []
