--- a/magpieshift/lab/capacity/arithmetic.py
+++ b/magpieshift/lab/capacity/arithmetic.py
@@ -74,14 +74,15 @@
         return f"Relays needed: {UNMEASURED}."
     if relay.exponent != 1:
         return "The cost of a follower did not come out linear, so nothing is said of the relays needed."
-    each = (relay.budget - relay.intercept) / relay.slope
-    needed = math.ceil(fleet.ROUTERS / each)
-    remaining = fleet.CONTROL_MACHINES - 2
-    routers_per_relay = fleet.ROUTERS / remaining
+    routers_within_budget = (relay.budget - relay.intercept) / relay.slope
+    relays_needed = math.ceil(fleet.ROUTERS / routers_within_budget)
+    remaining_relays = fleet.CONTROL_MACHINES - 2
+    routers_per_relay = fleet.ROUTERS / remaining_relays
     percent = relay.intercept + relay.slope * routers_per_relay
     return (
-        f"A relay has {each:.0f} routers within {relay.budget:g}% of a core (fitted), so {needed} relays"
-        f" carry {fleet.ROUTERS:,}, and {needed + 2} with any two gone, if routers are spread over all that"
+        f"A relay has {routers_within_budget:.0f} routers within {relay.budget:g}% of a core (fitted), so"
+        f" {relays_needed} relays carry {fleet.ROUTERS:,}, and {relays_needed + 2} with any two gone, if routers"
+        " are spread over all that"
         f" are left. With {fleet.CONTROL_MACHINES} relays and two gone that is {routers_per_relay:.0f}"
         f" routers each and {percent:.0f}% of a core (fitted)."
     )
--- a/magpieshift/lab/capacity/fit.py
+++ b/magpieshift/lab/capacity/fit.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Law:
+class _PowerLaw:
     """The least-squares fit for one fixed exponent, with the sum of its squared relative residuals."""
 
     intercept: float
@@ -86,7 +86,7 @@
     return Fit(law.intercept, law.slope, round(best, 2) if law.slope else 0.0, interval)
 
 
-def _weighted_fit(sizes: Floats, costs: Floats, exponent: float) -> _Law:
+def _weighted_fit(sizes: Floats, costs: Floats, exponent: float) -> _PowerLaw:
     """Weighted least squares for one exponent, with intercept and slope at least zero."""
     weights = 1.0 / np.maximum(np.abs(costs), 1e-3 * np.abs(costs).max())
     target = costs * weights
@@ -100,10 +100,10 @@
         intercept = max(0.0, float(constant @ target) / float(constant @ constant))
         slope = 0.0
     residuals = target - intercept * constant - slope * growth
-    return _Law(float(intercept), float(slope), float(residuals @ residuals))
+    return _PowerLaw(float(intercept), float(slope), float(residuals @ residuals))
 
 
-def _interval(laws: Mapping[float, _Law], points: int) -> tuple[float, float]:
+def _interval(laws: Mapping[float, _PowerLaw], points: int) -> tuple[float, float]:
     """The range of the exponents whose residuals are not significantly larger than the smallest one."""
     degrees_of_freedom = max(1, points - MIN_SIZES)
     smallest = max(min(law.residual for law in laws.values()), points * MIN_RELATIVE_RESIDUAL**2)
--- a/magpieshift/lab/capacity/page.py
+++ b/magpieshift/lab/capacity/page.py
@@ -67,14 +67,14 @@
 
 def load_results(folder: Path = RESULTS_FOLDER) -> Results:
     """The saved results by name; ``ConfigError`` if there are none, or if one cannot be read."""
-    found = {name: folder / f"{name}.json" for name in RESULT_NAMES}
-    loaded = {name: results.load(path) for name, path in found.items() if path.is_file()}
+    paths = {name: folder / f"{name}.json" for name in RESULT_NAMES}
+    loaded = {name: results.load(path) for name, path in paths.items() if path.is_file()}
     if not loaded:
         raise ConfigError(f"{folder}: found no results, expected one of {', '.join(RESULT_NAMES)} (.json)")
     return loaded
 
 
-def regenerate(text: str, found: Results, folder: Path = RESULTS_FOLDER) -> str:
+def regenerate(text: str, loaded: Results, folder: Path = RESULTS_FOLDER) -> str:
     """The page with all text between markers regenerated; ``ConfigError`` if a section is unknown, missing or
     repeated."""
     names = [match[2] for match in SECTION_PATTERN.finditer(text)]
@@ -87,16 +87,16 @@
             f"capacity page: found section {min(unknown)!r}, expected one of {', '.join(known)}"
         )
     return SECTION_PATTERN.sub(
-        lambda match: f"{match[1]}{_section_text(match[2], found, folder)}\n{match[4]}", text
+        lambda match: f"{match[1]}{_section_text(match[2], loaded, folder)}\n{match[4]}", text
     )
 
 
-def _section_text(name: str, found: Results, folder: Path) -> str:
+def _section_text(name: str, loaded: Results, folder: Path) -> str:
     if name in SCALE_SECTIONS:
         return SCALE_SECTIONS[name](folder)
     if name in ROLE_SECTIONS:
-        return tables.role_table(found, *ROLE_SECTIONS[name])
-    return SECTIONS[name](found)
+        return tables.role_table(loaded, *ROLE_SECTIONS[name])
+    return SECTIONS[name](loaded)
 
 
 def rewrite(path: Path = PAGE, folder: Path = RESULTS_FOLDER) -> bool:
--- a/magpieshift/lab/capacity/results.py
+++ b/magpieshift/lab/capacity/results.py
@@ -90,9 +90,9 @@
 
 
 def _row_from_json(data: dict[str, Any]) -> Row:
-    wanted = {field.name for field in fields(Row)}
-    if set(data) != wanted:
-        raise ValueError(f"row has missing or unknown fields {sorted(set(data) ^ wanted)}")
+    expected_fields = {field.name for field in fields(Row)}
+    if set(data) != expected_fields:
+        raise ValueError(f"row has missing or unknown fields {sorted(set(data) ^ expected_fields)}")
     interval = data["interval"]
     return Row(**(data | {"interval": tuple(interval) if interval is not None else None}))
 
--- a/magpieshift/lab/capacity/roles/lists.py
+++ b/magpieshift/lab/capacity/roles/lists.py
@@ -37,7 +37,7 @@
 
     async def _measure(self, caches: int) -> Sample:
         async with started_router(self._folder) as router:
-            at_rest = router.read()
+            idle = router.read()
             self._send_complete_list(router.installation, caches)
             await router.wait_until_caught_up()
             listed = router.read()
@@ -49,9 +49,9 @@
         return Sample(
             caches,
             {
-                "whole list": 1e3 * (listed.processor_s - at_rest.processor_s),
+                "whole list": 1e3 * (listed.processor_s - idle.processor_s),
                 "change of one cache": 1e3 * (changed.processor_s - listed.processor_s) / LIST_CHANGES,
-                "memory": max(0.0, changed.memory_mb - at_rest.memory_mb),
+                "memory": max(0.0, changed.memory_mb - idle.memory_mb),
             },
         )
 
--- a/magpieshift/lab/capacity/roles/purges.py
+++ b/magpieshift/lab/capacity/roles/purges.py
@@ -60,7 +60,7 @@
 
     async def _measure(self, rate: float, rng: random.Random, duration_s: float) -> Sample:
         async with started_router(self._folder) as router:
-            at_rest = router.read()
+            idle = router.read()
             send_retained_purges(router.installation, rate, rng)
             await router.wait_until_caught_up()
             started = router.read()
@@ -72,7 +72,7 @@
             {
                 "processor": 100 * (ended.processor_s - started.processor_s) / took_s,
                 "bytes": (ended.log_bytes - started.log_bytes) / took_s,
-                "memory": max(0.0, ended.memory_mb - at_rest.memory_mb),
+                "memory": max(0.0, ended.memory_mb - idle.memory_mb),
                 "resident memory": ended.memory_mb,
             },
         )
--- a/magpieshift/lab/capacity/roles/relays.py
+++ b/magpieshift/lab/capacity/roles/relays.py
@@ -262,14 +262,14 @@
                 self._folder,
                 arguments=lambda installation: _start_source_and_relay(stack, installation),
             )
-            at_rest = ready.read()
+            idle = ready.read()
             send_retained_purges(ready.installation, rate, rng)
             await asyncio.sleep(SETTLE_S)
             started = ready.read()
             await send_purges(ready.installation, rate, rng, duration_s)
             ended = ready.read()
         percent = 100 * (ended.processor_s - started.processor_s) / (ended.at_s - started.at_s)
-        grown_mb = max(0.0, ended.memory_mb - at_rest.memory_mb)
+        grown_mb = max(0.0, ended.memory_mb - idle.memory_mb)
         return Sample(
             rate,
             {"processor": percent, "memory": grown_mb, "resident memory": ended.memory_mb},
