--- a/magpieshift/lab/capacity/arithmetic.py
+++ b/magpieshift/lab/capacity/arithmetic.py
@@ -81,8 +81,8 @@
     percent = relay.intercept + relay.slope * routers_per_relay
     return (
         f"A relay has {routers_within_budget:.0f} routers within {relay.budget:g}% of a core (fitted), so"
-        f" {relays_needed} relays carry {fleet.ROUTERS:,}, and {relays_needed + 2} with any two gone, if routers"
-        " are spread over all that"
+        f" {relays_needed} relays carry {fleet.ROUTERS:,}, and {relays_needed + 2} with any two gone,"
+        " if routers are spread over all that"
         f" are left. With {fleet.CONTROL_MACHINES} relays and two gone that is {routers_per_relay:.0f}"
         f" routers each and {percent:.0f}% of a core (fitted)."
     )
