--- a/tests/capacity/test_command.py
+++ b/tests/capacity/test_command.py
@@ -1,4 +1,4 @@
-"""The command: bad input, and a short real measurement."""
+"""The command ``lab capacity``: errors for bad input, and a short measurement with a started router."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
             self.assertEqual(json.loads(path.read_text())["rows"], rows)
         by_resource = {(row["role"], row["resource"]): row for row in rows}
         sent = by_resource["router: purges", "bytes"]
-        # a purge is at least its id of 16 digits and its time of 13
+        # a purge on the wire holds at least an object id of 16 digits and a time of 13 digits
         self.assertGreater(sent["at_target"], sent["target"] * (16 + 13))
         for row in rows:
             self.assertEqual(row["ratio"] is None, row["budget"] is None or row["at_target"] is None)
--- a/tests/capacity/test_fit.py
+++ b/tests/capacity/test_fit.py
@@ -1,4 +1,4 @@
-"""The fit: laws that are known, growth that is named, and roles of which nothing can be said."""
+"""The fit: exponents of known power laws, superlinear growth, predictions, and the rows derived from them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def noisy(intercept: float, slope: float, exponent: float, seed: int, noise: float = 0.03) -> list[Point]:
-    """Three measurements a size of a known law, with relative noise."""
+    """Three measurements at each size of a known power law, with relative noise."""
     rng = np.random.default_rng(seed)
     return [
         Point(size, (intercept + slope * size**exponent) * float(rng.normal(1.0, noise)))
@@ -71,7 +71,7 @@
 
 @dataclass
 class PlannedRole:
-    """A role whose costs are a plan's."""
+    """A role with the cost that ``plan`` gives for each size; sizes in ``failing`` raise ``TimeoutError``."""
 
     plan: dict[float, float]
     target: float
@@ -79,7 +79,7 @@
     name: str = "planned"
     quantity: str = "things"
     repeats: int = 2
-    resources: tuple[Resource, ...] = (Resource("processor", "ms", Budget(10.0, "a test's")),)
+    resources: tuple[Resource, ...] = (Resource("processor", "ms", Budget(10.0, "set by the test")),)
     measured: list[float] = field(default_factory=list)
     failing: frozenset[float] = frozenset()
 
@@ -92,7 +92,7 @@
     def measure(self, size: float, seed: int, duration_s: float) -> Sample:
         self.measured.append(size)
         if size in self.failing:
-            raise TimeoutError("nobody answered")
+            raise TimeoutError("no answer")
         return Sample(size, {"processor": self.plan[size]})
 
 
@@ -134,7 +134,7 @@
         role = PlannedRole({size: size for size in SIZES}, 100.0, failing=frozenset({10.0}))
         measurements = measure.measure_roles([role], 1, False, lambda line: None)
         self.assertEqual(len(measurements.samples[0]), (len(SIZES) - 1) * role.repeats)
-        self.assertEqual(measurements.failures, ["planned at 10 things: TimeoutError: nobody answered"] * 2)
+        self.assertEqual(measurements.failures, ["planned at 10 things: TimeoutError: no answer"] * 2)
 
     def test_turns_are_drawn_from_the_seed(self) -> None:
         orders = []
--- a/tests/capacity/test_page.py
+++ b/tests/capacity/test_page.py
@@ -1,4 +1,4 @@
-"""The capacity page and the saved results hold together, digit by digit."""
+"""The tables of the capacity page match the saved results, and saved results are read back unchanged."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def with_higher_cost(row: Row) -> Row:
-    """A row whose cost at the target is not what was measured."""
+    """A copy of a row with a higher cost at the target and a larger measured size."""
     return replace(row, at_target=(row.at_target or 0.0) * 1.1 + 1, measured_to=row.measured_to + 1)
 
 
