--- a/tests/capacity/test_command.py
+++ b/tests/capacity/test_command.py
@@ -10,25 +10,25 @@
 from pathlib import Path
 
 
-def capacity(*words: str) -> subprocess.CompletedProcess[str]:
-    command = [sys.executable, "-m", "magpieshift", "lab", "capacity", *words]
+def run_capacity(*arguments: str) -> subprocess.CompletedProcess[str]:
+    command = [sys.executable, "-m", "magpieshift", "lab", "capacity", *arguments]
     return subprocess.run(command, capture_output=True, text=True, timeout=120)
 
 
 class BadInput(unittest.TestCase):
     def test_is_one_line_and_exit_code_2(self) -> None:
-        for words, place in (
+        for arguments, message in (
             (("--role", "router: purge"), "--role: found 'router: purge'"),
             (("--seed", "x"), "--seed: found 'x'"),
             (("--quick", "--role", "fan-out: relay"), "--quick: found 'fan-out: relay'"),
             (("--save", "/nowhere/at/all.json"), "--save: found '/nowhere/at/all.json'"),
             (("--router", "/nowhere"), "--router: found '/nowhere'"),
         ):
-            with self.subTest(place):
-                ended = capacity(*words)
+            with self.subTest(message):
+                ended = run_capacity(*arguments)
                 self.assertEqual((ended.returncode, ended.stdout), (2, ""))
                 (line,) = ended.stderr.splitlines()
-                self.assertIn(place, line)
+                self.assertIn(message, line)
                 self.assertIn("expected", line)
 
 
@@ -37,7 +37,7 @@
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "result.json"
             roles = ("--role", "router: purges", "--role", "router: decisions")
-            ended = capacity("--json", "--quick", "--save", str(path), *roles)
+            ended = run_capacity("--json", "--quick", "--save", str(path), *roles)
             self.assertEqual(ended.returncode, 0, ended.stderr)
             rows = json.loads(ended.stdout.splitlines()[-1])
             self.assertEqual(json.loads(path.read_text())["rows"], rows)
--- a/tests/capacity/test_fit.py
+++ b/tests/capacity/test_fit.py
@@ -27,13 +27,13 @@
 
 
 class KnownLaws(unittest.TestCase):
-    def test_the_interval_holds_the_exponent(self) -> None:
+    def test_the_interval_contains_the_exponent(self) -> None:
         for exponent in (0.5, 1.0, 1.5, 2.0):
             fits = [fit(noisy(5.0, 0.7, exponent, seed)) for seed in SEEDS]
             held = sum(f.interval[0] - 0.011 <= exponent <= f.interval[1] + 0.011 for f in fits)
             self.assertGreaterEqual(held, 0.85 * len(fits), f"exponent {exponent}: {held} of {len(fits)}")
 
-    def test_growth_above_linear_is_named_and_linear_growth_is_not(self) -> None:
+    def test_superlinear_growth_is_flagged_and_linear_growth_is_not(self) -> None:
         self.assertTrue(all(fit(noisy(5.0, 0.7, 1.5, seed)).superlinear for seed in SEEDS))
         self.assertFalse(any(fit(noisy(5.0, 0.7, 1.0, seed)).superlinear for seed in SEEDS))
 
@@ -42,7 +42,7 @@
         self.assertEqual((round(found.intercept, 6), round(found.slope, 6)), (4.0, 2.0))
         self.assertEqual((found.exponent, found.interval), (2.0, (2.0, 2.0)))
 
-    def test_what_does_not_grow_has_no_exponent(self) -> None:
+    def test_constant_cost_is_predicted_and_not_superlinear(self) -> None:
         found = fit(noisy(5.0, 0.0, 1.0, 0, noise=0.0))
         self.assertAlmostEqual(found.cost_at(1e6), 5.0, places=3)
         self.assertFalse(found.superlinear)
@@ -52,20 +52,20 @@
         found = fit(falling)
         self.assertGreaterEqual(min(found.intercept, found.slope), 0.0)
 
-    def test_two_sizes_make_no_law(self) -> None:
+    def test_fewer_than_three_sizes_raise_unfit_error(self) -> None:
         with self.assertRaises(UnfitError):
             fit([Point(1, 1), Point(2, 2), Point(2, 2)])
 
 
 class Predictions(unittest.TestCase):
-    def test_a_law_that_holds_predicts_its_largest_size(self) -> None:
+    def test_a_linear_law_predicts_the_largest_size(self) -> None:
         self.assertTrue(all(prediction_error(noisy(5.0, 0.7, 1.0, seed)) < 0.25 for seed in SEEDS))
 
-    def test_a_step_past_the_half_is_not_predicted(self) -> None:
+    def test_a_step_above_half_of_the_largest_size_is_not_predicted(self) -> None:
         points = [Point(size, 1.0 if size <= 100 else 3.0) for size in SIZES]
         self.assertAlmostEqual(prediction_error(points), 2 / 3, places=2)
 
-    def test_too_few_sizes_up_to_half_predict_nothing(self) -> None:
+    def test_too_few_sizes_up_to_half_give_an_infinite_error(self) -> None:
         self.assertEqual(prediction_error([Point(1, 1), Point(2, 2), Point(3, 3)]), float("inf"))
 
 
@@ -103,40 +103,40 @@
 
 
 class Rows(unittest.TestCase):
-    def test_what_can_be_predicted_is_extrapolated(self) -> None:
+    def test_a_predictable_cost_is_extrapolated(self) -> None:
         row = measured_row(PlannedRole({size: 2 * size for size in SIZES}, 1000.0))
         self.assertEqual((row.at_half, row.at_target, row.at_twice), (1000.0, 2000.0, 4000.0))
         self.assertEqual((row.how, row.ratio, row.measured_to), (measure.FITTED, 200.0, 300.0))
 
-    def test_what_cannot_be_predicted_is_called_unmeasured(self) -> None:
+    def test_an_unpredictable_cost_is_unmeasured_at_the_target(self) -> None:
         plan = {size: 1.0 if size <= 100 else 3.0 for size in SIZES}
         row = measured_row(PlannedRole(plan, 1000.0))
         self.assertEqual((row.how, row.at_target, row.ratio), (measure.UNMEASURED, None, None))
 
-    def test_what_was_measured_at_the_target_stands_whatever_a_fit_says(self) -> None:
+    def test_a_cost_measured_at_the_target_is_used_without_a_trusted_fit(self) -> None:
         plan = {size: 1.0 if size <= 100 else 3.0 for size in SIZES}
         row = measured_row(PlannedRole(plan, 300.0))
         self.assertEqual((row.how, row.at_target, row.at_twice), (measure.MEASURED, 3.0, None))
 
-    def test_nothing_is_extrapolated_too_far(self) -> None:
+    def test_extrapolation_stops_at_the_maximum_factor(self) -> None:
         plan = {size: 2 * size for size in SIZES}
         self.assertEqual(
             measured_row(PlannedRole(plan, 300 * MAX_EXTRAPOLATION_FACTOR + 1)).how, measure.UNMEASURED
         )
         self.assertEqual(measured_row(PlannedRole(plan, 300 * MAX_EXTRAPOLATION_FACTOR)).how, measure.FITTED)
 
-    def test_a_simulation_is_called_one(self) -> None:
+    def test_a_cost_of_a_simulation_is_marked_as_simulated(self) -> None:
         self.assertEqual(
             measured_row(PlannedRole({s: s for s in SIZES}, 100.0, simulated=True)).how, measure.SIMULATED
         )
 
-    def test_a_measurement_that_fails_is_told_of_and_left_out(self) -> None:
+    def test_a_failed_measurement_is_reported_and_left_out(self) -> None:
         role = PlannedRole({size: size for size in SIZES}, 100.0, failing=frozenset({10.0}))
         measurements = measure.measure_roles([role], 1, False, lambda line: None)
         self.assertEqual(len(measurements.samples[0]), (len(SIZES) - 1) * role.repeats)
         self.assertEqual(measurements.failures, ["planned at 10 things: TimeoutError: no answer"] * 2)
 
-    def test_turns_are_drawn_from_the_seed(self) -> None:
+    def test_the_measurement_order_is_derived_from_the_seed(self) -> None:
         orders = []
         for seed in (1, 1, 2):
             role = PlannedRole({size: size for size in SIZES}, 100.0)
--- a/tests/capacity/test_page.py
+++ b/tests/capacity/test_page.py
@@ -23,12 +23,12 @@
 class Page(unittest.TestCase):
     def setUp(self) -> None:
         self.text = page.PAGE.read_text(encoding="utf-8")
-        self.found = dict(page.load_results())
+        self.loaded = dict(page.load_results())
 
-    def test_the_page_is_what_the_results_make_of_it(self) -> None:
-        self.assertEqual(page.regenerate(self.text, self.found), self.text)
+    def test_the_page_matches_the_saved_results(self) -> None:
+        self.assertEqual(page.regenerate(self.text, self.loaded), self.text)
 
-    def test_a_digit_changed_in_any_table_shows(self) -> None:
+    def test_a_changed_digit_in_any_table_is_detected(self) -> None:
         for match in page.SECTION_PATTERN.finditer(self.text):
             digit = re.search(r"\d", match[3])
             if digit is None:
@@ -36,22 +36,22 @@
             at = match.start(3) + digit.start()
             changed = self.text[:at] + str((int(digit[0]) + 1) % 10) + self.text[at + 1 :]
             with self.subTest(match[2]):
-                self.assertNotEqual(page.regenerate(changed, self.found), changed)
+                self.assertNotEqual(page.regenerate(changed, self.loaded), changed)
 
-    def test_a_row_changed_in_any_result_shows(self) -> None:
-        for name, result in self.found.items():
-            for place, row in enumerate(result.rows):
-                rows = (*result.rows[:place], with_higher_cost(row), *result.rows[place + 1 :])
-                changed = self.found | {name: Result(result.origin, rows)}
+    def test_a_changed_row_in_any_result_changes_the_page(self) -> None:
+        for name, result in self.loaded.items():
+            for index, row in enumerate(result.rows):
+                rows = (*result.rows[:index], with_higher_cost(row), *result.rows[index + 1 :])
+                changed = self.loaded | {name: Result(result.origin, rows)}
                 with self.subTest(name, role=row.role, resource=row.resource):
                     self.assertNotEqual(page.regenerate(self.text, changed), self.text)
 
-    def test_each_section_stands_on_the_page_once(self) -> None:
+    def test_missing_unknown_and_repeated_sections_are_rejected(self) -> None:
         for text in (self.text.replace("capacity ranking", "capacity rankings"), self.text + self.text):
             with self.assertRaises(ConfigError):
-                page.regenerate(text, self.found)
+                page.regenerate(text, self.loaded)
 
-    def test_every_role_has_its_place(self) -> None:
+    def test_every_role_is_in_exactly_one_section(self) -> None:
         placed = [name for names in page.ROLE_SECTIONS.values() for name in names]
         self.assertEqual(sorted(placed), sorted({role.name for role in every_role()}))
 
@@ -64,7 +64,7 @@
                 results.save(result, str(path))
                 self.assertEqual(results.load(path), result)
 
-    def test_what_is_no_result_is_one_clear_error(self) -> None:
+    def test_an_invalid_or_missing_result_file_raises_a_config_error(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "before.json"
             for text in ("", "[]", '{"origin": {}, "rows": []}', '{"origin": {}, "rows": [{"role": "x"}]}'):
