--- a/magpieshift/lab/capacity/roles/changelog.py
+++ b/magpieshift/lab/capacity/roles/changelog.py
@@ -1,4 +1,4 @@
-"""Change-log source: what it costs to write the purges of the target to so many watches."""
+"""Change-log source: the cost of sending the target rate of purges to watches, by their number."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.capacity.roles.purges import RESIDENT
 
-SETTLE_S = 0.3  # after the watches connect
+SETTLE_S = 0.3  # wait between connecting the watches and the measurement
 WATCH_REQUEST = b"GET /changes HTTP/1.1\r\nHost: log\r\nAccept: text/event-stream\r\n\r\n"
 NETWORK_BYTES_PER_S = 125e6 / 2  # half of a gigabit a second
 
 
 class Watcher(asyncio.Protocol):
-    """One reader of the log, which counts bytes and does nothing else."""
+    """A watch of the change log that only counts the bytes it receives."""
 
     def __init__(self) -> None:
-        self.received = 0
+        self.bytes_received = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the request for events."""
+        """Request the event stream."""
         assert isinstance(transport, asyncio.Transport)
         transport.write(WATCH_REQUEST)
 
     def data_received(self, data: bytes) -> None:
         """Count the bytes received."""
-        self.received += len(data)
+        self.bytes_received += len(data)
 
 
 @dataclass(frozen=True, slots=True)
 class LogProcess:
-    """A started log."""
+    """A started change log process and its port."""
 
     pid: int
     port: int
@@ -45,7 +45,7 @@
 
 @contextlib.asynccontextmanager
 async def log_process(rate: float) -> AsyncIterator[LogProcess]:
-    """A change log in a process of its own that sends purges at this rate."""
+    """Run a change log in a separate process that sends this many purges a second."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -65,31 +65,32 @@
         await process.wait()
 
 
-HALF_CORE = Budget(50.0, "half of the one core that one Python process can use")
-NETWORK = Budget(NETWORK_BYTES_PER_S, "half of a gigabit a second, assumed")
+HALF_CORE_BUDGET = Budget(50.0, "half of the one core that one Python process can use")
+NETWORK_BUDGET = Budget(NETWORK_BYTES_PER_S, "half of a gigabit a second, assumed")
 
 
 class ChangeLogSource:
-    """The emulated log and watchers that take all at once: without a tier, every router is a watch."""
+    """The emulated change log with watchers that read without delay. Without the fan-out tier, every router
+    is a watch."""
 
     name = "change-log source"
     quantity = "watches"
     target = float(fleet.ROUTERS)
-    sizes = (10.0, 20.0, 40.0, 80.0, 160.0)  # one core is full at some 300
+    sizes = (10.0, 20.0, 40.0, 80.0, 160.0)  # about 300 watches saturate one core
     quick_sizes = (10.0, 20.0, 40.0, 80.0)
     repeats = 2
     simulated = False
     resources = (
-        Resource("processor", "% of a core", HALF_CORE),
-        Resource("bytes", "bytes a second", NETWORK),
+        Resource("processor", "% of a core", HALF_CORE_BUDGET),
+        Resource("bytes", "bytes a second", NETWORK_BUDGET),
         RESIDENT,
     )
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
-        """Connect so many watches, and measure the log's process for a while."""
-        return asyncio.run(self._measure(int(size), for_s))
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
+        """Connect ``size`` watches and measure the change log's process for ``duration_s``."""
+        return asyncio.run(self._measure(int(size), duration_s))
 
-    async def _measure(self, watches: int, for_s: float) -> Sample:
+    async def _measure(self, watches: int, duration_s: float) -> Sample:
         loop = asyncio.get_running_loop()
         async with log_process(fleet.PURGES_PER_S) as log:
             watchers = []
@@ -100,12 +101,12 @@
                 transports.append(transport)
             await asyncio.sleep(SETTLE_S)
             processor_seconds = processor_s(log.pid)
-            received = _received(watchers)
+            bytes_received = _total_bytes_received(watchers)
             started_s = time.monotonic()
-            await asyncio.sleep(for_s)
+            await asyncio.sleep(duration_s)
             took_s = time.monotonic() - started_s
             processor_seconds = processor_s(log.pid) - processor_seconds
-            received = _received(watchers) - received
+            bytes_received = _total_bytes_received(watchers) - bytes_received
             memory = resident_mb(log.pid)
             for transport in transports:
                 transport.close()
@@ -113,11 +114,11 @@
             watches,
             {
                 "processor": 100 * processor_seconds / took_s,
-                "bytes": received / took_s,
+                "bytes": bytes_received / took_s,
                 "resident memory": memory,
             },
         )
 
 
-def _received(watchers: list[Watcher]) -> int:
-    return sum(watcher.received for watcher in watchers)
+def _total_bytes_received(watchers: list[Watcher]) -> int:
+    return sum(watcher.bytes_received for watcher in watchers)
--- a/magpieshift/lab/capacity/roles/lists.py
+++ b/magpieshift/lab/capacity/roles/lists.py
@@ -1,4 +1,5 @@
-"""Router, control: what the list of caches costs a started router, whole and changed one cache at a time."""
+"""Router, control: the cost of the endpoint list to a started router, for a complete list and for changes of
+one cache."""
 
 from __future__ import annotations
 
@@ -6,11 +7,11 @@
 
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
-from magpieshift.lab.capacity.routers import CountingWorld, StartedRouterRole, started_router
+from magpieshift.lab.capacity.routers import CountingInstallation, StartedRouterRole, started_router
 from magpieshift.lab.emulators import peers
 
 LIST_CHANGES = 40  # in one measurement
-CHANGE_INTERVAL_S = 0.01  # so that each change is applied by itself
+CHANGE_INTERVAL_S = 0.01  # long enough for each change to be applied separately
 CHANGE_BUDGET_DERIVATION = "the loop is held for it, and stores are promised an answer within 8 ms"
 
 COMPLETE_LIST = Resource("whole list", "ms of processor")
@@ -19,7 +20,7 @@
 
 
 class RouterLists(StartedRouterRole):
-    """A whole list of so many caches, then changes of one of them."""
+    """A complete list of caches, followed by changes of one cache each."""
 
     name = "router: list of caches"
     quantity = "caches listed"
@@ -30,43 +31,45 @@
     simulated = False
     resources = (COMPLETE_LIST, CHANGE, MEMORY)
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
-        """Send a list of so many caches to a started router, then changes of it."""
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
+        """Send a complete list of ``size`` caches to a started router, then changes of single caches."""
         return asyncio.run(self._measure(int(size)))
 
     async def _measure(self, caches: int) -> Sample:
         async with started_router(self._folder) as router:
-            at_rest = router.read()
-            self._send_complete_list(router.world, caches)
-            await router.caught_up()
+            idle = router.read()
+            self._send_complete_list(router.installation, caches)
+            await router.wait_until_caught_up()
             listed = router.read()
             for number in range(LIST_CHANGES):
-                self._send_change(router.world, number % caches)
+                self._send_change(router.installation, number % caches)
                 await asyncio.sleep(CHANGE_INTERVAL_S)
-            await router.caught_up()
+            await router.wait_until_caught_up()
             changed = router.read()
         return Sample(
             caches,
             {
-                "whole list": 1e3 * (listed.processor_s - at_rest.processor_s),
+                "whole list": 1e3 * (listed.processor_s - idle.processor_s),
                 "change of one cache": 1e3 * (changed.processor_s - listed.processor_s) / LIST_CHANGES,
-                "memory": max(0.0, changed.memory_mb - at_rest.memory_mb),
+                "memory": max(0.0, changed.memory_mb - idle.memory_mb),
             },
         )
 
     @staticmethod
-    def _send_complete_list(world: CountingWorld, caches: int) -> None:
-        cache = peers.list_entry(world.cache, "shop", "box", 1)
+    def _send_complete_list(installation: CountingInstallation, caches: int) -> None:
+        cache = peers.list_entry(installation.cache, "shop", "box", 1)
         members = [
             {**cache, "id": f"s-{number}", "locality": "shop" if number < caches / fleet.ZONES else "hub"}
             for number in range(caches)
         ]
-        members.append(peers.list_entry(world.origin, "hub", "source", 0))
-        world.change_log.publish(fleet={"revision": 2, "complete": True, "members": members})
+        members.append(peers.list_entry(installation.origin, "hub", "source", 0))
+        installation.change_log.publish(fleet={"revision": 2, "complete": True, "members": members})
 
     @staticmethod
-    def _send_change(world: CountingWorld, number: int) -> None:
+    def _send_change(installation: CountingInstallation, number: int) -> None:
         phase = "DRAINING" if number % 2 else "SERVING"
-        cache = peers.list_entry(world.cache, "shop", "box", 1, phase)
+        cache = peers.list_entry(installation.cache, "shop", "box", 1, phase)
         changed = {**cache, "id": f"s-{number}"}
-        world.change_log.publish(fleet={"revision": 3 + number, "complete": False, "members": [changed]})
+        installation.change_log.publish(
+            fleet={"revision": 3 + number, "complete": False, "members": [changed]}
+        )
--- a/magpieshift/lab/capacity/roles/objects.py
+++ b/magpieshift/lab/capacity/roles/objects.py
@@ -1,4 +1,5 @@
-"""Router, data path: what a request costs, and what the policy keeps, by the objects requested."""
+"""Router, data path: the cost of a request and the memory of the policy, by the number of objects
+requested."""
 
 from __future__ import annotations
 
@@ -12,13 +13,13 @@
 from magpieshift.lab.experiments.decisions import Run
 from magpieshift.policy.events import Event, RequestReceived
 
-TARGET_OBJECTS = 35_000_000_000  # of the whole fleet
-MEASURED_REQUESTS = 100  # requests over which the cost of one is measured
-PROGRAM_MEMORY_MB = 16.0  # of the emulated settings' 64 MB, for the program
+TARGET_OBJECTS = 35_000_000_000  # distinct objects of the whole fleet
+MEASURED_REQUESTS = 100  # the last requests of a run, which are timed
+PROGRAM_MEMORY_MB = 16.0  # the program's part of the 64 MB memory limit in the emulated settings
 
 
-class EveryObjectOnce(Run):
-    """Requests of which each asks for an object that was never requested."""
+class DistinctObjectsRun(Run):
+    """A run in which each request asks for an object that was not requested before."""
 
     def _feed(self, event: Event) -> None:
         if isinstance(event, RequestReceived):
@@ -27,7 +28,7 @@
 
 
 class Objects:
-    """So many objects requested, one after another, in a zone of the target's size."""
+    """Distinct objects requested one after another, in a zone of the target fleet's size."""
 
     name = "router: objects known"
     quantity = "objects asked for"
@@ -41,9 +42,9 @@
         Resource("memory", "MB", Budget(PROGRAM_MEMORY_MB, "a quarter of 64 MB is the program's")),
     )
 
-    def measure(self, size: float, seed: int, for_s: float) -> Sample:
-        """Request so many different objects; the last ones are timed."""
-        run = EveryObjectOnce(fleet.CACHES_PER_ZONE, seed)
+    def measure(self, size: float, seed: int, duration_s: float) -> Sample:
+        """Request ``size`` different objects; the last ``MEASURED_REQUESTS`` requests are timed."""
+        run = DistinctObjectsRun(fleet.CACHES_PER_ZONE, seed)
         for _ in range(int(size) - MEASURED_REQUESTS):
             run.request()
         with count_processor_time() as spent:
@@ -56,10 +57,11 @@
 
     @staticmethod
     def _allocated_mb(size: float, seed: int) -> float:
-        """Memory allocated once all were requested; counted in a run of its own, as counting takes time."""
+        """Memory allocated after all requests. It is counted in a separate run, because counting takes
+        processor time."""
         tracemalloc.start()
         try:
-            run = EveryObjectOnce(fleet.CACHES_PER_ZONE, seed)
+            run = DistinctObjectsRun(fleet.CACHES_PER_ZONE, seed)
             for _ in range(int(size)):
                 run.request()
             return tracemalloc.get_traced_memory()[0] / 1e6
--- a/magpieshift/lab/capacity/tables.py
+++ b/magpieshift/lab/capacity/tables.py
@@ -1,4 +1,4 @@
-"""Tables of saved results, as Markdown."""
+"""Markdown tables of saved results."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from magpieshift.lab.capacity.measure import Row
 from magpieshift.lab.capacity.results import Result, ranked
 
-Results = Mapping[str, Result]  # by name, in the order in which they were taken
+Results = Mapping[str, Result]  # by name, oldest first
 
-MAX_INTERVAL_WIDTH = 2.0  # of an exponent's interval; a wider one is inconclusive
+MAX_INTERVAL_WIDTH = 2.0  # of the exponent's confidence interval; a wider interval is inconclusive
 NO_VALUE = "–"
 INCONCLUSIVE = "not told"
 
@@ -20,8 +20,9 @@
     return "\n".join(f"| {' | '.join(line)} |" for line in lines)
 
 
-def number(value: float | None) -> str:
-    """Three digits, with commas between thousands."""
+def format_number(value: float | None) -> str:
+    """A number for a table: three significant digits below 100, otherwise rounded to a whole number with
+    commas between thousands."""
     if value is None:
         return NO_VALUE
     if value >= 100 or value == int(value):
@@ -29,8 +30,8 @@
     return f"{value:.3g}"
 
 
-def growth(row: Row) -> str:
-    """The exponent and its interval, where the measurements determine one."""
+def format_exponent(row: Row) -> str:
+    """The exponent and its confidence interval, if the measurements determine one."""
     if row.exponent is None or row.interval is None:
         return NO_VALUE
     if row.exponent == 0:
@@ -40,13 +41,13 @@
     return f"{row.exponent:g} ({row.interval[0]:g} to {row.interval[1]:g})"
 
 
-def error(row: Row) -> str:
-    """The error of the prediction, in percent."""
+def format_prediction_error(row: Row) -> str:
+    """The prediction error in percent."""
     return NO_VALUE if row.prediction_error is None else f"{100 * row.prediction_error:.0f}%"
 
 
 def origins(results: Results) -> str:
-    """Which run each result comes from."""
+    """A table of the runs that the results come from."""
     head = ("result", "command", "commit", "seed", "UTC", "cores", "Python", "s", "failed")
     rows = []
     for name, result in results.items():
@@ -61,7 +62,7 @@
                 origin.date,
                 str(origin.cores),
                 origin.python,
-                number(origin.took_s),
+                format_number(origin.took_s),
                 "; ".join(origin.failures) or "none",
             )
         )
@@ -69,7 +70,8 @@
 
 
 def ranking(results: Results) -> str:
-    """Roles by ratio to budget in the newest result that has one, the largest first, with all ratios."""
+    """A table of resources by their ratio to the budget, the largest first. The order uses the newest result
+    that has a ratio; the table shows the ratios of all results."""
     newest: dict[tuple[str, str], Row] = {}
     for row in (row for result in results.values() for row in result.rows):
         if row.ratio is not None or (row.role, row.resource) not in newest:
@@ -78,12 +80,12 @@
     for row in ranked(list(newest.values())):
         if row.budget is None:
             continue
-        ratios = [_ratio(result, row) for result in results.values()]
-        lines.append((row.role, row.resource, number(row.budget), row.unit, *ratios))
+        ratios = [_ratio_or_reason(result, row) for result in results.values()]
+        lines.append((row.role, row.resource, format_number(row.budget), row.unit, *ratios))
     return table(("role", "resource", "budget", "unit", *(f"ratio, {name}" for name in results)), lines)
 
 
-def _ratio(result: Result, wanted: Row) -> str:
+def _ratio_or_reason(result: Result, wanted: Row) -> str:
     for row in result.rows:
         if (row.role, row.resource) == (wanted.role, wanted.resource):
             return f"{row.ratio:.3g}" if row.ratio is not None else row.how
@@ -91,10 +93,10 @@
 
 
 def superlinear(results: Results) -> str:
-    """What grows faster than linearly, by name."""
+    """A list of the resources whose cost grows faster than linearly, for each result."""
     lines = [
-        f"- {name}: {row.role}, {row.resource}, by {row.by}: exponent {growth(row)}, measured to"
-        f" {number(row.measured_to)}"
+        f"- {name}: {row.role}, {row.resource}, by {row.by}: exponent {format_exponent(row)}, measured to"
+        f" {format_number(row.measured_to)}"
         for name, result in results.items()
         for row in result.rows
         if row.superlinear
@@ -120,8 +122,8 @@
 )
 
 
-def role(results: Results, *names: str) -> str:
-    """All that was measured of these roles: a line a resource and result."""
+def role_table(results: Results, *names: str) -> str:
+    """A table of all measurements of these roles, one line for each resource and result."""
     chosen = [(name, row) for name, result in results.items() for row in result.rows if row.role in names]
     if not chosen:
         return "Not run."
@@ -129,28 +131,28 @@
     budgets = dict.fromkeys(f"{row.resource}: {row.derivation}" for _, row in chosen if row.derivation)
     return "\n".join(
         [
-            table(ROLE_COLUMNS, [_role_line(name, row) for name, row in chosen]),
+            table(ROLE_COLUMNS, [_role_cells(name, row) for name, row in chosen]),
             "",
             f"Run: {'; '.join(commands)}. Budgets: {'; '.join(budgets) or 'none'}.",
         ]
     )
 
 
-def _role_line(result: str, row: Row) -> tuple[str, ...]:
-    """The cells of ``ROLE_COLUMNS`` for a row of this result."""
+def _role_cells(result: str, row: Row) -> tuple[str, ...]:
+    """The cells of one row of this result, in the order of ``ROLE_COLUMNS``."""
     return (
         f"{row.role}: {row.resource}",
-        f"{row.by} ({number(row.target)})",
+        f"{row.by} ({format_number(row.target)})",
         result,
-        number(row.measured_to),
-        number(row.at_half),
-        number(row.at_target),
-        number(row.at_twice),
+        format_number(row.measured_to),
+        format_number(row.at_half),
+        format_number(row.at_target),
+        format_number(row.at_twice),
         row.unit,
-        number(row.slope),
-        growth(row),
-        error(row),
-        number(row.budget),
-        number(row.ratio),
+        format_number(row.slope),
+        format_exponent(row),
+        format_prediction_error(row),
+        format_number(row.budget),
+        format_number(row.ratio),
         row.how,
     )
