--- a/magpieshift/lab/emulators/client_connection.py
+++ b/magpieshift/lab/emulators/client_connection.py
@@ -30,10 +30,10 @@
 class NoAnswer(Enum):
     """Why a request has no answer, in the words of a report."""
 
-    UNREACHED = "no connection came up"
-    ENDED = "its connection ended"
-    CROSSED = "it crossed the end of its connection, twice"
-    SILENT = "nothing came in time"
+    NOT_CONNECTED = "no connection came up"
+    DISCONNECTED = "its connection ended"
+    RACED_WITH_CLOSE = "it crossed the end of its connection, twice"
+    TIMED_OUT = "nothing came in time"
 
 
 @dataclass(slots=True)
@@ -43,12 +43,12 @@
     answer: asyncio.Future[Answer]
 
 
-class _Link:
+class _Connection:
     """One TCP connection of a client, until either end closes it."""
 
-    def __init__(self, resend_window_s: float, heeds_go_away: bool) -> None:
+    def __init__(self, resend_window_s: float, obeys_go_away: bool) -> None:
         self._resend_window_s = resend_window_s
-        self._heeds_go_away = heeds_go_away
+        self._obeys_go_away = obeys_go_away
         self._writer: asyncio.StreamWriter | None = None
         self._reading: asyncio.Task[None] | None = None
         self._pending: dict[int, _PendingAnswer] = {}
@@ -69,7 +69,7 @@
     async def request(self, fields: dict[str, str], body: bytes, time_limit_s: float) -> Answer | NoAnswer:
         """Send a request, and wait for its answer."""
         if self._writer is None:  # it ended since it was chosen; nothing was written
-            return NoAnswer.CROSSED
+            return NoAnswer.RACED_WITH_CLOSE
         self._last_stream += 1
         stream = self._last_stream
         answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
@@ -82,10 +82,10 @@
                 return await answer
         except TimeoutError:
             self._abandoned.add(stream)
-            return NoAnswer.SILENT
+            return NoAnswer.TIMED_OUT
         except ConnectionError:
-            has_crossed = time.monotonic() - pending.written_s <= self._resend_window_s
-            return NoAnswer.CROSSED if has_crossed else NoAnswer.ENDED
+            has_raced = time.monotonic() - pending.written_s <= self._resend_window_s
+            return NoAnswer.RACED_WITH_CLOSE if has_raced else NoAnswer.DISCONNECTED
         finally:
             self._pending.pop(stream, None)
             self._close_if_drained()
@@ -95,7 +95,7 @@
         with contextlib.suppress(ConnectionError):
             while data := await reader.read(READ_BYTES):
                 for frame in parser.feed(data):
-                    if frame.type == FrameType.GO_AWAY and self._heeds_go_away:
+                    if frame.type == FrameType.GO_AWAY and self._obeys_go_away:
                         self.is_draining = True
                         self._close_if_drained()
                     elif frame.type == FrameType.RESPONSE:
@@ -140,50 +140,52 @@
     """
 
     def __init__(
-        self, port: int, resend_window_s: float = RESEND_WINDOW_S, heeds_go_away: bool = True
+        self, port: int, resend_window_s: float = RESEND_WINDOW_S, obeys_go_away: bool = True
     ) -> None:
         """``resend_window_s``: a request is sent again if it was written at most so long before the end.
-        ``heeds_go_away``: if not, it uses a connection until that is closed."""
-        self._heeds_go_away = heeds_go_away
+        ``obeys_go_away``: if not, it uses a connection until that is closed."""
+        self._obeys_go_away = obeys_go_away
         self._port = port
         self._resend_window_s = resend_window_s
-        self._link: _Link | None = None
-        self._links: list[_Link] = []
+        self._current: _Connection | None = None
+        self._connections: list[_Connection] = []
         """All that were open when the last one was made."""
         self._connecting = asyncio.Lock()
-        self._closed_duplicate_answers = 0
+        self._duplicates_on_closed = 0
         """Duplicate answers on links that are forgotten."""
 
     @property
     def duplicate_answers(self) -> int:
         """Answers beyond the first of their request."""
-        return self._closed_duplicate_answers + sum(link.duplicate_answers for link in self._links)
+        return self._duplicates_on_closed + sum(
+            connection.duplicate_answers for connection in self._connections
+        )
 
     async def request(self, fields: dict[str, str], body: bytes, time_limit_s: float) -> Answer | NoAnswer:
         """Send a request: the answer, or why there is none."""
         for _ in range(2):
             try:
                 async with self._connecting:
-                    if self._link is None or self._link.is_draining:
-                        self._link = await self._connect()
-                    link = self._link
+                    if self._current is None or self._current.is_draining:
+                        self._current = await self._connect()
+                    connection = self._current
             except OSError:
-                return NoAnswer.UNREACHED
-            answer = await link.request(fields, body, time_limit_s)
-            if answer is not NoAnswer.CROSSED:
+                return NoAnswer.NOT_CONNECTED
+            answer = await connection.request(fields, body, time_limit_s)
+            if answer is not NoAnswer.RACED_WITH_CLOSE:
                 break
         return answer
 
-    async def _connect(self) -> _Link:
-        for closed in [link for link in self._links if link.is_closed]:
-            self._closed_duplicate_answers += closed.duplicate_answers
-            self._links.remove(closed)
-        link = _Link(self._resend_window_s, self._heeds_go_away)
-        await link.connect(self._port)
-        self._links.append(link)
-        return link
+    async def _connect(self) -> _Connection:
+        for closed in [connection for connection in self._connections if connection.is_closed]:
+            self._duplicates_on_closed += closed.duplicate_answers
+            self._connections.remove(closed)
+        connection = _Connection(self._resend_window_s, self._obeys_go_away)
+        await connection.connect(self._port)
+        self._connections.append(connection)
+        return connection
 
     def close(self) -> None:
         """Close all links."""
-        for link in self._links:
-            link.close()
+        for connection in self._connections:
+            connection.close()
--- a/magpieshift/lab/emulators/emulator.py
+++ b/magpieshift/lab/emulators/emulator.py
@@ -28,14 +28,14 @@
 LOAD_WINDOW_S = 1.0  # over which the work sent to an endpoint in slow start is summed
 
 
-def answer_bytes(request_id: str, fields: Mapping[str, str], minted_ms: int | None, how: str) -> bytes:
+def answer_bytes(request_id: str, fields: Mapping[str, str], created_ms: int | None, how: str) -> bytes:
     """An answer on the wire: the copy, that there is none, or that its source is down."""
-    if minted_ms is None and how == "dropped":
+    if created_ms is None and how == "dropped":
         return f"{request_id} failed how=dropped 0\r\n\r\n".encode()
-    if minted_ms is None:
+    if created_ms is None:
         return f"{request_id} absent - 0\r\n\r\n".encode()
-    body = f"{fields['key']} {fields['part']} {minted_ms} ".encode().ljust(ANSWER_BYTES, b".")
-    head = f"{request_id} data tag=t{minted_ms % 1000},minted={minted_ms},how={how} {len(body)}\r\n"
+    body = f"{fields['key']} {fields['part']} {created_ms} ".encode().ljust(ANSWER_BYTES, b".")
+    head = f"{request_id} data tag=t{created_ms % 1000},minted={created_ms},how={how} {len(body)}\r\n"
     return head.encode() + body + codec.LINE_END
 
 
@@ -81,7 +81,7 @@
         """Misses for which a source was named."""
         self.received = 0
         """Requests that have come."""
-        self._minted_ms: OrderedDict[Part, int] = OrderedDict()
+        self._created_ms: OrderedDict[Part, int] = OrderedDict()
         """Stored parts, least recently used first, with the Unix time at which each copy was made."""
         self._slots = asyncio.Semaphore(profile.slots)
         self._link_free_at_s = 0.0
@@ -107,7 +107,7 @@
         self.reset_connections()
         for task in list(self._tasks):
             task.cancel()
-        self._minted_ms.clear()
+        self._created_ms.clear()
 
     def reset_connections(self) -> None:
         """Reset all open connections."""
@@ -139,8 +139,8 @@
 
     def invalidate(self, key: str) -> None:
         """Drop all stored parts of an object."""
-        for part in [part for part in self._minted_ms if part[0] == key]:
-            del self._minted_ms[part]
+        for part in [part for part in self._created_ms if part[0] == key]:
+            del self._created_ms[part]
 
     # --- connections
 
@@ -173,14 +173,14 @@
     ) -> None:
         """Answer a request in a task of its own, which leaves ``answering`` at its end."""
 
-        def forget(task: asyncio.Task[None]) -> None:
+        def remove(task: asyncio.Task[None]) -> None:
             self._tasks.discard(task)
             answering.pop(request_id, None)
 
         task = asyncio.ensure_future(self._answer(request_id, fields, writer))
         answering[request_id] = task
         self._tasks.add(task)
-        task.add_done_callback(forget)
+        task.add_done_callback(remove)
 
     async def _answer(self, request_id: str, fields: Mapping[str, str], writer: asyncio.StreamWriter) -> None:
         self.received += 1
@@ -191,9 +191,9 @@
             self._checker.endpoint_used(request_id, fields["via"], "named as its source")
         in_flight = True
         try:
-            minted_ms, how = await self._find(fields)
+            created_ms, how = await self._find_or_fill(fields)
             in_flight = False
-            if minted_ms is not None:
+            if created_ms is not None:
                 self._checker.request_executed(request_id, class_name, self.name)
             # before the answer is written: the router may start the next attempt as soon as it reads it
             self._checker.attempt_ended(request_id, self.name)
@@ -202,7 +202,7 @@
             if self._random.random() < self.failed_answer_fraction:
                 writer.write(f"{request_id} failed - 0\r\n\r\n".encode())
             else:
-                writer.write(answer_bytes(request_id, fields, minted_ms, how))
+                writer.write(answer_bytes(request_id, fields, created_ms, how))
         finally:
             if in_flight:
                 self._checker.attempt_ended(request_id, self.name)
@@ -227,10 +227,10 @@
         while self._recent_work_s[0] < now_s - LOAD_WINDOW_S:
             self._recent_work_s.popleft()
         start = profile.slow_start_fraction
-        share = start + (1 - start) * max(0.0, age_s) / profile.slow_start_s
+        capacity_fraction = start + (1 - start) * max(0.0, age_s) / profile.slow_start_s
         work_s = len(self._recent_work_s) * profile.part_work_s
         self._checker.check_slow_start(
-            self.name, work_s, profile.overload_multiple * profile.capacity * share
+            self.name, work_s, profile.overload_multiple * profile.capacity * capacity_fraction
         )
 
     async def _work(self, work_ms: float, size_kb: float) -> None:
@@ -247,16 +247,16 @@
 
     # --- copies
 
-    async def _find(self, fields: Mapping[str, str]) -> tuple[int | None, str]:
+    async def _find_or_fill(self, fields: Mapping[str, str]) -> tuple[int | None, str]:
         """The Unix time in ms at which the copy to answer with was made, if there is one, and the wire's
         word for where it came from."""
         part = fields["key"], fields["part"]
         max_age_ms = int(fields.get("fresh", "0"))
         await self._work(self.profile.serve_ms, PART_KB)
-        minted_ms = self._stored_copy(part, max_age_ms)
-        if minted_ms is not None:
+        created_ms = self._stored_copy(part, max_age_ms)
+        if created_ms is not None:
             self.hits += 1
-            return minted_ms, "warm"
+            return created_ms, "warm"
         if self.kind == ORIGIN_KIND or fields["class"] in WRITE_CLASSES:
             return int(time.time() * 1000), "warm"
         source = self.sources.get(fields.get("via", ""))
@@ -265,11 +265,11 @@
         self.fills += 1
         if not source.is_up:
             return None, "dropped"
-        minted_ms = await source.fetch(part, max_age_ms, self.name)
-        if minted_ms is None:
+        created_ms = await source.fetch(part, max_age_ms, self.name)
+        if created_ms is None:
             return None, "lacking"
-        self._store_copy(part, minted_ms)
-        return minted_ms, "fill"
+        self._store_copy(part, created_ms)
+        return created_ms, "fill"
 
     async def fetch(self, part: Part, max_age_ms: int, requester: str) -> int | None:
         """Another endpoint fills from this one: when the copy was made in Unix ms, or None if it has none."""
@@ -281,24 +281,24 @@
             fetches = self._checker.origin_fetches
             fetches[requester] = fetches.get(requester, 0) + 1
             return int(time.time() * 1000)
-        minted_ms = self._stored_copy(part, max_age_ms)
-        if minted_ms is None:
+        created_ms = self._stored_copy(part, max_age_ms)
+        if created_ms is None:
             origin = next((s for s in self.sources.values() if s.kind == ORIGIN_KIND), None)
-            minted_ms = await origin.fetch(part, max_age_ms, self.name) if origin is not None else None
-            if minted_ms is not None:
-                self._store_copy(part, minted_ms)
-        return minted_ms
+            created_ms = await origin.fetch(part, max_age_ms, self.name) if origin is not None else None
+            if created_ms is not None:
+                self._store_copy(part, created_ms)
+        return created_ms
 
     def _stored_copy(self, part: Part, max_age_ms: int) -> int | None:
         """When the stored copy was made, if there is one no older than this (0: of any age)."""
-        minted_ms = self._minted_ms.get(part)
-        if minted_ms is None or (max_age_ms and time.time() * 1000 - minted_ms > max_age_ms):
+        created_ms = self._created_ms.get(part)
+        if created_ms is None or (max_age_ms and time.time() * 1000 - created_ms > max_age_ms):
             return None
-        self._minted_ms.move_to_end(part)
-        return minted_ms
-
-    def _store_copy(self, part: Part, minted_ms: int) -> None:
-        self._minted_ms[part] = minted_ms
-        self._minted_ms.move_to_end(part)
-        while len(self._minted_ms) > self.profile.max_parts:
-            self._minted_ms.popitem(last=False)
+        self._created_ms.move_to_end(part)
+        return created_ms
+
+    def _store_copy(self, part: Part, created_ms: int) -> None:
+        self._created_ms[part] = created_ms
+        self._created_ms.move_to_end(part)
+        while len(self._created_ms) > self.profile.max_parts:
+            self._created_ms.popitem(last=False)
--- a/magpieshift/lab/emulators/load.py
+++ b/magpieshift/lab/emulators/load.py
@@ -165,8 +165,8 @@
             if answer.code != ResponseCode.REJECTED:
                 is_served = answer.code == ResponseCode.OK
                 if is_served and class_name == "picture":
-                    minted_ms = int(answer.body.split(b" ", 3)[2])
-                    self._copy_served(key, minted_ms, sent_s, request_id)
+                    created_ms = int(answer.body.split(b" ", 3)[2])
+                    self._copy_served(key, created_ms, sent_s, request_id)
                 return is_served
             await asyncio.sleep(int(answer.fields.get("w", DEFAULT_RETRY_AFTER_MS)) / 1000)
         return False
--- a/magpieshift/lab/emulators/protocol_checker.py
+++ b/magpieshift/lab/emulators/protocol_checker.py
@@ -9,7 +9,7 @@
 DRAIN_NOTICE_S = 0.25  # the platform's rule: after this a router sends a draining endpoint nothing new
 PURGE_NOTICE_S = 0.5  # the platform's rule: after this a router serves no copy from before a purge
 MAX_EXAMPLES = 20  # enough to see what went wrong; all violations are counted
-ONE_SHOT_CLASS = "order"  # the class whose repeats no endpoint recognizes
+NON_IDEMPOTENT_CLASS = "order"  # the class whose repeats no endpoint recognizes
 
 
 class ProtocolChecker:
@@ -91,18 +91,18 @@
 
     def request_executed(self, request_id: str, class_name: str, endpoint: str) -> None:
         """A request has taken effect: one that is not idempotent may do so only once."""
-        if class_name != ONE_SHOT_CLASS:
+        if class_name != NON_IDEMPOTENT_CLASS:
             return
         if request_id in self._executed:
             self.record_violation("repeat", f"{request_id} came to {endpoint} again after it had run")
         self._executed.add(request_id)
 
-    def copy_served(self, key: str, minted_ms: int, sent_s: float, request_id: str = "") -> None:
-        """A client has received a copy made at ``minted_ms`` for a request sent at ``sent_s`` (Unix times):
+    def copy_served(self, key: str, created_ms: int, sent_s: float, request_id: str = "") -> None:
+        """A client has received a copy made at ``created_ms`` for a request sent at ``sent_s`` (Unix times):
         none from before a purge, if the request was sent long enough after that was published."""
-        made_s, published_s = self.purges_s.get(key, (0.0, 0.0))
-        if not made_s or minted_ms / 1000 >= made_s:
+        purged_s, published_s = self.purges_s.get(key, (0.0, 0.0))
+        if not purged_s or created_ms / 1000 >= purged_s:
             return
         if sent_s > self.known_at(request_id, published_s) + PURGE_NOTICE_S + self.slack_s:
-            early_s = made_s - minted_ms / 1000
+            early_s = purged_s - created_ms / 1000
             self.record_violation("purge", f"object {key}: copy of {early_s:.3f} s before the purge")
--- a/magpieshift/lab/emulators/request_generator.py
+++ b/magpieshift/lab/emulators/request_generator.py
@@ -21,12 +21,12 @@
 class RequestGenerator:
     """One connection at a time, made anew when it ends; every request must get one answer."""
 
-    def __init__(self, port: int, rand: random.Random, router_runs: Callable[[], bool]) -> None:
-        """``router_runs`` gives whether the router can be expected to answer: what is open when it is killed
-        counts as interrupted, not as lost."""
+    def __init__(self, port: int, rand: random.Random, is_router_running: Callable[[], bool]) -> None:
+        """``is_router_running`` gives whether the router can be expected to answer: requests open when it is
+        killed count as interrupted, not as lost."""
         self._port = port
         self._random = rand
-        self._router_runs = router_runs
+        self._is_router_running = is_router_running
         self._deadlines_s: dict[int, float] = {}
         """Steady time at which each open request counts as lost, by stream."""
         self._writer: asyncio.StreamWriter | None = None
@@ -129,7 +129,7 @@
             self._writer = None
 
     def _count_lost(self, count: int) -> None:
-        if self._router_runs():
+        if self._is_router_running():
             self.lost += count
         else:
             self.interrupted += count
--- a/magpieshift/lab/soak/clients.py
+++ b/magpieshift/lab/soak/clients.py
@@ -102,7 +102,7 @@
             request.add_done_callback(self._requests.discard)
 
     def _connect(self, kind: ClientKind) -> ClientConnection:
-        connection = ClientConnection(self._port, heeds_go_away=kind is not ClientKind.STAYING)
+        connection = ClientConnection(self._port, obeys_go_away=kind is not ClientKind.STAYING)
         self._connections.append(connection)
         return connection
 
--- a/magpieshift/lab/soak/life.py
+++ b/magpieshift/lab/soak/life.py
@@ -277,11 +277,11 @@
         """Whether an answer was due. What crosses a close is not, nor what finds nobody listening once new
         connections have stopped coming."""
         match request.reason:
-            case NoAnswer.CROSSED:
+            case NoAnswer.RACED_WITH_CLOSE:
                 return False
-            case NoAnswer.UNREACHED:
+            case NoAnswer.NOT_CONNECTED:
                 return request.ended_s <= self._clients.newcomers_until_s
-            case NoAnswer.ENDED:
+            case NoAnswer.DISCONNECTED:
                 return request.ended_s - request.sent_s > RESEND_WINDOW_S + self._clients.max_lag_s
         return True
 
--- a/tests/membership/test_fault_injection.py
+++ b/tests/membership/test_fault_injection.py
@@ -282,14 +282,14 @@
 
     async def test_a_request_dropped_twice_or_after_the_resend_window_is_lost(self) -> None:
         self.endings = ["drop", "drop", "drop"]
-        self.assertEqual(await self.ask(), NoAnswer.CROSSED)
+        self.assertEqual(await self.ask(), NoAnswer.RACED_WITH_CLOSE)
         self.client = ClientConnection(self.server.sockets[0].getsockname()[1], resend_window_s=0.0)
-        self.assertEqual(await self.ask(), NoAnswer.ENDED)
+        self.assertEqual(await self.ask(), NoAnswer.DISCONNECTED)
         self.assertEqual(self.streams_by_connection, [[1]] * 3)
 
     async def test_without_a_listener_no_request_is_sent(self) -> None:
         self.server.close()
-        self.assertEqual(await self.ask(), NoAnswer.UNREACHED)
+        self.assertEqual(await self.ask(), NoAnswer.NOT_CONNECTED)
 
 
 class SkewedClockTest(unittest.TestCase):
