--- a/magpieshift/lab/emulators/emulated.py
+++ b/magpieshift/lab/emulators/emulated.py
@@ -156,48 +156,50 @@
 
     # --- faults
 
-    async def inject_fault(self, what: str, place: str = "", for_s: float = 0.0, by: float = 0.0) -> None:
+    async def inject_fault(
+        self, kind: str, place: str = "", duration_s: float = 0.0, magnitude: float = 0.0
+    ) -> None:
         """Carry one fault out, from its beginning to its end.
 
-        ``what`` is a scenario's word; ``by`` is milliseconds of delay or a share of answers. A fault at a
+        ``kind`` is a scenario's word; ``magnitude`` is milliseconds of delay or a share of answers. A fault at a
         place that isn't there does nothing, nor does "drain" or "die" at the origin or at a process that is
         down.
         """
         endpoint = self.places.get(place)
-        if what == "late-list":
-            self._delayed_until_s = time.monotonic() + for_s
-        elif what == "purge":
+        if kind == "late-list":
+            self._delayed_until_s = time.monotonic() + duration_s
+        elif kind == "purge":
             await self.purge(f"{self._random.randrange(POPULAR_OBJECTS) + 1:016x}")
         elif endpoint is not None:
-            await self._inject_endpoint_fault(what, place, endpoint, for_s, by)
+            await self._inject_endpoint_fault(kind, place, endpoint, duration_s, magnitude)
 
     async def _inject_endpoint_fault(
-        self, what: str, place: str, endpoint: EmulatedEndpoint, for_s: float, by: float
+        self, kind: str, place: str, endpoint: EmulatedEndpoint, duration_s: float, magnitude: float
     ) -> None:
-        match what:
+        match kind:
             case "slow":
-                endpoint.added_delay_ms = by
-                await asyncio.sleep(for_s)
+                endpoint.added_delay_ms = magnitude
+                await asyncio.sleep(duration_s)
                 endpoint.added_delay_ms = 0.0
             case "lose":
-                endpoint.lost_answer_fraction = by
-                await asyncio.sleep(for_s)
+                endpoint.lost_answer_fraction = magnitude
+                await asyncio.sleep(duration_s)
                 endpoint.lost_answer_fraction = 0.0
             case "err":
-                endpoint.failed_answer_fraction = by
-                await asyncio.sleep(for_s)
+                endpoint.failed_answer_fraction = magnitude
+                await asyncio.sleep(duration_s)
                 endpoint.failed_answer_fraction = 0.0
             case "hang":
                 endpoint.running.clear()
-                await asyncio.sleep(for_s)
+                await asyncio.sleep(duration_s)
                 endpoint.running.set()
             case "reset":
                 endpoint.reset_connections()
             case "drain" | "die" if endpoint.is_up and place != "origin":
-                if what == "drain":
+                if kind == "drain":
                     self._publish_list([endpoint.list_entry("DRAINING")])
-                    await asyncio.sleep(max(MIN_DRAIN_S, for_s))
-                await self._replace(place, endpoint, for_s)
+                    await asyncio.sleep(max(MIN_DRAIN_S, duration_s))
+                await self._replace(place, endpoint, duration_s)
 
     async def purge(self, key: str) -> None:
         """Void an object: published at once, and after a moment dropped by all endpoints."""
--- a/magpieshift/lab/fault_injection/rollouts.py
+++ b/magpieshift/lab/fault_injection/rollouts.py
@@ -126,7 +126,9 @@
         runner = RolloutRunner(plan_for(cluster), folder / "rollout", starter, on_status)
         outage = None
         if name == OUTAGE_SCENARIO:
-            slow_origin = cluster.endpoints.inject_fault("slow", "origin", OUTAGE_S, by=OUTAGE_DELAY_MS)
+            slow_origin = cluster.endpoints.inject_fault(
+                "slow", "origin", OUTAGE_S, magnitude=OUTAGE_DELAY_MS
+            )
             outage = asyncio.ensure_future(slow_origin)
         status = await runner.run()
         if outage is not None:
--- a/magpieshift/lab/soak/life.py
+++ b/magpieshift/lab/soak/life.py
@@ -164,7 +164,7 @@
             case LifeFault.HANG | LifeFault.DIE:
                 fault = self._endpoints.inject_fault(str(self._plan.fault), "box1", FAULT_FOR_S)
             case LifeFault.LATE_LOG:
-                fault = self._endpoints.inject_fault("late-list", for_s=FAULT_FOR_S)
+                fault = self._endpoints.inject_fault("late-list", duration_s=FAULT_FOR_S)
             case _:
                 return
         self._faults.append(asyncio.ensure_future(fault))
--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -54,7 +54,7 @@
         dead_parent = cluster.endpoints.places["hub1"]
 
         with self.subTest("the parent dies, and the endpoint list is updated late"):
-            late_list = asyncio.ensure_future(cluster.endpoints.inject_fault("late-list", for_s=20.0))
+            late_list = asyncio.ensure_future(cluster.endpoints.inject_fault("late-list", duration_s=20.0))
             crash = asyncio.ensure_future(cluster.endpoints.inject_fault("die", "hub1", 15.0))
             await self.wait_until_ejected(dead_parent.name, 2, "two routers have ejected the dead parent")
             max_ejecting = 0
--- a/tests/test_overload_processes.py
+++ b/tests/test_overload_processes.py
@@ -39,7 +39,7 @@
         self.assertGreater(baseline_share, 0.5)
 
         with self.subTest("the origin is slow for all requests"):
-            await cluster.endpoints.inject_fault("slow", "origin", 5.0, by=400)
+            await cluster.endpoints.inject_fault("slow", "origin", 5.0, magnitude=400)
             await self.wait_for_recovery(baseline_share, "a slow origin")
 
         with self.subTest("a parent dies and returns cold"):
@@ -47,7 +47,7 @@
             await self.wait_for_recovery(baseline_share, "a dead parent")
 
         with self.subTest("a cache answers every second request with an error"):
-            await cluster.endpoints.inject_fault("err", "box1", 4.0, by=0.5)
+            await cluster.endpoints.inject_fault("err", "box1", 4.0, magnitude=0.5)
             await self.wait_for_recovery(baseline_share, "errors")
 
         with self.subTest(
