--- a/magpieshift/cli/lab_soak.py
+++ b/magpieshift/cli/lab_soak.py
@@ -29,12 +29,12 @@
 def soak(first: int, seeds: int, only: int | None, parallel: int, as_json: bool) -> None:
     """Play short lives of real routers, full of signals, and judge each to the last request. Exit code 1 if a
     rule was broken; a life is played again by its seed."""
-    from magpieshift.lab.soak.life import LifeReport
-    from magpieshift.lab.soak.run import play_lives
+    from magpieshift.lab.soak.life import SoakReport
+    from magpieshift.lab.soak.run import play_runs
 
     setup("pairs", "ERROR")
 
-    def tell_findings(report: LifeReport) -> None:
+    def print_findings(report: SoakReport) -> None:
         """Print what a failing life has shown."""
         if report.findings:
             click.echo(f"seed {report.plan.seed}: {report.plan.describe()}", err=True)
@@ -42,6 +42,6 @@
                 click.echo(f"  {finding}", err=True)
 
     chosen = range(first, first + seeds) if only is None else [only]
-    reports = asyncio.run(play_lives(chosen, parallel, on_report=tell_findings))
+    reports = asyncio.run(play_runs(chosen, parallel, on_report=print_findings))
     output.print_rows([report.as_row() for report in reports], as_json)
     raise SystemExit(1 if any(report.findings for report in reports) else 0)
--- a/magpieshift/lab/emulators/emulated.py
+++ b/magpieshift/lab/emulators/emulated.py
@@ -159,11 +159,11 @@
     async def inject_fault(
         self, kind: str, place: str = "", duration_s: float = 0.0, magnitude: float = 0.0
     ) -> None:
-        """Carry one fault out, from its beginning to its end.
+        """Inject one fault, and return when it has ended.
 
-        ``kind`` is a scenario's word; ``magnitude`` is milliseconds of delay or a share of answers. A fault at a
-        place that isn't there does nothing, nor does "drain" or "die" at the origin or at a process that is
-        down.
+        ``kind`` is the kind of a scenario's fault, and ``magnitude`` a delay in milliseconds or a share of
+        answers, by the kind. A fault at an unknown place has no effect, nor has "drain" or "die" at the
+        origin or at an endpoint that is down.
         """
         endpoint = self.places.get(place)
         if kind == "late-list":
--- a/magpieshift/lab/soak/clients.py
+++ b/magpieshift/lab/soak/clients.py
@@ -14,7 +14,7 @@
 from magpieshift.lab.emulators.load import TIME_LIMITS_MS, WRITE_BODY
 
 OBJECTS = 40
-LAG_TICK_S = 0.01
+LAG_CHECK_INTERVAL_S = 0.01
 """Between two looks at how late the event loop of the clients is."""
 CONNECTIONS = 4
 """Of each kind of client that keeps its connection."""
@@ -23,11 +23,11 @@
 class ClientKind(StrEnum):
     """How a client treats its connection."""
 
-    HEEDING = "heeding"
+    OBEYING_GO_AWAY = "heeding"
     """It goes on over a new one when it is told to go away."""
-    STAYING = "staying"
+    IGNORING_GO_AWAY = "staying"
     """It goes on using the one it has until that is closed."""
-    NEW = "new"
+    CONNECTION_PER_REQUEST = "new"
     """It opens one for each request."""
 
 
@@ -60,18 +60,18 @@
         """Idle connections that were reset in place of closed."""
         self.max_lag_s = 0.0
         """How late the event loop has been at most."""
-        self.newcomers_until_s = float("inf")
+        self.new_connections_until_s = float("inf")
         """Steady time from which nobody opens a connection for a new request."""
         self._connections: list[ClientConnection] = []
         self._requests: set[asyncio.Task[None]] = set()
         self._tasks: list[asyncio.Task[None]] = []
         self._is_stopping = False
 
-    def start(self, rate: float, crowd: int) -> None:
+    def start(self, rate: float, idle_clients: int) -> None:
         """Begin: ``rate`` requests a second of each kind, and so many idle clients."""
         for kind in ClientKind:
             self._tasks.append(asyncio.ensure_future(self._send_requests(kind, rate)))
-        self._tasks += [asyncio.ensure_future(self._stay_idle()) for _ in range(crowd)]
+        self._tasks += [asyncio.ensure_future(self._hold_idle_connection()) for _ in range(idle_clients)]
         self._tasks.append(asyncio.ensure_future(self._watch_lag()))
 
     async def stop(self) -> None:
@@ -91,18 +91,22 @@
         return sum(connection.duplicate_answers for connection in self._connections)
 
     async def _send_requests(self, kind: ClientKind, rate: float) -> None:
-        kept = [self._connect(kind) for _ in range(CONNECTIONS)] if kind is not ClientKind.NEW else []
+        persistent = (
+            [self._connect(kind) for _ in range(CONNECTIONS)]
+            if kind is not ClientKind.CONNECTION_PER_REQUEST
+            else []
+        )
         while not self._is_stopping:
             await asyncio.sleep(self._random.expovariate(rate))
-            if not kept and time.monotonic() >= self.newcomers_until_s:
+            if not persistent and time.monotonic() >= self.new_connections_until_s:
                 return
-            connection = self._random.choice(kept) if kept else self._connect(kind)
+            connection = self._random.choice(persistent) if persistent else self._connect(kind)
             request = asyncio.ensure_future(self._request(kind, connection))
             self._requests.add(request)
             request.add_done_callback(self._requests.discard)
 
     def _connect(self, kind: ClientKind) -> ClientConnection:
-        connection = ClientConnection(self._port, obeys_go_away=kind is not ClientKind.STAYING)
+        connection = ClientConnection(self._port, obeys_go_away=kind is not ClientKind.IGNORING_GO_AWAY)
         self._connections.append(connection)
         return connection
 
@@ -132,10 +136,10 @@
             self.served += answer.code == ResponseCode.OK
             self.rejected += answer.code == ResponseCode.REJECTED
             self.failed += answer.code == ResponseCode.FAILED
-        if kind is ClientKind.NEW:
+        if kind is ClientKind.CONNECTION_PER_REQUEST:
             connection.close()
 
-    async def _stay_idle(self) -> None:
+    async def _hold_idle_connection(self) -> None:
         """Hold a connection until the router closes it; a new one is not opened."""
         with contextlib.suppress(OSError):
             reader, writer = await asyncio.open_connection("127.0.0.1", self._port)
@@ -149,6 +153,6 @@
 
     async def _watch_lag(self) -> None:
         while True:
-            due_s = time.monotonic() + LAG_TICK_S
-            await asyncio.sleep(LAG_TICK_S)
+            due_s = time.monotonic() + LAG_CHECK_INTERVAL_S
+            await asyncio.sleep(LAG_CHECK_INTERVAL_S)
             self.max_lag_s = max(self.max_lag_s, time.monotonic() - due_s)
--- a/magpieshift/lab/soak/defective_router.py
+++ b/magpieshift/lab/soak/defective_router.py
@@ -23,7 +23,7 @@
 """SO_LINGER with no time: a close is a reset."""
 
 
-def _drop_answers() -> None:
+def _drop_open_requests() -> None:
     """What is open at the end gets no answer."""
     Engine.answer_all = lambda self: None  # type: ignore[method-assign]
     shutdown.MAX_CLIENT_WAIT_S = 1.0
@@ -31,30 +31,30 @@
 
 def _close_listener_early() -> None:
     """The listener closes at SIGTERM, while new connections still come."""
-    plain = EdgeRouter.stop
+    original = EdgeRouter.stop
 
     def stop(self: EdgeRouter) -> None:
         self._downstream.stop_listening()
-        plain(self)
+        original(self)
 
     EdgeRouter.stop = stop  # type: ignore[method-assign]
 
 
 def _end_at_second_signal() -> None:
     """A second SIGTERM ends the process at once."""
-    plain = EdgeRouter.stop
+    original = EdgeRouter.stop
 
     def stop(self: EdgeRouter) -> None:
         if self.is_shutting_down:
             os._exit(0)
-        plain(self)
+        original(self)
 
     EdgeRouter.stop = stop  # type: ignore[method-assign]
 
 
 def _drop_connection_at_reload() -> None:
     """A reload closes the clients' connections, whatever is open on them."""
-    plain = signals.signal_handlers
+    original = signals.signal_handlers
 
     def handlers(shut_down: Callable[[], None], reload: Callable[[], None]) -> Any:
         def drop() -> None:
@@ -63,7 +63,7 @@
                 connection._stream.close()
             reload()
 
-        return plain(shut_down, drop)
+        return original(shut_down, drop)
 
     import magpieshift.app
 
@@ -81,7 +81,7 @@
 
 
 DEFECTS: dict[str, Callable[[], None]] = {
-    "answers-dropped": _drop_answers,
+    "answers-dropped": _drop_open_requests,
     "listener-closed-early": _close_listener_early,
     "second-signal-ends": _end_at_second_signal,
     "reload-drops-connections": _drop_connection_at_reload,
--- a/magpieshift/lab/soak/life.py
+++ b/magpieshift/lab/soak/life.py
@@ -25,29 +25,29 @@
 from magpieshift.lab.experiments.cost import platform_json
 from magpieshift.lab.fault_injection.ports import free_port
 from magpieshift.lab.soak.clients import ClientGroup, Unanswered
-from magpieshift.lab.soak.plan import LifeFault, LifePlan, RouterForm, TimedSignal
+from magpieshift.lab.soak.plan import RouterForm, SoakFault, SoakPlan, TimedSignal
 from magpieshift.lab.soak.router_process import RouterProcess
 
 PROGRAM = ("-m", "magpieshift")
 CACHES = 3
 CHECKER_SLACK_S = 1.0
 """Granted to the endpoints' rules with a time in them: the machine may be busy."""
-NEW_CONNECTIONS_FOR_S = 0.2
+NEW_CONNECTIONS_AFTER_SIGTERM_S = 0.2
 """After SIGTERM: the platform's front goes on opening connections for so long at least."""
-RELEASED_WITHIN_S = 1.0
+RELEASE_TIMEOUT_S = 1.0
 """For an endpoint to see that a router's connections have ended."""
-FAULT_FOR_S = 8.0
+FAULT_DURATION_S = 8.0
 """Longer than what is left of a life."""
-SECOND_SERVES_S = 0.6
+OVERLAP_S = 0.6
 """Between a second process's being ready and the first one's SIGTERM, and again before its own."""
 MAX_FINDING_LENGTH = 400
 
 
 @dataclass
-class LifeReport:
+class SoakReport:
     """What came of one life."""
 
-    plan: LifePlan
+    plan: SoakPlan
     sent: int = 0
     served: int = 0
     rejected: int = 0
@@ -78,10 +78,10 @@
         }
 
 
-class Life:
+class SoakRun:
     """Owner of all that one life needs."""
 
-    def __init__(self, plan: LifePlan, folder: Path, program: Sequence[str] = PROGRAM) -> None:
+    def __init__(self, plan: SoakPlan, folder: Path, program: Sequence[str] = PROGRAM) -> None:
         """``program`` is started by Python in place of the router, with its words behind."""
         self._plan = plan
         self._folder = folder
@@ -96,75 +96,75 @@
         self._clients = ClientGroup(self._port, self._random, classes)
         self._processes: list[RouterProcess] = []
         self._faults: list[asyncio.Task[None]] = []
-        self._report = LifeReport(plan)
+        self._report = SoakReport(plan)
 
-    async def play(self) -> LifeReport:
+    async def play(self) -> SoakReport:
         """The whole life."""
         async with AsyncExitStack() as stack:
-            stack.callback(self._stop_world)
+            stack.callback(self._stop_environment)
             stack.push_async_callback(self._kill_all)
-            await self._start_world(stack)
+            await self._start_environment(stack)
             first = await self._start_router()
-            await self._reload_while_starting(first)
-            if not await first.is_ready():
-                self._find(f"not ready within time: {first.written()[-MAX_FINDING_LENGTH:]}")
+            await self._reload_during_start(first)
+            if not await first.wait_until_ready():
+                self._add_finding(f"not ready within time: {first.log_text()[-MAX_FINDING_LENGTH:]}")
                 return self._report
             self._report.ready_s = time.monotonic() - first.started_s
-            self._clients.start(self._plan.rate, self._plan.crowd)
+            self._clients.start(self._plan.rate, self._plan.idle_clients)
             await asyncio.sleep(self._plan.serving_s)
-            await self._serve_and_end(first)
+            await self._serve_and_stop(first)
             await self._clients.stop()
-            await self._judge()
+            await self._check_results()
         return self._report
 
     # --- the course of a life
 
-    async def _serve_and_end(self, first: RouterProcess) -> None:
+    async def _serve_and_stop(self, first: RouterProcess) -> None:
         self._change_settings()
         await self._send_series(first, self._plan.reloads)
         last = first
         if self._plan.is_replaced:
             self._settings_path.write_text(self._settings_text(0))  # a bad file may stand there
             last = await self._start_router()
-            if not await last.is_ready():
-                self._find(f"the second process is not ready: {last.written()[-MAX_FINDING_LENGTH:]}")
-            await asyncio.sleep(SECOND_SERVES_S)
+            if not await last.wait_until_ready():
+                self._add_finding(f"the second process is not ready: {last.log_text()[-MAX_FINDING_LENGTH:]}")
+            await asyncio.sleep(OVERLAP_S)
             first.send(signal.SIGTERM)
-            await self._end(first)
-            await asyncio.sleep(SECOND_SERVES_S)
+            await self._wait_for_exit(first)
+            await asyncio.sleep(OVERLAP_S)
         self._begin_fault()
         await self._send_series(last, self._plan.end_signals)
-        await self._end(last)
+        await self._wait_for_exit(last)
 
     async def _send_series(self, router: RouterProcess, series: Sequence[TimedSignal]) -> None:
         for each in series:
             await asyncio.sleep(each.gap_s)
             router.send(each.number)
             if each.number is signal.SIGTERM and router is self._processes[-1]:
-                self._clients.newcomers_until_s = min(
-                    self._clients.newcomers_until_s, time.monotonic() + NEW_CONNECTIONS_FOR_S
+                self._clients.new_connections_until_s = min(
+                    self._clients.new_connections_until_s, time.monotonic() + NEW_CONNECTIONS_AFTER_SIGTERM_S
                 )
 
-    async def _reload_while_starting(self, router: RouterProcess) -> None:
+    async def _reload_during_start(self, router: RouterProcess) -> None:
         if self._plan.start_signals:
-            await router.handles_signals()
+            await router.wait_until_handling_signals()
             await self._send_series(router, self._plan.start_signals)
 
-    async def _end(self, router: RouterProcess) -> None:
-        code = await router.end()
+    async def _wait_for_exit(self, router: RouterProcess) -> None:
+        code = await router.wait_for_exit()
         assert router.terminated_s is not None
         self._report.ended_s = time.monotonic() - router.terminated_s
         if code is None:
-            self._find("it had not ended when the kill came")
+            self._add_finding("it had not ended when the kill came")
         elif code != 0:
-            self._find(f"it ended with {code}")
+            self._add_finding(f"it ended with {code}")
 
     def _begin_fault(self) -> None:
         match self._plan.fault:
-            case LifeFault.HANG | LifeFault.DIE:
-                fault = self._endpoints.inject_fault(str(self._plan.fault), "box1", FAULT_FOR_S)
-            case LifeFault.LATE_LOG:
-                fault = self._endpoints.inject_fault("late-list", duration_s=FAULT_FOR_S)
+            case SoakFault.HANG | SoakFault.DIE:
+                fault = self._endpoints.inject_fault(str(self._plan.fault), "box1", FAULT_DURATION_S)
+            case SoakFault.LATE_LOG:
+                fault = self._endpoints.inject_fault("late-list", duration_s=FAULT_DURATION_S)
             case _:
                 return
         self._faults.append(asyncio.ensure_future(fault))
@@ -175,7 +175,7 @@
         for log in self._logs:
             log.publish(**event)
 
-    async def _start_world(self, stack: AsyncExitStack) -> None:
+    async def _start_environment(self, stack: AsyncExitStack) -> None:
         await self._endpoints.start()
         for log in self._logs:
             await log.start()
@@ -190,7 +190,7 @@
             text = sexp.format_document(self._settings(0) | {"retry-after-ms": 150})
             self._control.publish(PublishedVersion.parse(1, text))
 
-    def _stop_world(self) -> None:
+    def _stop_environment(self) -> None:
         for task in self._faults:
             task.cancel()
         self._endpoints.stop()
@@ -216,9 +216,9 @@
     def _change_settings(self) -> None:
         """Replace the file that SIGHUP makes it read."""
         match self._plan.fault:
-            case LifeFault.BAD_SETTINGS:
+            case SoakFault.BAD_SETTINGS:
                 text = "{"
-            case LifeFault.MOVED_LOG:
+            case SoakFault.MOVED_LOG:
                 text = self._settings_text(1)
             case _:
                 return
@@ -231,25 +231,25 @@
         environment = {"TMPDIR": str(self._folder)}
         if self._plan.is_replaced:
             environment["EDGE_CONSOLE"] = f"127.0.0.1:{free_port()}"
-        words: list[str] = []
+        arguments: list[str] = []
         if self._plan.form is RouterForm.BARE:
             environment["EDGE_CONFIG"] = str(self._settings_path)
         else:
-            words = ["run", "--config", str(self._settings_path)]
+            arguments = ["run", "--config", str(self._settings_path)]
         if self._control is not None:
             state = str(self._folder / "state")
-            words += ["--state", state, "--control", f"127.0.0.1:{self._control.port}"]
+            arguments += ["--state", state, "--control", f"127.0.0.1:{self._control.port}"]
         log = self._folder / f"router.{number}.log"
-        router = await RouterProcess.start(self._program, words, environment, log)
+        router = await RouterProcess.start(self._program, arguments, environment, log)
         self._processes.append(router)
         return router
 
     # --- the verdict
 
-    def _find(self, text: str) -> None:
+    def _add_finding(self, text: str) -> None:
         self._report.findings.append(text)
 
-    async def _judge(self) -> None:
+    async def _check_results(self) -> None:
         clients = self._clients
         report = self._report
         report.sent, report.served = clients.sent, clients.served
@@ -257,21 +257,24 @@
         report.lag_ms = 1000 * clients.max_lag_s
         lost = [each for each in clients.unanswered if self._is_lost(each)]
         if lost:
-            self._find(f"{len(lost)} requests lost: " + "; ".join(self._describe(each) for each in lost[:3]))
+            self._add_finding(
+                f"{len(lost)} requests lost: "
+                + "; ".join(self._describe_lost(request) for request in lost[:3])
+            )
         if clients.duplicate_answers:
-            self._find(f"{clients.duplicate_answers} second answers")
+            self._add_finding(f"{clients.duplicate_answers} second answers")
         if clients.idle_resets:
-            self._find(f"{clients.idle_resets} idle connections were reset")
+            self._add_finding(f"{clients.idle_resets} idle connections were reset")
         if not clients.served:
-            self._find("nothing was served")
+            self._add_finding("nothing was served")
         report.findings += [f"{rule}: {count}" for rule, count in self._checker.violations.items()]
         report.findings += self._checker.examples[:3]
         for router in self._processes:
-            text = router.written()
+            text = router.log_text()
             if "Traceback" in text:
-                self._find(text[text.index("Traceback") :][:MAX_FINDING_LENGTH])
-        if not await self._is_released():
-            self._find("connections to endpoints are still open")
+                self._add_finding(text[text.index("Traceback") :][:MAX_FINDING_LENGTH])
+        if not await self._are_connections_released():
+            self._add_finding("connections to endpoints are still open")
 
     def _is_lost(self, request: Unanswered) -> bool:
         """Whether an answer was due. What crosses a close is not, nor what finds nobody listening once new
@@ -280,12 +283,12 @@
             case NoAnswer.RACED_WITH_CLOSE:
                 return False
             case NoAnswer.NOT_CONNECTED:
-                return request.ended_s <= self._clients.newcomers_until_s
+                return request.ended_s <= self._clients.new_connections_until_s
             case NoAnswer.DISCONNECTED:
                 return request.ended_s - request.sent_s > RESEND_WINDOW_S + self._clients.max_lag_s
         return True
 
-    def _describe(self, request: Unanswered) -> str:
+    def _describe_lost(self, request: Unanswered) -> str:
         from_signal_s = request.sent_s - (self._processes[-1].terminated_s or 0.0)
         took_s = request.ended_s - request.sent_s
         return (
@@ -293,9 +296,9 @@
             f"SIGTERM, after {took_s:.3f} s: {request.reason.value}"
         )
 
-    async def _is_released(self) -> bool:
+    async def _are_connections_released(self) -> bool:
         """Whether no router has a connection open to an endpoint any more."""
-        end_s = time.monotonic() + RELEASED_WITHIN_S + self._clients.max_lag_s
+        end_s = time.monotonic() + RELEASE_TIMEOUT_S + self._clients.max_lag_s
         while any(endpoint.open_connections for endpoint in self._endpoints.places.values()):
             if time.monotonic() > end_s:
                 return False
@@ -303,7 +306,7 @@
         return True
 
 
-async def play_life(plan: LifePlan, program: Sequence[str] = PROGRAM) -> LifeReport:
+async def play_run(plan: SoakPlan, program: Sequence[str] = PROGRAM) -> SoakReport:
     """One life in a folder of its own."""
     with tempfile.TemporaryDirectory(prefix="magpieshift-soak-") as folder:
-        return await Life(plan, Path(folder), program).play()
+        return await SoakRun(plan, Path(folder), program).play()
--- a/magpieshift/lab/soak/plan.py
+++ b/magpieshift/lab/soak/plan.py
@@ -12,7 +12,7 @@
 """Between two signals of a series."""
 MAX_SERIES = 4
 """Signals of one series."""
-MAX_CROWD = 150
+MAX_IDLE_CLIENTS = 150
 """Idle clients; with the others they stay under a third of the descriptors that the settings allow."""
 
 
@@ -27,7 +27,7 @@
     """``magpieshift run`` with stored versions and a control service."""
 
 
-class LifeFault(StrEnum):
+class SoakFault(StrEnum):
     """What goes wrong around the router."""
 
     NONE = "none"
@@ -53,18 +53,18 @@
 
 
 @dataclass(frozen=True)
-class LifePlan:
+class SoakPlan:
     """One life."""
 
     seed: int
     form: RouterForm
-    fault: LifeFault
+    fault: SoakFault
     cache_delay_ms: float
     """By which each cache answers later than it would."""
     origin_delay_ms: float
     rate: float
     """Requests a second of each kind of client."""
-    crowd: int
+    idle_clients: int
     """Idle clients."""
     is_replaced: bool
     """Whether a second process takes over before SIGTERM."""
@@ -92,7 +92,7 @@
         replaced = ", replaced" if self.is_replaced else ""
         return (
             f"{self.form}, fault {self.fault}, caches +{self.cache_delay_ms:.0f} ms, origin "
-            f"+{self.origin_delay_ms:.0f} ms, {self.rate:.0f}/s, crowd {self.crowd}{replaced}, "
+            f"+{self.origin_delay_ms:.0f} ms, {self.rate:.0f}/s, crowd {self.idle_clients}{replaced}, "
             f"serving {self.serving_s:.1f} s; {signals}"
         )
 
@@ -103,20 +103,20 @@
     return [TimedSignal(rand.choice(SIGNAL_GAPS_S), rand.choice(kinds)) for _ in range(count)]
 
 
-def draw_plan(seed: int) -> LifePlan:
+def draw_plan(seed: int) -> SoakPlan:
     """The life of a seed."""
     rand = random.Random(seed)
     form = rand.choice(list(RouterForm))
     end_first = TimedSignal(rand.choice(SIGNAL_GAPS_S), signal.SIGTERM)
     end_rest = _draw_series(rand, (signal.SIGTERM, signal.SIGHUP), 0)
-    return LifePlan(
+    return SoakPlan(
         seed=seed,
         form=form,
-        fault=rand.choice(list(LifeFault)),
+        fault=rand.choice(list(SoakFault)),
         cache_delay_ms=rand.choice((0.0, 20.0, 150.0)),
         origin_delay_ms=rand.choice((0.0, 100.0, 700.0)),
         rate=rand.choice((15.0, 40.0, 80.0)),
-        crowd=rand.choice((4, 40, MAX_CROWD)),
+        idle_clients=rand.choice((4, 40, MAX_IDLE_CLIENTS)),
         is_replaced=form is not RouterForm.CONTROLLED and rand.random() < 0.25,
         serving_s=rand.uniform(0.4, 1.2),
         start_signals=_draw_series(rand, (signal.SIGHUP,), 1) if rand.random() < 0.3 else (),
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -6,13 +6,13 @@
 import unittest
 
 from magpieshift.lab.soak.defective_router import DEFECTS
-from magpieshift.lab.soak.plan import LifeFault, RouterForm, draw_plan
-from magpieshift.lab.soak.run import defective_program, play_lives
+from magpieshift.lab.soak.plan import RouterForm, SoakFault, draw_plan
+from magpieshift.lab.soak.run import defective_program, play_runs
 
 SEEDS = range(1, 11)
 PARALLEL = 2
-MAX_SEEDS_TO_FIND = 20
-SHOWING_SEEDS = {
+MAX_SEEDS_TO_DETECT = 20
+DETECTING_SEEDS = {
     "answers-dropped": 12,
     "listener-closed-early": 1,
     "second-signal-ends": 3,
@@ -23,11 +23,11 @@
 
 
 class Plans(unittest.TestCase):
-    def test_a_seed_gives_one_life_and_all_kinds_are_drawn(self) -> None:
+    def test_a_seed_gives_one_plan_and_all_kinds_are_drawn(self) -> None:
         plans = [draw_plan(seed) for seed in range(200)]
         self.assertEqual(plans, [draw_plan(seed) for seed in range(200)])
         self.assertEqual({plan.form for plan in plans}, set(RouterForm))
-        self.assertEqual({plan.fault for plan in plans}, set(LifeFault))
+        self.assertEqual({plan.fault for plan in plans}, set(SoakFault))
         for has in (
             [plan.is_replaced for plan in plans],
             [bool(plan.start_signals) for plan in plans],
@@ -37,26 +37,26 @@
 
 
 class Soak(unittest.TestCase):
-    def test_short_lives_lose_nothing_and_end_with_0(self) -> None:
+    def test_short_runs_lose_no_request_and_exit_with_0(self) -> None:
         """Guards against losses under signals in series, crowds and faults."""
-        reports = asyncio.run(play_lives(SEEDS, PARALLEL))
+        reports = asyncio.run(play_runs(SEEDS, PARALLEL))
         findings = {report.plan.describe(): report.findings for report in reports if report.findings}
         self.assertEqual(findings, {})
         self.assertGreater(min(report.served for report in reports), 10)
 
-    def test_each_planted_defect_is_found(self) -> None:
+    def test_each_injected_defect_is_detected(self) -> None:
         """The soak can fail: each defect is found within twenty seeds."""
-        self.assertEqual(set(SHOWING_SEEDS), set(DEFECTS))
-        for defect, showing_seed in SHOWING_SEEDS.items():
+        self.assertEqual(set(DETECTING_SEEDS), set(DEFECTS))
+        for defect, detecting_seed in DETECTING_SEEDS.items():
             with self.subTest(defect):
-                self.assertTrue(self.is_found(defect, showing_seed))
+                self.assertTrue(self.is_detected(defect, detecting_seed))
 
     @staticmethod
-    def is_found(defect: str, showing_seed: int) -> bool:
+    def is_detected(defect: str, detecting_seed: int) -> bool:
         """Whether a life of one of twenty seeds, this one first, has a finding."""
-        others = [seed for seed in range(1, MAX_SEEDS_TO_FIND + 1) if seed != showing_seed]
-        for seed in [showing_seed, *others]:
-            (report,) = asyncio.run(play_lives([seed], 1, defective_program(defect)))
+        others = [seed for seed in range(1, MAX_SEEDS_TO_DETECT + 1) if seed != detecting_seed]
+        for seed in [detecting_seed, *others]:
+            (report,) = asyncio.run(play_runs([seed], 1, defective_program(defect)))
             if report.findings:
                 return True
         return False
