--- a/magpieshift/lab/fault_injection/admin_clients.py
+++ b/magpieshift/lab/fault_injection/admin_clients.py
@@ -86,9 +86,9 @@
 
         Raises ``AssertionError`` with the description where it takes longer than the timeout.
         """
-        began = time.monotonic()
+        started_s = time.monotonic()
         while not await condition():
-            if time.monotonic() - began > timeout_s:
+            if time.monotonic() - started_s > timeout_s:
                 raise AssertionError(f"not within {timeout_s:g} s: {description}")
             await asyncio.sleep(POLL_INTERVAL_S)
-        return time.monotonic() - began
+        return time.monotonic() - started_s
--- a/magpieshift/lab/fault_injection/checks.py
+++ b/magpieshift/lab/fault_injection/checks.py
@@ -192,25 +192,27 @@
     logged: list[QuotaChange], halts: list[Halt], successor: Path, log_name: str
 ) -> list[QuotaChange]:
     """The change to half of the quota when the successor of a living process first acts."""
-    begun = _logged_changes(successor)[:1] if successor.exists() else []
-    if not begun:
+    successor_changes = _logged_changes(successor)[:1] if successor.exists() else []
+    if not successor_changes:
         return []
-    at_s = begun[0].at_s
-    held = [change.quota for change in logged if change.at_s <= at_s]
-    if not held or any(halt.since_s < at_s for halt in halts):
+    at_s = successor_changes[0].at_s
+    earlier_quotas = [change.quota for change in logged if change.at_s <= at_s]
+    if not earlier_quotas or any(halt.since_s < at_s for halt in halts):
         return []
-    return [QuotaChange(math.nextafter(at_s, 0.0), held[-1] / 2, log_name)]  # just before the successor acts
+    return [
+        QuotaChange(math.nextafter(at_s, 0.0), earlier_quotas[-1] / 2, log_name)
+    ]  # just before the successor acts
 
 
 def _changes_by_halt(logged: list[QuotaChange], halt: Halt, log_name: str) -> list[QuotaChange]:
     """The changes to nothing while a process is halted, and back when it is resumed."""
     changes = [QuotaChange(halt.since_s, 0.0, log_name)]
-    held = [change.quota for change in logged if change.at_s <= halt.since_s]
-    logged_meanwhile = any(halt.since_s < change.at_s < halt.until_s for change in logged)
-    if halt.until_s != ENDLESS and held and not logged_meanwhile:
+    earlier_quotas = [change.quota for change in logged if change.at_s <= halt.since_s]
+    changed_while_halted = any(halt.since_s < change.at_s < halt.until_s for change in logged)
+    if halt.until_s != ENDLESS and earlier_quotas and not changed_while_halted:
         # it reads the clock before it acts: what it logs next is what it may use from its resumption on
-        following = [change.quota for change in logged if change.at_s >= halt.until_s]
-        changes.append(QuotaChange(halt.until_s, min([held[-1], *following[:1]]), log_name))
+        later_quotas = [change.quota for change in logged if change.at_s >= halt.until_s]
+        changes.append(QuotaChange(halt.until_s, min([earlier_quotas[-1], *later_quotas[:1]]), log_name))
     return changes
 
 
--- a/magpieshift/lab/fault_injection/cluster.py
+++ b/magpieshift/lab/fault_injection/cluster.py
@@ -134,7 +134,7 @@
             self.routers[name] = RouterInstance(
                 name, port, admin_port, (admin_port, second_admin_port), private, public
             )
-            self.outages.begin(name)  # until it serves
+            self.outages.router_unavailable(name)  # until it serves
             await self._environment.start_log(name)
         await self.endpoints.start()
         for router in self.routers.values():
@@ -210,22 +210,22 @@
         """Return the most that all quotas in use came to at an instant, and when (steady clock, seconds)."""
         return checks.QuotaCheck().max_total(self)
 
-    def _known_at(self, request_id: str, announced_s: float) -> float:
+    def _known_at(self, request_id: str, published_s: float) -> float:
         """When the router that sent a request could know what was announced at that Unix time.
 
         A request's id begins with its router's number, as ``start_load`` marks it.
         """
-        return self.outages.known_at(f"r{int(request_id[:2], 16)}" if request_id else "", announced_s)
+        return self.outages.known_at(f"r{int(request_id[:2], 16)}" if request_id else "", published_s)
 
-    def _is_excused(self, name: str, began_s: float) -> bool:
+    def _is_excused(self, name: str, sent_s: float) -> bool:
         """Whether a request begun then may go unanswered: its router was halted, or cut from its clients."""
-        return self.outages.unavailable_since(name, began_s) or bool(
+        return self.outages.unavailable_since(name, sent_s) or bool(
             self.network.faults_either_way(CLIENTS, name)
         )
 
     # --- load
 
-    def start_load(self, roam: bool = False) -> None:
+    def start_load(self, retry_elsewhere: bool = False) -> None:
         """Start clients at each router, until ``finish``.
 
         Where they ``roam``, a client that is rejected comes back at another router.
@@ -239,14 +239,18 @@
                 self.seed * 1000 + number,
                 self.rules.copy_served,
                 f"{number:02x}",
-                lambda began, name=name: self._is_excused(name, began),  # type: ignore[misc]
+                lambda sent_s, name=name: self._is_excused(name, sent_s),  # type: ignore[misc]
                 RESEND_WINDOW_S + self.rules.slack_s - SLACK_S,
-                [other.client_port for other in self.routers.values() if roam and other is not router],
+                [
+                    other.client_port
+                    for other in self.routers.values()
+                    if retry_elsewhere and other is not router
+                ],
             )
             self.loads[name] = load
             self._clients.append(asyncio.ensure_future(load.run(float("inf"))))
 
-    def served_share(self, seconds: int = 3) -> float:
+    def served_fraction(self, seconds: int = 3) -> float:
         """Return the share of requests that were served, over the last whole seconds whose answers are due.
 
         It is 1 where nothing was requested. The last three seconds' answers may still be under way.
--- a/magpieshift/lab/fault_injection/defective_router.py
+++ b/magpieshift/lab/fault_injection/defective_router.py
@@ -47,21 +47,21 @@
     draw = random.Random(1)
     unused_ids = count(FIRST_UNUSED_ID)
 
-    def worse(request: ClientRequest, *arguments: object) -> int:
+    def fail_class(request: ClientRequest, *arguments: object) -> int:
         if request.class_name == FAILING_CLASS and draw.random() < magnitude:
             return submit(replace(request, time_left_us=FAILING_TIME_LEFT_US), *arguments)
         return submit(request, *arguments)
 
-    def slower(request: ClientRequest, *arguments: object) -> int:
+    def add_processor_time(request: ClientRequest, *arguments: object) -> int:
         end = time.process_time() + magnitude * 1e-3
         while time.process_time() < end:
             pass
         return submit(request, *arguments)
 
-    def mute(request: ClientRequest, *arguments: object) -> int:
+    def leave_unanswered(request: ClientRequest, *arguments: object) -> int:
         return next(unused_ids)  # never answered
 
-    wrapper = {"worse": worse, "slower": slower, "mute": mute}.get(defect)
+    wrapper = {"worse": fail_class, "slower": add_processor_time, "mute": leave_unanswered}.get(defect)
     if wrapper is not None:
         engine.submit = wrapper  # type: ignore[method-assign, assignment]
 
@@ -94,7 +94,7 @@
     setup("INFO")
     tasks: list[asyncio.Task[None]] = []
 
-    def prepared(installation: runner.Installation) -> None:
+    def install_defect(installation: runner.Installation) -> None:
         inject_defect(installation.router.engine, arguments.defect, arguments.magnitude)
         if arguments.defect == "leak":
             tasks.append(asyncio.ensure_future(leak_memory(arguments.magnitude)))
@@ -104,7 +104,7 @@
     options = runner.Options(
         config=arguments.config, console=arguments.console, label=arguments.label, term=arguments.term
     )
-    runner.run(options, prepared)
+    runner.run(options, install_defect)
 
 
 if __name__ == "__main__":
--- a/magpieshift/lab/fault_injection/environment.py
+++ b/magpieshift/lab/fault_injection/environment.py
@@ -20,7 +20,7 @@
         self, network: Network, rules: ProtocolChecker, boxes: int, hubs: int, rand: random.Random
     ) -> None:
         self._network = network
-        self.endpoints = emulated.EmulatedInstallation(boxes, hubs, rules, rand, self._announce)
+        self.endpoints = emulated.EmulatedInstallation(boxes, hubs, rules, rand, self._publish)
         """The caches, parents and the origin."""
         self._logs: dict[str, peers.ChangeLog] = {}
         """Change logs by router."""
@@ -49,7 +49,7 @@
         """Return the port where a router reaches its change log."""
         return self._relays[name, CHANGE_LOG].port
 
-    def _announce(self, event: dict[str, Any]) -> None:
+    def _publish(self, event: dict[str, Any]) -> None:
         """Send a watch event to each router, with each endpoint at the end of that router's own relay."""
         for name, log in self._logs.items():
             routed = event
--- a/magpieshift/lab/fault_injection/network.py
+++ b/magpieshift/lab/fault_injection/network.py
@@ -21,21 +21,22 @@
 
 @dataclass
 class LinkFault:
-    """What happens on one direction of one link; several that cover it add up.
+    """A fault on one direction of one link; several faults on the same direction add up.
 
-    Datagrams are lost, duplicated and reordered. A stream is never torn inside: what is cut waits until the
-    link heals, as if the system sent it again, and ``loss_share`` and ``duplicate_share`` do nothing to it.
+    Datagrams are lost, duplicated and reordered. A stream never loses bytes: on a cut link its data waits
+    until the link heals, as with TCP's retransmissions, and ``loss_fraction`` and ``duplicate_fraction`` have
+    no effect on it.
     """
 
     cut: bool = False
     """Nothing passes."""
-    loss_share: float = 0.0
+    loss_fraction: float = 0.0
     """Share of datagrams lost, 0 to 1."""
     delay_ms: float = 0.0
     """Delay of each datagram and of each piece of a stream."""
     jitter_ms: float = 0.0
     """Most further delay of a datagram, drawn for each: they overtake each other."""
-    duplicate_share: float = 0.0
+    duplicate_fraction: float = 0.0
     """Share of datagrams that arrive twice, 0 to 1."""
     reset: bool = False
     """Streams: open connections are reset, and new ones at once."""
--- a/magpieshift/lab/fault_injection/outages.py
+++ b/magpieshift/lab/fault_injection/outages.py
@@ -40,11 +40,11 @@
         self._cut_off: dict[str, list[Span]] = {}
         """By router, when the change log did not reach it."""
 
-    def begin(self, name: str, in_s: float = 0.0) -> None:
+    def router_unavailable(self, name: str, delay_s: float = 0.0) -> None:
         """From now on, or from so many seconds from now, the router cannot answer."""
-        self._unavailable.setdefault(name, []).append((time.monotonic() + in_s, ENDLESS))
+        self._unavailable.setdefault(name, []).append((time.monotonic() + delay_s, ENDLESS))
 
-    def end(self, name: str) -> None:
+    def router_available(self, name: str) -> None:
         """The router answers again."""
         spans = self._unavailable.setdefault(name, [])
         if spans and spans[-1][1] == ENDLESS:
@@ -70,7 +70,7 @@
         elif spans and spans[-1][1] == ENDLESS:
             spans[-1] = (spans[-1][0], now)
 
-    def known_at(self, name: str, announced_s: float) -> float:
+    def known_at(self, name: str, published_s: float) -> float:
         """Return when this router could know what was announced at that Unix time in seconds.
 
         One that was cut off from the change log, or could not answer, knew only ``CATCH_UP_S`` afterwards; so
@@ -78,13 +78,13 @@
         """
         unix_offset_s = time.time() - time.monotonic()
         spans = self._cut_off.get(name, []) + self._unavailable.get(name, [])
-        known_s = announced_s
+        known_s = published_s
         for since, until in sorted(spans):
             if since + unix_offset_s - CATCH_UP_S <= known_s <= until + unix_offset_s + CATCH_UP_S:
                 known_s = until + unix_offset_s + CATCH_UP_S
         return known_s
 
-    def unavailable_since(self, name: str, began_s: float) -> bool:
+    def unavailable_since(self, name: str, since_s: float) -> bool:
         """Whether the router could not answer at some time from then (steady clock) until now."""
         now = time.monotonic()
-        return any(since <= now and began_s <= until for since, until in self._unavailable.get(name, []))
+        return any(since <= now and since_s <= until for since, until in self._unavailable.get(name, []))
--- a/magpieshift/lab/fault_injection/processes.py
+++ b/magpieshift/lab/fault_injection/processes.py
@@ -127,7 +127,7 @@
 
         await self.wait_until(all_answer, f"{', '.join(names)} serving")
         for name in names:
-            self.outages.end(name)
+            self.outages.router_available(name)
 
     def _process(self, name: str) -> tuple[RouterInstance, asyncio.subprocess.Process]:
         """A router with its process, which must have been started."""
@@ -139,7 +139,7 @@
         """Kill a router's process with SIGKILL."""
         router, process = self._process(name)
         router.killed = True
-        self.outages.begin(name)
+        self.outages.router_unavailable(name)
         self.outages.process_halted(name, router.starts)
         process.kill()
 
@@ -154,7 +154,7 @@
         router, process = self._process(name)
         process.send_signal(signal.SIGSTOP)
         router.paused = True
-        self.outages.begin(name)
+        self.outages.router_unavailable(name)
         self.outages.process_halted(name, router.starts)
 
     def resume(self, name: str) -> None:
@@ -163,13 +163,13 @@
         self.outages.process_resumed(name)
         process.send_signal(signal.SIGCONT)
         router.paused = False
-        self.outages.end(name)
+        self.outages.router_available(name)
 
     async def stop(self, name: str) -> None:
         """Shut a router down gracefully, with SIGTERM, and wait for its end."""
         router, process = self._process(name)
         process.terminate()
-        self.outages.begin(name, DRAIN_GRACE_S)
+        self.outages.router_unavailable(name, DRAIN_GRACE_S)
         code = await asyncio.wait_for(process.wait(), STARTUP_TIMEOUT_S)
         self.outages.process_halted(name, router.starts)
         if code != 0:
--- a/magpieshift/lab/fault_injection/random_runs.py
+++ b/magpieshift/lab/fault_injection/random_runs.py
@@ -68,11 +68,11 @@
     "rate": (0.99, 1.01),
 }
 """Least and greatest magnitude by kind, in the units of ``Fault.magnitude``; other kinds have none."""
-OVERLAP_SHARE = 0.6
+OVERLAP_FRACTION = 0.6
 """Share of faults that begin soon after another's end: recoveries that meet find the most failures."""
 MAX_OVERLAP_DELAY_S = 3.0
 """Seconds after another's end within which those begin: a recovery takes about as long."""
-FAULTY_SHARE = 0.75
+FAULT_PERIOD_FRACTION = 0.75
 """Share of a run after which nothing new is wrong: the rest is for the fleet to agree again."""
 MAX_DRAWS_PER_FAULT = 40
 """Draws until one fits beside the faults before it; then the run has one fault fewer."""
@@ -128,16 +128,16 @@
     return dict(tree.data)
 
 
-def _draw_fault(name: str, rand: random.Random, fleet: _Fleet, before: list[Fault]) -> Fault:
+def _draw_fault(name: str, rand: random.Random, fleet: _Fleet, earlier: list[Fault]) -> Fault:
     weights = [fault_draw.weight for fault_draw in FAULT_DRAWS.values()]
     kind = rand.choices(list(FAULT_DRAWS), weights)[0]
     fault_draw = FAULT_DRAWS[kind]
-    longest_s = FAULTY_SHARE * fleet.duration_s / 2
+    longest_s = FAULT_PERIOD_FRACTION * fleet.duration_s / 2
     duration_s = round(min(rand.uniform(fault_draw.min_s, fault_draw.max_s), longest_s), 2)
-    latest_s = FAULTY_SHARE * fleet.duration_s - duration_s
+    latest_s = FAULT_PERIOD_FRACTION * fleet.duration_s - duration_s
     start_s = rand.uniform(FIRST_FAULT_S, latest_s)
-    if before and rand.random() < OVERLAP_SHARE:  # into the recovery from another
-        other = rand.choice(before)
+    if earlier and rand.random() < OVERLAP_FRACTION:  # into the recovery from another
+        other = rand.choice(earlier)
         delay_s = rand.uniform(0.0, MAX_OVERLAP_DELAY_S)
         start_s = min(other.start_s + other.duration_s + delay_s, latest_s)
     component = ""
@@ -182,33 +182,33 @@
     )
 
 
-def _fits(fault: Fault, before: list[Fault], fleet: _Fleet) -> bool:
+def _fits(fault: Fault, earlier: list[Fault], fleet: _Fleet) -> bool:
     """Whether a fault can be injected beside those, and leaves enough of the fleet to be judged."""
-    beside = [other for other in before if _overlaps(fault, other, SEPARATION_S)]
+    nearby = [other for other in earlier if _overlaps(fault, other, SEPARATION_S)]
     if fault.kind in ROUTER_FAULTS:
-        return _router_fault_fits(fault, beside, len(fleet.routers))
-    if fault.kind in ("drain", "die", "hang") and not _endpoints_remain(fault, beside, fleet):
+        return _router_fault_fits(fault, nearby, len(fleet.routers))
+    if fault.kind in ("drain", "die", "hang") and not _endpoints_remain(fault, nearby, fleet):
         return False
     return not (
         fault.kind in ENDPOINT_FAULTS
-        and any(other.component == fault.component and other.kind == fault.kind for other in beside)
+        and any(other.component == fault.component and other.kind == fault.kind for other in nearby)
     )
 
 
-def _router_fault_fits(fault: Fault, beside: list[Fault], routers: int) -> bool:
+def _router_fault_fits(fault: Fault, nearby: list[Fault], routers: int) -> bool:
     """Whether the router has no other fault of its own, and at most half of the routers are away.
 
     A dead process can't be paused, and a paused one does not end when asked to.
     """
-    if any(other.component == fault.component and other.kind in ROUTER_FAULTS for other in beside):
+    if any(other.component == fault.component and other.kind in ROUTER_FAULTS for other in nearby):
         return False
-    away = {other.component for other in beside if other.kind in ("pause", "kill", "stop")}
+    away = {other.component for other in nearby if other.kind in ("pause", "kill", "stop")}
     return len(away | {fault.component}) <= routers // 2
 
 
-def _endpoints_remain(fault: Fault, beside: list[Fault], fleet: _Fleet) -> bool:
+def _endpoints_remain(fault: Fault, nearby: list[Fault], fleet: _Fleet) -> bool:
     """Whether the endpoint is not away yet, and one of its kind remains where there are several."""
-    away = {other.component for other in beside if other.kind in ("drain", "die", "hang")}
+    away = {other.component for other in nearby if other.kind in ("drain", "die", "hang")}
     if fault.component in away:
         return False
     for kind, count in (("box", fleet.boxes), ("hub", fleet.hubs)):
--- a/magpieshift/lab/fault_injection/relay.py
+++ b/magpieshift/lab/fault_injection/relay.py
@@ -32,14 +32,14 @@
         self._connections: set[asyncio.Task[None]] = set()
         self.port = 0
         """Port it listens on; 0 before ``start``."""
-        self.carried = 0
-        """Bytes carried, both directions together."""
+        self.forwarded_bytes = 0
+        """Bytes forwarded, both directions together."""
         self.resets = 0
         """Connections that it reset."""
 
     async def start(self, port: int = 0) -> int:
         """Listen on a port, 0 for any that is free; return the port."""
-        self._server = await asyncio.start_server(self._accepted, "127.0.0.1", port)
+        self._server = await asyncio.start_server(self._connection_accepted, "127.0.0.1", port)
         self.port = int(self._server.sockets[0].getsockname()[1])
         return self.port
 
@@ -52,16 +52,16 @@
             task.cancel()
 
     @property
-    def open(self) -> int:
+    def open_connections(self) -> int:
         """Connections through it now."""
         return len(self._connections)
 
-    async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _connection_accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
         self._connections.add(task)
         try:
-            await self._carry(reader, writer)
+            await self._forward_connection(reader, writer)
         except (OSError, asyncio.CancelledError):
             pass  # at the end of the run its tasks are cancelled, which asyncio's streams would report
         finally:
@@ -71,7 +71,7 @@
     def _faults_either_way(self) -> list[LinkFault]:
         return self._network.faults_either_way(self._source, self._target)
 
-    async def _carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _forward_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Carry one connection of the source until it ends or is reset."""
         while any(fault.silent for fault in self._faults_either_way()):
             if self._reset_if_faulted(writer):
@@ -81,8 +81,8 @@
             return
         target_reader, target_writer = await asyncio.open_connection("127.0.0.1", self._target_port)
         directions = [
-            asyncio.ensure_future(self._one_way(self._source, self._target, reader, target_writer)),
-            asyncio.ensure_future(self._one_way(self._target, self._source, target_reader, writer)),
+            asyncio.ensure_future(self._forward_direction(self._source, self._target, reader, target_writer)),
+            asyncio.ensure_future(self._forward_direction(self._target, self._source, target_reader, writer)),
         ]
         try:
             await self._watch(directions, writer, target_writer)
@@ -109,7 +109,7 @@
                 self._reset(writer)
                 return
 
-    async def _one_way(
+    async def _forward_direction(
         self, source: str, target: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
         """Carry what one end sends to the other until it ends; False where it broke off.
@@ -126,7 +126,7 @@
                     if pause_s := _pause_s(fault, len(data)):
                         await asyncio.sleep(pause_s)
                 writer.write(data)
-                self.carried += len(data)
+                self.forwarded_bytes += len(data)
                 await writer.drain()
             if writer.can_write_eof():
                 writer.write_eof()
--- a/magpieshift/lab/fault_injection/rollouts.py
+++ b/magpieshift/lab/fault_injection/rollouts.py
@@ -114,14 +114,14 @@
 ) -> dict[str, Any]:
     """Play one rollout of real processes under load; return its verdict, with the cluster's violations."""
     scenario = SCENARIOS[name]
-    began = time.monotonic()
+    started_s = time.monotonic()
     async with Cluster(
         folder, routers, seed, requests_per_s=REQUESTS_PER_S, slack_s=RULES_SLACK_S, boxes=CACHES
     ) as cluster:
         await start_old_version(cluster)
         cluster.start_load()
         await asyncio.sleep(CACHE_FILL_S)
-        served_before = cluster.served_share()
+        served_before = cluster.served_fraction()
         starter = process_starter(cluster, scenario.defect, scenario.magnitude)
         runner = RolloutRunner(plan_for(cluster), folder / "rollout", starter, on_status)
         outage = None
@@ -133,7 +133,7 @@
         status = await runner.run()
         if outage is not None:
             await outage
-        served_after = cluster.served_share(SERVICE_SPAN_S)
+        served_after = cluster.served_fraction(SERVICE_SPAN_S)
         counts = await cluster.finish()
         verdict = {"scenario": name, "routers": routers, "seed": seed, "runs": 1}
         verdict |= _outcome(status, scenario.is_bad, list(cluster.routers))
@@ -146,7 +146,7 @@
             "service_after": round(served_after, 4),
             "why": status["why"],
             "rules_broken": cluster.violations + cluster.unexpected_exits,
-            "seconds": round(time.monotonic() - began, 1),
+            "seconds": round(time.monotonic() - started_s, 1),
         }
     return verdict | {"left_running": cluster.left_running()}
 
--- a/magpieshift/lab/fault_injection/run.py
+++ b/magpieshift/lab/fault_injection/run.py
@@ -34,9 +34,9 @@
         case "cut":
             return LinkFault(cut=True)
         case "lose":
-            return LinkFault(loss_share=fault.magnitude)
+            return LinkFault(loss_fraction=fault.magnitude)
         case "double":
-            return LinkFault(duplicate_share=fault.magnitude)
+            return LinkFault(duplicate_fraction=fault.magnitude)
         case "delay":
             return LinkFault(delay_ms=fault.magnitude, jitter_ms=fault.magnitude)
         case "reset":
@@ -48,20 +48,20 @@
     raise ValueError(f"found {fault.kind!r}, expected one of {LINK_FAULTS}")
 
 
-async def _inject(cluster: Cluster, fault: Fault, began: float) -> None:
+async def _inject(cluster: Cluster, fault: Fault, started_s: float) -> None:
     """Cause a fault at its time, and take it away when it is over."""
-    await asyncio.sleep(max(0.0, began + fault.start_s - time.monotonic()))
+    await asyncio.sleep(max(0.0, started_s + fault.start_s - time.monotonic()))
     if fault.kind in LINK_FAULTS:
         cluster.network.add_fault(fault.name, fault.source, fault.target, _link_fault(fault))
         await asyncio.sleep(fault.duration_s)
         cluster.network.remove_fault(fault.name)
     elif fault.kind in ROUTER_FAULTS:
-        await _inject_at_router(cluster, fault)
+        await _inject_router_fault(cluster, fault)
     else:
         await cluster.endpoints.inject_fault(fault.kind, fault.component, fault.duration_s, fault.magnitude)
 
 
-async def _inject_at_router(cluster: Cluster, fault: Fault) -> None:
+async def _inject_router_fault(cluster: Cluster, fault: Fault) -> None:
     match fault.kind:
         case "step":
             cluster.set_clock(fault.component, step_s=fault.magnitude)
@@ -120,7 +120,7 @@
             verdict["agree_after_s"] = round(took_s, 1)
         except AssertionError as error:
             problems.append(str(error))
-        verdict |= await _judge(cluster, len(scenario.faults), problems)
+        verdict |= await _finish_and_check(cluster, len(scenario.faults), problems)
     verdict["left_running"] = cluster.left_running()
     (folder / "samples.json").write_text(json.dumps(samples))
     (folder / "verdict.json").write_text(json.dumps(verdict, indent=1))
@@ -132,10 +132,10 @@
 ) -> list[dict[str, Any]]:
     """Inject all faults; return samples of the routers' views, and add to ``problems`` faults that failed."""
     samples: list[dict[str, Any]] = []
-    began = time.monotonic()
-    tasks = [asyncio.ensure_future(_inject(cluster, fault, began)) for fault in scenario.faults]
-    while time.monotonic() - began < scenario.duration_s or not all(task.done() for task in tasks):
-        sample = _sample(cluster, await cluster.membership_views(), time.monotonic() - began)
+    started_s = time.monotonic()
+    tasks = [asyncio.ensure_future(_inject(cluster, fault, started_s)) for fault in scenario.faults]
+    while time.monotonic() - started_s < scenario.duration_s or not all(task.done() for task in tasks):
+        sample = _sample(cluster, await cluster.membership_views(), time.monotonic() - started_s)
         samples.append(sample)
         progress(
             f"{sample['at_s']:6.1f} s  views {sorted(set(sample['here'].values()))}  suspected "
@@ -160,7 +160,7 @@
     }
 
 
-async def _judge(cluster: Cluster, fault_count: int, problems: list[str]) -> dict[str, Any]:
+async def _finish_and_check(cluster: Cluster, fault_count: int, problems: list[str]) -> dict[str, Any]:
     """Stop the load and return what the checks found, by the verdict's keys."""
     counts = await cluster.finish()
     max_total, _ = cluster.max_total_quota()
--- a/magpieshift/lab/fault_injection/switch.py
+++ b/magpieshift/lab/fault_injection/switch.py
@@ -83,9 +83,9 @@
         delay_ms = 0.0
         copies = 1
         for fault in faults:
-            pass_probability *= 0.0 if fault.cut else 1.0 - fault.loss_share
+            pass_probability *= 0.0 if fault.cut else 1.0 - fault.loss_fraction
             delay_ms += fault.delay_ms + fault.jitter_ms * self._random.random()
-            copies += self._random.random() < fault.duplicate_share
+            copies += self._random.random() < fault.duplicate_fraction
         return pass_probability, delay_ms, copies
 
     def _deliver(self, source: str, target: str, data: bytes) -> None:
--- a/tests/membership/test_fault_injection.py
+++ b/tests/membership/test_fault_injection.py
@@ -196,7 +196,7 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", self.relay.port)
         self.network.remove_fault("broken")
         writer.close()
-        await self.wait_until(lambda: self.relay.open == 0)
+        await self.wait_until(lambda: self.relay.open_connections == 0)
 
     async def test_a_silent_peer_accepts_and_forwards_nothing(self) -> None:
         self.network.add_fault("silent", "r1", "*", LinkFault(silent=True))
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -95,7 +95,7 @@
             self.assertEqual(await self.declared_dead(), set())
 
         with self.subTest("all routers are paused, half a second apart, while 20% of datagrams are lost"):
-            cluster.network.add_fault("lossy", ANY_ROUTER, ANY_ROUTER, LinkFault(loss_share=0.2))
+            cluster.network.add_fault("lossy", ANY_ROUTER, ANY_ROUTER, LinkFault(loss_fraction=0.2))
 
             async def pause_briefly(number: int, name: str) -> None:
                 await asyncio.sleep(number / 2)
--- a/tests/membership/test_random_runs.py
+++ b/tests/membership/test_random_runs.py
@@ -29,7 +29,7 @@
             kinds |= {fault.kind for fault in run.faults}
             for fault in run.faults:
                 self.assertLessEqual(
-                    fault.start_s + fault.duration_s, random_runs.FAULTY_SHARE * run.duration_s + 0.1
+                    fault.start_s + fault.duration_s, random_runs.FAULT_PERIOD_FRACTION * run.duration_s + 0.1
                 )
                 overlapping = [o for o in run.faults if o is not fault and random_runs._overlaps(fault, o)]
                 if fault.kind in ROUTER_FAULTS:
--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -78,7 +78,8 @@
 
             async def has_returned() -> bool:
                 return (
-                    cluster.endpoints.places["hub1"].name != dead_parent.name and cluster.served_share() > 0.5
+                    cluster.endpoints.places["hub1"].name != dead_parent.name
+                    and cluster.served_fraction() > 0.5
                 )
 
             await cluster.wait_until(has_returned, "the parent has returned and clients are served", 60.0)
@@ -110,7 +111,7 @@
                 await cluster.start(*names)
                 await cluster.wait_until_serving(*names)
                 await cluster.wait_until(lambda: cluster.views_agree(), "all agree", 60.0)
-                cluster.start_load(roam=True)
+                cluster.start_load(retry_elsewhere=True)
                 cpu_limit = asyncio.ensure_future(self.limit_cpu_time(cluster, "r1"))
 
                 async def is_offloading() -> bool:
--- a/tests/test_overload_processes.py
+++ b/tests/test_overload_processes.py
@@ -24,9 +24,9 @@
 
     async def wait_for_recovery(self, baseline_share: float, fault: str) -> None:
         async def is_recovered() -> bool:
-            return self.cluster.served_share() >= RECOVERED_SHARE * baseline_share
+            return self.cluster.served_fraction() >= RECOVERED_SHARE * baseline_share
 
-        await asyncio.sleep(6.0)  # until the window of served_share lies after the fault
+        await asyncio.sleep(6.0)  # until the window of served_fraction lies after the fault
         await self.cluster.wait_until(is_recovered, f"service has recovered after {fault}", 60.0)
 
     async def test_service_recovers_from_each_fault(self) -> None:
@@ -35,7 +35,7 @@
         await cluster.wait_until_serving(*names)
         cluster.start_load()
         await asyncio.sleep(8.0)  # caches fill
-        baseline_share = cluster.served_share()
+        baseline_share = cluster.served_fraction()
         self.assertGreater(baseline_share, 0.5)
 
         with self.subTest("the origin is slow for all requests"):
