--- a/magpieshift/lab/emulators/__init__.py
+++ b/magpieshift/lab/emulators/__init__.py
@@ -1,1 +1,1 @@
-"""Emulators, written from the protocol pages, of what a router speaks to: endpoints, change log, clients."""
+"""Emulators of a router's peers (endpoints, change log and clients), written from the protocol pages."""
--- a/magpieshift/lab/emulators/client_connection.py
+++ b/magpieshift/lab/emulators/client_connection.py
@@ -1,4 +1,4 @@
-"""One emulated client, as the protocol page has it, with the reason for each answer that didn't come."""
+"""An emulated client that follows the protocol page, and reports why a request got no answer."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from magpieshift.downstream import frames
 from magpieshift.downstream.frames import FrameType
 
-RESEND_WINDOW_S = 0.05  # the protocol page: what crossed a close within 50 ms is sent again, once
-ANSWER_GRACE_S = 1.0  # beyond a request's time limit, for a machine under load
-READ_BYTES = 65536  # of one read; a socket buffer's order of magnitude
+RESEND_WINDOW_S = 0.05  # the protocol page: a request written up to 50 ms before a close is resent once
+ANSWER_GRACE_S = 1.0  # waited beyond a request's time limit, for delays on a machine under load
+READ_BYTES = 65536  # maximum per read, the order of magnitude of a socket buffer
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A response frame as it came."""
+    """A received response frame."""
 
     code: int
     """A ``ResponseCode``."""
     fields: dict[str, str]
-    """Under the wire's names."""
+    """The response's fields by their names on the wire."""
     body: bytes
 
 
 class NoAnswer(Enum):
-    """Why a request has no answer, in the words of a report."""
+    """Why a request has no answer; the values are written into reports."""
 
     NOT_CONNECTED = "no connection came up"
     DISCONNECTED = "its connection ended"
@@ -44,7 +44,7 @@
 
 
 class _Connection:
-    """One TCP connection of a client, until either end closes it."""
+    """One TCP connection of a client. It is not reused after either end has closed it."""
 
     def __init__(self, resend_window_s: float, obeys_go_away: bool) -> None:
         self._resend_window_s = resend_window_s
@@ -52,23 +52,23 @@
         self._writer: asyncio.StreamWriter | None = None
         self._reading: asyncio.Task[None] | None = None
         self._pending: dict[int, _PendingAnswer] = {}
-        """Requests without an answer, by stream."""
+        """Requests that await an answer, by stream."""
         self._last_stream = 0
         self._abandoned: set[int] = set()
-        """Streams that timed out: an answer may yet come, and isn't a duplicate."""
+        """Streams whose request timed out: an answer that still arrives is not a duplicate."""
         self.is_draining = False
-        """Whether nothing new may be sent on it."""
+        """Whether no more requests may be sent on the connection."""
         self.duplicate_answers = 0
-        """Answers on streams that had been answered, or never asked."""
+        """Answers on streams that were already answered or never carried a request."""
 
     async def connect(self, port: int) -> None:
-        """Connect to this port of loopback; ``OSError`` where nobody listens."""
+        """Connect to a port on loopback. Raises ``OSError`` if no process listens there."""
         reader, self._writer = await asyncio.open_connection("127.0.0.1", port)
         self._reading = asyncio.ensure_future(self._read(reader))
 
     async def request(self, fields: dict[str, str], body: bytes, time_limit_s: float) -> Answer | NoAnswer:
-        """Send a request, and wait for its answer."""
-        if self._writer is None:  # it ended since it was chosen; nothing was written
+        """Send a request and wait for its answer; return the reason if there is none."""
+        if self._writer is None:  # closed after it was chosen: nothing was written
             return NoAnswer.RACED_WITH_CLOSE
         self._last_stream += 1
         stream = self._last_stream
@@ -118,11 +118,11 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether either end has closed it, or it never came up."""
+        """Whether either end has closed the connection, or it was never established."""
         return self._writer is None
 
     def close(self) -> None:
-        """Close it; pending requests end without an answer."""
+        """Close the connection; pending requests end without an answer."""
         self.is_draining = True
         if self._writer is not None:
             self._writer.close()
@@ -133,26 +133,27 @@
 
 
 class ClientConnection:
-    """One client: it goes on over a new TCP connection once it receives GO_AWAY on the one it has, and sends
-    a request that crossed a connection's end once more.
+    """One client. After GO_AWAY it sends new requests on a new TCP connection, and it resends, once, a
+    request that it wrote just before the connection closed.
 
-    The loss of what a router had read is not hidden by that: endpoints detect what then comes to them twice.
+    Resending does not hide a router that loses requests it has read: the endpoints then receive such a
+    request twice, and detect it.
     """
 
     def __init__(
         self, port: int, resend_window_s: float = RESEND_WINDOW_S, obeys_go_away: bool = True
     ) -> None:
-        """``resend_window_s``: a request is sent again if it was written at most so long before the end.
-        ``obeys_go_away``: if not, it uses a connection until that is closed."""
+        """``resend_window_s``: a request is resent if it was written at most this long before the connection
+        ended. ``obeys_go_away``: if False, the client uses a connection until it is closed."""
         self._obeys_go_away = obeys_go_away
         self._port = port
         self._resend_window_s = resend_window_s
         self._current: _Connection | None = None
         self._connections: list[_Connection] = []
-        """All that were open when the last one was made."""
+        """The current connection and those that were still open when it was made."""
         self._connecting = asyncio.Lock()
         self._duplicates_on_closed = 0
-        """Duplicate answers on links that are forgotten."""
+        """Duplicate answers on connections removed from ``_connections``."""
 
     @property
     def duplicate_answers(self) -> int:
@@ -162,7 +163,7 @@
         )
 
     async def request(self, fields: dict[str, str], body: bytes, time_limit_s: float) -> Answer | NoAnswer:
-        """Send a request: the answer, or why there is none."""
+        """Send a request; return its answer, or the reason if there is none."""
         for _ in range(2):
             try:
                 async with self._connecting:
@@ -186,6 +187,6 @@
         return connection
 
     def close(self) -> None:
-        """Close all links."""
+        """Close all connections."""
         for connection in self._connections:
             connection.close()
--- a/magpieshift/lab/emulators/emulated.py
+++ b/magpieshift/lab/emulators/emulated.py
@@ -1,7 +1,7 @@
-"""An emulated installation: endpoints by place, their list and purges in the change log, their faults.
+"""An emulated installation: its endpoints, their faults, and the change log's endpoint lists and purges.
 
-One ``ProtocolChecker`` judges all its endpoints and all routers that send to them. A place keeps its name and
-its address while processes come and go there; each process has an id of its own.
+All endpoints share one ``ProtocolChecker``, which checks all routers that send requests to them. A place
+keeps its name and address when its endpoint's process is replaced; each process has its own endpoint id.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
 from magpieshift.policy.settings import Idempotency
 
-PURGE_DELAY_S = 0.2  # endpoints drop copies this long after a purge; below PURGE_NOTICE_S
-MIN_DRAIN_S = 1.0  # a router is to see the drain before the process ends
-DELAY_POLL_S = 0.02  # how often a delayed change log looks whether the delay is over
-POPULAR_OBJECTS = 8  # of which a purge takes one: the most requested, so that copies are about
+PURGE_DELAY_S = 0.2  # from a purge until the endpoints drop their copies; below PURGE_NOTICE_S
+MIN_DRAIN_S = 1.0  # shortest drain, so that routers learn of it before the process ends
+DELAY_POLL_S = 0.02  # polling interval for the end of a change log delay
+POPULAR_OBJECTS = 8  # a purge picks one of the most requested objects, of which copies exist
 
 Event = dict[str, Any]
-"""One event of the change log, under the wire's field names."""
+"""One event of the change log, with the field names of the wire."""
 Publish = Callable[[Event], None]
 
 
 def place_names(boxes: int, hubs: int) -> list[str]:
-    """The names of all places of an installation of this size."""
+    """Return the names of all places of an installation of this size."""
     return [*(f"box{i + 1}" for i in range(boxes)), *(f"hub{i + 1}" for i in range(hubs)), "origin"]
 
 
 def router_settings(name: str, port: int, log_port: int, routers: int = 1) -> dict[str, Any]:
-    """The settings of a router in front of the installation, as their document's data."""
+    """Return the settings document, as data, of a router in front of the installation."""
     picture = {"aim-ms": 300, "deadline-ms": 1500, "in-parts": True, "worth": 2, "late-worth": 0.3}
     basket = {
         "aim-ms": 500,
@@ -66,7 +66,7 @@
 
 
 def hedged_classes(document: Document) -> frozenset[str]:
-    """The classes of which this document permits hedged requests."""
+    """Return the classes for which this document permits hedged requests."""
     if not document.settings.hedged_requests:
         return frozenset()
     classes = zip(document.names.classes, document.settings.classes, strict=True)
@@ -74,7 +74,7 @@
 
 
 class EmulatedInstallation:
-    """Owner of the endpoints of one installation."""
+    """Owns the endpoints of one installation."""
 
     def __init__(
         self, boxes: int, hubs: int, checker: ProtocolChecker, rand: random.Random, publish: Publish
@@ -84,21 +84,21 @@
         self._random = rand
         self._publish = publish
         self.places: dict[str, EmulatedEndpoint] = {}
-        """The last process of each place, by the place's name."""
+        """The most recent endpoint process at each place, by the place's name."""
         self._place_names = place_names(boxes, hubs)
         self._pending_events: asyncio.Queue[Event] = asyncio.Queue()
-        """Events that have happened and are not yet published."""
+        """Events that are not published yet."""
         self._publishing: asyncio.Task[None] | None = None
         self._delayed_until_s = 0.0
         """Steady time until which the change log publishes nothing."""
         self._revision = 0
-        """Of the endpoint list."""
+        """Revision of the endpoint list."""
         self._processes_started = 0
 
-    # --- beginning and end
+    # --- start and stop
 
     async def start(self) -> None:
-        """Start all endpoints; nothing is published before ``start_publishing``, when readers are there."""
+        """Start all endpoints. Nothing is published until ``start_publishing``, when routers can connect."""
         for place in self._place_names:
             self.places[place] = self._new_process(place, up_since_ms=0)
             await self.places[place].start()
@@ -106,11 +106,11 @@
         self._publish_list([endpoint.list_entry() for endpoint in self.places.values()], complete=True)
 
     def start_publishing(self) -> None:
-        """Publish the complete list, and from now on what changes."""
+        """Publish the complete endpoint list, and all events from now on."""
         self._publishing = asyncio.ensure_future(self._publish_events())
 
     def stop(self) -> None:
-        """Publish no more, and kill all endpoints."""
+        """Stop publishing and kill all endpoints."""
         if self._publishing is not None:
             self._publishing.cancel()
         for endpoint in self.places.values():
@@ -127,7 +127,7 @@
         return endpoint
 
     def _link_sources(self) -> None:
-        """Let each endpoint fill from any other, by the ids of now."""
+        """Let each endpoint fill from any other, by the current endpoint ids."""
         by_id = {endpoint.name: endpoint for endpoint in self.places.values()}
         for endpoint in self.places.values():
             endpoint.sources = by_id
@@ -135,13 +135,13 @@
     # --- the change log
 
     def _publish_list(self, members: list[dict[str, object]], complete: bool = False) -> None:
-        """Queue the complete list, or its changes."""
+        """Queue the complete endpoint list, or changes to it, for publishing."""
         self._revision += 1
         fleet = {"revision": self._revision, "complete": complete, "members": members}
         self._pending_events.put_nowait({"fleet": fleet})
 
     async def _publish_events(self) -> None:
-        """Publish events as they happen; after a delay all that have queued come at once, in order."""
+        """Publish queued events in order; those queued during a delay are published together after it."""
         while True:
             event = await self._pending_events.get()
             while time.monotonic() < self._delayed_until_s:
@@ -149,7 +149,9 @@
             for member in event.get("fleet", {}).get("members", []):
                 if member["phase"] != "SERVING":
                     self.checker.drains_published_s[member["id"]] = time.time()
-            if "invalidate" in event:  # routers have time from when it was published, copies from when made
+            if (
+                "invalidate" in event
+            ):  # time of the purge, for copies' age; time of publishing, for routers' reaction
                 purge = event["invalidate"]
                 self.checker.purges_s[purge["object"]] = purge["time"] / 1000, time.time()
             self._publish(event)
@@ -202,15 +204,15 @@
                 await self._replace(place, endpoint, duration_s)
 
     async def purge(self, key: str) -> None:
-        """Void an object: published at once, and after a moment dropped by all endpoints."""
-        made_ms = int(time.time() * 1000)  # copies are dropped soon after, however late the log is
+        """Purge an object: queue the purge, and drop the copies at all endpoints after ``PURGE_DELAY_S``."""
+        made_ms = int(time.time() * 1000)  # copies are dropped soon after, even if the change log is delayed
         self._pending_events.put_nowait({"invalidate": {"object": key, "time": made_ms}})
         await asyncio.sleep(PURGE_DELAY_S)
         for endpoint in self.places.values():
             endpoint.invalidate(key)
 
     async def _replace(self, place: str, endpoint: EmulatedEndpoint, down_s: float) -> None:
-        """End a process, and start a new one, in slow start and empty, at its address after a while."""
+        """Kill an endpoint and, after ``down_s``, start an empty successor in slow start at its address."""
         endpoint.kill()
         self._publish_list([endpoint.list_entry("DELETED")])
         await asyncio.sleep(down_s)
--- a/magpieshift/lab/emulators/emulator.py
+++ b/magpieshift/lab/emulators/emulator.py
@@ -1,9 +1,9 @@
 """Caches, parent caches and an origin as the protocol pages describe them, in one process on loopback.
 
-An endpoint has slots for what it answers at once and a link whose bytes take time, one after the other. A
-cache stores parts, the least recently used are evicted first; a miss that names a source is filled from it,
-through a parent's own miss from the origin. An endpoint that started lately is slower at first. Endpoints
-call each other directly: only the router's side is sockets.
+An endpoint has a number of slots for concurrent requests and a network link of limited bandwidth. A cache
+stores parts and evicts the least recently used first; a miss that names a source is filled from it, and a
+parent that misses fills from the origin. A restarted endpoint is slower during its slow start. Endpoints call
+each other directly; only connections from routers use sockets.
 """
 
 from __future__ import annotations
@@ -22,14 +22,16 @@
 Part = tuple[str, str]
 """Object key and part number."""
 
-ANSWER_BYTES = 900  # body of each answer: a part of the platform, scaled down for one machine
-PART_KB = 0.9  # the same on the link
-WRITE_CLASSES = ("basket", "order")  # answered without a stored copy
-LOAD_WINDOW_S = 1.0  # over which the work sent to an endpoint in slow start is summed
+ANSWER_BYTES = (
+    900  # body size of each answer: smaller than the platform's parts, so that one machine bears the load
+)
+PART_KB = 0.9  # ANSWER_BYTES in kilobytes, for the link
+WRITE_CLASSES = ("basket", "order")  # classes answered without a stored copy
+LOAD_WINDOW_S = 1.0  # window over which the work of an endpoint in slow start is summed
 
 
 def answer_bytes(request_id: str, fields: Mapping[str, str], created_ms: int | None, how: str) -> bytes:
-    """An answer on the wire: the copy, that there is none, or that its source is down."""
+    """Return an answer as sent on the wire: the copy, ``absent``, or ``failed`` if its source is down."""
     if created_ms is None and how == "dropped":
         return f"{request_id} failed how=dropped 0\r\n\r\n".encode()
     if created_ms is None:
@@ -40,7 +42,7 @@
 
 
 class EmulatedEndpoint:
-    """One process of an endpoint; a restarted one is a new object under a new id."""
+    """One process of an endpoint; after a restart a new object with a new id replaces it."""
 
     def __init__(
         self,
@@ -60,37 +62,37 @@
         self._checker = checker
         self._random = rand
         self.sources: Mapping[str, EmulatedEndpoint] = {}
-        """Endpoints that a fill may name as its source, by id."""
+        """Endpoints that may be named as the source of a fill, by id."""
         self.port = 0
         """Port of loopback on which it listens, once started."""
         self.up_since_ms = 0
-        """Unix time of a restart; 0 for an endpoint that has always run, and is warm."""
+        """Unix time of the restart; 0 if the endpoint was never restarted, and is warm."""
         self.added_delay_ms = 0.0
-        """Fault: each answer takes so much longer."""
+        """Fault: delay added to each answer."""
         self.lost_answer_fraction = 0.0
-        """Fault: this share of answers never comes."""
+        """Fault: the share of answers that are never sent."""
         self.failed_answer_fraction = 0.0
-        """Fault: this share of answers is an error."""
+        """Fault: the share of answers that are errors."""
         self.running = asyncio.Event()
-        """Cleared while it hangs: no request or fill is worked on, but connections are read and health checks
-        are still answered."""
+        """Fault: cleared while the endpoint hangs. Requests and fills then wait, but connections are read and
+        health checks are answered."""
         self.running.set()
         self.hits = 0
         """Requests answered from a stored copy."""
         self.fills = 0
         """Misses for which a source was named."""
         self.received = 0
-        """Requests that have come."""
+        """Requests received."""
         self._created_ms: OrderedDict[Part, int] = OrderedDict()
-        """Stored parts, least recently used first, with the Unix time at which each copy was made."""
+        """Stored parts, least recently used first, with the Unix time at which each copy was created."""
         self._slots = asyncio.Semaphore(profile.slots)
         self._link_free_at_s = 0.0
-        """Steady time at which the link has sent what is on it."""
+        """Steady time at which the link will have sent all that is queued on it."""
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         """Open connections."""
         self._recent_work_s: deque[float] = deque()
-        """Steady times at which work came within the last ``LOAD_WINDOW_S``, in slow start only."""
+        """Steady times of requests and fills within the last ``LOAD_WINDOW_S``, during slow start only."""
         self._tasks: set[asyncio.Task[None]] = set()
         """Requests being answered."""
 
@@ -100,7 +102,7 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     def kill(self) -> None:
-        """End as a killed process does: connections are reset, stored copies are lost."""
+        """Stop like a killed process: reset all connections and lose the stored copies."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -116,16 +118,16 @@
 
     @property
     def open_connections(self) -> int:
-        """Connections that routers have open to it."""
+        """Number of open connections from routers."""
         return len(self._writers)
 
     @property
     def is_up(self) -> bool:
-        """Whether it listens."""
+        """Whether the endpoint listens."""
         return self._server is not None
 
     def list_entry(self, phase: str = "SERVING") -> dict[str, object]:
-        """This endpoint as the change log lists it, under the wire's field names."""
+        """Return this endpoint's entry in the endpoint list, with the field names of the wire."""
         return {
             "id": self.name,
             "host_port": f"127.0.0.1:{self.port}",
@@ -171,7 +173,7 @@
         writer: asyncio.StreamWriter,
         answering: dict[str, asyncio.Task[None]],
     ) -> None:
-        """Answer a request in a task of its own, which leaves ``answering`` at its end."""
+        """Answer a request in its own task, which is removed from ``answering`` when done."""
 
         def remove(task: asyncio.Task[None]) -> None:
             self._tasks.discard(task)
@@ -210,13 +212,13 @@
     # --- load
 
     def _age_s(self) -> float:
-        """Time since a restart; an endpoint that has always run is past its slow start."""
+        """Return the time since the restart; the full slow-start duration if there was none."""
         if not self.up_since_ms:
             return self.profile.slow_start_s
         return time.time() - self.up_since_ms / 1000
 
     def _record_work(self) -> None:
-        """Work has come, from a client's request or a fill; in slow start it is held against the capacity."""
+        """Record a request or a fill; during slow start, check the recent work against the capacity."""
         profile = self.profile
         age_s = self._age_s()
         if age_s >= profile.slow_start_s:
@@ -234,7 +236,7 @@
         )
 
     async def _work(self, work_ms: float, size_kb: float) -> None:
-        """Spend time in a slot, then on the link behind what is already on it."""
+        """Wait for the processing time in a slot, then for the link to send all data up to this."""
         async with self._slots:
             await self.running.wait()
             jitter = self._random.uniform(0.8, 1.2)
@@ -248,8 +250,8 @@
     # --- copies
 
     async def _find_or_fill(self, fields: Mapping[str, str]) -> tuple[int | None, str]:
-        """The Unix time in ms at which the copy to answer with was made, if there is one, and the wire's
-        word for where it came from."""
+        """Return when the copy to answer with was created (Unix ms; None if there is none), and the value of
+        ``how`` on the wire: where the copy came from."""
         part = fields["key"], fields["part"]
         max_age_ms = int(fields.get("fresh", "0"))
         await self._work(self.profile.serve_ms, PART_KB)
@@ -272,7 +274,7 @@
         return created_ms, "fill"
 
     async def fetch(self, part: Part, max_age_ms: int, requester: str) -> int | None:
-        """Another endpoint fills from this one: when the copy was made in Unix ms, or None if it has none."""
+        """Serve a fill of another endpoint; return the copy's creation time (Unix ms), None without a copy."""
         if not self.is_up:
             return None
         self._record_work()
@@ -290,7 +292,7 @@
         return created_ms
 
     def _stored_copy(self, part: Part, max_age_ms: int) -> int | None:
-        """When the stored copy was made, if there is one no older than this (0: of any age)."""
+        """Return when the stored copy was created; None if there is none or it is too old (0: no limit)."""
         created_ms = self._created_ms.get(part)
         if created_ms is None or (max_age_ms and time.time() * 1000 - created_ms > max_age_ms):
             return None
--- a/magpieshift/lab/emulators/load.py
+++ b/magpieshift/lab/emulators/load.py
@@ -1,8 +1,8 @@
-"""Emulated clients with open arrivals: each session fetches the parts of an object one after another.
+"""Load generator with open-loop arrivals: each session fetches the parts of an object in sequence.
 
 A rejected request is retried once after its Retry-After, marked as a retry, and a write keeps its idempotency
 key. The times of sessions and their objects depend on the seed only; classes, numbers of parts and ids are
-drawn in the order in which answers come, so that two runs differ in them.
+drawn in the order in which answers arrive, so that they differ from run to run.
 """
 
 from __future__ import annotations
@@ -20,38 +20,38 @@
 from magpieshift.lab.emulators.client_connection import RESEND_WINDOW_S, Answer, ClientConnection, NoAnswer
 
 TIME_LIMITS_MS = {"picture": 1500, "basket": 2000, "order": 2000}  # the settings' deadlines, by class
-CONNECTIONS = 8  # of the clients of one router; more spread a connection's end thinner
-MEAN_SESSION_PARTS = 2.0  # of 1 to 3 parts, evenly drawn
-ORDER_FRACTION = 0.04  # of sessions
-WRITE_FRACTION = 0.1  # of sessions, orders included
-POPULARITY_EXPONENT = 1.2  # of the Zipf distribution of objects; higher has more hits
-DEFAULT_RETRY_AFTER_MS = "100"  # where a rejection names none
-MAX_LATENCY_US = 60_000_000  # of the histogram
-MAX_EXAMPLES = 20  # enough to see what went wrong; all are counted
-WRITE_BODY = b"eggs"  # any few bytes
+CONNECTIONS = 8  # per router; with more, the end of one connection affects fewer requests
+MEAN_SESSION_PARTS = 2.0  # mean of 1 to 3 parts, uniformly distributed
+ORDER_FRACTION = 0.04  # share of sessions that send an order
+WRITE_FRACTION = 0.1  # share of sessions that write, orders included
+POPULARITY_EXPONENT = 1.2  # exponent of the objects' Zipf distribution; a higher one gives more hits
+DEFAULT_RETRY_AFTER_MS = "100"  # for rejections without a Retry-After
+MAX_LATENCY_US = 60_000_000  # upper limit of the histogram
+MAX_EXAMPLES = 20  # lost requests kept as examples; all are counted
+WRITE_BODY = b"eggs"  # arbitrary
 
 CopyServed = Callable[[str, int, float, str], None]
-"""Called with an object's key, the Unix time in ms at which its copy was made, the Unix time in seconds at
-which the request was sent, and the request's id."""
+"""Called with an object's key, the Unix time in ms at which its copy was created, the Unix time in seconds
+at which the request was sent, and the request's id."""
 
 
 @dataclass
 class TrafficCounts:
-    """What came of the requests of one slice of time."""
+    """Outcomes of the requests of a time interval."""
 
     sent: int = 0
     served: int = 0
     rejected: int = 0
     failed: int = 0
     lost: int = 0
-    """Without an answer, where one was due."""
+    """Requests without an answer that should have had one."""
     interrupted: int = 0
-    """Without an answer, where none could come."""
+    """Requests without an answer whose router could not answer (``may_go_unanswered``)."""
     latency_us: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, 2))
-    """Of served requests."""
+    """Latencies of served requests."""
 
     def record(self, answer: Answer | NoAnswer, latency_us: int, is_excused: bool) -> None:
-        """Count the end of a request."""
+        """Count the outcome of a request."""
         if isinstance(answer, NoAnswer):
             self.lost += not is_excused
             self.interrupted += is_excused
@@ -78,9 +78,9 @@
         resend_window_s: float = RESEND_WINDOW_S,
         retry_ports: Sequence[int] = (),
     ) -> None:
-        """``rate`` is parts a second. ``may_go_unanswered`` gives whether a request sent at a steady time
-        could have had no answer. A rejected request is retried at one of the ``retry_ports``, where there
-        are any, else at the same router."""
+        """``rate`` is in parts per second. ``may_go_unanswered`` returns whether a request sent at the given
+        steady time may remain without an answer. A rejected request is retried at one of ``retry_ports``,
+        or at the same router if there are none."""
         self._rate = rate
         self._objects = objects
         self._copy_served = copy_served
@@ -88,18 +88,18 @@
         self._may_go_unanswered = may_go_unanswered
         self._stopping = False
         self._arrivals = np.random.default_rng(seed)
-        """Draws the times of sessions, and their objects."""
+        """Random numbers for the sessions' times and objects."""
         self._random = random.Random(seed)
-        """Draws all else."""
+        """Random numbers for everything else."""
         self._connections = [ClientConnection(port, resend_window_s) for _ in range(CONNECTIONS)]
         self._retry_connections = [ClientConnection(other, resend_window_s) for other in retry_ports]
         self._sessions: set[asyncio.Task[None]] = set()
         self.counts_by_second: list[TrafficCounts] = []
-        """Counts of each second since ``run``."""
+        """Outcomes of each second since ``run`` was called."""
         self.total = TrafficCounts()
         self.retries = 0
         self.unanswered_examples: list[str] = []
-        """The first lost requests, each with what is known of it."""
+        """Descriptions of the first lost requests, at most ``MAX_EXAMPLES``."""
         self._started_s = time.monotonic()
 
     @property
@@ -111,14 +111,14 @@
         return [*self._connections, *self._retry_connections]
 
     def _current_counts(self) -> tuple[TrafficCounts, TrafficCounts]:
-        """The counts of this second, and the total."""
+        """Return the counts of the current second, and the total."""
         second = int(time.monotonic() - self._started_s)
         while len(self.counts_by_second) <= second:
             self.counts_by_second.append(TrafficCounts())
         return self.counts_by_second[second], self.total
 
     async def run(self, seconds: float) -> None:
-        """Begin sessions at random for so long; returns once all are over."""
+        """Start sessions at random times for this many seconds; return when all sessions have ended."""
         self._started_s = time.monotonic()
         while time.monotonic() - self._started_s < seconds and not self._stopping:
             await asyncio.sleep(float(self._arrivals.exponential(MEAN_SESSION_PARTS / self._rate)))
@@ -131,7 +131,7 @@
             connection.close()
 
     def stop_sending(self) -> None:
-        """Begin no more sessions; ``run`` returns once all that is open is over."""
+        """Start no more sessions; ``run`` returns when the open ones have ended."""
         self._stopping = True
 
     async def _session(self) -> None:
@@ -146,7 +146,7 @@
                 return
 
     async def _request(self, connection: ClientConnection, class_name: str, key: str, part: int) -> bool:
-        """Send a request, and once more if it is rejected: whether it was served."""
+        """Send a request, and retry it once if it is rejected; return whether it was served."""
         idempotency_key = f"{self._random.getrandbits(64):016x}"
         for attempt in range(2):
             request_id = self._draw_request_id()
@@ -156,7 +156,7 @@
             if attempt:
                 fields["r"] = "1"
                 self.retries += 1
-                if self._retry_connections:  # as the platform's balancer does
+                if self._retry_connections:  # as the platform's load balancer does
                     connection = self._random.choice(self._retry_connections)
             sent_s = time.time()
             answer = await self._send(connection, class_name, fields)
@@ -177,7 +177,7 @@
 
     @staticmethod
     def _request_fields(class_name: str, request_id: str, key: str, part: int) -> dict[str, str]:
-        """A request's fields under the wire's names."""
+        """Return a request's fields by their names on the wire."""
         return {
             "c": class_name,
             "i": request_id,
@@ -191,7 +191,7 @@
     async def _send(
         self, connection: ClientConnection, class_name: str, fields: dict[str, str]
     ) -> Answer | NoAnswer:
-        """Send one attempt and count what comes of it."""
+        """Send one attempt and count its outcome."""
         sent_s = time.monotonic()
         for counts in self._current_counts():
             counts.sent += 1
--- a/magpieshift/lab/emulators/peers.py
+++ b/magpieshift/lab/emulators/peers.py
@@ -1,4 +1,4 @@
-"""Simple emulators of what a router speaks to: an endpoint and a change log.
+"""Simple emulators of a router's peers: an endpoint and a change log.
 
 Written from the protocol pages, for tests and measurements of one router; ``emulator`` and ``load`` model an
 installation in more detail.
@@ -15,37 +15,39 @@
 
 from magpieshift.upstream import codec
 
-ANSWER_BODY = b"x" * 600  # of an endpoint's answers; a part of the platform, scaled down for one machine
-KEEP_ALIVE_S = 0.5  # between comments of a silent change log, well below a router's silence timeout
+ANSWER_BODY = (
+    b"x" * 600
+)  # body of an endpoint's answers: smaller than the platform's parts, so that one machine bears the load
+KEEP_ALIVE_S = 0.5  # interval of comments on an idle change log, well below a router's silence timeout
 
 
 class OverlapDetector:
-    """Shared by endpoints: finds requests that have two attempts in flight."""
+    """Detects requests with two attempts in flight; shared by all endpoints."""
 
     def __init__(self) -> None:
         self._in_flight: dict[str, int] = {}
-        """Attempts in flight of each request."""
+        """Number of attempts in flight, by request id."""
         self.overlapping: list[str] = []
-        """Requests of which a second attempt came while one was in flight, once for each such attempt."""
+        """Ids of requests with an attempt that arrived while another was in flight, once per such attempt."""
         self.attempts = 0
-        """Attempts that have come to any endpoint."""
+        """Attempts received by all endpoints."""
 
     def attempt_started(self, request_id: str) -> None:
-        """An attempt has come to an endpoint."""
+        """Record that an endpoint has received an attempt."""
         self.attempts += 1
         self._in_flight[request_id] = self._in_flight.get(request_id, 0) + 1
         if self._in_flight[request_id] > 1:
             self.overlapping.append(request_id)
 
     def attempt_ended(self, request_id: str) -> None:
-        """An attempt is no longer in flight; ``KeyError`` if it wasn't."""
+        """Record that an attempt is no longer in flight. Raises ``KeyError`` if it was not."""
         self._in_flight[request_id] -= 1
         if not self._in_flight[request_id]:
             del self._in_flight[request_id]
 
 
 class StubEndpoint:
-    """A cache or an origin: it answers what it stores, and stores what it was asked to fill."""
+    """A cache or an origin: it answers with the parts it stores, and stores those that it fills."""
 
     def __init__(
         self, name: str, overlaps: OverlapDetector, delay_s: float = 0.004, is_origin: bool = False
@@ -53,16 +55,16 @@
         self.name = name
         self._overlaps = overlaps
         self.delay_s = delay_s
-        """Time each answer takes."""
+        """Delay of each answer in seconds."""
         self._is_origin = is_origin
-        """Whether it has every part."""
+        """Whether it is an origin, which has every part."""
         self._stored_parts: set[tuple[str, str]] = set()
         """Object key and part number of each part that it stores."""
         self.body = ANSWER_BODY
-        """Of every answer."""
+        """Body of every answer."""
         self._server: asyncio.Server | None = None
         self.received: list[tuple[float, str]] = []
-        """Unix time and id of each request that has come."""
+        """Unix time and id of each received request."""
         self.port = 0
         """Port of loopback on which it listens, once started."""
 
@@ -95,7 +97,7 @@
                 elif words[0] in ("NOOP", "INFO"):
                     writer.write(f"{words[1]} well - 0\r\n\r\n".encode())
         except (ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            pass  # the router is gone, or the program ends: there is nobody left to answer
+            pass  # the router has disconnected or the program ends: no answer can be sent
         finally:
             for task in answering.values():
                 task.cancel()
@@ -128,7 +130,7 @@
 def list_entry(
     endpoint: StubEndpoint, zone: str, kind: str, cell: int, phase: str = "SERVING"
 ) -> dict[str, Any]:
-    """An endpoint as the change log lists it, under the wire's field names."""
+    """Return an endpoint's entry in the endpoint list, with the field names of the wire."""
     return {
         "id": endpoint.name,
         "host_port": f"127.0.0.1:{endpoint.port}",
@@ -142,13 +144,13 @@
 
 
 class ChangeLog:
-    """The change log: events are replayed to a router from where it left off."""
+    """A change log. A router that reconnects receives the events after the last one it received."""
 
     def __init__(self) -> None:
         self._events: list[dict[str, Any]] = []
-        """All events, under the wire's field names."""
+        """All events, with the field names of the wire."""
         self._published = asyncio.Event()
-        """Set by an event until watches have written it."""
+        """Set when an event is published; cleared by each connection that has written all events."""
         self._server: asyncio.Server | None = None
         self.port = 0
         """Port of loopback on which it listens, once started."""
@@ -164,12 +166,12 @@
             self._server.close()
 
     def publish(self, **event: Any) -> None:
-        """Append an event, given by the wire's fields but its sequence number."""
+        """Append an event, given by its fields on the wire without the sequence number."""
         self._events.append({"seq": len(self._events) + 1} | event)
         self._published.set()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        # at the end of the program the server's tasks are cancelled, which asyncio's streams would report
+        # at the end of the program these tasks are cancelled, which asyncio would log as errors
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
             head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
             last_event_id = head.partition("last-event-id:")[2].partition("\r\n")[0].strip()
--- a/magpieshift/lab/emulators/protocol_checker.py
+++ b/magpieshift/lab/emulators/protocol_checker.py
@@ -1,4 +1,4 @@
-"""Judges, at the emulated endpoints, whether routers keep the rules of the protocol pages."""
+"""Checks at the emulated endpoints that routers follow the rules of the protocol pages."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from collections.abc import Callable, Collection
 
 SOCKET_SLACK_S = 0.05  # the protocol page's allowance for delays on sockets
-DRAIN_NOTICE_S = 0.25  # the platform's rule: after this a router sends a draining endpoint nothing new
-PURGE_NOTICE_S = 0.5  # the platform's rule: after this a router serves no copy from before a purge
-MAX_EXAMPLES = 20  # enough to see what went wrong; all violations are counted
-NON_IDEMPOTENT_CLASS = "order"  # the class whose repeats no endpoint recognizes
+DRAIN_NOTICE_S = 0.25  # the platform's rule: after it, a router starts no attempt at a draining endpoint
+PURGE_NOTICE_S = 0.5  # the platform's rule: after it, a router serves no copy from before a purge
+MAX_EXAMPLES = 20  # violations kept as examples; all are counted
+NON_IDEMPOTENT_CLASS = "order"  # the class whose repeated requests endpoints do not recognize
 
 
 class ProtocolChecker:
-    """Counts violations over all endpoints of an installation, and for all routers that send to them."""
+    """Counts the violations of all routers, as seen by all endpoints of an installation."""
 
     def __init__(
         self,
@@ -21,38 +21,38 @@
         known_at: Callable[[str, float], float] = lambda request_id, published_s: published_s,
         hedged_classes: Collection[str] = (),
     ) -> None:
-        """``slack_s`` is granted beyond each time limit. ``known_at`` gives, for a request's id and the Unix
-        time at which an event was published, the time from which the router that sent the request could know
-        of it: one that is partitioned or paused learns of it later. ``hedged_classes`` are the classes of
-        which the settings permit a hedged request at another endpoint."""
+        """``slack_s`` is a tolerance added to each time limit. ``known_at`` returns, for a request's id and
+        the Unix time at which an event was published, when the router that sent the request could know of the
+        event: a partitioned or paused router learns of it later. ``hedged_classes`` are the classes for which
+        the settings permit a hedged request at another endpoint."""
         self.slack_s = slack_s
         self.known_at = known_at
         self.hedged_classes = hedged_classes
         self._in_flight: dict[str, list[str]] = {}
-        """The endpoints at which each request has an attempt in flight."""
+        """The endpoints with an attempt in flight, by request id."""
         self.attempts = 0
-        """Attempts that have come to any endpoint."""
+        """Attempts received by all endpoints."""
         self.violations: dict[str, int] = {}
-        """How often each rule was broken, by its name in reports."""
+        """Number of violations, by the rule's name in reports."""
         self.examples: list[str] = []
-        """The first violations in words, at most ``MAX_EXAMPLES``."""
+        """Descriptions of the first violations, at most ``MAX_EXAMPLES``."""
         self.drains_published_s: dict[str, float] = {}
-        """Unix time at which each endpoint's drain, or its removal, was published."""
+        """Unix time at which an endpoint's drain or removal was published, by endpoint id."""
         self.purges_s: dict[str, tuple[float, float]] = {}
-        """Unix times at which each object's last purge was made, and was published."""
+        """Unix times at which an object's last purge was made and was published, by object key."""
         self.origin_fetches: dict[str, int] = {}
-        """Fills answered by the origin, by the endpoint that was filled."""
+        """Number of fills from the origin, by the endpoint that was filled."""
         self._executed: set[str] = set()
-        """Requests that must not be repeated and have taken effect."""
+        """Ids of executed requests that must not be executed again."""
 
     def record_violation(self, rule: str, text: str) -> None:
-        """Count a violation; the first few are kept as examples."""
+        """Count a violation, and keep the first ones as examples."""
         self.violations[rule] = self.violations.get(rule, 0) + 1
         if len(self.examples) < MAX_EXAMPLES:
             self.examples.append(f"{rule}: {text}")
 
     def attempt_started(self, request_id: str, endpoint: str, class_name: str = "") -> None:
-        """An attempt has come to an endpoint: no other may be in flight, but for one hedged request."""
+        """Record a received attempt; it must be the only one in flight, or a permitted hedged request."""
         self.attempts += 1
         in_flight = self._in_flight.setdefault(request_id, [])
         is_hedge = class_name in self.hedged_classes and len(in_flight) == 1 and endpoint not in in_flight
@@ -62,7 +62,7 @@
         self.endpoint_used(request_id, endpoint, "came to")
 
     def endpoint_used(self, request_id: str, endpoint: str, how: str) -> None:
-        """A request has come to an endpoint, or names it as the source of its fill: it must not drain."""
+        """Check that an endpoint that receives a request, or is named as its source, is not draining."""
         published_s = self.drains_published_s.get(endpoint)
         if published_s is None:
             return
@@ -74,9 +74,9 @@
             )
 
     def check_slow_start(self, endpoint: str, work_s: float, capacity_s: float) -> None:
-        """An endpoint in slow start was sent ``work_s`` of work within a second.
+        """Check the work sent to an endpoint in slow start within a second (``work_s``).
 
-        Above ``capacity_s``, a multiple of what it can do now, it is overloaded.
+        More than ``capacity_s``, a multiple of its present capacity, is an overload.
         """
         if work_s > capacity_s:
             self.record_violation(
@@ -84,13 +84,13 @@
             )
 
     def attempt_ended(self, request_id: str, endpoint: str) -> None:
-        """An attempt is no longer in flight; ``ValueError`` or ``KeyError`` if it wasn't."""
+        """Record the end of an attempt. Raises ``ValueError`` or ``KeyError`` if it was not in flight."""
         self._in_flight[request_id].remove(endpoint)
         if not self._in_flight[request_id]:
             del self._in_flight[request_id]
 
     def request_executed(self, request_id: str, class_name: str, endpoint: str) -> None:
-        """A request has taken effect: one that is not idempotent may do so only once."""
+        """Record that a request was executed; one that is not idempotent may be executed only once."""
         if class_name != NON_IDEMPOTENT_CLASS:
             return
         if request_id in self._executed:
@@ -98,8 +98,10 @@
         self._executed.add(request_id)
 
     def copy_served(self, key: str, created_ms: int, sent_s: float, request_id: str = "") -> None:
-        """A client has received a copy made at ``created_ms`` for a request sent at ``sent_s`` (Unix times):
-        none from before a purge, if the request was sent long enough after that was published."""
+        """Check a copy that a client received, by the Unix times of its creation and of the request.
+
+        It must not be older than a purge that was published long enough before the request was sent.
+        """
         purged_s, published_s = self.purges_s.get(key, (0.0, 0.0))
         if not purged_s or created_ms / 1000 >= purged_s:
             return
--- a/magpieshift/lab/emulators/request_generator.py
+++ b/magpieshift/lab/emulators/request_generator.py
@@ -1,4 +1,4 @@
-"""A simple client that sends requests at random to one router, and counts its answers."""
+"""A simple client that sends requests at random times to one router, and counts the answers."""
 
 from __future__ import annotations
 
@@ -11,40 +11,40 @@
 from magpieshift.downstream import frames
 from magpieshift.downstream.frames import FrameType, ResponseCode
 
-TIME_LIMIT_MS = 1500  # of each request
-ANSWER_TIMEOUT_S = 2.5  # after which a request counts as lost: its time limit, and 1 s for a loaded machine
-EXPIRY_POLL_S = 0.01  # how often a client that stops looks for requests that are lost
-OBJECTS = 200  # that clients request; fewer have more hits
-READ_BYTES = 65536  # of one read; a socket buffer's order of magnitude
+TIME_LIMIT_MS = 1500  # time limit of each request
+ANSWER_TIMEOUT_S = 2.5  # until a request counts as lost: its time limit and 1 s for a loaded machine
+EXPIRY_POLL_S = 0.01  # polling interval for lost requests while the client stops
+OBJECTS = 200  # number of objects requested; fewer give more hits
+READ_BYTES = 65536  # maximum per read, the order of magnitude of a socket buffer
 
 
 class RequestGenerator:
-    """One connection at a time, made anew when it ends; every request must get one answer."""
+    """A client with one connection, reopened when it ends. Every request must get exactly one answer."""
 
     def __init__(self, port: int, rand: random.Random, is_router_running: Callable[[], bool]) -> None:
-        """``is_router_running`` gives whether the router can be expected to answer: requests open when it is
+        """``is_router_running`` returns whether the router should answer: requests that are open when it is
         killed count as interrupted, not as lost."""
         self._port = port
         self._random = rand
         self._is_router_running = is_router_running
         self._deadlines_s: dict[int, float] = {}
-        """Steady time at which each open request counts as lost, by stream."""
+        """Steady time at which an open request counts as lost, by stream."""
         self._writer: asyncio.StreamWriter | None = None
         self.sent = 0
         self.served = 0
         self.rejected = 0
         self.failed = 0
         self.lost = 0
-        """Requests without an answer, where one was due."""
+        """Requests without an answer although the router was running."""
         self.interrupted = 0
-        """Requests without an answer, where none could come."""
+        """Requests without an answer because the router was not running."""
         self.duplicate_answers = 0
         """Answers on streams without an open request."""
         self._stopping = asyncio.Event()
 
     async def run(self, rate: float, classes: Callable[[], list[str]]) -> None:
-        """Send open arrivals at a mean ``rate`` a second, each of a class drawn from ``classes()``, until
-        ``stop_sending``."""
+        """Send requests with open-loop arrivals, on average ``rate`` per second, each of a class drawn from
+        ``classes()``, until ``stop_sending`` is called."""
         reading: asyncio.Task[None] | None = None
         stream = 0
         try:
@@ -63,7 +63,7 @@
                     reading = asyncio.ensure_future(self._read(reader))
                 stream += 1
                 self._send(stream, self._random.choice(classes()))
-            while self._deadlines_s:  # each has a time at which it counts as lost
+            while self._deadlines_s:  # each is answered, or counts as lost at its deadline
                 await asyncio.sleep(EXPIRY_POLL_S)
                 self._expire()
         finally:
@@ -73,7 +73,7 @@
                 self._writer.close()
 
     def stop_sending(self) -> None:
-        """Send no more; ``run`` ends once all is answered or lost."""
+        """Send no more requests; ``run`` returns when each is answered or lost."""
         self._stopping.set()
 
     def _send(self, stream: int, class_name: str) -> None:
@@ -101,8 +101,8 @@
                     if frame.type == FrameType.RESPONSE:
                         self._answer_received(frame)
         except ConnectionError:
-            pass  # the same as an end of the stream
-        # at once: by the next request a router that was killed may be up again
+            pass  # handled like the end of the stream
+        # before the next request: by then a router that was killed may be running again
         self._connection_ended()
 
     def _answer_received(self, frame: frames.Frame) -> None:
@@ -121,7 +121,7 @@
             self._count_lost(1)
 
     def _connection_ended(self) -> None:
-        """The connection has ended with requests open."""
+        """Count the requests that were open on the ended connection."""
         self._count_lost(len(self._deadlines_s))
         self._deadlines_s.clear()
         if self._writer is not None:
--- a/magpieshift/lab/emulators/world.py
+++ b/magpieshift/lab/emulators/world.py
@@ -1,4 +1,4 @@
-"""A small installation on loopback: one cache, one origin, their change log, and settings for a router."""
+"""A small installation on loopback: a cache, an origin, a change log, and settings for a router."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LoopbackInstallation:
-    """Owner of the emulators round one router."""
+    """Owns the emulated peers of one router."""
 
     def __init__(self) -> None:
         self.overlaps = peers.OverlapDetector()
@@ -27,8 +27,8 @@
         """Port of loopback on which the router is to listen."""
 
     async def start(self, members: int = 1) -> None:
-        """Listen, and publish a list of the origin and of ``members`` caches in all; those beyond the first
-        stand in another zone and get no requests."""
+        """Start listening, and publish an endpoint list with the origin and ``members`` caches. All caches
+        but the first are in another zone and get no requests."""
         for endpoint in (self.cache, self.origin):
             await endpoint.start()
         await self.change_log.start()
@@ -46,7 +46,7 @@
         self.change_log.stop()
 
     def settings(self) -> dict[str, Any]:
-        """The settings of the router, as their document's data."""
+        """Return the router's settings document as data."""
         picture = {"aim-ms": 500, "deadline-ms": 2000, "in-parts": True, "worth": 2}
         basket = {"aim-ms": 700, "deadline-ms": 2000, "effect": "keyed", "dedup-ms": 5000, "write": True}
         data = {
@@ -64,7 +64,7 @@
         return to_data(load_data(data).document)
 
     def write_settings(self, folder: Path) -> Path:
-        """Write the settings to a file in this folder: its path."""
+        """Write the settings to a file in this folder; return its path."""
         path = folder / "start.sexp"
         path.write_text(sexp.format_document(self.settings()))
         return path
