--- a/magpieshift/lab/emulators/emulator.py
+++ b/magpieshift/lab/emulators/emulator.py
@@ -274,7 +274,7 @@
         return created_ms, "fill"
 
     async def fetch(self, part: Part, max_age_ms: int, requester: str) -> int | None:
-        """Serve a fill of another endpoint; return the copy's creation time (Unix ms), None without a copy."""
+        """Serve a fill of another endpoint; return the copy's creation time (Unix ms), or None without."""
         if not self.is_up:
             return None
         self._record_work()
