--- a/magpieshift/lab/fault_injection/__init__.py
+++ b/magpieshift/lab/fault_injection/__init__.py
@@ -1,1 +1,1 @@
-"""A testbed of many real router processes, with faults injected between them and into them."""
+"""Fault injection: a cluster of real router processes, with faults in them and on the links between them."""
--- a/magpieshift/lab/fault_injection/admin_clients.py
+++ b/magpieshift/lab/fault_injection/admin_clients.py
@@ -1,4 +1,4 @@
-"""Commands to the admin servers of the testbed's routers, and waiting until their answers agree."""
+"""Clients of the admin servers of a cluster's routers, and waiting until their answers agree."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from magpieshift.lab.fault_injection.router_instance import RouterInstance
 
 STARTUP_TIMEOUT_S = 30.0
-"""Seconds that anything awaited may take: generous, as a verdict must not hang on the machine's speed."""
+"""Default time-out in seconds; long, so that the verdict does not depend on the machine's speed."""
 POLL_INTERVAL_S = 0.1
-"""Seconds between two looks at a condition that is awaited."""
+"""Polling interval in seconds for conditions that are awaited."""
 
 
 class AdminClients:
@@ -23,18 +23,18 @@
 
     def __init__(self) -> None:
         self.routers: dict[str, RouterInstance] = {}
-        """All routers of the testbed, by name."""
+        """All routers of the cluster, by name."""
 
     async def call(self, name: str, command: str) -> AdminAnswer:
         """Return a router's answer to an admin command."""
         return await send_admin_command(("127.0.0.1", self.routers[name].admin_port), command)
 
     async def membership_view(self, name: str) -> dict[str, Any] | None:
-        """Return a router's answer to MEMBERS: its view of the fleet's members."""
+        """Return a router's answer to MEMBERS: its membership view."""
         return await self._json_answer(name, "MEMBERS")
 
     async def overload_view(self, name: str) -> dict[str, Any] | None:
-        """Return a router's answer to TALK: what it knows of failing endpoints and of handovers."""
+        """Return a router's answer to TALK: its information about failing endpoints and handovers."""
         return await self._json_answer(name, "TALK")
 
     async def _json_answer(self, name: str, command: str) -> dict[str, Any] | None:
@@ -45,7 +45,7 @@
         return data
 
     async def membership_views(self, names: Iterable[str] | None = None) -> dict[str, dict[str, Any]]:
-        """Return the membership views of these routers, or else of all that run; those that answer."""
+        """Return the membership views of these routers (default: all running ones), of those that answer."""
         running = [router.name for router in self.routers.values() if router.alive and not router.paused]
         wanted = running if names is None else list(names)
         views = await asyncio.gather(*(self.membership_view(name) for name in wanted))
@@ -53,18 +53,18 @@
 
     @staticmethod
     def present_members(view: dict[str, Any]) -> list[str]:
-        """Return the members that a view counts as present: alive or suspected."""
+        """Return the names of the members that are alive or suspected in a view."""
         return [row["name"] for row in view["members"] if row["standing"] in ("alive", "suspected")]
 
     @staticmethod
     def member_state(view: dict[str, Any], name: str) -> str:
-        """Return the state of a member in a view, ``unknown`` where it is not there."""
+        """Return the state of a member in a view, ``unknown`` if it is not in the view."""
         return next((row["standing"] for row in view["members"] if row["name"] == name), "unknown")
 
     async def views_agree(self, names: Iterable[str] | None = None) -> bool:
-        """Whether these routers, or else all living ones, have one view, of exactly the living ones.
+        """Return whether these routers (default: all living ones) have the same view, of all living routers.
 
-        Paused routers are not asked.
+        Paused routers are not queried.
         """
         living = sorted(router.name for router in self.routers.values() if router.alive)
         wanted = sorted(names) if names is not None else living
@@ -82,9 +82,9 @@
         description: str,
         timeout_s: float = STARTUP_TIMEOUT_S,
     ) -> float:
-        """Wait for a condition; return how long it took, in seconds.
+        """Wait until a condition holds; return the time this took, in seconds.
 
-        Raises ``AssertionError`` with the description where it takes longer than the timeout.
+        Raises ``AssertionError`` with the description if it takes longer than ``timeout_s``.
         """
         started_s = time.monotonic()
         while not await condition():
--- a/magpieshift/lab/fault_injection/built_in_scenarios.py
+++ b/magpieshift/lab/fault_injection/built_in_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios that need no file, as their documents have them."""
+"""Built-in scenarios, as the data of their documents."""
 
 from __future__ import annotations
 
@@ -75,4 +75,4 @@
         },
     },
 }
-"""Documents by the scenario's name."""
+"""Data of the scenario documents, by the scenario's name."""
--- a/magpieshift/lab/fault_injection/checks.py
+++ b/magpieshift/lab/fault_injection/checks.py
@@ -1,8 +1,8 @@
-"""What is checked of a fleet of processes from outside: one class for each invariant.
+"""Invariants of a cluster that are checked from outside its processes, one class for each.
 
-A check observes the fleet now and then while it runs, and is asked at the end for the violations it saw. The
-rules at the endpoints are in ``emulators.protocol_checker.ProtocolChecker``, which all endpoints and clients
-of a run have in common.
+A check observes the cluster periodically while it runs, and returns the violations at the end. The rules that
+endpoints check are in ``emulators.protocol_checker.ProtocolChecker``, which all endpoints and clients of a
+run share.
 """
 
 from __future__ import annotations
@@ -17,69 +17,69 @@
 from magpieshift.lab.fault_injection.outages import ENDLESS, Halt
 
 MAX_TOTAL_QUOTA = 1.0 + 1e-4
-"""Most that all quotas may come to: the whole, and the rounding of logs that write six places."""
+"""Maximum total of all quotas: the whole, plus rounding errors, as logs write six decimal places."""
 MAX_MEMORY_MB = 64
-"""Memory limit of a router process, as the cluster's settings have it."""
+"""Memory limit of a router process in megabytes, the same as in the cluster's settings."""
 MAX_DESCRIPTORS = 512
-"""Limit of a router's file descriptors, as the cluster's settings have it."""
+"""Limit of a router process's file descriptors, the same as in the cluster's settings."""
 MAX_SENT_PER_SERVED = 10
-"""Requests sent for each one served, beyond which a fleet counts as useless: many, as scenarios take most
-endpoints away."""
+"""Maximum number of requests sent per request served. It is high because scenarios take most endpoints
+down."""
 MAX_EXAMPLES = 5
-"""Lost requests that a violation names: enough to begin with."""
+"""Maximum number of lost requests that a violation describes."""
 MAX_TRACEBACK_CHARACTERS = 600
-"""How much of a traceback a violation quotes: its first frames."""
+"""Maximum length of the traceback in a violation; it begins with the first frames."""
 QUOTA_TOLERANCE = 1e-9
-"""Rise of the total that counts as a rise, beyond the error of float sums."""
+"""Smallest increase of the total that counts: smaller ones are rounding errors of float sums."""
 
 
 class ObservedFleet(Protocol):
-    """What a check may observe."""
+    """The parts of a cluster that checks observe."""
 
     folder: Path
-    """Where the routers' logs are."""
+    """Folder of the routers' logs."""
 
     def running(self) -> Mapping[str, int]:
         """Return process ids by router."""
         ...
 
     def halts(self) -> list[Halt]:
-        """Return when processes were paused or dead."""
+        """Return the periods in which processes were paused or dead."""
         ...
 
     def request_counts(self) -> Mapping[str, int]:
-        """Return what became of the clients' requests."""
+        """Return the number of the clients' requests by outcome."""
         ...
 
     def lost_examples(self) -> list[str]:
-        """Return some of the lost requests, each in a line."""
+        """Return descriptions of some lost requests, one line each."""
         ...
 
 
 class Check(Protocol):
-    """One invariant."""
+    """A check of one invariant."""
 
     def observe(self, fleet: ObservedFleet, views: Mapping[str, Mapping[str, Any]]) -> None:
-        """Observe the fleet at this moment; ``views`` are membership views by router, if any."""
+        """Observe the current state of the cluster; ``views`` are membership views by router, if any."""
         ...
 
     def violations(self, fleet: ObservedFleet) -> list[str]:
-        """Return a line for each violation, at the end of the run; none where the invariant held."""
+        """Return a line for each violation at the end of the run."""
         ...
 
 
 class FinalCheck:
-    """A check that needs to observe nothing while the fleet runs."""
+    """A check that is made only at the end of the run."""
 
     def observe(self, fleet: ObservedFleet, views: Mapping[str, Mapping[str, Any]]) -> None:
         """Do nothing."""
 
 
 class AnswerCheck(FinalCheck):
-    """Each request that a router could answer has one final answer, and enough of them are served."""
+    """Checks that each request that could be answered has exactly one answer, and that enough are served."""
 
     def violations(self, fleet: ObservedFleet) -> list[str]:
-        """Return lost requests, requests with two answers, and a fleet that serves next to nothing."""
+        """Return a line each for lost requests, for duplicate answers and for too few served requests."""
         counts = fleet.request_counts()
         found = []
         if counts["lost"]:
@@ -93,7 +93,7 @@
 
 
 class LogCheck(FinalCheck):
-    """No router raised an error that it did not expect."""
+    """Checks that no router logged a traceback."""
 
     def violations(self, fleet: ObservedFleet) -> list[str]:
         """Return the first traceback of each log."""
@@ -107,13 +107,13 @@
 
 
 class ResourceLimitCheck:
-    """Memory and descriptors of each process stay within its settings."""
+    """Checks that memory and file descriptors of each process stay within the settings' limits."""
 
     def __init__(self) -> None:
         self.max_memory_mb = 0.0
-        """Most resident memory seen in one process."""
+        """Highest resident memory observed in one process."""
         self.max_descriptors = 0
-        """Most open descriptors seen in one process."""
+        """Highest number of open descriptors observed in one process."""
 
     def observe(self, fleet: ObservedFleet, views: Mapping[str, Mapping[str, Any]]) -> None:
         """Read each process's memory and descriptors from /proc."""
@@ -122,11 +122,11 @@
                 pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
                 self.max_descriptors = max(self.max_descriptors, len(os.listdir(f"/proc/{pid}/fd")))
             except (OSError, IndexError):
-                continue  # it ended meanwhile
+                continue  # the process has ended
             self.max_memory_mb = max(self.max_memory_mb, pages * os.sysconf("SC_PAGE_SIZE") / (1 << 20))
 
     def violations(self, fleet: ObservedFleet) -> list[str]:
-        """Return the limits that some process exceeded."""
+        """Return a line for each limit that a process exceeded."""
         found = []
         if self.max_memory_mb > MAX_MEMORY_MB:
             found.append(f"a process held {self.max_memory_mb:.1f} MB, limit {MAX_MEMORY_MB}")
@@ -137,26 +137,26 @@
 
 @dataclass(frozen=True)
 class QuotaChange:
-    """From when on a process may use which quota."""
+    """A change of the quota that a process may use."""
 
     at_s: float
-    """Time in seconds on the steady clock, by which the routers log ``at_us``."""
+    """Steady time of the change in seconds; the routers log it as ``at_us``."""
     quota: float
-    """Share of the whole, 0 to 1."""
+    """New quota as a share of the whole, 0 to 1."""
     log_name: str
-    """The log of the process."""
+    """File name of the process's log."""
 
 
 class QuotaCheck(FinalCheck):
-    """At no instant do the quotas that all processes may use come to more than the whole.
+    """Checks that the quotas of all processes never add up to more than the whole.
 
-    The routers' logs have each change of a quota, on the clock that all processes of a machine have in
-    common. A process that is halted uses nothing; one that is being replaced checks before it acts whether
-    its successor lives, and then uses half.
+    The routers log each change of their quota with the time of the steady clock, which all processes on a
+    machine share. A halted process uses no quota; one that is being replaced checks before each use whether
+    its successor is alive, and then uses half of its quota.
     """
 
     def violations(self, fleet: ObservedFleet) -> list[str]:
-        """Return the greatest total, where it is more than the whole."""
+        """Return a line with the greatest total if it exceeds the whole."""
         total, at_s = self.max_total(fleet)
         if total <= MAX_TOTAL_QUOTA:
             return []
@@ -177,7 +177,7 @@
 
 
 def _effective_changes(fleet: ObservedFleet, log: Path) -> list[QuotaChange]:
-    """All changes of the quota that one process may use: those logged, by its successor, and by its halts."""
+    """Return all changes of one process's usable quota: logged ones, and those by its successor and halts."""
     name, start, _ = log.name.split(".")
     logged = _logged_changes(log)
     halts = [halt for halt in fleet.halts() if (halt.router, str(halt.start)) == (name, start)]
@@ -191,7 +191,7 @@
 def _halved_by_successor(
     logged: list[QuotaChange], halts: list[Halt], successor: Path, log_name: str
 ) -> list[QuotaChange]:
-    """The change to half of the quota when the successor of a living process first acts."""
+    """Return the change to half of the quota when the successor of a living process first logs a quota."""
     successor_changes = _logged_changes(successor)[:1] if successor.exists() else []
     if not successor_changes:
         return []
@@ -205,19 +205,19 @@
 
 
 def _changes_by_halt(logged: list[QuotaChange], halt: Halt, log_name: str) -> list[QuotaChange]:
-    """The changes to nothing while a process is halted, and back when it is resumed."""
+    """Return the change to zero when a process is halted, and the change back when it is resumed."""
     changes = [QuotaChange(halt.since_s, 0.0, log_name)]
     earlier_quotas = [change.quota for change in logged if change.at_s <= halt.since_s]
     changed_while_halted = any(halt.since_s < change.at_s < halt.until_s for change in logged)
     if halt.until_s != ENDLESS and earlier_quotas and not changed_while_halted:
-        # it reads the clock before it acts: what it logs next is what it may use from its resumption on
+        # it reads the clock before it acts: the quota it logs next limits it from its resumption on
         later_quotas = [change.quota for change in logged if change.at_s >= halt.until_s]
         changes.append(QuotaChange(halt.until_s, min([earlier_quotas[-1], *later_quotas[:1]]), log_name))
     return changes
 
 
 def _logged_changes(log: Path) -> list[QuotaChange]:
-    """The changes of its quota that a process logged."""
+    """Return the quota changes in a process's log."""
     changes = []
     for line in log.read_text(errors="replace").splitlines():
         if " event=share " in line:
@@ -227,5 +227,5 @@
 
 
 def standard_checks() -> list[Check]:
-    """Return the checks that hold in every run."""
+    """Return the checks made in every run."""
     return [AnswerCheck(), LogCheck(), ResourceLimitCheck(), QuotaCheck()]
--- a/magpieshift/lab/fault_injection/cluster.py
+++ b/magpieshift/lab/fault_injection/cluster.py
@@ -1,9 +1,9 @@
-"""Many router processes amid emulated endpoints, owned by id: started, stopped, paused, killed and started
-again, with faults on every link between any two processes.
+"""A cluster of router processes and emulated peers, in which routers can be started, stopped, paused and
+killed, and faults injected on every link.
 
 The ends of links are the routers (r0, r1, ...), the endpoints by place (box1, hub1, origin), the change log
-(``log``) and the clients (``clients``). Routers send each other datagrams through a ``Switch``; all else goes
-in streams, each pair through a ``Relay`` of its own.
+(``log``) and the clients (``clients``). Datagrams between routers go through a ``Switch``; all other traffic
+uses streams, with one ``Relay`` for each pair of processes.
 """
 
 from __future__ import annotations
@@ -31,17 +31,17 @@
 from magpieshift.lab.fault_injection.switch import Switch
 
 OBJECT_COUNT = 400
-"""Objects that clients ask for: few enough that caches fill within a run."""
+"""Number of objects that clients request: few enough that caches fill within a run."""
 SLACK_S = 0.05
-"""Seconds granted beyond the time limits of the rules, as the platform grants them."""
+"""Tolerance in seconds on the time limits of the rules, the same as the platform's."""
 CHECK_INTERVAL_S = 0.2
-"""Seconds between two looks of the checks: short beside any fault that a scenario injects."""
+"""Interval of the checks in seconds: short compared with the faults of any scenario."""
 PORTS_PER_ROUTER = 5
-"""Clients', two admin ports, private and public port for datagrams."""
+"""Ports per router: for clients, two for admin servers, private and public for datagrams."""
 VOTER_COUNT = 3
-"""Routers named in ``council`` of the settings: the smallest number that survives the loss of one."""
+"""Number of voters in the setting ``council``: the fewest that tolerate the loss of one."""
 MAX_EXAMPLES = 5
-"""Breaches of the endpoints' rules that a report shows in full: enough to begin with."""
+"""Maximum number of violations of the endpoints' rules that a report describes."""
 COUNTED_FIELDS = {
     "sent": "sent",
     "served": "served",
@@ -50,17 +50,17 @@
     "lost": "lost",
     "cut": "interrupted",
 }
-"""What is counted of the clients' requests, by its name in reports: the field of ``TrafficCounts``."""
+"""Fields of ``TrafficCounts`` that are reported, by their keys in reports."""
 
 
 class Cluster(RouterProcesses):
-    """Owner of the endpoints, the network, the clients and all router processes.
+    """Owns the endpoints, the network, the clients and all router processes.
 
-    ``solo_quota``, ``digests`` and ``hand_over`` are the members' settings ``alone``, ``digests`` and
-    ``hand-over``; ``seed_count`` routers are named in ``seeds``. ``requests_per_s`` is the rate of all
-    clients of one router together.
-    ``slack_s`` is granted beyond the time limits of the rules: more than the platform's where a verdict must
-    not hang on how busy the machine is. ``clocks`` names the routers whose clocks can be set.
+    ``solo_quota``, ``digests`` and ``hand_over`` are the membership settings ``alone``, ``digests`` and
+    ``hand-over``; ``seed_count`` routers are named in ``seeds``. ``requests_per_s`` is the total rate of the
+    clients of one router. ``slack_s`` is the tolerance on the time limits of the rules: larger than the
+    platform's where the verdict must not depend on the machine's load. ``clocks`` names the routers whose
+    clocks can be changed.
     """
 
     def __init__(
@@ -85,15 +85,15 @@
         self.seed = seed
         self.solo_quota = solo_quota
         self.network = Network()
-        """The faults between processes."""
+        """The faults on links between processes."""
         self.switch = Switch(seed, self.network)
         self.rules = ProtocolChecker(slack_s, self._known_at)
-        """The protocol's rules, checked at all endpoints and clients of the run together."""
+        """Checker of the protocol's rules, shared by all endpoints and clients of the run."""
         self.checks: list[checks.Check] = checks.standard_checks()
         self.loads: dict[str, LoadGenerator] = {}
-        """Clients by the router that they ask first."""
+        """Load generators by the router to which they send requests first."""
         self.violations: list[str] = []
-        """What the checks and rules found, after ``finish``."""
+        """Violations found by the checks and rules; complete after ``finish``."""
         self._environment = Environment(self.network, self.rules, boxes, hubs, random.Random(seed))
         self._requests_per_s = requests_per_s
         self._seed_count = seed_count
@@ -104,13 +104,13 @@
 
     @property
     def endpoints(self) -> emulated.EmulatedInstallation:
-        """The emulated caches, parents and origin."""
+        """Return the emulated caches, parents and origin."""
         return self._environment.endpoints
 
-    # --- beginning and end
+    # --- start and stop
 
     async def __aenter__(self) -> Cluster:
-        """Start everything but the routers."""
+        """Start everything except the routers."""
         self.folder.mkdir(parents=True, exist_ok=True)
         try:
             await self._start_environment()
@@ -120,7 +120,7 @@
         return self
 
     async def __aexit__(self, *error: object) -> None:
-        """End all that was started."""
+        """Stop everything that was started."""
         await self.close()
 
     async def _start_environment(self) -> None:
@@ -170,7 +170,7 @@
             skewed_clock.write_clock(self._clock_path(router.name))
 
     async def _run_checks(self) -> None:
-        """Record when the change log does not reach a router, and let the checks observe the fleet."""
+        """Periodically record the faults between routers and the change log, and call the checks."""
         while True:
             for name in self.routers:
                 self.outages.record_log_faults(name, self.network.faults_either_way(name, CHANGE_LOG))
@@ -179,7 +179,7 @@
             await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def close(self) -> None:
-        """End all that was started, in whatever state it is."""
+        """Stop everything that was started, also after an incomplete start."""
         if self._check_task is not None:
             self._check_task.cancel()
         for task in self._clients:
@@ -191,11 +191,11 @@
     # --- what the checks observe
 
     def halts(self) -> list[Halt]:
-        """Return when processes were paused or dead."""
+        """Return the periods in which processes were paused or dead."""
         return self.outages.halts
 
     def request_counts(self) -> dict[str, int]:
-        """Return how many requests had each outcome, and how many had two answers (``doubles``)."""
+        """Return the number of requests by outcome, and of duplicate answers (``doubles``)."""
         counts = {
             name: sum(getattr(load.total, field) for load in self.loads.values())
             for name, field in COUNTED_FIELDS.items()
@@ -203,22 +203,22 @@
         return counts | {"doubles": sum(load.duplicate_answers for load in self.loads.values())}
 
     def lost_examples(self) -> list[str]:
-        """Return some of the requests that were lost, each with what its client saw."""
+        """Return descriptions of the first lost requests of each load generator."""
         return [example for load in self.loads.values() for example in load.unanswered_examples]
 
     def max_total_quota(self) -> tuple[float, float]:
-        """Return the most that all quotas in use came to at an instant, and when (steady clock, seconds)."""
+        """Return the greatest total of all quotas in use, and its steady time in seconds."""
         return checks.QuotaCheck().max_total(self)
 
     def _known_at(self, request_id: str, published_s: float) -> float:
-        """When the router that sent a request could know what was announced at that Unix time.
+        """Return when the router that sent a request could know of an event, by when it was published.
 
-        A request's id begins with its router's number, as ``start_load`` marks it.
+        Request ids begin with the number of the request's router, see ``start_load``.
         """
         return self.outages.known_at(f"r{int(request_id[:2], 16)}" if request_id else "", published_s)
 
     def _is_excused(self, name: str, sent_s: float) -> bool:
-        """Whether a request begun then may go unanswered: its router was halted, or cut from its clients."""
+        """Return whether a request sent at this time may have no answer, because of injected faults."""
         return self.outages.unavailable_since(name, sent_s) or bool(
             self.network.faults_either_way(CLIENTS, name)
         )
@@ -226,9 +226,9 @@
     # --- load
 
     def start_load(self, retry_elsewhere: bool = False) -> None:
-        """Start clients at each router, until ``finish``.
+        """Start a load generator for each router, until ``finish``.
 
-        Where they ``roam``, a client that is rejected comes back at another router.
+        With ``retry_elsewhere``, clients retry rejected requests at another router.
         """
         for number, router in enumerate(self.routers.values()):
             name = router.name
@@ -251,9 +251,10 @@
             self._clients.append(asyncio.ensure_future(load.run(float("inf"))))
 
     def served_fraction(self, seconds: int = 3) -> float:
-        """Return the share of requests that were served, over the last whole seconds whose answers are due.
+        """Return the share of requests that were served, over this many seconds until three seconds ago.
 
-        It is 1 where nothing was requested. The last three seconds' answers may still be under way.
+        The last three seconds are left out, as their answers may still be outstanding. Returns 1 if there
+        were no requests.
         """
         sent = 0
         served = 0
@@ -264,9 +265,9 @@
         return served / sent if sent else 1.0
 
     async def finish(self) -> dict[str, int]:
-        """Stop the load, wait for the last answers and ask all checks; return the requests' counts.
+        """Stop the load, wait for the last answers and evaluate all checks; return ``request_counts``.
 
-        What the checks found is in ``violations``.
+        ``violations`` then contains what the checks found.
         """
         for load in self.loads.values():
             load.stop_sending()
--- a/magpieshift/lab/fault_injection/defective_router.py
+++ b/magpieshift/lab/fault_injection/defective_router.py
@@ -1,7 +1,7 @@
-"""A router with a defect that is injected on purpose:
+"""Runs a router with a deliberate defect:
 ``python -m magpieshift.lab.fault_injection.defective_router DEFECT MAGNITUDE run ...``.
 
-A rollout has to notice it. Defects are wrapped round the engine from outside: the product has none of this.
+A rollout has to detect it. Defects are injected from outside: the router's own code contains none.
 """
 
 from __future__ import annotations
@@ -22,26 +22,26 @@
 from magpieshift.log import setup
 
 DEFECTS = ("none", "worse", "leak", "slower", "no-start", "mute", "late-crash")
-"""Defects by name; each takes one number, see ``inject_defect`` and ``main``."""
+"""Names of the defects; for their magnitudes see ``inject_defect`` and ``main``."""
 FAILING_CLASS = "picture"
-"""The request class that the defect ``worse`` fails: the lab's load has enough of it to be noticed."""
+"""Request class affected by the defect ``worse``: frequent enough in the load for detection."""
 FAILING_TIME_LEFT_US = 1_000
-"""Time left given to a request that is to fail, in microseconds: no endpoint answers so soon."""
+"""Time left of a request that must fail, in microseconds: shorter than any endpoint's response time."""
 FIRST_UNUSED_ID = 1 << 40
-"""First number returned for requests that never reach the engine: far beyond the engine's own."""
+"""First id returned for requests that are not passed to the engine: far above the engine's own ids."""
 LEAK_INTERVAL_S = 0.1
-"""Seconds between two steps of the leak: fine enough to look continuous."""
+"""Interval in seconds between allocations of the leak: short enough for a nearly continuous growth."""
 START_FAILURE_EXIT_CODE = 3
-"""Exit code of ``no-start``: any but 0."""
+"""Exit code of ``no-start``: any except 0."""
 CRASH_EXIT_CODE = 7
-"""Exit code of ``late-crash``: any but 0, and told apart from ``no-start``."""
+"""Exit code of ``late-crash``: any except 0 and the one of ``no-start``."""
 
 
 def inject_defect(engine: Engine, defect: str, magnitude: float) -> None:
-    """Wrap the one place where the engine takes requests.
+    """Wrap ``Engine.submit``, through which all requests enter the engine.
 
     ``magnitude`` is, for ``worse``, the share of one class that fails; for ``slower``, the processor time
-    added to a request, in milliseconds. Other defects leave the engine as it is or ignore it.
+    added to a request, in milliseconds. ``mute`` ignores it, and other defects do not change the engine.
     """
     submit: Callable[..., int] = engine.submit
     draw = random.Random(1)
@@ -67,7 +67,7 @@
 
 
 async def leak_memory(mb_per_s: float) -> None:
-    """Hold ever more memory, so many megabytes a second, until cancelled."""
+    """Allocate this many megabytes per second and never free them, until cancelled."""
     held: list[bytes] = []
     while True:
         held.append(os.urandom(int(mb_per_s * 1e6 * LEAK_INTERVAL_S)))
@@ -87,7 +87,7 @@
 
 
 def main() -> None:
-    """Run a router with a defect: ``leak`` in megabytes a second, ``late-crash`` after so many seconds."""
+    """Run a router with a defect. MAGNITUDE: of ``leak`` in MB/s, of ``late-crash`` the delay in seconds."""
     arguments = _parser().parse_args()
     if arguments.defect == "no-start":
         sys.exit(START_FAILURE_EXIT_CODE)
--- a/magpieshift/lab/fault_injection/environment.py
+++ b/magpieshift/lab/fault_injection/environment.py
@@ -1,4 +1,4 @@
-"""What surrounds the testbed's routers: emulated endpoints, change logs, and a relay on each link to them."""
+"""The emulated endpoints and change logs around a cluster's routers, and the relays on links to them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Environment:
-    """Owner of the emulated endpoints, of a change log for each router, and of all relays."""
+    """Owns the emulated endpoints, a change log for each router, and all relays."""
 
     def __init__(
         self, network: Network, rules: ProtocolChecker, boxes: int, hubs: int, rand: random.Random
@@ -25,7 +25,7 @@
         self._logs: dict[str, peers.ChangeLog] = {}
         """Change logs by router."""
         self._relays: dict[tuple[str, str], Relay] = {}
-        """By source and target."""
+        """Relays by source and target."""
 
     async def start_log(self, name: str) -> None:
         """Start the change log of one router."""
@@ -33,7 +33,7 @@
         await self._logs[name].start()
 
     async def relay_to(self, router: RouterInstance) -> None:
-        """Start relays from a router to all that it connects to, and one from its clients to it."""
+        """Start relays from a router to its change log and endpoints, and from its clients to the router."""
         await self._relay(router.name, CHANGE_LOG, self._logs[router.name].port)
         for place, endpoint in self.endpoints.places.items():
             await self._relay(router.name, place, endpoint.port)
@@ -46,11 +46,11 @@
         return relay
 
     def log_port(self, name: str) -> int:
-        """Return the port where a router reaches its change log."""
+        """Return the port of the relay from a router to its change log."""
         return self._relays[name, CHANGE_LOG].port
 
     def _publish(self, event: dict[str, Any]) -> None:
-        """Send a watch event to each router, with each endpoint at the end of that router's own relay."""
+        """Publish a change log event to each router, with the addresses of its relays to the endpoints."""
         for name, log in self._logs.items():
             routed = event
             if "fleet" in event:
@@ -72,5 +72,5 @@
 
 
 def _place(endpoint_id: str) -> str:
-    """The place of an endpoint, by its id."""
+    """Return the place of an endpoint from its id."""
     return endpoint_id.split("-")[1]
--- a/magpieshift/lab/fault_injection/ports.py
+++ b/magpieshift/lab/fault_injection/ports.py
@@ -1,4 +1,4 @@
-"""Free ports of loopback for processes that end and start again."""
+"""Finds free ports on loopback for processes that may be restarted on the same port."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 import socket
 
 FIRST_PORT = 20_000
-"""Lowest port tried: above the ports that services commonly have."""
+"""Lowest port tried: above the ports commonly used by services."""
 LAST_PORT = 32_000
-"""End of the ports tried: below the ephemeral ports that Linux gives out (32768 and up)."""
+"""Exclusive upper limit of the ports tried: below the ephemeral ports of Linux (32768 and up)."""
 PORTS_PER_RANGE = 300
-"""Width in ports of one test process's range: more than any cluster needs, so that neighbours seldom meet."""
+"""Size of one test process's port range: larger than any cluster needs, so that they rarely collide."""
 PORT_RANGES = (LAST_PORT - FIRST_PORT) // PORTS_PER_RANGE
-"""Number of ranges that test processes are spread over by their process id."""
+"""Number of port ranges, to which test processes are assigned by process id."""
 
 
 class _LastPort:
-    """Where this process has looked last, so that no two calls give the same port."""
+    """The last port that this process tried, so that no two calls return the same port."""
 
     def __init__(self) -> None:
         self.port = 0
@@ -29,25 +29,26 @@
 
 
 def _first_port() -> int:
-    """Where to begin to look: processes side by side begin in ranges of their own."""
+    """Return the first port to try: concurrent processes start in different ranges."""
     if _last.port:
         return _last.port + 1
     range_index = os.getpid() % PORT_RANGES
-    offset = random.randrange(PORTS_PER_RANGE // 2)  # not drawn by a run's seed: two runs must not collide
+    offset = random.randrange(
+        PORTS_PER_RANGE // 2
+    )  # independent of a run's seed, so that two runs do not collide
     return FIRST_PORT + range_index * PORTS_PER_RANGE + offset
 
 
 def free_port() -> int:
-    """Return one port as ``free_ports`` does."""
+    """Return one free port, see ``free_ports``."""
     return free_ports(1)[0]
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports of loopback that are free for both datagrams and connections.
+    """Return ports on loopback that are free for both UDP and TCP.
 
-    They lie below the ephemeral range, so that no client's connection takes one before its process listens,
-    or starts again. No two calls in one process give the same port. Raises ``OSError`` where there are not so
-    many.
+    They are below the ephemeral range, so that no outgoing connection takes one before its process listens or
+    restarts. No two calls in one process return the same port. Raises ``OSError`` if too few ports are free.
     """
     found: list[int] = []
     start = _first_port()
--- a/magpieshift/lab/fault_injection/processes.py
+++ b/magpieshift/lab/fault_injection/processes.py
@@ -1,4 +1,4 @@
-"""The router processes of the testbed, owned by id: started, stopped, paused, killed, replaced."""
+"""Starts, stops, pauses, kills and replaces the router processes of a cluster."""
 
 from __future__ import annotations
 
@@ -18,32 +18,32 @@
 PROGRAM = (sys.executable, "-m", "magpieshift")
 """The command of the router under test."""
 READY_EVENT = " event=ready "
-"""Text of the log line with which a router says that it serves."""
+"""Text in the log line that a router writes when it is ready to serve."""
 DRAIN_GRACE_S = 0.6
-"""Seconds after SIGTERM from which clients may go unanswered; less excuses real losses, more
-blames the router for clients that could not know yet."""
+"""Time in seconds from SIGTERM until requests may remain without an answer. A shorter one hides real losses;
+a longer one blames the router for requests of clients that could not know of the shutdown yet."""
 
 
 class RouterProcesses(AdminClients):
-    """Owner of all router processes of a run. ``clocks`` names the routers whose clocks can be set."""
+    """Owns all router processes of a run. ``clocks`` names the routers whose clocks can be changed."""
 
     def __init__(self, folder: Path, program: Iterable[str] = PROGRAM, clocks: Iterable[str] = ()) -> None:
         super().__init__()
         self.folder = folder
-        """Where settings, logs and clock files are."""
+        """Folder of settings, logs and clock files."""
         self.outages = Outages()
-        """When routers could not answer."""
+        """Records of when routers could not answer or were halted."""
         self.unexpected_exits: list[str] = []
-        """A line for each process that ended with another code than it should have."""
+        """A line for each process that ended with an unexpected exit code."""
         self._program = tuple(program)
         self._clocks = frozenset(clocks)
         self._started: list[asyncio.subprocess.Process] = []
-        """All processes ever started: a router may have had several."""
+        """All processes started so far: a router may have had several."""
         self._exit_watchers: list[asyncio.Task[None]] = []
-        """Tasks that await the end of processes that were replaced."""
+        """Tasks that await the exit of replaced processes."""
 
     async def end_all(self) -> None:
-        """Kill what still runs, paused processes too."""
+        """Kill all processes that still run, including paused ones."""
         for task in self._exit_watchers:
             task.cancel()
         for process in self._started:
@@ -52,11 +52,11 @@
                 await process.wait()
 
     def left_running(self) -> int:
-        """Return how many of the processes have not ended."""
+        """Return the number of processes that have not ended."""
         return sum(process.returncode is None for process in self._started)
 
     def running(self) -> dict[str, int]:
-        """Return process ids by router."""
+        """Return the process ids of the living routers, by router."""
         return {
             router.name: router.process.pid
             for router in self.routers.values()
@@ -64,17 +64,17 @@
         }
 
     def log_path(self, name: str, start: int) -> Path:
-        """Return the log of one process of a router, counted from 1."""
+        """Return the path of the log of a router's process number ``start``, counted from 1."""
         return self.folder / f"{name}.{start}.log"
 
     def _has_served(self, name: str, start: int) -> bool:
         return READY_EVENT in self.log_path(name, start).read_text(errors="replace")
 
     async def start(self, *names: str, arguments: Sequence[str] = (), program: Sequence[str] = ()) -> None:
-        """Start routers, all at once; wait for nothing.
+        """Start routers without waiting until they serve.
 
-        ``arguments`` are added to the ``run`` command; ``program`` replaces the testbed's own command.
-        A router named in ``clocks`` runs ``skewed_clock`` in any case, which accepts no ``arguments``.
+        ``arguments`` are added to the ``run`` command; ``program`` replaces the default program. A router
+        named in ``clocks`` always runs ``skewed_clock``, which accepts no ``arguments``.
         """
         for name in names:
             router = self.routers[name]
@@ -102,7 +102,7 @@
     async def start_successor(
         self, name: str, admin_port: int, arguments: Sequence[str], program: Sequence[str] = ()
     ) -> None:
-        """Start a further process of a router, with its own admin port; the caller ends the other one."""
+        """Start another process of a router, with its own admin port; the caller ends the previous one."""
         router = self.routers[name]
         old = router.process
         old_start = router.starts
@@ -114,12 +114,12 @@
     async def _watch_exit(self, name: str, start: int, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
         self.outages.process_halted(name, start)
-        # one that never served may have been rejected by its predecessor: no fault
+        # a process that never served may have been rejected by its predecessor, which is no error
         if code != 0 and self._has_served(name, start) and not self.routers[name].killed:
             self.unexpected_exits.append(f"a process of {name} ended with {code}")
 
     async def wait_until_serving(self, *names: str) -> None:
-        """Wait until these routers answer at their admin servers."""
+        """Wait until the admin servers of these routers answer."""
 
         async def all_answer() -> bool:
             answers = [await self.call(name, "PING") for name in names]
@@ -130,7 +130,7 @@
             self.outages.router_available(name)
 
     def _process(self, name: str) -> tuple[RouterInstance, asyncio.subprocess.Process]:
-        """A router with its process, which must have been started."""
+        """Return a router and its process, which must have been started."""
         router = self.routers[name]
         assert router.process is not None
         return router, router.process
@@ -158,7 +158,7 @@
         self.outages.process_halted(name, router.starts)
 
     def resume(self, name: str) -> None:
-        """Let a paused process go on, with SIGCONT."""
+        """Resume a paused process with SIGCONT."""
         router, process = self._process(name)
         self.outages.process_resumed(name)
         process.send_signal(signal.SIGCONT)
@@ -166,7 +166,7 @@
         self.outages.router_available(name)
 
     async def stop(self, name: str) -> None:
-        """Shut a router down gracefully, with SIGTERM, and wait for its end."""
+        """Shut a router down gracefully with SIGTERM, and wait until it has ended."""
         router, process = self._process(name)
         process.terminate()
         self.outages.router_unavailable(name, DRAIN_GRACE_S)
@@ -176,10 +176,10 @@
             self.unexpected_exits.append(f"{name} ended with {code}")
 
     async def replace(self, name: str, timeout_s: float = STARTUP_TIMEOUT_S) -> None:
-        """Replace a router's process by a new one under the same name and at the clients' address.
+        """Replace a router's process with a new one that has the same name and client address.
 
-        The old one is shut down gracefully once the new one is ready; for a while there are two, each with an
-        admin port of its own.
+        The old process is shut down gracefully when the new one is ready. Until then both run, each with its
+        own admin port.
         """
         router, old = self._process(name)
         old_start = router.starts
@@ -200,9 +200,9 @@
         return self.folder / f"{name}.clock"
 
     def set_clock(self, name: str, step_s: float = 0.0, rate: float = 1.0) -> None:
-        """Step the wall clock of a router that was named in ``clocks``, and set the rate of all its clocks.
+        """Set the wall clock's step of a router that is named in ``clocks``, and the rate of all its clocks.
 
-        Raises ``ValueError`` for another router.
+        Raises ``ValueError`` for any other router.
         """
         if name not in self._clocks:
             raise ValueError(f"found {name}, expected one of {sorted(self._clocks)}")
--- a/magpieshift/lab/fault_injection/random_runs.py
+++ b/magpieshift/lab/fault_injection/random_runs.py
@@ -1,8 +1,8 @@
-"""Random scenarios with a seed, and shrinking a failing one until it can be read.
+"""Draws random scenarios from a seed, and shrinks failing ones to a few faults.
 
-Faults are drawn so that many begin while the fleet still recovers from another, and so that the run can be
-judged afterwards: each ends, no router has two of its own at a time, no more than half of the routers and
-never all endpoints of a kind that has several are away at once, and nothing is wrong in the last quarter.
+Many faults start while the cluster recovers from another. So that the result can be checked, each fault ends,
+a router has at most one router fault at a time, at most half of the routers and never all of several
+endpoints of a kind are down at once, and no fault is active in the last quarter of the run.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 
 class FaultDraw(NamedTuple):
-    """How often a kind of fault is drawn, and how long it lasts."""
+    """Weight and range of durations with which a kind of fault is drawn."""
 
     weight: int
-    """Share of draws, beside the other kinds' weights."""
+    """Weight of the kind, relative to the other kinds."""
     min_s: float
-    """Shortest duration in seconds."""
+    """Minimum duration in seconds."""
     max_s: float
-    """Longest duration in seconds."""
+    """Maximum duration in seconds."""
 
 
 FAULT_DRAWS: dict[str, FaultDraw] = {
@@ -56,7 +56,7 @@
     "purge": FaultDraw(3, 0.0, 0.0),
     "late-list": FaultDraw(1, 2.0, 6.0),
 }
-"""By kind; the weights decide which failures are found first."""
+"""Draws by kind of fault. The weights determine which failures are found first."""
 MAGNITUDES = {
     "lose": (0.1, 0.7),
     "double": (0.1, 0.5),
@@ -67,31 +67,31 @@
     "step": (-30.0, 30.0),
     "rate": (0.99, 1.01),
 }
-"""Least and greatest magnitude by kind, in the units of ``Fault.magnitude``; other kinds have none."""
+"""Minimum and maximum magnitude by kind, in the units of ``Fault.magnitude``; other kinds have none."""
 OVERLAP_FRACTION = 0.6
-"""Share of faults that begin soon after another's end: recoveries that meet find the most failures."""
+"""Share of faults that start soon after another's end: overlapping recoveries find the most failures."""
 MAX_OVERLAP_DELAY_S = 3.0
-"""Seconds after another's end within which those begin: a recovery takes about as long."""
+"""Maximum delay in seconds of such a fault after the other's end: about the duration of a recovery."""
 FAULT_PERIOD_FRACTION = 0.75
-"""Share of a run after which nothing new is wrong: the rest is for the fleet to agree again."""
+"""Share of a run after which all faults have ended: in the rest, the routers' views agree again."""
 MAX_DRAWS_PER_FAULT = 40
-"""Draws until one fits beside the faults before it; then the run has one fault fewer."""
+"""Maximum number of draws until a fault fits with the earlier ones; after that it is left out."""
 SEPARATION_S = 4.0
-"""Seconds between two faults of one router or endpoint: a router starts in less."""
+"""Minimum interval in seconds between two faults of one router or endpoint: a router starts faster."""
 FIRST_FAULT_S = 1.0
-"""Earliest beginning of a fault in seconds: before, clients have not begun."""
+"""Earliest start of a fault in seconds: until then clients may not have started."""
 DATAGRAM_CUT_PROBABILITY = 0.7
-"""Probability that a cut is between routers, not on a stream: their agreement is what is tested most."""
+"""Probability that a cut is between routers, not on a stream: the routers' agreement is tested most."""
 REQUESTS_PER_S = 20.0
-"""Rate of the clients at each router, as for scenarios that say none."""
+"""Request rate of each router's clients, the same as the default of scenarios."""
 SOLO_QUOTAS = (0.25, 0.5, 1.0)
-"""Quotas of a lone router that are drawn from: a cautious, the default and a careless one."""
+"""Possible quotas of a router that knows no other member: a cautious, the default and an unsafe one."""
 MAX_SHRINK_RUNS = 60
-"""Runs that shrinking may take: each lasts as long as the scenario."""
+"""Maximum number of runs for shrinking: each takes as long as the scenario."""
 
 
 class _Fleet(NamedTuple):
-    """What faults are drawn for."""
+    """The cluster for which faults are drawn."""
 
     routers: list[str]
     boxes: int
@@ -100,7 +100,7 @@
 
     @property
     def endpoints(self) -> list[str]:
-        """Places of the caches and parents."""
+        """Return the places of the caches and parents."""
         return [*(f"box{i + 1}" for i in range(self.boxes)), *(f"hub{i + 1}" for i in range(self.hubs))]
 
 
@@ -136,7 +136,7 @@
     duration_s = round(min(rand.uniform(fault_draw.min_s, fault_draw.max_s), longest_s), 2)
     latest_s = FAULT_PERIOD_FRACTION * fleet.duration_s - duration_s
     start_s = rand.uniform(FIRST_FAULT_S, latest_s)
-    if earlier and rand.random() < OVERLAP_FRACTION:  # into the recovery from another
+    if earlier and rand.random() < OVERLAP_FRACTION:  # during the recovery from another fault
         other = rand.choice(earlier)
         delay_s = rand.uniform(0.0, MAX_OVERLAP_DELAY_S)
         start_s = min(other.start_s + other.duration_s + delay_s, latest_s)
@@ -155,7 +155,7 @@
 
 
 def _draw_link(kind: str, rand: random.Random, fleet: _Fleet) -> tuple[str, str]:
-    """Draw source and target of a fault on links."""
+    """Draw the source and target of a fault on links."""
     router = rand.choice(fleet.routers)
     is_cut = kind == "cut"
     if kind in ("lose", "double", "delay") or (is_cut and rand.random() < DATAGRAM_CUT_PROBABILITY):
@@ -175,7 +175,7 @@
 
 
 def _overlaps(a: Fault, b: Fault, separation_s: float = 0.0) -> bool:
-    """Whether two faults are in force at once, or less than so many seconds apart."""
+    """Return whether two faults overlap, or are less than ``separation_s`` apart."""
     return (
         a.start_s < b.start_s + b.duration_s + separation_s
         and b.start_s < a.start_s + a.duration_s + separation_s
@@ -183,7 +183,7 @@
 
 
 def _fits(fault: Fault, earlier: list[Fault], fleet: _Fleet) -> bool:
-    """Whether a fault can be injected beside those, and leaves enough of the fleet to be judged."""
+    """Return whether a fault can be combined with the earlier ones, and leaves enough of the cluster up."""
     nearby = [other for other in earlier if _overlaps(fault, other, SEPARATION_S)]
     if fault.kind in ROUTER_FAULTS:
         return _router_fault_fits(fault, nearby, len(fleet.routers))
@@ -196,9 +196,9 @@
 
 
 def _router_fault_fits(fault: Fault, nearby: list[Fault], routers: int) -> bool:
-    """Whether the router has no other fault of its own, and at most half of the routers are away.
+    """Return whether the router has no other router fault, and at most half of the routers are down.
 
-    A dead process can't be paused, and a paused one does not end when asked to.
+    A dead process cannot be paused, and a paused one does not handle SIGTERM.
     """
     if any(other.component == fault.component and other.kind in ROUTER_FAULTS for other in nearby):
         return False
@@ -207,7 +207,7 @@
 
 
 def _endpoints_remain(fault: Fault, nearby: list[Fault], fleet: _Fleet) -> bool:
-    """Whether the endpoint is not away yet, and one of its kind remains where there are several."""
+    """Return whether the endpoint is up, and at least one of several of its kind remains up without it."""
     away = {other.component for other in nearby if other.kind in ("drain", "die", "hang")}
     if fault.component in away:
         return False
@@ -223,8 +223,8 @@
 ) -> Scenario:
     """Return a scenario with fewer faults that still fails.
 
-    Halves of the faults are left out, then quarters, and so on down to single ones; each candidate is played
-    once, ``max_runs`` of them in all.
+    Removes halves of the faults, then quarters, and so on down to single faults. Each candidate is run once,
+    at most ``max_runs`` candidates in total.
     """
     runs = 0
     parts = 2
--- a/magpieshift/lab/fault_injection/relay.py
+++ b/magpieshift/lab/fault_injection/relay.py
@@ -1,7 +1,7 @@
-"""Relays for streams on loopback: between two processes, with the faults of either direction.
+"""A relay that forwards TCP connections between two processes on loopback, with the faults of each direction.
 
-A relay has a port of its own for each pair of processes, so that it knows who connects. It carries bytes and
-knows nothing of what they mean.
+Each pair of processes has its own relay and port, which identifies the connecting process. A relay forwards
+bytes without interpreting them.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from magpieshift.lab.fault_injection.network import LinkFault, Network
 
 READ_BYTES = 16_384
-"""Most bytes read at once: a throttled stream pauses after each piece."""
+"""Maximum number of bytes per read; a throttled stream pauses after each."""
 FAULT_POLL_S = 0.02
-"""Seconds until a fault that was added or removed shows on open connections."""
+"""Polling interval in seconds at which open connections notice added and removed faults."""
 LINGER_RESET = struct.pack("ii", 1, 0)
-"""SO_LINGER on, for zero seconds: the socket's close sends RST."""
+"""SO_LINGER with a time of 0 s: closing the socket sends RST."""
 
 
 class Relay:
-    """Owner of one listener and of all connections through it."""
+    """Owns one listener and all connections through it."""
 
     def __init__(self, network: Network, source: str, target: str, port: int) -> None:
         self._network = network
@@ -31,20 +31,20 @@
         self._server: asyncio.Server | None = None
         self._connections: set[asyncio.Task[None]] = set()
         self.port = 0
-        """Port it listens on; 0 before ``start``."""
+        """Port on which it listens; 0 before ``start``."""
         self.forwarded_bytes = 0
-        """Bytes forwarded, both directions together."""
+        """Number of bytes forwarded in both directions."""
         self.resets = 0
-        """Connections that it reset."""
+        """Number of resets that it sent to either end of a connection."""
 
     async def start(self, port: int = 0) -> int:
-        """Listen on a port, 0 for any that is free; return the port."""
+        """Listen on a port, or on any free one if it is 0; return the port."""
         self._server = await asyncio.start_server(self._connection_accepted, "127.0.0.1", port)
         self.port = int(self._server.sockets[0].getsockname()[1])
         return self.port
 
     def close(self) -> None:
-        """Stop listening and end all connections."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -53,7 +53,7 @@
 
     @property
     def open_connections(self) -> int:
-        """Connections through it now."""
+        """Return the number of open connections."""
         return len(self._connections)
 
     async def _connection_accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -63,7 +63,7 @@
         try:
             await self._forward_connection(reader, writer)
         except (OSError, asyncio.CancelledError):
-            pass  # at the end of the run its tasks are cancelled, which asyncio's streams would report
+            pass  # tasks are cancelled at the end of the run, which asyncio would log as errors
         finally:
             self._connections.discard(task)
             writer.transport.abort()
@@ -72,7 +72,7 @@
         return self._network.faults_either_way(self._source, self._target)
 
     async def _forward_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Carry one connection of the source until it ends or is reset."""
+        """Forward one connection from the source until it ends or is reset."""
         while any(fault.silent for fault in self._faults_either_way()):
             if self._reset_if_faulted(writer):
                 return
@@ -97,13 +97,13 @@
         writer: asyncio.StreamWriter,
         target_writer: asyncio.StreamWriter,
     ) -> None:
-        """Wait until both directions end; reset both ends where a fault or either end resets it."""
+        """Wait until both directions end; reset both ends if a fault or one end resets the connection."""
         while not all(direction.done() for direction in directions):
             await asyncio.wait(directions, timeout=FAULT_POLL_S)
             if self._reset_if_faulted(writer):
                 self._reset(target_writer)
                 return
-            # a reset by one end is passed on: otherwise the other waits in vain for an answer
+            # forward a reset by one end: otherwise the other end waits until its time-out for an answer
             if any(direction.done() and not direction.result() for direction in directions):
                 self._reset(target_writer)
                 self._reset(writer)
@@ -112,16 +112,17 @@
     async def _forward_direction(
         self, source: str, target: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Carry what one end sends to the other until it ends; False where it broke off.
+        """Forward one direction until the end of its stream; return False if it ended with an error.
 
-        Bytes that wait are not lost: the sender's system keeps them and blocks it once its buffers are full.
+        Bytes that a fault holds up are not lost: they stay in the sender's socket buffers, and the sender
+        blocks when these are full.
         """
         try:
             while True:
                 await self._wait_until_passable(source, target)
                 if not (data := await reader.read(READ_BYTES)):
                     break
-                await self._wait_until_passable(source, target)  # cut while it waited for data
+                await self._wait_until_passable(source, target)  # the link may have been cut during the read
                 for fault in self._network.faults_on(source, target):
                     if pause_s := _pause_s(fault, len(data)):
                         await asyncio.sleep(pause_s)
@@ -139,14 +140,14 @@
             await asyncio.sleep(FAULT_POLL_S)
 
     def _reset_if_faulted(self, writer: asyncio.StreamWriter) -> bool:
-        """Reset a connection where a fault says so; return whether it did."""
+        """Reset a connection if a fault requires it; return whether it was reset."""
         if not any(fault.reset for fault in self._faults_either_way()):
             return False
         self._reset(writer)
         return True
 
     def _reset(self, writer: asyncio.StreamWriter) -> None:
-        """Close a connection so that the other end sees a reset in place of an orderly end."""
+        """Close a connection with RST instead of FIN."""
         sock = writer.get_extra_info("socket")
         if sock is not None:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
@@ -155,7 +156,7 @@
 
 
 def _pause_s(fault: LinkFault, size_bytes: int) -> float:
-    """How long a fault holds up a piece of a stream, in seconds."""
+    """Return the delay in seconds that a fault adds to this many bytes of a stream."""
     pause_s = fault.delay_ms / 1e3
     if fault.kb_per_s:
         pause_s += size_bytes / 1e3 / fault.kb_per_s
--- a/magpieshift/lab/fault_injection/rollouts.py
+++ b/magpieshift/lab/fault_injection/rollouts.py
@@ -1,4 +1,4 @@
-"""Rollouts of real processes on the testbed: the cluster starts what the coordinator's executor asks for."""
+"""Rollouts of real processes on a cluster, which starts the processes for the rollout's executor."""
 
 from __future__ import annotations
 
@@ -20,33 +20,33 @@
 OLD_LABEL = "old"
 NEW_LABEL = "new"
 OUTAGE_SCENARIO = "same-with-outage"
-"""The scenario in which the origin is slow for a while, so that a good version looks bad."""
+"""Scenario in which the origin is slow for a while, so that a good version looks bad."""
 OUTAGE_S = 8.0
-"""Seconds that the origin is slow: longer than a stage's soak."""
+"""Duration of the origin's slowness in seconds: longer than a stage's soak."""
 OUTAGE_DELAY_MS = 400
-"""Delay of the slow origin: well above the latency objectives of the lab's classes."""
+"""Delay of the slow origin in milliseconds: well above the latency objectives of the lab's classes."""
 CACHE_FILL_S = 5.0
-"""Seconds of load before a rollout begins, until caches are filled; with less, the service
-before is lower than the one after."""
+"""Duration of load in seconds before a rollout starts, in which the caches fill. With a shorter one, fewer
+requests are served before the rollout than after it."""
 SERVICE_SPAN_S = 8
-"""Seconds over which the service after the rollout is measured."""
+"""Seconds over which the share of served requests is measured after the rollout."""
 REQUESTS_PER_S = 40.0
-"""Rate of the clients at each router: enough that a small fleet's samples decide within a soak."""
+"""Request rate of each router's clients: high enough that a small fleet has enough samples within a soak."""
 RULES_SLACK_S = 1.0
-"""Seconds granted beyond the time limits of the rules: a verdict must not hang on how busy the machine is."""
+"""Tolerance in seconds on the rules' time limits: the verdict must not depend on the machine's load."""
 CACHES = 3
 
 
 @dataclass(frozen=True)
 class RolloutScenario:
-    """A rollout of a version with a known defect."""
+    """A rollout of a version with a known defect, or without one."""
 
     defect: str
-    """The new version's, one of ``defective_router.DEFECTS``."""
+    """Defect of the new version, one of ``defective_router.DEFECTS``."""
     magnitude: float
-    """How strong the defect is, in its own unit."""
+    """Strength of the defect, in the unit of its kind."""
     is_bad: bool
-    """Whether the rollout has to stop."""
+    """Whether the rollout is expected to stop."""
 
 
 SCENARIOS: dict[str, RolloutScenario] = {
@@ -59,11 +59,11 @@
     "mute": RolloutScenario("mute", 0.0, True),
     "late-crash": RolloutScenario("late-crash", 8.0, True),
 }
-"""Rollouts by name."""
+"""Rollout scenarios by name."""
 
 
 def plan_for(cluster: Cluster, **overrides: Any) -> Plan:
-    """Return a plan of two stages for a cluster's routers; ``overrides`` replace its document's entries."""
+    """Return a plan of two stages for a cluster's routers; ``overrides`` replace entries of its document."""
     routers = {
         name: {"doors": [f"127.0.0.1:{port}" for port in router.admin_ports]}
         for name, router in cluster.routers.items()
@@ -83,9 +83,9 @@
 
 
 def process_starter(cluster: Cluster, defect: str = "none", magnitude: float = 0.0) -> Callable[..., Any]:
-    """Return the executor's way of starting a process: the cluster starts and owns it.
+    """Return the function with which the executor starts processes; the cluster owns them.
 
-    Processes of the new version have the defect.
+    Processes of the new version get the defect.
     """
 
     async def start(router: RouterPlace, admin_address: Address, build: Build, term: int) -> None:
@@ -99,7 +99,7 @@
 
 
 async def start_old_version(cluster: Cluster) -> None:
-    """Start all routers with the old version's label, and wait until they serve."""
+    """Start all routers with the label of the old version, and wait until they serve."""
     names = list(cluster.routers)
     await cluster.start(*names, arguments=("--label", OLD_LABEL, "--term", "0"))
     await cluster.wait_until_serving(*names)
@@ -112,7 +112,7 @@
     seed: int,
     on_status: Callable[[Mapping[str, Any]], None] = lambda status: None,
 ) -> dict[str, Any]:
-    """Play one rollout of real processes under load; return its verdict, with the cluster's violations."""
+    """Run a rollout scenario under load; return its verdict, with the cluster's violations."""
     scenario = SCENARIOS[name]
     started_s = time.monotonic()
     async with Cluster(
@@ -152,7 +152,7 @@
 
 
 def _outcome(status: Mapping[str, Any], is_bad: bool, routers: list[str]) -> dict[str, Any]:
-    """Whether the rollout stopped where it should, and the share of routers that had the new version."""
+    """Return whether the rollout stopped as expected, and the share of routers with the new version."""
     stopped = status["way"] != "ended" or status["new"] != sorted(routers)
     return {
         "stopped_wrongly": int(stopped and not is_bad),
--- a/magpieshift/lab/fault_injection/router_instance.py
+++ b/magpieshift/lab/fault_injection/router_instance.py
@@ -1,4 +1,4 @@
-"""One router of the testbed: its addresses and the process that runs under its name."""
+"""One router of a cluster: its addresses and its current process."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
     name: str
     port: int
-    """Where the process itself listens for clients."""
+    """Port on which the process listens for clients."""
     admin_port: int
-    """The one of ``admin_ports`` that is in use."""
+    """Port of the current process's admin server."""
     admin_ports: tuple[int, int]
-    """Ports for a process and for the one that takes over from it."""
+    """Admin ports for a process and for its successor in a rollout."""
     private_port: int
-    """Port that the process binds for membership datagrams."""
+    """Port that the process binds for datagrams of the membership protocol."""
     public_port: int
-    """Port of the switch where other routers reach it with datagrams."""
+    """Port of the switch to which other routers send datagrams for this router."""
     client_port: int = 0
-    """Port of the relay where its clients reach it."""
+    """Port of the relay from its clients to it."""
     process: asyncio.subprocess.Process | None = None
-    """The process started last."""
+    """The most recently started process."""
     paused: bool = False
     """Whether the process is stopped by SIGSTOP."""
     killed: bool = False
-    """Whether the testbed killed the process."""
+    """Whether the process was killed deliberately."""
     starts: int = 0
-    """How many processes were started; the number of the current one."""
+    """Number of processes started, which is also the number of the current one."""
 
     @property
     def alive(self) -> bool:
-        """Whether its process has not ended."""
+        """Return whether its process was started and has not ended."""
         return self.process is not None and self.process.returncode is None
--- a/magpieshift/lab/fault_injection/run.py
+++ b/magpieshift/lab/fault_injection/run.py
@@ -1,4 +1,4 @@
-"""One run of the testbed: a scenario played, judged, and left behind to be played again."""
+"""Runs a scenario on a cluster, checks the result, and saves both so that the run can be repeated."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 )
 
 AGREEMENT_TIMEOUT_S = 30.0
-"""Seconds after the last fault within which all routers must have one view;
-start-up's allowance for slow machines is added to it."""
+"""Maximum time in seconds from the last fault until all routers have the same view;
+``STARTUP_TIMEOUT_S`` is added to it for slow machines."""
 SAMPLE_INTERVAL_S = 1.0
-"""Seconds between two samples of the routers' views."""
+"""Interval of samples of the routers' views, in seconds."""
 
 
 def _link_fault(fault: Fault) -> LinkFault:
-    """What a scenario's fault on links does to a link."""
+    """Return the link fault for a scenario's fault on links."""
     match fault.kind:
         case "cut":
             return LinkFault(cut=True)
@@ -49,7 +49,7 @@
 
 
 async def _inject(cluster: Cluster, fault: Fault, started_s: float) -> None:
-    """Cause a fault at its time, and take it away when it is over."""
+    """Inject a fault at its start time, and remove it after its duration."""
     await asyncio.sleep(max(0.0, started_s + fault.start_s - time.monotonic()))
     if fault.kind in LINK_FAULTS:
         cluster.network.add_fault(fault.name, fault.source, fault.target, _link_fault(fault))
@@ -89,9 +89,9 @@
 async def play(
     scenario: Scenario, folder: Path, progress: Callable[[str], None] = lambda line: None
 ) -> dict[str, Any]:
-    """Play a scenario; return the verdict, which is also left in the folder with settings and logs."""
+    """Run a scenario; return the verdict, which is also saved in the folder with settings and logs."""
     folder.mkdir(parents=True, exist_ok=True)
-    (folder / "scenario.sexp").write_text(format_scenario(scenario))  # from which it can be played again
+    (folder / "scenario.sexp").write_text(format_scenario(scenario))  # from which the run can be repeated
     (folder / "scenario.json").write_text(json.dumps(to_json(scenario), indent=1))
     verdict: dict[str, Any] = {"routers": scenario.routers, "seed": scenario.seed}
     problems: list[str] = []
@@ -108,7 +108,7 @@
         names = list(cluster.routers)
         await cluster.start(*names)
         await cluster.wait_until_serving(*names)
-        await cluster.wait_until(cluster.views_agree, "all agree at first")
+        await cluster.wait_until(cluster.views_agree, "all membership views agree after the start")
         cluster.start_load()
         samples = await _play_faults(cluster, scenario, problems, progress)
         try:
@@ -130,7 +130,7 @@
 async def _play_faults(
     cluster: Cluster, scenario: Scenario, problems: list[str], progress: Callable[[str], None]
 ) -> list[dict[str, Any]]:
-    """Inject all faults; return samples of the routers' views, and add to ``problems`` faults that failed."""
+    """Inject all faults; return samples of the routers' views, and add failed injections to ``problems``."""
     samples: list[dict[str, Any]] = []
     started_s = time.monotonic()
     tasks = [asyncio.ensure_future(_inject(cluster, fault, started_s)) for fault in scenario.faults]
@@ -149,7 +149,7 @@
 
 
 def _sample(cluster: Cluster, views: dict[str, dict[str, Any]], at_s: float) -> dict[str, Any]:
-    """What the routers' views came to at a moment, by the keys of ``samples.json``."""
+    """Return a summary of the routers' present views, by the keys of ``samples.json``."""
     states = [member["standing"] for view in views.values() for member in view["members"]]
     return {
         "at_s": round(at_s, 1),
@@ -161,7 +161,7 @@
 
 
 async def _finish_and_check(cluster: Cluster, fault_count: int, problems: list[str]) -> dict[str, Any]:
-    """Stop the load and return what the checks found, by the verdict's keys."""
+    """Stop the load; return the results of the checks by the verdict's keys."""
     counts = await cluster.finish()
     max_total, _ = cluster.max_total_quota()
     return {
@@ -180,7 +180,7 @@
 
 
 def plot(folder: Path) -> Path:
-    """Draw the timeline of a run that was left behind; return the picture's path."""
+    """Draw the timeline of a saved run; return the path of the image."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/magpieshift/lab/fault_injection/scenario.py
+++ b/magpieshift/lab/fault_injection/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: what is to happen to a fleet of processes, read from an S-expression, with a seed."""
+"""Scenarios: the size, load and faults of a cluster, read from an S-expression."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from magpieshift.lab.fault_injection.network import ANY_END, ANY_ROUTER, CHANGE_LOG, CLIENTS
 
 DOCUMENT_HEAD = "fleet-run"
-"""First word of a scenario's document."""
+"""First symbol of a scenario document."""
 FaultKind = Literal[
     "pause",
     "kill",
@@ -40,32 +40,32 @@
     "purge",
     "late-list",
 ]
-"""All kinds of faults; purges and late lists concern neither a router nor a link nor an endpoint."""
+"""All kinds of faults. ``purge`` and ``late-list`` affect no single router, link or endpoint."""
 ROUTER_FAULTS = ("pause", "kill", "stop", "step", "rate")
-"""Kinds that happen to one router."""
+"""Kinds of faults that affect one router."""
 LINK_FAULTS = ("cut", "lose", "delay", "double", "reset", "silence", "throttle")
-"""Kinds that happen on one direction of links."""
+"""Kinds of faults that affect one direction of links."""
 ENDPOINT_FAULTS = ("drain", "die", "hang", "slow", "err")
-"""Kinds that happen to one endpoint."""
+"""Kinds of faults that affect one endpoint."""
 
 
 class FaultForm(Form):
-    """A fault as a document has it; ``Fault`` names its fields in words."""
+    """A fault in a scenario document; the fields of ``Fault`` explain it."""
 
     what: FaultKind
     at_s: Seconds
     for_s: Seconds = 0.0
     who: str = ""
-    """A router or an endpoint's place."""
+    """The affected router or endpoint's place."""
     source: str = "*"
-    """Of a fault on links: routers (all or one), places, log, clients."""
+    """Sending end of a faulty link: a router, ``routers`` for all, a place, ``log``, ``clients`` or ``*``."""
     target: str = "*"
     by: Annotated[float, Field(ge=-3_600, le=60_000)] = 0.0
     """See ``Fault.magnitude``."""
 
 
 class RunForm(Form):
-    """A scenario as a document has it; ``Scenario`` names its fields in words."""
+    """A scenario document; the fields of ``Scenario`` explain it."""
 
     seconds: Annotated[float, Field(ge=1, le=3_600)]
     seed: Annotated[int, Field(ge=0)] = 1
@@ -79,56 +79,56 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault, from when and for how long."""
+    """One fault, with its start and duration."""
 
     name: str
     kind: str
     """One of ``FaultKind``."""
     start_s: float
-    """Seconds from the scenario's beginning."""
+    """Start in seconds after the scenario's start."""
     duration_s: float
-    """Seconds that it lasts; a drain lasts that long (at least ``emulated.MIN_DRAIN_S``), and then the place
-    is empty for as long again."""
+    """Duration in seconds. A drain takes this long, but at least ``emulated.MIN_DRAIN_S``, and then the
+    endpoint is down for the same duration."""
     component: str
-    """The router or the endpoint's place that it happens to; empty for a fault on links."""
+    """The affected router or endpoint's place; empty for a fault on links."""
     source: str
-    """The end of a link from which what is faulted comes."""
+    """Sending end of the faulty direction of a link."""
     target: str
-    """The end of a link to which it goes."""
+    """Receiving end of the faulty direction of a link."""
     magnitude: float
-    """How strong it is: lose, double, err: a share; delay, slow: milliseconds; throttle: kilobytes a second;
-    step: seconds; rate: times the true rate."""
+    """Strength by kind of fault: ``lose``, ``double``, ``err``: share; ``delay``, ``slow``: milliseconds;
+    ``throttle``: kilobytes per second; ``step``: seconds; ``rate``: factor on the clock's rate."""
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """A fleet, its load, and the faults that are injected, by time."""
+    """The size of a cluster, its load, and the faults to inject."""
 
     duration_s: float
-    """Seconds that the load lasts at least."""
+    """Shortest duration of the load in seconds; it continues until all faults have ended."""
     seed: int
-    """Seed of the load, of datagrams' faults and of the endpoints."""
+    """Seed of the load, of the faults on datagrams and of the endpoints."""
     routers: int
     """Number of routers."""
     requests_per_s: float
-    """Rate of the clients at each router."""
+    """Request rate of the clients of each router, per second."""
     solo_quota: float
-    """The members' setting ``alone``: the quota of a router that knows of no other, a share of the whole."""
+    """The setting ``alone``: the quota of a router that knows no other member, as a share of the whole."""
     boxes: int
     """Number of caches."""
     hubs: int
     """Number of parents."""
     faults: tuple[Fault, ...]
-    """In order of their beginning."""
+    """Faults, ordered by start."""
 
     @property
     def clocks(self) -> list[str]:
-        """The routers whose clocks are set."""
+        """Return the routers whose clocks are changed by faults."""
         return sorted({fault.component for fault in self.faults if fault.kind in ("step", "rate")})
 
 
 def _find_problems(form: RunForm, lines: Mapping[sexp.EntryPath, int]) -> list[Problem]:
-    """The ends and components of faults that a fleet of this size does not have."""
+    """Return a problem for each fault that names a router or endpoint which the cluster does not have."""
     routers = [f"r{number}" for number in range(form.routers)]
     endpoints = place_names(form.boxes, form.hubs)
     problems: list[Problem] = []
@@ -152,7 +152,7 @@
 
 
 def load(data: Mapping[str, Any], lines: Mapping[sexp.EntryPath, int] | None = None) -> Scenario:
-    """Return a checked scenario; ``UnusableDocumentError`` with all that is wrong."""
+    """Return a validated scenario. Raises ``UnusableDocumentError`` with all problems found."""
     lines = lines or {}
     form = validate_form(RunForm, data, lines)
     if problems := _find_problems(form, lines):
@@ -183,7 +183,7 @@
 
 
 def format_scenario(scenario: Scenario) -> str:
-    """Return a scenario's document, which ``load_file`` reads as the same."""
+    """Return a scenario's document, from which ``load_file`` reads the same scenario."""
     faults = {
         fault.name: {
             "what": fault.kind,
@@ -200,7 +200,7 @@
 
 
 def _size_to_json(scenario: Scenario) -> dict[str, Any]:
-    """All of a scenario but its faults, by the keys of documents and saved files."""
+    """Return a scenario without its faults, by the keys of documents and saved files."""
     return {
         "seconds": scenario.duration_s,
         "seed": scenario.seed,
@@ -213,7 +213,7 @@
 
 
 def to_json(scenario: Scenario) -> dict[str, Any]:
-    """Return a scenario by the keys of the ``scenario.json`` that a run leaves behind."""
+    """Return a scenario by the keys of the file ``scenario.json`` that a run saves."""
     faults = [
         {
             "name": fault.name,
@@ -231,18 +231,18 @@
 
 
 def load_file(path: str) -> Scenario:
-    """Return a file's scenario.
+    """Return the scenario of a file.
 
-    Raises ``ConfigError`` if the file cannot be read, ``UnusableDocumentError`` if it cannot be used.
+    Raises ``ConfigError`` if the file cannot be read, ``UnusableDocumentError`` if its content is invalid.
     """
     tree = sexp.parse(read_text(path), path, DOCUMENT_HEAD)
     return load(tree.data, tree.lines)
 
 
 def find_scenario(name: str) -> Scenario:
-    """Return one of ``BUILT_IN_SCENARIOS`` or else a file's.
+    """Return the built-in scenario of this name, or else the scenario of the file at this path.
 
-    Raises ``ConfigError`` if it is neither, ``UnusableDocumentError`` if it cannot be used.
+    Raises ``ConfigError`` if there is neither, ``UnusableDocumentError`` if the file's content is invalid.
     """
     if name in BUILT_IN_SCENARIOS:
         return load(BUILT_IN_SCENARIOS[name])
@@ -253,9 +253,9 @@
 
 
 def resized(scenario: Scenario, routers: int, seed: int) -> Scenario:
-    """Return the scenario with another size and seed.
+    """Return the scenario with another number of routers and another seed.
 
-    Raises ``UnusableDocumentError`` where its faults do not fit that size.
+    Raises ``UnusableDocumentError`` if its faults name routers that it then does not have.
     """
     changed = replace(scenario, routers=routers, seed=seed)
     load(sexp.parse(format_scenario(changed), DOCUMENT_HEAD, DOCUMENT_HEAD).data)
--- a/magpieshift/lab/fault_injection/switch.py
+++ b/magpieshift/lab/fault_injection/switch.py
@@ -1,5 +1,5 @@
-"""A switch for datagrams on loopback: each process has a public port, and each direction between two of them
-has its own faults."""
+"""A switch that forwards datagrams between processes on loopback, through a public port for each process,
+and applies the faults of each direction between two processes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport for sending."""
+        """Store the transport, which sends datagrams."""
         self.transport = transport  # type: ignore[assignment]  # asyncio's own is no subclass of its interface
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
@@ -26,27 +26,27 @@
         self._switch.forward(addr[1], self._name, data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore it: the process is down and nobody listens at its private port."""
+        """Ignore the error: the process is down and does not listen on its private port."""
 
 
 class Switch:
-    """Owner of the public ports. A datagram's sender is known by the private port it comes from."""
+    """Owns the public ports. The sender of a datagram is identified by its private port."""
 
     def __init__(self, seed: int, network: Network | None = None) -> None:
         self._random = random.Random(seed)
         self.network = network or Network()
-        """The faults in force."""
+        """The active faults."""
         self._ports: dict[str, _Port] = {}
         self._private_ports: dict[str, int] = {}
         self._names: dict[int, str] = {}
-        """Processes by their private ports."""
+        """Names of processes by their private ports."""
         self.forwarded = 0
         """Datagrams forwarded, duplicates included."""
         self.dropped = 0
         """Datagrams dropped by faults."""
 
     async def add(self, name: str, private: int, public: int) -> None:
-        """Open a public port for the process that binds ``private``."""
+        """Open the port ``public`` for the process that binds the port ``private``."""
         loop = asyncio.get_running_loop()
         _, port = await loop.create_datagram_endpoint(
             lambda: _Port(self, name), local_addr=("127.0.0.1", public)
@@ -62,7 +62,7 @@
                 port.transport.close()
 
     def forward(self, private: int, target: str, data: bytes) -> None:
-        """Forward a datagram from the process with this private port, as its direction's faults allow."""
+        """Forward a datagram from the process with this private port, with the faults of its direction."""
         source = self._names.get(private)
         if source is None:
             return
@@ -78,7 +78,7 @@
                 self._deliver(source, target, data)
 
     def _effect(self, faults: list[LinkFault]) -> tuple[float, float, int]:
-        """Probability that one datagram passes, its delay in milliseconds, and its number of copies."""
+        """Return a datagram's probability of passing, its delay in milliseconds, and the number of copies."""
         pass_probability = 1.0
         delay_ms = 0.0
         copies = 1
@@ -89,6 +89,6 @@
         return pass_probability, delay_ms, copies
 
     def _deliver(self, source: str, target: str, data: bytes) -> None:
-        transport = self._ports[source].transport  # the receiver knows a sender by its public port
+        transport = self._ports[source].transport  # receivers identify the sender by its public port
         if transport is not None and not transport.is_closing():
             transport.sendto(data, ("127.0.0.1", self._private_ports[target]))
