--- a/magpieshift/lab/soak/__init__.py
+++ b/magpieshift/lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Short lives of real routers: drawn from a seed, full of signals, and judged to the last request."""
+"""Soak: short runs of real routers, drawn from a seed, with many signals and a check of each request."""
--- a/magpieshift/lab/soak/clients.py
+++ b/magpieshift/lab/soak/clients.py
@@ -1,4 +1,4 @@
-"""The clients of one life: they go on until the kill, and remember each request that got no answer."""
+"""The clients of one run, which send requests until the router has ended and record unanswered ones."""
 
 from __future__ import annotations
 
@@ -15,37 +15,38 @@
 
 OBJECTS = 40
 LAG_CHECK_INTERVAL_S = 0.01
-"""Between two looks at how late the event loop of the clients is."""
+"""Interval in seconds at which the delay of the clients' event loop is measured."""
 CONNECTIONS = 4
-"""Of each kind of client that keeps its connection."""
+"""Number of connections for each kind of client that reuses connections."""
 
 
 class ClientKind(StrEnum):
-    """How a client treats its connection."""
+    """How a client uses its connections."""
 
     OBEYING_GO_AWAY = "heeding"
-    """It goes on over a new one when it is told to go away."""
+    """Opens a new connection after GO_AWAY."""
     IGNORING_GO_AWAY = "staying"
-    """It goes on using the one it has until that is closed."""
+    """Ignores GO_AWAY and uses its connection until it is closed."""
     CONNECTION_PER_REQUEST = "new"
-    """It opens one for each request."""
+    """Opens a new connection for each request."""
 
 
 @dataclass(frozen=True)
 class Unanswered:
-    """A request that got no answer."""
+    """A request without an answer."""
 
     request_id: str
     kind: ClientKind
     class_name: str
     sent_s: float
-    """Steady time."""
+    """Steady time at which it was sent."""
     ended_s: float
+    """Steady time at which the client stopped waiting."""
     reason: NoAnswer
 
 
 class ClientGroup:
-    """All clients of one life."""
+    """All clients of one run."""
 
     def __init__(self, port: int, rand: random.Random, classes: list[str]) -> None:
         self._port = port
@@ -57,25 +58,25 @@
         self.failed = 0
         self.unanswered: list[Unanswered] = []
         self.idle_resets = 0
-        """Idle connections that were reset in place of closed."""
+        """Number of idle connections that were reset instead of closed."""
         self.max_lag_s = 0.0
-        """How late the event loop has been at most."""
+        """Maximum delay of the event loop in seconds."""
         self.new_connections_until_s = float("inf")
-        """Steady time from which nobody opens a connection for a new request."""
+        """Steady time until which clients with a connection per request send requests."""
         self._connections: list[ClientConnection] = []
         self._requests: set[asyncio.Task[None]] = set()
         self._tasks: list[asyncio.Task[None]] = []
         self._is_stopping = False
 
     def start(self, rate: float, idle_clients: int) -> None:
-        """Begin: ``rate`` requests a second of each kind, and so many idle clients."""
+        """Start clients of each kind, which send ``rate`` requests per second, and idle clients."""
         for kind in ClientKind:
             self._tasks.append(asyncio.ensure_future(self._send_requests(kind, rate)))
         self._tasks += [asyncio.ensure_future(self._hold_idle_connection()) for _ in range(idle_clients)]
         self._tasks.append(asyncio.ensure_future(self._watch_lag()))
 
     async def stop(self) -> None:
-        """Send no more, wait for what is open, and close all."""
+        """Send no more requests, wait for open ones, and close all connections."""
         self._is_stopping = True
         while self._requests:
             await asyncio.wait(list(self._requests))
@@ -140,7 +141,7 @@
             connection.close()
 
     async def _hold_idle_connection(self) -> None:
-        """Hold a connection until the router closes it; a new one is not opened."""
+        """Keep an idle connection open until the router closes it; it is not reopened."""
         with contextlib.suppress(OSError):
             reader, writer = await asyncio.open_connection("127.0.0.1", self._port)
             try:
--- a/magpieshift/lab/soak/defective_router.py
+++ b/magpieshift/lab/soak/defective_router.py
@@ -1,7 +1,7 @@
-"""A router with a defect at its signals or its end, which a soak has to find:
+"""Runs a router with a defect in its handling of signals or its shutdown, which a soak has to detect:
 ``python -m magpieshift.lab.soak.defective_router DEFECT [ROUTER_ARGUMENT ...]``.
 
-Defects are put in from outside: the product has none of this.
+Defects are injected from outside: the router's own code contains none.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 from magpieshift.sockets import LingeringClose
 
 RESET = struct.pack("ii", 1, 0)
-"""SO_LINGER with no time: a close is a reset."""
+"""SO_LINGER with a time of 0 s: closing the socket sends RST."""
 
 
 def _drop_open_requests() -> None:
-    """What is open at the end gets no answer."""
+    """Requests that are open at shutdown get no answer."""
     Engine.answer_all = lambda self: None  # type: ignore[method-assign]
     shutdown.MAX_CLIENT_WAIT_S = 1.0
 
 
 def _close_listener_early() -> None:
-    """The listener closes at SIGTERM, while new connections still come."""
+    """The listener closes at SIGTERM, while clients still open connections."""
     original = EdgeRouter.stop
 
     def stop(self: EdgeRouter) -> None:
@@ -41,7 +41,7 @@
 
 
 def _end_at_second_signal() -> None:
-    """A second SIGTERM ends the process at once."""
+    """A second SIGTERM ends the process immediately."""
     original = EdgeRouter.stop
 
     def stop(self: EdgeRouter) -> None:
@@ -53,7 +53,7 @@
 
 
 def _drop_connection_at_reload() -> None:
-    """A reload closes the clients' connections, whatever is open on them."""
+    """A reload closes the clients' connections, even those with open requests."""
     original = signals.signal_handlers
 
     def handlers(shut_down: Callable[[], None], reload: Callable[[], None]) -> Any:
@@ -71,7 +71,7 @@
 
 
 def _reset_in_place_of_lingering() -> None:
-    """Connections are reset where they should be closed and read out."""
+    """Connections are reset instead of closed and read until their end."""
 
     def begin(self: LingeringClose, sock: socket.socket) -> None:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
@@ -87,7 +87,7 @@
     "reload-drops-connections": _drop_connection_at_reload,
     "reset-at-close": _reset_in_place_of_lingering,
 }
-"""By name; each puts one defect in."""
+"""Functions that inject a defect, by the defect's name."""
 
 
 def main() -> None:
--- a/magpieshift/lab/soak/life.py
+++ b/magpieshift/lab/soak/life.py
@@ -1,4 +1,4 @@
-"""One life of a router amid emulated endpoints and clients, played by its plan and judged."""
+"""Runs a router with emulated endpoints and clients by a plan, and checks the results."""
 
 from __future__ import annotations
 
@@ -31,21 +31,22 @@
 PROGRAM = ("-m", "magpieshift")
 CACHES = 3
 CHECKER_SLACK_S = 1.0
-"""Granted to the endpoints' rules with a time in them: the machine may be busy."""
+"""Tolerance on the time limits that endpoints check, in seconds: the machine may be busy."""
 NEW_CONNECTIONS_AFTER_SIGTERM_S = 0.2
-"""After SIGTERM: the platform's front goes on opening connections for so long at least."""
+"""Minimum time in seconds for which the platform opens new connections after SIGTERM."""
 RELEASE_TIMEOUT_S = 1.0
-"""For an endpoint to see that a router's connections have ended."""
+"""Maximum time in seconds until endpoints notice that a router's connections have ended."""
 FAULT_DURATION_S = 8.0
-"""Longer than what is left of a life."""
+"""Duration of a fault in seconds: longer than the rest of a run."""
 OVERLAP_S = 0.6
-"""Between a second process's being ready and the first one's SIGTERM, and again before its own."""
+"""Seconds from the second process's readiness to the first one's SIGTERM, and from the first one's exit until
+the second one is ended."""
 MAX_FINDING_LENGTH = 400
 
 
 @dataclass
 class SoakReport:
-    """What came of one life."""
+    """The results of one run."""
 
     plan: SoakPlan
     sent: int = 0
@@ -53,16 +54,16 @@
     rejected: int = 0
     failed: int = 0
     ready_s: float = 0.0
-    """From its start until it served."""
+    """Seconds from the start of the router until it was ready."""
     ended_s: float = 0.0
-    """From SIGTERM to its end."""
+    """Seconds from SIGTERM to the exit of the last process."""
     lag_ms: float = 0.0
-    """How late the clients' event loop was at most; time limits on the clients' side are that much longer."""
+    """Maximum delay of the clients' event loop in ms; time limits of the clients are extended by it."""
     findings: list[str] = field(default_factory=list)
-    """Each rule that was broken, in words."""
+    """Descriptions of the violations found."""
 
     def as_row(self) -> dict[str, object]:
-        """A row of the table."""
+        """Return the run's row of the printed table."""
         return {
             "seed": self.plan.seed,
             "form": str(self.plan.form),
@@ -79,10 +80,10 @@
 
 
 class SoakRun:
-    """Owner of all that one life needs."""
+    """Owns the router processes, the emulated endpoints and the clients of one run."""
 
     def __init__(self, plan: SoakPlan, folder: Path, program: Sequence[str] = PROGRAM) -> None:
-        """``program`` is started by Python in place of the router, with its words behind."""
+        """``program``: the Python interpreter's arguments; the router's own arguments follow them."""
         self._plan = plan
         self._folder = folder
         self._program = program
@@ -99,7 +100,7 @@
         self._report = SoakReport(plan)
 
     async def play(self) -> SoakReport:
-        """The whole life."""
+        """Run the plan; return the report."""
         async with AsyncExitStack() as stack:
             stack.callback(self._stop_environment)
             stack.push_async_callback(self._kill_all)
@@ -107,7 +108,9 @@
             first = await self._start_router()
             await self._reload_during_start(first)
             if not await first.wait_until_ready():
-                self._add_finding(f"not ready within time: {first.log_text()[-MAX_FINDING_LENGTH:]}")
+                self._add_finding(
+                    f"the router did not become ready: {first.log_text()[-MAX_FINDING_LENGTH:]}"
+                )
                 return self._report
             self._report.ready_s = time.monotonic() - first.started_s
             self._clients.start(self._plan.rate, self._plan.idle_clients)
@@ -117,14 +120,15 @@
             await self._check_results()
         return self._report
 
-    # --- the course of a life
+    # --- the steps of a run
 
     async def _serve_and_stop(self, first: RouterProcess) -> None:
         self._change_settings()
         await self._send_series(first, self._plan.reloads)
         last = first
         if self._plan.is_replaced:
-            self._settings_path.write_text(self._settings_text(0))  # a bad file may stand there
+            # _change_settings may have written an invalid file
+            self._settings_path.write_text(self._settings_text(0))
             last = await self._start_router()
             if not await last.wait_until_ready():
                 self._add_finding(f"the second process is not ready: {last.log_text()[-MAX_FINDING_LENGTH:]}")
@@ -155,9 +159,9 @@
         assert router.terminated_s is not None
         self._report.ended_s = time.monotonic() - router.terminated_s
         if code is None:
-            self._add_finding("it had not ended when the kill came")
+            self._add_finding("a process did not end before the SIGKILL")
         elif code != 0:
-            self._add_finding(f"it ended with {code}")
+            self._add_finding(f"a process ended with exit code {code}, expected 0")
 
     def _begin_fault(self) -> None:
         match self._plan.fault:
@@ -169,7 +173,7 @@
                 return
         self._faults.append(asyncio.ensure_future(fault))
 
-    # --- the world around it
+    # --- the emulated environment
 
     def _publish(self, event: dict[str, Any]) -> None:
         for log in self._logs:
@@ -214,7 +218,7 @@
         return self._folder / ("config.json" if self._plan.form is RouterForm.BARE else "start.sexp")
 
     def _change_settings(self) -> None:
-        """Replace the file that SIGHUP makes it read."""
+        """Replace the settings file, which the router reads again at SIGHUP."""
         match self._plan.fault:
             case SoakFault.BAD_SETTINGS:
                 text = "{"
@@ -244,7 +248,7 @@
         self._processes.append(router)
         return router
 
-    # --- the verdict
+    # --- the checks of the results
 
     def _add_finding(self, text: str) -> None:
         self._report.findings.append(text)
@@ -262,11 +266,11 @@
                 + "; ".join(self._describe_lost(request) for request in lost[:3])
             )
         if clients.duplicate_answers:
-            self._add_finding(f"{clients.duplicate_answers} second answers")
+            self._add_finding(f"{clients.duplicate_answers} duplicate answers")
         if clients.idle_resets:
             self._add_finding(f"{clients.idle_resets} idle connections were reset")
         if not clients.served:
-            self._add_finding("nothing was served")
+            self._add_finding("no request was served")
         report.findings += [f"{rule}: {count}" for rule, count in self._checker.violations.items()]
         report.findings += self._checker.examples[:3]
         for router in self._processes:
@@ -274,11 +278,14 @@
             if "Traceback" in text:
                 self._add_finding(text[text.index("Traceback") :][:MAX_FINDING_LENGTH])
         if not await self._are_connections_released():
-            self._add_finding("connections to endpoints are still open")
+            self._add_finding("connections to endpoints are still open after all routers have ended")
 
     def _is_lost(self, request: Unanswered) -> bool:
-        """Whether an answer was due. What crosses a close is not, nor what finds nobody listening once new
-        connections have stopped coming."""
+        """Return whether the request should have been answered.
+
+        This excludes requests that raced with a close, and those that could not connect after the time until
+        which the platform opens new connections.
+        """
         match request.reason:
             case NoAnswer.RACED_WITH_CLOSE:
                 return False
@@ -297,7 +304,7 @@
         )
 
     async def _are_connections_released(self) -> bool:
-        """Whether no router has a connection open to an endpoint any more."""
+        """Wait until no router has an open connection to an endpoint; return False after the time-out."""
         end_s = time.monotonic() + RELEASE_TIMEOUT_S + self._clients.max_lag_s
         while any(endpoint.open_connections for endpoint in self._endpoints.places.values()):
             if time.monotonic() > end_s:
@@ -307,6 +314,6 @@
 
 
 async def play_run(plan: SoakPlan, program: Sequence[str] = PROGRAM) -> SoakReport:
-    """One life in a folder of its own."""
+    """Run a plan in a temporary folder."""
     with tempfile.TemporaryDirectory(prefix="magpieshift-soak-") as folder:
         return await SoakRun(plan, Path(folder), program).play()
--- a/magpieshift/lab/soak/plan.py
+++ b/magpieshift/lab/soak/plan.py
@@ -1,4 +1,4 @@
-"""What happens in one life of a router, drawn from its seed."""
+"""The plan of one soak run, drawn from its seed."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from enum import StrEnum
 
 SIGNAL_GAPS_S = (0.0, 0.0, 0.01, 0.05, 0.2, 0.7)
-"""Between two signals of a series."""
+"""Possible intervals in seconds between two signals of a series."""
 MAX_SERIES = 4
-"""Signals of one series."""
+"""Maximum number of signals in a series."""
 MAX_IDLE_CLIENTS = 150
-"""Idle clients; with the others they stay under a third of the descriptors that the settings allow."""
+"""Maximum number of idle clients. All clients together use less than a third of the settings' descriptors."""
 
 
 class RouterForm(StrEnum):
     """How the router is started."""
 
     BARE = "bare"
-    """By its environment, as the platform does."""
+    """Configured by environment variables, as on the platform."""
     RUN = "run"
     """``magpieshift run`` with a settings file."""
     CONTROLLED = "controlled"
@@ -28,19 +28,19 @@
 
 
 class SoakFault(StrEnum):
-    """What goes wrong around the router."""
+    """A fault in the router's environment."""
 
     NONE = "none"
     HANG = "hang"
-    """A cache hangs from right before SIGTERM on."""
+    """A cache hangs from just before SIGTERM."""
     DIE = "die"
-    """A cache ends without notice at SIGTERM."""
+    """A cache is killed without a drain just before SIGTERM."""
     LATE_LOG = "late-log"
-    """The change log tells nothing new."""
+    """The change log publishes no events from just before SIGTERM."""
     BAD_SETTINGS = "bad-settings"
-    """The file that SIGHUP makes it read cannot be used."""
+    """The settings file that the router reads at SIGHUP is invalid."""
     MOVED_LOG = "moved-log"
-    """The file names another change log."""
+    """The settings file that the router reads at SIGHUP names another change log."""
 
 
 @dataclass(frozen=True)
@@ -48,37 +48,38 @@
     """One signal of a series."""
 
     gap_s: float
-    """After the one before."""
+    """Seconds since the previous signal."""
     number: signal.Signals
 
 
 @dataclass(frozen=True)
 class SoakPlan:
-    """One life."""
+    """The plan of one soak run."""
 
     seed: int
     form: RouterForm
     fault: SoakFault
     cache_delay_ms: float
-    """By which each cache answers later than it would."""
+    """Delay added to each answer of the caches."""
     origin_delay_ms: float
+    """Delay added to each answer of the origin."""
     rate: float
-    """Requests a second of each kind of client."""
+    """Requests per second of each kind of client."""
     idle_clients: int
-    """Idle clients."""
+    """Number of idle clients."""
     is_replaced: bool
     """Whether a second process takes over before SIGTERM."""
     serving_s: float
-    """From ready to the first signal."""
+    """Seconds of load before the reloads and the shutdown."""
     start_signals: Sequence[TimedSignal] = field(default=())
-    """Reloads while it starts."""
+    """Reloads while the router starts."""
     reloads: Sequence[TimedSignal] = field(default=())
-    """Reloads while it serves."""
+    """Reloads while the router serves."""
     end_signals: Sequence[TimedSignal] = field(default=())
-    """SIGTERM, and what comes behind it."""
+    """SIGTERM and the signals after it."""
 
     def describe(self) -> str:
-        """The plan in one line."""
+        """Return the plan as one line."""
         series = {
             "start": self.start_signals,
             "serving": self.reloads,
@@ -92,19 +93,19 @@
         replaced = ", replaced" if self.is_replaced else ""
         return (
             f"{self.form}, fault {self.fault}, caches +{self.cache_delay_ms:.0f} ms, origin "
-            f"+{self.origin_delay_ms:.0f} ms, {self.rate:.0f}/s, crowd {self.idle_clients}{replaced}, "
+            f"+{self.origin_delay_ms:.0f} ms, {self.rate:.0f}/s, {self.idle_clients} idle clients{replaced}, "
             f"serving {self.serving_s:.1f} s; {signals}"
         )
 
 
 def _draw_series(rand: random.Random, kinds: Sequence[signal.Signals], least: int) -> list[TimedSignal]:
-    """A series of signals of these kinds."""
+    """Draw a series of signals of these kinds, at least ``least``."""
     count = rand.randint(least, MAX_SERIES)
     return [TimedSignal(rand.choice(SIGNAL_GAPS_S), rand.choice(kinds)) for _ in range(count)]
 
 
 def draw_plan(seed: int) -> SoakPlan:
-    """The life of a seed."""
+    """Draw the plan of a seed; the same seed gives the same plan."""
     rand = random.Random(seed)
     form = rand.choice(list(RouterForm))
     end_first = TimedSignal(rand.choice(SIGNAL_GAPS_S), signal.SIGTERM)
--- a/magpieshift/lab/soak/router_process.py
+++ b/magpieshift/lab/soak/router_process.py
@@ -1,4 +1,4 @@
-"""The router processes of one life: started, signalled, and ended at the latest by the kill."""
+"""A router process of a soak run: start, signals, readiness and exit."""
 
 from __future__ import annotations
 
@@ -12,16 +12,18 @@
 
 READY_EVENT = "event=ready "
 READY_TIMEOUT_S = 10.0
-"""The rule for nine in ten restarts; one process on a free port has no reason to take longer."""
+"""Maximum time in seconds until a router is ready. The rule is for nine in ten restarts; a process on a free
+port has no reason to take longer."""
 POLL_INTERVAL_S = 0.01
-"""Between two looks at a log, or at a process's signal handlers."""
+"""Polling interval in seconds for a process's log and signal handlers."""
 KILL_DELAY_S = 3.7
-"""From SIGTERM to SIGKILL: the platform's shortest, for deadlines of 3 s and less."""
+"""Seconds from SIGTERM to SIGKILL: the platform's shortest delay, for deadlines of up to 3 s."""
 SIGHUP_BIT = 1 << (signal.SIGHUP - 1)
+"""Bit of SIGHUP in the ``SigCgt`` mask of /proc."""
 
 
 class RouterProcess:
-    """One process, with its log."""
+    """One router process and its log."""
 
     def __init__(self, process: asyncio.subprocess.Process, log: Path) -> None:
         self.process = process
@@ -34,7 +36,7 @@
     async def start(
         cls, program: Sequence[str], arguments: Sequence[str], environment: Mapping[str, str], log: Path
     ) -> RouterProcess:
-        """Start a router; its log goes to this file."""
+        """Start a router that logs to this file."""
         with log.open("wb") as file:
             process = await asyncio.create_subprocess_exec(
                 sys.executable, *program, *arguments, stderr=file, env=os.environ | dict(environment)
@@ -42,18 +44,18 @@
         return cls(process, log)
 
     def log_text(self) -> str:
-        """Its log so far."""
+        """Return the log written so far."""
         return self.log.read_text(errors="replace")
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal, unless it has ended."""
+        """Send a signal, unless the process has ended."""
         if self.process.returncode is None:
             self.process.send_signal(number)
         if number is signal.SIGTERM and self.terminated_s is None:
             self.terminated_s = time.monotonic()
 
     async def wait_until_handling_signals(self) -> None:
-        """Wait until the interpreter has come to the program, which handles SIGHUP from its first line on."""
+        """Wait until the program runs: it handles SIGHUP from its first line on."""
         status = Path(f"/proc/{self.process.pid}/status")
         while self.process.returncode is None:
             caught = [line for line in status.read_text().splitlines() if line.startswith("SigCgt:")]
@@ -62,7 +64,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def wait_until_ready(self) -> bool:
-        """Wait until it serves; False if it ends before, or takes too long."""
+        """Wait until the router is ready; return False if it exits first or takes too long."""
         while READY_EVENT not in self.log_text():
             if self.process.returncode is not None or time.monotonic() - self.started_s > READY_TIMEOUT_S:
                 return False
@@ -70,7 +72,7 @@
         return True
 
     async def wait_for_exit(self) -> int | None:
-        """Wait for its end until the kill is due; its exit code, or None if it had to be killed."""
+        """Wait for the exit code; after ``KILL_DELAY_S`` kill the process and return None."""
         terminated_s = self.terminated_s if self.terminated_s is not None else time.monotonic()
         try:
             async with asyncio.timeout(max(0.0, terminated_s + KILL_DELAY_S - time.monotonic())):
@@ -80,7 +82,7 @@
             return None
 
     async def kill(self) -> None:
-        """Kill it, if it has not ended."""
+        """Kill the process if it has not ended."""
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
--- a/magpieshift/lab/soak/run.py
+++ b/magpieshift/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""Many lives, a few at a time."""
+"""Many soak runs, a few of them in parallel."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def defective_program(defect: str) -> tuple[str, ...]:
-    """The program of a router with this defect, see ``defective_router``."""
+    """Return the program of a router with this defect, see ``defective_router``."""
     return ("-m", DEFECT_MODULE, defect)
 
 
@@ -22,7 +22,7 @@
     program: Sequence[str] = PROGRAM,
     on_report: Callable[[SoakReport], None] = lambda report: None,
 ) -> list[SoakReport]:
-    """Play the lives of these seeds, so many at a time; the reports in the seeds' order."""
+    """Run these seeds, at most ``parallel`` at a time; return the reports in the order of the seeds."""
     slots = asyncio.Semaphore(parallel)
 
     async def play(seed: int) -> SoakReport:
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""Short lives of real routers on fixed seeds, and defects that they must find."""
+"""Soak runs with fixed seeds, and injected defects that they must detect."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     "reload-drops-connections": 2,
     "reset-at-close": 4,
 }
-"""Played first, as these lives have what shows the defect."""
+"""Seeds that are run first, as their plans contain what reveals the defect."""
 
 
 class Plans(unittest.TestCase):
@@ -28,24 +28,24 @@
         self.assertEqual(plans, [draw_plan(seed) for seed in range(200)])
         self.assertEqual({plan.form for plan in plans}, set(RouterForm))
         self.assertEqual({plan.fault for plan in plans}, set(SoakFault))
-        for has in (
+        for drawn in (
             [plan.is_replaced for plan in plans],
             [bool(plan.start_signals) for plan in plans],
             [len(plan.end_signals) > 1 for plan in plans],
         ):
-            self.assertEqual(set(has), {True, False})
+            self.assertEqual(set(drawn), {True, False})
 
 
 class Soak(unittest.TestCase):
     def test_short_runs_lose_no_request_and_exit_with_0(self) -> None:
-        """Guards against losses under signals in series, crowds and faults."""
+        """Guards against lost requests under series of signals, many idle clients and faults."""
         reports = asyncio.run(play_runs(SEEDS, PARALLEL))
         findings = {report.plan.describe(): report.findings for report in reports if report.findings}
         self.assertEqual(findings, {})
         self.assertGreater(min(report.served for report in reports), 10)
 
     def test_each_injected_defect_is_detected(self) -> None:
-        """The soak can fail: each defect is found within twenty seeds."""
+        """Guards against a soak that cannot fail: each defect must be detected within twenty seeds."""
         self.assertEqual(set(DETECTING_SEEDS), set(DEFECTS))
         for defect, detecting_seed in DETECTING_SEEDS.items():
             with self.subTest(defect):
@@ -53,7 +53,7 @@
 
     @staticmethod
     def is_detected(defect: str, detecting_seed: int) -> bool:
-        """Whether a life of one of twenty seeds, this one first, has a finding."""
+        """Return whether a run of one of twenty seeds, this one first, has a finding."""
         others = [seed for seed in range(1, MAX_SEEDS_TO_DETECT + 1) if seed != detecting_seed]
         for seed in [detecting_seed, *others]:
             (report,) = asyncio.run(play_runs([seed], 1, defective_program(defect)))
