--- a/magpieshift/lab/soak/run.py
+++ b/magpieshift/lab/soak/run.py
@@ -1,33 +1,33 @@
-"""Many lives, a few at a time."""
+"""Many soak runs, a few of them in parallel."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable, Iterable, Sequence
 
-from magpieshift.lab.soak.life import PROGRAM, LifeReport, play_life
+from magpieshift.lab.soak.life import PROGRAM, SoakReport, play_run
 from magpieshift.lab.soak.plan import draw_plan
 
 DEFECT_MODULE = "magpieshift.lab.soak.defective_router"
 
 
 def defective_program(defect: str) -> tuple[str, ...]:
-    """The program of a router with this defect, see ``defective_router``."""
+    """Return the program of a router with this defect, see ``defective_router``."""
     return ("-m", DEFECT_MODULE, defect)
 
 
-async def play_lives(
+async def play_runs(
     seeds: Iterable[int],
     parallel: int,
     program: Sequence[str] = PROGRAM,
-    on_report: Callable[[LifeReport], None] = lambda report: None,
-) -> list[LifeReport]:
-    """Play the lives of these seeds, so many at a time; the reports in the seeds' order."""
+    on_report: Callable[[SoakReport], None] = lambda report: None,
+) -> list[SoakReport]:
+    """Run these seeds, at most ``parallel`` at a time; return the reports in the order of the seeds."""
     slots = asyncio.Semaphore(parallel)
 
-    async def play(seed: int) -> LifeReport:
+    async def play(seed: int) -> SoakReport:
         async with slots:
-            report = await play_life(draw_plan(seed), program)
+            report = await play_run(draw_plan(seed), program)
             on_report(report)
             return report
 
--- a/tests/membership/test_fault_injection.py
+++ b/tests/membership/test_fault_injection.py
@@ -198,7 +198,7 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", self.relay.port)
         self.network.remove_fault("broken")
         writer.close()
-        await self.wait_until(lambda: self.relay.open == 0)
+        await self.wait_until(lambda: self.relay.open_connections == 0)
 
     async def test_a_silent_peer_accepts_and_forwards_nothing(self) -> None:
         self.network.add_fault("silent", "r1", "*", LinkFault(silent=True))
@@ -284,14 +284,14 @@
 
     async def test_a_request_dropped_twice_or_after_the_resend_window_is_lost(self) -> None:
         self.endings = ["drop", "drop", "drop"]
-        self.assertEqual(await self.ask(), NoAnswer.CROSSED)
+        self.assertEqual(await self.ask(), NoAnswer.RACED_WITH_CLOSE)
         self.client = ClientConnection(self.server.sockets[0].getsockname()[1], resend_window_s=0.0)
-        self.assertEqual(await self.ask(), NoAnswer.ENDED)
+        self.assertEqual(await self.ask(), NoAnswer.DISCONNECTED)
         self.assertEqual(self.streams_by_connection, [[1]] * 3)
 
     async def test_without_a_listener_no_request_is_sent(self) -> None:
         self.server.close()
-        self.assertEqual(await self.ask(), NoAnswer.UNREACHED)
+        self.assertEqual(await self.ask(), NoAnswer.NOT_CONNECTED)
 
 
 class SkewedClockTest(unittest.TestCase):
--- a/tests/test_overload_processes.py
+++ b/tests/test_overload_processes.py
@@ -24,9 +24,9 @@
 
     async def wait_for_recovery(self, baseline_share: float, fault: str) -> None:
         async def is_recovered() -> bool:
-            return self.cluster.served_share() >= RECOVERED_SHARE * baseline_share
+            return self.cluster.served_fraction() >= RECOVERED_SHARE * baseline_share
 
-        await asyncio.sleep(6.0)  # until the window of served_share lies after the fault
+        await asyncio.sleep(6.0)  # until the window of served_fraction lies after the fault
         await self.cluster.wait_until(is_recovered, f"service has recovered after {fault}", 60.0)
 
     async def test_service_recovers_from_each_fault(self) -> None:
@@ -35,11 +35,11 @@
         await cluster.wait_until_serving(*names)
         cluster.start_load()
         await asyncio.sleep(8.0)  # caches fill
-        baseline_share = cluster.served_share()
+        baseline_share = cluster.served_fraction()
         self.assertGreater(baseline_share, 0.5)
 
         with self.subTest("the origin is slow for all requests"):
-            await cluster.endpoints.inject_fault("slow", "origin", 5.0, by=400)
+            await cluster.endpoints.inject_fault("slow", "origin", 5.0, magnitude=400)
             await self.wait_for_recovery(baseline_share, "a slow origin")
 
         with self.subTest("a parent dies and returns cold"):
@@ -47,7 +47,7 @@
             await self.wait_for_recovery(baseline_share, "a dead parent")
 
         with self.subTest("a cache answers every second request with an error"):
-            await cluster.endpoints.inject_fault("err", "box1", 4.0, by=0.5)
+            await cluster.endpoints.inject_fault("err", "box1", 4.0, magnitude=0.5)
             await self.wait_for_recovery(baseline_share, "errors")
 
         with self.subTest(
