--- a/magpieshift/cli/lab_capacity.py
+++ b/magpieshift/cli/lab_capacity.py
@@ -141,7 +141,7 @@
     without_trial = [role.name for role in chosen if not role.quick_sizes]
     if quick and names and without_trial:
         raise ConfigError(
-            f"--quick: found {without_trial[0]!r}, which has no trial run; measure it without --quick"
+            f"--quick: found {without_trial[0]!r}, expected a role that has sizes for a trial run"
         )
     return chosen
 
