--- a/tests/test_resource_limits.py
+++ b/tests/test_resource_limits.py
@@ -25,9 +25,9 @@
 
 class Ended(unittest.IsolatedAsyncioTestCase):
     async def test_a_closed_router_beside_its_replacement_keeps_to_its_part(self) -> None:
-        """Guards against a closed router that stops sharing: membership checks for other processes once more
-        after the close, and each process then applied the full limits; both together then used 1.125 times
-        the limits."""
+        """A closed process lock always reports that no other process is alive. So after its close the old
+        process went back to its full share. With four routers, one of them being replaced, the shares then
+        added up to 1.125 times the limits: 3 x 0.25, 0.25 of the old process, 0.125 of its replacement."""
         router = EdgeRouter(parse(config(PORTS)))
         with tempfile.TemporaryDirectory() as folder:
             router._process_lock = ProcessLock(("127.0.0.1", 1), folder)
