--- a/magpieshift/lab/scale/hollow.py
+++ b/magpieshift/lab/scale/hollow.py
@@ -118,10 +118,10 @@
     def register_name(self, number: int, ident: str) -> None:
         """Names are not observed."""
 
-    def reconfigured(self, settings: Settings, fresh: Collection[int]) -> None:
+    def reconfigured(self, settings: Settings, reset_classes: Collection[int]) -> None:
         """Changes of settings are not observed."""
 
-    def overrides_applied(self, unix_now_us: int, acts: Sequence[HealthOverride]) -> None:
+    def overrides_applied(self, unix_now_us: int, overrides: Sequence[HealthOverride]) -> None:
         """Health overrides are not observed."""
 
 
