--- a/magpieshift/cli/lab_fleet.py
+++ b/magpieshift/cli/lab_fleet.py
@@ -53,14 +53,14 @@
     default=0.3,
     show_default=True,
     type=FRACTION_TYPE,
-    help="Share of datagrams lost during that time.",
+    help="Share of datagrams lost during --minutes.",
 )
 @click.option(
     "--deaths",
     default=5,
     show_default=True,
     type=WholeNumber(0),
-    help="Routers that die after that, one after another; at most a third of the fleet.",
+    help="Routers that die after --minutes, one after another; at most a third of the fleet.",
 )
 @click.option(
     "--without",
--- a/magpieshift/cli/lab_router.py
+++ b/magpieshift/cli/lab_router.py
@@ -45,7 +45,7 @@
     default=20.0,
     show_default=True,
     type=REQUEST_RATE_TYPE,
-    help="Client requests per second meanwhile.",
+    help="Client requests per second during the measurement.",
 )
 @click.option("--seed", default=1, show_default=True, type=SEED_TYPE)
 @JSON_OPTION
@@ -145,7 +145,7 @@
     default=300.0,
     show_default=True,
     type=REQUEST_RATE_TYPE,
-    help="Client requests per second meanwhile.",
+    help="Client requests per second during the measurement.",
 )
 @JSON_OPTION
 def door(calls: int, rate: float, as_json: bool) -> None:
