--- a/magpieshift/control/version_manager.py
+++ b/magpieshift/control/version_manager.py
@@ -64,7 +64,7 @@
     loaded: LoadedDocument
     """The validated document."""
     text: str
-    """Its text, as it is stored on disk."""
+    """Its text as stored on disk."""
 
 
 def unix_now_us() -> int:
--- a/magpieshift/engine/attempts.py
+++ b/magpieshift/engine/attempts.py
@@ -135,8 +135,8 @@
         )
 
     def _cancelled_before(self, attempt: Attempt) -> UpstreamExchange | None:
-        """The request's cancelled attempt, if its cancellation must be read before this attempt is
-        written."""
+        """The request's cancelled attempt, if its endpoint must have read the cancellation before this
+        attempt is written."""
         cancelled = attempt.request.cancelled_attempt
         if cancelled is None:
             return None
--- a/magpieshift/engine/settings_in_force.py
+++ b/magpieshift/engine/settings_in_force.py
@@ -90,7 +90,7 @@
     def by_name(self) -> dict[str, object]:
         """The document's settings under the names that operators see.
 
-        If policy and engine have different settings, only an error entry.
+        If policy and engine have different settings, the result holds only an error message.
         """
         if self._policy_calls.policy.settings is not self.settings:
             return {"module": "runs on other settings than the engine"}
--- a/magpieshift/lab/simulated/upstreams.py
+++ b/magpieshift/lab/simulated/upstreams.py
@@ -142,7 +142,8 @@
             self._fill(source, self.origin, request, work, False, fetched)
 
     def _fill_fails(self, source: SimulatedEndpoint, filled: Done) -> bool:
-        """Whether the source fails or rejects the fill. If so, reports it, unless unresponsive."""
+        """Whether the source fails or rejects the fill. If so, ``filled`` is called with the
+        result, except for an unresponsive source, which never answers."""
         self._counters().fills += 1
         if source.is_failing:
             self._counters().at_failing_endpoints += 1
--- a/magpieshift/policy/attempt_results.py
+++ b/magpieshift/policy/attempt_results.py
@@ -90,7 +90,8 @@
         and not pending.was_interrupted
         and adaptive_timeout.have_all_answered_since(attempt)
     ):
-        pending.was_interrupted = True  # retry there too: an endpoint that answers other attempts is healthy
+        # the same endpoint may be retried: it answers other attempts, so it is healthy
+        pending.was_interrupted = True
     elif outcome == Outcome.RESET:
         _connection_reset(state, pending, attempt.endpoint)
     elif outcome == Outcome.ERROR and event.cache_status == CacheStatus.NONE:
--- a/magpieshift/policy/events.py
+++ b/magpieshift/policy/events.py
@@ -39,7 +39,7 @@
     """One entry of an endpoint list."""
 
     number: int
-    """Its address and port as one number."""
+    """A number that identifies it. The router uses a 64-bit hash of the endpoint's id."""
     zone: int
     """Number of its zone."""
     kind: int
--- a/magpieshift/policy/outcomes.py
+++ b/magpieshift/policy/outcomes.py
@@ -43,7 +43,7 @@
     FILLED_BY_ORIGIN = 3
     """Fetched from the source that the request named, which fetched it from the origin."""
     COALESCED = 4
-    """Waited for a fill of the same part that was already running; with a miss: found one running."""
+    """Waited for a fill of the same part that was already running. In a miss: such a fill is running."""
     STALE = 5
     """Served from a copy that was no longer fresh."""
     SOURCE_REJECTED = 6
--- a/magpieshift/rollout/plan.py
+++ b/magpieshift/rollout/plan.py
@@ -64,7 +64,7 @@
     memory_mb_per_min: float = 0.5
     """Allowed growth of a process's memory beyond the old side's median."""
     false_positive_rate: float = 0.01
-    """Upper bound on the probability that a new side that is no worse is stopped."""
+    """Upper bound on the probability that the new side is stopped although it is no worse."""
 
 
 @dataclass(frozen=True)
--- a/tests/rollout/test_executor.py
+++ b/tests/rollout/test_executor.py
@@ -100,8 +100,8 @@
 
 
 class RefusedCommands(unittest.IsolatedAsyncioTestCase):
-    """An answer is judged by its status: a rejected command has not been carried out, and an address that
-    answers is in use."""
+    """The status of an answer decides what it means: a rejected command has not been carried out, and an
+    address that answers is in use."""
 
     def setUp(self) -> None:
         self.routers = ScriptedRouters()
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports run downwards: what stands below never names what stands above it."""
+"""A lower layer of the program imports nothing from a higher one."""
 
 from __future__ import annotations
 
