--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[1]
-# lowest first; what stands on one line may not import from its neighbours, but within itself
+# lowest layer first; modules of one layer may import from their own package, not from others of that layer
 LAYERS = (
     ("magpieshift.errors", "magpieshift.early_signals"),
     ("magpieshift.policy",),
