--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports run downwards: what stands below never names what stands above it."""
+"""A lower layer of the program imports nothing from a higher one."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[1]
-# lowest first; what stands on one line may not import from its neighbours, but within itself
+# lowest layer first; modules of one layer may import from their own package, not from others of that layer
 LAYERS = (
     ("magpieshift.errors", "magpieshift.early_signals"),
     ("magpieshift.policy",),
