--- a/magpieshift/lab/experiments/version_checks.py
+++ b/magpieshift/lab/experiments/version_checks.py
@@ -1,4 +1,4 @@
-"""Checks what a router reports of its versions against what it was sent."""
+"""Checks the versions that a router reports against those that were sent to it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from magpieshift.expected_settings import expected_settings
 from magpieshift.lab.experiments.version_report import Report
 
-MAX_DOCUMENTS = 400  # that are remembered; an older one can't be in force any more
+MAX_DOCUMENTS = 400  # documents kept for comparison; an older one cannot be in force any more
 # For an unusable version: it must be rejected for what is wrong with it, not for a transient reason.
 UNEXPECTED_REASONS = TRANSIENT_REASONS - {
     RejectionReason.PART_UNABLE,
@@ -22,40 +22,44 @@
 
 
 class VersionChecks:
-    """What one router was sent and has answered; mismatches are recorded in the report."""
+    """The versions sent to one router and its answers. Mismatches are recorded in the report."""
 
     def __init__(self, report: Report) -> None:
         self._report = report
         self.acknowledged = 0
         """The newest version that it has reported to be in force."""
-        self.unanswered: dict[str, tuple[int, bool]] = {}  # nonce: number, and whether it is usable
-        self.malformed_unanswered = 0  # messages without a nonce that are still to be answered
-        self.answered = asyncio.Event()  # something was answered, or will not be any more
-        self._documents: dict[int, LoadedDocument] = {}  # every usable version sent, and the start as 0
+        self.unanswered: dict[str, tuple[int, bool]] = {}
+        """Version number, and whether the version is usable, by nonce."""
+        self.malformed_unanswered = 0
+        """Number of malformed messages, which have no nonce, without an answer."""
+        self.answered = asyncio.Event()
+        """Set by each answer, and by each hello: answers missing from the old stream cannot come any more."""
+        self._documents: dict[int, LoadedDocument] = {}
+        """Usable versions sent, by number; 0 is the settings file."""
 
     @property
     def all_answered(self) -> bool:
-        """Whether nothing sent is still to be answered."""
+        """Whether every message sent has been answered."""
         return not self.unanswered and not self.malformed_unanswered
 
     # --- sent
 
     def add_document(self, number: int, document: LoadedDocument) -> None:
-        """Remember a version that may come into force; number 0 is the start file's."""
+        """Remember a version that may come into force. Number 0 is the router's settings file."""
         self._documents[number] = document
         for old in sorted(self._documents)[:-MAX_DOCUMENTS]:
             if old < self.acknowledged:
                 del self._documents[old]
 
     def await_answer(self, subscriber: RouterSubscription, number: int, usable: bool) -> None:
-        """The version last sent to it, if any, is to be answered."""
+        """Expect an answer to the version last sent to this router, if any."""
         if subscriber.nonce:
             self.unanswered[subscriber.nonce] = (number, usable)
 
     # --- received
 
     def hello_received(self, hello: wire.Hello, subscriber: RouterSubscription, newest: int) -> None:
-        """A new stream: what was unanswered on the old one stays so."""
+        """Handle the hello of a new stream. Versions unanswered on the old stream will not be answered."""
         self._report.unanswered += len(self.unanswered) + self.malformed_unanswered
         self.unanswered.clear()
         self.malformed_unanswered = 0
@@ -65,7 +69,7 @@
             self.await_answer(subscriber, subscriber.sent_number, True)
 
     def answer_received(self, answer: wire.Answer, subscriber: RouterSubscription | None) -> None:
-        """An answer; ``subscriber`` is the router where its stream stands."""
+        """Handle an answer. ``subscriber`` is the router's subscription, or None if it has no stream now."""
         where = f"answer to {answer.number}"
         self._check_running(answer.in_force, answer.in_force_digest, dict(answer.running), where)
         if answer.number == 0:
@@ -84,7 +88,10 @@
         self._report.accepted += 1
         self.acknowledged = max(self.acknowledged, answer.in_force)
         if usable is not True or answer.in_force != number:
-            self.record_mismatch(f"{where}: accepted, in force {answer.in_force}, usable {usable}")
+            self.record_mismatch(
+                f"{where}: accepted, with version {answer.in_force} in force; the answered version was "
+                f"{number} (usable: {usable})"
+            )
         if answer.apply_us:
             self._report.apply_us.record_value(max(1, answer.apply_us))
             self._report.pause_us.record_value(max(1, answer.pause_us))
@@ -94,19 +101,29 @@
         reason = RejectionReason(answer.reason)
         self._report.rejected += 1
         if usable and reason not in TRANSIENT_REASONS:
-            self.record_mismatch(f"{where}: a usable version was turned down: {reason.name} {answer.detail}")
+            self.record_mismatch(f"{where}: a usable version was rejected: {reason.name} {answer.detail}")
         if usable is False and reason in UNEXPECTED_REASONS:
-            self.record_mismatch(f"{where}: turned down for another reason: {reason.name} {answer.detail}")
+            self.record_mismatch(
+                f"{where}: an unusable version was rejected for an unexpected reason: "
+                f"{reason.name} {answer.detail}"
+            )
 
     def _check_running(self, number: int, digest: str, running: dict[str, str], where: str) -> None:
-        """The version in force is one that was sent, is not behind what was acknowledged, and is complete."""
+        """Check that the version in force was sent and is not older than the acknowledged one.
+
+        All parts must run with its settings.
+        """
         loaded = self._documents.get(number)
         if loaded is None or loaded.digest != digest:
             return self.record_mismatch(
-                f"{where}: in force is {number} {digest[:8]}, which was never sent so"
+                f"{where}: version {number} with digest {digest[:8]} is in force, but no version "
+                "was sent with this number and digest"
             )
         if number < self.acknowledged:
-            self.record_mismatch(f"{where}: in force is {number}, acknowledged was {self.acknowledged}")
+            self.record_mismatch(
+                f"{where}: version {number} is in force, expected at least {self.acknowledged}, which was "
+                "acknowledged"
+            )
         self.acknowledged = max(self.acknowledged, number)
         wanted = running_digests(expected_settings(loaded.document))
         wrong = sorted(part for part in wanted if running.get(part) != wanted[part])
@@ -116,6 +133,6 @@
         return None
 
     def record_mismatch(self, text: str) -> None:
-        """Record in the report what must not happen."""
+        """Record a violated rule in the report."""
         self._report.mismatches += 1
         self._report.findings.append(text)
--- a/magpieshift/lab/experiments/version_maker.py
+++ b/magpieshift/lab/experiments/version_maker.py
@@ -1,4 +1,4 @@
-"""Versions of a router's settings, usable and not, drawn from a seed."""
+"""Random versions of a router's settings, usable and unusable, reproducible by seed."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class VersionMaker:
-    """Makes versions, usable and not, from a seed."""
+    """Generates usable and unusable versions, each as a change of the last usable one."""
 
     def __init__(self, data: dict[str, Any], rand: random.Random) -> None:
         self.data = data
@@ -20,7 +20,8 @@
         self.number = 0
 
     def usable(self) -> PublishedVersion:
-        """The next version: some figures differ; classes, zones and load reports come and go."""
+        """Return the next usable version: it changes values or load report columns, or adds or removes a
+        class or a zone."""
         rand = self._random
         data = copy.deepcopy(self.data)
         classes = data["classes"]
@@ -48,14 +49,15 @@
                 del zones[spare]
             else:
                 zones[spare] = {"routers": 1}
-                data["zones"] = dict(sorted(zones.items(), key=lambda _: rand.random()))  # numbered anew
-        data["stores"]["answer-slack-ms"] = rand.randint(1, 10_000) / 1000  # no two versions alike
-        self.number += 1 if rand.random() > 0.1 else rand.randint(2, 5)  # some leave numbers out
+                # Zones are numbered by their order.
+                data["zones"] = dict(sorted(zones.items(), key=lambda _: rand.random()))
+        data["stores"]["answer-slack-ms"] = rand.randint(1, 10_000) / 1000  # so that versions differ
+        self.number += 1 if rand.random() > 0.1 else rand.randint(2, 5)  # one in ten skips numbers
         self.data = data
         return PublishedVersion.parse(self.number, sexp.format_document(data))
 
     def unusable(self) -> tuple[str, PublishedVersion]:
-        """A version that must be turned down, and in what way."""
+        """Return what is wrong with a version that the router must reject, and the version."""
         ways: dict[str, Callable[[dict[str, Any]], None]] = {
             "unknown entry": lambda d: d.update(colour="red"),
             "wrong type": lambda d: d["limits"].update(sockets="many"),
--- a/magpieshift/lab/experiments/version_report.py
+++ b/magpieshift/lab/experiments/version_report.py
@@ -1,4 +1,4 @@
-"""The report of the experiment of versioned configuration."""
+"""Report of the experiment with versioned configuration."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 from hdrh.histogram import HdrHistogram
 
-MAX_DURATION_US = 60_000_000  # of the histograms; far above any timeout of the experiment
+MAX_DURATION_US = 60_000_000  # upper limit of the histograms: far above any timeout of the experiment
 
 
 @dataclass
 class Report:
-    """Counts and findings; the fields' names are the keys of the saved report."""
+    """Counts and findings. The field names are the keys of the saved report."""
 
     sent: int = 0
     accepted: int = 0
     rejected: int = 0
-    unanswered: int = 0  # lost with their connection; the next hello reported what is in force
+    unanswered: int = 0  # answers lost with the connection; the next hello reported the version in force
     kills: int = 0
     breaks: int = 0
     half_applied: int = 0
     mismatches: int = 0
     requests: int = 0
     lost_requests: int = 0
-    cut_requests: int = 0  # open when the router was killed
+    cut_requests: int = 0  # requests open when the router was killed
     double_answers: int = 0
     second_attempts: int = 0
     seconds: float = 0.0
@@ -35,12 +35,12 @@
 
     @property
     def good(self) -> bool:
-        """Whether versions were accepted and no rule was broken."""
+        """Whether at least one version was accepted and no rule was violated."""
         broken = self.half_applied or self.mismatches or self.lost_requests or self.double_answers
         return not (broken or self.second_attempts or self.findings) and self.accepted > 0
 
     def figures(self) -> dict[str, Any]:
-        """Counts and percentiles in milliseconds, by the saved report's keys."""
+        """Return counts, and percentiles in milliseconds, by the keys of the saved report."""
         plain = {
             name: value
             for name, value in vars(self).items()
--- a/magpieshift/lab/experiments/versions.py
+++ b/magpieshift/lab/experiments/versions.py
@@ -1,10 +1,10 @@
-"""The experiment of versioned configuration: a control service sends a real router many versions, some
-unusable, breaks the connection and kills the router in between; what the router says must always match what
-was acknowledged.
+"""Experiment with versioned configuration: a control service sends a real router many versions, some of them
+unusable. In between it breaks the connection and kills the router. The version that the router reports as in
+force must always match what it has acknowledged.
 
-Every hello and every answer carries the version that the router has in force and a digest of the figures that
-each of its parts runs on. The experiment computes the same digests from the text it sent: a part on other
-figures than the version in force says is half an application.
+Each hello and each answer contains the number of the version in force and, for each part of the router, a
+digest of the settings that the part runs with. The experiment computes the expected digests from the
+documents that it sent. If a part's digest differs, the version was applied only partly.
 """
 
 from __future__ import annotations
@@ -34,10 +34,10 @@
 from magpieshift.lab.experiments.version_maker import VersionMaker
 from magpieshift.lab.experiments.version_report import Report
 
-PATIENCE_S = 20.0
-TOO_LARGE = 64 << 20
+PATIENCE_S = 20.0  # timeout for the router's hello, its answers and its exit
+TOO_LARGE = 64 << 20  # size in bytes of a message that exceeds the router's limit
 ROUTER = (sys.executable, "-m", "magpieshift")
-UNUSABLE = {  # what must be turned down, and how often each is drawn
+UNUSABLE = {  # messages that the router must reject, by kind, with the weight of each in the draw
     "version": 12,
     "digest": 1,
     "step back": 1,
@@ -51,20 +51,20 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """What is to be done. ``program`` starts the command line; tests put a broken one there."""
+    """Parameters of a run. ``program`` is the router's command; tests replace it with a faulty router."""
 
-    count: int = 1000
-    invalid: float = 0.2
+    count: int = 1000  # versions to send
+    invalid: float = 0.2  # share of unusable versions
     kills: int = 6
-    breaks: int = 10
-    rate: float = 20.0  # requests a second
+    breaks: int = 10  # of the connection to the control service
+    rate: float = 20.0  # requests per second
     seed: int = 1
     program: Sequence[str] = ROUTER
-    members: int = 2  # caches in the list; the others of a large one are never asked
+    members: int = 2  # caches in the endpoint list; all but the first are in another zone and get no requests
 
 
 class Experiment:
-    """Owner of the stand-ins, the router's process, and what is known of its versions."""
+    """Runs the emulators, the control service and the router's process, and checks the router's versions."""
 
     def __init__(self, plan: Plan) -> None:
         self._plan = plan
@@ -75,10 +75,10 @@
         self._checks = VersionChecks(self.report)
         self._process: asyncio.subprocess.Process | None = None
         self._killing = False
-        self._stream: RouterStream | None = None  # the router's, once it has said hello
+        self._stream: RouterStream | None = None  # the router's current stream, from its hello on
         self._hello = asyncio.Event()
 
-    # --- what the router says
+    # --- messages from the router
 
     def _heard(self, stream: RouterStream, data: bytes) -> None:
         message = wire.FromRouter.FromString(data)
@@ -92,12 +92,12 @@
         else:
             self._checks.answer_received(message.answer, self._stream.subscriber if self._stream else None)
 
-    # --- what is done to it
+    # --- versions and faults
 
     async def _start(self, command: Sequence[str]) -> None:
         self._hello.clear()
         self._process = await asyncio.create_subprocess_exec(*command, stderr=self._log)
-        await self._wait(self._hello, "the router's hello")
+        await self._wait(self._hello, "hello from the router")
         self._killing = False
 
     async def _wait(self, event: asyncio.Event, what: str) -> None:
@@ -105,7 +105,10 @@
             async with asyncio.timeout(PATIENCE_S):
                 await event.wait()
         except TimeoutError:
-            raise RuntimeError(f"waited {PATIENCE_S} s for {what}; open: {self._checks.unanswered}") from None
+            raise RuntimeError(
+                f"found no {what} within {PATIENCE_S} s; versions without an answer, by nonce: "
+                f"{self._checks.unanswered}"
+            ) from None
 
     async def _kill(self, command: Sequence[str]) -> None:
         assert self._process is not None
@@ -123,12 +126,12 @@
         self._stream = None
         stream.end()
         self.report.breaks += 1
-        await self._wait(self._hello, "the router's return")
+        await self._wait(self._hello, "new hello from the router")
 
     async def _all_answered(self) -> None:
         while not self._checks.all_answered:
             self._checks.answered.clear()
-            await self._wait(self._checks.answered, "an answer")
+            await self._wait(self._checks.answered, "answer from the router")
 
     def _send_usable(self, version: PublishedVersion) -> None:
         self._know(version)
@@ -141,7 +144,7 @@
         self._checks.add_document(version.number, replace(loaded, version=version.number))
 
     def _send_unusable(self, versions: VersionMaker) -> str:
-        """Send one that must be turned down; in what way."""
+        """Send a version or message that the router must reject. Returns what is wrong with it."""
         assert self._stream is not None
         publisher = self._service.publisher
         newest = self._service.publisher.newest
@@ -170,14 +173,14 @@
             version = PublishedVersion.parse(
                 newest.number, sexp.format_document(versions.data | {"tick-ms": 8})
             )
-        # a delta would repair the digest or fail otherwise; the way is meant to be the reason
+        # Sent in full: a delta would correct the digest, or be rejected for another reason than the intended.
         sender = RouterSubscription(digest="")
         self._stream.send(publisher.encode_version(sender, version, full=True))
         self._checks.await_answer(sender, version.number, False)
         return way
 
     def _send_malformed(self, way: str, version: PublishedVersion) -> None:
-        """Bytes that are no message, or a part of one."""
+        """Send bytes that are not a valid message, or only part of one."""
         assert self._stream is not None
         stream = self._stream
         rand = self._random
@@ -187,7 +190,8 @@
         self._checks.malformed_unanswered += 1
 
     def _send_unknown_base(self, version: PublishedVersion) -> None:
-        """A delta against what the router never had: turned down, and then sent whole."""
+        """Send a delta against a base that the router never had. It rejects the delta and requests the full
+        version."""
         assert self._stream is not None
         who = self._stream.subscriber
         publisher = self._service.publisher
@@ -200,19 +204,22 @@
         self._stream.send(message.SerializeToString())
 
     async def _send_too_large(self) -> None:
-        """A message over the router's bound ends the stream; the next hello tells why."""
+        """Send a message above the router's size limit. This ends the stream; the next hello reports why."""
         assert self._stream is not None
         stream = self._stream
         message = wire.FromControl(version=wire.Version(number=1, full="x" * TOO_LARGE))
         self._hello.clear()
         self._stream = None
         stream.send(message.SerializeToString())
-        await self._wait(self._hello, "the router's return")
+        await self._wait(self._hello, "new hello from the router")
         if (found := self._stream) is not None and "RESOURCE_EXHAUSTED" not in found.subscriber.last_failure:
-            self.report.findings.append(f"a message of 64 MB: {found.subscriber.last_failure!r}")
+            self.report.findings.append(
+                f"after a message of 64 MB the hello reports {found.subscriber.last_failure!r}, "
+                "expected RESOURCE_EXHAUSTED"
+            )
 
     async def run(self, folder: Path, progress: bool) -> Report:
-        """Play the plan with its files in this folder; ``progress`` is told on standard error."""
+        """Run the plan, with its files in ``folder``. ``progress`` shows a progress bar on standard error."""
         plan = self._plan
         rand = self._random
         began = time.monotonic()
@@ -260,7 +267,7 @@
         written = (folder / "router.log").read_text(errors="replace")
         if "Traceback" in written:
             report.findings.append(
-                "the router's log has a traceback: " + written[written.index("Traceback") :][:800]
+                "the router's log contains a traceback: " + written[written.index("Traceback") :][:800]
             )
         report.requests = client.sent
         report.lost_requests = client.lost
@@ -271,8 +278,10 @@
         return report
 
     def _schedule(self) -> dict[int, str]:
-        """At which versions something breaks: kills and breaks in turn, and once a message that is too
-        large."""
+        """Draw which fault follows which version: kills and broken connections in random order.
+
+        A run of 20 or more versions also gets one oversized message.
+        """
         plan = self._plan
         kinds = ["kill"] * plan.kills + ["break"] * plan.breaks + ["large"] * (plan.count >= 20)
         self._random.shuffle(kinds)
@@ -280,7 +289,10 @@
         return dict(zip(sorted(places), kinds, strict=False))
 
     async def _one(self, versions: VersionMaker, event: str, command: Sequence[str]) -> None:
-        """One version, with what happens about it; some are sent while others are still open."""
+        """Send one version, followed by its fault, if any.
+
+        Some versions are sent while earlier ones are still unanswered.
+        """
         rand = self._random
         if rand.random() > 0.15:
             await self._all_answered()
@@ -292,7 +304,8 @@
             self._send_usable(versions.usable())
         if not event:
             return
-        await asyncio.sleep(rand.choice([0.0, rand.uniform(0, 0.02)]))  # somewhere between receipt and answer
+        # Short, so that the fault falls between the version's receipt and its answer.
+        await asyncio.sleep(rand.choice([0.0, rand.uniform(0, 0.02)]))
         if event == "kill":
             await self._kill(command)
         elif event == "break":
@@ -302,17 +315,18 @@
             await self._send_too_large()
 
     async def _end(self) -> None:
-        """The last version is in force, and a planned end is one."""
+        """Check that the newest version is in force, and that the router exits with code 0 on SIGTERM."""
         assert self._process is not None
         newest = self._service.publisher.newest
         if newest is not None and self._checks.acknowledged != newest.number:
             self._checks.record_mismatch(
-                f"at the end {self._checks.acknowledged} is in force, the newest is {newest.number}"
+                f"at the end of the run version {self._checks.acknowledged} is in force, "
+                f"expected the newest, {newest.number}"
             )
         self._process.terminate()
         code = await asyncio.wait_for(self._process.wait(), PATIENCE_S)
         if code != 0:
-            self.report.findings.append(f"the router ended with {code}")
+            self.report.findings.append(f"the router exited with code {code}, expected 0")
 
 
 class _Bar:
@@ -329,6 +343,6 @@
 
 
 async def play(plan: Plan, progress: bool = False) -> Report:
-    """Carry out the experiment in a folder of its own."""
+    """Run the experiment in a temporary folder."""
     with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as folder:
         return await Experiment(plan).run(Path(folder), progress)
