--- a/magpieshift/lab/experiments/membership_exploration.py
+++ b/magpieshift/lab/experiments/membership_exploration.py
@@ -1,9 +1,11 @@
-"""Exhaustive exploration of membership: not drawn, but all histories of a few members, to a number of states.
-
-Three failure detectors and the datagrams between them. In each step of two seconds one of all transitions is
-taken: no fault, one member asleep, mute or deaf, one direction cut, one restarted, messages a step late. Of
-states with equal keys only the first is continued. From each, steps without faults must bring one view with
-all members present. States in which a living member is held to be dead are only counted.
+"""Exhaustive exploration of membership: instead of random histories, all histories of three members, breadth
+first, up to a number of states.
+
+A state consists of three failure detectors and the datagrams in transit. A step takes two seconds and one of
+these transitions: no fault; one member is paused, sends nothing, receives nothing, is restarted, or receives
+its messages a step late; or one direction of a link is cut. Of the states with equal keys only the first is
+continued. From each state, steps without faults must lead to one common view with all members present. States
+in which a living member is considered dead are only counted.
 """
 
 from __future__ import annotations
@@ -21,19 +23,20 @@
 from magpieshift.membership.messages import Address, Datagram, SendDatagram
 
 NAMES = ("a", "b", "c")
-"""The members: three are the fewest of which two can differ about another."""
+"""The members: three is the smallest number at which two can disagree about a third."""
 TICK_US = 400_000
-"""Time between two ticks of a member: late ones, but not so late that it counts as having slept."""
+"""Interval between the ticks of a member: longer than the regular one, to save steps, but short enough that
+the member does not count as having been paused (``local_health.MIN_PAUSE_US``)."""
 STEP_US = 2_000_000
-"""Time of one transition; with less, histories of a depth reach fewer states."""
+"""Duration of one transition; with a shorter one, histories of the same depth reach fewer states."""
 QUIET_STEPS = 20
-"""Steps without faults within which all must agree again."""
+"""Number of steps without faults within which all members must agree again."""
 SEEDS: tuple[Address, ...] = (("a", 1), ("b", 1))
-"""Addresses that members know from their settings."""
+"""Seed addresses in the members' settings."""
 MAX_SILENT_STEPS = 3
-"""Steps of silence beyond which longer ones count as equal."""
+"""Upper limit of the steps since the last heartbeat in a state's key: longer silences count as equal."""
 MAX_STATE_STEPS = 4
-"""Steps in one state beyond which longer ones count as equal."""
+"""Upper limit of the steps since a member's state changed in a state's key: longer times count as equal."""
 
 
 def _address(name: str) -> Address:
@@ -46,15 +49,15 @@
 
     now_us: int = 10_000_000
     incarnations: dict[str, int] = field(default_factory=dict)
-    """Starts by member: the incarnation of the present one."""
+    """Incarnation of the running process of each member; it equals the number of its starts."""
     members: dict[str, FailureDetector] = field(default_factory=dict)
-    """The present start of each."""
+    """Failure detector of the running process of each member."""
     delayed: list[tuple[str, SendDatagram]] = field(default_factory=list)
-    """Datagrams of earlier steps, with their senders."""
+    """Datagrams sent in earlier steps and not yet delivered, with their senders."""
 
     @classmethod
     def started(cls) -> Fleet:
-        """Return members that agree."""
+        """Return a fleet whose members have run without faults until they agree."""
         fleet = cls()
         for name in NAMES:
             fleet.start(name)
@@ -63,7 +66,7 @@
         return fleet
 
     def start(self, name: str) -> None:
-        """Start a member without memory, in place of its present start."""
+        """Replace a member's process by a new one without stored state."""
         incarnation = self.incarnations.get(name, 0) + 1
         self.incarnations[name] = incarnation
         own = Member(name, *_address(name), incarnation, incarnation)
@@ -75,10 +78,10 @@
         lost: Callable[[str, str], bool] = lambda source, target: False,
         late: str = "",
     ) -> None:
-        """Run two seconds.
+        """Run for ``STEP_US``.
 
-        The member ``asleep`` does nothing, datagrams from source to target are ``lost``, and those to the
-        member ``late`` arrive a step late.
+        The member ``asleep`` is paused. Datagrams for which ``lost`` (source, target) is true are lost, and
+        datagrams to the member ``late`` arrive one step late.
         """
         in_transit = self.delayed
         self.delayed = []
@@ -101,21 +104,22 @@
                 else:
                     in_transit += self._deliver(source, target, send.datagram)
             in_transit = unread
-        self.delayed += in_transit  # it reads them when it wakes
+        self.delayed += in_transit  # a paused member reads them when it resumes
 
     def _deliver(self, source: str, target: str, datagram: Datagram) -> list[tuple[str, SendDatagram]]:
         answers = self.members[target].receive(self.now_us, _address(source), datagram)
         return [(target, send) for send in answers]
 
     def views_agree(self) -> bool:
-        """Whether all have one view, of exactly the living members, each at its present start."""
+        """Whether all members have the same view, and it contains all of them as present."""
         views = [detector.view for detector in self.members.values()]
         return len({view.digest for view in views}) == 1 and all(
             view.present_count == len(NAMES) for view in views
         )
 
     def key(self) -> tuple[object, ...]:
-        """Return what is equal for states that continue alike: times in steps, no serial numbers."""
+        """Return a key that is equal for states that behave alike: with times in steps, and without sequence
+        numbers."""
         rows = []
         for name in NAMES:
             detector = self.members[name]
@@ -124,7 +128,7 @@
         return (*rows, bool(self.delayed))
 
     def _member_key(self, detector: FailureDetector, observer: str, name: str) -> tuple[object, ...]:
-        """One member as another sees it."""
+        """Return the part of the key that describes a member in the view of ``observer``."""
         entry = detector.view.members.get(name)
         if entry is None:
             return ("unknown",)
@@ -144,11 +148,11 @@
 
 
 Transition = tuple[str, Callable[[Fleet], None]]
-"""A name for histories, and the step itself."""
+"""The name of a transition in histories, and the function that carries it out."""
 
 
 def transitions() -> Iterator[Transition]:
-    """Yield all transitions that a step may take."""
+    """Yield all transitions from which a step is chosen."""
     yield "well", lambda fleet: fleet.step()
     for name in NAMES:
         yield f"{name} asleep", partial(_step_asleep, name)
@@ -188,26 +192,26 @@
 
 @dataclass
 class Exploration:
-    """What came of an exploration. The fields are the keys of ``--json``."""
+    """Results of an exploration. The field names are the keys of ``--json``."""
 
     states: int = 0
-    """Different states reached."""
+    """Number of distinct states reached."""
     steps: int = 0
-    """Transitions taken, to known states as well."""
+    """Number of transitions taken, including those to known states."""
     depth: int = 0
-    """Transitions of the longest history."""
+    """Number of transitions in the longest history."""
     gone: int = 0
-    """States in which a living member is held to be dead."""
+    """Number of states in which a living member is considered dead."""
     disagreements: list[str] = field(default_factory=list)
-    """Histories after which steps without faults brought no agreement."""
+    """Histories after which the members did not agree within ``QUIET_STEPS`` steps without faults."""
     real_s: float = 0.0
-    """Time that it took."""
+    """Duration of the exploration in real time."""
 
 
 def explore(max_states: int, spoil: Callable[[Fleet], None] = lambda fleet: None) -> Exploration:
-    """Explore at least so many different states if there are so many, the nearest first.
+    """Explore breadth first until at least ``max_states`` states are reached, or no new ones are left.
 
-    ``spoil`` may change the first one, to see that what it breaks is found.
+    ``spoil`` may change the first state, to check that the resulting disagreement is found.
     """
     began = time.perf_counter()
     first = Fleet.started()
@@ -219,7 +223,7 @@
         fleet, history = frontier.popleft()
         packed = pickle.dumps(fleet, pickle.HIGHEST_PROTOCOL)
         for name, step in transitions():
-            successor: Fleet = pickle.loads(packed)  # noqa: S301, it is our own
+            successor: Fleet = pickle.loads(packed)  # noqa: S301, pickled by this process
             step(successor)
             result.steps += 1
             key = successor.key()
@@ -233,7 +237,7 @@
 
 
 def _record(result: Exploration, fleet: Fleet, history: tuple[str, ...]) -> None:
-    """Count a new state, and check that it comes to agreement."""
+    """Count a new state, and check that the members reach agreement from it."""
     result.states += 1
     result.depth = max(result.depth, len(history))
     views = [detector.view for detector in fleet.members.values()]
@@ -243,8 +247,8 @@
 
 
 def _comes_to_agreement(fleet: Fleet) -> bool:
-    """Whether steps without faults bring agreement; on a copy."""
-    copy: Fleet = pickle.loads(pickle.dumps(fleet, pickle.HIGHEST_PROTOCOL))  # noqa: S301, it is our own
+    """Whether the members agree after steps without faults. Runs them on a copy of the fleet."""
+    copy: Fleet = pickle.loads(pickle.dumps(fleet, pickle.HIGHEST_PROTOCOL))  # noqa: S301, pickled by this process
     for _ in range(QUIET_STEPS):
         copy.step()
         if copy.views_agree():
--- a/magpieshift/lab/experiments/membership_network.py
+++ b/magpieshift/lab/experiments/membership_network.py
@@ -1,8 +1,10 @@
-"""Membership on a simulated network: the same state machines, thousands of seconds in one.
+"""Membership on a simulated network: runs the routers' own failure detectors and quota leases, thousands of
+simulated seconds per second.
 
-Everything is one heap of events under one fake clock, drawn from one seed: the same seed gives the same
-history. A process that is paused takes one tick when it resumes, and the datagrams that came meanwhile, at
-most ``SOCKET_BUFFER_DATAGRAMS``, as a real one does from its socket's buffer.
+All events are in one heap, ordered by one simulated clock, and all random values come from one seed, so that
+the same seed gives the same history. A paused process ticks once when it resumes and then receives the
+datagrams that arrived meanwhile, at most ``SOCKET_BUFFER_DATAGRAMS``, as a real one reads them from its
+socket's buffer.
 """
 
 from __future__ import annotations
@@ -24,70 +26,71 @@
 SECOND = 1_000_000
 """A second in microseconds."""
 SOCKET_BUFFER_DATAGRAMS = 512
-"""Datagrams that a socket keeps for a process that does not read; with more it takes
-more at once when it resumes."""
+"""Capacity of a socket's receive buffer in datagrams; with a larger one, a process receives more at once when
+it resumes."""
 PORT = 7946
-"""Port of all simulated routers: the default of memberlist, no other matters."""
+"""Port of all simulated routers. Its value has no influence; 7946 is the default of memberlist."""
 STARTUP_SPAN_US = SECOND
-"""Time over which a fleet's routers start."""
+"""Time within which the routers of a fleet start."""
 MAX_CLOCK_OFFSET_US = 10 * SECOND
-"""Most by which a process's clock differs from the network's."""
+"""Upper limit of the initial offset of a process's clock from the network's clock."""
 QUOTA_CHECK_INTERVAL_US = 5_000
-"""Time between two sums of all quotas: well below a tick, in which quotas change."""
+"""Minimum interval between two checks of the total quota: well below a tick, the interval at which quotas
+change."""
 QUOTA_TOLERANCE = 1e-9
-"""Excess of the total over the whole that is the error of float sums."""
+"""Excess of the total quota over 1 that is attributed to rounding of floating-point sums."""
 CONDITION_CHECKS_PER_S = 10
-"""How often ``Network.run`` asks its condition."""
+"""Rate at which ``Network.run`` evaluates its condition, in simulated time."""
 
 
 @dataclass
 class Process:
-    """One start of one simulated router."""
+    """One process of a simulated router; a restart creates another."""
 
     name: str
     address: Address
     detector: FailureDetector
     quota_lease: QuotaLease
     clock_offset_us: int
-    """Its own clock when the network's is 0."""
+    """Reading of its own clock, in microseconds, when the network's clock is at 0."""
     clock_rate: float
-    """Its own clock's, 1 is true."""
+    """Rate of its own clock relative to the network's clock."""
     alive: bool = True
-    """Whether it was neither killed nor shut down."""
+    """False once it was killed or shut down."""
     paused_until_us: int = 0
-    """On the network's clock; in the past for a process that runs."""
+    """End of its latest pause on the network's clock; not in the future for a running process."""
     unread: list[tuple[Address, Datagram]] = field(default_factory=list)
     """Datagrams that arrived while it was paused, with their senders."""
 
     def clock(self, now_us: int) -> int:
-        """Return its own clock at a time of the network's, in microseconds."""
+        """Return the reading of its own clock at a time of the network's clock, both in microseconds."""
         return self.clock_offset_us + int(now_us * self.clock_rate)
 
 
 @dataclass(frozen=True)
 class FleetSettings:
-    """What a fleet is set to."""
+    """Settings of a simulated fleet."""
 
     routers: int
     """Number of routers."""
     seed_count: int = 3
-    """Routers that all others know from their settings; they are the voters as well."""
+    """Number of routers that are seeds in all routers' settings, and voters of the quota lease."""
     solo_quota: float = 0.5
-    """Quota of a router that knows of no other, a share of the whole."""
+    """Share of the total quota that the routers divide evenly and may use without a lease."""
     tuning: DetectorTuning = field(default_factory=DetectorTuning)
     """Settings of the failure detector."""
     max_clock_drift: float = 0.01
-    """Most by which the rate of a clock differs from 1."""
+    """Upper limit of the deviation of a clock's rate from 1."""
 
 
 @dataclass(frozen=True)
 class ObservedChange:
-    """A change of a member's state that one router saw."""
+    """A change of a member's state in one router's view."""
 
     at_us: int
-    """On the network's clock."""
+    """Time of the change on the network's clock."""
     observer: str
-    """The router that saw it."""
+    """Name of the router whose view changed."""
     change: MembershipChange
 
 
@@ -99,43 +102,44 @@
         self.now_us = 0
         self.rand = random.Random(seed)
         self.processes: dict[str, Process] = {}
-        """By name, the latest start of each."""
+        """Latest process of each router, by name."""
         self.by_address: dict[Address, Process] = {}
-        """The processes that datagrams reach."""
+        """Processes to which datagrams are delivered, by address."""
         self.loss = 0.0
-        """Share of all datagrams lost."""
+        """Loss rate of all datagrams, from 0 to 1."""
         self.loss_at: dict[str, float] = {}
-        """Share of the datagrams to and from a member that are lost besides."""
+        """Additional loss rate of the datagrams to and from a member, by name."""
         self.cut: Callable[[str, str], bool] = lambda source, target: False
-        """Whether no datagram passes from one process to another."""
+        """Whether the link from one process to another is cut, given the names of source and target."""
         self.delay_us = (300, 3_000)
-        """Least delay of a datagram, and the end of its range."""
+        """Range of a datagram's random delay; the end is exclusive."""
         self.sent = 0
-        """Datagrams sent."""
+        """Number of datagrams sent."""
         self.bytes = 0
-        """Bytes sent, as ``size`` counts them."""
+        """Number of bytes sent, according to ``size``."""
         self.changes: list[ObservedChange] = []
-        """All changes that routers saw, in order."""
+        """All changes in the routers' views, in the order of time."""
         self.quota_excesses = 0
-        """Instants at which the quotas in use came to more than the whole."""
+        """Number of checks in which the sum of all quotas in use exceeded 1."""
         self.max_total_quota = 0.0
-        """The most that the quotas in use came to."""
+        """Largest sum of all quotas in use."""
         self._quotas_checked_us = -SECOND
         self.size: Callable[[Datagram], int] = lambda datagram: 0
-        """Bytes of a datagram on the wire."""
+        """Returns the size of a datagram on the wire in bytes; by default datagrams count as empty."""
         self._heap: list[tuple[int, int, Callable[[], object]]] = []
         self._order = count()
 
     def schedule(self, at_us: int, action: Callable[[], object]) -> None:
-        """Run an action at a time, or now if that is over."""
+        """Schedule an action for a time on the network's clock, or for now if that time is past."""
         heapq.heappush(self._heap, (max(at_us, self.now_us), next(self._order), action))
 
     def address_of(self, name: str) -> Address:
-        """Return the address at which a process of this name starts."""
+        """Return the address that a router's processes have."""
         return "10.0.0." + name, PORT
 
     def start(self, name: str) -> Process:
-        """Start a process of this name; a second start has no memory of the first, and its address."""
+        """Start a process of a router. It replaces the router's earlier one, at the same address and without
+        stored state."""
         settings = self.settings
         rand = random.Random(self.rand.getrandbits(64))
         host, port = self.address_of(name)
@@ -161,24 +165,24 @@
         return process
 
     def kill(self, name: str) -> None:
-        """End a process at once, unknown to the others."""
+        """End a process at once, without notice to the others."""
         self.processes[name].alive = False
 
     def pause(self, name: str, duration_us: int) -> None:
-        """Halt a process for so long from now on."""
+        """Pause a process for a duration from now on; a longer pause in progress stays."""
         process = self.processes[name]
         process.paused_until_us = max(process.paused_until_us, self.now_us + duration_us)
 
     def leave(self, name: str) -> None:
-        """Shut a process down gracefully: it tells others before it ends."""
+        """Shut a process down gracefully: it announces its departure to others before it ends."""
         process = self.processes[name]
         self._transmit(process, process.detector.leave(process.clock(self.now_us)))
         process.alive = False
 
     def run(self, until_us: int, condition: Callable[[], bool] | None = None) -> bool:
-        """Run until that time, or until the condition holds; return whether it does.
+        """Run until a time, or until the condition holds. Returns whether it holds.
 
-        The condition is asked ten times a second.
+        The condition is evaluated ``CONDITION_CHECKS_PER_S`` times per simulated second.
         """
         next_check_us = self.now_us
         while self._heap and self._heap[0][0] <= until_us:
@@ -192,13 +196,13 @@
         return condition is not None and condition()
 
     def living(self) -> list[Process]:
-        """Return the processes that have not ended, paused ones included."""
+        """Return the processes that have not ended, including paused ones."""
         return [process for process in self.processes.values() if process.alive]
 
     def views_agree(self, names: Iterable[str] | None = None) -> bool:
-        """Whether these processes, or all living ones, have one view, of exactly the living ones.
+        """Whether the named processes (by default all living ones) have the same view.
 
-        Each must be seen at its last start.
+        The view must contain exactly the living processes, each with its latest incarnation.
         """
         living = self.living()
         living_names = sorted(process.detector.view.own.name for process in living)
@@ -223,7 +227,7 @@
         process.unread = []
         for source, datagram in unread:
             self._transmit(process, process.detector.receive(now, source, datagram))
-        # its own clock says when the next is due
+        # The tick interval is measured by the process's own clock.
         self.schedule(self.now_us + int(TICK_INTERVAL_US / process.clock_rate), lambda: self._tick(process))
 
     def _send_lease_messages(
@@ -258,7 +262,7 @@
         self._transmit(process, process.detector.receive(process.clock(self.now_us), source, datagram))
 
     def check_quotas(self) -> None:
-        """Record what all living processes, paused ones included, may use at this instant in all."""
+        """Record the sum of the quotas that all living processes, including paused ones, may use now."""
         if self.now_us - self._quotas_checked_us < QUOTA_CHECK_INTERVAL_US:
             return
         self._quotas_checked_us = self.now_us
@@ -270,7 +274,7 @@
 
 
 def started_network(settings: FleetSettings, seed: int, timeout_s: float = 60.0) -> Network:
-    """Return a fleet whose views agree, or that has not agreed until the timeout."""
+    """Start a fleet, and return it once its views agree or the timeout has passed."""
     network = Network(settings, seed)
     for number in range(settings.routers):
         name = f"r{number}"
--- a/magpieshift/lab/experiments/membership_trial.py
+++ b/magpieshift/lab/experiments/membership_trial.py
@@ -1,5 +1,5 @@
-"""A trial of membership on a simulated network: what it costs, and how it bears loss, pauses, deaths and a
-partition."""
+"""Trial of membership on a simulated network: measures its traffic, and its behaviour under datagram loss,
+pauses, killed routers and a partition."""
 
 from __future__ import annotations
 
@@ -20,56 +20,60 @@
 from magpieshift.membership.suspicion import DetectorTuning
 
 QUIET_S = 10
-"""Seconds over which the cost of a quiet fleet is measured, and between two parts of a trial: a fleet
-recovers in less."""
+"""Duration of the traffic measurement without faults, and of the recovery time between two parts of a trial;
+a fleet recovers faster."""
 FIRST_PAUSE_SPAN_US = 30 * SECOND
-"""Time within which each process has its first pause."""
+"""Time within which the first pause of each process begins."""
 PAUSE_RANGE_US = (50_000, 5 * SECOND)
-"""Length of a pause: from what a busy machine does to a process, to the longest that must not remove it."""
+"""Range of a pause's duration: from pauses that occur on a busy machine to the longest one after which a
+router must not have been removed."""
 BETWEEN_PAUSES_RANGE_US = (10 * SECOND, 60 * SECOND)
-"""Time between the pauses of one process."""
+"""Range of the time between two pauses of a process."""
 LAST_PAUSE_US = 6 * SECOND
-"""Time before the end of this part within which no pause begins: the longest one is over by then."""
+"""Time before the end of this part in which no pause begins: longer than the longest pause, so that all
+pauses end in time."""
 DETECTION_TIMEOUT_S = 20
-"""Seconds until a death must be known to all; the result of a router that never noticed it."""
+"""Time after which detection of a killed router is given up. Also the detection time that is recorded for a
+router that did not notice."""
 PARTITION_S = 20
-"""Seconds that the halves are apart: long enough to remove each other."""
+"""Duration of the partition: long enough for the halves to remove each other."""
 HEALING_TIMEOUT_S = 60
-"""Seconds until the halves must agree again."""
+"""Timeout for agreement after the partition has healed."""
 
 
 @dataclass
 class Outcome:
-    """What came of one fleet's trial; times in seconds. The fields are the keys of ``--json``."""
+    """Results of a trial, with times in seconds. The field names are the keys of ``--json``."""
 
     routers: int
     """Number of routers."""
     seed: int
     router_hours: float = 0.0
-    """Simulated time under loss and pauses, times routers."""
+    """Simulated time under loss and pauses in hours, multiplied by the number of routers."""
     false_removals: int = 0
-    """How often a living router was held to be dead."""
+    """Number of removals of living routers as dead, under loss and pauses."""
     false_suspicions: int = 0
-    """How often a living router was suspected."""
+    """Number of suspicions under loss and pauses, in which all routers live."""
     detect_p50_s: float = 0.0
-    """Median time until a router suspected or removed a dead one."""
+    """Median time until a router suspected or removed a killed one."""
     detect_p99_s: float = 0.0
+    """99th percentile of the time until a router suspected or removed a killed one."""
     gone_p99_s: float = 0.0
-    """99th percentile of the time until a router removed a dead one."""
+    """99th percentile of the time until a router removed a killed one."""
     agree_after_heal_s: float = 0.0
-    """Time until the views of two healed halves agreed."""
+    """Time from the healing of the partition until all views agreed."""
     messages_per_member_s: float = 0.0
-    """Datagrams of a quiet router a second."""
+    """Datagrams sent per router and second without faults."""
     bytes_per_member_s: float = 0.0
-    """Bytes of a quiet router a second."""
+    """Bytes sent per router and second without faults."""
     flaps: int = 0
-    """Removals under loss and pauses."""
+    """Number of removals under loss and pauses."""
     share_over_whole: int = 0
-    """Instants at which quotas came to more than the whole."""
+    """Number of checks in which the sum of all quotas in use exceeded 1."""
     most_share: float = 0.0
-    """The most that quotas came to."""
+    """Largest sum of all quotas in use."""
     real_s: float = 0.0
-    """Time that the trial took."""
+    """Duration of the trial in real time."""
 
 
 def play(
@@ -82,10 +86,10 @@
     size: Callable[[Datagram], int] | None = None,
     deaths: int = 5,
 ) -> Outcome:
-    """Play one fleet's trial.
+    """Run a trial of one fleet.
 
-    It is quiet for its cost; then come loss and pauses of up to 5 s, then ``deaths`` deaths, at most a third
-    of the routers, then a partition into halves and its healing.
+    Its parts are: a time without faults, in which the traffic is measured; datagram loss and pauses of up to
+    5 s; ``deaths`` killed routers, but at most a third of all; a partition into halves, and its healing.
     """
     began = time.perf_counter()
     network = started_network(FleetSettings(routers, tuning=tuning or DetectorTuning()), seed)
@@ -108,7 +112,7 @@
 
 
 def _measure_cost(network: Network, outcome: Outcome) -> None:
-    """Measure what a quiet fleet sends."""
+    """Measure the traffic of a fleet without faults."""
     network.sent = 0
     network.bytes = 0
     _run_for(network, QUIET_S)
@@ -120,7 +124,7 @@
 def _play_loss_and_pauses(
     network: Network, names: list[str], outcome: Outcome, minutes: float, loss: float, pauses: bool
 ) -> None:
-    """Lose datagrams and pause routers; count what is held against living ones."""
+    """Lose datagrams and pause routers; count the suspicions and removals of living routers."""
     network.loss = loss
     first_change = len(network.changes)
     start_us = network.now_us
@@ -147,7 +151,7 @@
 
 
 def _play_deaths(network: Network, names: list[str], outcome: Outcome) -> None:
-    """Kill routers one after another; measure when the others suspect and remove each."""
+    """Kill and restart routers one by one; measure the time until the others suspect and remove each."""
     detected_s: list[float] = []
     removed_s: list[float] = []
     for name in names:
@@ -172,7 +176,7 @@
 
 
 def _first_seen(changes: Sequence[ObservedChange], name: str) -> dict[tuple[str, MemberState], int]:
-    """When each router first saw each state of one member, in microseconds."""
+    """Return the time in microseconds at which a member first entered a state, by observer and state."""
     first_seen: dict[tuple[str, MemberState], int] = {}
     for observed in changes:
         if observed.change.name == name:
@@ -181,7 +185,7 @@
 
 
 def _play_partition(network: Network, half: set[str], outcome: Outcome) -> None:
-    """Part a fleet into halves; measure how long they take to agree once they are healed."""
+    """Partition a fleet into halves; measure how long they take to agree once the partition is healed."""
     network.cut = lambda source, target: (source in half) != (target in half)
     _run_for(network, PARTITION_S)
     network.cut = lambda source, target: False
@@ -197,7 +201,7 @@
 
 
 def false_removals(network: Network, first_change: int = 0) -> int:
-    """Return how often, from this change on, a living router was held to be dead."""
+    """Return how often a living router was removed as dead, from the change with this index on."""
     return sum(
         observed.change.new_state == MemberState.DEAD and network.processes[observed.change.name].alive
         for observed in network.changes[first_change:]
