--- a/magpieshift/lab/experiments/overload.py
+++ b/magpieshift/lab/experiments/overload.py
@@ -1,7 +1,8 @@
-"""Overload by scenario, at any number of routers: failures of the whole fleet that no router has by itself.
+"""Overload scenarios on a simulated fleet of any size: failures that arise from the routers'
+interaction, not in a single router.
 
-``map_of`` plays all combinations of loads, triggers and clients: does the fleet recover by itself once the
-trigger is gone, or is the failure metastable?
+``map_of`` runs all combinations of loads, triggers and client retry limits, and records for each whether the
+fleet recovers by itself once the trigger is gone, or whether the failure is metastable.
 """
 
 from __future__ import annotations
@@ -17,26 +18,26 @@
 from magpieshift.lab.simulated.second_counters import SecondCounters
 
 WARM_UP_S = 15
-"""Seconds until caches are filled and rates settle; with less the baseline is too low."""
+"""Time until caches are filled and rates are stable; with less, the baseline is too low."""
 BASELINE_S = 10
-"""Seconds without faults that all else is compared to."""
+"""Duration of the baseline, the measurement without faults to which others are compared."""
 MAX_RECOVERY_S = 60
-"""Seconds after a fault within which a fleet must recover; else the failure counts as metastable."""
+"""Time after a fault within which a fleet must recover; else the failure counts as metastable."""
 WINDOW_S = 3
-"""Seconds over which goodput and amplification are taken: one second's figures scatter."""
+"""Window over which goodput and amplification are computed, as the values of single seconds vary too much."""
 ANSWER_TIME_S = 2
-"""Seconds until all answers to a second's requests are due."""
+"""Time after which the answers to a second's requests have arrived or are late."""
 SETTLE_S = 3
-"""Seconds at the end whose requests are not judged, as their answers may still be under way."""
+"""Time at the end of a run whose requests are not evaluated, as their answers may still be in transit."""
 RECOVERED_GOODPUT = 0.95
-"""Goodput at which a fleet has recovered, as a share of the baseline's."""
+"""Goodput from which a fleet counts as recovered, as a share of the baseline's goodput."""
 
 Fault = Callable[[Fleet], None]
 """Injects a fault into a fleet."""
 
 
 def _kill_routers(fleet: Fleet) -> None:
-    """Seven of ten routers die at once, and come back 2 s later, all at once."""
+    """Kill seven of ten routers at once, and restart all of them 2 s later."""
     names = sorted(fleet.routers)
     dead = fleet.rand.sample(names, len(names) * 7 // 10)
     for name in dead:
@@ -46,44 +47,44 @@
 
 
 def _slow_origin(fleet: Fleet) -> None:
-    """The origin takes twice as long for everything."""
+    """Double the origin's service time for all request classes."""
     fleet.upstreams.origin.slowdowns[""] = 2.0
 
 
 def _kill_parent(fleet: Fleet) -> None:
-    """One parent dies."""
+    """Crash one parent cache."""
     fleet.set_condition("hub-0", EndpointCondition.CRASHED)
 
 
 def _fail_half_of_requests(fleet: Fleet) -> None:
-    """A cache in each zone answers each request with an error, with a probability of one half."""
+    """Let one cache in each zone answer half of its requests, chosen at random, with an error."""
     for zone in range(fleet.size.zones):
         fleet.upstreams.by_name[f"box-{zone}-0"].error_probability = 0.5
 
 
 def _slow_one_class(fleet: Fleet) -> None:
-    """The origin is slow for one class only."""
+    """Slow the origin down for one request class only."""
     fleet.upstreams.origin.slowdowns["picture"] = 4.0
 
 
 def _load_to_capacity(fleet: Fleet) -> None:
-    """The load is what endpoints and links can just bear."""
+    """Set the load to the capacity of endpoints and links."""
     fleet.rate = fleet.size.design_rate * fleet.size.capacity_factor
 
 
 def _pause_routers(fleet: Fleet) -> None:
-    """A fifth of all routers is paused for 5 s."""
+    """Pause a fifth of all routers for 5 s."""
     for name in sorted(fleet.routers)[::5]:
         fleet.pause(name, 5 * SECOND_US)
 
 
 def _triple_load(fleet: Fleet) -> None:
-    """Three times the load."""
+    """Triple the load."""
     fleet.rate = fleet.size.design_rate * fleet.size.load_factor * 3
 
 
 def _remove_faults(fleet: Fleet) -> None:
-    """Load, endpoints and errors are as before."""
+    """Restore the load and the endpoints. Killed and paused routers come back by themselves."""
     fleet.rate = fleet.size.design_rate * fleet.size.load_factor
     for name, endpoint in fleet.upstreams.by_name.items():
         endpoint.error_probability = 0.0
@@ -94,14 +95,14 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """A fault and how long it lasts."""
+    """A fault, its duration, and the conditions that it occurs under."""
 
     fault: Fault
     duration_s: int
     changes: dict[str, float] = field(default_factory=dict)
-    """Fields of ``FleetSize`` that differ in this scenario."""
+    """Values that replace fields of ``FleetSize`` in this scenario, by field name."""
     digests_lost: float = 0.0
-    """Share of the routers' gossip that is lost."""
+    """Share of the routers' gossip datagrams that is lost."""
 
 
 SCENARIOS: dict[str, Scenario] = {
@@ -119,68 +120,68 @@
 
 @dataclass
 class Outcome:
-    """What came of one run. The fields but ``by_second`` are the keys of ``--json``."""
+    """Results of a run. The names of all fields but ``by_second`` are the keys of ``--json``."""
 
     scenario: str
     routers: int
     """Number of routers."""
     seed: int
     amplification: float = 0.0
-    """Work that reached endpoints over requests, against the same in the baseline, in the worst window from
-    the fault on."""
+    """Attempts and fills per request that reached endpoints, as a multiple of the baseline's, in the worst
+    window from the fault on."""
     tries_per_s: float = 0.0
-    """Attempts and fills a second that reached failing endpoints, from a second after the fault began until
-    it ended."""
+    """Attempts and fills per second that reached failing endpoints, from one second after the start of the
+    fault to its end."""
     back_to_95_s: float = 0.0
-    """Seconds after the fault until the fleet had recovered."""
+    """Time from the end of the fault until the fleet had recovered."""
     refused_then_served: float = 0.0
-    """Share of requests rejected or failed at least once that another router then served."""
+    """Share of the requests rejected or failed at least once that another router then served."""
     goodput: float = 0.0
     """Share of requests served in time, from the fault on."""
     worst_class: float = 0.0
-    """The same of the request class that fares worst."""
+    """Goodput of the request class with the lowest one, from the fault on."""
     refused: float = 0.0
-    """Answers "rejected" or "failed" to clients, over requests."""
+    """Number of answers "rejected" or "failed" per request, from the fault on."""
     talk_per_s: float = 0.0
-    """Gossip datagrams of one router a second."""
+    """Gossip datagrams per router and second."""
     talk_bytes_per_s: float = 0.0
-    """Gossip bytes of one router a second."""
+    """Gossip bytes per router and second."""
     rules_broken: int = 0
-    """Violations of the simulation's rules."""
+    """Number of violations of the simulation's rules."""
     real_s: float = 0.0
-    """Time that the run took."""
+    """Duration of the run in real time."""
     by_second: list[SecondCounters] = field(default_factory=list, repr=False)
-    """What happened in each second."""
+    """Counters of each second of the run."""
 
     def row(self) -> dict[str, object]:
-        """Return the figures by the keys of ``--json``."""
+        """Return the results by the keys of ``--json``."""
         return {name: value for name, value in vars(self).items() if name != "by_second"}
 
 
 def _work_per_request(seconds: Sequence[SecondCounters]) -> float:
-    """Attempts and fills that reached endpoints, for each request."""
+    """Return the number of attempts and fills per request that reached endpoints."""
     requests = sum(second.requests for second in seconds)
     return sum(second.attempts + second.fills for second in seconds) / requests if requests else 0.0
 
 
 def _goodput(seconds: Sequence[SecondCounters]) -> float:
-    """Share of requests served in time."""
+    """Return the share of requests served in time."""
     requests = sum(second.requests for second in seconds)
     return sum(second.served_in_time for second in seconds) / requests if requests else 0.0
 
 
 @dataclass(frozen=True)
 class GossipSettings:
-    """How routers gossip, where they do."""
+    """Settings of the gossip between routers."""
 
     loss: float = 0.0
-    """Share of datagrams lost."""
+    """Share of gossip datagrams that is lost."""
     liars: int = 0
-    """Routers that report that all endpoints fail."""
+    """Number of routers that falsely report themselves as idle and all endpoints as failing."""
 
 
 def play(name: str, form: FleetSize, gossip: GossipSettings | None = None) -> Outcome:
-    """Play one run: baseline, fault, and what follows; without ``gossip`` each router is on its own."""
+    """Run a scenario: baseline, fault and recovery. Without ``gossip`` the routers exchange no reports."""
     began = time.perf_counter()
     scenario = SCENARIOS[name]
     form = replace(form, **scenario.changes)  # type: ignore[arg-type]
@@ -213,7 +214,7 @@
 
 
 def _run_until_recovered(fleet: Fleet, end_s: int, baseline_goodput: float) -> int:
-    """Run until the goodput is the baseline's again; return after how many seconds it was."""
+    """Run until the fleet has recovered; return the seconds that it took, at most ``MAX_RECOVERY_S``."""
     for elapsed_s in range(MAX_RECOVERY_S):
         fleet.run(1)
         if elapsed_s >= WINDOW_S + ANSWER_TIME_S:
@@ -224,7 +225,7 @@
 
 
 def _judge(outcome: Outcome, fleet: Fleet, start_s: int, end_s: int, baseline_work: float) -> None:
-    """Set the figures of a run whose fault lasted from ``start_s`` to ``end_s``."""
+    """Compute the results of a run whose fault lasted from ``start_s`` to ``end_s``."""
     seconds = fleet.record.by_second
     judged_end_s = len(seconds) - SETTLE_S
     judged = seconds[start_s:judged_end_s]
@@ -245,7 +246,7 @@
 
 
 def _worst_class_goodput(seconds: Sequence[SecondCounters]) -> float:
-    """Share of requests served in time, of the request class that fares worst."""
+    """Return the share of requests served in time of the request class with the lowest share."""
     totals: dict[str, tuple[int, int]] = {}
     for second in seconds:
         for class_name, counted in second.by_class.items():
@@ -256,24 +257,24 @@
 
 @dataclass(frozen=True)
 class Point:
-    """One point of the map. The fields are the keys of ``--json``."""
+    """Results of one combination of the map. The field names are the keys of ``--json``."""
 
     load: float
-    """Times what the installation was made for."""
+    """Load as a multiple of the design load."""
     trigger: str
-    """The scenario's name."""
+    """Name of the scenario."""
     tries: int
-    """Attempts of a client, the first included."""
+    """Maximum number of attempts of a client, including the first."""
     back_to_95_s: float
-    """As in ``Outcome``, like the next two."""
+    """This and the next two fields are those of ``Outcome``."""
     goodput: float
     amplification: float
     stays_bad: bool
-    """Whether the fleet did not recover by itself."""
+    """Whether the failure is metastable: the fleet did not recover within ``MAX_RECOVERY_S``."""
 
 
 def point(load: float, trigger: str, tries: int, form: FleetSize) -> Point:
-    """Play one point of the map: no client waits for Retry-After, so that retries are at their worst."""
+    """Run one combination of the map. No client waits for Retry-After: this makes retries most harmful."""
     outcome = play(trigger, replace(form, load_factor=load, max_attempts=tries, patient_share=0.0))
     stays_bad = outcome.back_to_95_s >= MAX_RECOVERY_S
     return Point(
@@ -282,15 +283,15 @@
 
 
 LOADS = (0.5, 0.7, 0.85, 1.0, 1.2)
-"""Loads of the map, in times of what the installation was made for: from half to beyond its capacity."""
+"""Loads of the map as multiples of the design load: from half of it to more than the capacity."""
 TRIGGERS = ("burst", "origin-half", "routers-killed")
-"""Scenarios of the map: too many requests, too little capacity, and lost state."""
+"""Scenarios of the map: too many requests, too little capacity, and loss of the routers' state."""
 TRIES = (1, 4, 8)
-"""Attempts of the map's clients: none that retry, the usual, and stubborn ones."""
+"""Maximum attempts of the map's clients: without retries, the usual number, and persistent retries."""
 
 
 def map_of(form: FleetSize, workers: int) -> list[Point]:
-    """Play all points of the map, in so many processes."""
+    """Run all combinations of the map in ``workers`` processes."""
     points = [(load, trigger, tries) for trigger in TRIGGERS for tries in TRIES for load in LOADS]
     with ProcessPoolExecutor(workers) as pool:
         return list(pool.map(point, *zip(*points, strict=True), [form] * len(points)))
