--- a/magpieshift/lab/experiments/__init__.py
+++ b/magpieshift/lab/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments that measure, and the reports of them."""
+"""Experiments that measure or check routers, and the reports of their results."""
--- a/magpieshift/lab/experiments/admin_client.py
+++ b/magpieshift/lab/experiments/admin_client.py
@@ -1,4 +1,5 @@
-"""How long the admin server takes to answer while a router serves and silent clients hold connections."""
+"""Measures the response time of the admin server while the router serves requests and silent clients occupy
+the admin connections."""
 
 from __future__ import annotations
 
@@ -15,13 +16,13 @@
 from magpieshift.lab.experiments.cost import Variant, started
 from magpieshift.lab.fault_injection.ports import free_port
 
-CLIENTS = 4  # that share the load
-SETTLE_S = 0.5  # before commands are timed, until clients are connected
-STOP_TIMEOUT_S = 20  # of the router's graceful shutdown
+CLIENTS = 4  # load clients that share the request rate
+SETTLE_S = 0.5  # wait before the first timed command, in which the clients connect
+STOP_TIMEOUT_S = 20  # timeout for the router's graceful shutdown
 
 
 async def _send_command(port: int, line: bytes) -> tuple[float, bytes]:
-    """Send one command: seconds until its answer, and the answer."""
+    """Send one command. Returns the seconds until its answer, and the answer."""
     begun_s = time.monotonic()
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(line)
@@ -31,7 +32,7 @@
 
 
 async def _stay_silent(port: int) -> None:
-    """Send half a command, and again once the server closes the connection."""
+    """Send half a command and wait. Repeat on a new connection each time the server closes it."""
     while True:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"PI")
@@ -40,7 +41,10 @@
 
 
 async def measure(calls: int, rate: float) -> dict[str, Any]:
-    """Send so many commands to one router that serves ``rate`` requests a second: a row of the report."""
+    """Send ``calls`` admin commands to a router that serves ``rate`` requests per second.
+
+    Returns a row of the report.
+    """
     world = LoopbackInstallation()
     port = free_port()
     await world.start()
--- a/magpieshift/lab/experiments/apply.py
+++ b/magpieshift/lab/experiments/apply.py
@@ -1,9 +1,9 @@
-"""How long it takes to put a version in force beside a long list of stores, and how long the event loop is
-held.
+"""Measures how long it takes to apply a version in a router with a long endpoint list, and how long this
+blocks the event loop.
 
-A router runs in this process with a store on disk; a ticker on its loop notes by how much it is late.
-Versions of three kinds come in turn, with as long a time without any in between: one changes a figure, one
-the classes, one names the zones in another order.
+A router runs in this process, with its version storage on disk. A ticker on its event loop records how late
+it wakes up. Versions of three kinds alternate: one changes a single value, one adds or removes a request
+class, one reorders the zones. After each version follows an idle time as long as its application took.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 from magpieshift.lab.emulators.world import LoopbackInstallation
 
 KINDS = ("a figure", "classes", "zones anew")
-TICK_S = 0.001
-QUIET = "none"
+TICK_S = 0.001  # interval of the ticker
+QUIET = "none"  # kind of the lateness recorded while no version is applied
 
 
 def _histogram() -> HdrHistogram:
@@ -39,7 +39,7 @@
 
 @dataclass
 class Figures:
-    """Microseconds, by kind of version."""
+    """Histograms in microseconds, by kind of version."""
 
     apply_us: dict[str, HdrHistogram] = field(default_factory=lambda: {k: _histogram() for k in KINDS})
     pause_us: dict[str, HdrHistogram] = field(default_factory=lambda: {k: _histogram() for k in KINDS})
@@ -48,7 +48,7 @@
     )
 
     def rows(self) -> list[dict[str, Any]]:
-        """A row of the report for each kind of version, in milliseconds."""
+        """Return a row of the report for each kind of version, with times in milliseconds."""
         rows = []
         for kind, late in self.late_us.items():
             row: dict[str, Any] = {"version changes": kind}
@@ -78,7 +78,7 @@
 
 
 async def measure(members: int, rounds: int) -> Figures:
-    """Apply ``rounds`` versions of each kind beside a list of ``members`` stores."""
+    """Apply ``rounds`` versions of each kind in a router with ``members`` caches in its endpoint list."""
     figures = Figures()
     world = LoopbackInstallation()
     await world.start(members)
@@ -106,9 +106,8 @@
         sys.setswitchinterval(THREAD_SWITCH_INTERVAL_S)
         data = world.settings()
         offers = list[tuple[str, VersionOffer]]()
-        for number in range(
-            1, rounds * len(KINDS) + 1
-        ):  # all made before: only the router's work is measured
+        # All versions are made in advance, so that only the router's work is measured.
+        for number in range(1, rounds * len(KINDS) + 1):
             change = KINDS[number % len(KINDS)]
             data = _next(data, change, number)
             offers.append(
@@ -120,14 +119,16 @@
                 )
             )
         gc.collect()
-        gc.freeze()  # as a router does once it serves
+        gc.freeze()  # as a router does once it is ready
         ticking = asyncio.ensure_future(tick())
-        for kind, offer in offers:  # noqa: B007  # the ticker reads it
+        for kind, offer in offers:  # noqa: B007  # read by the ticker
             began = time.perf_counter()
             manager.offer(offer)
             answer, apply_us, pause_us = await done.get()
             if not answer.accepted:
-                raise RuntimeError(f"version {offer.number}: {answer.detail}")
+                raise RuntimeError(
+                    f"version {offer.number} was rejected, expected it to be accepted: {answer.detail}"
+                )
             took = time.perf_counter() - began
             figures.apply_us[kind].record_value(max(1, apply_us))
             figures.pause_us[kind].record_value(max(1, pause_us))
--- a/magpieshift/lab/experiments/cost.py
+++ b/magpieshift/lab/experiments/cost.py
@@ -1,8 +1,10 @@
-"""What a router costs: processor time a request and memory, of this program and another, in alternating runs.
+"""Compares processor time per request and peak memory of this and another version of the program, in
+alternating runs.
 
-Each run starts the bare program as the platform does, on the platform's JSON, with the emulators of
-``LoopbackInstallation``, and sends it requests at a steady rate. The processor time is that of the whole
-process from its being ready to the end of the load, the memory its peak, both as the kernel counts them.
+Each run starts the program without a sub-command and with the platform's JSON configuration, as the platform
+does, next to the emulators of ``LoopbackInstallation``, and sends it requests at a constant rate. Processor
+time is that of the whole process while requests are counted; memory is the peak resident size of the process.
+Both are read from the kernel.
 """
 
 from __future__ import annotations
@@ -24,12 +26,15 @@
 from magpieshift.lab.emulators.request_generator import RequestGenerator
 from magpieshift.lab.emulators.world import LoopbackInstallation
 
-TICKS = os.sysconf("SC_CLK_TCK")
+TICKS = os.sysconf("SC_CLK_TCK")  # clock ticks per second, the unit of processor time in /proc
 
 
 @dataclass(frozen=True)
 class Variant:
-    """A program to measure: where it stands, the words behind ``-m magpieshift``, and its environment."""
+    """A program to measure: its folder, its arguments after ``program``, and additional environment.
+
+    In the values of ``environment``, ``{folder}`` stands for the run's temporary folder.
+    """
 
     name: str
     folder: str
@@ -64,14 +69,14 @@
 print(f"late={late.get_value_at_percentile(99.9)}", file=sys.stderr, flush=True)
 sys.exit(code)
 """
-"""``run`` with a ticker on its event loop, and a disk that is stuck for so many seconds from the second
-on."""
+"""Program that executes ``run`` with a ticker on its event loop, which records how late it wakes up. The
+first argument is the time in seconds for which writes to the capture block, from 2 s after the start on."""
 
-STUCK_S = 10.0
+STUCK_S = 10.0  # time for which the disk blocks
 
 
 def recording(folder: str, stuck: bool) -> list[Variant]:
-    """``run`` without recording and with it, and with a stuck disk if that is wanted."""
+    """Return ``run`` without and with recording of a capture, and also on a blocked disk if ``stuck``."""
     capture = {"EDGE_CAPTURE": "{folder}/capture"}
     variants = [
         Variant("not recording", folder, ("0", "run"), program=("-c", WATCHED)),
@@ -84,18 +89,19 @@
 
 @dataclass(frozen=True)
 class Cost:
-    """One run's."""
+    """Results of one run."""
 
     us_a_request: float
     peak_mb: float
     requests: int
     served: int
     lost: int
-    late_ms: float | None  # p99.9 of how late the event loop was, where a ticker is on it
+    late_ms: float | None  # 99.9th percentile of event loop lag; None without a ticker
 
 
 def platform_json(router_port: int, change_log_port: int) -> dict[str, Any]:
-    """The platform's configuration for a router at this port of loopback, with its change log at another."""
+    """Return the platform's configuration of a router that listens on ``router_port`` of loopback, with the
+    change log on ``change_log_port``."""
     settings = {
         "Balancers": 1,
         "Discovery": "pushed",
@@ -174,7 +180,7 @@
 
 
 def _spent(pid: int) -> float:
-    """Processor seconds of a process."""
+    """Return the processor time that a process has used, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS
 
@@ -183,7 +189,10 @@
 async def started(
     variant: Variant, world: LoopbackInstallation
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, Path]]:
-    """A router's process that serves, and its log; ``RuntimeError`` where it does not come up."""
+    """Start a router's process; yields the process once it serves, and its log file.
+
+    Raises ``RuntimeError`` if it is not ready within about 10 s.
+    """
     with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as folder:
         config = Path(folder) / "config.json"
         log = Path(folder) / "log"
@@ -204,7 +213,10 @@
                     break
                 await asyncio.sleep(0.01)
             else:
-                raise RuntimeError(f"{variant.name} did not come up: {log.read_text()[-500:]}")
+                raise RuntimeError(
+                    f"found no event=ready in the log of the program {variant.name!r} within about 10 s; "
+                    f"end of its log: {log.read_text()[-500:]}"
+                )
             yield process, log
         finally:
             if process.returncode is None:
@@ -213,7 +225,7 @@
 
 
 async def run_once(variant: Variant, requests: int, rate: float, seed: int) -> Cost:
-    """One run."""
+    """Run one program under load and measure it."""
     world = LoopbackInstallation()
     await world.start()
     try:
@@ -253,7 +265,7 @@
 async def compare(
     variants: Sequence[Variant], rounds: int, requests: int, rate: float
 ) -> list[dict[str, Any]]:
-    """All variants in turn, so many rounds; a row each with the median and the spread."""
+    """Run all variants alternately for a number of rounds. Returns a row with median and range for each."""
     found: dict[str, list[Cost]] = {variant.name: [] for variant in variants}
     for round_ in range(rounds):
         for variant in variants:
--- a/magpieshift/lab/experiments/decisions.py
+++ b/magpieshift/lab/experiments/decisions.py
@@ -1,5 +1,8 @@
-"""What the decisions alone cost, by the size of the zone: ``RouterPolicy.handle`` with one hit, or one miss
-and its fill, a request, no sockets. Times are of the processor; the runs of the sizes take turns."""
+"""Measures the processor time of the policy's decisions alone, without sockets, by the zone's number of
+caches.
+
+Each request is a cache hit, or a miss and its fill. The runs of the sizes alternate.
+"""
 
 from __future__ import annotations
 
@@ -24,13 +27,13 @@
 from magpieshift.policy.router_policy import RouterPolicy
 from magpieshift.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-SECOND = 1_000_000
-OPEN = 40  # requests under way at once
-PARENTS = 4
+SECOND = 1_000_000  # in microseconds
+OPEN = 40  # attempts open at the same time
+PARENTS = 4  # parent caches
 
 
 def settings() -> Settings:
-    """An installation with caches in zone 1, parents and the origin in zone 0."""
+    """Return the settings of an installation with caches in zone 1, and parents and the origin in zone 0."""
     picture = RequestClass(
         Idempotency.IDEMPOTENT,
         DeduplicationScope.ALL,
@@ -88,7 +91,7 @@
 
 
 class Run:
-    """A module with so many caches, and requests that come and end."""
+    """A router policy with a number of caches, and simulated requests and answers."""
 
     def __init__(self, caches: int, seed: int) -> None:
         self.router = RouterPolicy(settings(), seed)
@@ -103,7 +106,7 @@
 
     @staticmethod
     def _entry(store: int, zone: int, kind: int) -> Endpoint:
-        # numbers as far apart as hashes of ids are
+        # Spreads the numbers over 64 bits, like the hashes of endpoint ids.
         return Endpoint(
             store * 0x9E3779B97F4A7C15 % (1 << 64), zone, kind, store, EndpointState.READY, 4.0, 0
         )
@@ -114,7 +117,7 @@
                 self._out.append(action)
 
     def request(self) -> None:
-        """One comes, and older ones go on until as many are open as before."""
+        """Receive one request, then end the oldest attempts until at most ``OPEN`` are open."""
         self._ids += 1
         self._legs[self._ids] = 0
         key = int(self._random.paretovariate(0.8)) % 5000 + 1
@@ -134,8 +137,10 @@
 
 
 def measure(sizes: Sequence[int], requests: int, rounds: int, budget_s: float = 20.0) -> list[dict[str, Any]]:
-    """Microseconds a request at each size: median and spread of the rounds. A size whose requests take very
-    long gets fewer of them, so that it stays within the budget."""
+    """Measure the microseconds per request for each size. Returns rows with median and range over the rounds.
+
+    ``budget_s`` limits the processor time per size: a size with slow requests gets fewer of them.
+    """
     found: dict[int, list[float]] = {size: [] for size in sizes}
     counted: dict[int, int] = dict.fromkeys(sizes, 0)
     for round_ in range(rounds):
--- a/magpieshift/lab/experiments/episode.py
+++ b/magpieshift/lab/experiments/episode.py
@@ -1,5 +1,5 @@
-"""An episode: an emulated installation with a real router's process in it, load, and failures by the
-script."""
+"""An episode: a real router's process in an emulated installation, under load and with the faults of a
+scenario."""
 
 from __future__ import annotations
 
@@ -24,36 +24,35 @@
 from magpieshift.lab.fault_injection.ports import free_port
 
 ROUTER = (sys.executable, "-m", "magpieshift")
-UP_S = 20.0
+UP_S = 20.0  # timeout for the router's start and for its graceful shutdown
 
 
 @dataclass
 class Outcome:
-    """What an episode showed."""
+    """Results of an episode."""
 
     scenario: Scenario
     seconds: float = 0.0
     figures: dict[str, Any] = field(default_factory=dict)
-    slices: list[dict[str, float]] = field(default_factory=list)  # a second each
-    stores: dict[str, list[int]] = field(
-        default_factory=dict
-    )  # by place: asked in each second, -1 while down
+    slices: list[dict[str, float]] = field(default_factory=list)  # one for each second
+    stores: dict[str, list[int]] = field(default_factory=dict)
+    """Requests received in each second, by the endpoint's place; -1 while the endpoint is down."""
     broken: dict[str, int] = field(default_factory=dict)
     examples: list[str] = field(default_factory=list)
     log: str = ""
 
     @property
     def good(self) -> bool:
-        """Whether no rule was broken and something was served."""
+        """Whether no rule was violated and at least one request was served."""
         return not self.broken and self.figures.get("served", 0) > 0
 
     def as_json(self) -> dict[str, Any]:
-        """The figures, and which rules were broken how often."""
+        """Return the figures, and the number of violations by rule."""
         return self.figures | {"broken": self.broken, "rules_kept": not self.broken}
 
 
 class Episode:
-    """Owner of the stand-ins and of the router's process."""
+    """Runs the emulators, the load and the router's process."""
 
     def __init__(
         self, scenario: Scenario, words: Sequence[str] = (), program: Sequence[str] = ROUTER
@@ -73,7 +72,7 @@
         await self._stores.inject_fault(what, failure.place, failure.duration_s, failure.amount)
 
     async def run(self, folder: Path, progress: Callable[[float], None] = lambda seconds: None) -> Outcome:
-        """The whole episode; ``RuntimeError`` where the router does not come up."""
+        """Run the whole episode. Raises ``RuntimeError`` if the router does not become ready."""
         scenario = self._scenario
         await self._stores.start()
         await self._log.start()
@@ -123,11 +122,14 @@
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     async def _up(self, log: Path) -> None:
-        """The router is ready, and has read the list."""
+        """Wait until the router has applied the endpoint list."""
         end = time.monotonic() + UP_S
         while "changes applied" not in log.read_text():
             if time.monotonic() > end:
-                raise RuntimeError(f"the router did not come up: {log.read_text()[-800:]}")
+                raise RuntimeError(
+                    f"found no event 'changes applied' in the router's log within {UP_S:g} s; "
+                    f"end of its log: {log.read_text()[-800:]}"
+                )
             await asyncio.sleep(0.02)
 
     async def _at(self, began: float, failure: Fault) -> None:
@@ -135,7 +137,7 @@
         await self._fail(failure)
 
     async def _watch(self, outcome: Outcome, began: float, progress: Callable[[float], None]) -> None:
-        """Once a second: what each place was asked since, or that it is down."""
+        """Record once a second how many requests each endpoint has received since, or that it is down."""
         before: dict[str, tuple[str, int]] = {}
         while True:
             await asyncio.sleep(1.0)
@@ -193,13 +195,13 @@
     progress: Callable[[float], None] = lambda seconds: None,
     program: Sequence[str] = ROUTER,
 ) -> Outcome:
-    """An episode in a folder of its own; ``words`` are more of ``run``'s, as ``--capture DIR``."""
+    """Run an episode in a temporary folder. ``words`` are more arguments of ``run``, as ``--capture DIR``."""
     with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as folder:
         return await Episode(scenario, words, program).run(Path(folder), progress)
 
 
 def saved(outcome: Outcome) -> str:
-    """An outcome as JSON, for a report beside another's later."""
+    """Return an outcome as JSON, for a later report that compares it with others."""
     plain = {
         "figures": outcome.figures,
         "slices": outcome.slices,
--- a/magpieshift/lab/experiments/episode_report.py
+++ b/magpieshift/lab/experiments/episode_report.py
@@ -1,4 +1,4 @@
-"""Reports of episodes: one HTML file with its plots in it, of one run or of several side by side."""
+"""Reports of episodes: one HTML file with embedded plots, of one run or of several side by side."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 from magpieshift.config import ConfigError, read_text
 
-Run = Mapping[str, Any]  # as ``episode.saved`` writes it
+Run = Mapping[str, Any]  # in the form that ``episode.saved`` writes
 
 
 class Slice(BaseModel):
-    """One second of a run; counts of requests, and latencies in milliseconds."""
+    """One second of a run: request counts, and latencies in milliseconds."""
 
     second: int
     served: float
@@ -30,7 +30,7 @@
 
 
 class Injected(BaseModel):
-    """One failure that the run was given."""
+    """One fault that was injected into the run."""
 
     what: str
     who: str
@@ -39,23 +39,23 @@
 
 
 class Saved(BaseModel):
-    """The form of a saved run."""
+    """Fields of a saved run, as far as they are validated."""
 
     figures: dict[str, Any]
     slices: list[Slice]
-    stores: dict[str, list[int]]  # by place: requests in each second, below zero while it was down
+    stores: dict[str, list[int]]  # requests in each second, by the endpoint's place; negative while down
     examples: list[str]
     failures: list[Injected]
 
 
 def load(path: str) -> Run:
-    """A saved run; ``ConfigError`` where the file is none."""
+    """Load a saved run. Raises ``ConfigError`` if the file does not contain one."""
     text = read_text(path)
     try:
         Saved.model_validate_json(text)
     except ValidationError as err:
         first = err.errors(include_url=False)[0]
-        place = " ".join(map(str, first["loc"])) or "the whole"
+        place = " ".join(map(str, first["loc"])) or "the whole file"
         raise ConfigError(
             f"{path} is no saved episode: {place}: found {first['input']!r:.80}, "
             f"expected {first['msg'].removeprefix('Input should be ')}"
@@ -99,7 +99,7 @@
     stores.set_ylim(-0.6, len(places) - 0.4)
     stores.set_yticks(range(len(places)), places)
     stores.set_xlim(0, latest)
-    stores.set_xlabel("seconds; stores: darker is asked more, red is down; grey: a failure")
+    stores.set_xlabel("seconds; endpoints: darker has more requests, red is down; grey: a fault")
     figure.tight_layout()
     out = io.BytesIO()
     figure.savefig(out, format="png", dpi=110)
@@ -108,7 +108,7 @@
 
 
 def write(path: str, runs: Mapping[str, Run]) -> None:
-    """One HTML file with these runs side by side, by name."""
+    """Write one HTML file with the runs side by side. ``runs`` is by name."""
     latest = max((len(run["slices"]) for run in runs.values()), default=1)
     columns = []
     for name, run in runs.items():
@@ -120,8 +120,8 @@
         broken = "".join(f"<li>{html.escape(text)}</li>" for text in run["examples"]) or "<li>none</li>"
         columns.append(
             f"<td><h2>{html.escape(name)}</h2><img src='data:image/png;base64,{picture}' width='820'>"
-            f"<h3>Broken rules</h3><ul>{broken}</ul>"
-            f"<h3>What went wrong, as planned</h3><ul>{failures}</ul></td>"
+            f"<h3>Violated rules</h3><ul>{broken}</ul>"
+            f"<h3>Injected faults</h3><ul>{failures}</ul></td>"
         )
     rows = _rows(list(runs.values()))
     head = "".join(f"<th>{html.escape(name)}</th>" for name in runs)
--- a/magpieshift/lab/experiments/fleet.py
+++ b/magpieshift/lab/experiments/fleet.py
@@ -1,6 +1,7 @@
-"""What a whole fleet did, counted from its routers' logs: one file a router, written with ``EDGE_TRACE=1``.
+"""Counts the traced events of a whole fleet from its routers' logs: one file per router, written with
+``EDGE_TRACE=1``.
 
-Each router knows only itself, so what all of them do to one store together shows nowhere else.
+Each router counts only its own requests, so the total load on an endpoint appears only here.
 """
 
 from __future__ import annotations
@@ -11,7 +12,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-KINDS: dict[str, tuple[str, ...]] = {  # the events that count (``engine.trace``), and what each must tell
+# Counted events (``engine.trace``), with the fields that each must have.
+KINDS: dict[str, tuple[str, ...]] = {
     "request received": (),
     "request rejected": (),
     "request failed": (),
@@ -22,9 +24,9 @@
     "endpoint listed": (),
 }
 FINAL = {"request rejected": "refused", "request failed": "failed", "client disconnected": "left"}
-"""Events that end a request, with the names of their counts."""
+"""Names of the counts of the events that end a request, by event."""
 PAIR = re.compile(r'(\w+)=(?:"((?:[^"\\]|\\.)*)"|(\S*))')
-"""One ``key=value`` of a log line, its value quoted if it is more than a word (``magpieshift.log``)."""
+"""Matches one ``key=value`` of a log line; values of more than one word are quoted (``magpieshift.log``)."""
 
 
 @dataclass(slots=True)
@@ -38,7 +40,10 @@
 
 
 def read(folder: Path) -> list[Line]:
-    """All traced lines of a folder of logs, by their times; ``ValueError`` where there are none."""
+    """Return the traced lines of all logs in a folder, in the order of their times.
+
+    Raises ``ValueError`` if there are none.
+    """
     lines = [line for path in sorted(folder.glob("*.log")) if path.is_file() for line in _read(path)]
     if not lines:
         raise ValueError(f"{folder}: found no traced lines in *.log, expected logs of EDGE_TRACE=1")
@@ -54,42 +59,44 @@
                 continue
             try:
                 yield Line(float(pairs["time"]), path.stem, pairs["event"], pairs)
-            except ValueError:  # a line cut off by a router's end
+            except ValueError:  # a line cut off because the router ended
                 continue
 
 
 AT_ONCE_S = 0.01
-"""A request rejected sooner after it came did not wait."""
+"""Time after a request's receipt within which a rejection counts as immediate, without waiting."""
 
 
 @dataclass
 class _Request:
     asked_s: float
     last: str = "none sent"
-    out: tuple[str, str] = ("-", "-")  # the store asked last, and its source
+    out: tuple[str, str] = ("-", "-")  # endpoint of the latest attempt, and the fill's source
 
 
 @dataclass
 class Counts:
-    """What was counted, by second since the first line."""
+    """Counts by second since the first line, and by endpoint."""
 
     routers: int = 0
     seconds: dict[int, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
     stores: dict[str, dict[int, Counter[str]]] = field(
         default_factory=lambda: defaultdict(lambda: defaultdict(Counter))
     )
-    refusals: Counter[str] = field(default_factory=Counter)  # by what came right before
-    gone_after_s: dict[str, float] = field(default_factory=dict)  # how long it was asked in vain
+    refusals: Counter[str] = field(default_factory=Counter)
+    """Number of rejections, by outcome of the request's last attempt and whether the request waited."""
+    gone_after_s: dict[str, float] = field(default_factory=dict)
+    """Longest time in which an endpoint received requests without a successful answer, by endpoint."""
 
     def rows(self) -> list[dict[str, object]]:
-        """A row a second, with a column for each thing counted."""
+        """Return a row for each second, with a column for each count."""
         names = sorted({name for counter in self.seconds.values() for name in counter})
         return [
             {"second": at, **{name: self.seconds[at][name] for name in names}} for at in sorted(self.seconds)
         ]
 
     def store_rows(self) -> list[dict[str, object]]:
-        """A row a store: what it was asked in all, in its busiest second, and how that ended."""
+        """Return a row for each endpoint: all its requests, those in its busiest second, and outcomes."""
         found = []
         for store, seconds in sorted(self.stores.items()):
             total: Counter[str] = sum(seconds.values(), Counter())
@@ -109,17 +116,17 @@
 
 
 class _LogCounter:
-    """Counts over the lines of all routers, in the order of their times."""
+    """Counts the lines of all routers, which must come in the order of their times."""
 
     def __init__(self) -> None:
         self.counts = Counts()
         self._requests: dict[tuple[str, str], _Request] = {}
-        """Open requests, by router and the router's own number."""
+        """Open requests, by router and by the router's request number."""
         self._start_s = -1.0
-        """Of the first line; -1 before it."""
+        """Time of the first line; -1 before it."""
         self._routers: set[str] = set()
         self._heard_s: dict[str, float] = {}
-        """When each store last answered well."""
+        """Time of the last successful answer of each endpoint."""
 
     def take(self, line: Line) -> None:
         """Count one line."""
@@ -163,7 +170,7 @@
                 self._note_heard(store, line.at_s, has_answered)
 
     def _note_heard(self, store: str, at_s: float, has_answered: bool) -> None:
-        """A store has answered, or was asked in vain once more."""
+        """Record a successful answer of an endpoint, or an attempt without one."""
         if has_answered:
             self._heard_s[store] = at_s
             return
@@ -178,7 +185,7 @@
 
 
 def count(lines: Iterable[Line]) -> Counts:
-    """Count over all routers; lines come in the order of their times."""
+    """Count the lines of all routers, which must be in the order of their times."""
     counter = _LogCounter()
     for line in lines:
         counter.take(line)
--- a/magpieshift/lab/experiments/handover.py
+++ b/magpieshift/lab/experiments/handover.py
@@ -1,7 +1,7 @@
-"""What becomes of connections while one listener takes an address over from another, by the method used.
+"""Counts the outcomes of connections while one listener takes over an address from another, by method.
 
-Clients in threads connect, send one byte and wait for one back, as fast as they can; meanwhile a second
-listener joins and the first stops. All in one process.
+Client threads connect, send one byte and wait for one byte back, in a tight loop. Meanwhile a second listener
+starts on the same address and the first one stops. Everything runs in one process.
 """
 
 from __future__ import annotations
@@ -17,36 +17,36 @@
 from magpieshift.sockets import listen_socket, steer_to_second
 
 OUTCOMES = ("answered", "reset", "refused", "closed unread")
-"""What a connection can meet, by the names of the report's columns."""
-OVERLAP_S = 0.05  # in which both listen; longer counts more connections
-ACCEPT_POLL_S = 0.005  # how often a listener looks whether it is to stop; well below the overlap
-CLIENT_TIMEOUT_S = 1.0  # of a connection; a byte on loopback takes microseconds
+"""Outcomes of a connection; the names of the report's columns."""
+OVERLAP_S = 0.05  # time in which both listen; a longer one counts more connections
+ACCEPT_POLL_S = 0.005  # interval at which a listener checks its stop event; well below the overlap
+CLIENT_TIMEOUT_S = 1.0  # socket timeout; one byte over loopback takes microseconds
 
 
 class Method(StrEnum):
-    """How the first listener stops; values are the names of the report's rows."""
+    """How the first listener stops. The values are the names of the report's rows."""
 
     CLOSED = "closed"
-    """It closes with what it has not accepted."""
+    """It closes its socket, with the connections in its backlog unaccepted."""
     EMPTIED = "emptied"
-    """It first accepts what is in its backlog."""
+    """It accepts the connections in its backlog, then closes."""
     STEERED = "steered"
-    """New connections are steered to the second before it empties its backlog."""
+    """New connections are steered to the second listener; then the first accepts its backlog and closes."""
     PASSED_ON = "passed on"
-    """The second takes over the socket itself."""
+    """The second listener uses a duplicate of the first one's socket, and so its backlog."""
 
 
 @dataclass
 class Listener:
-    """Accepts and answers in a thread of its own, until it is to stop."""
+    """Accepts and answers connections, in a thread of its own."""
 
     sock: socket.socket
     drains_backlog: bool
-    """Whether it accepts what is in its backlog before it closes."""
+    """Whether it accepts the connections in its backlog before it closes."""
     stopping: threading.Event = field(default_factory=threading.Event)
 
     def run(self) -> None:
-        """Serve until ``stopping`` is set; closes the socket."""
+        """Serve until ``stopping`` is set, then close the socket."""
         self.sock.settimeout(ACCEPT_POLL_S)
         while not self.stopping.is_set():
             with contextlib.suppress(TimeoutError):
@@ -66,7 +66,7 @@
 
 
 def _run_client(address: tuple[str, int], end_s: float, counts: Counter[str]) -> None:
-    """Connect again and again until this steady time, and count what the connections meet."""
+    """Connect repeatedly until ``end_s`` on the steady clock, and count the connections by outcome."""
     while time.monotonic() < end_s:
         try:
             with socket.create_connection(address, CLIENT_TIMEOUT_S) as sock:
@@ -79,7 +79,7 @@
 
 
 def hand_over(method: Method, clients: int) -> Counter[str]:
-    """One handover under load: connections by outcome."""
+    """Carry out one handover under load. Returns the number of connections by outcome."""
     first = listen_socket("127.0.0.1", 0, shared=True)
     host, port = first.getsockname()
     old = Listener(first, drains_backlog=method in (Method.EMPTIED, Method.STEERED))
@@ -107,7 +107,7 @@
 
 
 def measure(rounds: int, clients: int) -> dict[str, Counter[str]]:
-    """Handovers of all methods, in turn: connections by method and outcome."""
+    """Alternate between the methods, with ``rounds`` handovers each: connections by method and outcome."""
     totals = {method.value: Counter[str]() for method in Method}
     for _ in range(rounds):
         for method in Method:
--- a/magpieshift/lab/experiments/rollout_report.py
+++ b/magpieshift/lab/experiments/rollout_report.py
@@ -1,4 +1,4 @@
-"""The report of a rollout: one HTML file with its plots in it, from what its coordinator left behind."""
+"""Report of a rollout: one HTML file with embedded plots, made from the files that the coordinator wrote."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         try:
             rows.append(json.loads(line))
         except ValueError:
-            continue  # torn off as the coordinator died
+            continue  # a line cut off because the coordinator died while it wrote
     return rows
 
 
@@ -59,9 +59,9 @@
                 axis.axvline(row["at"] - began, color="grey", linewidth=0.8)
     width.set_ylim(-0.2, 0.2)
     who.set_ylabel("routers")
-    served.set_ylabel("served in time, of this stage")
-    width.set_ylabel("new less old, at least and most")
-    width.set_xlabel("seconds; grey: a stage ends, or it turns back")
+    served.set_ylabel("share served in time in this stage")
+    width.set_ylabel("share of new minus old, bounds")
+    width.set_xlabel("seconds; grey: end of a stage, or rollback")
     for axis in (who, served, width):
         axis.legend(fontsize=7, ncol=3)
     out = io.BytesIO()
@@ -71,12 +71,16 @@
 
 
 def write(folder: Path) -> Path:
-    """Make the report of the rollout in this folder; its path. ``ValueError`` where none was carried out
-    there."""
+    """Write the report of the rollout whose files are in ``folder``. Returns the report's path.
+
+    Raises ``ValueError`` if the folder contains no records of a rollout.
+    """
     records = read_rows(folder)
     rows = _rows(folder)
     if not records:
-        raise ValueError(f"{folder} holds no rollout")
+        raise ValueError(
+            f"{folder}: found no records of a rollout, expected the state folder of a rollout coordinator"
+        )
     try:
         status = json.loads((folder / STATUS_FILE).read_text(encoding="utf-8"))
     except (OSError, ValueError):
--- a/magpieshift/lab/experiments/scenario.py
+++ b/magpieshift/lab/experiments/scenario.py
@@ -1,4 +1,4 @@
-"""The faults and the load of an episode, from a file of S-expressions or drawn from a seed."""
+"""Scenario of an episode: its faults and load, from a file of S-expressions or drawn from a seed."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from magpieshift.control.validation import Form, Seconds, validate_form
 from magpieshift.lab.emulators.emulated import place_names
 
-HEAD = "scenario"  # of the file's expression
-PLACELESS_FAULTS = ("late-list", "purge")  # of the change log, not of an endpoint
+HEAD = "scenario"  # first word of the file's expression
+PLACELESS_FAULTS = ("late-list", "purge")  # faults of the change log, not of an endpoint
 FaultWord = Literal["die", "pause", "late-list", "slow", "lose", "reset", "drain", "purge"]
 
 
 class FaultForm(Form):
-    """One fault as the file has it."""
+    """Form of a fault in the file."""
 
     what: FaultWord
     at_s: Seconds
     for_s: Seconds = 0.0
-    who: str = ""  # an endpoint's place: box1, hub2, origin
-    by: Annotated[float, Field(ge=0, le=60_000)] = 0.0  # slow: ms; lose: a share
+    who: str = ""  # the endpoint's place, such as box1, hub2 or origin
+    by: Annotated[float, Field(ge=0, le=60_000)] = 0.0  # slow: delay in ms; lose: share of answers
 
 
 class ScenarioForm(Form):
-    """A scenario as the file has it."""
+    """Form of a scenario in the file."""
 
     seconds: Annotated[float, Field(ge=1, le=86_400)]
     seed: Annotated[int, Field(ge=0)] = 1
@@ -44,17 +44,17 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault, where it is, and for how long."""
+    """One fault, its place and its duration."""
 
     name: str
     what: FaultWord
     place: str
-    """Of the endpoint; empty for a fault of the change log."""
+    """Place of the endpoint; empty for a fault of the change log."""
     start_s: float
-    """Since the load began."""
+    """Start of the fault, in seconds since the load began."""
     duration_s: float
     amount: float
-    """Milliseconds of delay, or a share of answers that are lost."""
+    """Delay in milliseconds, or the share of answers that are lost, depending on the fault."""
 
     def __str__(self) -> str:
         words = [self.what, self.place] if self.place else [self.what]
@@ -67,26 +67,26 @@
     """An installation, its load, and its faults in the order of their start."""
 
     seconds: float
-    """Duration of the load."""
+    """Duration of the load in seconds."""
     seed: int
     rate: float
-    """Parts requested a second."""
+    """Requests for parts of objects per second."""
     boxes: int
-    """Caches."""
+    """Number of caches."""
     hubs: int
-    """Parent caches."""
+    """Number of parent caches."""
     objects: int
-    """Objects that clients request."""
+    """Number of different objects that clients request."""
     faults: tuple[Fault, ...]
 
     @property
     def place_names(self) -> list[str]:
-        """The names of all places of the installation."""
+        """Names of the places of all endpoints in the installation."""
         return place_names(self.boxes, self.hubs)
 
 
 def load(data: Mapping[str, Any], lines: Mapping[sexp.EntryPath, int] | None = None) -> Scenario:
-    """A checked scenario; ``UnusableDocumentError`` with all that is wrong."""
+    """Validate a scenario's data. Raises ``UnusableDocumentError`` with all problems found."""
     form = validate_form(ScenarioForm, data, lines or {})
     faults = [Fault(name, f.what, f.who, f.at_s, f.for_s, f.by) for name, f in form.failures.items()]
     found = Scenario(
@@ -109,14 +109,18 @@
 
 
 def load_file(path: str) -> Scenario:
-    """A file's; ``ConfigError`` if it cannot be read, ``UnusableDocumentError`` if it cannot be used."""
+    """Load a scenario file. Raises ``ConfigError`` if it cannot be read, ``UnusableDocumentError`` if it is
+    not a valid scenario."""
     tree = sexp.parse(read_text(path), path, HEAD)
     return load(tree.data, tree.lines)
 
 
 def draw_scenario(seconds: float, seed: int, rate: float = 120.0) -> Scenario:
-    """Groups of concurrent faults, one after the other: caches and a parent die, the list is late, the origin
-    slows. Shorter pauses leave no recovery between groups."""
+    """Draw a scenario with successive groups of concurrent faults: a cache and a parent cache die, the
+    endpoint list is late, the origin is slow, and others.
+
+    The pauses between groups are at least 3 s, as shorter ones leave no time for recovery.
+    """
     rand = np.random.default_rng(seed)
     failures: dict[str, Any] = {}
     at = min(3.0, seconds / 6)
