--- a/magpieshift/lab/experiments/admin_client.py
+++ b/magpieshift/lab/experiments/admin_client.py
@@ -23,12 +23,12 @@
 
 async def _send_command(port: int, line: bytes) -> tuple[float, bytes]:
     """Send one command. Returns the seconds until its answer, and the answer."""
-    begun_s = time.monotonic()
+    started_s = time.monotonic()
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(line)
     answer = await reader.readline()
     writer.close()
-    return time.monotonic() - begun_s, answer
+    return time.monotonic() - started_s, answer
 
 
 async def _stay_silent(port: int) -> None:
@@ -45,31 +45,31 @@
 
     Returns a row of the report.
     """
-    world = LoopbackInstallation()
+    loopback = LoopbackInstallation()
     port = free_port()
-    await world.start()
-    here = os.path.dirname(os.path.dirname(os.path.dirname(__file__)))
-    variant = Variant("this", here, environment={"EDGE_CONSOLE": f"127.0.0.1:{port}"})
-    async with started(variant, world) as (process, _):
+    await loopback.start()
+    checkout = os.path.dirname(os.path.dirname(os.path.dirname(__file__)))
+    variant = Variant("this", checkout, environment={"EDGE_CONSOLE": f"127.0.0.1:{port}"})
+    async with started(variant, loopback) as (process, _):
         clients = [
-            RequestGenerator(world.router_port, random.Random(i), lambda: True) for i in range(CLIENTS)
+            RequestGenerator(loopback.router_port, random.Random(i), lambda: True) for i in range(CLIENTS)
         ]
         loads = [asyncio.ensure_future(c.run(rate / len(clients), lambda: ["picture"])) for c in clients]
         silent_clients = [asyncio.ensure_future(_stay_silent(port)) for _ in range(MAX_CONNECTIONS)]
         await asyncio.sleep(SETTLE_S)
-        found = [await _send_command(port, b"PING\n") for _ in range(calls)]
-        for each in silent_clients:
-            each.cancel()
+        results = [await _send_command(port, b"PING\n") for _ in range(calls)]
+        for silent_client in silent_clients:
+            silent_client.cancel()
         for client in clients:
             client.stop_sending()
         await asyncio.gather(*loads)
         process.terminate()
         await asyncio.wait_for(process.wait(), STOP_TIMEOUT_S)
-    world.stop()
-    times = [1000 * took for took, _ in found]
+    loopback.stop()
+    times = [1000 * seconds for seconds, _ in results]
     return {
         "calls": calls,
-        "wrong": sum(answer != b"OK serving\n" for _, answer in found),
+        "wrong": sum(answer != b"OK serving\n" for _, answer in results),
         "median ms": round(statistics.median(times), 2),
         "slowest ms": round(max(times), 2),
         "mute callers": len(silent_clients),
--- a/magpieshift/lab/experiments/apply.py
+++ b/magpieshift/lab/experiments/apply.py
@@ -29,8 +29,8 @@
 from magpieshift.lab.emulators.world import LoopbackInstallation
 
 KINDS = ("a figure", "classes", "zones anew")
-TICK_S = 0.001  # interval of the ticker
-QUIET = "none"  # kind of the lateness recorded while no version is applied
+TICK_INTERVAL_S = 0.001  # interval of the ticker
+IDLE = "none"  # kind of the lateness recorded while no version is applied
 
 
 def _histogram() -> HdrHistogram:
@@ -44,28 +44,28 @@
     apply_us: dict[str, HdrHistogram] = field(default_factory=lambda: {k: _histogram() for k in KINDS})
     pause_us: dict[str, HdrHistogram] = field(default_factory=lambda: {k: _histogram() for k in KINDS})
     late_us: dict[str, HdrHistogram] = field(
-        default_factory=lambda: {k: _histogram() for k in (*KINDS, QUIET)}
+        default_factory=lambda: {k: _histogram() for k in (*KINDS, IDLE)}
     )
 
     def rows(self) -> list[dict[str, Any]]:
         """Return a row of the report for each kind of version, with times in milliseconds."""
         rows = []
-        for kind, late in self.late_us.items():
+        for kind, lateness in self.late_us.items():
             row: dict[str, Any] = {"version changes": kind}
-            for name, found in (("apply", self.apply_us), ("pause", self.pause_us)):
+            for name, histograms in (("apply", self.apply_us), ("pause", self.pause_us)):
                 for percent in (50, 99):
-                    histogram = found.get(kind)
-                    text = (
+                    histogram = histograms.get(kind)
+                    milliseconds = (
                         histogram.get_value_at_percentile(percent) / 1000 if histogram is not None else None
                     )
-                    row[f"{name} p{percent} ms"] = text
-            row["loop late p99 ms"] = late.get_value_at_percentile(99) / 1000
-            row["loop late max ms"] = late.get_max_value() / 1000
+                    row[f"{name} p{percent} ms"] = milliseconds
+            row["loop late p99 ms"] = lateness.get_value_at_percentile(99) / 1000
+            row["loop late max ms"] = lateness.get_max_value() / 1000
             rows.append(row)
         return rows
 
 
-def _next(data: dict[str, Any], kind: str, number: int) -> dict[str, Any]:
+def _changed_data(data: dict[str, Any], kind: str, number: int) -> dict[str, Any]:
     data = copy.deepcopy(data)
     data["stores"]["answer-slack-ms"] = number / 1000
     if kind == "classes":
@@ -80,11 +80,11 @@
 async def measure(members: int, rounds: int) -> Figures:
     """Apply ``rounds`` versions of each kind in a router with ``members`` caches in its endpoint list."""
     figures = Figures()
-    world = LoopbackInstallation()
-    await world.start(members)
+    loopback = LoopbackInstallation()
+    await loopback.start(members)
     with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as folder:
-        start = world.write_settings(Path(folder))
-        installation = Installation(Options(str(start), os.path.join(folder, "state")))
+        settings_path = loopback.write_settings(Path(folder))
+        installation = Installation(Options(str(settings_path), os.path.join(folder, "state")))
         router = installation.router
         manager = installation.manager
         router.start()
@@ -93,23 +93,23 @@
         async with asyncio.timeout(30):
             while engine.endpoint_count < members + 1:
                 await asyncio.sleep(0.01)
-        done: asyncio.Queue[tuple[OfferOutcome, int, int]] = asyncio.Queue()
-        manager.listeners.append(lambda *told: done.put_nowait(told))
-        kind = QUIET
+        outcomes: asyncio.Queue[tuple[OfferOutcome, int, int]] = asyncio.Queue()
+        manager.listeners.append(lambda *outcome: outcomes.put_nowait(outcome))
+        kind = IDLE
 
         async def tick() -> None:
             while True:
-                due = time.perf_counter() + TICK_S
-                await asyncio.sleep(TICK_S)
-                figures.late_us[kind].record_value(max(1, int(1e6 * (time.perf_counter() - due))))
+                due_s = time.perf_counter() + TICK_INTERVAL_S
+                await asyncio.sleep(TICK_INTERVAL_S)
+                figures.late_us[kind].record_value(max(1, int(1e6 * (time.perf_counter() - due_s))))
 
         sys.setswitchinterval(THREAD_SWITCH_INTERVAL_S)
-        data = world.settings()
+        data = loopback.settings()
         offers = list[tuple[str, VersionOffer]]()
         # All versions are made in advance, so that only the router's work is measured.
         for number in range(1, rounds * len(KINDS) + 1):
             change = KINDS[number % len(KINDS)]
-            data = _next(data, change, number)
+            data = _changed_data(data, change, number)
             offers.append(
                 (
                     change,
@@ -122,20 +122,20 @@
         gc.freeze()  # as a router does once it is ready
         ticking = asyncio.ensure_future(tick())
         for kind, offer in offers:  # noqa: B007  # read by the ticker
-            began = time.perf_counter()
+            started_s = time.perf_counter()
             manager.offer(offer)
-            answer, apply_us, pause_us = await done.get()
+            answer, apply_us, pause_us = await outcomes.get()
             if not answer.accepted:
                 raise RuntimeError(
                     f"version {offer.number} was rejected, expected it to be accepted: {answer.detail}"
                 )
-            took = time.perf_counter() - began
+            duration_s = time.perf_counter() - started_s
             figures.apply_us[kind].record_value(max(1, apply_us))
             figures.pause_us[kind].record_value(max(1, pause_us))
-            kind = QUIET
-            await asyncio.sleep(took)
+            kind = IDLE
+            await asyncio.sleep(duration_s)
         ticking.cancel()
         await manager.stop()
         router.close()
-        world.stop()
+        loopback.stop()
     return figures
--- a/magpieshift/lab/experiments/membership_exploration.py
+++ b/magpieshift/lab/experiments/membership_exploration.py
@@ -29,7 +29,7 @@
 the member does not count as having been paused (``local_health.MIN_PAUSE_US``)."""
 STEP_US = 2_000_000
 """Duration of one transition; with a shorter one, histories of the same depth reach fewer states."""
-QUIET_STEPS = 20
+RECOVERY_STEPS = 20
 """Number of steps without faults within which all members must agree again."""
 SEEDS: tuple[Address, ...] = (("a", 1), ("b", 1))
 """Seed addresses in the members' settings."""
@@ -61,7 +61,7 @@
         fleet = cls()
         for name in NAMES:
             fleet.start(name)
-        for _ in range(QUIET_STEPS):
+        for _ in range(RECOVERY_STEPS):
             fleet.step()
         return fleet
 
@@ -74,14 +74,14 @@
 
     def step(
         self,
-        asleep: str = "",
+        paused: str = "",
         lost: Callable[[str, str], bool] = lambda source, target: False,
         late: str = "",
     ) -> None:
         """Run for ``STEP_US``.
 
-        The member ``asleep`` is paused. Datagrams for which ``lost`` (source, target) is true are lost, and
-        datagrams to the member ``late`` arrive one step late.
+        The member ``paused`` does nothing. Datagrams for which ``lost(source, target)`` holds are lost.
+        Datagrams to the member ``late`` arrive one step late.
         """
         in_transit = self.delayed
         self.delayed = []
@@ -89,7 +89,7 @@
         while self.now_us < end_us:
             self.now_us += TICK_US
             for name in NAMES:
-                if name != asleep:
+                if name != paused:
                     in_transit += [(name, send) for send in self.members[name].tick(self.now_us)]
             unread = []
             while in_transit:
@@ -97,7 +97,7 @@
                 target = send.destination[0]
                 if target not in self.members or lost(source, target):
                     continue
-                if target == asleep:
+                if target == paused:
                     unread.append((source, send))
                 elif target == late:
                     self.delayed.append((source, send))
@@ -155,25 +155,25 @@
     """Yield all transitions from which a step is chosen."""
     yield "well", lambda fleet: fleet.step()
     for name in NAMES:
-        yield f"{name} asleep", partial(_step_asleep, name)
-        yield f"{name} mute", partial(_step_mute, name)
-        yield f"{name} deaf", partial(_step_deaf, name)
+        yield f"{name} asleep", partial(_step_paused, name)
+        yield f"{name} mute", partial(_step_sending_nothing, name)
+        yield f"{name} deaf", partial(_step_receiving_nothing, name)
         yield f"{name} late", partial(_step_late, name)
         yield f"{name} restarted", partial(_restart_and_step, name)
-        rest = tuple(other for other in NAMES if other != name)
-        for source, target in (rest, rest[::-1]):
+        others = tuple(other for other in NAMES if other != name)
+        for source, target in (others, others[::-1]):
             yield f"{source} to {target} cut", partial(_step_cut, source, target)
 
 
-def _step_asleep(name: str, fleet: Fleet) -> None:
-    fleet.step(asleep=name)
+def _step_paused(name: str, fleet: Fleet) -> None:
+    fleet.step(paused=name)
 
 
-def _step_mute(name: str, fleet: Fleet) -> None:
+def _step_sending_nothing(name: str, fleet: Fleet) -> None:
     fleet.step(lost=lambda source, target: source == name)
 
 
-def _step_deaf(name: str, fleet: Fleet) -> None:
+def _step_receiving_nothing(name: str, fleet: Fleet) -> None:
     fleet.step(lost=lambda source, target: target == name)
 
 
@@ -203,27 +203,27 @@
     gone: int = 0
     """Number of states in which a living member is considered dead."""
     disagreements: list[str] = field(default_factory=list)
-    """Histories after which the members did not agree within ``QUIET_STEPS`` steps without faults."""
+    """Histories after which the members did not agree within ``RECOVERY_STEPS`` steps without faults."""
     real_s: float = 0.0
     """Duration of the exploration in real time."""
 
 
-def explore(max_states: int, spoil: Callable[[Fleet], None] = lambda fleet: None) -> Exploration:
+def explore(max_states: int, corrupt: Callable[[Fleet], None] = lambda fleet: None) -> Exploration:
     """Explore breadth first until at least ``max_states`` states are reached, or no new ones are left.
 
-    ``spoil`` may change the first state, to check that the resulting disagreement is found.
+    ``corrupt`` may change the first state, to check that the resulting disagreement is found.
     """
-    began = time.perf_counter()
-    first = Fleet.started()
-    spoil(first)
+    started_s = time.perf_counter()
+    start_state = Fleet.started()
+    corrupt(start_state)
     result = Exploration()
-    seen = {first.key()}
-    frontier: deque[tuple[Fleet, tuple[str, ...]]] = deque([(first, ())])
+    seen = {start_state.key()}
+    frontier: deque[tuple[Fleet, tuple[str, ...]]] = deque([(start_state, ())])
     while frontier and result.states < max_states:
         fleet, history = frontier.popleft()
-        packed = pickle.dumps(fleet, pickle.HIGHEST_PROTOCOL)
+        pickled = pickle.dumps(fleet, pickle.HIGHEST_PROTOCOL)
         for name, step in transitions():
-            successor: Fleet = pickle.loads(packed)  # noqa: S301, pickled by this process
+            successor: Fleet = pickle.loads(pickled)  # noqa: S301, pickled by this process
             step(successor)
             result.steps += 1
             key = successor.key()
@@ -232,7 +232,7 @@
             seen.add(key)
             _record(result, successor, (*history, name))
             frontier.append((successor, (*history, name)))
-    result.real_s = round(time.perf_counter() - began, 1)
+    result.real_s = round(time.perf_counter() - started_s, 1)
     return result
 
 
@@ -242,14 +242,14 @@
     result.depth = max(result.depth, len(history))
     views = [detector.view for detector in fleet.members.values()]
     result.gone += any(entry.state == MemberState.DEAD for view in views for entry in view.members.values())
-    if not _comes_to_agreement(fleet):
+    if not _reaches_agreement(fleet):
         result.disagreements.append(", then ".join(history))
 
 
-def _comes_to_agreement(fleet: Fleet) -> bool:
+def _reaches_agreement(fleet: Fleet) -> bool:
     """Whether the members agree after steps without faults. Runs them on a copy of the fleet."""
     copy: Fleet = pickle.loads(pickle.dumps(fleet, pickle.HIGHEST_PROTOCOL))  # noqa: S301, pickled by this process
-    for _ in range(QUIET_STEPS):
+    for _ in range(RECOVERY_STEPS):
         copy.step()
         if copy.views_agree():
             return True
--- a/magpieshift/lab/experiments/membership_trial.py
+++ b/magpieshift/lab/experiments/membership_trial.py
@@ -19,7 +19,7 @@
 from magpieshift.membership.messages import Datagram
 from magpieshift.membership.suspicion import DetectorTuning
 
-QUIET_S = 10
+RECOVERY_S = 10
 """Duration of the traffic measurement without faults, and of the recovery time between two parts of a trial;
 a fleet recovers faster."""
 FIRST_PAUSE_SPAN_US = 30 * SECOND
@@ -29,7 +29,7 @@
 router must not have been removed."""
 BETWEEN_PAUSES_RANGE_US = (10 * SECOND, 60 * SECOND)
 """Range of the time between two pauses of a process."""
-LAST_PAUSE_US = 6 * SECOND
+PAUSE_FREE_END_US = 6 * SECOND
 """Time before the end of this part in which no pause begins: longer than the longest pause, so that all
 pauses end in time."""
 DETECTION_TIMEOUT_S = 20
@@ -91,7 +91,7 @@
     Its parts are: a time without faults, in which the traffic is measured; datagram loss and pauses of up to
     5 s; ``deaths`` killed routers, but at most a third of all; a partition into halves, and its healing.
     """
-    began = time.perf_counter()
+    started_s = time.perf_counter()
     network = started_network(FleetSettings(routers, tuning=tuning or DetectorTuning()), seed)
     if size is not None:
         network.size = size
@@ -103,7 +103,7 @@
     _play_partition(network, set(names[: routers // 2]), outcome)
     outcome.share_over_whole = network.quota_excesses
     outcome.most_share = round(network.max_total_quota, 4)
-    outcome.real_s = round(time.perf_counter() - began, 1)
+    outcome.real_s = round(time.perf_counter() - started_s, 1)
     return outcome
 
 
@@ -115,9 +115,9 @@
     """Measure the traffic of a fleet without faults."""
     network.sent = 0
     network.bytes = 0
-    _run_for(network, QUIET_S)
-    outcome.messages_per_member_s = round(network.sent / QUIET_S / outcome.routers, 1)
-    outcome.bytes_per_member_s = round(network.bytes / QUIET_S / outcome.routers)
+    _run_for(network, RECOVERY_S)
+    outcome.messages_per_member_s = round(network.sent / RECOVERY_S / outcome.routers, 1)
+    outcome.bytes_per_member_s = round(network.bytes / RECOVERY_S / outcome.routers)
     network.size = lambda datagram: 0
 
 
@@ -139,12 +139,12 @@
     outcome.false_suspicions = states.count(MemberState.SUSPECT)
     outcome.flaps = states.count(MemberState.DEAD)
     network.loss = 0.0
-    _run_for(network, QUIET_S)
+    _run_for(network, RECOVERY_S)
 
 
 def _schedule_pauses(network: Network, name: str, start_us: int, end_us: int) -> None:
     pause_at_us = start_us + network.rand.randrange(FIRST_PAUSE_SPAN_US)
-    while pause_at_us < end_us - LAST_PAUSE_US:
+    while pause_at_us < end_us - PAUSE_FREE_END_US:
         duration_us = network.rand.randrange(*PAUSE_RANGE_US)
         network.schedule(pause_at_us, partial(network.pause, name, duration_us))
         pause_at_us += duration_us + network.rand.randrange(*BETWEEN_PAUSES_RANGE_US)
@@ -163,13 +163,13 @@
         for observer in network.living():
             removed_us = first_seen.get((observer.name, MemberState.DEAD))
             suspected_us = first_seen.get((observer.name, MemberState.SUSPECT))
-            seen = [at_us for at_us in (removed_us, suspected_us) if at_us is not None]
-            detected_s.append((min(seen) - died_us) / SECOND if seen else float(DETECTION_TIMEOUT_S))
+            seen_us = [at_us for at_us in (removed_us, suspected_us) if at_us is not None]
+            detected_s.append((min(seen_us) - died_us) / SECOND if seen_us else float(DETECTION_TIMEOUT_S))
             removed_s.append(
                 (removed_us - died_us) / SECOND if removed_us is not None else float(DETECTION_TIMEOUT_S)
             )
         network.start(name)
-        _run_for(network, QUIET_S)
+        _run_for(network, RECOVERY_S)
     outcome.detect_p50_s = _percentile(detected_s, 0.5)
     outcome.detect_p99_s = _percentile(detected_s, 0.99)
     outcome.gone_p99_s = _percentile(removed_s, 0.99)
@@ -192,12 +192,12 @@
     healed_us = network.now_us
     network.run(healed_us + HEALING_TIMEOUT_S * SECOND, network.views_agree)
     outcome.agree_after_heal_s = (network.now_us - healed_us) / SECOND
-    _run_for(network, QUIET_S)
+    _run_for(network, RECOVERY_S)
 
 
-def _percentile(values: Sequence[float], share: float) -> float:
+def _percentile(values: Sequence[float], fraction: float) -> float:
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else 0.0
 
 
 def false_removals(network: Network, first_change: int = 0) -> int:
--- a/magpieshift/lab/experiments/overload.py
+++ b/magpieshift/lab/experiments/overload.py
@@ -180,12 +180,12 @@
     """Number of routers that falsely report themselves as idle and all endpoints as failing."""
 
 
-def play(name: str, form: FleetSize, gossip: GossipSettings | None = None) -> Outcome:
+def play(name: str, size: FleetSize, gossip: GossipSettings | None = None) -> Outcome:
     """Run a scenario: baseline, fault and recovery. Without ``gossip`` the routers exchange no reports."""
-    began = time.perf_counter()
+    started_s = time.perf_counter()
     scenario = SCENARIOS[name]
-    form = replace(form, **scenario.changes)  # type: ignore[arg-type]
-    fleet = Fleet(form)
+    size = replace(size, **scenario.changes)  # type: ignore[arg-type]
+    fleet = Fleet(size)
     talk = None
     if gossip is not None:
         from magpieshift.lab.simulated.gossip import Talk  # needs the codec's library
@@ -200,15 +200,15 @@
     fleet.run(scenario.duration_s)
     end_s = fleet.time.second
     _remove_faults(fleet)
-    outcome = Outcome(name, form.routers, form.seed)
+    outcome = Outcome(name, size.routers, size.seed)
     outcome.back_to_95_s = _run_until_recovered(fleet, end_s, baseline_goodput)
     fleet.run(SETTLE_S)
-    _judge(outcome, fleet, start_s, end_s, baseline_work)
+    _set_results(outcome, fleet, start_s, end_s, baseline_work)
     if talk is not None:
         datagrams_per_s, bytes_per_s = talk.cost()
         outcome.talk_per_s = round(datagrams_per_s, 2)
         outcome.talk_bytes_per_s = round(bytes_per_s, 2)
-    outcome.real_s = round(time.perf_counter() - began, 1)
+    outcome.real_s = round(time.perf_counter() - started_s, 1)
     outcome.by_second = fleet.record.by_second
     return outcome
 
@@ -224,24 +224,24 @@
     return MAX_RECOVERY_S
 
 
-def _judge(outcome: Outcome, fleet: Fleet, start_s: int, end_s: int, baseline_work: float) -> None:
+def _set_results(outcome: Outcome, fleet: Fleet, start_s: int, end_s: int, baseline_work: float) -> None:
     """Compute the results of a run whose fault lasted from ``start_s`` to ``end_s``."""
     seconds = fleet.record.by_second
-    judged_end_s = len(seconds) - SETTLE_S
-    judged = seconds[start_s:judged_end_s]
-    windows = [seconds[at_s : at_s + WINDOW_S] for at_s in range(start_s, judged_end_s - WINDOW_S)]
-    failing = seconds[start_s + 1 : end_s]
+    evaluated_end_s = len(seconds) - SETTLE_S
+    evaluated = seconds[start_s:evaluated_end_s]
+    windows = [seconds[at_s : at_s + WINDOW_S] for at_s in range(start_s, evaluated_end_s - WINDOW_S)]
+    fault_seconds = seconds[start_s + 1 : end_s]
     outcome.amplification = round(max(map(_work_per_request, windows)) / baseline_work, 3)
     outcome.tries_per_s = round(
-        sum(second.at_failing_endpoints for second in failing) / max(1, len(failing)), 1
+        sum(second.at_failing_endpoints for second in fault_seconds) / max(1, len(fault_seconds)), 1
     )
     outcome.refused_then_served = round(
         fleet.record.rejected_then_served / max(1, fleet.record.rejected_requests), 3
     )
-    outcome.goodput = round(_goodput(judged), 4)
-    outcome.worst_class = round(_worst_class_goodput(judged), 4)
-    rejected = sum(second.rejections for second in judged)
-    outcome.refused = round(rejected / sum(second.requests for second in judged), 3)
+    outcome.goodput = round(_goodput(evaluated), 4)
+    outcome.worst_class = round(_worst_class_goodput(evaluated), 4)
+    rejected = sum(second.rejections for second in evaluated)
+    outcome.refused = round(rejected / sum(second.requests for second in evaluated), 3)
     outcome.rules_broken = len(fleet.record.violations)
 
 
@@ -256,7 +256,7 @@
 
 
 @dataclass(frozen=True)
-class Point:
+class MapPoint:
     """Results of one combination of the map. The field names are the keys of ``--json``."""
 
     load: float
@@ -273,25 +273,27 @@
     """Whether the failure is metastable: the fleet did not recover within ``MAX_RECOVERY_S``."""
 
 
-def point(load: float, trigger: str, tries: int, form: FleetSize) -> Point:
+def point(load: float, trigger: str, tries: int, size: FleetSize) -> MapPoint:
     """Run one combination of the map. No client waits for Retry-After: this makes retries most harmful."""
-    outcome = play(trigger, replace(form, load_factor=load, max_attempts=tries, patient_share=0.0))
+    outcome = play(trigger, replace(size, load_factor=load, max_attempts=tries, patient_share=0.0))
     stays_bad = outcome.back_to_95_s >= MAX_RECOVERY_S
-    return Point(
+    return MapPoint(
         load, trigger, tries, outcome.back_to_95_s, outcome.goodput, outcome.amplification, stays_bad
     )
 
 
-LOADS = (0.5, 0.7, 0.85, 1.0, 1.2)
+MAP_LOADS = (0.5, 0.7, 0.85, 1.0, 1.2)
 """Loads of the map as multiples of the design load: from half of it to more than the capacity."""
-TRIGGERS = ("burst", "origin-half", "routers-killed")
+MAP_TRIGGERS = ("burst", "origin-half", "routers-killed")
 """Scenarios of the map: too many requests, too little capacity, and loss of the routers' state."""
-TRIES = (1, 4, 8)
+MAP_MAX_ATTEMPTS = (1, 4, 8)
 """Maximum attempts of the map's clients: without retries, the usual number, and persistent retries."""
 
 
-def map_of(form: FleetSize, workers: int) -> list[Point]:
+def map_of(size: FleetSize, workers: int) -> list[MapPoint]:
     """Run all combinations of the map in ``workers`` processes."""
-    points = [(load, trigger, tries) for trigger in TRIGGERS for tries in TRIES for load in LOADS]
+    combinations = [
+        (load, trigger, tries) for trigger in MAP_TRIGGERS for tries in MAP_MAX_ATTEMPTS for load in MAP_LOADS
+    ]
     with ProcessPoolExecutor(workers) as pool:
-        return list(pool.map(point, *zip(*points, strict=True), [form] * len(points)))
+        return list(pool.map(point, *zip(*combinations, strict=True), [size] * len(combinations)))
--- a/magpieshift/lab/experiments/version_checks.py
+++ b/magpieshift/lab/experiments/version_checks.py
@@ -125,11 +125,13 @@
                 "acknowledged"
             )
         self.acknowledged = max(self.acknowledged, number)
-        wanted = running_digests(expected_settings(loaded.document))
-        wrong = sorted(part for part in wanted if running.get(part) != wanted[part])
-        if wrong:
+        expected = running_digests(expected_settings(loaded.document))
+        differing_parts = sorted(part for part in expected if running.get(part) != expected[part])
+        if differing_parts:
             self._report.half_applied += 1
-            self._report.findings.append(f"{where}: version {number} is not what runs in {', '.join(wrong)}")
+            self._report.findings.append(
+                f"{where}: version {number} is not what runs in {', '.join(differing_parts)}"
+            )
         return None
 
     def record_mismatch(self, text: str) -> None:
--- a/magpieshift/lab/experiments/version_maker.py
+++ b/magpieshift/lab/experiments/version_maker.py
@@ -26,29 +26,29 @@
         data = copy.deepcopy(self.data)
         classes = data["classes"]
         zones = data["zones"]
-        what = rand.randrange(6)
+        change_kind = rand.randrange(6)
         name = f"extra{rand.randrange(5)}"
-        if what == 0:
+        if change_kind == 0:
             data["attempts"]["connect-timeout-ms"] = rand.randint(100, 900)
             data["limits"] = {"memory-mb": rand.randint(64, 128), "sockets": rand.randint(256, 900)}
-        elif what == 1 and name in classes:
+        elif change_kind == 1 and name in classes:
             del classes[name]
-        elif what == 1:
+        elif change_kind == 1:
             classes[name] = copy.deepcopy(classes[rand.choice(["picture", "basket"])])
-        elif what == 2:
-            cls = classes[rand.choice(list(classes))]
-            cls["aim-ms"] = rand.randint(200, 900)
-            cls["deadline-ms"] = rand.randint(1500, 4000)
-        elif what == 3:
+        elif change_kind == 2:
+            request_class = classes[rand.choice(list(classes))]
+            request_class["aim-ms"] = rand.randint(200, 900)
+            request_class["deadline-ms"] = rand.randint(1500, 4000)
+        elif change_kind == 3:
             data["connections"] = {"idle-ms": rand.randint(2000, 20000), "streams": rand.randint(4, 64)}
-        elif what == 4:
+        elif change_kind == 4:
             data["stores"]["report"] = rand.sample(["load_share", "concurrent", "depth", "tps"], 2)
         else:
-            spare = f"spare{rand.randrange(3)}"
-            if spare in zones:
-                del zones[spare]
+            spare_zone = f"spare{rand.randrange(3)}"
+            if spare_zone in zones:
+                del zones[spare_zone]
             else:
-                zones[spare] = {"routers": 1}
+                zones[spare_zone] = {"routers": 1}
                 # Zones are numbered by their order.
                 data["zones"] = dict(sorted(zones.items(), key=lambda _: rand.random()))
         data["stores"]["answer-slack-ms"] = rand.randint(1, 10_000) / 1000  # so that versions differ
@@ -58,7 +58,7 @@
 
     def unusable(self) -> tuple[str, PublishedVersion]:
         """Return what is wrong with a version that the router must reject, and the version."""
-        ways: dict[str, Callable[[dict[str, Any]], None]] = {
+        changes: dict[str, Callable[[dict[str, Any]], None]] = {
             "unknown entry": lambda d: d.update(colour="red"),
             "wrong type": lambda d: d["limits"].update(sockets="many"),
             "out of range": lambda d: d["limits"].update({"memory-mb": -1}),
@@ -71,10 +71,10 @@
             "another version's number inside": lambda d: d.update(version=self.number + 7),
         }
         texts = {"bracket open": "(magpieshift (name x)", "deep": "(magpieshift " + "(a " * 3000 + ")" * 3001}
-        way = self._random.choice([*ways, *texts])
+        kind = self._random.choice([*changes, *texts])
         self.number += 1
-        if way in texts:
-            return way, PublishedVersion.parse(self.number, texts[way])
+        if kind in texts:
+            return kind, PublishedVersion.parse(self.number, texts[kind])
         data = copy.deepcopy(self.data)
-        ways[way](data)
-        return way, PublishedVersion.parse(self.number, sexp.format_document(data))
+        changes[kind](data)
+        return kind, PublishedVersion.parse(self.number, sexp.format_document(data))
--- a/magpieshift/lab/experiments/versions.py
+++ b/magpieshift/lab/experiments/versions.py
@@ -34,10 +34,10 @@
 from magpieshift.lab.experiments.version_maker import VersionMaker
 from magpieshift.lab.experiments.version_report import Report
 
-PATIENCE_S = 20.0  # timeout for the router's hello, its answers and its exit
-TOO_LARGE = 64 << 20  # size in bytes of a message that exceeds the router's limit
-ROUTER = (sys.executable, "-m", "magpieshift")
-UNUSABLE = {  # messages that the router must reject, by kind, with the weight of each in the draw
+WAIT_TIMEOUT_S = 20.0  # timeout for the router's hello, its answers and its exit
+OVERSIZED_MESSAGE_BYTES = 64 << 20  # size in bytes of a message that exceeds the router's limit
+ROUTER_COMMAND = (sys.executable, "-m", "magpieshift")
+UNUSABLE_KIND_WEIGHTS = {  # weight in the random choice of each kind of message that must be rejected
     "version": 12,
     "digest": 1,
     "step back": 1,
@@ -59,7 +59,7 @@
     breaks: int = 10  # of the connection to the control service
     rate: float = 20.0  # requests per second
     seed: int = 1
-    program: Sequence[str] = ROUTER
+    program: Sequence[str] = ROUTER_COMMAND
     members: int = 2  # caches in the endpoint list; all but the first are in another zone and get no requests
 
 
@@ -71,7 +71,7 @@
         self._random = random.Random(plan.seed)
         self.report = Report()
         self._service = ControlService()
-        self._service.on_message = self._heard
+        self._service.on_message = self._message_received
         self._checks = VersionChecks(self.report)
         self._process: asyncio.subprocess.Process | None = None
         self._killing = False
@@ -80,7 +80,7 @@
 
     # --- messages from the router
 
-    def _heard(self, stream: RouterStream, data: bytes) -> None:
+    def _message_received(self, stream: RouterStream, data: bytes) -> None:
         message = wire.FromRouter.FromString(data)
         if message.WhichOneof("said") == "hello":
             newest = self._service.publisher.newest
@@ -94,7 +94,7 @@
 
     # --- versions and faults
 
-    async def _start(self, command: Sequence[str]) -> None:
+    async def _start_router(self, command: Sequence[str]) -> None:
         self._hello.clear()
         self._process = await asyncio.create_subprocess_exec(*command, stderr=self._log)
         await self._wait(self._hello, "hello from the router")
@@ -102,24 +102,24 @@
 
     async def _wait(self, event: asyncio.Event, what: str) -> None:
         try:
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 await event.wait()
         except TimeoutError:
             raise RuntimeError(
-                f"found no {what} within {PATIENCE_S} s; versions without an answer, by nonce: "
+                f"found no {what} within {WAIT_TIMEOUT_S} s; versions without an answer, by nonce: "
                 f"{self._checks.unanswered}"
             ) from None
 
-    async def _kill(self, command: Sequence[str]) -> None:
+    async def _kill_and_restart(self, command: Sequence[str]) -> None:
         assert self._process is not None
         self._killing = True
         self._process.send_signal(signal.SIGKILL)
         await self._process.wait()
         self.report.kills += 1
         self._stream = None
-        await self._start(command)
+        await self._start_router(command)
 
-    async def _break(self) -> None:
+    async def _break_stream(self) -> None:
         assert self._stream is not None
         self._hello.clear()
         stream = self._stream
@@ -128,18 +128,18 @@
         self.report.breaks += 1
         await self._wait(self._hello, "new hello from the router")
 
-    async def _all_answered(self) -> None:
+    async def _wait_for_all_answers(self) -> None:
         while not self._checks.all_answered:
             self._checks.answered.clear()
             await self._wait(self._checks.answered, "answer from the router")
 
     def _send_usable(self, version: PublishedVersion) -> None:
-        self._know(version)
+        self._add_document(version)
         self._service.publish(version)
         if self._stream is not None:
             self._checks.await_answer(self._stream.subscriber, version.number, True)
 
-    def _know(self, version: PublishedVersion) -> None:
+    def _add_document(self, version: PublishedVersion) -> None:
         loaded = load_data(version.data or {})
         self._checks.add_document(version.number, replace(loaded, version=version.number))
 
@@ -148,23 +148,23 @@
         assert self._stream is not None
         publisher = self._service.publisher
         newest = self._service.publisher.newest
-        way = self._random.choices(list(UNUSABLE), list(UNUSABLE.values()))[0]
+        kind = self._random.choices(list(UNUSABLE_KIND_WEIGHTS), list(UNUSABLE_KIND_WEIGHTS.values()))[0]
         if newest is None:
-            way = "version"
-        if way in ("noise", "truncated", "empty"):
-            self._send_malformed(way, newest or PublishedVersion.parse(1, "x"))
-            return way
-        if way == "unknown base":
+            kind = "version"
+        if kind in ("noise", "truncated", "empty"):
+            self._send_malformed(kind, newest or PublishedVersion.parse(1, "x"))
+            return kind
+        if kind == "unknown base":
             self._send_unknown_base(versions.usable())
-            return way
-        if way == "version":
-            way, version = versions.unusable()
-        elif way == "digest":
+            return kind
+        if kind == "version":
+            kind, version = versions.unusable()
+        elif kind == "digest":
             versions.number += 1
             version = replace(
                 PublishedVersion.parse(versions.number, sexp.format_document(versions.data)), digest="0" * 32
             )
-        elif way == "step back":
+        elif kind == "step back":
             version = PublishedVersion.parse(
                 max(1, versions.number - 3), sexp.format_document(versions.data | {"tick-ms": 9})
             )
@@ -177,44 +177,46 @@
         sender = RouterSubscription(digest="")
         self._stream.send(publisher.encode_version(sender, version, full=True))
         self._checks.await_answer(sender, version.number, False)
-        return way
+        return kind
 
-    def _send_malformed(self, way: str, version: PublishedVersion) -> None:
+    def _send_malformed(self, kind: str, version: PublishedVersion) -> None:
         """Send bytes that are not a valid message, or only part of one."""
         assert self._stream is not None
         stream = self._stream
         rand = self._random
-        whole = self._service.publisher.encode_version(replace(stream.subscriber), version, full=True)
-        cut = whole[: rand.randrange(1, len(whole) - 1)]
-        stream.send({"noise": b"\xff" + rand.randbytes(40), "truncated": cut, "empty": b"\x12\x00"}[way])
+        encoded = self._service.publisher.encode_version(replace(stream.subscriber), version, full=True)
+        truncated = encoded[: rand.randrange(1, len(encoded) - 1)]
+        stream.send(
+            {"noise": b"\xff" + rand.randbytes(40), "truncated": truncated, "empty": b"\x12\x00"}[kind]
+        )
         self._checks.malformed_unanswered += 1
 
     def _send_unknown_base(self, version: PublishedVersion) -> None:
         """Send a delta against a base that the router never had. It rejects the delta and requests the full
         version."""
         assert self._stream is not None
-        who = self._stream.subscriber
+        subscriber = self._stream.subscriber
         publisher = self._service.publisher
-        self._know(version)
+        self._add_document(version)
         publisher.publish(version)
-        message = wire.FromControl.FromString(publisher.encode_version(who, version))
+        message = wire.FromControl.FromString(publisher.encode_version(subscriber, version))
         message.version.ClearField("full")
         message.version.delta.base_digest = "f" * 32
-        self._checks.await_answer(who, version.number, True)
+        self._checks.await_answer(subscriber, version.number, True)
         self._stream.send(message.SerializeToString())
 
     async def _send_too_large(self) -> None:
         """Send a message above the router's size limit. This ends the stream; the next hello reports why."""
         assert self._stream is not None
         stream = self._stream
-        message = wire.FromControl(version=wire.Version(number=1, full="x" * TOO_LARGE))
+        message = wire.FromControl(version=wire.Version(number=1, full="x" * OVERSIZED_MESSAGE_BYTES))
         self._hello.clear()
         self._stream = None
         stream.send(message.SerializeToString())
         await self._wait(self._hello, "new hello from the router")
-        if (found := self._stream) is not None and "RESOURCE_EXHAUSTED" not in found.subscriber.last_failure:
+        if (new := self._stream) is not None and "RESOURCE_EXHAUSTED" not in new.subscriber.last_failure:
             self.report.findings.append(
-                f"after a message of 64 MB the hello reports {found.subscriber.last_failure!r}, "
+                f"after a message of 64 MB the hello reports {new.subscriber.last_failure!r}, "
                 "expected RESOURCE_EXHAUSTED"
             )
 
@@ -222,62 +224,66 @@
         """Run the plan, with its files in ``folder``. ``progress`` shows a progress bar on standard error."""
         plan = self._plan
         rand = self._random
-        began = time.monotonic()
-        world = LoopbackInstallation()
-        await world.start(plan.members)
-        versions = VersionMaker(world.settings(), rand)
-        start = world.write_settings(folder)
+        started_s = time.monotonic()
+        loopback = LoopbackInstallation()
+        await loopback.start(plan.members)
+        versions = VersionMaker(loopback.settings(), rand)
+        settings_path = loopback.write_settings(folder)
         self._checks.add_document(0, load_data(versions.data))
         await self._service.start("127.0.0.1:0")
         command = [
             *plan.program,
             "run",
             "--config",
-            str(start),
+            str(settings_path),
             "--state",
             str(folder / "state"),
             "--control",
             f"127.0.0.1:{self._service.port}",
         ]
-        client = RequestGenerator(world.router_port, random.Random(plan.seed), lambda: not self._killing)
-        loading: asyncio.Task[None] | None = None
-        events = self._schedule()
-        with (folder / "router.log").open("wb") as self._log, _bar(plan.count, progress) as bar:
+        generator = RequestGenerator(
+            loopback.router_port, random.Random(plan.seed), lambda: not self._killing
+        )
+        load_task: asyncio.Task[None] | None = None
+        faults = self._draw_faults()
+        with (folder / "router.log").open("wb") as self._log, _progress_bar(plan.count, progress) as bar:
             try:
-                await self._start(command)
-                loading = asyncio.ensure_future(client.run(plan.rate, lambda: list(versions.data["classes"])))
+                await self._start_router(command)
+                load_task = asyncio.ensure_future(
+                    generator.run(plan.rate, lambda: list(versions.data["classes"]))
+                )
                 for number in range(plan.count):
-                    await self._one(versions, events.get(number, ""), command)
+                    await self._send_version(versions, faults.get(number, ""), command)
                     bar.update(1)
-                await self._all_answered()
-                client.stop_sending()
-                await loading
-                await self._end()
+                await self._wait_for_all_answers()
+                generator.stop_sending()
+                await load_task
+                await self._check_end()
             except RuntimeError as err:
                 self.report.findings.append(str(err))
             finally:
-                if loading is not None:
-                    loading.cancel()
+                if load_task is not None:
+                    load_task.cancel()
                 if self._process is not None and self._process.returncode is None:
                     self._process.kill()
                     await self._process.wait()
                 await self._service.stop()
-                world.stop()
+                loopback.stop()
         report = self.report
-        written = (folder / "router.log").read_text(errors="replace")
-        if "Traceback" in written:
+        log_text = (folder / "router.log").read_text(errors="replace")
+        if "Traceback" in log_text:
             report.findings.append(
-                "the router's log contains a traceback: " + written[written.index("Traceback") :][:800]
+                "the router's log contains a traceback: " + log_text[log_text.index("Traceback") :][:800]
             )
-        report.requests = client.sent
-        report.lost_requests = client.lost
-        report.cut_requests = client.interrupted
-        report.double_answers = client.duplicate_answers
-        report.second_attempts = len(world.overlaps.overlapping)
-        report.seconds = round(time.monotonic() - began, 1)
+        report.requests = generator.sent
+        report.lost_requests = generator.lost
+        report.cut_requests = generator.interrupted
+        report.double_answers = generator.duplicate_answers
+        report.second_attempts = len(loopback.overlaps.overlapping)
+        report.seconds = round(time.monotonic() - started_s, 1)
         return report
 
-    def _schedule(self) -> dict[int, str]:
+    def _draw_faults(self) -> dict[int, str]:
         """Draw which fault follows which version: kills and broken connections in random order.
 
         A run of 20 or more versions also gets one oversized message.
@@ -288,33 +294,33 @@
         places = self._random.sample(range(1, max(2, plan.count)), min(len(kinds), max(0, plan.count - 1)))
         return dict(zip(sorted(places), kinds, strict=False))
 
-    async def _one(self, versions: VersionMaker, event: str, command: Sequence[str]) -> None:
+    async def _send_version(self, versions: VersionMaker, fault: str, command: Sequence[str]) -> None:
         """Send one version, followed by its fault, if any.
 
         Some versions are sent while earlier ones are still unanswered.
         """
         rand = self._random
         if rand.random() > 0.15:
-            await self._all_answered()
+            await self._wait_for_all_answers()
         self.report.sent += 1
         if rand.random() < self._plan.invalid:
-            way = self._send_unusable(versions)
-            self.report.unusable[way] = self.report.unusable.get(way, 0) + 1
+            kind = self._send_unusable(versions)
+            self.report.unusable[kind] = self.report.unusable.get(kind, 0) + 1
         else:
             self._send_usable(versions.usable())
-        if not event:
+        if not fault:
             return
         # Short, so that the fault falls between the version's receipt and its answer.
         await asyncio.sleep(rand.choice([0.0, rand.uniform(0, 0.02)]))
-        if event == "kill":
-            await self._kill(command)
-        elif event == "break":
-            await self._break()
+        if fault == "kill":
+            await self._kill_and_restart(command)
+        elif fault == "break":
+            await self._break_stream()
         else:
-            await self._all_answered()
+            await self._wait_for_all_answers()
             await self._send_too_large()
 
-    async def _end(self) -> None:
+    async def _check_end(self) -> None:
         """Check that the newest version is in force, and that the router exits with code 0 on SIGTERM."""
         assert self._process is not None
         newest = self._service.publisher.newest
@@ -324,22 +330,22 @@
                 f"expected the newest, {newest.number}"
             )
         self._process.terminate()
-        code = await asyncio.wait_for(self._process.wait(), PATIENCE_S)
+        code = await asyncio.wait_for(self._process.wait(), WAIT_TIMEOUT_S)
         if code != 0:
             self.report.findings.append(f"the router exited with code {code}, expected 0")
 
 
-class _Bar:
+class _HiddenProgressBar:
     def update(self, count: int) -> None: ...
 
 
 @contextmanager
-def _bar(length: int, shown: bool) -> Iterator[Any]:
+def _progress_bar(length: int, shown: bool) -> Iterator[Any]:
     if shown:
         with click.progressbar(length=length, label="versions", file=sys.stderr) as bar:
             yield bar
     else:
-        yield _Bar()
+        yield _HiddenProgressBar()
 
 
 async def play(plan: Plan, progress: bool = False) -> Report:
