--- a/magpieshift/cli/lab_router.py
+++ b/magpieshift/cli/lab_router.py
@@ -109,14 +109,14 @@
     run."""
     from pathlib import Path
 
-    from magpieshift.lab.experiments.cost import Variant, compare, recording
+    from magpieshift.lab.experiments.cost import Variant, compare, recording_variants
 
     own_checkout = str(Path(__file__).parents[2])
     if against and not (Path(against) / "magpieshift" / "__main__.py").is_file():
         raise ConfigError(f"--against: found {against!r}, expected a folder with magpieshift/__main__.py")
     variants = [Variant("this", own_checkout), *([Variant("other", against)] if against else [])]
     if capture or stuck:
-        variants = recording(own_checkout, stuck)
+        variants = recording_variants(own_checkout, stuck)
     output.print_rows(asyncio.run(compare(variants, rounds, requests, rate)), as_json)
 
 
@@ -198,7 +198,7 @@
         counts = fleets.count(fleets.read(Path(folder)))
     except ValueError as err:
         raise ConfigError(str(err)) from err
-    output.print_rows(counts.store_rows() if stores else counts.rows(), as_json)
+    output.print_rows(counts.endpoint_rows() if stores else counts.rows(), as_json)
     if not as_json:
-        for circumstance, number in counts.refusals.most_common(10):
+        for circumstance, number in counts.rejections.most_common(10):
             click.echo(f"refused after {circumstance}: {number}")
--- a/magpieshift/lab/experiments/cost.py
+++ b/magpieshift/lab/experiments/cost.py
@@ -26,7 +26,7 @@
 from magpieshift.lab.emulators.request_generator import RequestGenerator
 from magpieshift.lab.emulators.world import LoopbackInstallation
 
-TICKS = os.sysconf("SC_CLK_TCK")  # clock ticks per second, the unit of processor time in /proc
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")  # unit of processor time in /proc
 
 
 @dataclass(frozen=True)
@@ -43,7 +43,7 @@
     program: Sequence[str] = ("-m", "magpieshift")
 
 
-WATCHED = """
+RUN_WITH_TICKER = """
 import asyncio, os, sys, time
 from hdrh.histogram import HdrHistogram
 from magpieshift.capture import segments
@@ -72,18 +72,20 @@
 """Program that executes ``run`` with a ticker on its event loop, which records how late it wakes up. The
 first argument is the time in seconds for which writes to the capture block, from 2 s after the start on."""
 
-STUCK_S = 10.0  # time for which the disk blocks
+DISK_BLOCKED_S = 10.0  # time for which the disk blocks
 
 
-def recording(folder: str, stuck: bool) -> list[Variant]:
-    """Return ``run`` without and with recording of a capture, and also on a blocked disk if ``stuck``."""
+def recording_variants(folder: str, disk_blocked: bool) -> list[Variant]:
+    """Return ``run`` without and with recording of a capture; with ``disk_blocked`` also on a blocked disk."""
     capture = {"EDGE_CAPTURE": "{folder}/capture"}
     variants = [
-        Variant("not recording", folder, ("0", "run"), program=("-c", WATCHED)),
-        Variant("recording", folder, ("0", "run"), capture, ("-c", WATCHED)),
+        Variant("not recording", folder, ("0", "run"), program=("-c", RUN_WITH_TICKER)),
+        Variant("recording", folder, ("0", "run"), capture, ("-c", RUN_WITH_TICKER)),
     ]
-    if stuck:
-        variants.append(Variant("disk stuck", folder, (str(STUCK_S), "run"), capture, ("-c", WATCHED)))
+    if disk_blocked:
+        variants.append(
+            Variant("disk stuck", folder, (str(DISK_BLOCKED_S), "run"), capture, ("-c", RUN_WITH_TICKER))
+        )
     return variants
 
 
@@ -179,15 +181,15 @@
     }
 
 
-def _spent(pid: int) -> float:
+def _processor_time_s(pid: int) -> float:
     """Return the processor time that a process has used, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 @contextlib.asynccontextmanager
 async def started(
-    variant: Variant, world: LoopbackInstallation
+    variant: Variant, loopback: LoopbackInstallation
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, Path]]:
     """Start a router's process; yields the process once it serves, and its log file.
 
@@ -196,7 +198,7 @@
     with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as folder:
         config = Path(folder) / "config.json"
         log = Path(folder) / "log"
-        config.write_text(json.dumps(platform_json(world.router_port, world.change_log.port)))
+        config.write_text(json.dumps(platform_json(loopback.router_port, loopback.change_log.port)))
         environment = os.environ | {"EDGE_CONFIG": str(config)} | dict(variant.environment or {})
         with log.open("wb") as file:
             process = await asyncio.create_subprocess_exec(
@@ -226,21 +228,22 @@
 
 async def run_once(variant: Variant, requests: int, rate: float, seed: int) -> Cost:
     """Run one program under load and measure it."""
-    world = LoopbackInstallation()
-    await world.start()
+    loopback = LoopbackInstallation()
+    await loopback.start()
     try:
-        async with started(variant, world) as (process, log):
+        async with started(variant, loopback) as (process, log):
             clients = [
-                RequestGenerator(world.router_port, random.Random(seed + i), lambda: True) for i in range(4)
+                RequestGenerator(loopback.router_port, random.Random(seed + i), lambda: True)
+                for i in range(4)
             ]
             loads = [asyncio.ensure_future(c.run(rate / len(clients), lambda: ["picture"])) for c in clients]
             await asyncio.sleep(0.5)
-            before = _spent(process.pid)
-            sent = sum(c.sent for c in clients)
-            while sum(c.sent for c in clients) - sent < requests:
+            time_before_s = _processor_time_s(process.pid)
+            sent_before = sum(c.sent for c in clients)
+            while sum(c.sent for c in clients) - sent_before < requests:
                 await asyncio.sleep(0.02)
-            spent = _spent(process.pid) - before
-            done = sum(c.sent for c in clients) - sent
+            processor_time_s = _processor_time_s(process.pid) - time_before_s
+            measured_requests = sum(c.sent for c in clients) - sent_before
             for client in clients:
                 client.stop_sending()
             await asyncio.gather(*loads)
@@ -251,27 +254,27 @@
             await asyncio.wait_for(process.wait(), 20)
             late = re.search(r"^late=(\d+)", log.read_text(), re.M)
             return Cost(
-                1e6 * spent / done,
+                1e6 * processor_time_s / measured_requests,
                 int(peak[1]) / 1024,
-                done,
+                measured_requests,
                 sum(c.served for c in clients),
                 sum(c.lost for c in clients),
                 int(late[1]) / 1000 if late else None,
             )
     finally:
-        world.stop()
+        loopback.stop()
 
 
 async def compare(
     variants: Sequence[Variant], rounds: int, requests: int, rate: float
 ) -> list[dict[str, Any]]:
     """Run all variants alternately for a number of rounds. Returns a row with median and range for each."""
-    found: dict[str, list[Cost]] = {variant.name: [] for variant in variants}
+    costs_by_name: dict[str, list[Cost]] = {variant.name: [] for variant in variants}
     for round_ in range(rounds):
         for variant in variants:
-            found[variant.name].append(await run_once(variant, requests, rate, seed=100 * round_))
+            costs_by_name[variant.name].append(await run_once(variant, requests, rate, seed=100 * round_))
     rows = []
-    for name, costs in found.items():
+    for name, costs in costs_by_name.items():
         row: dict[str, Any] = {
             "program": name,
             "runs": len(costs),
--- a/magpieshift/lab/experiments/decisions.py
+++ b/magpieshift/lab/experiments/decisions.py
@@ -29,7 +29,7 @@
 
 SECOND = 1_000_000  # in microseconds
 OPEN = 40  # attempts open at the same time
-PARENTS = 4  # parent caches
+PARENT_COUNT = 4  # parent caches
 
 
 def settings() -> Settings:
@@ -99,9 +99,9 @@
         self.now = 1_764_576_000 * SECOND
         self._ids = 0
         self._out: list[SendPlainRequest | SendCacheRequest] = []
-        self._legs: dict[int, int] = {}
+        self._attempt_counts: dict[int, int] = {}
         entries = [self._entry(100 + i, 1, 0) for i in range(caches)]
-        entries += [self._entry(10 + i, 0, 1) for i in range(PARENTS)] + [self._entry(1, 0, 2)]
+        entries += [self._entry(10 + i, 0, 1) for i in range(PARENT_COUNT)] + [self._entry(1, 0, 2)]
         self._feed(EndpointListReceived(EndpointListKind.COMPLETE, 1, tuple(entries)))
 
     @staticmethod
@@ -119,21 +119,23 @@
     def request(self) -> None:
         """Receive one request, then end the oldest attempts until at most ``OPEN`` are open."""
         self._ids += 1
-        self._legs[self._ids] = 0
+        self._attempt_counts[self._ids] = 0
         key = int(self._random.paretovariate(0.8)) % 5000 + 1
         self._feed(RequestReceived(self._ids, 0, 0, key, 4 * SECOND, 30.0, key % 256, 0, False, False))
         self.now += 500
         while len(self._out) > OPEN:
             sent = self._out.pop(0)
-            leg = self._legs[sent.request_id]
-            self._legs[sent.request_id] = leg + 1
-            held = isinstance(sent, SendCacheRequest) and sent.source != sent.endpoint
-            ok = held or self._random.random() < 0.7
+            attempt = self._attempt_counts[sent.request_id]
+            self._attempt_counts[sent.request_id] = attempt + 1
+            is_fill = isinstance(sent, SendCacheRequest) and sent.source != sent.endpoint
+            ok = is_fill or self._random.random() < 0.7
             outcome = Outcome.OK if ok else Outcome.MISS
-            note = CacheStatus.FILLED if held else CacheStatus.HIT if ok else CacheStatus.NONE
+            cache_status = CacheStatus.FILLED if is_fill else CacheStatus.HIT if ok else CacheStatus.NONE
             if ok:
-                del self._legs[sent.request_id]
-            self._feed(AttemptEnded(sent.request_id, outcome, 9_000, 0, ok, note, sent.endpoint, leg, ()))
+                del self._attempt_counts[sent.request_id]
+            self._feed(
+                AttemptEnded(sent.request_id, outcome, 9_000, 0, ok, cache_status, sent.endpoint, attempt, ())
+            )
 
 
 def measure(sizes: Sequence[int], requests: int, rounds: int, budget_s: float = 20.0) -> list[dict[str, Any]]:
@@ -141,33 +143,33 @@
 
     ``budget_s`` limits the processor time per size: a size with slow requests gets fewer of them.
     """
-    found: dict[int, list[float]] = {size: [] for size in sizes}
-    counted: dict[int, int] = dict.fromkeys(sizes, 0)
+    request_times_us: dict[int, list[float]] = {size: [] for size in sizes}
+    request_counts: dict[int, int] = dict.fromkeys(sizes, 0)
     for round_ in range(rounds):
         for size in sizes:
             run = Run(size, seed=round_)
-            done = 0
+            handled = 0
             gc.collect()
             gc.disable()
             try:
                 for _ in range(2 * OPEN):
                     run.request()
-                began = time.process_time()
-                while done < requests and time.process_time() - began < budget_s / rounds:
+                started_s = time.process_time()
+                while handled < requests and time.process_time() - started_s < budget_s / rounds:
                     run.request()
-                    done += 1
-                spent = time.process_time() - began
+                    handled += 1
+                processor_time_s = time.process_time() - started_s
             finally:
                 gc.enable()
-            found[size].append(1e6 * spent / done)
-            counted[size] += done
+            request_times_us[size].append(1e6 * processor_time_s / handled)
+            request_counts[size] += handled
     return [
         {
             "caches": size,
             "us a request": round(statistics.median(times), 1),
             "from": round(min(times), 1),
             "to": round(max(times), 1),
-            "requests": counted[size],
+            "requests": request_counts[size],
         }
-        for size, times in found.items()
+        for size, times in request_times_us.items()
     ]
--- a/magpieshift/lab/experiments/episode.py
+++ b/magpieshift/lab/experiments/episode.py
@@ -23,8 +23,8 @@
 from magpieshift.lab.experiments.scenario import Fault, Scenario
 from magpieshift.lab.fault_injection.ports import free_port
 
-ROUTER = (sys.executable, "-m", "magpieshift")
-UP_S = 20.0  # timeout for the router's start and for its graceful shutdown
+ROUTER_COMMAND = (sys.executable, "-m", "magpieshift")
+ROUTER_TIMEOUT_S = 20.0  # timeout for the router's start and for its graceful shutdown
 
 
 @dataclass
@@ -55,118 +55,128 @@
     """Runs the emulators, the load and the router's process."""
 
     def __init__(
-        self, scenario: Scenario, words: Sequence[str] = (), program: Sequence[str] = ROUTER
+        self, scenario: Scenario, arguments: Sequence[str] = (), program: Sequence[str] = ROUTER_COMMAND
     ) -> None:
         self._scenario = scenario
-        self._words = words
+        self._arguments = arguments
         self._program = program
         self._random = random.Random(scenario.seed)
-        self._rules, self._log = ProtocolChecker(), peers.ChangeLog()
-        self._stores = EmulatedInstallation(
-            scenario.boxes, scenario.hubs, self._rules, self._random, lambda event: self._log.publish(**event)
+        self._checker, self._change_log = ProtocolChecker(), peers.ChangeLog()
+        self._installation = EmulatedInstallation(
+            scenario.boxes,
+            scenario.hubs,
+            self._checker,
+            self._random,
+            lambda event: self._change_log.publish(**event),
         )
         self._port = free_port()
 
-    async def _fail(self, failure: Fault) -> None:
-        what = "hang" if failure.what == "pause" else failure.what
-        await self._stores.inject_fault(what, failure.place, failure.duration_s, failure.amount)
+    async def _inject_fault(self, fault: Fault) -> None:
+        what = "hang" if fault.what == "pause" else fault.what
+        await self._installation.inject_fault(what, fault.place, fault.duration_s, fault.amount)
 
     async def run(self, folder: Path, progress: Callable[[float], None] = lambda seconds: None) -> Outcome:
         """Run the whole episode. Raises ``RuntimeError`` if the router does not become ready."""
         scenario = self._scenario
-        await self._stores.start()
-        await self._log.start()
-        self._stores.start_publishing()
-        start = folder / "start.sexp"
+        await self._installation.start()
+        await self._change_log.start()
+        self._installation.start_publishing()
+        settings_path = folder / "start.sexp"
         log = folder / "router.log"
-        start.write_text(sexp.format_document(router_settings("lab", self._port, self._log.port)))
+        settings_path.write_text(
+            sexp.format_document(router_settings("lab", self._port, self._change_log.port))
+        )
         load = LoadGenerator(
-            self._port, scenario.rate, scenario.objects, scenario.seed, self._rules.copy_served
+            self._port, scenario.rate, scenario.objects, scenario.seed, self._checker.copy_served
         )
         outcome = Outcome(scenario)
-        failing: list[asyncio.Task[None]] = []
+        fault_tasks: list[asyncio.Task[None]] = []
         with log.open("wb") as file:
             process = await asyncio.create_subprocess_exec(
-                *self._program, "run", "--config", str(start), *self._words, stderr=file
+                *self._program, "run", "--config", str(settings_path), *self._arguments, stderr=file
             )
         try:
-            await self._up(log)
-            began = time.monotonic()
-            failing = [asyncio.ensure_future(self._at(began, failure)) for failure in scenario.faults]
-            watching = asyncio.ensure_future(self._watch(outcome, began, progress))
+            await self._wait_until_ready(log)
+            started_s = time.monotonic()
+            fault_tasks = [
+                asyncio.ensure_future(self._inject_fault_at(started_s, fault)) for fault in scenario.faults
+            ]
+            record_task = asyncio.ensure_future(self._record_endpoints(outcome, started_s, progress))
             await load.run(scenario.seconds)
-            watching.cancel()
-            outcome.seconds = time.monotonic() - began
-            spent = self._spent(process.pid)
+            record_task.cancel()
+            outcome.seconds = time.monotonic() - started_s
+            processor_time_s = self._processor_time_s(process.pid)
             process.terminate()
-            code = await asyncio.wait_for(process.wait(), UP_S)
+            code = await asyncio.wait_for(process.wait(), ROUTER_TIMEOUT_S)
             if code != 0:
-                self._rules.record_violation("planned end", f"the router ended with {code}")
+                self._checker.record_violation("planned end", f"the router ended with {code}")
         finally:
-            for task in failing:
+            for task in fault_tasks:
                 task.cancel()
             if process.returncode is None:
                 process.kill()
                 await process.wait()
-            self._stores.stop()
-            self._log.stop()
+            self._installation.stop()
+            self._change_log.stop()
         outcome.log = log.read_text(errors="replace")
         if "Traceback" in outcome.log:
-            self._rules.record_violation("traceback", outcome.log[outcome.log.index("Traceback") :][:600])
-        self._sum_up(outcome, load, spent)
+            self._checker.record_violation("traceback", outcome.log[outcome.log.index("Traceback") :][:600])
+        self._set_results(outcome, load, processor_time_s)
         return outcome
 
     @staticmethod
-    def _spent(pid: int) -> float:
+    def _processor_time_s(pid: int) -> float:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
-    async def _up(self, log: Path) -> None:
+    async def _wait_until_ready(self, log: Path) -> None:
         """Wait until the router has applied the endpoint list."""
-        end = time.monotonic() + UP_S
+        deadline_s = time.monotonic() + ROUTER_TIMEOUT_S
         while "changes applied" not in log.read_text():
-            if time.monotonic() > end:
+            if time.monotonic() > deadline_s:
                 raise RuntimeError(
-                    f"found no event 'changes applied' in the router's log within {UP_S:g} s; "
+                    f"found no event 'changes applied' in the router's log within {ROUTER_TIMEOUT_S:g} s; "
                     f"end of its log: {log.read_text()[-800:]}"
                 )
             await asyncio.sleep(0.02)
 
-    async def _at(self, began: float, failure: Fault) -> None:
-        await asyncio.sleep(max(0.0, began + failure.start_s - time.monotonic()))
-        await self._fail(failure)
+    async def _inject_fault_at(self, started_s: float, fault: Fault) -> None:
+        await asyncio.sleep(max(0.0, started_s + fault.start_s - time.monotonic()))
+        await self._inject_fault(fault)
 
-    async def _watch(self, outcome: Outcome, began: float, progress: Callable[[float], None]) -> None:
+    async def _record_endpoints(
+        self, outcome: Outcome, started_s: float, progress: Callable[[float], None]
+    ) -> None:
         """Record once a second how many requests each endpoint has received since, or that it is down."""
         before: dict[str, tuple[str, int]] = {}
         while True:
             await asyncio.sleep(1.0)
-            for place, store in self._stores.places.items():
-                ident, asked = before.get(place, ("", 0))
-                since = store.received - (asked if ident == store.name else 0)
-                outcome.stores.setdefault(place, []).append(since if store.is_up else -1)
-                before[place] = store.name, store.received
-            progress(time.monotonic() - began)
-
-    def _sum_up(self, outcome: Outcome, load: LoadGenerator, spent: float) -> None:
+            for place, endpoint in self._installation.places.items():
+                endpoint_name, received_before = before.get(place, ("", 0))
+                received = endpoint.received - (received_before if endpoint_name == endpoint.name else 0)
+                outcome.stores.setdefault(place, []).append(received if endpoint.is_up else -1)
+                before[place] = endpoint.name, endpoint.received
+            progress(time.monotonic() - started_s)
+
+    def _set_results(self, outcome: Outcome, load: LoadGenerator, processor_time_s: float) -> None:
         total = load.total
-        rules = self._rules
+        checker = self._checker
         if load.duplicate_answers:
-            rules.record_violation("one final answer", f"{load.duplicate_answers} second answers")
+            checker.record_violation("one final answer", f"{load.duplicate_answers} second answers")
         if total.lost:
-            rules.record_violation("one final answer", f"{total.lost} requests without an answer")
-        outcome.broken = dict(rules.violations)
-        outcome.examples = rules.examples
-        for number, slice_ in enumerate(load.counts_by_second):
-            histogram = slice_.latency_us
+            checker.record_violation("one final answer", f"{total.lost} requests without an answer")
+        outcome.broken = dict(checker.violations)
+        outcome.examples = checker.examples
+        for number, counts in enumerate(load.counts_by_second):
+            histogram = counts.latency_us
             outcome.slices.append(
                 {
                     "second": number,
-                    "sent": slice_.sent,
-                    "served": slice_.served,
-                    "refused": slice_.rejected,
-                    "failed": slice_.failed,
-                    "lost": slice_.lost,
+                    "sent": counts.sent,
+                    "served": counts.served,
+                    "refused": counts.rejected,
+                    "failed": counts.failed,
+                    "lost": counts.lost,
                     "p50_ms": histogram.get_value_at_percentile(50) / 1000,
                     "p99_ms": histogram.get_value_at_percentile(99) / 1000,
                 }
@@ -180,24 +190,24 @@
             "failed": total.failed,
             "lost": total.lost,
             "retries": load.retries,
-            "attempts": rules.attempts,
+            "attempts": checker.attempts,
             "p50_ms": total.latency_us.get_value_at_percentile(50) / 1000,
             "p99_ms": total.latency_us.get_value_at_percentile(99) / 1000,
-            "origin_fetches": sum(rules.origin_fetches.values()),
+            "origin_fetches": sum(checker.origin_fetches.values()),
             "failures": len(outcome.scenario.faults),
-            "cpu_us_a_request": round(1e6 * spent / max(1, total.sent)),
+            "cpu_us_a_request": round(1e6 * processor_time_s / max(1, total.sent)),
         }
 
 
 async def play(
     scenario: Scenario,
-    words: Sequence[str] = (),
+    arguments: Sequence[str] = (),
     progress: Callable[[float], None] = lambda seconds: None,
-    program: Sequence[str] = ROUTER,
+    program: Sequence[str] = ROUTER_COMMAND,
 ) -> Outcome:
-    """Run an episode in a temporary folder. ``words`` are more arguments of ``run``, as ``--capture DIR``."""
+    """Run an episode in a temporary folder. ``arguments`` are more options of ``run``, as ``--capture DIR``."""
     with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as folder:
-        return await Episode(scenario, words, program).run(Path(folder), progress)
+        return await Episode(scenario, arguments, program).run(Path(folder), progress)
 
 
 def saved(outcome: Outcome) -> str:
--- a/magpieshift/lab/experiments/episode_report.py
+++ b/magpieshift/lab/experiments/episode_report.py
@@ -17,7 +17,7 @@
 Run = Mapping[str, Any]  # in the form that ``episode.saved`` writes
 
 
-class Slice(BaseModel):
+class SavedSecond(BaseModel):
     """One second of a run: request counts, and latencies in milliseconds."""
 
     second: int
@@ -29,7 +29,7 @@
     p99_ms: float
 
 
-class Injected(BaseModel):
+class SavedFault(BaseModel):
     """One fault that was injected into the run."""
 
     what: str
@@ -38,21 +38,21 @@
     for_s: float
 
 
-class Saved(BaseModel):
+class SavedRun(BaseModel):
     """Fields of a saved run, as far as they are validated."""
 
     figures: dict[str, Any]
-    slices: list[Slice]
+    slices: list[SavedSecond]
     stores: dict[str, list[int]]  # requests in each second, by the endpoint's place; negative while down
     examples: list[str]
-    failures: list[Injected]
+    failures: list[SavedFault]
 
 
 def load(path: str) -> Run:
     """Load a saved run. Raises ``ConfigError`` if the file does not contain one."""
     text = read_text(path)
     try:
-        Saved.model_validate_json(text)
+        SavedRun.model_validate_json(text)
     except ValidationError as err:
         first = err.errors(include_url=False)[0]
         place = " ".join(map(str, first["loc"])) or "the whole file"
@@ -60,11 +60,11 @@
             f"{path} is no saved episode: {place}: found {first['input']!r:.80}, "
             f"expected {first['msg'].removeprefix('Input should be ')}"
         ) from err
-    found: Run = json.loads(text)
-    return found
+    run: Run = json.loads(text)
+    return run
 
 
-def _png(run: Run, latest: float) -> bytes:
+def _plot_png(run: Run, latest: float) -> bytes:
     import matplotlib
 
     matplotlib.use("Agg")
@@ -91,10 +91,14 @@
             )
     places = list(run["stores"])
     grid = [[max(-1, value) for value in run["stores"][place]] for place in places]
-    most = max((value for row in grid for value in row), default=1) or 1
+    most_requests = max((value for row in grid for value in row), default=1) or 1
     for y, row in enumerate(grid):
         for x, value in enumerate(row):
-            shade: Any = "#c33" if value < 0 else (1 - 0.85 * value / most, 1 - 0.5 * value / most, 1.0)
+            shade: Any = (
+                "#c33"
+                if value < 0
+                else (1 - 0.85 * value / most_requests, 1 - 0.5 * value / most_requests, 1.0)
+            )
             stores.broken_barh([(x, 1)], (y - 0.4, 0.8), color=shade, lw=0)
     stores.set_ylim(-0.6, len(places) - 0.4)
     stores.set_yticks(range(len(places)), places)
@@ -112,7 +116,7 @@
     latest = max((len(run["slices"]) for run in runs.values()), default=1)
     columns = []
     for name, run in runs.items():
-        picture = base64.b64encode(_png(run, latest)).decode()
+        picture = base64.b64encode(_plot_png(run, latest)).decode()
         failures = "".join(
             f"<li>{f['at_s']:g} s: {html.escape(f['what'])} {html.escape(f['who'])} ({f['for_s']:g} s)</li>"
             for f in run["failures"]
--- a/magpieshift/lab/experiments/scenario.py
+++ b/magpieshift/lab/experiments/scenario.py
@@ -89,7 +89,7 @@
     """Validate a scenario's data. Raises ``UnusableDocumentError`` with all problems found."""
     form = validate_form(ScenarioForm, data, lines or {})
     faults = [Fault(name, f.what, f.who, f.at_s, f.for_s, f.by) for name, f in form.failures.items()]
-    found = Scenario(
+    scenario = Scenario(
         form.seconds,
         form.seed,
         form.rate,
@@ -99,13 +99,15 @@
         tuple(sorted(faults, key=lambda f: f.start_s)),
     )
     problems = [
-        Problem(f"failures {f.name} who", 0, sexp.shorten(f.place), "one of " + ", ".join(found.place_names))
+        Problem(
+            f"failures {f.name} who", 0, sexp.shorten(f.place), "one of " + ", ".join(scenario.place_names)
+        )
         for f in faults
-        if f.what not in PLACELESS_FAULTS and f.place not in found.place_names
+        if f.what not in PLACELESS_FAULTS and f.place not in scenario.place_names
     ]
     if problems:
         raise UnusableDocumentError(problems)
-    return found
+    return scenario
 
 
 def load_file(path: str) -> Scenario:
@@ -123,30 +125,30 @@
     """
     rand = np.random.default_rng(seed)
     failures: dict[str, Any] = {}
-    at = min(3.0, seconds / 6)
+    start_s = min(3.0, seconds / 6)
     number = 0
-    while at < seconds * 0.85:
-        length = float(rand.uniform(3.0, 6.0))
+    while start_s < seconds * 0.85:
+        duration_s = float(rand.uniform(3.0, 6.0))
         number += 1
         box = f"box{rand.integers(1, 5)}"
         hub = f"hub{rand.integers(1, 3)}"
         group: list[dict[str, Any]] = [
             {"what": "late-list", "for-s": float(rand.uniform(1.0, 3.0))},
-            {"what": "die", "who": box, "for-s": length},
-            {"what": "slow", "who": "origin", "for-s": length, "by": float(rand.uniform(80, 300))},
+            {"what": "die", "who": box, "for-s": duration_s},
+            {"what": "slow", "who": "origin", "for-s": duration_s, "by": float(rand.uniform(80, 300))},
         ]
         if rand.random() < 0.5:
-            group.append({"what": "die", "who": hub, "for-s": length})
+            group.append({"what": "die", "who": hub, "for-s": duration_s})
         other = f"box{rand.integers(1, 5)}"
         if other != box:
             what = str(rand.choice(["pause", "reset", "lose", "drain"]))
             group.append({"what": what, "who": other, "for-s": float(rand.uniform(0.5, 2.0)), "by": 0.1})
         group.append({"what": "purge"})
-        for i, failure in enumerate(group):
-            when = at + float(rand.uniform(0.0, 0.4))
-            failures[f"f{number}-{i}"] = failure | {
-                "at-s": round(when, 3),
-                "for-s": round(failure.get("for-s", 0.0), 3),
+        for i, fault in enumerate(group):
+            fault_start_s = start_s + float(rand.uniform(0.0, 0.4))
+            failures[f"f{number}-{i}"] = fault | {
+                "at-s": round(fault_start_s, 3),
+                "for-s": round(fault.get("for-s", 0.0), 3),
             }
-        at += length + float(rand.uniform(3.0, 9.0))
+        start_s += duration_s + float(rand.uniform(3.0, 9.0))
     return load({"seconds": seconds, "seed": seed, "rate": rate, "failures": failures})
--- a/tests/engine/test_trace.py
+++ b/tests/engine/test_trace.py
@@ -71,10 +71,10 @@
         total = {name: sum(second[name] for second in seconds) for name in names}
         self.assertEqual(counts.routers, 3)
         self.assertEqual(total, {"asked": 3, "fills": 6, "refused": 3})
-        rows = {row["store"]: row for row in counts.store_rows()}
+        rows = {row["store"]: row for row in counts.endpoint_rows()}
         self.assertEqual(sum(int(str(row["fills"])) for row in rows.values()), 6)
         self.assertEqual({row["bad"] for name, row in rows.items() if str(name).startswith("hub")} - {0}, {3})
-        self.assertEqual(sum(counts.refusals.values()), 3)
+        self.assertEqual(sum(counts.rejections.values()), 3)
 
     def test_logs_without_trace_lines_are_reported(self) -> None:
         (self.folder / "n0.log").write_text(
