--- a/magpieshift/cli/lab_episode.py
+++ b/magpieshift/cli/lab_episode.py
@@ -103,7 +103,7 @@
 
         options = ["--capture", folder] if folder else []
         outcome = asyncio.run(episodes.play(scenario, options, show_elapsed))
-    text = episodes.saved(outcome)
+    text = episodes.to_json(outcome)
     if save:
         Path(save).write_text(text, encoding="utf-8")
     if report:
--- a/magpieshift/cli/lab_fleet.py
+++ b/magpieshift/cli/lab_fleet.py
@@ -179,14 +179,14 @@
     behaviour of all routers."""
     import os
 
-    from magpieshift.lab.experiments.overload import SCENARIOS, GossipSettings, map_of, play
+    from magpieshift.lab.experiments.overload import SCENARIOS, GossipSettings, play, play_map
     from magpieshift.lab.simulated.fleet_state import FleetSize
 
     if liars > routers:
         raise ConfigError(f"--liars: found {liars}, expected at most {routers}, the number of routers")
     fleet_size = FleetSize(routers=routers, seed=seed, load_factor=load)
     if show_map:
-        output.print_rows([vars(point) for point in map_of(fleet_size, os.cpu_count() or 1)], as_json)
+        output.print_rows([vars(point) for point in play_map(fleet_size, os.cpu_count() or 1)], as_json)
         return
     for name in [scenario] if scenario else SCENARIOS:
         row = play(name, fleet_size, None if without else GossipSettings(digests_lost, liars)).row()
--- a/magpieshift/lab/experiments/cost.py
+++ b/magpieshift/lab/experiments/cost.py
@@ -76,7 +76,7 @@
 
 
 def recording_variants(folder: str, disk_blocked: bool) -> list[Variant]:
-    """Return ``run`` without and with recording of a capture; with ``disk_blocked`` also on a blocked disk."""
+    """Return ``run`` without and with recording of a capture, and optionally with a blocked disk."""
     capture = {"EDGE_CAPTURE": "{folder}/capture"}
     variants = [
         Variant("not recording", folder, ("0", "run"), program=("-c", RUN_WITH_TICKER)),
--- a/magpieshift/lab/experiments/episode.py
+++ b/magpieshift/lab/experiments/episode.py
@@ -205,12 +205,12 @@
     progress: Callable[[float], None] = lambda seconds: None,
     program: Sequence[str] = ROUTER_COMMAND,
 ) -> Outcome:
-    """Run an episode in a temporary folder. ``arguments`` are more options of ``run``, as ``--capture DIR``."""
+    """Run an episode in a temporary folder. ``arguments`` are added to those of ``run``."""
     with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as folder:
         return await Episode(scenario, arguments, program).run(Path(folder), progress)
 
 
-def saved(outcome: Outcome) -> str:
+def to_json(outcome: Outcome) -> str:
     """Return an outcome as JSON, for a later report that compares it with others."""
     plain = {
         "figures": outcome.figures,
--- a/magpieshift/lab/experiments/episode_report.py
+++ b/magpieshift/lab/experiments/episode_report.py
@@ -14,7 +14,7 @@
 
 from magpieshift.config import ConfigError, read_text
 
-Run = Mapping[str, Any]  # in the form that ``episode.saved`` writes
+Run = Mapping[str, Any]  # in the form that ``episode.to_json`` writes
 
 
 class SavedSecond(BaseModel):
--- a/magpieshift/lab/experiments/overload.py
+++ b/magpieshift/lab/experiments/overload.py
@@ -1,8 +1,8 @@
 """Overload scenarios on a simulated fleet of any size: failures that arise from the routers'
 interaction, not in a single router.
 
-``map_of`` runs all combinations of loads, triggers and client retry limits, and records for each whether the
-fleet recovers by itself once the trigger is gone, or whether the failure is metastable.
+``play_map`` runs all combinations of loads, triggers and client retry limits, and records for each whether
+the fleet recovers by itself once the trigger is gone, or whether the failure is metastable.
 """
 
 from __future__ import annotations
@@ -273,7 +273,7 @@
     """Whether the failure is metastable: the fleet did not recover within ``MAX_RECOVERY_S``."""
 
 
-def point(load: float, trigger: str, tries: int, size: FleetSize) -> MapPoint:
+def play_point(load: float, trigger: str, tries: int, size: FleetSize) -> MapPoint:
     """Run one combination of the map. No client waits for Retry-After: this makes retries most harmful."""
     outcome = play(trigger, replace(size, load_factor=load, max_attempts=tries, patient_share=0.0))
     stays_bad = outcome.back_to_95_s >= MAX_RECOVERY_S
@@ -290,10 +290,10 @@
 """Maximum attempts of the map's clients: without retries, the usual number, and persistent retries."""
 
 
-def map_of(size: FleetSize, workers: int) -> list[MapPoint]:
+def play_map(size: FleetSize, workers: int) -> list[MapPoint]:
     """Run all combinations of the map in ``workers`` processes."""
     combinations = [
         (load, trigger, tries) for trigger in MAP_TRIGGERS for tries in MAP_MAX_ATTEMPTS for load in MAP_LOADS
     ]
     with ProcessPoolExecutor(workers) as pool:
-        return list(pool.map(point, *zip(*combinations, strict=True), [size] * len(combinations)))
+        return list(pool.map(play_point, *zip(*combinations, strict=True), [size] * len(combinations)))
--- a/tests/capture/test_process.py
+++ b/tests/capture/test_process.py
@@ -89,7 +89,7 @@
         self.assertEqual(done.returncode, 1, done.stderr)
         self.assertIn("by kind", done.stdout)
         self.assertLess(len(done.stdout.splitlines()), 80)
-        saved = json.loads(episode.saved(outcome))
+        saved = json.loads(episode.to_json(outcome))
         episode_report.write(str(self.folder / "r.html"), {"one": saved, "two": saved})
         self.assertIn("data:image/png;base64", (self.folder / "r.html").read_text())
 
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -127,7 +127,7 @@
         self.assertTrue(fleet.record.violations)
 
     def test_a_point_of_the_map(self) -> None:
-        found = overload.point(0.85, "burst", 4, FORM)
+        found = overload.play_point(0.85, "burst", 4, FORM)
         self.assertFalse(found.stays_bad)
 
 
