--- a/magpieshift/lab/capacity/roles/capture.py
+++ b/magpieshift/lab/capacity/roles/capture.py
@@ -11,7 +11,7 @@
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.processor import count_processor_time
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
-from magpieshift.lab.experiments.decisions import Run
+from magpieshift.lab.experiments.decisions import PolicyRun
 from magpieshift.policy.actions import SendCacheRequest, SendPlainRequest
 from magpieshift.policy.events import Event
 
@@ -21,20 +21,20 @@
 MAX_CAPTURE_BYTES = 512e6  # that a capture may take on disk
 
 
-class RecordedRun(Run):
+class RecordedRun(PolicyRun):
     """Decisions that pass through a recorder."""
 
     def __init__(self, caches: int, seed: int, recorder: Recorder | None) -> None:
         self._recorder = recorder
         super().__init__(caches, seed)
 
-    def _feed(self, event: Event) -> None:
+    def _handle(self, event: Event) -> None:
         if self._recorder is None:
-            super()._feed(event)
+            super()._handle(event)
             return
         for action in self._recorder.handle(self.router, self.now, (event,)):
             if isinstance(action, SendPlainRequest | SendCacheRequest):
-                self._out.append(action)
+                self._open_attempts.append(action)
 
 
 class Capture:
--- a/magpieshift/lab/capacity/roles/decisions.py
+++ b/magpieshift/lab/capacity/roles/decisions.py
@@ -5,7 +5,7 @@
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.processor import count_processor_time
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
-from magpieshift.lab.experiments.decisions import OPEN, Run
+from magpieshift.lab.experiments.decisions import OPEN_ATTEMPTS, PolicyRun
 
 REQUESTS = 400  # in one measurement
 HALF_CORE_US = 0.5e6 / fleet.REQUESTS_PER_ROUTER_S
@@ -30,8 +30,8 @@
 
     def measure(self, size: float, seed: int, for_s: float) -> Sample:
         """Decide on requests in a zone of so many caches."""
-        run = Run(int(size), seed)
-        for _ in range(2 * OPEN):
+        run = PolicyRun(int(size), seed)
+        for _ in range(2 * OPEN_ATTEMPTS):
             run.request()
         with count_processor_time() as spent:
             for _ in range(REQUESTS):
--- a/magpieshift/lab/capacity/roles/membership.py
+++ b/magpieshift/lab/capacity/roles/membership.py
@@ -5,7 +5,7 @@
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.processor import count_processor_time
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
-from magpieshift.lab.experiments.membership_network import SECOND, FleetSettings, started_network
+from magpieshift.lab.experiments.membership_network import SECOND_US, FleetSettings, started_network
 from magpieshift.membership.codec import decode, encode
 from magpieshift.membership.messages import Datagram
 
@@ -44,7 +44,7 @@
         network.sent = 0
         network.bytes = 0
         with count_processor_time() as spent:
-            network.run(network.now_us + SIMULATED_S * SECOND)
+            network.run(network.now_us + SIMULATED_S * SECOND_US)
         member_seconds = members * SIMULATED_S
         return Sample(
             size,
--- a/magpieshift/lab/capacity/roles/objects.py
+++ b/magpieshift/lab/capacity/roles/objects.py
@@ -9,7 +9,7 @@
 from magpieshift.lab.capacity.processor import count_processor_time
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.capacity.roles.decisions import BUDGET
-from magpieshift.lab.experiments.decisions import Run
+from magpieshift.lab.experiments.decisions import PolicyRun
 from magpieshift.policy.events import Event, RequestReceived
 
 TARGET_OBJECTS = 35_000_000_000  # of the whole fleet
@@ -17,13 +17,13 @@
 PROGRAM_MEMORY_MB = 16.0  # of the emulated settings' 64 MB, for the program
 
 
-class EveryObjectOnce(Run):
+class EveryObjectOnce(PolicyRun):
     """Requests of which each asks for an object that was never requested."""
 
-    def _feed(self, event: Event) -> None:
+    def _handle(self, event: Event) -> None:
         if isinstance(event, RequestReceived):
             event = replace(event, object_key=event.request_id)
-        super()._feed(event)
+        super()._handle(event)
 
 
 class Objects:
--- a/magpieshift/lab/capacity/routers.py
+++ b/magpieshift/lab/capacity/routers.py
@@ -13,7 +13,7 @@
 from magpieshift.lab.capacity.processor import processor_s, resident_mb
 from magpieshift.lab.emulators import peers
 from magpieshift.lab.emulators.world import LoopbackInstallation
-from magpieshift.lab.experiments.cost import Variant, started
+from magpieshift.lab.experiments.cost import Variant, serving_router
 
 REPOSITORY_ROOT = str(Path(__file__).resolve().parents[3])
 CATCH_UP_TIMEOUT_S = 60.0  # for all that the change log has sent
@@ -140,7 +140,7 @@
         await world.start(members)
         variant = Variant("router", folder, await arguments(world))
         try:
-            process, log = await stack.enter_async_context(started(variant, world))
+            process, log = await stack.enter_async_context(serving_router(variant, world))
         except RuntimeError as err:
             if PORT_TAKEN not in str(err):
                 raise
--- a/magpieshift/lab/experiments/admin_client.py
+++ b/magpieshift/lab/experiments/admin_client.py
@@ -13,7 +13,7 @@
 from magpieshift.admin.server import MAX_CONNECTIONS
 from magpieshift.lab.emulators.request_generator import RequestGenerator
 from magpieshift.lab.emulators.world import LoopbackInstallation
-from magpieshift.lab.experiments.cost import Variant, started
+from magpieshift.lab.experiments.cost import Variant, serving_router
 from magpieshift.lab.fault_injection.ports import free_port
 
 CLIENTS = 4  # load clients that share the request rate
@@ -50,7 +50,7 @@
     await loopback.start()
     checkout = os.path.dirname(os.path.dirname(os.path.dirname(__file__)))
     variant = Variant("this", checkout, environment={"EDGE_CONSOLE": f"127.0.0.1:{port}"})
-    async with started(variant, loopback) as (process, _):
+    async with serving_router(variant, loopback) as (process, _):
         clients = [
             RequestGenerator(loopback.router_port, random.Random(i), lambda: True) for i in range(CLIENTS)
         ]
--- a/magpieshift/lab/experiments/cost.py
+++ b/magpieshift/lab/experiments/cost.py
@@ -38,7 +38,7 @@
 
     name: str
     folder: str
-    words: Sequence[str] = ()
+    arguments: Sequence[str] = ()
     environment: Mapping[str, str] | None = None
     program: Sequence[str] = ("-m", "magpieshift")
 
@@ -188,7 +188,7 @@
 
 
 @contextlib.asynccontextmanager
-async def started(
+async def serving_router(
     variant: Variant, loopback: LoopbackInstallation
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, Path]]:
     """Start a router's process; yields the process once it serves, and its log file.
@@ -204,7 +204,7 @@
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 *variant.program,
-                *variant.words,
+                *variant.arguments,
                 cwd=variant.folder,
                 stderr=file,
                 env={name: value.replace("{folder}", folder) for name, value in environment.items()},
@@ -231,7 +231,7 @@
     loopback = LoopbackInstallation()
     await loopback.start()
     try:
-        async with started(variant, loopback) as (process, log):
+        async with serving_router(variant, loopback) as (process, log):
             clients = [
                 RequestGenerator(loopback.router_port, random.Random(seed + i), lambda: True)
                 for i in range(4)
--- a/magpieshift/lab/experiments/decisions.py
+++ b/magpieshift/lab/experiments/decisions.py
@@ -27,8 +27,8 @@
 from magpieshift.policy.router_policy import RouterPolicy
 from magpieshift.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-SECOND = 1_000_000  # in microseconds
-OPEN = 40  # attempts open at the same time
+SECOND_US = 1_000_000
+OPEN_ATTEMPTS = 40  # attempts open at the same time
 PARENT_COUNT = 4  # parent caches
 
 
@@ -38,9 +38,9 @@
         Idempotency.IDEMPOTENT,
         DeduplicationScope.ALL,
         0,
-        SECOND // 2,
+        SECOND_US // 2,
         2.0,
-        4 * SECOND,
+        4 * SECOND_US,
         1.0,
         0.1,
         False,
@@ -66,14 +66,14 @@
         answer_slack_us=8000,
         drain_grace_us=250_000,
         slow_start_fraction=0.2,
-        slow_start_us=18 * SECOND,
+        slow_start_us=18 * SECOND_US,
         overload_multiple=2.5,
-        overload_window_us=SECOND,
+        overload_window_us=SECOND_US,
         parent_slow_start_fraction=0.1,
-        parent_slow_start_us=19 * SECOND,
+        parent_slow_start_us=19 * SECOND_US,
         parent_overload_multiple=2.0,
-        purge_grace_us=SECOND // 2,
-        purge_propagation_us=6 * SECOND,
+        purge_grace_us=SECOND_US // 2,
+        purge_propagation_us=6 * SECOND_US,
         connect_timeout_us=400_000,
         max_attempts=8,
         max_retry_after_us=900_000,
@@ -90,19 +90,19 @@
     )
 
 
-class Run:
+class PolicyRun:
     """A router policy with a number of caches, and simulated requests and answers."""
 
     def __init__(self, caches: int, seed: int) -> None:
         self.router = RouterPolicy(settings(), seed)
         self._random = random.Random(seed)
-        self.now = 1_764_576_000 * SECOND
+        self.now = 1_764_576_000 * SECOND_US
         self._ids = 0
-        self._out: list[SendPlainRequest | SendCacheRequest] = []
+        self._open_attempts: list[SendPlainRequest | SendCacheRequest] = []
         self._attempt_counts: dict[int, int] = {}
         entries = [self._entry(100 + i, 1, 0) for i in range(caches)]
         entries += [self._entry(10 + i, 0, 1) for i in range(PARENT_COUNT)] + [self._entry(1, 0, 2)]
-        self._feed(EndpointListReceived(EndpointListKind.COMPLETE, 1, tuple(entries)))
+        self._handle(EndpointListReceived(EndpointListKind.COMPLETE, 1, tuple(entries)))
 
     @staticmethod
     def _entry(store: int, zone: int, kind: int) -> Endpoint:
@@ -111,20 +111,20 @@
             store * 0x9E3779B97F4A7C15 % (1 << 64), zone, kind, store, EndpointState.READY, 4.0, 0
         )
 
-    def _feed(self, event: Event) -> None:
+    def _handle(self, event: Event) -> None:
         for action in self.router.handle(self.now, (event,)):
             if isinstance(action, SendPlainRequest | SendCacheRequest):
-                self._out.append(action)
+                self._open_attempts.append(action)
 
     def request(self) -> None:
-        """Receive one request, then end the oldest attempts until at most ``OPEN`` are open."""
+        """Receive one request, then end the oldest attempts until at most ``OPEN_ATTEMPTS`` are open."""
         self._ids += 1
         self._attempt_counts[self._ids] = 0
         key = int(self._random.paretovariate(0.8)) % 5000 + 1
-        self._feed(RequestReceived(self._ids, 0, 0, key, 4 * SECOND, 30.0, key % 256, 0, False, False))
+        self._handle(RequestReceived(self._ids, 0, 0, key, 4 * SECOND_US, 30.0, key % 256, 0, False, False))
         self.now += 500
-        while len(self._out) > OPEN:
-            sent = self._out.pop(0)
+        while len(self._open_attempts) > OPEN_ATTEMPTS:
+            sent = self._open_attempts.pop(0)
             attempt = self._attempt_counts[sent.request_id]
             self._attempt_counts[sent.request_id] = attempt + 1
             is_fill = isinstance(sent, SendCacheRequest) and sent.source != sent.endpoint
@@ -133,7 +133,7 @@
             cache_status = CacheStatus.FILLED if is_fill else CacheStatus.HIT if ok else CacheStatus.NONE
             if ok:
                 del self._attempt_counts[sent.request_id]
-            self._feed(
+            self._handle(
                 AttemptEnded(sent.request_id, outcome, 9_000, 0, ok, cache_status, sent.endpoint, attempt, ())
             )
 
@@ -147,12 +147,12 @@
     request_counts: dict[int, int] = dict.fromkeys(sizes, 0)
     for round_ in range(rounds):
         for size in sizes:
-            run = Run(size, seed=round_)
+            run = PolicyRun(size, seed=round_)
             handled = 0
             gc.collect()
             gc.disable()
             try:
-                for _ in range(2 * OPEN):
+                for _ in range(2 * OPEN_ATTEMPTS):
                     run.request()
                 started_s = time.process_time()
                 while handled < requests and time.process_time() - started_s < budget_s / rounds:
--- a/magpieshift/lab/experiments/membership_network.py
+++ b/magpieshift/lab/experiments/membership_network.py
@@ -23,16 +23,16 @@
 from magpieshift.membership.quota_lease import FLEET_SCOPE, QuotaLease
 from magpieshift.membership.suspicion import DetectorTuning
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 """A second in microseconds."""
 SOCKET_BUFFER_DATAGRAMS = 512
 """Capacity of a socket's receive buffer in datagrams; with a larger one, a process receives more at once when
 it resumes."""
 PORT = 7946
 """Port of all simulated routers. Its value has no influence; 7946 is the default of memberlist."""
-STARTUP_SPAN_US = SECOND
+STARTUP_SPAN_US = SECOND_US
 """Time within which the routers of a fleet start."""
-MAX_CLOCK_OFFSET_US = 10 * SECOND
+MAX_CLOCK_OFFSET_US = 10 * SECOND_US
 """Upper limit of the initial offset of a process's clock from the network's clock."""
 QUOTA_CHECK_INTERVAL_US = 5_000
 """Minimum interval between two checks of the total quota: well below a tick, the interval at which quotas
@@ -123,7 +123,7 @@
         """Number of checks in which the sum of all quotas in use exceeded 1."""
         self.max_total_quota = 0.0
         """Largest sum of all quotas in use."""
-        self._quotas_checked_us = -SECOND
+        self._quotas_checked_us = -SECOND_US
         self.size: Callable[[Datagram], int] = lambda datagram: 0
         """Returns the size of a datagram on the wire in bytes; by default datagrams count as empty."""
         self._heap: list[tuple[int, int, Callable[[], object]]] = []
@@ -189,7 +189,7 @@
             self.now_us, _, action = heapq.heappop(self._heap)
             action()
             if condition is not None and self.now_us >= next_check_us:
-                next_check_us = self.now_us + SECOND // CONDITION_CHECKS_PER_S
+                next_check_us = self.now_us + SECOND_US // CONDITION_CHECKS_PER_S
                 if condition():
                     return True
         self.now_us = until_us
@@ -280,5 +280,5 @@
         name = f"r{number}"
         network.schedule(network.rand.randrange(STARTUP_SPAN_US), partial(network.start, name))
     network.run(STARTUP_SPAN_US)
-    network.run(int(timeout_s * SECOND), network.views_agree)
+    network.run(int(timeout_s * SECOND_US), network.views_agree)
     return network
--- a/magpieshift/lab/experiments/membership_trial.py
+++ b/magpieshift/lab/experiments/membership_trial.py
@@ -9,7 +9,7 @@
 from functools import partial
 
 from magpieshift.lab.experiments.membership_network import (
-    SECOND,
+    SECOND_US,
     FleetSettings,
     Network,
     ObservedChange,
@@ -22,14 +22,14 @@
 RECOVERY_S = 10
 """Duration of the traffic measurement without faults, and of the recovery time between two parts of a trial;
 a fleet recovers faster."""
-FIRST_PAUSE_SPAN_US = 30 * SECOND
+FIRST_PAUSE_SPAN_US = 30 * SECOND_US
 """Time within which the first pause of each process begins."""
-PAUSE_RANGE_US = (50_000, 5 * SECOND)
+PAUSE_RANGE_US = (50_000, 5 * SECOND_US)
 """Range of a pause's duration: from pauses that occur on a busy machine to the longest one after which a
 router must not have been removed."""
-BETWEEN_PAUSES_RANGE_US = (10 * SECOND, 60 * SECOND)
+BETWEEN_PAUSES_RANGE_US = (10 * SECOND_US, 60 * SECOND_US)
 """Range of the time between two pauses of a process."""
-PAUSE_FREE_END_US = 6 * SECOND
+PAUSE_FREE_END_US = 6 * SECOND_US
 """Time before the end of this part in which no pause begins: longer than the longest pause, so that all
 pauses end in time."""
 DETECTION_TIMEOUT_S = 20
@@ -108,7 +108,7 @@
 
 
 def _run_for(network: Network, seconds: int) -> None:
-    network.run(network.now_us + seconds * SECOND)
+    network.run(network.now_us + seconds * SECOND_US)
 
 
 def _measure_cost(network: Network, outcome: Outcome) -> None:
@@ -128,7 +128,7 @@
     network.loss = loss
     first_change = len(network.changes)
     start_us = network.now_us
-    end_us = start_us + int(minutes * 60 * SECOND)
+    end_us = start_us + int(minutes * 60 * SECOND_US)
     if pauses:
         for name in names:
             _schedule_pauses(network, name, start_us, end_us)
@@ -164,9 +164,9 @@
             removed_us = first_seen.get((observer.name, MemberState.DEAD))
             suspected_us = first_seen.get((observer.name, MemberState.SUSPECT))
             seen_us = [at_us for at_us in (removed_us, suspected_us) if at_us is not None]
-            detected_s.append((min(seen_us) - died_us) / SECOND if seen_us else float(DETECTION_TIMEOUT_S))
+            detected_s.append((min(seen_us) - died_us) / SECOND_US if seen_us else float(DETECTION_TIMEOUT_S))
             removed_s.append(
-                (removed_us - died_us) / SECOND if removed_us is not None else float(DETECTION_TIMEOUT_S)
+                (removed_us - died_us) / SECOND_US if removed_us is not None else float(DETECTION_TIMEOUT_S)
             )
         network.start(name)
         _run_for(network, RECOVERY_S)
@@ -190,8 +190,8 @@
     _run_for(network, PARTITION_S)
     network.cut = lambda source, target: False
     healed_us = network.now_us
-    network.run(healed_us + HEALING_TIMEOUT_S * SECOND, network.views_agree)
-    outcome.agree_after_heal_s = (network.now_us - healed_us) / SECOND
+    network.run(healed_us + HEALING_TIMEOUT_S * SECOND_US, network.views_agree)
+    outcome.agree_after_heal_s = (network.now_us - healed_us) / SECOND_US
     _run_for(network, RECOVERY_S)
 
 
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -5,7 +5,7 @@
 import unittest
 from functools import partial
 
-from magpieshift.lab.experiments.membership_network import SECOND, FleetSettings, Network, started_network
+from magpieshift.lab.experiments.membership_network import SECOND_US, FleetSettings, Network, started_network
 from magpieshift.lab.experiments.membership_trial import false_removals
 from magpieshift.membership.member import MemberState
 from magpieshift.membership.suspicion import DetectorTuning
@@ -19,7 +19,9 @@
 
     def assert_agreement(self, network: Network, within_s: int = 30) -> None:
         """Assert that all views agree within a time without faults, and that quotas never exceeded 1."""
-        self.assertTrue(network.run(network.now_us + within_s * SECOND, network.views_agree), "views differ")
+        self.assertTrue(
+            network.run(network.now_us + within_s * SECOND_US, network.views_agree), "views differ"
+        )
         self.assertEqual(network.quota_excesses, 0, f"the quotas added up to {network.max_total_quota}")
 
     def assert_none_removed(self, network: Network, excluded: tuple[str, ...] = ()) -> None:
@@ -38,7 +40,7 @@
             network = Network(FleetSettings(16, seed_count=1), seed)
             for number in range(1, 16):
                 network.start(f"r{number}")
-            network.run(10 * SECOND)
+            network.run(10 * SECOND_US)
             network.start("r0")
             self.assert_agreement(network)
             self.assert_none_removed(network)
@@ -46,15 +48,15 @@
     def test_pauses_of_five_seconds_remove_nobody(self) -> None:
         for seed in self.SEEDS:
             network = started_network(FleetSettings(8), seed)
-            network.pause("r1", 5 * SECOND)
-            network.run(network.now_us + 8 * SECOND)
+            network.pause("r1", 5 * SECOND_US)
+            network.run(network.now_us + 8 * SECOND_US)
             for name in ("r2", "r3", "r4"):
-                network.pause(name, 5 * SECOND)
-            network.run(network.now_us + 8 * SECOND)
+                network.pause(name, 5 * SECOND_US)
+            network.run(network.now_us + 8 * SECOND_US)
             for number in range(8):  # all of them, at different times
-                when = network.now_us + network.rand.randrange(8 * SECOND)
-                network.schedule(when, partial(network.pause, f"r{number}", 5 * SECOND))
-            network.run(network.now_us + 14 * SECOND)
+                when = network.now_us + network.rand.randrange(8 * SECOND_US)
+                network.schedule(when, partial(network.pause, f"r{number}", 5 * SECOND_US))
+            network.run(network.now_us + 14 * SECOND_US)
             self.assert_none_removed(network)
             self.assert_agreement(network)
 
@@ -63,7 +65,7 @@
             network = started_network(FleetSettings(8), seed)
             network.start("late")
             network.run(network.now_us + 100_000 * (seed % 30 + 1))
-            network.pause("late", 5 * SECOND)
+            network.pause("late", 5 * SECOND_US)
             self.assert_agreement(network)
             self.assert_none_removed(network)
 
@@ -72,7 +74,7 @@
             for receives_nothing in (True, False):
                 network = started_network(FleetSettings(8), seed)
                 network.cut = (lambda a, b: b == "r3") if receives_nothing else (lambda a, b: a == "r3")
-                network.run(network.now_us + 20 * SECOND)
+                network.run(network.now_us + 20 * SECOND_US)
                 # r3 declares no member dead, and only r3 may be declared dead.
                 self.assert_none_removed(network, ("r3",))
                 detector_of_r3 = network.processes["r3"].detector
@@ -94,7 +96,7 @@
         for seed in self.SEEDS:
             network = started_network(FleetSettings(8), seed)
             network.cut = lambda a, b: b == "r3" and a in ("r0", "r1", "r2")
-            network.run(network.now_us + 20 * SECOND)
+            network.run(network.now_us + 20 * SECOND_US)
             self.assert_none_removed(network)
             network.cut = lambda a, b: False
             self.assert_agreement(network)
@@ -103,7 +105,7 @@
         for seed in self.SEEDS:
             network = started_network(FleetSettings(8), seed)
             network.cut = lambda a, b: (a, b) == ("r1", "r2")
-            network.run(network.now_us + 20 * SECOND)
+            network.run(network.now_us + 20 * SECOND_US)
             self.assert_none_removed(network)
             self.assertTrue(network.views_agree())
 
@@ -113,7 +115,7 @@
             before = {n: network.processes[n].detector.view.own.incarnation for n in network.processes}
             for number in range(3, 10):
                 network.kill(f"r{number}")
-            network.run(network.now_us + int((1 + seed / 6) * SECOND))
+            network.run(network.now_us + int((1 + seed / 6) * SECOND_US))
             for number in range(3, 10):
                 network.start(f"r{number}")
             self.assert_agreement(network)
@@ -152,10 +154,10 @@
             network = started_network(FleetSettings(8), seed)
             half = {"r0", "r1", "r2", "r3", "new"}
             network.cut = lambda a, b, half=half: (a in half) != (b in half)  # type: ignore[misc]
-            network.run(network.now_us + 5 * SECOND)
+            network.run(network.now_us + 5 * SECOND_US)
             network.start("new")
             network.leave("r6")
-            network.run(network.now_us + 15 * SECOND)
+            network.run(network.now_us + 15 * SECOND_US)
             network.cut = lambda a, b: False
             self.assert_agreement(network)
             for process in network.living():
@@ -165,7 +167,7 @@
         network = started_network(FleetSettings(8), 1)
         left_at_us = network.now_us
         network.leave("r5")
-        network.run(left_at_us + 2 * SECOND)
+        network.run(left_at_us + 2 * SECOND_US)
         for process in network.living():
             self.assertEqual(process.detector.view.members["r5"].state, MemberState.LEFT)
         self.assertFalse(
@@ -176,7 +178,7 @@
         for seed in self.SEEDS:
             network = started_network(FleetSettings(8), seed)
             network.loss, network.loss_at = 0.3, {"r2": 0.55}
-            network.run(network.now_us + 60 * SECOND)
+            network.run(network.now_us + 60 * SECOND_US)
             self.assert_none_removed(network)
             network.loss, network.loss_at = 0.0, {}
             self.assert_agreement(network)
@@ -184,7 +186,7 @@
     def test_delays_beyond_the_timeout_of_a_ping(self) -> None:
         network = started_network(FleetSettings(8), 1)
         network.delay_us = (800_000, 1_500_000)
-        network.run(network.now_us + 30 * SECOND)
+        network.run(network.now_us + 30 * SECOND_US)
         self.assert_none_removed(network)
 
     def test_two_processes_of_one_name_are_reported_and_both_stay(self) -> None:
@@ -193,7 +195,7 @@
         network.address_of = moved_address  # type: ignore[method-assign]
         second = network.start("r2")
         network.by_address[first.address] = first
-        network.run(network.now_us + 15 * SECOND)
+        network.run(network.now_us + 15 * SECOND_US)
         self.assertEqual(first.detector.counters.conflicts, 1)
         self.assertEqual(second.detector.view.own.name, "r2")
         new_name = first.detector.view.own.name
@@ -209,7 +211,7 @@
         network.address_of = moved_address  # type: ignore[method-assign]
         network.start("r2")
         network.by_address[first.address] = first
-        network.run(network.now_us + 10 * SECOND)
+        network.run(network.now_us + 10 * SECOND_US)
         self.assertTrue(first.detector.superseded)
         self.assertEqual(first.detector.counters.conflicts, 0)
         self.assertFalse(
@@ -242,10 +244,10 @@
                 ),
                 seed,
             )
-            network.pause("r1", 12 * SECOND)
-            network.run(network.now_us + 14 * SECOND)
-            network.pause("r1", 12 * SECOND)
-            network.run(network.now_us + 20 * SECOND)
+            network.pause("r1", 12 * SECOND_US)
+            network.run(network.now_us + 14 * SECOND_US)
+            network.pause("r1", 12 * SECOND_US)
+            network.run(network.now_us + 20 * SECOND_US)
             found += false_removals(network)
         self.assertGreater(found, 0)
 
@@ -261,7 +263,7 @@
         messages, which cost 2% of a core."""
         network = started_network(FleetSettings(8), 1)
         network.sent = 0
-        network.run(network.now_us + 10 * SECOND)
+        network.run(network.now_us + 10 * SECOND_US)
         datagrams_per_s = network.sent / 10 / 8
         # Datagrams per second and member: 70 if every monitored member is pinged.
         self.assertLess(datagrams_per_s, 66)
