--- a/magpieshift/lab/experiments/fleet.py
+++ b/magpieshift/lab/experiments/fleet.py
@@ -64,14 +64,14 @@
 
 
 IMMEDIATE_REJECTION_S = 0.01
-"""Time after a request's receipt within which a rejection counts as immediate, without waiting."""
+"""Time since a request's receipt below which a rejection counts as immediate, that is, without waiting."""
 
 
 @dataclass
 class _Request:
     received_s: float
     last_outcome: str = "none sent"
-    endpoints: tuple[str, str] = ("-", "-")  # endpoint of the latest attempt, and the fill's source
+    endpoints: tuple[str, str] = ("-", "-")  # of the latest attempt: endpoint, and the source if it is a fill
 
 
 @dataclass
--- a/magpieshift/lab/experiments/membership_exploration.py
+++ b/magpieshift/lab/experiments/membership_exploration.py
@@ -25,8 +25,8 @@
 NAMES = ("a", "b", "c")
 """The members: three is the smallest number at which two can disagree about a third."""
 TICK_US = 400_000
-"""Interval between the ticks of a member: longer than the regular one, to save steps, but short enough that
-the member does not count as having been paused (``local_health.MIN_PAUSE_US``)."""
+"""Interval between the ticks of a member: they are late, as the regular one is ``probing.TICK_INTERVAL_US``,
+but not late enough for the member to count as having been paused (``local_health.MIN_PAUSE_US``)."""
 STEP_US = 2_000_000
 """Duration of one transition; with a shorter one, histories of the same depth reach fewer states."""
 RECOVERY_STEPS = 20
@@ -49,7 +49,7 @@
 
     now_us: int = 10_000_000
     incarnations: dict[str, int] = field(default_factory=dict)
-    """Incarnation of the running process of each member; it equals the number of its starts."""
+    """Incarnation of the running process of each member: the number of the member's starts."""
     members: dict[str, FailureDetector] = field(default_factory=dict)
     """Failure detector of the running process of each member."""
     delayed: list[tuple[str, SendDatagram]] = field(default_factory=list)
--- a/magpieshift/lab/experiments/overload.py
+++ b/magpieshift/lab/experiments/overload.py
@@ -20,7 +20,7 @@
 WARM_UP_S = 15
 """Time until caches are filled and rates are stable; with less, the baseline is too low."""
 BASELINE_S = 10
-"""Duration of the baseline, the measurement without faults to which others are compared."""
+"""Duration of the baseline, the measurement without faults to which the rest of a run is compared."""
 MAX_RECOVERY_S = 60
 """Time after a fault within which a fleet must recover; else the failure counts as metastable."""
 WINDOW_S = 3
@@ -139,7 +139,7 @@
     goodput: float = 0.0
     """Share of requests served in time, from the fault on."""
     worst_class: float = 0.0
-    """Goodput of the request class with the lowest one, from the fault on."""
+    """Lowest goodput of any request class, from the fault on."""
     refused: float = 0.0
     """Number of answers "rejected" or "failed" per request, from the fault on."""
     talk_per_s: float = 0.0
--- a/tests/test_overload_processes.py
+++ b/tests/test_overload_processes.py
@@ -1,4 +1,5 @@
-"""Overload of several real router processes: protocol rules hold, and service recovers after each fault."""
+"""Overload of a cluster of real router processes: the protocol's rules hold, and the share of served requests
+recovers after each fault."""
 
 from __future__ import annotations
 
@@ -10,7 +11,7 @@
 from magpieshift.lab.fault_injection.cluster import Cluster
 
 ROUTERS = 6
-RECOVERED_SHARE = 0.95
+RECOVERED_SHARE = 0.95  # served share from which service counts as recovered, as a fraction of the baseline's
 
 
 class OverloadTest(unittest.IsolatedAsyncioTestCase):
@@ -42,13 +43,13 @@
             await cluster.endpoints.inject_fault("slow", "origin", 5.0, by=400)
             await self.wait_for_recovery(baseline_share, "a slow origin")
 
-        with self.subTest("a parent dies and returns cold"):
+        with self.subTest("a parent cache dies and returns empty"):
             await cluster.endpoints.inject_fault("die", "hub1", 3.0)
-            await self.wait_for_recovery(baseline_share, "a dead parent")
+            await self.wait_for_recovery(baseline_share, "the death of a parent cache")
 
         with self.subTest("a cache answers every second request with an error"):
             await cluster.endpoints.inject_fault("err", "box1", 4.0, by=0.5)
-            await self.wait_for_recovery(baseline_share, "errors")
+            await self.wait_for_recovery(baseline_share, "errors of a cache")
 
         with self.subTest(
             "four of six routers are killed under load, and another is paused with full queues"
@@ -62,7 +63,7 @@
             await asyncio.sleep(3.0)
             cluster.resume(names[1])
             await cluster.wait_until_serving(*names[2:])
-            await self.wait_for_recovery(baseline_share, "four routers were killed")
+            await self.wait_for_recovery(baseline_share, "the death of four routers")
 
         request_counts = await cluster.finish()
         self.assertEqual((cluster.violations, cluster.unexpected_exits), ([], []))
