--- a/magpieshift/lab/capacity/roles/objects.py
+++ b/magpieshift/lab/capacity/roles/objects.py
@@ -10,7 +10,7 @@
 from magpieshift.lab.capacity.processor import count_processor_time
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.capacity.roles.decisions import BUDGET
-from magpieshift.lab.experiments.decisions import Run
+from magpieshift.lab.experiments.decisions import PolicyRun
 from magpieshift.policy.events import Event, RequestReceived
 
 TARGET_OBJECTS = 35_000_000_000  # distinct objects of the whole fleet
@@ -18,13 +18,13 @@
 PROGRAM_MEMORY_MB = 16.0  # the program's part of the 64 MB memory limit in the emulated settings
 
 
-class DistinctObjectsRun(Run):
+class DistinctObjectsRun(PolicyRun):
     """A run in which each request asks for an object that was not requested before."""
 
-    def _feed(self, event: Event) -> None:
+    def _handle(self, event: Event) -> None:
         if isinstance(event, RequestReceived):
             event = replace(event, object_key=event.request_id)
-        super()._feed(event)
+        super()._handle(event)
 
 
 class Objects:
--- a/magpieshift/lab/experiments/cost.py
+++ b/magpieshift/lab/experiments/cost.py
@@ -1,8 +1,10 @@
-"""What a router costs: processor time a request and memory, of this program and another, in alternating runs.
+"""Compares processor time per request and peak memory of this and another version of the program, in
+alternating runs.
 
-Each run starts the bare program as the platform does, on the platform's JSON, with the emulators of
-``LoopbackInstallation``, and sends it requests at a steady rate. The processor time is that of the whole
-process from its being ready to the end of the load, the memory its peak, both as the kernel counts them.
+Each run starts the program without a sub-command and with the platform's JSON configuration, as the platform
+does, next to the emulators of ``LoopbackInstallation``, and sends it requests at a constant rate. Processor
+time is that of the whole process while requests are counted; memory is the peak resident size of the process.
+Both are read from the kernel.
 """
 
 from __future__ import annotations
@@ -24,21 +26,24 @@
 from magpieshift.lab.emulators.request_generator import RequestGenerator
 from magpieshift.lab.emulators.world import LoopbackInstallation
 
-TICKS = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")  # unit of processor time in /proc
 
 
 @dataclass(frozen=True)
 class Variant:
-    """A program to measure: where it stands, the words behind ``-m magpieshift``, and its environment."""
+    """A program to measure: its folder, its arguments after ``program``, and additional environment.
+
+    In the values of ``environment``, ``{folder}`` stands for the run's temporary folder.
+    """
 
     name: str
     folder: str
-    words: Sequence[str] = ()
+    arguments: Sequence[str] = ()
     environment: Mapping[str, str] | None = None
     program: Sequence[str] = ("-m", "magpieshift")
 
 
-WATCHED = """
+RUN_WITH_TICKER = """
 import asyncio, os, sys, time
 from hdrh.histogram import HdrHistogram
 from magpieshift.capture import segments
@@ -64,38 +69,41 @@
 print(f"late={late.get_value_at_percentile(99.9)}", file=sys.stderr, flush=True)
 sys.exit(code)
 """
-"""``run`` with a ticker on its event loop, and a disk that is stuck for so many seconds from the second
-on."""
+"""Program that executes ``run`` with a ticker on its event loop, which records how late it wakes up. The
+first argument is the time in seconds for which writes to the capture block, from 2 s after the start on."""
 
-STUCK_S = 10.0
+DISK_BLOCKED_S = 10.0  # time for which the disk blocks
 
 
-def recording(folder: str, stuck: bool) -> list[Variant]:
-    """``run`` without recording and with it, and with a stuck disk if that is wanted."""
+def recording_variants(folder: str, disk_blocked: bool) -> list[Variant]:
+    """Return ``run`` without and with recording of a capture, and optionally with a blocked disk."""
     capture = {"EDGE_CAPTURE": "{folder}/capture"}
     variants = [
-        Variant("not recording", folder, ("0", "run"), program=("-c", WATCHED)),
-        Variant("recording", folder, ("0", "run"), capture, ("-c", WATCHED)),
+        Variant("not recording", folder, ("0", "run"), program=("-c", RUN_WITH_TICKER)),
+        Variant("recording", folder, ("0", "run"), capture, ("-c", RUN_WITH_TICKER)),
     ]
-    if stuck:
-        variants.append(Variant("disk stuck", folder, (str(STUCK_S), "run"), capture, ("-c", WATCHED)))
+    if disk_blocked:
+        variants.append(
+            Variant("disk stuck", folder, (str(DISK_BLOCKED_S), "run"), capture, ("-c", RUN_WITH_TICKER))
+        )
     return variants
 
 
 @dataclass(frozen=True)
 class Cost:
-    """One run's."""
+    """Results of one run."""
 
     us_a_request: float
     peak_mb: float
     requests: int
     served: int
     lost: int
-    late_ms: float | None  # p99.9 of how late the event loop was, where a ticker is on it
+    late_ms: float | None  # 99.9th percentile of event loop lag; None without a ticker
 
 
 def platform_json(router_port: int, change_log_port: int) -> dict[str, Any]:
-    """The platform's configuration for a router at this port of loopback, with its change log at another."""
+    """Return the platform's configuration of a router that listens on ``router_port`` of loopback, with the
+    change log on ``change_log_port``."""
     settings = {
         "Balancers": 1,
         "Discovery": "pushed",
@@ -173,27 +181,30 @@
     }
 
 
-def _spent(pid: int) -> float:
-    """Processor seconds of a process."""
+def _processor_time_s(pid: int) -> float:
+    """Return the processor time that a process has used, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 @contextlib.asynccontextmanager
-async def started(
-    variant: Variant, world: LoopbackInstallation
+async def serving_router(
+    variant: Variant, loopback: LoopbackInstallation
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, Path]]:
-    """A router's process that serves, and its log; ``RuntimeError`` where it does not come up."""
+    """Start a router's process; yields the process once it serves, and its log file.
+
+    Raises ``RuntimeError`` if it is not ready within about 10 s.
+    """
     with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as folder:
         config = Path(folder) / "config.json"
         log = Path(folder) / "log"
-        config.write_text(json.dumps(platform_json(world.router_port, world.change_log.port)))
+        config.write_text(json.dumps(platform_json(loopback.router_port, loopback.change_log.port)))
         environment = os.environ | {"EDGE_CONFIG": str(config)} | dict(variant.environment or {})
         with log.open("wb") as file:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 *variant.program,
-                *variant.words,
+                *variant.arguments,
                 cwd=variant.folder,
                 stderr=file,
                 env={name: value.replace("{folder}", folder) for name, value in environment.items()},
@@ -204,7 +215,10 @@
                     break
                 await asyncio.sleep(0.01)
             else:
-                raise RuntimeError(f"{variant.name} did not come up: {log.read_text()[-500:]}")
+                raise RuntimeError(
+                    f"found no event=ready in the log of the program {variant.name!r} within about 10 s; "
+                    f"end of its log: {log.read_text()[-500:]}"
+                )
             yield process, log
         finally:
             if process.returncode is None:
@@ -213,22 +227,23 @@
 
 
 async def run_once(variant: Variant, requests: int, rate: float, seed: int) -> Cost:
-    """One run."""
-    world = LoopbackInstallation()
-    await world.start()
+    """Run one program under load and measure it."""
+    loopback = LoopbackInstallation()
+    await loopback.start()
     try:
-        async with started(variant, world) as (process, log):
+        async with serving_router(variant, loopback) as (process, log):
             clients = [
-                RequestGenerator(world.router_port, random.Random(seed + i), lambda: True) for i in range(4)
+                RequestGenerator(loopback.router_port, random.Random(seed + i), lambda: True)
+                for i in range(4)
             ]
             loads = [asyncio.ensure_future(c.run(rate / len(clients), lambda: ["picture"])) for c in clients]
             await asyncio.sleep(0.5)
-            before = _spent(process.pid)
-            sent = sum(c.sent for c in clients)
-            while sum(c.sent for c in clients) - sent < requests:
+            time_before_s = _processor_time_s(process.pid)
+            sent_before = sum(c.sent for c in clients)
+            while sum(c.sent for c in clients) - sent_before < requests:
                 await asyncio.sleep(0.02)
-            spent = _spent(process.pid) - before
-            done = sum(c.sent for c in clients) - sent
+            processor_time_s = _processor_time_s(process.pid) - time_before_s
+            measured_requests = sum(c.sent for c in clients) - sent_before
             for client in clients:
                 client.stop_sending()
             await asyncio.gather(*loads)
@@ -239,27 +254,27 @@
             await asyncio.wait_for(process.wait(), 20)
             late = re.search(r"^late=(\d+)", log.read_text(), re.M)
             return Cost(
-                1e6 * spent / done,
+                1e6 * processor_time_s / measured_requests,
                 int(peak[1]) / 1024,
-                done,
+                measured_requests,
                 sum(c.served for c in clients),
                 sum(c.lost for c in clients),
                 int(late[1]) / 1000 if late else None,
             )
     finally:
-        world.stop()
+        loopback.stop()
 
 
 async def compare(
     variants: Sequence[Variant], rounds: int, requests: int, rate: float
 ) -> list[dict[str, Any]]:
-    """All variants in turn, so many rounds; a row each with the median and the spread."""
-    found: dict[str, list[Cost]] = {variant.name: [] for variant in variants}
+    """Run all variants alternately for a number of rounds. Returns a row with median and range for each."""
+    costs_by_name: dict[str, list[Cost]] = {variant.name: [] for variant in variants}
     for round_ in range(rounds):
         for variant in variants:
-            found[variant.name].append(await run_once(variant, requests, rate, seed=100 * round_))
+            costs_by_name[variant.name].append(await run_once(variant, requests, rate, seed=100 * round_))
     rows = []
-    for name, costs in found.items():
+    for name, costs in costs_by_name.items():
         row: dict[str, Any] = {
             "program": name,
             "runs": len(costs),
--- a/magpieshift/lab/experiments/episode_report.py
+++ b/magpieshift/lab/experiments/episode_report.py
@@ -1,4 +1,4 @@
-"""Reports of episodes: one HTML file with its plots in it, of one run or of several side by side."""
+"""Reports of episodes: one HTML file with embedded plots, of one run or of several side by side."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 from magpieshift.config import ConfigError, read_text
 
-Run = Mapping[str, Any]  # as ``episode.saved`` writes it
+Run = Mapping[str, Any]  # in the form that ``episode.to_json`` writes
 
 
-class Slice(BaseModel):
-    """One second of a run; counts of requests, and latencies in milliseconds."""
+class SavedSecond(BaseModel):
+    """One second of a run: request counts, and latencies in milliseconds."""
 
     second: int
     served: float
@@ -29,8 +29,8 @@
     p99_ms: float
 
 
-class Injected(BaseModel):
-    """One failure that the run was given."""
+class SavedFault(BaseModel):
+    """One fault that was injected into the run."""
 
     what: str
     who: str
@@ -38,33 +38,33 @@
     for_s: float
 
 
-class Saved(BaseModel):
-    """The form of a saved run."""
+class SavedRun(BaseModel):
+    """Fields of a saved run, as far as they are validated."""
 
     figures: dict[str, Any]
-    slices: list[Slice]
-    stores: dict[str, list[int]]  # by place: requests in each second, below zero while it was down
+    slices: list[SavedSecond]
+    stores: dict[str, list[int]]  # requests in each second, by the endpoint's place; negative while down
     examples: list[str]
-    failures: list[Injected]
+    failures: list[SavedFault]
 
 
 def load(path: str) -> Run:
-    """A saved run; ``ConfigError`` where the file is none."""
+    """Load a saved run. Raises ``ConfigError`` if the file does not contain one."""
     text = read_text(path)
     try:
-        Saved.model_validate_json(text)
+        SavedRun.model_validate_json(text)
     except ValidationError as err:
         first = err.errors(include_url=False)[0]
-        place = " ".join(map(str, first["loc"])) or "the whole"
+        place = " ".join(map(str, first["loc"])) or "the whole file"
         raise ConfigError(
             f"{path} is no saved episode: {place}: found {first['input']!r:.80}, "
             f"expected {first['msg'].removeprefix('Input should be ')}"
         ) from err
-    found: Run = json.loads(text)
-    return found
+    run: Run = json.loads(text)
+    return run
 
 
-def _png(run: Run, latest: float) -> bytes:
+def _plot_png(run: Run, latest: float) -> bytes:
     import matplotlib
 
     matplotlib.use("Agg")
@@ -91,15 +91,19 @@
             )
     places = list(run["stores"])
     grid = [[max(-1, value) for value in run["stores"][place]] for place in places]
-    most = max((value for row in grid for value in row), default=1) or 1
+    most_requests = max((value for row in grid for value in row), default=1) or 1
     for y, row in enumerate(grid):
         for x, value in enumerate(row):
-            shade: Any = "#c33" if value < 0 else (1 - 0.85 * value / most, 1 - 0.5 * value / most, 1.0)
+            shade: Any = (
+                "#c33"
+                if value < 0
+                else (1 - 0.85 * value / most_requests, 1 - 0.5 * value / most_requests, 1.0)
+            )
             stores.broken_barh([(x, 1)], (y - 0.4, 0.8), color=shade, lw=0)
     stores.set_ylim(-0.6, len(places) - 0.4)
     stores.set_yticks(range(len(places)), places)
     stores.set_xlim(0, latest)
-    stores.set_xlabel("seconds; stores: darker is asked more, red is down; grey: a failure")
+    stores.set_xlabel("seconds; endpoints: darker has more requests, red is down; grey: a fault")
     figure.tight_layout()
     out = io.BytesIO()
     figure.savefig(out, format="png", dpi=110)
@@ -108,11 +112,11 @@
 
 
 def write(path: str, runs: Mapping[str, Run]) -> None:
-    """One HTML file with these runs side by side, by name."""
+    """Write one HTML file with the runs side by side. ``runs`` is by name."""
     latest = max((len(run["slices"]) for run in runs.values()), default=1)
     columns = []
     for name, run in runs.items():
-        picture = base64.b64encode(_png(run, latest)).decode()
+        picture = base64.b64encode(_plot_png(run, latest)).decode()
         failures = "".join(
             f"<li>{f['at_s']:g} s: {html.escape(f['what'])} {html.escape(f['who'])} ({f['for_s']:g} s)</li>"
             for f in run["failures"]
@@ -120,8 +124,8 @@
         broken = "".join(f"<li>{html.escape(text)}</li>" for text in run["examples"]) or "<li>none</li>"
         columns.append(
             f"<td><h2>{html.escape(name)}</h2><img src='data:image/png;base64,{picture}' width='820'>"
-            f"<h3>Broken rules</h3><ul>{broken}</ul>"
-            f"<h3>What went wrong, as planned</h3><ul>{failures}</ul></td>"
+            f"<h3>Violated rules</h3><ul>{broken}</ul>"
+            f"<h3>Injected faults</h3><ul>{failures}</ul></td>"
         )
     rows = _rows(list(runs.values()))
     head = "".join(f"<th>{html.escape(name)}</th>" for name in runs)
--- a/magpieshift/lab/experiments/scenario.py
+++ b/magpieshift/lab/experiments/scenario.py
@@ -1,4 +1,4 @@
-"""The faults and the load of an episode, from a file of S-expressions or drawn from a seed."""
+"""Scenario of an episode: its faults and load, from a file of S-expressions or drawn from a seed."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from magpieshift.control.validation import Form, Seconds, validate_form
 from magpieshift.lab.emulators.emulated import place_names
 
-HEAD = "scenario"  # of the file's expression
-PLACELESS_FAULTS = ("late-list", "purge")  # of the change log, not of an endpoint
+HEAD = "scenario"  # first word of the file's expression
+PLACELESS_FAULTS = ("late-list", "purge")  # faults of the change log, not of an endpoint
 FaultWord = Literal["die", "pause", "late-list", "slow", "lose", "reset", "drain", "purge"]
 
 
 class FaultForm(Form):
-    """One fault as the file has it."""
+    """Form of a fault in the file."""
 
     what: FaultWord
     at_s: Seconds
     for_s: Seconds = 0.0
-    who: str = ""  # an endpoint's place: box1, hub2, origin
-    by: Annotated[float, Field(ge=0, le=60_000)] = 0.0  # slow: ms; lose: a share
+    who: str = ""  # the endpoint's place, such as box1, hub2 or origin
+    by: Annotated[float, Field(ge=0, le=60_000)] = 0.0  # slow: delay in ms; lose: share of answers
 
 
 class ScenarioForm(Form):
-    """A scenario as the file has it."""
+    """Form of a scenario in the file."""
 
     seconds: Annotated[float, Field(ge=1, le=86_400)]
     seed: Annotated[int, Field(ge=0)] = 1
@@ -44,17 +44,17 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault, where it is, and for how long."""
+    """One fault, its place and its duration."""
 
     name: str
     what: FaultWord
     place: str
-    """Of the endpoint; empty for a fault of the change log."""
+    """Place of the endpoint; empty for a fault of the change log."""
     start_s: float
-    """Since the load began."""
+    """Start of the fault, in seconds since the load began."""
     duration_s: float
     amount: float
-    """Milliseconds of delay, or a share of answers that are lost."""
+    """Delay in milliseconds, or the share of answers that are lost, depending on the fault."""
 
     def __str__(self) -> str:
         words = [self.what, self.place] if self.place else [self.what]
@@ -67,29 +67,29 @@
     """An installation, its load, and its faults in the order of their start."""
 
     seconds: float
-    """Duration of the load."""
+    """Duration of the load in seconds."""
     seed: int
     rate: float
-    """Parts requested a second."""
+    """Requests for parts of objects per second."""
     boxes: int
-    """Caches."""
+    """Number of caches."""
     hubs: int
-    """Parent caches."""
+    """Number of parent caches."""
     objects: int
-    """Objects that clients request."""
+    """Number of different objects that clients request."""
     faults: tuple[Fault, ...]
 
     @property
     def place_names(self) -> list[str]:
-        """The names of all places of the installation."""
+        """Names of the places of all endpoints in the installation."""
         return place_names(self.boxes, self.hubs)
 
 
 def load(data: Mapping[str, Any], lines: Mapping[sexp.EntryPath, int] | None = None) -> Scenario:
-    """A checked scenario; ``UnusableDocumentError`` with all that is wrong."""
+    """Validate a scenario's data. Raises ``UnusableDocumentError`` with all problems found."""
     form = validate_form(ScenarioForm, data, lines or {})
     faults = [Fault(name, f.what, f.who, f.at_s, f.for_s, f.by) for name, f in form.failures.items()]
-    found = Scenario(
+    scenario = Scenario(
         form.seconds,
         form.seed,
         form.rate,
@@ -99,50 +99,56 @@
         tuple(sorted(faults, key=lambda f: f.start_s)),
     )
     problems = [
-        Problem(f"failures {f.name} who", 0, sexp.shorten(f.place), "one of " + ", ".join(found.place_names))
+        Problem(
+            f"failures {f.name} who", 0, sexp.shorten(f.place), "one of " + ", ".join(scenario.place_names)
+        )
         for f in faults
-        if f.what not in PLACELESS_FAULTS and f.place not in found.place_names
+        if f.what not in PLACELESS_FAULTS and f.place not in scenario.place_names
     ]
     if problems:
         raise UnusableDocumentError(problems)
-    return found
+    return scenario
 
 
 def load_file(path: str) -> Scenario:
-    """A file's; ``ConfigError`` if it cannot be read, ``UnusableDocumentError`` if it cannot be used."""
+    """Load a scenario file. Raises ``ConfigError`` if it cannot be read, ``UnusableDocumentError`` if it is
+    not a valid scenario."""
     tree = sexp.parse(read_text(path), path, HEAD)
     return load(tree.data, tree.lines)
 
 
 def draw_scenario(seconds: float, seed: int, rate: float = 120.0) -> Scenario:
-    """Groups of concurrent faults, one after the other: caches and a parent die, the list is late, the origin
-    slows. Shorter pauses leave no recovery between groups."""
+    """Draw a scenario with successive groups of concurrent faults: a cache and a parent cache die, the
+    endpoint list is late, the origin is slow, and others.
+
+    The pauses between groups are at least 3 s, as shorter ones leave no time for recovery.
+    """
     rand = np.random.default_rng(seed)
     failures: dict[str, Any] = {}
-    at = min(3.0, seconds / 6)
+    start_s = min(3.0, seconds / 6)
     number = 0
-    while at < seconds * 0.85:
-        length = float(rand.uniform(3.0, 6.0))
+    while start_s < seconds * 0.85:
+        duration_s = float(rand.uniform(3.0, 6.0))
         number += 1
         box = f"box{rand.integers(1, 5)}"
         hub = f"hub{rand.integers(1, 3)}"
         group: list[dict[str, Any]] = [
             {"what": "late-list", "for-s": float(rand.uniform(1.0, 3.0))},
-            {"what": "die", "who": box, "for-s": length},
-            {"what": "slow", "who": "origin", "for-s": length, "by": float(rand.uniform(80, 300))},
+            {"what": "die", "who": box, "for-s": duration_s},
+            {"what": "slow", "who": "origin", "for-s": duration_s, "by": float(rand.uniform(80, 300))},
         ]
         if rand.random() < 0.5:
-            group.append({"what": "die", "who": hub, "for-s": length})
+            group.append({"what": "die", "who": hub, "for-s": duration_s})
         other = f"box{rand.integers(1, 5)}"
         if other != box:
             what = str(rand.choice(["pause", "reset", "lose", "drain"]))
             group.append({"what": what, "who": other, "for-s": float(rand.uniform(0.5, 2.0)), "by": 0.1})
         group.append({"what": "purge"})
-        for i, failure in enumerate(group):
-            when = at + float(rand.uniform(0.0, 0.4))
-            failures[f"f{number}-{i}"] = failure | {
-                "at-s": round(when, 3),
-                "for-s": round(failure.get("for-s", 0.0), 3),
+        for i, fault in enumerate(group):
+            fault_start_s = start_s + float(rand.uniform(0.0, 0.4))
+            failures[f"f{number}-{i}"] = fault | {
+                "at-s": round(fault_start_s, 3),
+                "for-s": round(fault.get("for-s", 0.0), 3),
             }
-        at += length + float(rand.uniform(3.0, 9.0))
+        start_s += duration_s + float(rand.uniform(3.0, 9.0))
     return load({"seconds": seconds, "seed": seed, "rate": rate, "failures": failures})
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -132,7 +132,7 @@
         self.assertTrue(fleet.record.violations)
 
     def test_a_fleet_at_85_percent_load_recovers_from_a_burst(self) -> None:
-        outcome = overload.point(0.85, "burst", 4, SIZE)
+        outcome = overload.play_point(0.85, "burst", 4, SIZE)
         self.assertFalse(outcome.stays_bad)
 
 
