--- a/magpieshift/cli/lab_scale.py
+++ b/magpieshift/cli/lab_scale.py
@@ -184,7 +184,7 @@
 def _run_scenario(plan: Plan, save: str, as_json: bool) -> None:
     """Run a scenario and print its result; exit code 1 if an invariant was broken."""
     from magpieshift.lab.scale.run import Run
-    from magpieshift.lab.scale.saved import save_result
+    from magpieshift.lab.scale.saved_results import save_result
 
     progress = ProgressLine()
     result = asyncio.run(Run(plan, progress.show).play())
@@ -211,7 +211,7 @@
 def _calibrate(plan: Calibration, save: str, as_json: bool) -> None:
     """Measure hollow routers and real ones under the same load, and print the comparison."""
     from magpieshift.lab.scale.calibration import calibrate
-    from magpieshift.lab.scale.saved import save_result
+    from magpieshift.lab.scale.saved_results import save_result
 
     progress = ProgressLine()
     result = asyncio.run(calibrate(plan, progress.show))
--- a/magpieshift/lab/scale/calibration.py
+++ b/magpieshift/lab/scale/calibration.py
@@ -28,7 +28,7 @@
 from magpieshift.lab.fault_injection.ports import free_port
 from magpieshift.lab.scale.fleet import Fleet, Size
 from magpieshift.lab.scale.load import Rates, arrivals
-from magpieshift.lab.scale.player import Player
+from magpieshift.lab.scale.load_player import Player
 from magpieshift.lab.scale.processes import ProcessExitedError, cpu_seconds, resident_mb
 from magpieshift.lab.scale.tier import CONTROL, DirectTier
 from magpieshift.lab.scale.topology import Topology, generate
--- a/magpieshift/lab/scale/changelog.py
+++ b/magpieshift/lab/scale/changelog.py
@@ -12,7 +12,8 @@
 import time
 from typing import Any
 
-from magpieshift.lab.scale import child
+from magpieshift.lab.scale import process_loop
+from magpieshift.lab.scale.applied_changes import object_of
 from magpieshift.lab.scale.installation import CacheList
 from magpieshift.lab.scale.messages import (
     AcceptPurges,
@@ -26,7 +27,6 @@
     Ready,
     StartLog,
 )
-from magpieshift.lab.scale.tally import object_of
 
 HEARTBEAT_INTERVAL_S = 1.0  # same as the platform's change log
 HEARTBEAT = b": alive\n\n"
@@ -240,6 +240,6 @@
                 raise RuntimeError(f"the change log cannot handle a message of kind {other.kind!r}")
         return None
 
-    await child.serve(handle)
+    await process_loop.serve(handle)
     if server is not None:
         server.close()
--- a/magpieshift/lab/scale/controller.py
+++ b/magpieshift/lab/scale/controller.py
@@ -6,7 +6,7 @@
 
 from magpieshift.control.publisher import PublishedVersion
 from magpieshift.control.service import ControlService
-from magpieshift.lab.scale import child
+from magpieshift.lab.scale import process_loop
 from magpieshift.lab.scale.messages import (
     Count,
     FollowerCountRequest,
@@ -36,6 +36,6 @@
             case other:
                 raise RuntimeError(f"the control service cannot handle a message of kind {other.kind!r}")
 
-    await child.serve(handle)
+    await process_loop.serve(handle)
     if service.port:
         await service.stop()
--- a/magpieshift/lab/scale/network.py
+++ b/magpieshift/lab/scale/network.py
@@ -4,7 +4,7 @@
 from __future__ import annotations
 
 from magpieshift.lab.fault_injection.network import LinkFault, Network
-from magpieshift.lab.scale import child
+from magpieshift.lab.scale import process_loop
 from magpieshift.lab.scale.messages import Done, HealFault, InjectFault, Message, Ready, StartNetwork
 from magpieshift.lab.scale.streams import StreamForwarder
 
@@ -55,6 +55,6 @@
             case other:
                 raise RuntimeError(f"a network process cannot handle a message of kind {other.kind!r}")
 
-    await child.serve(handle)
+    await process_loop.serve(handle)
     for forwarder in forwarders:
         forwarder.close()
--- a/magpieshift/lab/scale/node.py
+++ b/magpieshift/lab/scale/node.py
@@ -5,7 +5,7 @@
 
 import asyncio
 
-from magpieshift.lab.scale import child
+from magpieshift.lab.scale import process_loop
 from magpieshift.lab.scale.messages import Message, Ready, StartRelay, StartSource
 from magpieshift.relay.node import RelayNode, RelayOptions, SourceNode, SourceOptions
 from magpieshift.relay.selection import RelayAddress
@@ -39,7 +39,7 @@
             raise RuntimeError("the node stopped before it was ready")
         return Ready(ports={"node": node.service.port})
 
-    await child.serve(handle)
+    await process_loop.serve(handle)
     for node, task in running:
         node.stop()
         await asyncio.wait([task])
--- a/magpieshift/lab/scale/relayed.py
+++ b/magpieshift/lab/scale/relay_feed.py
@@ -8,7 +8,7 @@
 
 from magpieshift.app import EdgeRouter
 from magpieshift.extensions.relay_subscription import RelayChangeSource, RelaySubscription
-from magpieshift.lab.scale.hollow import HollowRouter
+from magpieshift.lab.scale.hollow_router import HollowRouter
 from magpieshift.relay.selection import RelayAddress
 
 
--- a/magpieshift/lab/scale/result.py
+++ b/magpieshift/lab/scale/result.py
@@ -10,7 +10,7 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from magpieshift.lab.scale.tally import NOT_APPLIED
+from magpieshift.lab.scale.applied_changes import NOT_APPLIED
 
 MAX_PURGE_DONE_S = 9.7  # the product's rule: from acceptance to the last router
 MAX_VERSION_IN_FORCE_S = 4.0  # the product's rule: from publication to the last router
--- a/magpieshift/lab/scale/run.py
+++ b/magpieshift/lab/scale/run.py
@@ -14,8 +14,8 @@
 from magpieshift.lab.scale.faults import Faults
 from magpieshift.lab.scale.fleet import Fleet, Size
 from magpieshift.lab.scale.load import DAY_S, Burst, Rates, arrivals
+from magpieshift.lab.scale.load_player import Player
 from magpieshift.lab.scale.messages import LogReport, WorkerReport
-from magpieshift.lab.scale.player import Player
 from magpieshift.lab.scale.processes import Child
 from magpieshift.lab.scale.relays import RELAYS_PER_REGION, RelayTier
 from magpieshift.lab.scale.result import (
--- a/magpieshift/lab/scale/worker.py
+++ b/magpieshift/lab/scale/worker.py
@@ -12,8 +12,9 @@
 from dataclasses import dataclass
 
 from magpieshift.control.schema import LoadedDocument, load_text
-from magpieshift.lab.scale import child
-from magpieshift.lab.scale.hollow import (
+from magpieshift.lab.scale import process_loop
+from magpieshift.lab.scale.applied_changes import ProcessTally, RouterTally, index_of
+from magpieshift.lab.scale.hollow_router import (
     ChangeLogOverride,
     DirectFeed,
     Feed,
@@ -36,8 +37,7 @@
     WorkerReport,
     WorkerReportRequest,
 )
-from magpieshift.lab.scale.relayed import RelayFeed
-from magpieshift.lab.scale.tally import ProcessTally, RouterTally, index_of
+from magpieshift.lab.scale.relay_feed import RelayFeed
 from magpieshift.policy.events import PurgeReceived
 from magpieshift.relay.selection import RelayAddress
 
@@ -185,4 +185,4 @@
             case other:
                 raise RuntimeError(f"a worker cannot handle a message of kind {other.kind!r}")
 
-    await child.serve(handle)
+    await process_loop.serve(handle)
--- a/magpieshift/lab/simulated/fanout.py
+++ b/magpieshift/lab/simulated/fanout.py
@@ -1,8 +1,8 @@
 """A fan-out tier on one fake clock: a change log, sources, relays and routers, and faults between them.
 
 The processes run the real state machines (``fanout_processes``) over a network that keeps each stream's order
-(``fanout_network``), and are checked at every event against a reference model (``fanout_judge``). Times are
-microseconds; the same seed gives the same history.
+(``fanout_network``), and are checked at every event against a reference model (``fanout_invariants``). Times
+are microseconds; the same seed gives the same history.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from magpieshift.lab.simulated.fanout_changes import ChangeLog, ChangeLogReader
 from magpieshift.lab.simulated.fanout_connections import RelayConnection
-from magpieshift.lab.simulated.fanout_judge import InvariantChecker
+from magpieshift.lab.simulated.fanout_invariants import InvariantChecker
 from magpieshift.lab.simulated.fanout_layout import FanoutSize, fanout_layout
 from magpieshift.lab.simulated.fanout_message_sizes import estimated_bytes
 from magpieshift.lab.simulated.fanout_network import EndOfStream, Host, Network, Stream
--- a/magpieshift/lab/simulated/fanout_measures.py
+++ b/magpieshift/lab/simulated/fanout_checks.py
@@ -4,7 +4,7 @@
 from __future__ import annotations
 
 from magpieshift.lab.simulated.fanout import SimulatedFanout
-from magpieshift.lab.simulated.fanout_judge import RuleBrokenError
+from magpieshift.lab.simulated.fanout_invariants import RuleBrokenError
 from magpieshift.lab.simulated.fanout_network import Host
 from magpieshift.lab.simulated.fanout_processes import FollowingProcess, Relay, Source
 from magpieshift.relay import limits
--- a/magpieshift/lab/simulated/fanout_explored.py
+++ b/magpieshift/lab/simulated/fanout_exploration.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from magpieshift.lab.simulated.fanout_judge import RuleBrokenError
+from magpieshift.lab.simulated.fanout_invariants import RuleBrokenError
 from magpieshift.lab.simulated.fanout_tier import MutableTier
 from magpieshift.lab.simulated.fanout_tier_processes import ProcessTable
 from magpieshift.lab.simulated.fanout_tier_state import (
--- a/magpieshift/lab/simulated/fanout_histories.py
+++ b/magpieshift/lab/simulated/fanout_histories.py
@@ -9,9 +9,9 @@
 from functools import partial
 
 from magpieshift.lab.simulated.fanout import SECOND_US, SimulatedFanout
-from magpieshift.lab.simulated.fanout_judge import RuleBrokenError
+from magpieshift.lab.simulated.fanout_checks import check_bounds, unsettled
+from magpieshift.lab.simulated.fanout_invariants import RuleBrokenError
 from magpieshift.lab.simulated.fanout_layout import FanoutSize
-from magpieshift.lab.simulated.fanout_measures import check_bounds, unsettled
 
 FAULT_PERIOD_S = 45  # duration of the phase in which faults occur
 # For recovery after the last fault. With several running sources it takes longer: all but one end only when
--- a/magpieshift/lab/simulated/fanout_tier_processes.py
+++ b/magpieshift/lab/simulated/fanout_tier_processes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from magpieshift.lab.simulated.fanout_frozen import FrozenProcesses
+from magpieshift.lab.simulated.fanout_immutable_states import FrozenProcesses
 from magpieshift.lab.simulated.fanout_outputs import Message, Output
 from magpieshift.lab.simulated.fanout_processes import (
     FollowingProcess,
--- a/magpieshift/lab/simulated/fanout_tier_rules.py
+++ b/magpieshift/lab/simulated/fanout_tier_rules.py
@@ -4,7 +4,7 @@
 
 from __future__ import annotations
 
-from magpieshift.lab.simulated.fanout_judge import RuleBrokenError
+from magpieshift.lab.simulated.fanout_invariants import RuleBrokenError
 from magpieshift.lab.simulated.fanout_tier_state import AppliedState, SourceLog
 from magpieshift.relay.instructions import ApplyEntries, RestoreSnapshot
 from magpieshift.relay.limits import MAX_PURGE_US
--- a/tests/relay/test_explored.py
+++ b/tests/relay/test_explored.py
@@ -7,7 +7,7 @@
 from functools import partial
 from typing import NamedTuple
 
-from magpieshift.lab.simulated.fanout_explored import (
+from magpieshift.lab.simulated.fanout_exploration import (
     ExplorationSize,
     Explorer,
     Moves,
--- a/tests/relay/test_histories.py
+++ b/tests/relay/test_histories.py
@@ -6,10 +6,10 @@
 import unittest
 
 from magpieshift.lab.simulated.fanout import SECOND_US, SimulatedFanout
+from magpieshift.lab.simulated.fanout_checks import check_bounds, unsettled
 from magpieshift.lab.simulated.fanout_histories import History
-from magpieshift.lab.simulated.fanout_judge import RuleBrokenError
+from magpieshift.lab.simulated.fanout_invariants import RuleBrokenError
 from magpieshift.lab.simulated.fanout_layout import FanoutSize
-from magpieshift.lab.simulated.fanout_measures import check_bounds, unsettled
 from magpieshift.lab.simulated.fanout_message_sizes import MESSAGE_BYTES, PURGE_BYTES
 from magpieshift.relay import limits
 
--- a/tests/relay/test_planted.py
+++ b/tests/relay/test_planted.py
@@ -11,7 +11,7 @@
 from unittest import mock
 
 from magpieshift.lab.simulated.fanout_histories import History
-from magpieshift.lab.simulated.fanout_judge import RuleBrokenError
+from magpieshift.lab.simulated.fanout_invariants import RuleBrokenError
 from magpieshift.lab.simulated.fanout_outputs import OpenStream, SendMessage
 from magpieshift.lab.simulated.fanout_processes import Router, Source
 from magpieshift.relay import fanout, staleness_bound
--- a/tests/scale/test_tally.py
+++ b/tests/scale/test_applied_changes.py
@@ -6,6 +6,13 @@
 
 from magpieshift.config import ConfigError
 from magpieshift.lab.scale import memory
+from magpieshift.lab.scale.applied_changes import (
+    PURGE_EXPIRY_S,
+    ProcessTally,
+    RouterTally,
+    index_of,
+    object_of,
+)
 from magpieshift.lab.scale.calibration import Cost, Kind, compare_costs
 from magpieshift.lab.scale.result import (
     Published,
@@ -16,7 +23,6 @@
     purge_times,
 )
 from magpieshift.lab.scale.sockets import parse
-from magpieshift.lab.scale.tally import PURGE_EXPIRY_S, ProcessTally, RouterTally, index_of, object_of
 
 
 class Purges(unittest.TestCase):
