--- a/magpieshift/lab/simulated/endpoints.py
+++ b/magpieshift/lab/simulated/endpoints.py
@@ -18,9 +18,9 @@
 class EndpointCondition(Enum):
     """Whether an endpoint works, and how it fails."""
 
-    RUNNING = "here"
-    CRASHED = "gone"  # connections are refused at once
-    UNRESPONSIVE = "silent"  # requests are accepted and never answered
+    RUNNING = "running"
+    CRASHED = "crashed"  # connections are refused at once
+    UNRESPONSIVE = "unresponsive"  # requests are accepted and never answered
 
 
 @dataclass(frozen=True)
--- a/magpieshift/lab/simulated/fanout.py
+++ b/magpieshift/lab/simulated/fanout.py
@@ -31,13 +31,14 @@
 from magpieshift.relay.messages import Epoch, Snapshot, UpstreamMessage
 
 SECOND_US = 1_000_000
-APPLY_PROBABILITY = 0.2  # that a router with ``applies_later`` applies in a turn; low, so that entries queue
+# probability that a router with ``applies_later`` applies its queue in a turn; low, so that entries queue up
+APPLY_PROBABILITY = 0.2
 MAX_UNREAD_MESSAGES = 8  # a stream with more is not written to, as with a full socket buffer
 MAX_STREAMS_PER_INCARNATION = 100_000  # more than one incarnation opens, so that stream numbers are unique
 
 
 class SimulatedFanout:
-    """A running fan-out tier. The call during which a rule is broken raises ``RuleBrokenError``."""
+    """A running fan-out tier. A call in which a rule is broken raises ``RuleBrokenError``."""
 
     def __init__(self, size: FanoutSize) -> None:
         self.size = size
--- a/magpieshift/lab/simulated/fanout_checks.py
+++ b/magpieshift/lab/simulated/fanout_checks.py
@@ -13,17 +13,17 @@
 """Upper bound of unread messages to one follower: its send window, plus heartbeats."""
 
 
-def unsettled(world: SimulatedFanout) -> str:
+def unsettled(tier: SimulatedFanout) -> str:
     """Why the tier has not settled; empty if it has. It has settled if some source has every follower at its
     head with a lease, and its watermark there as well. Other sources without followers may remain."""
-    problems = [_unsettled_at(world, host, source) for host, source in world.sources()]
+    problems = [_unsettled_at(tier, host, source) for host, source in tier.sources()]
     return "" if "" in problems else problems[-1] if problems else "no source runs, expected one"
 
 
-def _unsettled_at(world: SimulatedFanout, host: Host, source: Source) -> str:
+def _unsettled_at(tier: SimulatedFanout, host: Host, source: Source) -> str:
     head = source.log.head
     epoch = source.log.epoch
-    for other in world.network.hosts.values():
+    for other in tier.network.hosts.values():
         if isinstance(other.process, FollowingProcess):
             follower = other.process.follower
             if (follower.epoch, follower.applied) != (epoch, head):
@@ -37,16 +37,16 @@
     return "" if watermark == head else f"found the watermark at {watermark}, expected it at the head {head}"
 
 
-def check_bounds(world: SimulatedFanout) -> None:
+def check_bounds(tier: SimulatedFanout) -> None:
     """Raise ``RuleBrokenError`` if a log, the follower records or the unread messages exceed their limit."""
-    followers = len(world.ranked_relays)
-    for host in world.network.hosts.values():
+    followers = len(tier.ranked_relays)
+    for host in tier.network.hosts.values():
         process = host.process
         if isinstance(process, Source | Relay):
-            if process.log.head - process.log.first + 1 > world.size.log_entries:
+            if process.log.head - process.log.first + 1 > tier.size.log_entries:
                 raise RuleBrokenError(
                     f"bounds: the log of {host.name} holds {process.log.first} to {process.log.head}, "
-                    f"expected at most {world.size.log_entries} entries"
+                    f"expected at most {tier.size.log_entries} entries"
                 )
             statuses = process.fanout.status(host.now_us())
             # a follower without a lease stays on record until its stream ends, or the next expiry check
@@ -56,7 +56,7 @@
                     f"bounds: {host.name} keeps {idle} followers without a lease, "
                     f"expected at most {2 * followers}"
                 )
-    for stream in world.network.streams.values():
+    for stream in tier.network.streams.values():
         unread = stream.unread(stream.server)
         if unread > MAX_UNREAD_AT_FOLLOWER:
             raise RuleBrokenError(
--- a/magpieshift/lab/simulated/fanout_exploration.py
+++ b/magpieshift/lab/simulated/fanout_exploration.py
@@ -1,8 +1,10 @@
 """Exhaustive exploration of a small fan-out tier: a source, two relays and two routers.
 
 A breadth-first search from a given state tries every order of deliveries, sends, disconnects, crashes and
-time steps up to a depth. A process without events is paused, so pauses of any length are covered. The rules
-are checked in each state. Time advances in large steps, and the machines' clocks drift apart."""
+time steps up to a depth. A process that takes part in no event behaves like a paused one, so pauses of any
+length are covered. The rules are checked in each state. Time advances in large steps, and the clocks of the
+machines drift apart.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +31,7 @@
 MAX_IN_FLIGHT_MESSAGES = 2  # in one direction of a stream; more would multiply the states
 UNLIMITED_BUDGET = EventBudget(*(1 << 30,) * len(EventBudget._fields))  # more than any start sequence uses
 MAX_STATES = 1_000_000  # an exploration stops there to limit memory; scenarios stay far below
-START_UP_ROUNDS = 25  # until a purge is applied everywhere in a tier that has just started
+START_UP_ROUNDS = 25  # rounds after which a purge is applied everywhere in a new tier
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,13 +45,14 @@
 
 
 Event = Callable[[MutableTier], None]
-Move = tuple[str, Event]  # an event with its label
-Moves = Callable[[TierState], Iterator[Move]]  # the possible events in a state
+Transition = tuple[str, Event]  # an event with its label
+EnabledTransitions = Callable[[TierState], Iterator[Transition]]  # the possible events in a state
 Predecessors = dict[TierState, tuple[TierState, str] | None]  # the state and event that led to each
 
 
-def single_messages(tier: TierState, actors: Collection[str] = PROCESS_NAMES) -> Iterator[Move]:
-    """The possible events, each with at most one message. Of the followers only ``actors`` take part."""
+def single_messages(tier: TierState, actors: Collection[str] = PROCESS_NAMES) -> Iterator[Transition]:
+    """The possible events, each with at most one message. Of the followers only those in ``actors``
+    take part; the source reads the change log only if it is among ``actors``."""
     yield from _faults(tier, actors)
     for follower, stream, abandoned in zip(FOLLOWERS, tier.streams, tier.abandoned_streams, strict=True):
         if follower not in actors:
@@ -61,7 +64,7 @@
             yield from _single_steps(follower, stream)
 
 
-def _single_steps(follower: str, stream: StreamState) -> Iterator[Move]:
+def _single_steps(follower: str, stream: StreamState) -> Iterator[Transition]:
     """The events in which one message is sent or arrives on a stream."""
     if stream.to_server:
         yield (
@@ -76,13 +79,13 @@
         yield f"send {follower}", partial(MutableTier.send, follower=follower)
 
 
-def _abandoned_deliveries(follower: str, abandoned: StreamState | None) -> Iterator[Move]:
+def _abandoned_deliveries(follower: str, abandoned: StreamState | None) -> Iterator[Transition]:
     """The event in which a message arrives on the stream that a follower has left."""
     if abandoned is not None and abandoned.to_server:
         yield f"deliver abandoned {follower}", partial(MutableTier.deliver_abandoned, follower=follower)
 
 
-def flushed_directions(tier: TierState, actors: Collection[str] = PROCESS_NAMES) -> Iterator[Move]:
+def flushed_directions(tier: TierState, actors: Collection[str] = PROCESS_NAMES) -> Iterator[Transition]:
     """The possible events if all messages in one direction of a stream arrive in one event, so that the same
     depth covers longer histories."""
     yield from _faults(tier, actors)
@@ -93,7 +96,7 @@
             yield f"flush to {follower}", partial(MutableTier.flush_to_follower, follower=follower)
 
 
-def rounds(tier: TierState, actors: Collection[str] = PROCESS_NAMES) -> Iterator[Move]:
+def rounds(tier: TierState, actors: Collection[str] = PROCESS_NAMES) -> Iterator[Transition]:
     """The possible events if all processes, or all but one of ``actors``, exchange their due messages at
     once."""
     yield from _faults(tier, actors)
@@ -108,7 +111,7 @@
             yield f"flush to server {follower}", partial(MutableTier.flush_to_server, follower=follower)
 
 
-def _faults(tier: TierState, actors: Collection[str]) -> Iterator[Move]:
+def _faults(tier: TierState, actors: Collection[str]) -> Iterator[Transition]:
     """The events in which time passes, purges are accepted, or processes and streams fail, within the
     budget."""
     budget = tier.budget
@@ -135,7 +138,7 @@
         yield "crash S", partial(MutableTier.crash, name=SOURCE)
 
 
-def _stream_faults(follower: str, stream: StreamState, budget: EventBudget) -> Iterator[Move]:
+def _stream_faults(follower: str, stream: StreamState, budget: EventBudget) -> Iterator[Transition]:
     """The events in which a stream breaks, or a router switches to the other relay."""
     if budget.disconnects:
         yield f"disconnect {follower}", partial(MutableTier.disconnect, follower=follower)
@@ -182,7 +185,7 @@
         return tier.state()
 
     def explore(
-        self, start: TierState, depth: int, moves: Moves, max_states: int = MAX_STATES
+        self, start: TierState, depth: int, enabled: EnabledTransitions, max_states: int = MAX_STATES
     ) -> ExplorationSize:
         """Visit every state within ``depth`` events of ``start``. Raises ``RuleBrokenError`` with the events
         that led there as its note."""
@@ -193,20 +196,20 @@
         for reached_depth in range(1, depth + 1):  # noqa: B007
             discovered: list[TierState] = []
             for state in frontier:
-                for label, event in moves(state):
+                for label, event in enabled(state):
                     transitions += 1
-                    after = self._after_move(state, label, event, predecessors)
+                    after = self._after_transition(state, label, event, predecessors)
                     if after not in predecessors:
                         predecessors[after] = state, label
                         discovered.append(after)
                 if len(predecessors) >= max_states:
                     return ExplorationSize(
-                        len(predecessors), transitions, reached_depth - 1, len(self.frozen)
+                        len(predecessors), transitions, reached_depth - 1, len(self.process_states)
                     )
             frontier = discovered
-        return ExplorationSize(len(predecessors), transitions, reached_depth, len(self.frozen))
+        return ExplorationSize(len(predecessors), transitions, reached_depth, len(self.process_states))
 
-    def _after_move(
+    def _after_transition(
         self, state: TierState, label: str, event: Event, predecessors: Predecessors
     ) -> TierState:
         tier = MutableTier(self, state)
--- a/magpieshift/lab/simulated/fanout_immutable_states.py
+++ b/magpieshift/lab/simulated/fanout_immutable_states.py
@@ -65,7 +65,7 @@
     return type(value).__name__, tuple(canonical(getattr(value, name), visited) for name in names)
 
 
-class FrozenProcesses:
+class ImmutableStates:
     """The states of processes by number, with cached results of events and queries."""
 
     def __init__(self) -> None:
@@ -77,15 +77,15 @@
     def __len__(self) -> int:
         return len(self._pickled)
 
-    def freeze(self, process: Process) -> int:
+    def number_of(self, process: Process) -> int:
         """The number of a process's current state."""
         number = self._numbers.setdefault(canonical(process), len(self._pickled))
         if number == len(self._pickled):
             self._pickled.append(pickle.dumps(process, pickle.HIGHEST_PROTOCOL))
         return number
 
-    def thaw(self, number: int) -> Process:
-        """A mutable copy of the process in this state."""
+    def mutable_copy(self, number: int) -> Process:
+        """A copy of the process in the state with this number, on which an event can be carried out."""
         process: Process = pickle.loads(self._pickled[number])
         return process
 
@@ -94,9 +94,9 @@
         event in the cache."""
         key = number, label, now_us
         if (result := self._step_results.get(key)) is None:
-            process = self.thaw(number)
+            process = self.mutable_copy(number)
             outputs = tuple(event(process))
-            result = self._step_results[key] = self.freeze(process), outputs
+            result = self._step_results[key] = self.number_of(process), outputs
         return result
 
     def query(self, number: int, label: str, now_us: int, question: Callable[[Process], Any]) -> Any:
@@ -104,5 +104,5 @@
         question in the cache."""
         key = number, label, now_us
         if key not in self._query_results:
-            self._query_results[key] = question(self.thaw(number))
+            self._query_results[key] = question(self.mutable_copy(number))
         return self._query_results[key]
--- a/magpieshift/lab/simulated/fanout_invariants.py
+++ b/magpieshift/lab/simulated/fanout_invariants.py
@@ -48,7 +48,7 @@
         self.purges: list[Purge] = []  # accepted by the change log, in order; ``issued_us`` is true time
         self.routers: dict[str, RouterRecord] = {}  # by name; each router's current incarnation
         self.watermarks: dict[Epoch, int] = {}  # highest watermark reported by the source of each epoch
-        self.done_at_us: dict[Epoch, list[int]] = {}  # when the watermark first covered each entry
+        self.covered_at_us: dict[Epoch, list[int]] = {}  # when the watermark first covered each entry
         self.overlap_until_us = 0  # until then, leases of several sources may be valid
         self.attempts = 0
         self.unbounded_attempts = 0
@@ -57,7 +57,7 @@
         """Record that a source began an epoch."""
         self.logs[epoch] = []
         self.watermarks[epoch] = 0
-        self.done_at_us[epoch] = []
+        self.covered_at_us[epoch] = []
 
     def record_overlap(self, now_us: int) -> None:
         """Record that more than one source runs now."""
@@ -164,7 +164,7 @@
         if watermark < self.watermarks[epoch]:
             raise RuleBrokenError(f"watermark: it decreased from {self.watermarks[epoch]} to {watermark}")
         self.watermarks[epoch] = watermark
-        self.done_at_us[epoch] += [now_us] * (watermark - len(self.done_at_us[epoch]))
+        self.covered_at_us[epoch] += [now_us] * (watermark - len(self.covered_at_us[epoch]))
 
     def check_lease(self, name: str, is_by_own_epoch: bool, now_us: int) -> None:
         """Check a running router that holds a lease: it must have applied all entries up to the watermark of
--- a/magpieshift/lab/simulated/fanout_layout.py
+++ b/magpieshift/lab/simulated/fanout_layout.py
@@ -26,10 +26,9 @@
     """The hosts by name: sources ``S1``, ``S2``, each in the next region, relays ``R0.1`` and routers
     ``E0.1`` of region 0, and so on."""
 
-    regions: dict[str, str]  # the region of each host, in the order in which the hosts are made
-    ranked_relays: dict[
-        str, tuple[RelayAddress, ...]
-    ]  # the relays or sources that each follower may follow, preferred first
+    regions: dict[str, str]  # the region of each host, in the order in which the hosts are created
+    # the relays or sources that each follower may follow, preferred first
+    ranked_relays: dict[str, tuple[RelayAddress, ...]]
 
 
 def fanout_layout(size: FanoutSize) -> FanoutLayout:
--- a/magpieshift/lab/simulated/fanout_network.py
+++ b/magpieshift/lab/simulated/fanout_network.py
@@ -195,9 +195,8 @@
         host = self._hosts[reader]
         if host.process is None or self._processes[reader] is not host.process:
             self._open[reader] = False
-            if (
-                host.process is not None
-            ):  # a later process on this machine resets the stream, which it does not know
+            # a later process on this machine resets the stream, which it does not know
+            if host.process is not None:
                 self._write(1 - reader, END_OF_STREAM)
             return
         if isinstance(message, EndOfStream):
--- a/magpieshift/lab/simulated/fanout_tier.py
+++ b/magpieshift/lab/simulated/fanout_tier.py
@@ -207,7 +207,7 @@
         self.last_incarnation += 1
         clock_us = local_clock_us(name, self.now_us)
         process = self._table.new_process(name, self.last_incarnation, clock_us)
-        self.processes[name] = self._table.frozen.freeze(process)
+        self.processes[name] = self._table.process_states.number_of(process)
         if name == SOURCE:
             self.source_logs = (*self.source_logs, SourceLog(self.last_incarnation))
             self.purges_read = 0
@@ -234,7 +234,7 @@
                     name, self.applied[name], self.source_logs, self.purges_accepted_us, self.now_us
                 )
 
-    # --- consequences
+    # --- handling by the processes
 
     def _receive_at_server(self, stream: StreamState, number: int, sends_answer: bool) -> None:
         def event(process: Process, now_us: int) -> list[Output]:
@@ -259,7 +259,7 @@
     def _step(self, name: str, label: object, event: Callable[[Process, int], list[Output]]) -> None:
         """Carry out an event at a process; ``label`` identifies the event among all those of the process."""
         now_us = local_clock_us(name, self.now_us)
-        self.processes[name], outputs = self._table.frozen.step(
+        self.processes[name], outputs = self._table.process_states.step(
             self.processes[name], label, now_us, lambda process: event(process, now_us)
         )
         for output in outputs:
@@ -267,7 +267,7 @@
 
     def _query(self, name: str, label: str, question: Callable[[Process, int], int]) -> int:
         now_us = local_clock_us(name, self.now_us)
-        answer: int = self._table.frozen.query(
+        answer: int = self._table.process_states.query(
             self.processes[name], label, now_us, lambda process: question(process, now_us)
         )
         return answer
--- a/magpieshift/lab/simulated/fanout_tier_processes.py
+++ b/magpieshift/lab/simulated/fanout_tier_processes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from magpieshift.lab.simulated.fanout_immutable_states import FrozenProcesses
+from magpieshift.lab.simulated.fanout_immutable_states import ImmutableStates
 from magpieshift.lab.simulated.fanout_outputs import Message, Output
 from magpieshift.lab.simulated.fanout_processes import (
     FollowingProcess,
@@ -20,10 +20,10 @@
 
 
 class ProcessTable:
-    """The frozen processes and the messages that all states of one exploration refer to by number."""
+    """The process states and the messages that all states of one exploration refer to by number."""
 
     def __init__(self) -> None:
-        self.frozen = FrozenProcesses()
+        self.process_states = ImmutableStates()
         self.messages: list[Message] = []  # by number
         self._numbers: dict[Message, int] = {}  # the reverse of ``messages``
 
--- a/magpieshift/lab/simulated/fanout_tier_state.py
+++ b/magpieshift/lab/simulated/fanout_tier_state.py
@@ -67,7 +67,7 @@
     """The state of the whole tier; hashable, so that an exploration visits each state once."""
 
     now_us: int
-    processes: tuple[int, ...]  # numbers of frozen states, in the order of PROCESS_NAMES
+    processes: tuple[int, ...]  # numbers of process states, in the order of PROCESS_NAMES
     streams: tuple[StreamState | None, ...]  # in the order of FOLLOWERS
     abandoned_streams: tuple[StreamState | None, ...]  # in the order of FOLLOWERS; with messages in flight
     applied: tuple[AppliedState, ...]  # in the order of ROUTERS
--- a/magpieshift/lab/simulated/fleet_clients.py
+++ b/magpieshift/lab/simulated/fleet_clients.py
@@ -22,9 +22,9 @@
 WANTED_WITHIN_US = 800_000  # later responses count as late; above both classes' latency objectives
 REQUEST_DEADLINE_US = 3 * SECOND_US  # sent with each request; the deadline of both classes
 CLIENT_TIMEOUT_US = 3_200_000  # the deadline, with a margin for a response in flight
-MAX_RETRY_AFTER_WANTED_US = 2 * SECOND_US  # no retries later than this after ``wanted_by_us``
+MAX_RETRY_AFTER_WANTED_US = 2 * SECOND_US  # a rejection later than this after ``wanted_by_us`` is not retried
 CONNECT_FAILURE_US = 100_000  # time until a client notices that its connection fails
-IMMEDIATE_RETRY_WAIT_US = 50_000  # without regard to Retry-After; as fast as a person reloads, or faster
+IMMEDIATE_RETRY_WAIT_US = 50_000  # of clients that ignore Retry-After; at most what a person takes to reload
 MIN_RETRY_WAIT_US = 1_000  # keeps a retry from running at the same time as the rejection
 
 
--- a/magpieshift/lab/simulated/fleet_state.py
+++ b/magpieshift/lab/simulated/fleet_state.py
@@ -26,7 +26,9 @@
     size_kb: float = 30.0  # of each object
     write_share: float = 0.05  # fraction of requests that are writes
     max_attempts: int = 4  # attempts of a client for one request, including the first
-    retry_after_share: float = 0.5  # fraction of retries that wait for Retry-After; the rest come at once
+    retry_after_share: float = (
+        0.5  # fraction of retries that wait for Retry-After; others come almost at once
+    )
     capacity_factor: float = 1.2  # capacity of endpoints and links divided by the design load
     seed: int = 1
 
--- a/magpieshift/lab/simulated/rollout.py
+++ b/magpieshift/lab/simulated/rollout.py
@@ -33,15 +33,15 @@
 
     scenario: str
     seed: int
-    ended: str = ""  # phase of the coordinator at the end
+    final_phase: str = ""  # phase of the coordinator at the end
     reason: str = ""  # why that phase was entered, or why the coordinator waits
     is_bad: bool = False  # whether the new version should be stopped
     stopped: bool = False  # whether a rollback began
     seconds: float = 0.0  # simulated duration
     exposed_routers: float = 0.0  # highest fraction of routers that ran the new version at one time
     exposed_requests: float = 0.0  # fraction of all requests that went to new processes
-    most_away: int = 0  # most routers unavailable during a step, including the one being replaced
-    terms_at_once: int = 0  # rounds in which two coordinators each finished a step
+    max_unavailable: int = 0  # most routers unavailable during a step, including the one being replaced
+    concurrent_step_rounds: int = 0  # rounds in which two coordinators each finished a step
     stage: str = ""  # the stage in which a rollback began, or the last one
 
 
@@ -161,7 +161,7 @@
             if not r.coordinator.is_over and fleet.now_us < r.paused_until_us + 60 * SECOND_US
         ]
         active = [r for r in [*previous, run] if r.last_replaced_us == fleet.now_us]
-        outcome.terms_at_once += len(active) > 1
+        outcome.concurrent_step_rounds += len(active) > 1
         new_count = sum(
             1 for processes in fleet.processes.values() if processes and processes[-1].label == NEW
         )
@@ -175,9 +175,11 @@
         if run.coordinator.state.phase == RolloutPhase.HELD:
             break
         if run.step is not None:
-            outcome.most_away = max(outcome.most_away, 1 + len(run.coordinator.unreachable(fleet.now_us)))
+            outcome.max_unavailable = max(
+                outcome.max_unavailable, 1 + len(run.coordinator.unreachable(fleet.now_us))
+            )
     outcome.seconds = fleet.now_us / SECOND_US
-    outcome.ended = run.coordinator.state.phase.value
+    outcome.final_phase = run.coordinator.state.phase.value
     outcome.reason = run.coordinator.state.reason or run.coordinator.waiting_reason
     outcome.exposed_requests = round(fleet.requests[NEW] / max(1, sum(fleet.requests.values())), 4)
     return outcome
@@ -200,15 +202,15 @@
         "runs": runs,
         "stopped_wrongly": sum(outcome.stopped for outcome in outcomes) if not is_bad else 0,
         "caught": sum(outcome.stopped for outcome in outcomes) if is_bad else 0,
-        "held": sum(outcome.ended == "hold" for outcome in outcomes),
-        "not_ended": sum(outcome.ended not in ("ended", "hold") for outcome in outcomes),
+        "held": sum(outcome.final_phase == "hold" for outcome in outcomes),
+        "not_ended": sum(outcome.final_phase not in ("ended", "hold") for outcome in outcomes),
         "exposed_share": round(sum(outcome.exposed_routers for outcome in outcomes) / runs, 4),
         "exposed_most": max(outcome.exposed_routers for outcome in outcomes),
         "exposed_requests": round(sum(outcome.exposed_requests for outcome in outcomes) / runs, 4),
         "exposed_requests_most": max(outcome.exposed_requests for outcome in outcomes),
-        "most_away": max(outcome.most_away for outcome in outcomes),
+        "most_away": max(outcome.max_unavailable for outcome in outcomes),
         "away_allowed": allowed,
-        "terms_at_once": sum(outcome.terms_at_once for outcome in outcomes),
+        "terms_at_once": sum(outcome.concurrent_step_rounds for outcome in outcomes),
         "seconds_median": sorted(outcome.seconds for outcome in outcomes)[runs // 2],
         "stages": {
             s: sum(outcome.stage == s for outcome in outcomes)
--- a/magpieshift/lab/simulated/rollout_fleet.py
+++ b/magpieshift/lab/simulated/rollout_fleet.py
@@ -76,7 +76,7 @@
     ) -> None:
         self.scenario = scenario
         self.plan = rollout_plan(routers)
-        self.rate = rate  # requests per second of a router, twice that in zone z0
+        self.rate = rate  # requests per second of each router; twice that in zone z0
         self.rand = random.Random(seed)
         self.np_rand = np.random.default_rng(seed)
         self.now_us = 0
--- a/tests/relay/test_explored.py
+++ b/tests/relay/test_explored.py
@@ -8,9 +8,9 @@
 from typing import NamedTuple
 
 from magpieshift.lab.simulated.fanout_exploration import (
+    EnabledTransitions,
     ExplorationSize,
     Explorer,
-    Moves,
     flushed_directions,
     rounds,
     single_messages,
@@ -28,7 +28,7 @@
 
     name: str
     start: Callable[[Explorer], TierState]
-    moves: Moves
+    moves: EnabledTransitions
     depth: int
 
 
--- a/tests/relay/test_histories.py
+++ b/tests/relay/test_histories.py
@@ -173,9 +173,9 @@
             world.run(SECOND_US // 10 * second)
             world.start("E0.1")
         settling_time_s(world, 15)
-        (done_at_us,) = world.checker.done_at_us.values()
+        (covered_at_us,) = world.checker.covered_at_us.values()
         (log,) = world.checker.logs.values()
-        self.assertEqual(len(done_at_us), len(log))
+        self.assertEqual(len(covered_at_us), len(log))
 
     def test_a_region_disconnected_for_an_hour_recovers_with_few_snapshots(self) -> None:
         world = started_world(
--- a/tests/rollout/test_simulated.py
+++ b/tests/rollout/test_simulated.py
@@ -18,9 +18,9 @@
             with self.subTest(name):
                 outcome = lab.play(name, 16, 3)
                 self.assertEqual(
-                    (outcome.stopped, outcome.terms_at_once), (SCENARIOS[name].is_bad, 0), outcome
+                    (outcome.stopped, outcome.concurrent_step_rounds), (SCENARIOS[name].is_bad, 0), outcome
                 )
-                self.assertLessEqual(outcome.most_away, rollout_plan(16).max_unreachable)
+                self.assertLessEqual(outcome.max_unavailable, rollout_plan(16).max_unreachable)
 
     def test_a_seed_gives_the_same_rollout_in_every_process(self) -> None:
         """Guards against sums that depend on the iteration order of a set of strings, which differs between
