--- a/magpieshift/lab/scale/applied_changes.py
+++ b/magpieshift/lab/scale/applied_changes.py
@@ -25,28 +25,28 @@
 
 
 @dataclass
-class ProcessTally:
+class ProcessAppliedChanges:
     """The record of all routers of one process: when the last of them applied each purge and version."""
 
     purges: list[float] = field(default_factory=list)  # time of the last application, by index
     versions: dict[str, dict[int, float]] = field(default_factory=dict)  # time, by path, then by number
     accepted_by: tuple[int, float] = 0, 0.0  # index and time: all purges below it were made by this time
 
-    def purged(self, index: int, now_s: float) -> None:
+    def record_purge(self, index: int, now_s: float) -> None:
         """Record that a router has applied a purge. Calls come in time order, so the last one counts."""
         if index >= len(self.purges):
             self.purges.extend([NOT_APPLIED] * (index + 1 - len(self.purges)))
         self.purges[index] = now_s
 
-    def version(self, path: str, number: int, now_s: float) -> None:
+    def record_version(self, path: str, number: int, now_s: float) -> None:
         """Record that a router on this network path has a version in force."""
         self.versions.setdefault(path, {})[number] = now_s
 
 
-class RouterTally:
+class RouterAppliedChanges:
     """What one router has applied since its start."""
 
-    def __init__(self, shared: ProcessTally, path: str, first_purge: int, version: int) -> None:
+    def __init__(self, shared: ProcessAppliedChanges, path: str, first_purge: int, version: int) -> None:
         """The router must apply all purges from index ``first_purge`` on, and has all versions up to
         ``version``."""
         self._shared = shared
@@ -79,7 +79,7 @@
                 self.out_of_order += 1
             self._highest = max(index, self._highest)
             if self.lease_lapsed_at_s is None:
-                self._shared.purged(index, now_s)
+                self._shared.record_purge(index, now_s)
             else:
                 self.applied_without_lease.append((index, now_s, self.lease_lapsed_at_s))
 
@@ -127,7 +127,7 @@
     def record_version(self, number: int, now_s: float) -> None:
         """Record that a version has come into force, along with all earlier ones not recorded yet."""
         for passed in range(self.version + 1, number + 1):
-            self._shared.version(self.path, passed, now_s)
+            self._shared.record_version(self.path, passed, now_s)
         self.version = max(self.version, number)
 
 
--- a/magpieshift/lab/scale/calibration.py
+++ b/magpieshift/lab/scale/calibration.py
@@ -28,7 +28,7 @@
 from magpieshift.lab.fault_injection.ports import free_port
 from magpieshift.lab.scale.fleet import Fleet, Size
 from magpieshift.lab.scale.load import Rates, arrivals
-from magpieshift.lab.scale.load_player import Player
+from magpieshift.lab.scale.load_player import LoadPlayer
 from magpieshift.lab.scale.processes import ProcessExitedError, cpu_seconds, resident_mb
 from magpieshift.lab.scale.tier import CONTROL, DirectTier
 from magpieshift.lab.scale.topology import Topology, generate
@@ -36,7 +36,7 @@
 ROUTER_COUNTS = (1, 4, 10)  # numbers of real router processes that one machine can run side by side
 MAX_RATIO_DEVIATION = 0.2  # deviation of a ratio from 1; a larger one is listed and must be explained
 START_TIMEOUT_S = 30.0  # for all router processes to follow the change log and the control service
-POLL_INTERVAL_S = 0.1  # between checks whether they follow
+POLL_INTERVAL_S = 0.1  # between checks whether all router processes follow
 IDLE_BEFORE_LOAD_S = 1.0  # pause between the start of the routers and the load
 STOP_TIMEOUT_S = 8.0  # for a router process to exit after SIGTERM, before it is killed
 MODULES = (
@@ -53,12 +53,12 @@
     """The kind of router whose cost is measured."""
 
     REAL = "real"
-    TOGETHER = "together"  # hollow routers that share one process
-    APART = "apart"  # hollow routers with a process each
+    SHARED_PROCESS = "together"  # hollow routers that share one process
+    OWN_PROCESS = "apart"  # hollow routers with a process each
 
     def workers(self, routers: int) -> int:
         """The number of worker processes for this many routers; real routers need none."""
-        return {Kind.REAL: 0, Kind.TOGETHER: 1, Kind.APART: routers}[self]
+        return {Kind.REAL: 0, Kind.SHARED_PROCESS: 1, Kind.OWN_PROCESS: routers}[self]
 
 
 @dataclass(frozen=True)
@@ -178,7 +178,7 @@
     tier = DirectTier()
     fleet = Fleet(Topology(generate(routers, plan.seed)), Size(kind.workers(routers), plan.caches), tier)
     real: RealRouters | None = None
-    player = Player(fleet, lambda: None, lambda: None)
+    player = LoadPlayer(fleet, lambda: None, lambda: None)
     with tempfile.TemporaryDirectory(prefix="calibrate-") as folder:
         try:
             await fleet.open()
@@ -222,7 +222,7 @@
         by = {kind: [getattr(cost, figure) for cost in found] for kind, found in costs.items()}
         for kind, values in by.items():
             row[f"{figure}_{kind.value}"] = _mean(values)
-        for kind in (Kind.TOGETHER, Kind.APART):
+        for kind in (Kind.SHARED_PROCESS, Kind.OWN_PROCESS):
             row |= _ratios(f"{figure}_{kind.value}_ratio", by[kind], by[Kind.REAL])
     return row
 
--- a/magpieshift/lab/scale/changelog.py
+++ b/magpieshift/lab/scale/changelog.py
@@ -39,8 +39,8 @@
 class Watch(asyncio.Protocol):
     """One connection on which a client follows the change log."""
 
-    def __init__(self, changes: ChangeLogServer) -> None:
-        self._changes = changes
+    def __init__(self, server: ChangeLogServer) -> None:
+        self._log_server = server
         self._head = b""
         self._transport: asyncio.Transport | None = None
         self._writable = False
@@ -51,12 +51,12 @@
         """Register this watch with the server."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._changes.watches.add(self)
+        self._log_server.watches.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Remove this watch from the server, which keeps its byte count."""
-        self._changes.watches.discard(self)
-        self._changes.watch_closed(self)
+        self._log_server.watches.discard(self)
+        self._log_server.watch_closed(self)
         self._writable = False
 
     def data_received(self, data: bytes) -> None:
@@ -86,7 +86,7 @@
 
     def catch_up(self) -> None:
         """Write the events that this watch has not been sent yet, until the transport's buffer is full."""
-        events = self._changes.events
+        events = self._log_server.events
         while self._writable and self._next_event < len(events):
             part = events[self._next_event : self._next_event + MAX_EVENTS_PER_WRITE]
             self._next_event += len(part)
@@ -119,7 +119,7 @@
         self._list = CacheList(caches)
         self._server: asyncio.Server | None = None
         self._heartbeat_task: asyncio.Task[None] | None = None
-        self._return_task: asyncio.Task[None] | None = None
+        self._resume_task: asyncio.Task[None] | None = None
         self._flush_scheduled = False
         self._closed_watch_bytes = 0
         self._append(self._list.complete_event())
@@ -145,7 +145,7 @@
     def close(self) -> None:
         """Stop the server and its tasks."""
         self.stop()
-        for task in (self._heartbeat_task, self._return_task):
+        for task in (self._heartbeat_task, self._resume_task):
             if task is not None:
                 task.cancel()
 
@@ -153,9 +153,9 @@
         """Reset all watches and close the port, and listen on it again after ``seconds``. Events are still
         accepted meanwhile."""
         self.stop()
-        self._return_task = asyncio.ensure_future(self._return_after(seconds))
+        self._resume_task = asyncio.ensure_future(self._resume_after(seconds))
 
-    async def _return_after(self, seconds: float) -> None:
+    async def _resume_after(self, seconds: float) -> None:
         await asyncio.sleep(seconds)
         await self.start(self.port)
 
@@ -170,9 +170,9 @@
             self.accepted.append(now_s)
             self._append({"invalidate": {"object": object_of(index), "time": made_ms}})
 
-    def change_list(self, place: int) -> None:
-        """Move the cache at index ``place`` of the list to its next phase, and accept the event for it."""
-        self._append(self._list.change(place))
+    def change_list(self, index: int) -> None:
+        """Move the cache at index ``index`` of the list to its next phase, and accept the event for it."""
+        self._append(self._list.change(index))
 
     def head(self) -> Head:
         """The newest sequence number, the purges so far and the complete list."""
@@ -228,8 +228,8 @@
         match message:
             case AcceptPurges(count=count, made_over_s=made_over_s):
                 server.purge(count, made_over_s)
-            case ChangeEndpointList(place=place):
-                server.change_list(place)
+            case ChangeEndpointList(place=index):
+                server.change_list(index)
             case PauseChangeLog(seconds=seconds):
                 server.pause(seconds)
             case HeadRequest():
--- a/magpieshift/lab/scale/faults.py
+++ b/magpieshift/lab/scale/faults.py
@@ -26,7 +26,7 @@
 SLOW_READER_PATHS = (SLOW_PATH, STALLED_PATH)
 DISTANCE_DELAY = "distance"
 REGION_PARTITION = "region away"
-POLL_INTERVAL_S = 0.1  # between checks of a condition that is waited for; bounds the error of ``return_s``
+POLL_INTERVAL_S = 0.1  # between checks of a condition that is waited for; bounds the error of ``catch_up_s``
 RESTART_DOWNTIME_S = 0.5  # between crash and restart of a router, for the restarts that are part of the load
 SELECTION_STRIDE = 10  # scenarios that affect a tenth of the routers choose every tenth
 SUBSCRIBE_TIMEOUT_S = 60.0  # for all routers to subscribe to versions after their start
@@ -41,10 +41,10 @@
         self._scenario = scenario
         self._seconds = seconds
         self.first_purge = 0  # index of the first purge of the load
-        self.return_s: float | None = None
-        self.return_bytes_per_router: float | None = None
-        self._cut_paths: set[str] = set()
-        self._cut_paths_by_fault: dict[str, set[str]] = {}  # by name of the fault
+        self.catch_up_s: float | None = None
+        self.catch_up_bytes_per_router: float | None = None
+        self._unreachable_paths: set[str] = set()
+        self._unreachable_paths_by_fault: dict[str, set[str]] = {}  # by name of the fault
         self._tasks: list[asyncio.Task[None]] = []
         self._region_partition = next(
             (event for event in scenario.events if isinstance(event, RegionPartition)), None
@@ -80,9 +80,9 @@
     def reachable_paths(self) -> frozenset[str] | None:
         """The paths on which control can be reached now, without those that are cut or have slow readers;
         None: all paths."""
-        if not self._cut_paths:
+        if not self._unreachable_paths:
             return None
-        return frozenset(self._fleet.paths.values()) - self._cut_paths
+        return frozenset(self._fleet.paths.values()) - self._unreachable_paths
 
     def restart_one(self) -> None:
         """Restart the live router whose reversed name sorts first, which is as good as a random choice."""
@@ -143,7 +143,7 @@
         for event in self._scenario.events:
             self._spawn(self._run_event(event))
         for name, cut in self._fleet.topology.cuts.items():
-            self._spawn(self._cut_for(name, cut))
+            self._spawn(self._apply_cut(name, cut))
         await asyncio.gather(*self._tasks)
 
     async def _run_event(self, event: Event) -> None:
@@ -204,20 +204,20 @@
         begin = loop.time()
         while await self._fleet.lagging_count(names):
             await asyncio.sleep(POLL_INTERVAL_S)
-        self.return_s = round(loop.time() - begin, 2)
+        self.catch_up_s = round(loop.time() - begin, 2)
         if counter is not None:
-            self.return_bytes_per_router = round((await counter.read() - first) / len(names))
+            self.catch_up_bytes_per_router = round((await counter.read() - first) / len(names))
 
     async def _slow_readers(self, event: SlowReaders) -> None:
         await self._wait_fraction(event.from_fraction)
         await self._cut(STALLED_PATH, {STALLED_PATH} & set(self._fleet.paths.values()))
         slow = InjectFault(why=SLOW_PATH, paths=[SLOW_PATH], kb_per_s=event.kb_per_s, direction="to-routers")
         await self._fleet.inject_fault(slow)
-        self._cut_paths.add(SLOW_PATH)
+        self._unreachable_paths.add(SLOW_PATH)
         await self._wait_fraction(event.until_fraction - event.from_fraction)
         await self._heal(STALLED_PATH)
         await self._fleet.heal_fault(SLOW_PATH)
-        self._cut_paths.discard(SLOW_PATH)
+        self._unreachable_paths.discard(SLOW_PATH)
 
     async def _interrupt_control(self, event: ControlOutage) -> None:
         await self._wait_fraction(event.at_fraction)
@@ -225,7 +225,7 @@
 
     # --- cuts
 
-    async def _cut_for(self, name: str, cut: Cut) -> None:
+    async def _apply_cut(self, name: str, cut: Cut) -> None:
         """Apply a cut of the topology file from its begin to its end."""
         await asyncio.sleep(cut.from_s)
         paths = {self._fleet.paths[place.name] for place in self._fleet.topology.within(cut)}
@@ -239,12 +239,12 @@
         paths: set[str],
         direction: Literal["both", "to-routers", "from-routers"] = "both",
     ) -> None:
-        self._cut_paths_by_fault[why] = paths
-        self._cut_paths |= paths
+        self._unreachable_paths_by_fault[why] = paths
+        self._unreachable_paths |= paths
         await self._fleet.inject_fault(
             InjectFault(why=why, paths=sorted(paths), cut=True, direction=direction)
         )
 
     async def _heal(self, why: str) -> None:
-        self._cut_paths -= self._cut_paths_by_fault.pop(why)
+        self._unreachable_paths -= self._unreachable_paths_by_fault.pop(why)
         await self._fleet.heal_fault(why)
--- a/magpieshift/lab/scale/fleet.py
+++ b/magpieshift/lab/scale/fleet.py
@@ -42,7 +42,9 @@
         self.tier = tier
         self.places: Mapping[str, Place] = {place.name: place for place in topology.places}
         self.paths: dict[str, str] = {place.name: place.zone for place in topology.places}
-        self.region_internal_paths: set[str] = set()  # cuts of these leave connections within a region
+        self.region_internal_paths: set[str] = (
+            set()
+        )  # a cut of these does not affect connections within a region
         self.live: set[str] = set()
         self.workers: list[Child] = []
         self.networks: list[Child] = []
--- a/magpieshift/lab/scale/installation.py
+++ b/magpieshift/lab/scale/installation.py
@@ -30,15 +30,15 @@
     return sexp.format_document(changed)
 
 
-def cache(place: int, phase: str = "SERVING", incarnation: int = 0) -> dict[str, Any]:
+def cache(index: int, phase: str = "SERVING", incarnation: int = 0) -> dict[str, Any]:
     """A cache as the change log lists it. ``incarnation`` counts the earlier cache processes at the same
     index of the list."""
     return {
-        "id": f"s-{place:05d}-{incarnation}",
+        "id": f"s-{index:05d}-{incarnation}",
         "host_port": f"127.0.0.1:{UNUSED_PORT}",
         "locality": ZONE,
         "flavor": KIND,
-        "cell": place + 1,
+        "cell": index + 1,
         "phase": phase,
         "size": 4,
         "up_since_ms": 0,
@@ -49,7 +49,7 @@
     """The list of caches, and the watch events that announce its changes."""
 
     def __init__(self, caches: int) -> None:
-        self._listed = {place: cache(place) for place in range(caches)}
+        self._listed = {index: cache(index) for index in range(caches)}
         self._incarnations = dict.fromkeys(range(caches), 0)
         self._revision = 1
 
@@ -58,12 +58,12 @@
         members = [member for member in self._listed.values() if member["phase"] != "DELETED"]
         return {"fleet": {"revision": self._revision, "complete": True, "members": members}}
 
-    def change(self, place: int) -> dict[str, Any]:
-        """Move the cache at index ``place`` to its next phase (draining, deleted, or serving as a new
+    def change(self, index: int) -> dict[str, Any]:
+        """Move the cache at index ``index`` to its next phase (draining, deleted, or serving as a new
         process), and return the watch event."""
-        place %= max(1, len(self._listed))
+        index %= max(1, len(self._listed))
         self._revision += 1
-        phase = NEXT_PHASE[self._listed[place]["phase"]]
-        self._incarnations[place] += phase == "SERVING"
-        self._listed[place] = cache(place, phase, self._incarnations[place])
-        return {"fleet": {"revision": self._revision, "complete": False, "members": [self._listed[place]]}}
+        phase = NEXT_PHASE[self._listed[index]["phase"]]
+        self._incarnations[index] += phase == "SERVING"
+        self._listed[index] = cache(index, phase, self._incarnations[index])
+        return {"fleet": {"revision": self._revision, "complete": False, "members": [self._listed[index]]}}
--- a/magpieshift/lab/scale/load.py
+++ b/magpieshift/lab/scale/load.py
@@ -55,7 +55,7 @@
 
     begin_s: float
     seconds: float = BURST_DURATION_S
-    times: float = BURST_RATE_MULTIPLE
+    rate_multiple: float = BURST_RATE_MULTIPLE
 
 
 @dataclass(frozen=True)
@@ -72,13 +72,13 @@
     """Arrival times in ``[0, seconds)`` at a mean rate, raised in bursts. Bursts must not overlap."""
     if rate <= 0:
         return
-    edges = _rate_steps(rate, seconds, bursts)
+    steps = _rate_steps(rate, seconds, bursts)
     until_next = rand.expovariate(1.0)  # integral of the rate from ``begin`` to the next arrival
-    for begin, end, now in edges:
-        while until_next < (end - begin) * now:
-            yield begin + until_next / now
+    for begin, end, step_rate in steps:
+        while until_next < (end - begin) * step_rate:
+            yield begin + until_next / step_rate
             until_next += rand.expovariate(1.0)
-        until_next -= (end - begin) * now
+        until_next -= (end - begin) * step_rate
 
 
 def _rate_steps(rate: float, seconds: float, bursts: Sequence[Burst]) -> list[tuple[float, float, float]]:
@@ -88,7 +88,7 @@
     for burst in sorted(bursts, key=lambda burst: burst.begin_s):
         begin = min(burst.begin_s, seconds)
         end = min(burst.begin_s + burst.seconds, seconds)
-        steps += [(at, begin, rate), (begin, end, rate * burst.times)]
+        steps += [(at, begin, rate), (begin, end, rate * burst.rate_multiple)]
         at = end
     return [*steps, (at, seconds, rate)]
 
--- a/magpieshift/lab/scale/load_player.py
+++ b/magpieshift/lab/scale/load_player.py
@@ -9,7 +9,7 @@
 from magpieshift.lab.scale.load import Arrival, Kind
 
 
-class Player:
+class LoadPlayer:
     """Applies the arrivals of one load, and owns the publications in progress. ``reachable`` returns the
     paths on which control can be reached (None: all), ``restart`` restarts a router."""
 
@@ -41,9 +41,8 @@
 
     async def _play_arrival(self, kind: Kind) -> None:
         match kind:
-            case (
-                Kind.VERSION
-            ):  # a task, so that purges continue while it waits for an unreachable control service
+            case Kind.VERSION:
+                # a task, so that purges continue while it waits for an unreachable control service
                 publishing = self._fleet.publish(self._reachable())
                 self._publishing.append(asyncio.ensure_future(publishing))
             case Kind.LIST_CHANGE:
--- a/magpieshift/lab/scale/memory.py
+++ b/magpieshift/lab/scale/memory.py
@@ -29,10 +29,10 @@
     return processes * PROCESS_MB + routers * (ROUTER_MB + caches * ROUTER_MB_PER_CACHE)
 
 
-def check(routers: int, processes: int, caches: int, of_mb: float = 0.0) -> None:
+def check(routers: int, processes: int, caches: int, total_mb: float = 0.0) -> None:
     """Raise ``ConfigError`` where a run needs more than ``MAX_MEMORY_FRACTION`` of the memory, or more than
-    ``MAX_PROCESSES`` processes. ``of_mb`` is the machine's memory; 0: read it."""
-    limit_mb = MAX_MEMORY_FRACTION * (of_mb or machine_mb())
+    ``MAX_PROCESSES`` processes. ``total_mb`` is the machine's memory; 0: read it."""
+    limit_mb = MAX_MEMORY_FRACTION * (total_mb or machine_mb())
     wanted_mb = needed_mb(routers, processes, caches)
     if wanted_mb > limit_mb:
         raise ConfigError(
--- a/magpieshift/lab/scale/messages.py
+++ b/magpieshift/lab/scale/messages.py
@@ -6,7 +6,7 @@
 
 from pydantic import BaseModel, Field, TypeAdapter
 
-MAX_LINE_BYTES = 256 << 20  # a report on an hour of purges takes a tenth of it
+MAX_LINE_BYTES = 256 << 20  # about ten times the size of a report on one hour of purges
 
 
 class StartLog(BaseModel):
@@ -296,7 +296,7 @@
     | PurgesAcceptedBy
     | Failed
 )
-_ANY: TypeAdapter[Message] = TypeAdapter(Annotated[Message, Field(discriminator="kind")])
+_MESSAGE_ADAPTER: TypeAdapter[Message] = TypeAdapter(Annotated[Message, Field(discriminator="kind")])
 
 
 def encode(message: Message) -> bytes:
@@ -306,4 +306,4 @@
 
 def decode(line: bytes) -> Message:
     """Parse the message on a line; ``ValueError`` where it is invalid."""
-    return _ANY.validate_json(line)
+    return _MESSAGE_ADAPTER.validate_json(line)
--- a/magpieshift/lab/scale/processes.py
+++ b/magpieshift/lab/scale/processes.py
@@ -16,7 +16,7 @@
 STOP_TIMEOUT_S = 5.0  # for a process to exit after the end of its input, before it is killed
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
-M = TypeVar("M", bound=Message)
+ReplyType = TypeVar("ReplyType", bound=Message)
 
 
 class ProcessExitedError(Exception):
@@ -102,7 +102,7 @@
         except ConnectionError:
             raise ProcessExitedError(f"{self.name} exited before it read {message.kind!r}") from None
 
-    async def request(self, message: Message, reply_type: type[M]) -> M:
+    async def request(self, message: Message, reply_type: type[ReplyType]) -> ReplyType:
         """Send a message, and return the reply, which must be of this type."""
         assert self._process.stdout is not None
         async with self._request_lock:
--- a/magpieshift/lab/scale/relay_feed.py
+++ b/magpieshift/lab/scale/relay_feed.py
@@ -19,7 +19,7 @@
         """Attach the relay extension to the router. The casts are safe: the extension uses only those members
         of a router that a hollow router has as well."""
         self._router = router
-        self._relayed = RelaySubscription(
+        self._subscription = RelaySubscription(
             cast(EdgeRouter, router), router.manager, relays, region, router.name
         )
         self._client = cast(RelayChangeSource, router.change_source).client
@@ -30,7 +30,7 @@
         return self._client.caught_up.is_set()
 
     @property
-    def leased(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether the router holds a lease: the engine then accepts copies of any age."""
         limit = self._router.engine.copy_age_limit
         return limit is not None and limit() == 0
--- a/magpieshift/lab/scale/relays.py
+++ b/magpieshift/lab/scale/relays.py
@@ -128,10 +128,11 @@
         return 1 + len(self._machines)
 
     def address_router(
-        self, place: Place, path: str, port_for: PortLookup, spares_region: bool
+        self, place: Place, path: str, port_for: PortLookup, keeps_region_connected: bool
     ) -> m.RouterAddresses:
-        """The ports of all relays, on the router's network path. If ``spares_region`` is set, the router
-        connects directly to the relays of its region, as a cut of the path does not affect them."""
+        """The ports of all relays, on the router's network path. With ``keeps_region_connected``, the
+        router connects directly to the relays of its region, so that a cut of the path does not affect these
+        connections."""
         assert self._log is not None
         relays = [
             m.RelayTarget(
@@ -139,7 +140,7 @@
                 region=machine.region,
                 port=(
                     machine.port
-                    if spares_region and machine.region == place.region
+                    if keeps_region_connected and machine.region == place.region
                     else port_for(path, machine.name)
                 ),
             )
@@ -150,7 +151,7 @@
         )
 
     async def publish(self, number: int, text: str) -> float:
-        """Write the version to the source's folder; returns the time of it on the monotonic clock."""
+        """Write the version to the source's folder; returns the time of writing on the monotonic clock."""
         path = Path(self._folder.name) / f"{number}.sexp"
         part = path.with_suffix(".part")
         part.write_text(text, encoding="utf-8")
--- a/magpieshift/lab/scale/result.py
+++ b/magpieshift/lab/scale/result.py
@@ -46,7 +46,7 @@
     purges: int = 0
     versions: int = 0
     workers: int = 0
-    worker_busy_max_percent: float | None = None  # of a core, over 2 s; above 90, times include waiting in it
+    worker_busy_max_percent: float | None = None  # of a core, over 2 s; above 90, times include waiting
     control_cpu_percent_by: dict[str, float] = field(default_factory=dict)
     network_cpu_percent: float | None = None
     purges_by_lease: int = 0  # applied by a router without a lease, which limits the age of copies instead
@@ -70,7 +70,7 @@
     reachable: frozenset[str] | None = None  # None: all paths
 
 
-LateApplication = tuple[int, float, float]
+UnleasedApplication = tuple[int, float, float]
 """A purge applied by a router without a lease: index, time of application, and time of the lease's lapse."""
 
 
@@ -78,7 +78,7 @@
     accepted: Sequence[float],
     applied: Sequence[Sequence[float]],
     missing: Iterable[int],
-    late: Iterable[LateApplication] = (),
+    without_lease: Iterable[UnleasedApplication] = (),
     lease_s: float = math.inf,
 ) -> list[float]:
     """For each purge, the seconds from its acceptance until it was done at the last router of all processes;
@@ -89,7 +89,7 @@
     latest = [
         max((part[i] for part in applied if i < len(part)), default=NOT_APPLIED) for i in range(len(accepted))
     ]
-    for index, at_s, lapsed_s in late:
+    for index, at_s, lapsed_s in without_lease:
         bounded_s = max(accepted[index] + lease_s, lapsed_s)
         latest[index] = max(latest[index], min(at_s, bounded_s))
     times = [
--- a/magpieshift/lab/scale/run.py
+++ b/magpieshift/lab/scale/run.py
@@ -14,7 +14,7 @@
 from magpieshift.lab.scale.faults import Faults
 from magpieshift.lab.scale.fleet import Fleet, Size
 from magpieshift.lab.scale.load import DAY_S, Burst, Rates, arrivals
-from magpieshift.lab.scale.load_player import Player
+from magpieshift.lab.scale.load_player import LoadPlayer
 from magpieshift.lab.scale.messages import LogReport, WorkerReport
 from magpieshift.lab.scale.processes import Child
 from magpieshift.lab.scale.relays import RELAYS_PER_REGION, RelayTier
@@ -35,10 +35,11 @@
     "relay": RelayTier,
 }
 FEEDS = tuple(TIERS)
+# upper bound of the number of control processes by feed, including the change log
 CONTROL_PROCESSES = {
     "direct": 2,
     "relay": 2 + RELAYS_PER_REGION * TARGET_REGIONS,
-}  # upper bound by feed, including the change log
+}
 MAX_WORKERS = 6  # more worker processes would leave fewer cores to control
 ROUTERS_PER_WORKER = 10  # while there are fewer than MAX_WORKERS; beyond that, workers get more routers
 POLL_INTERVAL_S = 0.25  # between checks whether routers have caught up after the load
@@ -100,7 +101,8 @@
         size = Size(plan.processes, plan.caches, plan.drop_every)
         self.fleet = Fleet(self.topology, size, TIERS[plan.feed](self.topology))
         self.faults = Faults(self.fleet, plan.scenario, plan.seconds)
-        # sampled time of the load, summed over live routers and alone; the quotient is the mean number live
+        # time covered by the samples of the load, in router-seconds and in seconds; their quotient is the
+        # mean number of live routers
         self._router_seconds = 0.0
         self._sampled_s = 0.0
         self._busiest_percent = 0.0  # of a core: the highest of any worker between two samples
@@ -156,7 +158,7 @@
             [] if scenario.burst_at_fraction is None else [Burst(scenario.burst_at_fraction * plan.seconds)]
         )
         due = arrivals(plan.rates, plan.seconds, plan.seed, bursts)
-        player = Player(self.fleet, self.faults.reachable_paths, self.faults.restart_one)
+        player = LoadPlayer(self.fleet, self.faults.reachable_paths, self.faults.restart_one)
         events = asyncio.ensure_future(self.faults.play())
         watching = asyncio.ensure_future(self._sample_load())
         try:
@@ -217,7 +219,7 @@
     async def _collect_result(self, before: Sample, after: Sample) -> None:
         result = self.result
         fleet = self.fleet
-        result.mb_per_router = fleet.mb_per_router  # first, as reports add to the workers' memory
+        result.mb_per_router = fleet.mb_per_router  # read before the reports, which add to it
         log = await fleet.log_report()
         reports = await fleet.worker_reports()
         result.hollow = sum(r.live for r in reports)
@@ -226,8 +228,8 @@
         result.versions = len(fleet.published)
         self._record_costs(before, after)
         self._evaluate(log, reports)
-        result.return_s = self.faults.return_s
-        result.return_bytes_per_router = self.faults.return_bytes_per_router
+        result.return_s = self.faults.catch_up_s
+        result.return_bytes_per_router = self.faults.catch_up_bytes_per_router
 
     def _record_costs(self, before: Sample, after: Sample) -> None:
         result = self.result
--- a/magpieshift/lab/scale/tier.py
+++ b/magpieshift/lab/scale/tier.py
@@ -49,10 +49,10 @@
         ...
 
     def address_router(
-        self, place: Place, path: str, port_for: PortLookup, spares_region: bool
+        self, place: Place, path: str, port_for: PortLookup, keeps_region_connected: bool
     ) -> m.RouterAddresses:
-        """The ports that a router connects to. ``spares_region``: a cut of its path does not affect
-        connections within its region."""
+        """The ports that a router connects to. With ``keeps_region_connected``, a cut of its path does not
+        affect its connections within its region."""
         ...
 
     async def publish(self, number: int, text: str) -> float:
@@ -139,7 +139,7 @@
         return 1
 
     def address_router(
-        self, place: Place, path: str, port_for: PortLookup, spares_region: bool
+        self, place: Place, path: str, port_for: PortLookup, keeps_region_connected: bool
     ) -> m.RouterAddresses:
         """The ports of change log and control service on the router's network path."""
         return m.RouterAddresses(
--- a/magpieshift/lab/scale/worker.py
+++ b/magpieshift/lab/scale/worker.py
@@ -13,7 +13,7 @@
 
 from magpieshift.control.schema import LoadedDocument, load_text
 from magpieshift.lab.scale import process_loop
-from magpieshift.lab.scale.applied_changes import ProcessTally, RouterTally, index_of
+from magpieshift.lab.scale.applied_changes import ProcessAppliedChanges, RouterAppliedChanges, index_of
 from magpieshift.lab.scale.hollow_router import (
     ChangeLogOverride,
     DirectFeed,
@@ -43,7 +43,7 @@
 
 THREAD_SWITCH_INTERVAL_S = 0.0005  # same as in a router process, since versions are parsed in a thread
 CONNECT_TIMEOUT_S = 60.0  # for all routers of one StartRouters message to connect
-POLL_INTERVAL_S = 0.02  # between checks whether they have connected
+POLL_INTERVAL_S = 0.02  # between checks whether all these routers have connected
 LEASE_POLL_INTERVAL_S = 0.05  # bounds the error of the recorded time of a lease's lapse
 LOOPBACK = "127.0.0.1"
 
@@ -53,7 +53,7 @@
     """A running hollow router with its feed, and the record of what it has applied."""
 
     router: HollowRouter
-    tally: RouterTally
+    applied: RouterAppliedChanges
     feed: Feed
 
 
@@ -63,7 +63,7 @@
     def __init__(self, start: StartWorker) -> None:
         self._loaded: LoadedDocument = load_text(start.settings)
         self._drop_every = start.drop_every
-        self.shared = ProcessTally()
+        self.shared = ProcessAppliedChanges()
         self._running: dict[str, RunningRouter] = {}
         self._out_of_order = 0  # purges applied out of order by routers that have crashed
         self._applied_without_lease: list[tuple[int, float, float]] = []
@@ -75,36 +75,38 @@
         known = {"seq": head.sequence, "results": [json.loads(head.list_event)]}
         started = []
         for addresses in places:
-            tally = RouterTally(self.shared, addresses.path, head.purges, version)
-            live = self._build_router(addresses, tally)
+            applied = RouterAppliedChanges(self.shared, addresses.path, head.purges, version)
+            live = self._build_router(addresses, applied)
             live.router.start(live.feed, {} if addresses.relays else known)
             self._running[addresses.name] = live
             started.append(live.router)
-            await asyncio.sleep(0)  # yield between routers: a list of many caches takes milliseconds to apply
+            await asyncio.sleep(0)  # let other tasks run: a list of many caches takes milliseconds to apply
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             while not all(router.connected for router in started):
                 await asyncio.sleep(POLL_INTERVAL_S)
         gc.collect()
-        gc.freeze()  # as a router process does when it starts serving
+        gc.freeze()  # excludes these objects from collection, as a router process does
 
-    def _build_router(self, addresses: RouterAddresses, tally: RouterTally) -> RunningRouter:
+    def _build_router(self, addresses: RouterAddresses, applied: RouterAppliedChanges) -> RunningRouter:
         def purged(purges: Sequence[PurgeReceived]) -> None:
             ages = {index_of(purge.object_key): purge.age_us / 1e6 for purge in purges}
-            tally.record_purges(ages, time.monotonic())
+            applied.record_purges(ages, time.monotonic())
 
         overrides = ChangeLogOverride(addresses.name, changelog=(LOOPBACK, addresses.log_port))
         seed = random.Random(addresses.name).getrandbits(32)
         router = HollowRouter(
             addresses.name, self._loaded, overrides, seed, PurgeObserver(purged, self._drop_every)
         )
-        observe_versions(router.manager, lambda number: tally.record_version(number, time.monotonic()))
-        return RunningRouter(router, tally, _build_feed(router, addresses))
+        observe_versions(router.manager, lambda number: applied.record_version(number, time.monotonic()))
+        return RunningRouter(router, applied, _build_feed(router, addresses))
 
     async def crash(self, names: Sequence[str]) -> None:
         """Crash these routers, all at once."""
         crashed = [self._running.pop(name) for name in names if name in self._running]
-        self._out_of_order += sum(live.tally.out_of_order for live in crashed)
-        self._applied_without_lease += [each for live in crashed for each in live.tally.applied_without_lease]
+        self._out_of_order += sum(live.applied.out_of_order for live in crashed)
+        self._applied_without_lease += [
+            each for live in crashed for each in live.applied.applied_without_lease
+        ]
         await asyncio.gather(*(live.router.crash() for live in crashed))
 
     async def _record_leases(self) -> None:
@@ -113,22 +115,24 @@
             now_s = time.monotonic()
             for live in self._running.values():
                 if isinstance(live.feed, RelayFeed):
-                    live.tally.set_lease_held(live.feed.leased, now_s)
+                    live.applied.set_lease_held(live.feed.holds_lease, now_s)
             await asyncio.sleep(LEASE_POLL_INTERVAL_S)
 
     def lagging_count(self, purges: int, version: int, names: Sequence[str]) -> int:
         """Count the live routers that lack one of the first ``purges`` purges or have a version below
         ``version`` in force; only those in ``names``, unless it is empty."""
         chosen = [live for name, live in self._running.items() if not names or name in names]
-        return sum(live.tally.missing_count(purges) > 0 or live.tally.version < version for live in chosen)
+        return sum(
+            live.applied.missing_count(purges) > 0 or live.applied.version < version for live in chosen
+        )
 
     def report(self, purges: int) -> WorkerReport:
         """What all routers of this process have applied."""
-        lost = {name: live.tally.missing_count(purges) for name, live in self._running.items()}
+        lost = {name: live.applied.missing_count(purges) for name, live in self._running.items()}
         missing = bytearray(purges)  # by purge index: 1 where some live router lacks the purge
         for live in self._running.values():
-            live.tally.mark_missing(missing)
-        out_of_order = sum(live.tally.out_of_order for live in self._running.values())
+            live.applied.mark_missing(missing)
+        out_of_order = sum(live.applied.out_of_order for live in self._running.values())
         return WorkerReport(
             live=len(self._running),
             purges=self.shared.purges,
@@ -137,11 +141,11 @@
             out_of_order=out_of_order + self._out_of_order,
             late=[
                 *self._applied_without_lease,
-                *(each for live in self._running.values() for each in live.tally.applied_without_lease),
+                *(each for live in self._running.values() for each in live.applied.applied_without_lease),
             ],
-            forgotten=sum(live.tally.forgotten for live in self._running.values()),
+            forgotten=sum(live.applied.forgotten for live in self._running.values()),
             missing=[index for index, lacking in enumerate(missing) if lacking],
-            version_behind={name: live.tally.version for name, live in self._running.items()},
+            version_behind={name: live.applied.version for name, live in self._running.items()},
         )
 
 
--- a/tests/scale/test_applied_changes.py
+++ b/tests/scale/test_applied_changes.py
@@ -8,8 +8,8 @@
 from magpieshift.lab.scale import memory
 from magpieshift.lab.scale.applied_changes import (
     PURGE_EXPIRY_S,
-    ProcessTally,
-    RouterTally,
+    ProcessAppliedChanges,
+    RouterAppliedChanges,
     index_of,
     object_of,
 )
@@ -27,59 +27,59 @@
 
 class Purges(unittest.TestCase):
     def setUp(self) -> None:
-        self.shared = ProcessTally()
-        self.tally = RouterTally(self.shared, "z0", first_purge=2, version=0)
+        self.shared = ProcessAppliedChanges()
+        self.applied = RouterAppliedChanges(self.shared, "z0", first_purge=2, version=0)
 
     def test_an_object_key_encodes_the_index_of_its_purge(self) -> None:
         self.assertEqual([index_of(int(object_of(i), 16)) for i in (0, 5, 1 << 40)], [0, 5, 1 << 40])
 
     def test_purges_in_order_are_neither_lost_nor_out_of_order(self) -> None:
         for index in range(2, 6):
-            self.tally.record_purges({index: 0.0}, float(index))
-        self.assertEqual((self.tally.missing_count(6), self.tally.out_of_order), (0, 0))
+            self.applied.record_purges({index: 0.0}, float(index))
+        self.assertEqual((self.applied.missing_count(6), self.applied.out_of_order), (0, 0))
         self.assertEqual(self.shared.purges, [0, 0, 2.0, 3.0, 4.0, 5.0])
 
     def test_a_gap_is_lost_until_it_is_filled_and_then_out_of_order(self) -> None:
-        self.tally.record_purges({2: 0.0}, 1.0)
-        self.tally.record_purges({4: 0.0}, 2.0)
+        self.applied.record_purges({2: 0.0}, 1.0)
+        self.applied.record_purges({4: 0.0}, 2.0)
         marks = bytearray(6)
-        self.tally.mark_missing(marks)
-        self.assertEqual((self.tally.missing_count(6), list(marks)), (2, [0, 0, 0, 1, 0, 1]))
-        self.tally.record_purges({3: 0.0}, 3.0)
+        self.applied.mark_missing(marks)
+        self.assertEqual((self.applied.missing_count(6), list(marks)), (2, [0, 0, 0, 1, 0, 1]))
+        self.applied.record_purges({3: 0.0}, 3.0)
         self.assertEqual(
-            (self.tally.missing_count(5), self.tally.out_of_order, self.tally.next_purge), (0, 1, 5)
+            (self.applied.missing_count(5), self.applied.out_of_order, self.applied.next_purge), (0, 1, 5)
         )
 
     def test_order_within_one_call_and_repeats_are_ignored(self) -> None:
-        self.tally.record_purges({4: 0.0, 3: 0.1, 2: 0.2}, 1.0)
-        self.tally.record_purges({3: 8.1, 2: 8.2}, 9.0)
-        self.assertEqual((self.tally.missing_count(5), self.tally.out_of_order), (0, 0))
+        self.applied.record_purges({4: 0.0, 3: 0.1, 2: 0.2}, 1.0)
+        self.applied.record_purges({3: 8.1, 2: 8.2}, 9.0)
+        self.assertEqual((self.applied.missing_count(5), self.applied.out_of_order), (0, 0))
         self.assertEqual(self.shared.purges[2:], [1.0, 1.0, 1.0])
 
     def test_a_missing_purge_is_lost_unless_it_has_expired(self) -> None:
-        self.tally.record_purges({2: 0.0}, 1.0)
-        self.tally.record_purges({500: PURGE_EXPIRY_S - 1, 501: 1.0}, 2.0)
-        self.assertEqual((self.tally.missing_count(502), self.tally.forgotten), (497, 0))
-        self.tally.record_purges({502: PURGE_EXPIRY_S, 503: 1.0}, 3.0)
+        self.applied.record_purges({2: 0.0}, 1.0)
+        self.applied.record_purges({500: PURGE_EXPIRY_S - 1, 501: 1.0}, 2.0)
+        self.assertEqual((self.applied.missing_count(502), self.applied.forgotten), (497, 0))
+        self.applied.record_purges({502: PURGE_EXPIRY_S, 503: 1.0}, 3.0)
         self.assertEqual(
-            (self.tally.missing_count(504), self.tally.forgotten, self.tally.out_of_order), (0, 497, 0)
+            (self.applied.missing_count(504), self.applied.forgotten, self.applied.out_of_order), (0, 497, 0)
         )
 
     def test_purges_known_to_have_expired_are_forgotten_when_a_newer_one_arrives(self) -> None:
         for now_s, lost in ((100.0 + PURGE_EXPIRY_S - 1, 7), (100.0 + PURGE_EXPIRY_S, 2)):
-            shared = ProcessTally(accepted_by=(5, 100.0))
-            tally = RouterTally(shared, "z0", 0, 0)
-            tally.record_purges({7: 0.5}, now_s)
-            self.assertEqual(tally.missing_count(8), lost)
+            shared = ProcessAppliedChanges(accepted_by=(5, 100.0))
+            applied = RouterAppliedChanges(shared, "z0", 0, 0)
+            applied.record_purges({7: 0.5}, now_s)
+            self.assertEqual(applied.missing_count(8), lost)
 
     def test_purges_before_the_start_are_not_counted_as_missing(self) -> None:
-        self.assertEqual(self.tally.missing_count(2), 0)
-        self.tally.record_purges({0: 0.0}, 1.0)
-        self.assertEqual((self.tally.out_of_order, self.shared.purges), (0, []))
+        self.assertEqual(self.applied.missing_count(2), 0)
+        self.applied.record_purges({0: 0.0}, 1.0)
+        self.assertEqual((self.applied.out_of_order, self.shared.purges), (0, []))
 
     def test_a_version_in_force_counts_for_all_earlier_ones(self) -> None:
-        self.tally.record_version(3, 7.0)
-        self.tally.record_version(2, 8.0)
+        self.applied.record_version(3, 7.0)
+        self.applied.record_version(2, 8.0)
         self.assertEqual(self.shared.versions, {"z0": {1: 7.0, 2: 7.0, 3: 7.0}})
 
 
@@ -98,15 +98,15 @@
                 self.assertEqual(purge_times([1.0], [[1.25]], [], [late], lease_s=8.0), [time])
 
     def test_purges_applied_without_a_lease_are_recorded_separately(self) -> None:
-        shared = ProcessTally()
-        tally = RouterTally(shared, "z0", 0, 0)
-        tally.set_lease_held(False, 3.0)
-        tally.set_lease_held(False, 4.0)
-        tally.record_purges({0: 0.0}, 5.0)
-        tally.set_lease_held(True, 6.0)
-        tally.record_purges({1: 0.0}, 7.0)
+        shared = ProcessAppliedChanges()
+        applied = RouterAppliedChanges(shared, "z0", 0, 0)
+        applied.set_lease_held(False, 3.0)
+        applied.set_lease_held(False, 4.0)
+        applied.record_purges({0: 0.0}, 5.0)
+        applied.set_lease_held(True, 6.0)
+        applied.record_purges({1: 0.0}, 7.0)
         self.assertEqual(
-            (tally.applied_without_lease, shared.purges, tally.missing_count(2)),
+            (applied.applied_without_lease, shared.purges, applied.missing_count(2)),
             ([(0, 5.0, 3.0)], [0.0, 7.0], 0),
         )
 
@@ -144,9 +144,9 @@
 
 class Measured(unittest.TestCase):
     def test_memory_is_refused_above_half_of_the_machine(self) -> None:
-        memory.check(100, 6, 1000, of_mb=16_000)
+        memory.check(100, 6, 1000, total_mb=16_000)
         with self.assertRaisesRegex(ConfigError, r"--routers: found 4000, .*at most 2000 MB"):
-            memory.check(4000, 6, 1000, of_mb=4000)
+            memory.check(4000, 6, 1000, total_mb=4000)
         self.assertAlmostEqual(memory.machine_mb("MemTotal:  2048 kB\n"), 2.0)
 
     def test_the_kernel_s_counters_are_read_by_stream(self) -> None:
@@ -161,7 +161,7 @@
     def test_ratios_are_of_means_with_the_spread_over_runs(self) -> None:
         real = [Cost(4.0, 100.0, 10.0), Cost(6.0, None, 10.0)]
         hollow = [Cost(5.0, 100.0, 5.0), Cost(6.0, 100.0, 5.0)]
-        row = compare_costs(2, {Kind.REAL: real, Kind.TOGETHER: hollow, Kind.APART: real})
+        row = compare_costs(2, {Kind.REAL: real, Kind.SHARED_PROCESS: hollow, Kind.OWN_PROCESS: real})
         self.assertEqual(row["cpu_percent_together_ratio"], 1.1)
         low, high = row["cpu_percent_together_ratio_low"], row["cpu_percent_together_ratio_high"]
         self.assertEqual((low, high), (1.0, 1.25))
--- a/tests/scale/test_runs.py
+++ b/tests/scale/test_runs.py
@@ -43,9 +43,8 @@
     "out_of_order",
     "rules_broken",
 ]
-FREQUENT_CHANGES = Rates(
-    versions_per_day=86_400.0, list_changes_per_day=86_400.0
-)  # one version and one list change per second
+# one version and one list change per second
+FREQUENT_CHANGES = Rates(versions_per_day=86_400.0, list_changes_per_day=86_400.0)
 
 
 ONE_REGION = read("""
