--- a/magpieshift/cli/lab_scale.py
+++ b/magpieshift/cli/lab_scale.py
@@ -145,7 +145,7 @@
     from magpieshift.lab.scale.processes import ProcessExitedError
     from magpieshift.lab.scale.run import Plan
     from magpieshift.lab.scale.scenario import SCENARIOS
-    from magpieshift.lab.scale.topology import generate, read_file, write
+    from magpieshift.lab.scale.topology import format_topology, generate, read_file
 
     if listed:
         for known in SCENARIOS.values():
@@ -154,7 +154,7 @@
     if scenario is None:
         raise click.UsageError(f"SCENARIO: found nothing, expected one of {', '.join(scenario_names())}")
     if scenario == TOPOLOGY:
-        click.echo(write(generate(routers, seed)), nl=False)
+        click.echo(format_topology(generate(routers, seed)), nl=False)
         return
     try:
         if scenario == CALIBRATE:
--- a/magpieshift/lab/scale/calibration.py
+++ b/magpieshift/lab/scale/calibration.py
@@ -26,7 +26,7 @@
 
 from magpieshift.control import sexp
 from magpieshift.lab.fault_injection.ports import free_port
-from magpieshift.lab.scale.fleet import Fleet, Size
+from magpieshift.lab.scale.fleet import Fleet, FleetOptions
 from magpieshift.lab.scale.load import Rates, arrivals
 from magpieshift.lab.scale.load_player import LoadPlayer
 from magpieshift.lab.scale.processes import ProcessExitedError, cpu_seconds, resident_mb
@@ -176,7 +176,9 @@
 async def measure(plan: Calibration, routers: int, run: int, kind: Kind) -> Cost:
     """Measure one run of one kind with ``routers`` routers; returns the mean cost of one router."""
     tier = DirectTier()
-    fleet = Fleet(Topology(generate(routers, plan.seed)), Size(kind.workers(routers), plan.caches), tier)
+    fleet = Fleet(
+        Topology(generate(routers, plan.seed)), FleetOptions(kind.workers(routers), plan.caches), tier
+    )
     real: RealRouters | None = None
     player = LoadPlayer(fleet, lambda: None, lambda: None)
     with tempfile.TemporaryDirectory(prefix="calibrate-") as folder:
--- a/magpieshift/lab/scale/fleet.py
+++ b/magpieshift/lab/scale/fleet.py
@@ -25,8 +25,8 @@
 
 
 @dataclass(frozen=True)
-class Size:
-    """The numbers of worker processes and of listed caches."""
+class FleetOptions:
+    """The numbers of worker processes and of listed caches, and a fault for tests."""
 
     workers: int
     caches: int
@@ -36,9 +36,9 @@
 class Fleet:
     """Owner of all processes of a run."""
 
-    def __init__(self, topology: Topology, size: Size, tier: Tier) -> None:
+    def __init__(self, topology: Topology, options: FleetOptions, tier: Tier) -> None:
         self.topology = topology
-        self._size = size
+        self._options = options
         self.tier = tier
         self.places: Mapping[str, Place] = {place.name: place for place in topology.places}
         self.paths: dict[str, str] = {place.name: place.zone for place in topology.places}
@@ -63,7 +63,7 @@
     async def open(self, networked_paths: Collection[str] = ()) -> None:
         """Start all processes, without any routers. The paths in ``networked_paths`` lead through a network
         process."""
-        self._log = await Child.start("change log", "log", m.StartLog(caches=self._size.caches))
+        self._log = await Child.start("change log", "log", m.StartLog(caches=self._options.caches))
         self.settings = base_settings(len(self.places), self.log.ports[LOG], self.topology.zone_sizes())
         await self.tier.open(self.log)
         await self._start_networks(sorted(networked_paths))
@@ -82,11 +82,11 @@
 
     async def _start_workers(self) -> None:
         first = m.StartWorker(
-            caches=self._size.caches,
+            caches=self._options.caches,
             settings=sexp.format_document(self.settings),
-            drop_every=self._size.drop_every,
+            drop_every=self._options.drop_every,
         )
-        starting = (Child.start(f"worker {i}", "worker", first) for i in range(self._size.workers))
+        starting = (Child.start(f"worker {i}", "worker", first) for i in range(self._options.workers))
         self.workers = list(await asyncio.gather(*starting))
         self._initial_mb = sum(worker.memory_mb() for worker in self.workers)
 
--- a/magpieshift/lab/scale/installation.py
+++ b/magpieshift/lab/scale/installation.py
@@ -30,7 +30,7 @@
     return sexp.format_document(changed)
 
 
-def cache(index: int, phase: str = "SERVING", incarnation: int = 0) -> dict[str, Any]:
+def listed_cache(index: int, phase: str = "SERVING", incarnation: int = 0) -> dict[str, Any]:
     """A cache as the change log lists it. ``incarnation`` counts the earlier cache processes at the same
     index of the list."""
     return {
@@ -49,7 +49,7 @@
     """The list of caches, and the watch events that announce its changes."""
 
     def __init__(self, caches: int) -> None:
-        self._listed = {index: cache(index) for index in range(caches)}
+        self._listed = {index: listed_cache(index) for index in range(caches)}
         self._incarnations = dict.fromkeys(range(caches), 0)
         self._revision = 1
 
@@ -65,5 +65,5 @@
         self._revision += 1
         phase = NEXT_PHASE[self._listed[index]["phase"]]
         self._incarnations[index] += phase == "SERVING"
-        self._listed[index] = cache(index, phase, self._incarnations[index])
+        self._listed[index] = listed_cache(index, phase, self._incarnations[index])
         return {"fleet": {"revision": self._revision, "complete": False, "members": [self._listed[index]]}}
--- a/magpieshift/lab/scale/process_loop.py
+++ b/magpieshift/lab/scale/process_loop.py
@@ -12,10 +12,10 @@
 
 log = logging.getLogger(__name__)
 
-Handle = Callable[[Message], Awaitable[Message | None]]
+MessageHandler = Callable[[Message], Awaitable[Message | None]]
 
 
-async def serve(handle: Handle) -> None:
+async def serve(handle: MessageHandler) -> None:
     """Pass each message to ``handle``, and write the reply that it returns, if any. An exception is reported
     as a ``Failed`` reply."""
     loop = asyncio.get_running_loop()
--- a/magpieshift/lab/scale/run.py
+++ b/magpieshift/lab/scale/run.py
@@ -12,7 +12,7 @@
 
 from magpieshift.lab.scale import memory
 from magpieshift.lab.scale.faults import Faults
-from magpieshift.lab.scale.fleet import Fleet, Size
+from magpieshift.lab.scale.fleet import Fleet, FleetOptions
 from magpieshift.lab.scale.load import DAY_S, Burst, Rates, arrivals
 from magpieshift.lab.scale.load_player import LoadPlayer
 from magpieshift.lab.scale.messages import LogReport, WorkerReport
@@ -98,8 +98,8 @@
         self._report_progress = report_progress
         self.topology = plan.topology or Topology(generate(plan.routers, plan.seed))
         Child.logs = Path(plan.logs) if plan.logs else None
-        size = Size(plan.processes, plan.caches, plan.drop_every)
-        self.fleet = Fleet(self.topology, size, TIERS[plan.feed](self.topology))
+        options = FleetOptions(plan.processes, plan.caches, plan.drop_every)
+        self.fleet = Fleet(self.topology, options, TIERS[plan.feed](self.topology))
         self.faults = Faults(self.fleet, plan.scenario, plan.seconds)
         # time covered by the samples of the load, in router-seconds and in seconds; their quotient is the
         # mean number of live routers
--- a/magpieshift/lab/scale/sockets.py
+++ b/magpieshift/lab/scale/sockets.py
@@ -13,7 +13,7 @@
 Streams = dict[tuple[str, str], int]  # bytes transferred, by local and remote address
 
 
-def parse(text: str) -> Streams:
+def parse_ss_output(text: str) -> Streams:
     """Parse the output of ``ss -tinH``: for each stream a line with both addresses, then one with the
     counters."""
     found: Streams = {}
@@ -50,5 +50,5 @@
             "ss", "-tinH", "state", "established", f"( {ports} )", stdout=asyncio.subprocess.PIPE
         )
         out, _ = await process.communicate()
-        self._streams |= parse(out.decode())
+        self._streams |= parse_ss_output(out.decode())
         return sum(self._streams.values())
--- a/magpieshift/lab/scale/topology.py
+++ b/magpieshift/lab/scale/topology.py
@@ -128,7 +128,7 @@
             number += 1
 
 
-def read(text: str, source: str = "topology") -> Topology:
+def parse_topology(text: str, source: str = "topology") -> Topology:
     """Parse a topology; ``UnusableDocumentError`` with all problems found."""
     tree = sexp.parse(text, source, HEAD)
     form = validate_form(TopologyForm, tree.data, tree.lines)
@@ -172,7 +172,7 @@
     except (OSError, ValueError) as err:
         raise ConfigError(f"{path} cannot be read: {err}") from err
     try:
-        return read(text, path)
+        return parse_topology(text, path)
     except UnusableDocumentError as err:
         raise ConfigError(f"{path}: {err}") from err
 
@@ -219,8 +219,8 @@
     return [1 + after - before for before, after in zip(edges, edges[1:], strict=False)]
 
 
-def write(form: TopologyForm) -> str:
-    """Format a topology as text; ``read`` of it returns an equal topology."""
+def format_topology(form: TopologyForm) -> str:
+    """Format a topology as text; ``parse_topology`` of it returns an equal topology."""
     data = form.model_dump(mode="json", by_alias=True, exclude_none=True, exclude_defaults=True)
     for name in ("region-km", "sites"):
         data[name] = {key: list(value) for key, value in data[name].items()}
--- a/tests/scale/test_applied_changes.py
+++ b/tests/scale/test_applied_changes.py
@@ -22,7 +22,7 @@
     evaluate_versions,
     purge_times,
 )
-from magpieshift.lab.scale.sockets import parse
+from magpieshift.lab.scale.sockets import parse_ss_output
 
 
 class Purges(unittest.TestCase):
@@ -155,7 +155,7 @@
             "ESTAB 0 0  127.0.0.1:80 127.0.0.1:2\n\t cubic bytes_received:3\n"
         )
         self.assertEqual(
-            parse(text), {("127.0.0.1:80", "127.0.0.1:1"): 12, ("127.0.0.1:80", "127.0.0.1:2"): 3}
+            parse_ss_output(text), {("127.0.0.1:80", "127.0.0.1:1"): 12, ("127.0.0.1:80", "127.0.0.1:2"): 3}
         )
 
     def test_ratios_are_of_means_with_the_spread_over_runs(self) -> None:
--- a/tests/scale/test_runs.py
+++ b/tests/scale/test_runs.py
@@ -23,7 +23,7 @@
     Scenario,
     Scope,
 )
-from magpieshift.lab.scale.topology import read
+from magpieshift.lab.scale.topology import parse_topology
 
 KEYS = [
     "routers",
@@ -47,7 +47,7 @@
 FREQUENT_CHANGES = Rates(versions_per_day=86_400.0, list_changes_per_day=86_400.0)
 
 
-ONE_REGION = read("""
+ONE_REGION = parse_topology("""
 (topology (region-km (west 0 0)) (zones (a west) (b west)) (sites (s a 3) (t b 3)) (control west))
 """)
 
@@ -111,7 +111,9 @@
 
     def test_the_target_s_topology_is_printed_as_a_file(self) -> None:
         code, out, _ = call("topology", "--routers", "4800", "--seed", "2")
-        self.assertEqual((code, len(read(out).places), len(read(out).form.sites)), (0, 4800, 370))
+        self.assertEqual(
+            (code, len(parse_topology(out).places), len(parse_topology(out).form.sites)), (0, 4800, 370)
+        )
 
     def test_bad_input_is_one_line_and_exit_code_2(self) -> None:
         for args, expected_text in {
--- a/tests/scale/test_topology.py
+++ b/tests/scale/test_topology.py
@@ -7,7 +7,14 @@
 
 from magpieshift.config import ConfigError
 from magpieshift.control.errors import UnusableDocumentError
-from magpieshift.lab.scale.topology import RETRANSMIT_MS, Topology, generate, read, read_file, write
+from magpieshift.lab.scale.topology import (
+    RETRANSMIT_MS,
+    Topology,
+    format_topology,
+    generate,
+    parse_topology,
+    read_file,
+)
 
 SMALL = """
 (topology
@@ -23,7 +30,7 @@
 
 class Files(unittest.TestCase):
     def test_places_delays_and_cuts_are_read(self) -> None:
-        topology = read(SMALL)
+        topology = parse_topology(SMALL)
         self.assertEqual(topology.zone_sizes(), {"west-a": 20, "east-a": 3})
         self.assertEqual(topology.km("east-a"), 5000)
         self.assertAlmostEqual(topology.delay_ms("east-a"), 30 + 0.005 * RETRANSMIT_MS)
@@ -54,7 +61,7 @@
             with self.subTest(wrong):
                 self.assertIn(right, SMALL)
                 with self.assertRaises(UnusableDocumentError) as caught:
-                    read(SMALL.replace(right, wrong))
+                    parse_topology(SMALL.replace(right, wrong))
                 self.assertIn(expected_text, str(caught.exception))
 
     def test_a_missing_file_is_reported_in_one_line(self) -> None:
@@ -82,7 +89,7 @@
 
     def test_a_written_topology_reads_as_equal(self) -> None:
         form = generate(50, seed=2)
-        self.assertEqual(read(write(form)).form, form)
+        self.assertEqual(parse_topology(format_topology(form)).form, form)
 
 
 if __name__ == "__main__":
