--- a/magpieshift/cli/lab_scale.py
+++ b/magpieshift/cli/lab_scale.py
@@ -145,7 +145,7 @@
     from magpieshift.lab.scale.processes import ProcessExitedError
     from magpieshift.lab.scale.run import Plan
     from magpieshift.lab.scale.scenario import SCENARIOS
-    from magpieshift.lab.scale.topology import generate, read_file, write
+    from magpieshift.lab.scale.topology import format_topology, generate, read_file
 
     if listed:
         for known in SCENARIOS.values():
@@ -154,7 +154,7 @@
     if scenario is None:
         raise click.UsageError(f"SCENARIO: found nothing, expected one of {', '.join(scenario_names())}")
     if scenario == TOPOLOGY:
-        click.echo(write(generate(routers, seed)), nl=False)
+        click.echo(format_topology(generate(routers, seed)), nl=False)
         return
     try:
         if scenario == CALIBRATE:
@@ -184,7 +184,7 @@
 def _run_scenario(plan: Plan, save: str, as_json: bool) -> None:
     """Run a scenario and print its result; exit code 1 if an invariant was broken."""
     from magpieshift.lab.scale.run import Run
-    from magpieshift.lab.scale.saved import save_result
+    from magpieshift.lab.scale.saved_results import save_result
 
     progress = ProgressLine()
     result = asyncio.run(Run(plan, progress.show).play())
@@ -211,7 +211,7 @@
 def _calibrate(plan: Calibration, save: str, as_json: bool) -> None:
     """Measure hollow routers and real ones under the same load, and print the comparison."""
     from magpieshift.lab.scale.calibration import calibrate
-    from magpieshift.lab.scale.saved import save_result
+    from magpieshift.lab.scale.saved_results import save_result
 
     progress = ProgressLine()
     result = asyncio.run(calibrate(plan, progress.show))
--- a/magpieshift/lab/simulated/fanout.py
+++ b/magpieshift/lab/simulated/fanout.py
@@ -1,8 +1,8 @@
 """A fan-out tier on one fake clock: a change log, sources, relays and routers, and faults between them.
 
 The processes run the real state machines (``fanout_processes``) over a network that keeps each stream's order
-(``fanout_network``), and are checked at every event against a reference model (``fanout_judge``). Times are
-microseconds; the same seed gives the same history.
+(``fanout_network``), and are checked at every event against a reference model (``fanout_invariants``). Times
+are microseconds; the same seed gives the same history.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from magpieshift.lab.simulated.fanout_changes import ChangeLog, ChangeLogReader
 from magpieshift.lab.simulated.fanout_connections import RelayConnection
-from magpieshift.lab.simulated.fanout_judge import InvariantChecker
+from magpieshift.lab.simulated.fanout_invariants import InvariantChecker
 from magpieshift.lab.simulated.fanout_layout import FanoutSize, fanout_layout
 from magpieshift.lab.simulated.fanout_message_sizes import estimated_bytes
 from magpieshift.lab.simulated.fanout_network import EndOfStream, Host, Network, Stream
@@ -31,13 +31,14 @@
 from magpieshift.relay.messages import Epoch, Snapshot, UpstreamMessage
 
 SECOND_US = 1_000_000
-APPLY_PROBABILITY = 0.2  # that a router with ``applies_later`` applies in a turn; low, so that entries queue
+# probability that a router with ``applies_later`` applies its queue in a turn; low, so that entries queue up
+APPLY_PROBABILITY = 0.2
 MAX_UNREAD_MESSAGES = 8  # a stream with more is not written to, as with a full socket buffer
 MAX_STREAMS_PER_INCARNATION = 100_000  # more than one incarnation opens, so that stream numbers are unique
 
 
 class SimulatedFanout:
-    """A running fan-out tier. The call during which a rule is broken raises ``RuleBrokenError``."""
+    """A running fan-out tier. A call in which a rule is broken raises ``RuleBrokenError``."""
 
     def __init__(self, size: FanoutSize) -> None:
         self.size = size
--- a/tests/relay/test_explored.py
+++ b/tests/relay/test_explored.py
@@ -7,10 +7,10 @@
 from functools import partial
 from typing import NamedTuple
 
-from magpieshift.lab.simulated.fanout_explored import (
+from magpieshift.lab.simulated.fanout_exploration import (
+    EnabledTransitions,
     ExplorationSize,
     Explorer,
-    Moves,
     flushed_directions,
     rounds,
     single_messages,
@@ -28,7 +28,7 @@
 
     name: str
     start: Callable[[Explorer], TierState]
-    moves: Moves
+    moves: EnabledTransitions
     depth: int
 
 
--- a/tests/relay/test_histories.py
+++ b/tests/relay/test_histories.py
@@ -6,10 +6,10 @@
 import unittest
 
 from magpieshift.lab.simulated.fanout import SECOND_US, SimulatedFanout
+from magpieshift.lab.simulated.fanout_checks import check_bounds, unsettled
 from magpieshift.lab.simulated.fanout_histories import History
-from magpieshift.lab.simulated.fanout_judge import RuleBrokenError
+from magpieshift.lab.simulated.fanout_invariants import RuleBrokenError
 from magpieshift.lab.simulated.fanout_layout import FanoutSize
-from magpieshift.lab.simulated.fanout_measures import check_bounds, unsettled
 from magpieshift.lab.simulated.fanout_message_sizes import MESSAGE_BYTES, PURGE_BYTES
 from magpieshift.relay import limits
 
@@ -173,9 +173,9 @@
             world.run(SECOND_US // 10 * second)
             world.start("E0.1")
         settling_time_s(world, 15)
-        (done_at_us,) = world.checker.done_at_us.values()
+        (covered_at_us,) = world.checker.covered_at_us.values()
         (log,) = world.checker.logs.values()
-        self.assertEqual(len(done_at_us), len(log))
+        self.assertEqual(len(covered_at_us), len(log))
 
     def test_a_region_disconnected_for_an_hour_recovers_with_few_snapshots(self) -> None:
         world = started_world(
