--- a/magpieshift/cli/lab_router.py
+++ b/magpieshift/cli/lab_router.py
@@ -81,7 +81,7 @@
 @JSON_OPTION
 def apply_(members: int, rounds: int, as_json: bool) -> None:
     """Measure how long versions take to come into force, and how long they block the event loop."""
-    from magpieshift.lab.experiments.apply import measure
+    from magpieshift.lab.experiments.version_apply_time import measure
 
     setup("pairs", "ERROR")
     rows = asyncio.run(measure(members, rounds)).rows()
@@ -109,7 +109,7 @@
     run."""
     from pathlib import Path
 
-    from magpieshift.lab.experiments.cost import Variant, compare, recording_variants
+    from magpieshift.lab.experiments.processor_cost import Variant, compare, recording_variants
 
     own_checkout = str(Path(__file__).parents[2])
     if against and not (Path(against) / "magpieshift" / "__main__.py").is_file():
@@ -192,10 +192,10 @@
     EDGE_TRACE=1)."""
     from pathlib import Path
 
-    from magpieshift.lab.experiments import fleet as fleets
+    from magpieshift.lab.experiments import fleet_log_counts
 
     try:
-        counts = fleets.count(fleets.read(Path(folder)))
+        counts = fleet_log_counts.count(fleet_log_counts.read(Path(folder)))
     except ValueError as err:
         raise ConfigError(str(err)) from err
     output.print_rows(counts.endpoint_rows() if stores else counts.rows(), as_json)
--- a/magpieshift/cli/lab_soak.py
+++ b/magpieshift/cli/lab_soak.py
@@ -39,8 +39,8 @@
 def soak(first: int, seeds: int, only: int | None, parallel: int, as_json: bool) -> None:
     """Execute short randomized runs of real routers that receive many signals, and check the outcome of every
     request. Exit code 1 if a rule was broken; --only repeats the run with a given seed."""
-    from magpieshift.lab.soak.life import SoakReport
-    from magpieshift.lab.soak.run import play_runs
+    from magpieshift.lab.soak.parallel_runs import play_runs
+    from magpieshift.lab.soak.soak_run import SoakReport
 
     setup("pairs", "ERROR")
 
--- a/magpieshift/engine/trace.py
+++ b/magpieshift/engine/trace.py
@@ -1,7 +1,7 @@
 """Traces the policy's events and actions as log lines, to be counted over a whole fleet.
 
-Enabled by ``EDGE_TRACE=1`` only, as each request logs about six lines. ``lab.experiments.fleet`` parses the
-event names and fields; change both together.
+Enabled by ``EDGE_TRACE=1`` only, as each request logs about six lines.
+``lab.experiments.fleet_log_counts`` parses the event names and fields; change both together.
 """
 
 from __future__ import annotations
--- a/magpieshift/lab/capacity/page.py
+++ b/magpieshift/lab/capacity/page.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from magpieshift.config import ConfigError
-from magpieshift.lab.capacity import arithmetic, results, scale_tables, tables
+from magpieshift.lab.capacity import derived_figures, results, scale_tables, tables
 from magpieshift.lab.capacity.routers import REPOSITORY_ROOT
 from magpieshift.lab.capacity.tables import Results
 
@@ -53,9 +53,9 @@
     "origins": tables.origins,
     "ranking": tables.ranking,
     "superlinear": tables.superlinear,
-    "arithmetic": arithmetic.data_path,
-    "control-machines": arithmetic.control_machines,
-    "failures": arithmetic.failures,
+    "arithmetic": derived_figures.data_path,
+    "control-machines": derived_figures.control_machines,
+    "failures": derived_figures.failures,
 }
 
 SCALE_SECTIONS: Mapping[str, Callable[[Path], str]] = {
--- a/magpieshift/lab/capacity/roles/__init__.py
+++ b/magpieshift/lab/capacity/roles/__init__.py
@@ -14,7 +14,7 @@
 )
 from magpieshift.lab.capacity.roles.decisions import Decisions
 from magpieshift.lab.capacity.roles.digests import Digests
-from magpieshift.lab.capacity.roles.lists import RouterLists
+from magpieshift.lab.capacity.roles.endpoint_lists import RouterLists
 from magpieshift.lab.capacity.roles.membership import Membership
 from magpieshift.lab.capacity.roles.objects import Objects
 from magpieshift.lab.capacity.roles.purges import RouterPurges
--- a/magpieshift/lab/capacity/roles/versions.py
+++ b/magpieshift/lab/capacity/roles/versions.py
@@ -17,7 +17,7 @@
 from magpieshift.lab.capacity.documents import settings, with_change
 from magpieshift.lab.capacity.processor import count_processor_time
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
-from magpieshift.lab.emulators.world import LoopbackInstallation
+from magpieshift.lab.emulators.loopback_installation import LoopbackInstallation
 
 MEASURED_VERSIONS = 15  # in one measurement
 BUDGET_MS = 10 * fleet.CONTROL_CPU_PERCENT / 2 / fleet.VERSIONS_PER_S
--- a/magpieshift/lab/capacity/routers.py
+++ b/magpieshift/lab/capacity/routers.py
@@ -13,8 +13,8 @@
 
 from magpieshift.lab.capacity.processor import processor_s, resident_mb
 from magpieshift.lab.emulators import peers
-from magpieshift.lab.emulators.world import LoopbackInstallation
-from magpieshift.lab.experiments.cost import Variant, serving_router
+from magpieshift.lab.emulators.loopback_installation import LoopbackInstallation
+from magpieshift.lab.experiments.processor_cost import Variant, serving_router
 
 REPOSITORY_ROOT = str(Path(__file__).resolve().parents[3])
 CATCH_UP_TIMEOUT_S = 60.0  # for the router to apply all events that the change log has sent
--- a/magpieshift/lab/emulators/emulated.py
+++ b/magpieshift/lab/emulators/emulated_installation.py
@@ -14,7 +14,7 @@
 
 from magpieshift.config import Document
 from magpieshift.control.schema import load_data, to_data
-from magpieshift.lab.emulators.emulator import EmulatedEndpoint
+from magpieshift.lab.emulators.emulated_endpoint import EmulatedEndpoint
 from magpieshift.lab.emulators.endpoint_profile import CACHE_KIND, ORIGIN_KIND, PARENT_KIND, role_of
 from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
 from magpieshift.policy.settings import Idempotency
--- a/magpieshift/lab/experiments/admin_client.py
+++ b/magpieshift/lab/experiments/admin_client.py
@@ -11,9 +11,9 @@
 from typing import Any
 
 from magpieshift.admin.server import MAX_CONNECTIONS
+from magpieshift.lab.emulators.loopback_installation import LoopbackInstallation
 from magpieshift.lab.emulators.request_generator import RequestGenerator
-from magpieshift.lab.emulators.world import LoopbackInstallation
-from magpieshift.lab.experiments.cost import Variant, serving_router
+from magpieshift.lab.experiments.processor_cost import Variant, serving_router
 from magpieshift.lab.fault_injection.ports import free_port
 
 CLIENTS = 4  # load clients that share the request rate
--- a/magpieshift/lab/experiments/episode.py
+++ b/magpieshift/lab/experiments/episode.py
@@ -17,7 +17,7 @@
 
 from magpieshift.control import sexp
 from magpieshift.lab.emulators import peers
-from magpieshift.lab.emulators.emulated import EmulatedInstallation, router_settings
+from magpieshift.lab.emulators.emulated_installation import EmulatedInstallation, router_settings
 from magpieshift.lab.emulators.load import LoadGenerator
 from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
 from magpieshift.lab.experiments.scenario import Fault, Scenario
--- a/magpieshift/lab/experiments/cost.py
+++ b/magpieshift/lab/experiments/processor_cost.py
@@ -23,8 +23,8 @@
 from pathlib import Path
 from typing import Any
 
+from magpieshift.lab.emulators.loopback_installation import LoopbackInstallation
 from magpieshift.lab.emulators.request_generator import RequestGenerator
-from magpieshift.lab.emulators.world import LoopbackInstallation
 
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")  # unit of processor time in /proc
 
--- a/magpieshift/lab/experiments/scenario.py
+++ b/magpieshift/lab/experiments/scenario.py
@@ -13,7 +13,7 @@
 from magpieshift.control import sexp
 from magpieshift.control.errors import Problem, UnusableDocumentError
 from magpieshift.control.validation import Form, Seconds, validate_form
-from magpieshift.lab.emulators.emulated import place_names
+from magpieshift.lab.emulators.emulated_installation import place_names
 
 HEAD = "scenario"  # first word of the file's expression
 PLACELESS_FAULTS = ("late-list", "purge")  # faults of the change log, not of an endpoint
--- a/magpieshift/lab/experiments/apply.py
+++ b/magpieshift/lab/experiments/version_apply_time.py
@@ -26,7 +26,7 @@
 from magpieshift.control.document_changes import document_digest
 from magpieshift.control.version_records import OfferOutcome, VersionOffer
 from magpieshift.extensions.runner import THREAD_SWITCH_INTERVAL_S, Installation, Options
-from magpieshift.lab.emulators.world import LoopbackInstallation
+from magpieshift.lab.emulators.loopback_installation import LoopbackInstallation
 
 KINDS = ("a figure", "classes", "zones anew")
 TICK_INTERVAL_S = 0.001  # interval of the ticker
--- a/magpieshift/lab/experiments/versions.py
+++ b/magpieshift/lab/experiments/versions.py
@@ -28,8 +28,8 @@
 from magpieshift.control.schema import load_data
 from magpieshift.control.service import ControlService, RouterStream
 from magpieshift.control.wire import control_pb2 as wire
+from magpieshift.lab.emulators.loopback_installation import LoopbackInstallation
 from magpieshift.lab.emulators.request_generator import RequestGenerator
-from magpieshift.lab.emulators.world import LoopbackInstallation
 from magpieshift.lab.experiments.version_checks import VersionChecks
 from magpieshift.lab.experiments.version_maker import VersionMaker
 from magpieshift.lab.experiments.version_report import Report
--- a/magpieshift/lab/fault_injection/cluster.py
+++ b/magpieshift/lab/fault_injection/cluster.py
@@ -16,14 +16,14 @@
 
 from magpieshift.control import sexp
 from magpieshift.control.schema import load_data, to_data
-from magpieshift.lab.emulators import emulated
+from magpieshift.lab.emulators import emulated_installation
 from magpieshift.lab.emulators.client_connection import RESEND_WINDOW_S
 from magpieshift.lab.emulators.load import LoadGenerator
 from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
 from magpieshift.lab.fault_injection import checks, skewed_clock
 from magpieshift.lab.fault_injection.admin_clients import STARTUP_TIMEOUT_S
 from magpieshift.lab.fault_injection.environment import Environment
-from magpieshift.lab.fault_injection.network import CHANGE_LOG, CLIENTS, Network
+from magpieshift.lab.fault_injection.link_faults import CHANGE_LOG, CLIENTS, Network
 from magpieshift.lab.fault_injection.outages import Halt
 from magpieshift.lab.fault_injection.ports import free_ports
 from magpieshift.lab.fault_injection.processes import PROGRAM, RouterProcesses
@@ -103,7 +103,7 @@
         self._check_task: asyncio.Task[None] | None = None
 
     @property
-    def endpoints(self) -> emulated.EmulatedInstallation:
+    def endpoints(self) -> emulated_installation.EmulatedInstallation:
         """Return the emulated caches, parents and origin."""
         return self._environment.endpoints
 
@@ -157,14 +157,14 @@
             "hand-over": self._hand_over,
         }
         log_port = self._environment.log_port(router.name)
-        data = emulated.router_settings(router.name, router.port, log_port, self.count) | {
+        data = emulated_installation.router_settings(router.name, router.port, log_port, self.count) | {
             "console": f"127.0.0.1:{router.admin_port}",
             "router-index": int(router.name[1:]),
             "members": members,
         }
         path = self.folder / f"{router.name}.sexp"
         document = load_data(data).document
-        self.rules.hedged_classes = emulated.hedged_classes(document)
+        self.rules.hedged_classes = emulated_installation.hedged_classes(document)
         path.write_text(sexp.format_document(to_data(document)))
         if router.name in self._clocks:
             skewed_clock.write_clock(self._clock_path(router.name))
--- a/magpieshift/lab/fault_injection/environment.py
+++ b/magpieshift/lab/fault_injection/environment.py
@@ -6,10 +6,10 @@
 import random
 from typing import Any
 
-from magpieshift.lab.emulators import emulated, peers
+from magpieshift.lab.emulators import emulated_installation, peers
 from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
-from magpieshift.lab.fault_injection.network import CHANGE_LOG, CLIENTS, Network
-from magpieshift.lab.fault_injection.relay import Relay
+from magpieshift.lab.fault_injection.link_faults import CHANGE_LOG, CLIENTS, Network
+from magpieshift.lab.fault_injection.link_proxy import Relay
 from magpieshift.lab.fault_injection.router_instance import RouterInstance
 
 
@@ -20,7 +20,7 @@
         self, network: Network, rules: ProtocolChecker, boxes: int, hubs: int, rand: random.Random
     ) -> None:
         self._network = network
-        self.endpoints = emulated.EmulatedInstallation(boxes, hubs, rules, rand, self._publish)
+        self.endpoints = emulated_installation.EmulatedInstallation(boxes, hubs, rules, rand, self._publish)
         """The caches, parents and the origin."""
         self._logs: dict[str, peers.ChangeLog] = {}
         """Change logs by router."""
--- a/magpieshift/lab/fault_injection/relay.py
+++ b/magpieshift/lab/fault_injection/link_proxy.py
@@ -10,7 +10,7 @@
 import socket
 import struct
 
-from magpieshift.lab.fault_injection.network import LinkFault, Network
+from magpieshift.lab.fault_injection.link_faults import LinkFault, Network
 
 READ_BYTES = 16_384
 """Maximum number of bytes per read; a throttled stream pauses after each."""
--- a/magpieshift/lab/fault_injection/outages.py
+++ b/magpieshift/lab/fault_injection/outages.py
@@ -5,7 +5,7 @@
 import time
 from dataclasses import dataclass
 
-from magpieshift.lab.fault_injection.network import LinkFault
+from magpieshift.lab.fault_injection.link_faults import LinkFault
 
 CATCH_UP_S = 3.0
 """Time in seconds that a router may take to catch up after a cut from the change log or a pause. A shorter
--- a/magpieshift/lab/fault_injection/random_runs.py
+++ b/magpieshift/lab/fault_injection/random_runs.py
@@ -14,7 +14,7 @@
 
 from magpieshift.control import sexp
 from magpieshift.lab.fault_injection import scenario as scenarios
-from magpieshift.lab.fault_injection.network import ANY_END, ANY_ROUTER, CHANGE_LOG
+from magpieshift.lab.fault_injection.link_faults import ANY_END, ANY_ROUTER, CHANGE_LOG
 from magpieshift.lab.fault_injection.scenario import (
     ENDPOINT_FAULTS,
     LINK_FAULTS,
--- a/magpieshift/lab/fault_injection/run.py
+++ b/magpieshift/lab/fault_injection/run.py
@@ -11,7 +11,7 @@
 
 from magpieshift.lab.fault_injection.admin_clients import STARTUP_TIMEOUT_S
 from magpieshift.lab.fault_injection.cluster import Cluster
-from magpieshift.lab.fault_injection.network import LinkFault
+from magpieshift.lab.fault_injection.link_faults import LinkFault
 from magpieshift.lab.fault_injection.scenario import (
     LINK_FAULTS,
     ROUTER_FAULTS,
--- a/magpieshift/lab/fault_injection/scenario.py
+++ b/magpieshift/lab/fault_injection/scenario.py
@@ -13,9 +13,9 @@
 from magpieshift.control import sexp
 from magpieshift.control.errors import Problem, UnusableDocumentError
 from magpieshift.control.validation import Form, Seconds, validate_form
-from magpieshift.lab.emulators.emulated import place_names
+from magpieshift.lab.emulators.emulated_installation import place_names
 from magpieshift.lab.fault_injection.built_in_scenarios import BUILT_IN_SCENARIOS
-from magpieshift.lab.fault_injection.network import ANY_END, ANY_ROUTER, CHANGE_LOG, CLIENTS
+from magpieshift.lab.fault_injection.link_faults import ANY_END, ANY_ROUTER, CHANGE_LOG, CLIENTS
 
 DOCUMENT_HEAD = "fleet-run"
 """First symbol of a scenario document."""
@@ -87,8 +87,8 @@
     start_s: float
     """Start in seconds after the scenario's start."""
     duration_s: float
-    """Duration in seconds. A drain takes this long, but at least ``emulated.MIN_DRAIN_S``, and then the
-    endpoint is down for the same duration."""
+    """Duration in seconds. A drain takes this long, but at least ``emulated_installation.MIN_DRAIN_S``, and
+    then the endpoint is down for the same duration."""
     component: str
     """The affected router or endpoint's place; empty for a fault on links."""
     source: str
--- a/magpieshift/lab/fault_injection/switch.py
+++ b/magpieshift/lab/fault_injection/switch.py
@@ -6,7 +6,7 @@
 import asyncio
 import random
 
-from magpieshift.lab.fault_injection.network import LinkFault, Network
+from magpieshift.lab.fault_injection.link_faults import LinkFault, Network
 
 
 class _Port(asyncio.DatagramProtocol):
--- a/magpieshift/lab/scale/installation.py
+++ b/magpieshift/lab/scale/installation.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from magpieshift.control import sexp
-from magpieshift.lab.emulators.emulated import router_settings
+from magpieshift.lab.emulators.emulated_installation import router_settings
 
 # zone and kind of every cache in the list, as named in the settings of the emulated installation
 ZONE = "shop"
--- a/magpieshift/lab/scale/network.py
+++ b/magpieshift/lab/scale/network.py
@@ -3,7 +3,7 @@
 
 from __future__ import annotations
 
-from magpieshift.lab.fault_injection.network import LinkFault, Network
+from magpieshift.lab.fault_injection.link_faults import LinkFault, Network
 from magpieshift.lab.scale import child
 from magpieshift.lab.scale.messages import Done, HealFault, InjectFault, Message, Ready, StartNetwork
 from magpieshift.lab.scale.streams import StreamForwarder
--- a/magpieshift/lab/scale/streams.py
+++ b/magpieshift/lab/scale/streams.py
@@ -6,7 +6,7 @@
 import asyncio
 import contextlib
 
-from magpieshift.lab.fault_injection.network import Network
+from magpieshift.lab.fault_injection.link_faults import Network
 
 CHUNK_BYTES = 65_536  # maximum size of one read from a stream
 MAX_CHUNKS_IN_FLIGHT = 64  # delayed chunks in each direction; beyond it, reading from the sender pauses
--- a/magpieshift/lab/soak/run.py
+++ b/magpieshift/lab/soak/parallel_runs.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections.abc import Callable, Iterable, Sequence
 
-from magpieshift.lab.soak.life import PROGRAM, SoakReport, play_run
 from magpieshift.lab.soak.plan import draw_plan
+from magpieshift.lab.soak.soak_run import PROGRAM, SoakReport, play_run
 
 DEFECT_MODULE = "magpieshift.lab.soak.defective_router"
 
--- a/magpieshift/lab/soak/life.py
+++ b/magpieshift/lab/soak/soak_run.py
@@ -19,10 +19,10 @@
 from magpieshift.control.service import ControlService
 from magpieshift.lab.emulators import peers
 from magpieshift.lab.emulators.client_connection import RESEND_WINDOW_S, NoAnswer
-from magpieshift.lab.emulators.emulated import EmulatedInstallation, router_settings
+from magpieshift.lab.emulators.emulated_installation import EmulatedInstallation, router_settings
 from magpieshift.lab.emulators.load import TIME_LIMITS_MS
 from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
-from magpieshift.lab.experiments.cost import platform_json
+from magpieshift.lab.experiments.processor_cost import platform_json
 from magpieshift.lab.fault_injection.ports import free_port
 from magpieshift.lab.soak.clients import ClientGroup, Unanswered
 from magpieshift.lab.soak.plan import RouterForm, SoakFault, SoakPlan, TimedSignal
--- a/tests/capture/test_process.py
+++ b/tests/capture/test_process.py
@@ -17,9 +17,9 @@
 from magpieshift.capture.replay import Replay
 from magpieshift.control import sexp
 from magpieshift.control.errors import UnusableDocumentError
+from magpieshift.lab.emulators.loopback_installation import LoopbackInstallation
 from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
 from magpieshift.lab.emulators.request_generator import RequestGenerator
-from magpieshift.lab.emulators.world import LoopbackInstallation
 from magpieshift.lab.experiments import episode, episode_report, scenario
 from tests.control.test_program import program
 from tests.real.exchange import ROOT, WAIT_TIMEOUT_S
--- a/tests/engine/test_trace.py
+++ b/tests/engine/test_trace.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from magpieshift.engine.trace import Trace
-from magpieshift.lab.experiments import fleet
+from magpieshift.lab.experiments import fleet_log_counts
 from magpieshift.log import KeyValueFormatter
 from magpieshift.policy.actions import SendCacheRequest, SendPlainRequest
 from magpieshift.policy.events import (
@@ -66,7 +66,7 @@
     def test_a_fleets_attempts_are_counted_together(self) -> None:
         for number in range(3):
             self.trace_router(number)
-        counts = fleet.count(fleet.read(self.folder))
+        counts = fleet_log_counts.count(fleet_log_counts.read(self.folder))
         names, seconds = ("asked", "fills", "refused"), counts.seconds.values()
         total = {name: sum(second[name] for second in seconds) for name in names}
         self.assertEqual(counts.routers, 3)
@@ -81,4 +81,4 @@
             'time=1.0 level=info event=ready\ntime=x event="request received" request_number=1\n'
         )
         with self.assertRaisesRegex(ValueError, "found no traced lines"):
-            fleet.read(self.folder)
+            fleet_log_counts.read(self.folder)
--- a/tests/extensions/test_membership.py
+++ b/tests/extensions/test_membership.py
@@ -18,7 +18,7 @@
 from magpieshift.capture.writer import Limits
 from magpieshift.control.errors import UnusableDocumentError
 from magpieshift.control.schema import load_data, to_data
-from magpieshift.lab.emulators.world import LoopbackInstallation
+from magpieshift.lab.emulators.loopback_installation import LoopbackInstallation
 from tests.engine.engine_case import READ_REQUEST, EngineCase
 
 MEMBERSHIP_SETTINGS = {
--- a/tests/membership/test_fault_injection.py
+++ b/tests/membership/test_fault_injection.py
@@ -17,13 +17,13 @@
 from magpieshift.control.schema import load_data
 from magpieshift.downstream import frames
 from magpieshift.downstream.frames import FrameType, ResponseCode
-from magpieshift.lab.emulators import emulated
+from magpieshift.lab.emulators import emulated_installation
 from magpieshift.lab.emulators.client_connection import ClientConnection, NoAnswer
 from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
 from magpieshift.lab.fault_injection import checks, skewed_clock
-from magpieshift.lab.fault_injection.network import ANY_ROUTER, LinkFault, Network
+from magpieshift.lab.fault_injection.link_faults import ANY_ROUTER, LinkFault, Network
+from magpieshift.lab.fault_injection.link_proxy import Relay
 from magpieshift.lab.fault_injection.outages import Halt
-from magpieshift.lab.fault_injection.relay import Relay
 
 WAIT_LIMIT_S = 20.0
 
@@ -130,11 +130,11 @@
                 self.assertEqual(rules.violations.get("second attempt", 0), expected_violations)
 
     def test_hedged_classes_are_read_from_the_settings(self) -> None:
-        data = emulated.router_settings("r0", 1, 2)
+        data = emulated_installation.router_settings("r0", 1, 2)
         for allowed, wanted in ((False, set()), (True, {"picture"})):
             attempts = {**data.get("attempts", {}), "second-copies": allowed}
             document = load_data(data | {"attempts": attempts}).document
-            self.assertEqual(emulated.hedged_classes(document), wanted)
+            self.assertEqual(emulated_installation.hedged_classes(document), wanted)
 
     def test_a_copy_from_before_a_purge(self) -> None:
         rules = ProtocolChecker(0.05)
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -18,7 +18,7 @@
 from magpieshift.lab.fault_injection import scenario
 from magpieshift.lab.fault_injection.built_in_scenarios import BUILT_IN_SCENARIOS
 from magpieshift.lab.fault_injection.cluster import Cluster
-from magpieshift.lab.fault_injection.network import ANY_ROUTER, LinkFault
+from magpieshift.lab.fault_injection.link_faults import ANY_ROUTER, LinkFault
 
 ROUTERS = 8
 
--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from magpieshift.lab.fault_injection.cluster import Cluster
-from magpieshift.lab.fault_injection.network import ANY_ROUTER, LinkFault
+from magpieshift.lab.fault_injection.link_faults import ANY_ROUTER, LinkFault
 
 ROUTERS = 6
 PROBERS = 2
--- a/tests/relay/test_processes.py
+++ b/tests/relay/test_processes.py
@@ -21,7 +21,7 @@
 from magpieshift.downstream import frames
 from magpieshift.downstream.frames import FrameType
 from magpieshift.lab.emulators import peers
-from magpieshift.lab.emulators.world import LoopbackInstallation
+from magpieshift.lab.emulators.loopback_installation import LoopbackInstallation
 from magpieshift.lab.fault_injection.ports import free_port
 from magpieshift.relay import status
 from magpieshift.relay.limits import FRESHNESS_LEASE_US
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -6,8 +6,8 @@
 import unittest
 
 from magpieshift.lab.soak.defective_router import DEFECTS
+from magpieshift.lab.soak.parallel_runs import defective_program, play_runs
 from magpieshift.lab.soak.plan import RouterForm, SoakFault, draw_plan
-from magpieshift.lab.soak.run import defective_program, play_runs
 
 SEEDS = range(1, 11)
 PARALLEL = 2
