--- a/magpieshift/lab/fault_injection/cluster.py
+++ b/magpieshift/lab/fault_injection/cluster.py
@@ -3,7 +3,7 @@
 
 The ends of links are the routers (r0, r1, ...), the endpoints by place (box1, hub1, origin), the change log
 (``log``) and the clients (``clients``). Datagrams between routers go through a ``Switch``; all other traffic
-uses streams, with one ``Relay`` for each pair of processes.
+uses streams, with one ``LinkProxy`` for each pair of processes.
 """
 
 from __future__ import annotations
@@ -138,7 +138,7 @@
             await self._environment.start_log(name)
         await self.endpoints.start()
         for router in self.routers.values():
-            await self._environment.relay_to(router)
+            await self._environment.start_proxies(router)
             self._write_settings(router)
         self.endpoints.start_publishing()
         self._check_task = asyncio.ensure_future(self._run_checks())
--- a/magpieshift/lab/fault_injection/link_proxy.py
+++ b/magpieshift/lab/fault_injection/link_proxy.py
@@ -1,6 +1,6 @@
-"""A relay that forwards TCP connections between two processes on loopback, with the faults of each direction.
+"""A proxy that forwards TCP connections between two processes on loopback, with the faults of each direction.
 
-Each pair of processes has its own relay and port, which identifies the connecting process. A relay forwards
+Each pair of processes has its own proxy and port, which identifies the connecting process. A proxy forwards
 bytes without interpreting them.
 """
 
@@ -20,7 +20,7 @@
 """SO_LINGER with a time of 0 s: closing the socket sends RST."""
 
 
-class Relay:
+class LinkProxy:
     """Owns one listener and all connections through it."""
 
     def __init__(self, network: Network, source: str, target: str, port: int) -> None:
--- a/magpieshift/lab/fault_injection/router_instance.py
+++ b/magpieshift/lab/fault_injection/router_instance.py
@@ -22,7 +22,7 @@
     public_port: int
     """Port of the switch to which other routers send datagrams for this router."""
     client_port: int = 0
-    """Port of the relay from its clients to it."""
+    """Port of the proxy through which clients connect to it."""
     process: asyncio.subprocess.Process | None = None
     """The most recently started process."""
     paused: bool = False
--- a/tests/membership/test_fault_injection.py
+++ b/tests/membership/test_fault_injection.py
@@ -22,7 +22,7 @@
 from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
 from magpieshift.lab.fault_injection import checks, skewed_clock
 from magpieshift.lab.fault_injection.link_faults import ANY_ROUTER, LinkFault, Network
-from magpieshift.lab.fault_injection.link_proxy import Relay
+from magpieshift.lab.fault_injection.link_proxy import LinkProxy
 from magpieshift.lab.fault_injection.outages import Halt
 
 WAIT_LIMIT_S = 20.0
@@ -152,10 +152,10 @@
         self.network = Network()
         self.received = b""
         self.server = await asyncio.start_server(self.echo, "127.0.0.1", 0)
-        self.relay = Relay(self.network, "r1", "box1", self.server.sockets[0].getsockname()[1])
-        await self.relay.start()
+        self.proxy = LinkProxy(self.network, "r1", "box1", self.server.sockets[0].getsockname()[1])
+        await self.proxy.start()
         self.addCleanup(self.server.close)
-        self.addCleanup(self.relay.close)
+        self.addCleanup(self.proxy.close)
 
     async def echo(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(1024):
@@ -169,7 +169,7 @@
                 await asyncio.sleep(0.01)
 
     async def test_each_direction_is_cut_independently_and_no_data_is_lost(self) -> None:
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.relay.port)
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.proxy.port)
         self.addCleanup(writer.close)
         self.network.add_fault("deaf", "box1", ANY_ROUTER, LinkFault(cut=True))
         writer.write(b"one")
@@ -186,7 +186,7 @@
             self.assertEqual(await reader.readexactly(6), b"onetwo")
 
     async def test_open_connections_are_reset_and_new_ones_at_once(self) -> None:
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.relay.port)
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.proxy.port)
         writer.write(b"one")
         await reader.readexactly(3)
         self.network.add_fault("broken", "*", "box1", LinkFault(reset=True))
@@ -195,14 +195,14 @@
                 async with asyncio.timeout(WAIT_LIMIT_S):
                     if await reader.read(1) == b"":
                         raise AssertionError("found the end of the stream, expected a connection reset")
-            reader, writer = await asyncio.open_connection("127.0.0.1", self.relay.port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", self.proxy.port)
         self.network.remove_fault("broken")
         writer.close()
-        await self.wait_until(lambda: self.relay.open_connections == 0)
+        await self.wait_until(lambda: self.proxy.open_connections == 0)
 
     async def test_a_silent_peer_accepts_and_forwards_nothing(self) -> None:
         self.network.add_fault("silent", "r1", "*", LinkFault(silent=True))
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.relay.port)
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.proxy.port)
         self.addCleanup(writer.close)
         writer.write(b"one")
         with self.assertRaises(TimeoutError):
@@ -215,7 +215,7 @@
 
     async def test_a_reset_by_one_end_is_forwarded_to_the_other(self) -> None:
         """Guards against a client that waits until its time limit for the answer to a request that was sent
-        while the router closed the connection: the relay did not forward the reset."""
+        while the router closed the connection: the proxy did not forward the reset."""
 
         async def resets(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.read(1024)
@@ -225,10 +225,10 @@
 
         server = await asyncio.start_server(resets, "127.0.0.1", 0)
         self.addCleanup(server.close)
-        relay = Relay(self.network, "clients", "r1", server.sockets[0].getsockname()[1])
-        await relay.start()
-        self.addCleanup(relay.close)
-        reader, writer = await asyncio.open_connection("127.0.0.1", relay.port)
+        proxy = LinkProxy(self.network, "clients", "r1", server.sockets[0].getsockname()[1])
+        await proxy.start()
+        self.addCleanup(proxy.close)
+        reader, writer = await asyncio.open_connection("127.0.0.1", proxy.port)
         self.addCleanup(writer.close)
         writer.write(b"one")
         async with asyncio.timeout(WAIT_LIMIT_S):
@@ -239,7 +239,7 @@
     async def test_faults_of_other_links_have_no_effect(self) -> None:
         for source, target in (("r2", "box1"), ("r1", "box2"), ("log", "r1"), (ANY_ROUTER, ANY_ROUTER)):
             self.network.add_fault("elsewhere", source, target, LinkFault(cut=True, reset=True, silent=True))
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.relay.port)
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.proxy.port)
         self.addCleanup(writer.close)
         writer.write(b"one")
         async with asyncio.timeout(WAIT_LIMIT_S):
