--- a/magpieshift/cli/lab_episode.py
+++ b/magpieshift/cli/lab_episode.py
@@ -102,7 +102,7 @@
             shown_s = int(seconds)
 
         options = ["--capture", folder] if folder else []
-        outcome = asyncio.run(episodes.play(scenario, options, show_elapsed))
+        outcome = asyncio.run(episodes.run_episode(scenario, options, show_elapsed))
     text = episodes.to_json(outcome)
     if save:
         Path(save).write_text(text, encoding="utf-8")
--- a/magpieshift/cli/lab_fleet.py
+++ b/magpieshift/cli/lab_fleet.py
@@ -96,7 +96,7 @@
         if figures["disagreements"]:
             raise SystemExit(1)
         return
-    from magpieshift.lab.experiments.membership_trial import play
+    from magpieshift.lab.experiments.membership_trial import run_trial
     from magpieshift.membership.codec import encode
     from magpieshift.membership.suspicion import DetectorTuning
 
@@ -105,7 +105,7 @@
         tuning = replace(tuning, monitored_peers=1, suspicion_quorum=1)
     rows = []
     for size in routers:
-        result = play(
+        result = run_trial(
             size,
             seed,
             minutes,
@@ -179,17 +179,17 @@
     behaviour of all routers."""
     import os
 
-    from magpieshift.lab.experiments.overload import SCENARIOS, GossipSettings, play, play_map
+    from magpieshift.lab.experiments.overload import SCENARIOS, GossipSettings, run_map, run_scenario
     from magpieshift.lab.simulated.fleet_state import FleetSize
 
     if liars > routers:
         raise ConfigError(f"--liars: found {liars}, expected at most {routers}, the number of routers")
     fleet_size = FleetSize(routers=routers, seed=seed, load_factor=load)
     if show_map:
-        output.print_rows([vars(point) for point in play_map(fleet_size, os.cpu_count() or 1)], as_json)
+        output.print_rows([vars(point) for point in run_map(fleet_size, os.cpu_count() or 1)], as_json)
         return
     for name in [scenario] if scenario else SCENARIOS:
-        row = play(name, fleet_size, None if without else GossipSettings(digests_lost, liars)).row()
+        row = run_scenario(name, fleet_size, None if without else GossipSettings(digests_lost, liars)).row()
         if as_json:
             click.echo(json.dumps(row))
         else:
@@ -237,7 +237,7 @@
     except UnusableDocumentError as err:
         raise ConfigError(f"{scenario}: {err}") from err
     path = Path(folder) if folder else Path(tempfile.mkdtemp(prefix="fleet-run-"))
-    verdict = asyncio.run(runs.play(plan, path, (lambda line: None) if as_json else click.echo))
+    verdict = asyncio.run(runs.run_scenario(plan, path, (lambda line: None) if as_json else click.echo))
     with contextlib.suppress(ImportError):  # the plotting library is optional
         runs.plot(path)
     click.echo(json.dumps(verdict | {"folder": str(path)}))
@@ -284,7 +284,7 @@
     broken_count = 0
     for run_seed in range(seed, seed + runs):
         run = random_runs.draw(run_seed, routers, seconds, faults)
-        verdict = asyncio.run(fault_runs.play(run, path / f"{run_seed}"))
+        verdict = asyncio.run(fault_runs.run_scenario(run, path / f"{run_seed}"))
         is_broken = bool(verdict["rules_broken"] or verdict["left_running"])
         if is_broken and shrink:
             verdict["shrunk"] = _shrink(run, path, f"{run_seed}")
@@ -310,7 +310,7 @@
 
     async def still_fails(smaller: Scenario) -> bool:
         """Whether this part of the history breaks a rule too."""
-        verdict = await fault_runs.play(smaller, path / f"{name}-{next(attempts)}")
+        verdict = await fault_runs.run_scenario(smaller, path / f"{name}-{next(attempts)}")
         return bool(verdict["rules_broken"])
 
     smallest = asyncio.run(random_runs.shrink(run, still_fails))
--- a/magpieshift/cli/lab_rollout.py
+++ b/magpieshift/cli/lab_rollout.py
@@ -118,6 +118,6 @@
     from magpieshift.lab.fault_injection import rollouts as real
 
     path = Path(folder or tempfile.mkdtemp(prefix="rollout-")) / name
-    row = asyncio.run(real.play(name, path, routers, seed)) | {"folder": str(path)}
+    row = asyncio.run(real.run_rollout(name, path, routers, seed)) | {"folder": str(path)}
     is_bad_version = real.SCENARIOS[name].is_bad
     return row, not (row["stopped_wrongly"] or row["rules_broken"] or row["caught"] != is_bad_version)
--- a/magpieshift/cli/lab_soak.py
+++ b/magpieshift/cli/lab_soak.py
@@ -39,7 +39,7 @@
 def soak(first: int, seeds: int, only: int | None, parallel: int, as_json: bool) -> None:
     """Execute short randomized runs of real routers that receive many signals, and check the outcome of every
     request. Exit code 1 if a rule was broken; --only repeats the run with a given seed."""
-    from magpieshift.lab.soak.parallel_runs import play_runs
+    from magpieshift.lab.soak.parallel_runs import run_seeds
     from magpieshift.lab.soak.soak_run import SoakReport
 
     setup("pairs", "ERROR")
@@ -52,6 +52,6 @@
                 click.echo(f"  {finding}", err=True)
 
     chosen = range(first, first + seeds) if only is None else [only]
-    reports = asyncio.run(play_runs(chosen, parallel, on_report=print_findings))
+    reports = asyncio.run(run_seeds(chosen, parallel, on_report=print_findings))
     output.print_rows([report.as_row() for report in reports], as_json)
     raise SystemExit(1 if any(report.findings for report in reports) else 0)
--- a/magpieshift/lab/experiments/episode.py
+++ b/magpieshift/lab/experiments/episode.py
@@ -199,7 +199,7 @@
         }
 
 
-async def play(
+async def run_episode(
     scenario: Scenario,
     arguments: Sequence[str] = (),
     progress: Callable[[float], None] = lambda seconds: None,
--- a/magpieshift/lab/experiments/membership_trial.py
+++ b/magpieshift/lab/experiments/membership_trial.py
@@ -76,7 +76,7 @@
     """Duration of the trial in real time."""
 
 
-def play(
+def run_trial(
     routers: int,
     seed: int,
     minutes: float = 2.0,
@@ -98,9 +98,9 @@
     outcome = Outcome(routers, seed)
     names = sorted(network.processes)
     _measure_cost(network, outcome)
-    _play_loss_and_pauses(network, names, outcome, minutes, loss, pauses)
-    _play_deaths(network, network.rand.sample(names, min(deaths, routers // 3)), outcome)
-    _play_partition(network, set(names[: routers // 2]), outcome)
+    _measure_loss_and_pauses(network, names, outcome, minutes, loss, pauses)
+    _measure_detection(network, network.rand.sample(names, min(deaths, routers // 3)), outcome)
+    _measure_partition(network, set(names[: routers // 2]), outcome)
     outcome.share_over_whole = network.quota_excesses
     outcome.most_share = round(network.max_total_quota, 4)
     outcome.real_s = round(time.perf_counter() - started_s, 1)
@@ -121,7 +121,7 @@
     network.size = lambda datagram: 0
 
 
-def _play_loss_and_pauses(
+def _measure_loss_and_pauses(
     network: Network, names: list[str], outcome: Outcome, minutes: float, loss: float, pauses: bool
 ) -> None:
     """Lose datagrams and pause routers; count the suspicions and removals of living routers."""
@@ -150,7 +150,7 @@
         pause_at_us += duration_us + network.rand.randrange(*BETWEEN_PAUSES_RANGE_US)
 
 
-def _play_deaths(network: Network, names: list[str], outcome: Outcome) -> None:
+def _measure_detection(network: Network, names: list[str], outcome: Outcome) -> None:
     """Kill and restart routers one by one; measure the time until the others suspect and remove each."""
     detected_s: list[float] = []
     removed_s: list[float] = []
@@ -184,7 +184,7 @@
     return first_seen
 
 
-def _play_partition(network: Network, half: set[str], outcome: Outcome) -> None:
+def _measure_partition(network: Network, half: set[str], outcome: Outcome) -> None:
     """Partition a fleet into halves; measure how long they take to agree once the partition is healed."""
     network.cut = lambda source, target: (source in half) != (target in half)
     _run_for(network, PARTITION_S)
--- a/magpieshift/lab/experiments/overload.py
+++ b/magpieshift/lab/experiments/overload.py
@@ -1,7 +1,7 @@
 """Overload scenarios on a simulated fleet of any size: failures that arise from the routers'
 interaction, not in a single router.
 
-``play_map`` runs all combinations of loads, triggers and client retry limits, and records for each whether
+``run_map`` runs all combinations of loads, triggers and client retry limits, and records for each whether
 the fleet recovers by itself once the trigger is gone, or whether the failure is metastable.
 """
 
@@ -180,7 +180,7 @@
     """Number of routers that falsely report themselves as idle and all endpoints as failing."""
 
 
-def play(name: str, size: FleetSize, gossip: GossipSettings | None = None) -> Outcome:
+def run_scenario(name: str, size: FleetSize, gossip: GossipSettings | None = None) -> Outcome:
     """Run a scenario: baseline, fault and recovery. Without ``gossip`` the routers exchange no reports."""
     started_s = time.perf_counter()
     scenario = SCENARIOS[name]
@@ -273,9 +273,11 @@
     """Whether the failure is metastable: the fleet did not recover within ``MAX_RECOVERY_S``."""
 
 
-def play_point(load: float, trigger: str, tries: int, size: FleetSize) -> MapPoint:
+def run_map_point(load: float, trigger: str, tries: int, size: FleetSize) -> MapPoint:
     """Run one combination of the map. No client waits for Retry-After: this makes retries most harmful."""
-    outcome = play(trigger, replace(size, load_factor=load, max_attempts=tries, retry_after_share=0.0))
+    outcome = run_scenario(
+        trigger, replace(size, load_factor=load, max_attempts=tries, retry_after_share=0.0)
+    )
     stays_bad = outcome.back_to_95_s >= MAX_RECOVERY_S
     return MapPoint(
         load, trigger, tries, outcome.back_to_95_s, outcome.goodput, outcome.amplification, stays_bad
@@ -290,10 +292,10 @@
 """Maximum attempts of the map's clients: without retries, the usual number, and persistent retries."""
 
 
-def play_map(size: FleetSize, workers: int) -> list[MapPoint]:
+def run_map(size: FleetSize, workers: int) -> list[MapPoint]:
     """Run all combinations of the map in ``workers`` processes."""
     combinations = [
         (load, trigger, tries) for trigger in MAP_TRIGGERS for tries in MAP_MAX_ATTEMPTS for load in MAP_LOADS
     ]
     with ProcessPoolExecutor(workers) as pool:
-        return list(pool.map(play_point, *zip(*combinations, strict=True), [size] * len(combinations)))
+        return list(pool.map(run_map_point, *zip(*combinations, strict=True), [size] * len(combinations)))
--- a/magpieshift/lab/fault_injection/rollouts.py
+++ b/magpieshift/lab/fault_injection/rollouts.py
@@ -105,7 +105,7 @@
     await cluster.wait_until_serving(*names)
 
 
-async def play(
+async def run_rollout(
     name: str,
     folder: Path,
     routers: int,
--- a/magpieshift/lab/fault_injection/run.py
+++ b/magpieshift/lab/fault_injection/run.py
@@ -86,7 +86,7 @@
             await cluster.start(fault.component)
 
 
-async def play(
+async def run_scenario(
     scenario: Scenario, folder: Path, progress: Callable[[str], None] = lambda line: None
 ) -> dict[str, Any]:
     """Run a scenario; return the verdict, which is also saved in the folder with settings and logs."""
@@ -110,7 +110,7 @@
         await cluster.wait_until_serving(*names)
         await cluster.wait_until(cluster.views_agree, "all membership views agree after the start")
         cluster.start_load()
-        samples = await _play_faults(cluster, scenario, problems, progress)
+        samples = await _inject_faults(cluster, scenario, problems, progress)
         try:
             took_s = await cluster.wait_until(
                 cluster.views_agree,
@@ -127,7 +127,7 @@
     return verdict
 
 
-async def _play_faults(
+async def _inject_faults(
     cluster: Cluster, scenario: Scenario, problems: list[str], progress: Callable[[str], None]
 ) -> list[dict[str, Any]]:
     """Inject all faults; return samples of the routers' views, and add failed injections to ``problems``."""
--- a/magpieshift/lab/soak/parallel_runs.py
+++ b/magpieshift/lab/soak/parallel_runs.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from magpieshift.lab.soak.plan import draw_plan
-from magpieshift.lab.soak.soak_run import PROGRAM, SoakReport, play_run
+from magpieshift.lab.soak.soak_run import PROGRAM, SoakReport, run_plan
 
 DEFECT_MODULE = "magpieshift.lab.soak.defective_router"
 
@@ -16,7 +16,7 @@
     return ("-m", DEFECT_MODULE, defect)
 
 
-async def play_runs(
+async def run_seeds(
     seeds: Iterable[int],
     parallel: int,
     program: Sequence[str] = PROGRAM,
@@ -25,10 +25,10 @@
     """Run these seeds, at most ``parallel`` at a time; return the reports in the order of the seeds."""
     slots = asyncio.Semaphore(parallel)
 
-    async def play(seed: int) -> SoakReport:
+    async def run_seed(seed: int) -> SoakReport:
         async with slots:
-            report = await play_run(draw_plan(seed), program)
+            report = await run_plan(draw_plan(seed), program)
             on_report(report)
             return report
 
-    return list(await asyncio.gather(*(play(seed) for seed in seeds)))
+    return list(await asyncio.gather(*(run_seed(seed) for seed in seeds)))
--- a/magpieshift/lab/soak/soak_run.py
+++ b/magpieshift/lab/soak/soak_run.py
@@ -99,7 +99,7 @@
         self._faults: list[asyncio.Task[None]] = []
         self._report = SoakReport(plan)
 
-    async def play(self) -> SoakReport:
+    async def run(self) -> SoakReport:
         """Run the plan; return the report."""
         async with AsyncExitStack() as stack:
             stack.callback(self._stop_environment)
@@ -313,7 +313,7 @@
         return True
 
 
-async def play_run(plan: SoakPlan, program: Sequence[str] = PROGRAM) -> SoakReport:
+async def run_plan(plan: SoakPlan, program: Sequence[str] = PROGRAM) -> SoakReport:
     """Run a plan in a temporary folder."""
     with tempfile.TemporaryDirectory(prefix="magpieshift-soak-") as folder:
-        return await SoakRun(plan, Path(folder), program).play()
+        return await SoakRun(plan, Path(folder), program).run()
--- a/tests/capture/test_process.py
+++ b/tests/capture/test_process.py
@@ -53,7 +53,7 @@
         self.assertGreaterEqual({fault.what for fault in plan.faults}, {"die", "slow", "late-list", "purge"})
         key = self.folder / "key"
         key.write_text("0123456789abcdef0123")
-        outcome = await episode.play(plan, ["--capture", self.capture, "--hash-key", str(key)])
+        outcome = await episode.run_episode(plan, ["--capture", self.capture, "--hash-key", str(key)])
         # a slow machine alone can break the rules on drains, purges and deadlines, so only the command checks
         # those
         rules_checked = {"second attempt", "repeat", "planned end", "traceback"}
@@ -96,7 +96,9 @@
     async def test_killed_in_the_middle_of_a_block(self) -> None:
         plan = scenario.load({"seconds": 20, "rate": 50})
         command = (sys.executable, "-c", SELF_KILLING_PROGRAM)
-        episode_task = asyncio.ensure_future(episode.play(plan, ["--capture", self.capture], program=command))
+        episode_task = asyncio.ensure_future(
+            episode.run_episode(plan, ["--capture", self.capture], program=command)
+        )
         async with asyncio.timeout(30):
             while not any("torn" in str(m) for m in self.missing_parts()):
                 await asyncio.sleep(0.1)
--- a/tests/overload/test_simulated_fleet.py
+++ b/tests/overload/test_simulated_fleet.py
@@ -15,9 +15,9 @@
 
     def test_a_dead_parent_is_probed_by_few_and_without_digests_routers_decide_alone(self) -> None:
         size = FleetSize(routers=12, zones=2, caches_per_zone=2, parents=3, seed=4)
-        without_gossip = lab.play("parent-dead", size)
-        with_gossip = lab.play("parent-dead", size, lab.GossipSettings())
-        with_all_digests_lost = lab.play("parent-dead", size, lab.GossipSettings(loss=1.0))
+        without_gossip = lab.run_scenario("parent-dead", size)
+        with_gossip = lab.run_scenario("parent-dead", size, lab.GossipSettings())
+        with_all_digests_lost = lab.run_scenario("parent-dead", size, lab.GossipSettings(loss=1.0))
         self.assertLess(with_gossip.tries_per_s, without_gossip.tries_per_s / 2)
         # identical: without digests no report has any effect
         self.assertEqual(with_all_digests_lost.tries_per_s, without_gossip.tries_per_s)
@@ -26,8 +26,8 @@
 
     def test_false_reports_do_not_make_endpoints_unavailable(self) -> None:
         size = FleetSize(routers=12, zones=2, caches_per_zone=2, parents=3, seed=4)
-        with_true_reports = lab.play("parent-dead", size, lab.GossipSettings())
-        with_false_reports = lab.play("parent-dead", size, lab.GossipSettings(liars=2))
+        with_true_reports = lab.run_scenario("parent-dead", size, lab.GossipSettings())
+        with_false_reports = lab.run_scenario("parent-dead", size, lab.GossipSettings(liars=2))
         self.assertGreater(with_false_reports.goodput, with_true_reports.goodput - 0.02)
         self.assertLess(with_false_reports.amplification, 1.2)
 
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -6,7 +6,7 @@
 import unittest
 
 from magpieshift.lab.soak.defective_router import DEFECTS
-from magpieshift.lab.soak.parallel_runs import defective_program, play_runs
+from magpieshift.lab.soak.parallel_runs import defective_program, run_seeds
 from magpieshift.lab.soak.plan import RouterForm, SoakFault, draw_plan
 
 SEEDS = range(1, 11)
@@ -39,7 +39,7 @@
 class Soak(unittest.TestCase):
     def test_short_runs_lose_no_request_and_exit_with_0(self) -> None:
         """Guards against lost requests under series of signals, many idle clients and faults."""
-        reports = asyncio.run(play_runs(SEEDS, PARALLEL))
+        reports = asyncio.run(run_seeds(SEEDS, PARALLEL))
         findings = {report.plan.describe(): report.findings for report in reports if report.findings}
         self.assertEqual(findings, {})
         self.assertGreater(min(report.served for report in reports), 10)
@@ -56,7 +56,7 @@
         """Return whether a run of one of twenty seeds, this one first, has a finding."""
         others = [seed for seed in range(1, MAX_SEEDS_TO_DETECT + 1) if seed != detecting_seed]
         for seed in [detecting_seed, *others]:
-            (report,) = asyncio.run(play_runs([seed], 1, defective_program(defect)))
+            (report,) = asyncio.run(run_seeds([seed], 1, defective_program(defect)))
             if report.findings:
                 return True
         return False
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -109,7 +109,7 @@
 
 class SimulatedFleets(unittest.TestCase):
     def test_the_same_seed_gives_the_same_history(self) -> None:
-        rows = [overload.play("parent-dead", SIZE).row() | {"real_s": 0} for _ in range(2)]
+        rows = [overload.run_scenario("parent-dead", SIZE).row() | {"real_s": 0} for _ in range(2)]
         self.assertEqual(rows[0], rows[1])
 
     def test_every_request_has_one_response_and_the_fleet_recovers_in_every_scenario(self) -> None:
@@ -117,7 +117,7 @@
             if name == "threshold":
                 continue  # its fault lasts 120 s, which is too long for a test
             with self.subTest(name):
-                outcome = overload.play(name, SIZE)
+                outcome = overload.run_scenario(name, SIZE)
                 self.assertEqual(outcome.rules_broken, 0)
                 self.assertGreater(outcome.goodput, 0.3)
                 self.assertLess(outcome.back_to_95_s, overload.MAX_RECOVERY_S)
@@ -132,7 +132,7 @@
         self.assertTrue(fleet.record.violations)
 
     def test_a_fleet_at_85_percent_load_recovers_from_a_burst(self) -> None:
-        outcome = overload.play_point(0.85, "burst", 4, SIZE)
+        outcome = overload.run_map_point(0.85, "burst", 4, SIZE)
         self.assertFalse(outcome.stays_bad)
 
 
