--- a/magpieshift/lab/fault_injection/checks.py
+++ b/magpieshift/lab/fault_injection/checks.py
@@ -17,7 +17,7 @@
 from magpieshift.lab.fault_injection.outages import ENDLESS, Halt
 
 MAX_TOTAL_QUOTA = 1.0 + 1e-4
-"""Maximum total of all quotas: the whole, plus rounding errors, as logs write six decimal places."""
+"""Maximum sum of the quotas in use: 1, plus the rounding errors of the six decimal places in logs."""
 MAX_MEMORY_MB = 64
 """Memory limit of a router process in megabytes, the same as in the cluster's settings."""
 MAX_DESCRIPTORS = 512
@@ -30,7 +30,7 @@
 MAX_TRACEBACK_CHARACTERS = 600
 """Maximum length of the traceback in a violation; it begins with the first frames."""
 QUOTA_TOLERANCE = 1e-9
-"""Smallest increase of the total that counts: smaller ones are rounding errors of float sums."""
+"""Smallest increase of the sum of quotas that counts: smaller ones are rounding errors of float sums."""
 
 
 class ObservedFleet(Protocol):
@@ -142,13 +142,13 @@
     at_s: float
     """Steady time of the change in seconds; the routers log it as ``at_us``."""
     quota: float
-    """New quota as a share of the whole, 0 to 1."""
+    """New quota, as a share of what all processes may use together, 0 to 1."""
     log_name: str
     """File name of the process's log."""
 
 
 class QuotaCheck(FinalCheck):
-    """Checks that the quotas of all processes never add up to more than the whole.
+    """Checks that the quotas of all processes never add up to more than 1.
 
     The routers log each change of their quota with the time of the steady clock, which all processes on a
     machine share. A halted process uses no quota; one that is being replaced checks before each use whether
@@ -156,14 +156,14 @@
     """
 
     def violations(self, fleet: ObservedFleet) -> list[str]:
-        """Return a line with the greatest total if it exceeds the whole."""
+        """Return a line with the greatest sum of quotas if it exceeds ``MAX_TOTAL_QUOTA``."""
         total, at_s = self.max_total(fleet)
         if total <= MAX_TOTAL_QUOTA:
             return []
         return [f"shares came to {total:.4f} of the whole at {at_s:.3f}"]
 
     def max_total(self, fleet: ObservedFleet) -> tuple[float, float]:
-        """Return the greatest total of quotas, and when it was reached, in seconds."""
+        """Return the greatest sum of quotas, and the steady time at which it was reached, in seconds."""
         changes = [change for log in fleet.folder.glob("*.log") for change in _effective_changes(fleet, log)]
         quotas: dict[str, float] = {}
         max_total = 0.0
@@ -199,9 +199,8 @@
     earlier_quotas = [change.quota for change in logged if change.at_s <= at_s]
     if not earlier_quotas or any(halt.since_s < at_s for halt in halts):
         return []
-    return [
-        QuotaChange(math.nextafter(at_s, 0.0), earlier_quotas[-1] / 2, log_name)
-    ]  # just before the successor acts
+    # just before the successor's first logged quota, so that the sum at that time contains only the half
+    return [QuotaChange(math.nextafter(at_s, 0.0), earlier_quotas[-1] / 2, log_name)]
 
 
 def _changes_by_halt(logged: list[QuotaChange], halt: Halt, log_name: str) -> list[QuotaChange]:
@@ -210,7 +209,8 @@
     earlier_quotas = [change.quota for change in logged if change.at_s <= halt.since_s]
     changed_while_halted = any(halt.since_s < change.at_s < halt.until_s for change in logged)
     if halt.until_s != ENDLESS and earlier_quotas and not changed_while_halted:
-        # it reads the clock before it acts: the quota it logs next limits it from its resumption on
+        # A resumed process reads the clock before it uses its quota, so that the first quota which it then
+        # logs already limits it from the resumption on.
         later_quotas = [change.quota for change in logged if change.at_s >= halt.until_s]
         changes.append(QuotaChange(halt.until_s, min([earlier_quotas[-1], *later_quotas[:1]]), log_name))
     return changes
--- a/magpieshift/lab/fault_injection/cluster.py
+++ b/magpieshift/lab/fault_injection/cluster.py
@@ -134,7 +134,7 @@
             self.routers[name] = RouterInstance(
                 name, port, admin_port, (admin_port, second_admin_port), private, public
             )
-            self.outages.router_unavailable(name)  # until it serves
+            self.outages.router_unavailable(name)  # until ``wait_until_serving``
             await self._environment.start_log(name)
         await self.endpoints.start()
         for router in self.routers.values():
@@ -207,13 +207,14 @@
         return [example for load in self.loads.values() for example in load.unanswered_examples]
 
     def max_total_quota(self) -> tuple[float, float]:
-        """Return the greatest total of all quotas in use, and its steady time in seconds."""
+        """Return the greatest sum of all quotas in use, and its steady time in seconds."""
         return checks.QuotaCheck().max_total(self)
 
     def _known_at(self, request_id: str, published_s: float) -> float:
-        """Return when the router that sent a request could know of an event, by when it was published.
+        """Return the Unix time at which the router that sent a request could know of an event.
 
-        Request ids begin with the number of the request's router, see ``start_load``.
+        ``published_s`` is the Unix time at which the event was published. Request ids begin with the number
+        of the request's router, see ``start_load``.
         """
         return self.outages.known_at(f"r{int(request_id[:2], 16)}" if request_id else "", published_s)
 
--- a/magpieshift/lab/fault_injection/defective_router.py
+++ b/magpieshift/lab/fault_injection/defective_router.py
@@ -26,7 +26,8 @@
 FAILING_CLASS = "picture"
 """Request class affected by the defect ``worse``: frequent enough in the load for detection."""
 FAILING_TIME_LEFT_US = 1_000
-"""Time left of a request that must fail, in microseconds: shorter than any endpoint's response time."""
+"""Remaining time limit, in microseconds, of a request that must fail: shorter than any endpoint's response
+time."""
 FIRST_UNUSED_ID = 1 << 40
 """First id returned for requests that are not passed to the engine: far above the engine's own ids."""
 LEAK_INTERVAL_S = 0.1
--- a/magpieshift/lab/fault_injection/processes.py
+++ b/magpieshift/lab/fault_injection/processes.py
@@ -114,7 +114,7 @@
     async def _watch_exit(self, name: str, start: int, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
         self.outages.process_halted(name, start)
-        # a process that never served may have been rejected by its predecessor, which is no error
+        # a successor that its predecessor rejects exits with another code before it has served: no error
         if code != 0 and self._has_served(name, start) and not self.routers[name].killed:
             self.unexpected_exits.append(f"a process of {name} ended with {code}")
 
@@ -205,5 +205,5 @@
         Raises ``ValueError`` for any other router.
         """
         if name not in self._clocks:
-            raise ValueError(f"found {name}, expected one of {sorted(self._clocks)}")
+            raise ValueError(f"clocks of router {name} cannot be set, expected one of {sorted(self._clocks)}")
         skewed_clock.write_clock(self._clock_path(name), int(step_s * 1e6), rate)
--- a/magpieshift/lab/fault_injection/run.py
+++ b/magpieshift/lab/fault_injection/run.py
@@ -45,7 +45,7 @@
             return LinkFault(silent=True)
         case "throttle":
             return LinkFault(kb_per_s=fault.magnitude)
-    raise ValueError(f"found {fault.kind!r}, expected one of {LINK_FAULTS}")
+    raise ValueError(f"fault {fault.name}: found kind {fault.kind!r}, expected one of {LINK_FAULTS}")
 
 
 async def _inject(cluster: Cluster, fault: Fault, started_s: float) -> None:
--- a/magpieshift/lab/fault_injection/scenario.py
+++ b/magpieshift/lab/fault_injection/scenario.py
@@ -64,7 +64,7 @@
     """See ``Fault.magnitude``."""
 
 
-class RunForm(Form):
+class ScenarioForm(Form):
     """A scenario document; the fields of ``Scenario`` explain it."""
 
     seconds: Annotated[float, Field(ge=1, le=3_600)]
@@ -127,7 +127,7 @@
         return sorted({fault.component for fault in self.faults if fault.kind in ("step", "rate")})
 
 
-def _find_problems(form: RunForm, lines: Mapping[sexp.EntryPath, int]) -> list[Problem]:
+def _find_problems(form: ScenarioForm, lines: Mapping[sexp.EntryPath, int]) -> list[Problem]:
     """Return a problem for each fault that names a router or endpoint which the cluster does not have."""
     routers = [f"r{number}" for number in range(form.routers)]
     endpoints = place_names(form.boxes, form.hubs)
@@ -154,7 +154,7 @@
 def load(data: Mapping[str, Any], lines: Mapping[sexp.EntryPath, int] | None = None) -> Scenario:
     """Return a validated scenario. Raises ``UnusableDocumentError`` with all problems found."""
     lines = lines or {}
-    form = validate_form(RunForm, data, lines)
+    form = validate_form(ScenarioForm, data, lines)
     if problems := _find_problems(form, lines):
         raise UnusableDocumentError(problems)
     faults = [
@@ -248,7 +248,7 @@
         return load(BUILT_IN_SCENARIOS[name])
     if not Path(name).exists():
         known = ", ".join(BUILT_IN_SCENARIOS)
-        raise ConfigError(f"{name}: found no such file, expected one or one of {known}")
+        raise ConfigError(f"{name}: found no such file, expected a scenario file or one of {known}")
     return load_file(name)
 
 
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -204,7 +204,7 @@
     ],
     "lab fleet-run": [
         ("", "SCENARIO"),
-        ("none", "none: found no such file, expected one or one of quiet"),
+        ("none", "none: found no such file, expected a scenario file or one of quiet"),
         ("{folder}", "{folder}"),
         ("{bytes}", "{bytes}"),
         ("{text}", "{text}"),
