--- a/magpieshift/lab/emulators/emulated_endpoint.py
+++ b/magpieshift/lab/emulators/emulated_endpoint.py
@@ -22,9 +22,8 @@
 Part = tuple[str, str]
 """Object key and part number."""
 
-ANSWER_BYTES = (
-    900  # body size of each answer: smaller than the platform's parts, so that one machine bears the load
-)
+# body size of each answer: smaller than the platform's parts, so that one machine bears the load
+ANSWER_BYTES = 900
 PART_KB = 0.9  # ANSWER_BYTES in kilobytes, for the link
 WRITE_CLASSES = ("basket", "order")  # classes answered without a stored copy
 LOAD_WINDOW_S = 1.0  # window over which the work of an endpoint in slow start is summed
--- a/magpieshift/lab/emulators/emulated_installation.py
+++ b/magpieshift/lab/emulators/emulated_installation.py
@@ -149,10 +149,9 @@
             for member in event.get("fleet", {}).get("members", []):
                 if member["phase"] != "SERVING":
                     self.checker.drains_published_s[member["id"]] = time.time()
-            if (
-                "invalidate" in event
-            ):  # time of the purge, for copies' age; time of publishing, for routers' reaction
+            if "invalidate" in event:
                 purge = event["invalidate"]
+                # copies may not be older than the purge; routers may react to it only after its publication
                 self.checker.purges_s[purge["object"]] = purge["time"] / 1000, time.time()
             self._publish(event)
 
--- a/magpieshift/lab/emulators/endpoint_profile.py
+++ b/magpieshift/lab/emulators/endpoint_profile.py
@@ -4,7 +4,8 @@
 
 from dataclasses import dataclass
 
-CACHE_KIND = "box"  # kinds of endpoint, as the emulated installation's settings name them
+# kinds of endpoint, by their names in the settings
+CACHE_KIND = "box"
 PARENT_KIND = "upper"
 ORIGIN_KIND = "source"
 
--- a/magpieshift/lab/emulators/load.py
+++ b/magpieshift/lab/emulators/load.py
@@ -20,12 +20,12 @@
 from magpieshift.lab.emulators.client_connection import RESEND_WINDOW_S, Answer, ClientConnection, NoAnswer
 
 TIME_LIMITS_MS = {"picture": 1500, "basket": 2000, "order": 2000}  # the settings' deadlines, by class
-CONNECTIONS = 8  # per router; with more, the end of one connection affects fewer requests
+CONNECTIONS = 8  # connections to each router; with more, the end of one connection affects fewer requests
 MEAN_SESSION_PARTS = 2.0  # mean of 1 to 3 parts, uniformly distributed
 ORDER_FRACTION = 0.04  # share of sessions that send an order
 WRITE_FRACTION = 0.1  # share of sessions that write, orders included
 POPULARITY_EXPONENT = 1.2  # exponent of the objects' Zipf distribution; a higher one gives more hits
-DEFAULT_RETRY_AFTER_MS = "100"  # for rejections without a Retry-After
+DEFAULT_RETRY_AFTER_MS = "100"  # delay before the retry of a rejection without a Retry-After
 MAX_LATENCY_US = 60_000_000  # upper limit of the histogram
 MAX_EXAMPLES = 20  # lost requests kept as examples; all are counted
 WRITE_BODY = b"eggs"  # arbitrary
--- a/magpieshift/lab/emulators/peers.py
+++ b/magpieshift/lab/emulators/peers.py
@@ -1,7 +1,7 @@
 """Simple emulators of a router's peers: an endpoint and a change log.
 
-Written from the protocol pages, for tests and measurements of one router; ``emulator`` and ``load`` model an
-installation in more detail.
+Written from the protocol pages, for tests and measurements of one router; ``emulated_endpoint`` and ``load``
+model an installation in more detail.
 """
 
 from __future__ import annotations
@@ -15,9 +15,8 @@
 
 from magpieshift.upstream import codec
 
-ANSWER_BODY = (
-    b"x" * 600
-)  # body of an endpoint's answers: smaller than the platform's parts, so that one machine bears the load
+# body of an endpoint's answers: smaller than the platform's parts, so that one machine bears the load
+ANSWER_BODY = b"x" * 600
 KEEP_ALIVE_S = 0.5  # interval of comments on an idle change log, well below a router's silence timeout
 
 
@@ -121,8 +120,8 @@
             writer.write(f"{request_id} absent - 0\r\n\r\n".encode())
         else:
             self._stored_parts.add(part)
-            minted_ms = int(time.time() * 1000)
-            head = f"{request_id} data tag=t1,minted={minted_ms} {len(self.body)}\r\n"
+            created_ms = int(time.time() * 1000)
+            head = f"{request_id} data tag=t1,minted={created_ms} {len(self.body)}\r\n"
             writer.write(head.encode() + self.body + codec.LINE_END)
         answering.pop(request_id, None)
 
--- a/magpieshift/lab/soak/plan.py
+++ b/magpieshift/lab/soak/plan.py
@@ -16,7 +16,7 @@
 """Maximum number of idle clients. All clients together use less than a third of the settings' descriptors."""
 
 
-class RouterForm(StrEnum):
+class StartMode(StrEnum):
     """How the router is started."""
 
     BARE = "bare"
@@ -57,7 +57,7 @@
     """The plan of one soak run."""
 
     seed: int
-    form: RouterForm
+    start_mode: StartMode
     fault: SoakFault
     cache_delay_ms: float
     """Delay added to each answer of the caches."""
@@ -92,7 +92,7 @@
         )
         replaced = ", replaced" if self.is_replaced else ""
         return (
-            f"{self.form}, fault {self.fault}, caches +{self.cache_delay_ms:.0f} ms, origin "
+            f"{self.start_mode}, fault {self.fault}, caches +{self.cache_delay_ms:.0f} ms, origin "
             f"+{self.origin_delay_ms:.0f} ms, {self.rate:.0f}/s, {self.idle_clients} idle clients{replaced}, "
             f"serving {self.serving_s:.1f} s; {signals}"
         )
@@ -107,18 +107,18 @@
 def draw_plan(seed: int) -> SoakPlan:
     """Draw the plan of a seed; the same seed gives the same plan."""
     rand = random.Random(seed)
-    form = rand.choice(list(RouterForm))
+    start_mode = rand.choice(list(StartMode))
     end_first = TimedSignal(rand.choice(SIGNAL_GAPS_S), signal.SIGTERM)
     end_rest = _draw_series(rand, (signal.SIGTERM, signal.SIGHUP), 0)
     return SoakPlan(
         seed=seed,
-        form=form,
+        start_mode=start_mode,
         fault=rand.choice(list(SoakFault)),
         cache_delay_ms=rand.choice((0.0, 20.0, 150.0)),
         origin_delay_ms=rand.choice((0.0, 100.0, 700.0)),
         rate=rand.choice((15.0, 40.0, 80.0)),
         idle_clients=rand.choice((4, 40, MAX_IDLE_CLIENTS)),
-        is_replaced=form is not RouterForm.CONTROLLED and rand.random() < 0.25,
+        is_replaced=start_mode is not StartMode.CONTROLLED and rand.random() < 0.25,
         serving_s=rand.uniform(0.4, 1.2),
         start_signals=_draw_series(rand, (signal.SIGHUP,), 1) if rand.random() < 0.3 else (),
         reloads=_draw_series(rand, (signal.SIGHUP,), 0),
--- a/magpieshift/lab/soak/router_process.py
+++ b/magpieshift/lab/soak/router_process.py
@@ -12,8 +12,8 @@
 
 READY_EVENT = "event=ready "
 READY_TIMEOUT_S = 10.0
-"""Maximum time in seconds until a router is ready. The rule is for nine in ten restarts; a process on a free
-port has no reason to take longer."""
+"""Maximum time in seconds until a router is ready. The rule demands this of nine in ten restarts only, but a
+process on a free port has no reason to take longer."""
 POLL_INTERVAL_S = 0.01
 """Polling interval in seconds for a process's log and signal handlers."""
 KILL_DELAY_S = 3.7
--- a/magpieshift/lab/soak/soak_run.py
+++ b/magpieshift/lab/soak/soak_run.py
@@ -25,7 +25,7 @@
 from magpieshift.lab.experiments.processor_cost import platform_json
 from magpieshift.lab.fault_injection.ports import free_port
 from magpieshift.lab.soak.clients import ClientGroup, Unanswered
-from magpieshift.lab.soak.plan import RouterForm, SoakFault, SoakPlan, TimedSignal
+from magpieshift.lab.soak.plan import SoakFault, SoakPlan, StartMode, TimedSignal
 from magpieshift.lab.soak.router_process import RouterProcess
 
 PROGRAM = ("-m", "magpieshift")
@@ -66,7 +66,7 @@
         """Return the run's row of the printed table."""
         return {
             "seed": self.plan.seed,
-            "form": str(self.plan.form),
+            "form": str(self.plan.start_mode),
             "fault": str(self.plan.fault),
             "sent": self.sent,
             "served": self.served,
@@ -93,7 +93,7 @@
         self._logs = (peers.ChangeLog(), peers.ChangeLog())
         self._endpoints = EmulatedInstallation(CACHES, 1, self._checker, self._random, self._publish)
         self._control: ControlService | None = None
-        classes = ["picture"] if plan.form is RouterForm.BARE else list(TIME_LIMITS_MS)
+        classes = ["picture"] if plan.start_mode is StartMode.BARE else list(TIME_LIMITS_MS)
         self._clients = ClientGroup(self._port, self._random, classes)
         self._processes: list[RouterProcess] = []
         self._faults: list[asyncio.Task[None]] = []
@@ -127,7 +127,7 @@
         await self._send_series(first, self._plan.reloads)
         last = first
         if self._plan.is_replaced:
-            # _change_settings may have written an invalid file
+            # valid settings for the second process: _change_settings may have written an invalid file
             self._settings_path.write_text(self._settings_text(0))
             last = await self._start_router()
             if not await last.wait_until_ready():
@@ -187,7 +187,7 @@
         for name, endpoint in self._endpoints.places.items():
             is_origin = name == "origin"
             endpoint.added_delay_ms = self._plan.origin_delay_ms if is_origin else self._plan.cache_delay_ms
-        if self._plan.form is RouterForm.CONTROLLED:
+        if self._plan.start_mode is StartMode.CONTROLLED:
             self._control = ControlService()
             await self._control.start("127.0.0.1:0")
             stack.push_async_callback(self._control.stop)
@@ -209,13 +209,13 @@
         return router_settings("soak", self._port, self._logs[log].port)
 
     def _settings_text(self, log: int) -> str:
-        if self._plan.form is RouterForm.BARE:
+        if self._plan.start_mode is StartMode.BARE:
             return json.dumps(platform_json(self._port, self._logs[log].port))
         return sexp.format_document(self._settings(log))
 
     @property
     def _settings_path(self) -> Path:
-        return self._folder / ("config.json" if self._plan.form is RouterForm.BARE else "start.sexp")
+        return self._folder / ("config.json" if self._plan.start_mode is StartMode.BARE else "start.sexp")
 
     def _change_settings(self) -> None:
         """Replace the settings file, which the router reads again at SIGHUP."""
@@ -236,7 +236,7 @@
         if self._plan.is_replaced:
             environment["EDGE_CONSOLE"] = f"127.0.0.1:{free_port()}"
         arguments: list[str] = []
-        if self._plan.form is RouterForm.BARE:
+        if self._plan.start_mode is StartMode.BARE:
             environment["EDGE_CONFIG"] = str(self._settings_path)
         else:
             arguments = ["run", "--config", str(self._settings_path)]
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -7,7 +7,7 @@
 
 from magpieshift.lab.soak.defective_router import DEFECTS
 from magpieshift.lab.soak.parallel_runs import defective_program, run_seeds
-from magpieshift.lab.soak.plan import RouterForm, SoakFault, draw_plan
+from magpieshift.lab.soak.plan import SoakFault, StartMode, draw_plan
 
 SEEDS = range(1, 11)
 PARALLEL = 2
@@ -26,7 +26,7 @@
     def test_a_seed_gives_one_plan_and_all_kinds_are_drawn(self) -> None:
         plans = [draw_plan(seed) for seed in range(200)]
         self.assertEqual(plans, [draw_plan(seed) for seed in range(200)])
-        self.assertEqual({plan.form for plan in plans}, set(RouterForm))
+        self.assertEqual({plan.start_mode for plan in plans}, set(StartMode))
         self.assertEqual({plan.fault for plan in plans}, set(SoakFault))
         for drawn in (
             [plan.is_replaced for plan in plans],
