--- a/magpieshift/lab/experiments/membership_exploration.py
+++ b/magpieshift/lab/experiments/membership_exploration.py
@@ -25,8 +25,9 @@
 NAMES = ("a", "b", "c")
 """The members: three is the smallest number at which two can disagree about a third."""
 TICK_US = 400_000
-"""Interval between the ticks of a member: they are late, as the regular one is ``probing.TICK_INTERVAL_US``,
-but not late enough for the member to count as having been paused (``local_health.MIN_PAUSE_US``)."""
+"""Interval between the ticks of a member. Ticks are late, as the regular interval is
+``probing.TICK_INTERVAL_US``, but by less than ``local_health.MIN_PAUSE_US``, from which on the member would
+count as having been paused."""
 STEP_US = 2_000_000
 """Duration of one transition; with a shorter one, histories of the same depth reach fewer states."""
 RECOVERY_STEPS = 20
--- a/magpieshift/lab/experiments/overload.py
+++ b/magpieshift/lab/experiments/overload.py
@@ -176,7 +176,7 @@
 
     loss: float = 0.0
     """Share of gossip datagrams that is lost."""
-    liars: int = 0
+    misreporting_routers: int = 0
     """Number of routers that falsely report themselves as idle and all endpoints as failing."""
 
 
@@ -190,7 +190,7 @@
     if gossip is not None:
         from magpieshift.lab.simulated.gossip import SimulatedGossip  # needs the codec's library
 
-        talk = SimulatedGossip(fleet, max(gossip.loss, scenario.digests_lost), gossip.liars)
+        talk = SimulatedGossip(fleet, max(gossip.loss, scenario.digests_lost), gossip.misreporting_routers)
     fleet.run(WARM_UP_S + BASELINE_S)
     baseline = fleet.record.by_second[WARM_UP_S : WARM_UP_S + BASELINE_S]
     baseline_work = _work_per_request(baseline)
--- a/magpieshift/lab/experiments/processor_cost.py
+++ b/magpieshift/lab/experiments/processor_cost.py
@@ -49,24 +49,24 @@
 from magpieshift.capture import segments
 from magpieshift.cli.main import run
 from magpieshift.extensions import runner
-plain, late, stuck = runner.run, HdrHistogram(1, 60_000_000, 3), float(sys.argv[1])
+run_router, lag_us, blocked_s = runner.run, HdrHistogram(1, 60_000_000, 3), float(sys.argv[1])
 async def tick():
     while True:
         due = time.perf_counter() + 0.001
         await asyncio.sleep(0.001)
-        late.record_value(max(1, int(1e6 * (time.perf_counter() - due))))
-def prepared(installation):
+        lag_us.record_value(max(1, int(1e6 * (time.perf_counter() - due))))
+def prepare(installation):
     installation.ticking = asyncio.ensure_future(tick())
-    if stuck:
-        write, begun = segments.Segment.write, time.monotonic()
-        def slow(self, records):
-            if 2 < time.monotonic() - begun < 2 + stuck:
-                time.sleep(2 + stuck - (time.monotonic() - begun))
+    if blocked_s:
+        write, started_s = segments.Segment.write, time.monotonic()
+        def blocking_write(self, records):
+            if 2 < time.monotonic() - started_s < 2 + blocked_s:
+                time.sleep(2 + blocked_s - (time.monotonic() - started_s))
             write(self, records)
-        segments.Segment.write = slow
-runner.run = lambda options: plain(options, prepared)
+        segments.Segment.write = blocking_write
+runner.run = lambda options: run_router(options, prepare)
 code = run(sys.argv[2:])
-print(f"late={late.get_value_at_percentile(99.9)}", file=sys.stderr, flush=True)
+print(f"late={lag_us.get_value_at_percentile(99.9)}", file=sys.stderr, flush=True)
 sys.exit(code)
 """
 """Program that executes ``run`` with a ticker on its event loop, which records how late it wakes up. The
@@ -98,7 +98,7 @@
     requests: int
     served: int
     lost: int
-    late_ms: float | None  # 99.9th percentile of event loop lag; None without a ticker
+    loop_lag_ms: float | None  # 99.9th percentile of event loop lag; None without a ticker
 
 
 def platform_json(router_port: int, change_log_port: int) -> dict[str, Any]:
@@ -252,14 +252,14 @@
             assert peak is not None
             process.terminate()
             await asyncio.wait_for(process.wait(), 20)
-            late = re.search(r"^late=(\d+)", log.read_text(), re.M)
+            lag = re.search(r"^late=(\d+)", log.read_text(), re.M)
             return Cost(
                 1e6 * processor_time_s / measured_requests,
                 int(peak[1]) / 1024,
                 measured_requests,
                 sum(c.served for c in clients),
                 sum(c.lost for c in clients),
-                int(late[1]) / 1000 if late else None,
+                int(lag[1]) / 1000 if lag else None,
             )
     finally:
         loopback.stop()
@@ -287,8 +287,8 @@
             row[label] = round(statistics.median(values), 2)
             row[f"{label} from"] = round(min(values), 2)
             row[f"{label} to"] = round(max(values), 2)
-        late = [c.late_ms for c in costs if c.late_ms is not None]
-        row["loop late p99.9 ms"] = round(statistics.median(late), 2) if late else None
+        lags_ms = [c.loop_lag_ms for c in costs if c.loop_lag_ms is not None]
+        row["loop late p99.9 ms"] = round(statistics.median(lags_ms), 2) if lags_ms else None
         row["lost"] = sum(c.lost for c in costs)
         rows.append(row)
     return rows
--- a/magpieshift/lab/experiments/version_apply_time.py
+++ b/magpieshift/lab/experiments/version_apply_time.py
@@ -38,19 +38,19 @@
 
 
 @dataclass
-class Figures:
+class ApplyHistograms:
     """Histograms in microseconds, by kind of version."""
 
     apply_us: dict[str, HdrHistogram] = field(default_factory=lambda: {k: _histogram() for k in KINDS})
     pause_us: dict[str, HdrHistogram] = field(default_factory=lambda: {k: _histogram() for k in KINDS})
-    late_us: dict[str, HdrHistogram] = field(
+    lateness_us: dict[str, HdrHistogram] = field(
         default_factory=lambda: {k: _histogram() for k in (*KINDS, IDLE)}
     )
 
     def rows(self) -> list[dict[str, Any]]:
         """Return a row of the report for each kind of version, with times in milliseconds."""
         rows = []
-        for kind, lateness in self.late_us.items():
+        for kind, lateness in self.lateness_us.items():
             row: dict[str, Any] = {"version changes": kind}
             for name, histograms in (("apply", self.apply_us), ("pause", self.pause_us)):
                 for percent in (50, 99):
@@ -77,9 +77,9 @@
     return data
 
 
-async def measure(members: int, rounds: int) -> Figures:
+async def measure(members: int, rounds: int) -> ApplyHistograms:
     """Apply ``rounds`` versions of each kind in a router with ``members`` caches in its endpoint list."""
-    figures = Figures()
+    histograms = ApplyHistograms()
     loopback = LoopbackInstallation()
     await loopback.start(members)
     with tempfile.TemporaryDirectory(prefix="magpieshift-lab-") as folder:
@@ -101,7 +101,7 @@
             while True:
                 due_s = time.perf_counter() + TICK_INTERVAL_S
                 await asyncio.sleep(TICK_INTERVAL_S)
-                figures.late_us[kind].record_value(max(1, int(1e6 * (time.perf_counter() - due_s))))
+                histograms.lateness_us[kind].record_value(max(1, int(1e6 * (time.perf_counter() - due_s))))
 
         sys.setswitchinterval(THREAD_SWITCH_INTERVAL_S)
         data = loopback.settings()
@@ -130,12 +130,12 @@
                     f"version {offer.number} was rejected, expected it to be accepted: {answer.detail}"
                 )
             duration_s = time.perf_counter() - started_s
-            figures.apply_us[kind].record_value(max(1, apply_us))
-            figures.pause_us[kind].record_value(max(1, pause_us))
+            histograms.apply_us[kind].record_value(max(1, apply_us))
+            histograms.pause_us[kind].record_value(max(1, pause_us))
             kind = IDLE
             await asyncio.sleep(duration_s)
         ticking.cancel()
         await manager.stop()
         router.close()
         loopback.stop()
-    return figures
+    return histograms
--- a/magpieshift/lab/experiments/versions.py
+++ b/magpieshift/lab/experiments/versions.py
@@ -74,7 +74,7 @@
         self._service.on_message = self._message_received
         self._checks = VersionChecks(self.report)
         self._process: asyncio.subprocess.Process | None = None
-        self._killing = False
+        self._router_killed = False
         self._stream: RouterStream | None = None  # the router's current stream, from its hello on
         self._hello = asyncio.Event()
 
@@ -98,7 +98,7 @@
         self._hello.clear()
         self._process = await asyncio.create_subprocess_exec(*command, stderr=self._log)
         await self._wait(self._hello, "hello from the router")
-        self._killing = False
+        self._router_killed = False
 
     async def _wait(self, event: asyncio.Event, what: str) -> None:
         try:
@@ -112,7 +112,7 @@
 
     async def _kill_and_restart(self, command: Sequence[str]) -> None:
         assert self._process is not None
-        self._killing = True
+        self._router_killed = True
         self._process.send_signal(signal.SIGKILL)
         await self._process.wait()
         self.report.kills += 1
@@ -242,7 +242,7 @@
             f"127.0.0.1:{self._service.port}",
         ]
         generator = RequestGenerator(
-            loopback.router_port, random.Random(plan.seed), lambda: not self._killing
+            loopback.router_port, random.Random(plan.seed), lambda: not self._router_killed
         )
         load_task: asyncio.Task[None] | None = None
         faults = self._draw_faults()
--- a/tests/overload/test_simulated_fleet.py
+++ b/tests/overload/test_simulated_fleet.py
@@ -27,7 +27,7 @@
     def test_false_reports_do_not_make_endpoints_unavailable(self) -> None:
         size = FleetSize(routers=12, zones=2, caches_per_zone=2, parents=3, seed=4)
         with_true_reports = lab.run_scenario("parent-dead", size, lab.GossipSettings())
-        with_false_reports = lab.run_scenario("parent-dead", size, lab.GossipSettings(liars=2))
+        with_false_reports = lab.run_scenario("parent-dead", size, lab.GossipSettings(misreporting_routers=2))
         self.assertGreater(with_false_reports.goodput, with_true_reports.goodput - 0.02)
         self.assertLess(with_false_reports.amplification, 1.2)
 
