--- a/magpieshift/lab/capacity/listening_process.py
+++ b/magpieshift/lab/capacity/listening_process.py
@@ -9,9 +9,9 @@
 from collections.abc import AsyncIterator
 from dataclasses import dataclass
 
-START_TIMEOUT_S = 30.0  # until the process logs its port
+START_TIMEOUT_S = 30.0  # timeout for the log line with the process's port
 PORT = re.compile(r"\bport=(\d+)")
-MAX_LOG_CHARACTERS = 500  # end of the log that is quoted in the error if the process does not start
+MAX_LOG_CHARACTERS = 500  # length of the log's end in the error for a process that does not start
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,4 +59,6 @@
         lines.append(line)
         if event in line and (found := PORT.search(line)):
             return int(found[1])
-    raise RuntimeError(f"{description} did not come up: {''.join(lines)[-MAX_LOG_CHARACTERS:]}")
+    raise RuntimeError(
+        f"{description} ended without logging a port; end of its log: {''.join(lines)[-MAX_LOG_CHARACTERS:]}"
+    )
--- a/magpieshift/lab/capacity/log_process.py
+++ b/magpieshift/lab/capacity/log_process.py
@@ -14,7 +14,7 @@
 
 from magpieshift.lab.emulators import peers
 
-SEED = 1  # of the random object ids: every run purges the same objects
+SEED = 1  # seed of the random object ids: every run purges the same objects
 
 
 async def send_purges(log: peers.ChangeLog, rate: float) -> None:
--- a/magpieshift/lab/capacity/measure.py
+++ b/magpieshift/lab/capacity/measure.py
@@ -13,7 +13,7 @@
 from magpieshift.lab.capacity.fit import Fit, Point, UnfitError, fit, prediction_error
 from magpieshift.lab.capacity.role import Resource, Role, Sample
 
-MAX_PREDICTION_ERROR = 0.25  # relative error at the largest size; above it, nothing is extrapolated
+MAX_PREDICTION_ERROR = 0.25  # relative error at the largest size above which nothing is extrapolated
 MAX_EXTRAPOLATION_FACTOR = 64.0
 """Largest extrapolation, as a multiple of the largest measured size. A fit is checked by a prediction over a
 factor of two; an error of a quarter there becomes a factor of about four over the six doublings up to 64."""
@@ -24,7 +24,7 @@
 
 FULL_OBSERVATION_S = 1.5  # observation time of a started process in a full run
 QUICK_OBSERVATION_S = 0.4  # observation time of a started process in a trial
-MAX_PARALLEL_MEASUREMENTS = 3  # in a trial; a full run takes one at a time
+MAX_PARALLEL_MEASUREMENTS = 3  # measurements at once in a trial; a full run takes one at a time
 
 Progress = Callable[[str], None]
 
--- a/magpieshift/lab/capacity/page.py
+++ b/magpieshift/lab/capacity/page.py
@@ -16,7 +16,8 @@
 
 PAGE = Path(REPOSITORY_ROOT) / "docs" / "CAPACITY.md"
 RESULTS_FOLDER = Path(REPOSITORY_ROOT) / "docs" / "capacity"
-RESULT_NAMES = ("as-it-stood", "before", "after", "fan-out", "folder")  # of the result files, oldest first
+# names of the result files, oldest first
+RESULT_NAMES = ("as-it-stood", "before", "after", "fan-out", "folder")
 
 SECTION_PATTERN = re.compile(r"(<!-- capacity ([a-z-]+) -->\n)(.*?)(<!-- end -->)", re.DOTALL)
 
--- a/magpieshift/lab/capacity/processor.py
+++ b/magpieshift/lab/capacity/processor.py
@@ -23,7 +23,7 @@
     status = Path(f"/proc/{pid}/status").read_text()
     found = re.search(r"VmRSS:\s+(\d+) kB", status)
     if found is None:
-        raise ProcessLookupError(f"process {pid} has no memory: it has ended")
+        raise ProcessLookupError(f"found no VmRSS of process {pid}: it has ended")
     return int(found[1]) * 1024 / 1e6
 
 
--- a/magpieshift/lab/capacity/results.py
+++ b/magpieshift/lab/capacity/results.py
@@ -23,9 +23,9 @@
     """The origin of a result."""
 
     command: str
-    commit: str  # of the router that was measured
+    commit: str  # commit of the router that was measured
     seed: int
-    date: str  # UTC
+    date: str  # time of the run in UTC
     cores: int
     python: str
     took_s: float
--- a/magpieshift/lab/capacity/roles/capture.py
+++ b/magpieshift/lab/capacity/roles/capture.py
@@ -15,10 +15,10 @@
 from magpieshift.policy.actions import SendCacheRequest, SendPlainRequest
 from magpieshift.policy.events import Event
 
-HALF_CORE_MS = 500.0  # half of a core, as processor time a second
+HALF_CORE_MS = 500.0  # processor time a second of half a core
 MAX_RECORDING_FRACTION = 0.05  # recording may add this fraction of the processor time that requests may take
-CAPTURE_DURATION_S = 3600.0  # that a capture has to hold
-MAX_CAPTURE_BYTES = 512e6  # that a capture may take on disk
+CAPTURE_DURATION_S = 3600.0  # recorded time that a capture has to hold
+MAX_CAPTURE_BYTES = 512e6  # largest size of such a capture on disk
 
 
 class RecordedRun(PolicyRun):
--- a/magpieshift/lab/capacity/roles/commands.py
+++ b/magpieshift/lab/capacity/roles/commands.py
@@ -42,6 +42,6 @@
             _, status, usage = os.wait4(process.pid, 0)
             process.returncode = os.waitstatus_to_exitcode(status)
         if process.returncode:
-            raise RuntimeError(f"config check ended with {process.returncode}")
+            raise RuntimeError(f"config check exited with code {process.returncode}, expected 0")
         spent_s = usage.ru_utime + usage.ru_stime
         return Sample(size, {"processor": 1e3 * spent_s, "document": len(text.encode())})
--- a/magpieshift/lab/capacity/roles/control.py
+++ b/magpieshift/lab/capacity/roles/control.py
@@ -25,8 +25,8 @@
 from magpieshift.lab.capacity.processor import count_processor_time, processor_s, resident_mb
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 
-MEASURED_VERSIONS = 2  # published and measured in one measurement
-IN_FORCE_TIMEOUT_S = 30.0  # for a version to be in force at all followers
+MEASURED_VERSIONS = 2  # versions published in one measurement
+IN_FORCE_TIMEOUT_S = 30.0  # timeout for a version to be in force at all followers
 # numbers of versions in the folder; the largest is that of one day
 FOLDER_SIZES = (312.0, 625.0, 1250.0, 2500.0, 5000.0, 10_000.0, 20_000.0)
 IN_FORCE_BUDGET = Budget(
@@ -53,7 +53,7 @@
                 self.bytes_received += len(data)
                 offer = session.receive(data)
                 if not isinstance(offer, VersionOffer):
-                    raise RuntimeError(f"found {offer.detail}, expected a version")
+                    raise RuntimeError(f"unusable message from the control service: {offer.detail}")
                 self.in_force = VersionRecord(offer.number, offer.digest, "lab", VersionState.IN_FORCE, 0)
                 await call.write(session.encode_answer(OfferOutcome(offer, True), self.in_force, {}))
                 self.version_changed.set()
--- a/magpieshift/lab/capacity/roles/decisions.py
+++ b/magpieshift/lab/capacity/roles/decisions.py
@@ -8,7 +8,7 @@
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.experiments.decisions import OPEN_ATTEMPTS, PolicyRun
 
-REQUESTS = 400  # in one measurement
+REQUESTS = 400  # requests in one measurement
 HALF_CORE_US = 0.5e6 / fleet.REQUESTS_PER_ROUTER_S
 BUDGET = Budget(
     HALF_CORE_US / 2,
--- a/magpieshift/lab/capacity/roles/digests.py
+++ b/magpieshift/lab/capacity/roles/digests.py
@@ -12,9 +12,9 @@
 from magpieshift.overload.gossip import GOSSIP_INTERVAL_US, Gossip
 from magpieshift.overload.probe_election import EndpointHealth
 
-FAILING_ENDPOINTS = 8  # failing at once in the zone: a rack of endpoints
+FAILING_ENDPOINTS = 8  # endpoints of the zone that fail at once: a rack
 MEASURED_ROUTERS = 8  # routers that run; a digest addressed to any other router is delivered to one of these
-GOSSIP_ROUNDS = 25  # in one measurement
+GOSSIP_ROUNDS = 25  # rounds in one measurement
 SIMULATED_S = GOSSIP_ROUNDS * GOSSIP_INTERVAL_US / 1e6
 CONTROL_DERIVATION = "all of control on a router"
 
--- a/magpieshift/lab/capacity/roles/endpoint_lists.py
+++ b/magpieshift/lab/capacity/roles/endpoint_lists.py
@@ -10,7 +10,7 @@
 from magpieshift.lab.capacity.routers import CountingInstallation, StartedRouterRole, started_router
 from magpieshift.lab.emulators import peers
 
-LIST_CHANGES = 40  # in one measurement
+LIST_CHANGES = 40  # changes sent in one measurement
 CHANGE_INTERVAL_S = 0.01  # long enough for each change to be applied separately
 CHANGE_BUDGET_DERIVATION = "the loop is held for it, and stores are promised an answer within 8 ms"
 
--- a/magpieshift/lab/capacity/roles/relays.py
+++ b/magpieshift/lab/capacity/roles/relays.py
@@ -33,7 +33,7 @@
 from magpieshift.relay.follower import Follower
 from magpieshift.relay.instructions import ApplyEntries, EndStream, RestoreSnapshot
 
-FOLLOWERS_TIMEOUT_S = 30.0  # for all followers to get a lease
+FOLLOWERS_TIMEOUT_S = 30.0  # timeout for all followers to get a lease
 SETTLE_S = 1.0  # wait before a measurement, so that the cost of connecting is not included
 REGION = "lab"
 CONTROL_BUDGET = Budget(fleet.CONTROL_BYTES_PER_S, "all of control on a router")
@@ -57,7 +57,7 @@
             try:
                 while (data := await call.read()) is not grpc.aio.EOF:
                     self._receive(bytes(data))
-                raise RuntimeError(f"the stream has ended: {await call.details()}")
+                raise RuntimeError(f"the stream of a follower has ended: {await call.details()}")
             finally:
                 progress_task.cancel()
 
@@ -71,7 +71,9 @@
                 case RestoreSnapshot(snapshot=snapshot):
                     self._machine.acknowledge_applied(snapshot.epoch, snapshot.applied)
                 case EndStream():
-                    raise RuntimeError(f"a follower ends its stream: {effect.reason.value} {effect.detail}")
+                    raise RuntimeError(
+                        f"a follower has ended its stream: {effect.reason.value} {effect.detail}"
+                    )
         if self._machine.lease_from_stream:
             self.current.set()
 
--- a/magpieshift/lab/capacity/roles/requests.py
+++ b/magpieshift/lab/capacity/roles/requests.py
@@ -12,7 +12,7 @@
 from magpieshift.lab.emulators.request_generator import RequestGenerator
 
 SETTLE_S = 0.2  # wait between the start of the clients and the measurement
-CLIENTS = 4  # each sends an equal part of the request rate
+CLIENTS = 4  # clients; each sends an equal part of the requests
 HALF_CORE_BUDGET = Budget(
     50.0, "half of the one core that one Python process can use: the mean is not the most"
 )
--- a/magpieshift/lab/capacity/roles/rollouts.py
+++ b/magpieshift/lab/capacity/roles/rollouts.py
@@ -18,8 +18,8 @@
 from magpieshift.rollout.records import StagePassed
 from magpieshift.rollout.verdict import Verdict
 
-MEASURED_ROUNDS = 3  # in one measurement
-REQUESTS_PER_ROUND = 1000  # counted by each router between two rounds
+MEASURED_ROUNDS = 3  # rounds in one measurement
+REQUESTS_PER_ROUND = 1000  # requests that each router counts between two rounds
 STAGES_PASSED = 2  # of the stages one, tenth, half and all, so half of the fleet runs the new version
 SECOND_US = 1_000_000
 
--- a/magpieshift/lab/capacity/roles/versions.py
+++ b/magpieshift/lab/capacity/roles/versions.py
@@ -19,7 +19,7 @@
 from magpieshift.lab.capacity.role import Budget, Resource, Sample
 from magpieshift.lab.emulators.loopback_installation import LoopbackInstallation
 
-MEASURED_VERSIONS = 15  # in one measurement
+MEASURED_VERSIONS = 15  # versions in one measurement
 BUDGET_MS = 10 * fleet.CONTROL_CPU_PERCENT / 2 / fleet.VERSIONS_PER_S
 BUDGET = Budget(
     BUDGET_MS, f"half of {fleet.CONTROL_CPU_PERCENT}% of a core at {fleet.VERSIONS_PER_S:.2f} a second"
--- a/magpieshift/lab/capacity/routers.py
+++ b/magpieshift/lab/capacity/routers.py
@@ -17,9 +17,9 @@
 from magpieshift.lab.experiments.processor_cost import Variant, serving_router
 
 REPOSITORY_ROOT = str(Path(__file__).resolve().parents[3])
-CATCH_UP_TIMEOUT_S = 60.0  # for the router to apply all events that the change log has sent
-POLL_INTERVAL_S = 0.02  # of the router's log file
-MAX_START_ATTEMPTS = 4  # each with another port
+CATCH_UP_TIMEOUT_S = 60.0  # timeout for the router to apply all events that the change log has sent
+POLL_INTERVAL_S = 0.02  # polling interval of the router's log file
+MAX_START_ATTEMPTS = 4  # starts of a router, each with another port
 PORT_TAKEN = "Address already in use"
 
 
@@ -149,7 +149,7 @@
                 raise
         else:
             return StartedRouter(installation, process.pid, log)
-    raise RuntimeError(f"no free port in {MAX_START_ATTEMPTS} tries")
+    raise RuntimeError(f"the router found its port taken at each of {MAX_START_ATTEMPTS} starts")
 
 
 class StartedRouterRole:
--- a/magpieshift/lab/capacity/tables.py
+++ b/magpieshift/lab/capacity/tables.py
@@ -7,9 +7,9 @@
 from magpieshift.lab.capacity.measure import Row
 from magpieshift.lab.capacity.results import Result, ranked
 
-Results = Mapping[str, Result]  # by name, oldest first
+Results = Mapping[str, Result]  # results by name, oldest first
 
-MAX_INTERVAL_WIDTH = 2.0  # of the exponent's confidence interval; a wider interval is inconclusive
+MAX_INTERVAL_WIDTH = 2.0  # width of the exponent's confidence interval from which on it is inconclusive
 NO_VALUE = "–"
 INCONCLUSIVE = "not told"
 
