--- a/magpieshift/lab/experiments/overload.py
+++ b/magpieshift/lab/experiments/overload.py
@@ -186,11 +186,13 @@
     scenario = SCENARIOS[name]
     size = replace(size, **scenario.changes)  # type: ignore[arg-type]
     fleet = Fleet(size)
-    talk = None
+    simulated_gossip = None
     if gossip is not None:
         from magpieshift.lab.simulated.gossip import SimulatedGossip  # needs the codec's library
 
-        talk = SimulatedGossip(fleet, max(gossip.loss, scenario.digests_lost), gossip.misreporting_routers)
+        simulated_gossip = SimulatedGossip(
+            fleet, max(gossip.loss, scenario.digests_lost), gossip.misreporting_routers
+        )
     fleet.run(WARM_UP_S + BASELINE_S)
     baseline = fleet.record.by_second[WARM_UP_S : WARM_UP_S + BASELINE_S]
     baseline_work = _work_per_request(baseline)
@@ -204,8 +206,8 @@
     outcome.back_to_95_s = _run_until_recovered(fleet, end_s, baseline_goodput)
     fleet.run(SETTLE_S)
     _set_results(outcome, fleet, start_s, end_s, baseline_work)
-    if talk is not None:
-        datagrams_per_s, bytes_per_s = talk.sent_per_router_s()
+    if simulated_gossip is not None:
+        datagrams_per_s, bytes_per_s = simulated_gossip.sent_per_router_s()
         outcome.talk_per_s = round(datagrams_per_s, 2)
         outcome.talk_bytes_per_s = round(bytes_per_s, 2)
     outcome.real_s = round(time.perf_counter() - started_s, 1)
