--- a/magpieshift/lab/capacity/page.py
+++ b/magpieshift/lab/capacity/page.py
@@ -10,13 +10,14 @@
 from pathlib import Path
 
 from magpieshift.config import ConfigError
-from magpieshift.lab.capacity import arithmetic, results, scale_tables, tables
+from magpieshift.lab.capacity import derived_figures, results, scale_tables, tables
 from magpieshift.lab.capacity.routers import REPOSITORY_ROOT
 from magpieshift.lab.capacity.tables import Results
 
 PAGE = Path(REPOSITORY_ROOT) / "docs" / "CAPACITY.md"
 RESULTS_FOLDER = Path(REPOSITORY_ROOT) / "docs" / "capacity"
-RESULT_NAMES = ("as-it-stood", "before", "after", "fan-out", "folder")  # of the result files, oldest first
+# names of the result files, oldest first
+RESULT_NAMES = ("as-it-stood", "before", "after", "fan-out", "folder")
 
 SECTION_PATTERN = re.compile(r"(<!-- capacity ([a-z-]+) -->\n)(.*?)(<!-- end -->)", re.DOTALL)
 
@@ -53,9 +54,9 @@
     "origins": tables.origins,
     "ranking": tables.ranking,
     "superlinear": tables.superlinear,
-    "arithmetic": arithmetic.data_path,
-    "control-machines": arithmetic.control_machines,
-    "failures": arithmetic.failures,
+    "arithmetic": derived_figures.data_path,
+    "control-machines": derived_figures.control_machines,
+    "failures": derived_figures.failures,
 }
 
 SCALE_SECTIONS: Mapping[str, Callable[[Path], str]] = {
--- a/magpieshift/lab/emulators/emulated.py
+++ b/magpieshift/lab/emulators/emulated_installation.py
@@ -14,7 +14,7 @@
 
 from magpieshift.config import Document
 from magpieshift.control.schema import load_data, to_data
-from magpieshift.lab.emulators.emulator import EmulatedEndpoint
+from magpieshift.lab.emulators.emulated_endpoint import EmulatedEndpoint
 from magpieshift.lab.emulators.endpoint_profile import CACHE_KIND, ORIGIN_KIND, PARENT_KIND, role_of
 from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
 from magpieshift.policy.settings import Idempotency
@@ -149,10 +149,9 @@
             for member in event.get("fleet", {}).get("members", []):
                 if member["phase"] != "SERVING":
                     self.checker.drains_published_s[member["id"]] = time.time()
-            if (
-                "invalidate" in event
-            ):  # time of the purge, for copies' age; time of publishing, for routers' reaction
+            if "invalidate" in event:
                 purge = event["invalidate"]
+                # copies may not be older than the purge; routers may react to it only after its publication
                 self.checker.purges_s[purge["object"]] = purge["time"] / 1000, time.time()
             self._publish(event)
 
--- a/magpieshift/lab/experiments/overload.py
+++ b/magpieshift/lab/experiments/overload.py
@@ -1,7 +1,7 @@
 """Overload scenarios on a simulated fleet of any size: failures that arise from the routers'
 interaction, not in a single router.
 
-``play_map`` runs all combinations of loads, triggers and client retry limits, and records for each whether
+``run_map`` runs all combinations of loads, triggers and client retry limits, and records for each whether
 the fleet recovers by itself once the trigger is gone, or whether the failure is metastable.
 """
 
@@ -176,21 +176,23 @@
 
     loss: float = 0.0
     """Share of gossip datagrams that is lost."""
-    liars: int = 0
+    misreporting_routers: int = 0
     """Number of routers that falsely report themselves as idle and all endpoints as failing."""
 
 
-def play(name: str, size: FleetSize, gossip: GossipSettings | None = None) -> Outcome:
+def run_scenario(name: str, size: FleetSize, gossip: GossipSettings | None = None) -> Outcome:
     """Run a scenario: baseline, fault and recovery. Without ``gossip`` the routers exchange no reports."""
     started_s = time.perf_counter()
     scenario = SCENARIOS[name]
     size = replace(size, **scenario.changes)  # type: ignore[arg-type]
     fleet = Fleet(size)
-    talk = None
+    simulated_gossip = None
     if gossip is not None:
         from magpieshift.lab.simulated.gossip import SimulatedGossip  # needs the codec's library
 
-        talk = SimulatedGossip(fleet, max(gossip.loss, scenario.digests_lost), gossip.liars)
+        simulated_gossip = SimulatedGossip(
+            fleet, max(gossip.loss, scenario.digests_lost), gossip.misreporting_routers
+        )
     fleet.run(WARM_UP_S + BASELINE_S)
     baseline = fleet.record.by_second[WARM_UP_S : WARM_UP_S + BASELINE_S]
     baseline_work = _work_per_request(baseline)
@@ -204,8 +206,8 @@
     outcome.back_to_95_s = _run_until_recovered(fleet, end_s, baseline_goodput)
     fleet.run(SETTLE_S)
     _set_results(outcome, fleet, start_s, end_s, baseline_work)
-    if talk is not None:
-        datagrams_per_s, bytes_per_s = talk.sent_per_router_s()
+    if simulated_gossip is not None:
+        datagrams_per_s, bytes_per_s = simulated_gossip.sent_per_router_s()
         outcome.talk_per_s = round(datagrams_per_s, 2)
         outcome.talk_bytes_per_s = round(bytes_per_s, 2)
     outcome.real_s = round(time.perf_counter() - started_s, 1)
@@ -273,9 +275,11 @@
     """Whether the failure is metastable: the fleet did not recover within ``MAX_RECOVERY_S``."""
 
 
-def play_point(load: float, trigger: str, tries: int, size: FleetSize) -> MapPoint:
+def run_map_point(load: float, trigger: str, tries: int, size: FleetSize) -> MapPoint:
     """Run one combination of the map. No client waits for Retry-After: this makes retries most harmful."""
-    outcome = play(trigger, replace(size, load_factor=load, max_attempts=tries, retry_after_share=0.0))
+    outcome = run_scenario(
+        trigger, replace(size, load_factor=load, max_attempts=tries, retry_after_share=0.0)
+    )
     stays_bad = outcome.back_to_95_s >= MAX_RECOVERY_S
     return MapPoint(
         load, trigger, tries, outcome.back_to_95_s, outcome.goodput, outcome.amplification, stays_bad
@@ -290,10 +294,10 @@
 """Maximum attempts of the map's clients: without retries, the usual number, and persistent retries."""
 
 
-def play_map(size: FleetSize, workers: int) -> list[MapPoint]:
+def run_map(size: FleetSize, workers: int) -> list[MapPoint]:
     """Run all combinations of the map in ``workers`` processes."""
     combinations = [
         (load, trigger, tries) for trigger in MAP_TRIGGERS for tries in MAP_MAX_ATTEMPTS for load in MAP_LOADS
     ]
     with ProcessPoolExecutor(workers) as pool:
-        return list(pool.map(play_point, *zip(*combinations, strict=True), [size] * len(combinations)))
+        return list(pool.map(run_map_point, *zip(*combinations, strict=True), [size] * len(combinations)))
--- a/magpieshift/lab/fault_injection/cluster.py
+++ b/magpieshift/lab/fault_injection/cluster.py
@@ -3,7 +3,7 @@
 
 The ends of links are the routers (r0, r1, ...), the endpoints by place (box1, hub1, origin), the change log
 (``log``) and the clients (``clients``). Datagrams between routers go through a ``Switch``; all other traffic
-uses streams, with one ``Relay`` for each pair of processes.
+uses streams, with one ``LinkProxy`` for each pair of processes.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 from magpieshift.control import sexp
 from magpieshift.control.schema import load_data, to_data
-from magpieshift.lab.emulators import emulated
+from magpieshift.lab.emulators import emulated_installation
 from magpieshift.lab.emulators.client_connection import RESEND_WINDOW_S
 from magpieshift.lab.emulators.load import LoadGenerator
 from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
 from magpieshift.lab.fault_injection import checks, skewed_clock
 from magpieshift.lab.fault_injection.admin_clients import STARTUP_TIMEOUT_S
 from magpieshift.lab.fault_injection.environment import Environment
-from magpieshift.lab.fault_injection.network import CHANGE_LOG, CLIENTS, Network
+from magpieshift.lab.fault_injection.link_faults import CHANGE_LOG, CLIENTS, Network
 from magpieshift.lab.fault_injection.outages import Halt
 from magpieshift.lab.fault_injection.ports import free_ports
 from magpieshift.lab.fault_injection.processes import PROGRAM, RouterProcesses
@@ -103,7 +103,7 @@
         self._check_task: asyncio.Task[None] | None = None
 
     @property
-    def endpoints(self) -> emulated.EmulatedInstallation:
+    def endpoints(self) -> emulated_installation.EmulatedInstallation:
         """Return the emulated caches, parents and origin."""
         return self._environment.endpoints
 
@@ -134,11 +134,11 @@
             self.routers[name] = RouterInstance(
                 name, port, admin_port, (admin_port, second_admin_port), private, public
             )
-            self.outages.router_unavailable(name)  # until it serves
+            self.outages.router_unavailable(name)  # until ``wait_until_serving``
             await self._environment.start_log(name)
         await self.endpoints.start()
         for router in self.routers.values():
-            await self._environment.relay_to(router)
+            await self._environment.start_proxies(router)
             self._write_settings(router)
         self.endpoints.start_publishing()
         self._check_task = asyncio.ensure_future(self._run_checks())
@@ -157,14 +157,14 @@
             "hand-over": self._hand_over,
         }
         log_port = self._environment.log_port(router.name)
-        data = emulated.router_settings(router.name, router.port, log_port, self.count) | {
+        data = emulated_installation.router_settings(router.name, router.port, log_port, self.count) | {
             "console": f"127.0.0.1:{router.admin_port}",
             "router-index": int(router.name[1:]),
             "members": members,
         }
         path = self.folder / f"{router.name}.sexp"
         document = load_data(data).document
-        self.rules.hedged_classes = emulated.hedged_classes(document)
+        self.rules.hedged_classes = emulated_installation.hedged_classes(document)
         path.write_text(sexp.format_document(to_data(document)))
         if router.name in self._clocks:
             skewed_clock.write_clock(self._clock_path(router.name))
@@ -207,13 +207,14 @@
         return [example for load in self.loads.values() for example in load.unanswered_examples]
 
     def max_total_quota(self) -> tuple[float, float]:
-        """Return the greatest total of all quotas in use, and its steady time in seconds."""
+        """Return the greatest sum of all quotas in use, and its steady time in seconds."""
         return checks.QuotaCheck().max_total(self)
 
     def _known_at(self, request_id: str, published_s: float) -> float:
-        """Return when the router that sent a request could know of an event, by when it was published.
+        """Return the Unix time at which the router that sent a request could know of an event.
 
-        Request ids begin with the number of the request's router, see ``start_load``.
+        ``published_s`` is the Unix time at which the event was published. Request ids begin with the number
+        of the request's router, see ``start_load``.
         """
         return self.outages.known_at(f"r{int(request_id[:2], 16)}" if request_id else "", published_s)
 
--- a/magpieshift/lab/fault_injection/run.py
+++ b/magpieshift/lab/fault_injection/run.py
@@ -11,7 +11,7 @@
 
 from magpieshift.lab.fault_injection.admin_clients import STARTUP_TIMEOUT_S
 from magpieshift.lab.fault_injection.cluster import Cluster
-from magpieshift.lab.fault_injection.network import LinkFault
+from magpieshift.lab.fault_injection.link_faults import LinkFault
 from magpieshift.lab.fault_injection.scenario import (
     LINK_FAULTS,
     ROUTER_FAULTS,
@@ -45,7 +45,7 @@
             return LinkFault(silent=True)
         case "throttle":
             return LinkFault(kb_per_s=fault.magnitude)
-    raise ValueError(f"found {fault.kind!r}, expected one of {LINK_FAULTS}")
+    raise ValueError(f"fault {fault.name}: found kind {fault.kind!r}, expected one of {LINK_FAULTS}")
 
 
 async def _inject(cluster: Cluster, fault: Fault, started_s: float) -> None:
@@ -86,7 +86,7 @@
             await cluster.start(fault.component)
 
 
-async def play(
+async def run_scenario(
     scenario: Scenario, folder: Path, progress: Callable[[str], None] = lambda line: None
 ) -> dict[str, Any]:
     """Run a scenario; return the verdict, which is also saved in the folder with settings and logs."""
@@ -110,7 +110,7 @@
         await cluster.wait_until_serving(*names)
         await cluster.wait_until(cluster.views_agree, "all membership views agree after the start")
         cluster.start_load()
-        samples = await _play_faults(cluster, scenario, problems, progress)
+        samples = await _inject_faults(cluster, scenario, problems, progress)
         try:
             took_s = await cluster.wait_until(
                 cluster.views_agree,
@@ -127,7 +127,7 @@
     return verdict
 
 
-async def _play_faults(
+async def _inject_faults(
     cluster: Cluster, scenario: Scenario, problems: list[str], progress: Callable[[str], None]
 ) -> list[dict[str, Any]]:
     """Inject all faults; return samples of the routers' views, and add failed injections to ``problems``."""
--- a/magpieshift/lab/fault_injection/scenario.py
+++ b/magpieshift/lab/fault_injection/scenario.py
@@ -13,9 +13,9 @@
 from magpieshift.control import sexp
 from magpieshift.control.errors import Problem, UnusableDocumentError
 from magpieshift.control.validation import Form, Seconds, validate_form
-from magpieshift.lab.emulators.emulated import place_names
+from magpieshift.lab.emulators.emulated_installation import place_names
 from magpieshift.lab.fault_injection.built_in_scenarios import BUILT_IN_SCENARIOS
-from magpieshift.lab.fault_injection.network import ANY_END, ANY_ROUTER, CHANGE_LOG, CLIENTS
+from magpieshift.lab.fault_injection.link_faults import ANY_END, ANY_ROUTER, CHANGE_LOG, CLIENTS
 
 DOCUMENT_HEAD = "fleet-run"
 """First symbol of a scenario document."""
@@ -64,7 +64,7 @@
     """See ``Fault.magnitude``."""
 
 
-class RunForm(Form):
+class ScenarioForm(Form):
     """A scenario document; the fields of ``Scenario`` explain it."""
 
     seconds: Annotated[float, Field(ge=1, le=3_600)]
@@ -87,8 +87,8 @@
     start_s: float
     """Start in seconds after the scenario's start."""
     duration_s: float
-    """Duration in seconds. A drain takes this long, but at least ``emulated.MIN_DRAIN_S``, and then the
-    endpoint is down for the same duration."""
+    """Duration in seconds. A drain takes this long, but at least ``emulated_installation.MIN_DRAIN_S``, and
+    then the endpoint is down for the same duration."""
     component: str
     """The affected router or endpoint's place; empty for a fault on links."""
     source: str
@@ -127,7 +127,7 @@
         return sorted({fault.component for fault in self.faults if fault.kind in ("step", "rate")})
 
 
-def _find_problems(form: RunForm, lines: Mapping[sexp.EntryPath, int]) -> list[Problem]:
+def _find_problems(form: ScenarioForm, lines: Mapping[sexp.EntryPath, int]) -> list[Problem]:
     """Return a problem for each fault that names a router or endpoint which the cluster does not have."""
     routers = [f"r{number}" for number in range(form.routers)]
     endpoints = place_names(form.boxes, form.hubs)
@@ -154,7 +154,7 @@
 def load(data: Mapping[str, Any], lines: Mapping[sexp.EntryPath, int] | None = None) -> Scenario:
     """Return a validated scenario. Raises ``UnusableDocumentError`` with all problems found."""
     lines = lines or {}
-    form = validate_form(RunForm, data, lines)
+    form = validate_form(ScenarioForm, data, lines)
     if problems := _find_problems(form, lines):
         raise UnusableDocumentError(problems)
     faults = [
@@ -248,7 +248,7 @@
         return load(BUILT_IN_SCENARIOS[name])
     if not Path(name).exists():
         known = ", ".join(BUILT_IN_SCENARIOS)
-        raise ConfigError(f"{name}: found no such file, expected one or one of {known}")
+        raise ConfigError(f"{name}: found no such file, expected a scenario file or one of {known}")
     return load_file(name)
 
 
--- a/tests/capture/test_process.py
+++ b/tests/capture/test_process.py
@@ -17,9 +17,9 @@
 from magpieshift.capture.replay import Replay
 from magpieshift.control import sexp
 from magpieshift.control.errors import UnusableDocumentError
+from magpieshift.lab.emulators.loopback_installation import LoopbackInstallation
 from magpieshift.lab.emulators.protocol_checker import ProtocolChecker
 from magpieshift.lab.emulators.request_generator import RequestGenerator
-from magpieshift.lab.emulators.world import LoopbackInstallation
 from magpieshift.lab.experiments import episode, episode_report, scenario
 from tests.control.test_program import program
 from tests.real.exchange import ROOT, WAIT_TIMEOUT_S
@@ -53,7 +53,7 @@
         self.assertGreaterEqual({fault.what for fault in plan.faults}, {"die", "slow", "late-list", "purge"})
         key = self.folder / "key"
         key.write_text("0123456789abcdef0123")
-        outcome = await episode.play(plan, ["--capture", self.capture, "--hash-key", str(key)])
+        outcome = await episode.run_episode(plan, ["--capture", self.capture, "--hash-key", str(key)])
         # a slow machine alone can break the rules on drains, purges and deadlines, so only the command checks
         # those
         rules_checked = {"second attempt", "repeat", "planned end", "traceback"}
@@ -96,7 +96,9 @@
     async def test_killed_in_the_middle_of_a_block(self) -> None:
         plan = scenario.load({"seconds": 20, "rate": 50})
         command = (sys.executable, "-c", SELF_KILLING_PROGRAM)
-        episode_task = asyncio.ensure_future(episode.play(plan, ["--capture", self.capture], program=command))
+        episode_task = asyncio.ensure_future(
+            episode.run_episode(plan, ["--capture", self.capture], program=command)
+        )
         async with asyncio.timeout(30):
             while not any("torn" in str(m) for m in self.missing_parts()):
                 await asyncio.sleep(0.1)
