--- a/magpieshift/control/__init__.py
+++ b/magpieshift/control/__init__.py
@@ -2,6 +2,6 @@
 
 A router without versioned configuration imports none of this package. ``sexp`` and ``schema`` read settings
 files, ``version_history`` accepts or rejects versions, ``version_store`` writes them to disk, and
-``version_manager`` applies them to a running router. ``session`` and ``client`` implement the router's end of
-the control channel, ``publisher`` and ``service`` the control service's end.
+``version_manager`` applies them to a running router. ``router_session`` and ``client`` implement the router's
+end of the control channel, ``publisher`` and ``service`` the control service's end.
 """
--- a/magpieshift/control/client.py
+++ b/magpieshift/control/client.py
@@ -19,7 +19,7 @@
     connect,
     failure_text,
 )
-from magpieshift.control.session import OFFER_SOURCE, RouterSession
+from magpieshift.control.router_session import OFFER_SOURCE, RouterSession
 from magpieshift.control.version_manager import VersionManager
 from magpieshift.control.version_records import OfferOutcome, VersionOffer
 from magpieshift.log import fields
--- a/magpieshift/control/document_form.py
+++ b/magpieshift/control/document_form.py
@@ -1,6 +1,6 @@
 """The schema of a settings file: its entries, their types, bounds and defaults.
 
-Only this module, ``document_reading`` and ``document_writing`` know the names and words of settings files.
+Only this module, ``document_from_form`` and ``document_to_data`` know the names and words of settings files.
 Durations are milliseconds. The validation is pydantic's, since it reports all errors at once, where msgspec
 stops at the first one (docs/design/versioned-configuration.md has the figures).
 """
--- a/magpieshift/control/document_writing.py
+++ b/magpieshift/control/document_to_data.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from magpieshift.config import Address, Document, MembershipSettings
-from magpieshift.control.document_reading import EFFECTS, SCOPES
+from magpieshift.control.document_from_form import EFFECTS, SCOPES
 from magpieshift.policy.settings import RequestClass, Settings
 
 EFFECT_WORDS = {value: word for word, value in EFFECTS.items()}
--- a/magpieshift/control/grpc_channel.py
+++ b/magpieshift/control/grpc_channel.py
@@ -8,7 +8,7 @@
 import grpc
 import grpc.aio
 
-from magpieshift.control.session import MAX_MESSAGE_BYTES
+from magpieshift.control.router_session import MAX_MESSAGE_BYTES
 
 FOLLOW_METHOD = "/magpieshift.control.v1.Control/Follow"
 """The gRPC method for the stream of configuration versions, and for that of a relay's log entries."""
--- a/magpieshift/control/publisher.py
+++ b/magpieshift/control/publisher.py
@@ -18,14 +18,14 @@
 from google.protobuf.message import DecodeError
 
 from magpieshift.control import sexp
-from magpieshift.control.content import text_digest, without_version
 from magpieshift.control.document_changes import differences, document_digest
 from magpieshift.control.errors import (
     UnreadableMessageError,
     UnusableDocumentError,
     VersionNumberError,
 )
-from magpieshift.control.session import write_changes
+from magpieshift.control.router_session import write_changes
+from magpieshift.control.version_content import text_digest, without_version
 from magpieshift.control.version_records import RejectionReason
 from magpieshift.control.wire import control_pb2 as wire
 
--- a/magpieshift/control/session.py
+++ b/magpieshift/control/router_session.py
@@ -14,9 +14,9 @@
 
 from magpieshift.config_transaction import RunningSettings
 from magpieshift.control import sexp
-from magpieshift.control.content import DeltaContent, FullContent
 from magpieshift.control.document_changes import Change
 from magpieshift.control.errors import Problem, UnusableDocumentError
+from magpieshift.control.version_content import DeltaContent, FullContent
 from magpieshift.control.version_records import OfferOutcome, RejectionReason, VersionOffer, VersionRecord
 from magpieshift.control.wire import control_pb2 as wire
 
--- a/magpieshift/control/schema.py
+++ b/magpieshift/control/schema.py
@@ -15,8 +15,8 @@
 from magpieshift.control.document_changes import document_digest
 from magpieshift.control.document_consistency import inconsistencies
 from magpieshift.control.document_form import DocumentForm, known_entries
-from magpieshift.control.document_reading import document_of
-from magpieshift.control.document_writing import to_data
+from magpieshift.control.document_from_form import document_of
+from magpieshift.control.document_to_data import to_data
 from magpieshift.control.errors import Problem, UnusableDocumentError
 from magpieshift.control.validation import Lines, nearest_line
 
--- a/magpieshift/control/stored_versions.py
+++ b/magpieshift/control/stored_versions.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from magpieshift.control.checked_records import RECORD_HEADER, encode_record, payload_at
+from magpieshift.control.checksummed_records import RECORD_HEADER, encode_record, payload_at
 from magpieshift.control.errors import VersionStoreError
 from magpieshift.control.version_records import RejectionReason, VersionRecord, VersionState
 
--- a/magpieshift/control/version_manager.py
+++ b/magpieshift/control/version_manager.py
@@ -18,12 +18,12 @@
 
 from magpieshift.config_transaction import FailureKind, PreparationError, Prepared, RunningSettings
 from magpieshift.control import sexp
-from magpieshift.control.content import ContentRejectedError, FullContent, Overrides, resolve_offer
 from magpieshift.control.errors import VersionStoreError
 from magpieshift.control.schema import LoadedDocument
 from magpieshift.control.stored_versions import StoredVersion
+from magpieshift.control.version_content import ContentRejectedError, FullContent, Overrides, resolve_offer
 from magpieshift.control.version_history import VersionHistory
-from magpieshift.control.version_host import OutcomeListener, PauseTimer, VersionHost
+from magpieshift.control.version_interfaces import OutcomeListener, PauseTimer, VersionHost
 from magpieshift.control.version_records import (
     OfferOutcome,
     RejectionReason,
--- a/magpieshift/control/version_startup.py
+++ b/magpieshift/control/version_startup.py
@@ -6,10 +6,10 @@
 from typing import NamedTuple
 
 from magpieshift.config import Document
-from magpieshift.control.content import ContentRejectedError, FullContent, resolve_offer
 from magpieshift.control.errors import NoSettingsError, VersionStoreError
 from magpieshift.control.schema import LoadedDocument, to_data
 from magpieshift.control.stored_versions import StoredVersion
+from magpieshift.control.version_content import ContentRejectedError, FullContent, resolve_offer
 from magpieshift.control.version_history import VersionHistory
 from magpieshift.control.version_manager import unix_now_us
 from magpieshift.control.version_records import VersionOffer, VersionRecord, VersionState
--- a/magpieshift/control/version_store.py
+++ b/magpieshift/control/version_store.py
@@ -12,7 +12,7 @@
 import os
 from pathlib import Path
 
-from magpieshift.control.checked_records import lock_file, open_file, read_all, sync_folder, write_at
+from magpieshift.control.checksummed_records import lock_file, open_file, read_all, sync_folder, write_at
 from magpieshift.control.errors import VersionStoreError
 from magpieshift.control.stored_versions import (
     FILE_HEADER,
--- a/magpieshift/extensions/options.py
+++ b/magpieshift/extensions/options.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from magpieshift.config import parse_address
-from magpieshift.control.content import Overrides
+from magpieshift.control.version_content import Overrides
 
 
 @dataclass(frozen=True)
--- a/magpieshift/lab/capacity/roles/control.py
+++ b/magpieshift/lab/capacity/roles/control.py
@@ -17,7 +17,7 @@
 from magpieshift.control.grpc_channel import CHANNEL_OPTIONS as CLIENT_OPTIONS
 from magpieshift.control.grpc_channel import FOLLOW_METHOD
 from magpieshift.control.publisher import PublishedVersion, read_version_folder
-from magpieshift.control.session import RouterSession
+from magpieshift.control.router_session import RouterSession
 from magpieshift.control.version_records import OfferOutcome, VersionOffer, VersionRecord, VersionState
 from magpieshift.lab.capacity import fleet
 from magpieshift.lab.capacity.documents import settings, with_change
--- a/magpieshift/lab/capacity/roles/versions.py
+++ b/magpieshift/lab/capacity/roles/versions.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 
 from magpieshift.control import sexp
-from magpieshift.control.content import FullContent
 from magpieshift.control.document_changes import document_digest
+from magpieshift.control.version_content import FullContent
 from magpieshift.control.version_records import OfferOutcome, VersionOffer
 from magpieshift.extensions.runner import Installation, Options
 from magpieshift.lab.capacity import fleet
--- a/magpieshift/lab/experiments/apply.py
+++ b/magpieshift/lab/experiments/apply.py
@@ -22,8 +22,8 @@
 from hdrh.histogram import HdrHistogram
 
 from magpieshift.control import sexp
-from magpieshift.control.content import FullContent
 from magpieshift.control.document_changes import document_digest
+from magpieshift.control.version_content import FullContent
 from magpieshift.control.version_records import OfferOutcome, VersionOffer
 from magpieshift.extensions.runner import THREAD_SWITCH_INTERVAL_S, Installation, Options
 from magpieshift.lab.emulators.world import LoopbackInstallation
--- a/magpieshift/lab/experiments/version_checks.py
+++ b/magpieshift/lab/experiments/version_checks.py
@@ -5,8 +5,8 @@
 import asyncio
 
 from magpieshift.control.publisher import RouterSubscription
+from magpieshift.control.router_session import running_digests
 from magpieshift.control.schema import LoadedDocument
-from magpieshift.control.session import running_digests
 from magpieshift.control.version_records import TRANSIENT_REASONS, RejectionReason
 from magpieshift.control.wire import control_pb2 as wire
 from magpieshift.expected_settings import expected_settings
--- a/magpieshift/lab/scale/hollow.py
+++ b/magpieshift/lab/scale/hollow.py
@@ -16,8 +16,8 @@
 from magpieshift.config import Address, Document
 from magpieshift.config_transaction import Part, Prepared, RunningSettings, prepare
 from magpieshift.control.client import ControlClient
-from magpieshift.control.content import Overrides
 from magpieshift.control.schema import LoadedDocument
+from magpieshift.control.version_content import Overrides
 from magpieshift.control.version_history import VersionHistory
 from magpieshift.control.version_manager import VersionManager, unix_now_us
 from magpieshift.control.version_records import OfferOutcome, VersionRecord, VersionState
--- a/magpieshift/relay/configuration.py
+++ b/magpieshift/relay/configuration.py
@@ -6,11 +6,11 @@
 from google.protobuf.message import DecodeError
 
 from magpieshift.control import sexp
-from magpieshift.control.content import DeltaContent, FullContent, without_version
 from magpieshift.control.document_changes import Change, apply_changes, differences, document_digest
 from magpieshift.control.errors import Problem, UnusableDocumentError
 from magpieshift.control.publisher import PublishedVersion
-from magpieshift.control.session import read_changes, write_changes
+from magpieshift.control.router_session import read_changes, write_changes
+from magpieshift.control.version_content import DeltaContent, FullContent, without_version
 from magpieshift.control.version_records import VersionOffer
 from magpieshift.control.wire import control_pb2 as wire
 from magpieshift.relay.messages import ConfigurationChange
--- a/magpieshift/relay/decoding.py
+++ b/magpieshift/relay/decoding.py
@@ -6,7 +6,7 @@
 
 from google.protobuf.message import DecodeError
 
-from magpieshift.control.session import MAX_MESSAGE_BYTES
+from magpieshift.control.router_session import MAX_MESSAGE_BYTES
 from magpieshift.control.wire import control_pb2 as wire
 from magpieshift.relay.encoding import US_PER_MS
 from magpieshift.relay.errors import MalformedMessageError
--- a/magpieshift/relay/message_cache.py
+++ b/magpieshift/relay/message_cache.py
@@ -6,7 +6,7 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-from magpieshift.control.session import MAX_MESSAGE_BYTES
+from magpieshift.control.router_session import MAX_MESSAGE_BYTES
 from magpieshift.relay.encoding import encode_downstream, encode_entries, encode_proof
 from magpieshift.relay.messages import Batch, ConfigurationChange, DownstreamMessage, Entry, Epoch, Snapshot
 
--- a/magpieshift/rollout/journal.py
+++ b/magpieshift/rollout/journal.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from magpieshift.control.checked_records import (
+from magpieshift.control.checksummed_records import (
     RECORD_HEADER,
     encode_record,
     lock_file,
--- a/tests/control/test_channel.py
+++ b/tests/control/test_channel.py
@@ -20,9 +20,9 @@
 from magpieshift.control.backoff import INITIAL_BACKOFF_S, MAX_BACKOFF_S, STABLE_CONNECTION_S, Backoff
 from magpieshift.control.client import ControlClient
 from magpieshift.control.publisher import PublishedVersion, Publisher
+from magpieshift.control.router_session import RouterSession
 from magpieshift.control.schema import load_text
 from magpieshift.control.service import ControlService, RouterStream
-from magpieshift.control.session import RouterSession
 from magpieshift.control.stored_versions import StoredVersion, read_store
 from magpieshift.control.version_manager import VersionManager
 from magpieshift.control.version_records import (
--- a/tests/relay/test_encoding.py
+++ b/tests/relay/test_encoding.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from magpieshift.control.session import MAX_MESSAGE_BYTES
+from magpieshift.control.router_session import MAX_MESSAGE_BYTES
 from magpieshift.control.wire import control_pb2 as wire
 from magpieshift.relay import decoding, encoding
 from magpieshift.relay.decoding import MAX_SNAPSHOT_BYTES
--- a/tests/test_public_names.py
+++ b/tests/test_public_names.py
@@ -21,7 +21,7 @@
 import magpieshift
 from magpieshift.cli.main import cli
 from magpieshift.control.document_form import DocumentForm
-from magpieshift.control.document_writing import to_data
+from magpieshift.control.document_to_data import to_data
 from magpieshift.expected_settings import expected_settings
 
 ROOT = Path(__file__).resolve().parents[1]
