--- a/magpieshift/cli/configuration.py
+++ b/magpieshift/cli/configuration.py
@@ -157,7 +157,7 @@
         "at_us": record.since_us,
         "digest": record.digest,
         "source": record.source,
-        "reason": record.reason.word,
+        "reason": record.reason.shown_name,
         "detail": record.detail,
         "skipped": record.skipped_numbers,
     }
@@ -166,7 +166,7 @@
 def _record_row(record: VersionRecord) -> tuple[object, ...]:
     """A version record as a row of the history table."""
     since = datetime.datetime.fromtimestamp(record.since_us / 1e6, datetime.UTC).strftime("%Y-%m-%d %H:%M:%S")
-    reason = f"{record.reason.word}: {record.detail}" if record.detail else ""
+    reason = f"{record.reason.shown_name}: {record.detail}" if record.detail else ""
     return (
         record.number,
         record.state.value,
--- a/magpieshift/config/platform_file.py
+++ b/magpieshift/config/platform_file.py
@@ -93,14 +93,15 @@
         for index, inner in enumerate(value):
             yield from flatten(inner, f"{path}.{index}")
     elif isinstance(value, list):
-        yield f"{path}=" + ",".join(_plain(inner) for inner in value)
-    elif isinstance(value, float) and not math.isfinite(value):  # would make comparisons with it wrong
+        yield f"{path}=" + ",".join(_line_value(inner) for inner in value)
+    elif isinstance(value, float) and not math.isfinite(value):
+        # comparisons with NaN or infinity would give wrong results
         raise ConfigError(f"settings.{path}: found {value}, expected a finite number")
     else:
-        yield f"{path}={_plain(value)}"
+        yield f"{path}={_line_value(value)}"
 
 
-def _plain(value: object) -> str:
+def _line_value(value: object) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     text = "" if value is None else str(value)
--- a/magpieshift/control/service.py
+++ b/magpieshift/control/service.py
@@ -26,7 +26,7 @@
 log = logging.getLogger(__name__)
 
 POLL_INTERVAL_S = 0.3
-"""Polling interval of the folder; short against the seconds that a version takes to come into force."""
+"""Polling interval of the folder; short compared with the seconds that a version takes to come into force."""
 MAX_UNSENT_MESSAGES = 64
 """Most unsent messages per router. The oldest are dropped first, since only the newest version matters."""
 
@@ -173,7 +173,7 @@
     if rejection is not None and rejection.number > router.in_force:
         pairs |= {
             "turned_down": rejection.number,
-            "reason": rejection.reason.word,
+            "reason": rejection.reason.shown_name,
             "detail": rejection.detail,
         }
     if router.last_failure:
--- a/magpieshift/control/sexp.py
+++ b/magpieshift/control/sexp.py
@@ -56,7 +56,7 @@
 
 
 class _BoundedParser(sexpdata.Parser):  # type: ignore[misc]  # the library is not typed
-    """Sexpdata's parser with a depth limit; records the position at which each list begins."""
+    """The parser of sexpdata with a depth limit; records the position at which each list begins."""
 
     def __init__(self, text: str) -> None:
         super().__init__(text, nil=None, true="true", false="false")
--- a/magpieshift/control/stored_versions.py
+++ b/magpieshift/control/stored_versions.py
@@ -154,7 +154,7 @@
         data = (Path(folder) / VERSIONS_FILE).read_bytes()
     except FileNotFoundError:
         if not Path(folder).is_dir():
-            raise VersionStoreError(f"{folder} is no folder") from None
+            raise VersionStoreError(f"{folder} is not a folder") from None
         return EMPTY
     except OSError as err:
         raise VersionStoreError(f"{folder}: {err.strerror or err}") from err
--- a/magpieshift/control/version_content.py
+++ b/magpieshift/control/version_content.py
@@ -93,7 +93,7 @@
 
 
 def _read_content(content: object, data: Mapping[str, Any], digest: str) -> sexp.ParsedDocument:
-    """Parse a full content, or apply a delta to ``data``, the document in force."""
+    """Parse a complete document, or apply a delta to ``data``, the document in force."""
     match content:
         case FullContent(text):
             return sexp.parse(text)
--- a/magpieshift/control/version_manager.py
+++ b/magpieshift/control/version_manager.py
@@ -58,7 +58,7 @@
         self.reason = reason
 
 
-class _Document(NamedTuple):
+class _OfferedDocument(NamedTuple):
     """The validated document of an offer, and its text."""
 
     loaded: LoadedDocument
@@ -109,7 +109,7 @@
 
     def start(self) -> None:
         """Apply offered versions until ``stop``."""
-        self._worker = asyncio.ensure_future(self._work())
+        self._worker = asyncio.ensure_future(self._apply_offers())
 
     async def stop(self) -> None:
         """Apply no more versions. A version whose write has begun is completed first; one that is not written
@@ -173,7 +173,7 @@
 
     # --- applying one version at a time
 
-    async def _work(self) -> None:
+    async def _apply_offers(self) -> None:
         while self._worker is not None:
             if (offer := self.versions.take_next()) is None:
                 self._offered.clear()
@@ -196,7 +196,7 @@
     async def _apply(self, offer: VersionOffer) -> None:
         """Run all steps of one version; ``_RejectionError`` if one of them fails."""
         self.on_step("started")
-        document = await self._read(offer)
+        document = await self._load_document(offer)
         self.on_step("read")
         pause = PauseTimer()
         with pause:
@@ -222,7 +222,7 @@
         self._report(outcome, pause.pause_us)
         self.on_step("answered")
 
-    async def _read(self, offer: VersionOffer) -> _Document:
+    async def _load_document(self, offer: VersionOffer) -> _OfferedDocument:
         call = partial(_read_offer, offer, self._data, self.in_force.digest)
         try:
             return await asyncio.get_running_loop().run_in_executor(None, call)
@@ -289,7 +289,7 @@
                 "version rejected",
                 extra=fields(
                     version=offer.number,
-                    reason=outcome.reason.word,
+                    reason=outcome.reason.shown_name,
                     detail=outcome.detail,
                     source=offer.source,
                     in_force=self.in_force.number,
@@ -299,7 +299,7 @@
             listener(outcome, apply_us, pause_us)
 
 
-def _read_offer(offer: VersionOffer, data: Mapping[str, Any], digest: str) -> _Document:
+def _read_offer(offer: VersionOffer, data: Mapping[str, Any], digest: str) -> _OfferedDocument:
     """Parse and validate an offer; runs in a thread, since it would block the event loop for too long."""
     loaded = resolve_offer(offer, data, digest)
-    return _Document(loaded, sexp.format_document(loaded.data))
+    return _OfferedDocument(loaded, sexp.format_document(loaded.data))
--- a/magpieshift/control/version_records.py
+++ b/magpieshift/control/version_records.py
@@ -44,12 +44,12 @@
     """Its number is outside the valid range."""
 
     @property
-    def word(self) -> str:
+    def shown_name(self) -> str:
         """The name of the reason in logs, reports of relays and ``--json`` output."""
-        return _REASON_WORDS.get(self, self.name.lower())
+        return _SHOWN_REASONS.get(self, self.name.lower())
 
 
-_REASON_WORDS = {
+_SHOWN_REASONS = {
     RejectionReason.NEEDS_RESTART: "at_start",
     RejectionReason.PART_UNABLE: "part",
     RejectionReason.PART_TIMED_OUT: "late",
--- a/magpieshift/discovery/changes.py
+++ b/magpieshift/discovery/changes.py
@@ -17,8 +17,8 @@
 log = logging.getLogger(__name__)
 
 LOG_INTERVAL_S = 1.0
-"""Shortest interval between log lines about purges. A line per purge would cost a considerable part of the
-purge's own cost; a longer interval informs operators later."""
+"""Shortest interval between log lines about purges. Logging each purge would add considerably to its cost;
+a longer interval informs operators later."""
 
 
 class ChangeListener(Protocol):
--- a/magpieshift/discovery/client.py
+++ b/magpieshift/discovery/client.py
@@ -189,8 +189,8 @@
                 log.debug("change log disconnected", extra=fields(reason=repr(err)))
             except Exception:  # a bug in handling one change must not stop the client
                 log.exception("change log client failed")
-            # a log that answers and closes immediately must not reset the backoff:
-            # it was requested 30 times a second
+            # a log that answers and closes immediately must not reset the backoff; when it did, it was
+            # requested 30 times a second
             has_lasted = asyncio.get_running_loop().time() - started_s >= MAX_BACKOFF_S
             has_received = self._last_received_s > started_s
             has_advanced = self.changes.last_sequence > first_sequence
--- a/magpieshift/extensions/relay_subscription.py
+++ b/magpieshift/extensions/relay_subscription.py
@@ -188,7 +188,7 @@
                 follower.rejected_version = 0
                 follower.rejection_reason = ""
         elif answer.reason is not RejectionReason.SUPERSEDED:
-            reason = f"{answer.reason.word}: {answer.detail}"
+            reason = f"{answer.reason.shown_name}: {answer.detail}"
             self._report_rejection(answer.offer.number, reason, answer.wants_full)
 
     def _report_rejection(self, version: int, reason: str, wants_full: bool) -> None:
--- a/tests/control/test_version_store.py
+++ b/tests/control/test_version_store.py
@@ -149,7 +149,7 @@
         (self.folder / "file").write_text("")
         with self.assertRaisesRegex(VersionStoreError, "cannot be written"):
             VersionStore(self.folder / "file" / "inside")
-        with self.assertRaisesRegex(VersionStoreError, "no folder"):
+        with self.assertRaisesRegex(VersionStoreError, "is not a folder"):
             read_store(self.folder / "nothing")
         first = VersionStore(self.folder)
         with self.assertRaisesRegex(VersionStoreError, "in use"):
