--- a/magpieshift/capture/explanation.py
+++ b/magpieshift/capture/explanation.py
@@ -36,8 +36,9 @@
     return datetime.datetime.fromtimestamp(us / 1e6, datetime.UTC).strftime("%H:%M:%S.%f")
 
 
-class Names:
-    """Shows requests and endpoints by their ids in the log instead of the policy's numbers."""
+class LogIds:
+    """Shows requests and endpoints by their ids in the log instead of the policy's numbers, also in the
+    descriptions of actions."""
 
     def __init__(self, names: dict[int, str]) -> None:
         self._names = names
@@ -78,7 +79,7 @@
         return "; ".join(map(self.action_text, actions)) or "nothing"
 
 
-def endpoint_lines(player: Player, names: Names) -> list[str]:
+def endpoint_lines(player: Player, names: LogIds) -> list[str]:
     """Describe the policy's state of the endpoints, those with the most attempts in flight first."""
     endpoints = sorted(
         player.router.endpoints.values(),
@@ -90,7 +91,7 @@
     return lines
 
 
-def _endpoint_line(router: Any, endpoint: EndpointRecord, names: Names) -> str:
+def _endpoint_line(router: Any, endpoint: EndpointRecord, names: LogIds) -> str:
     entry = endpoint.entry
     role = "cache"
     if entry.number in router.parents:
@@ -119,7 +120,7 @@
     return ", ".join(parts)
 
 
-def request_line(player: Player, request_id: int, names: Names) -> str:
+def request_line(player: Player, request_id: int, names: LogIds) -> str:
     """Describe the policy's state of a pending request; "" if it is not pending."""
     pending: PendingRequest | None = player.router.requests.get(request_id)
     if pending is None:
@@ -144,7 +145,7 @@
 
     def before(number: int, record: wire.Batch, player: Player) -> None:
         if number == difference.batch and player.router is not None:
-            names = Names(replay.names)
+            names = LogIds(replay.names)
             lines.extend(endpoint_lines(player, names))
             if difference.request_id:
                 known = request_line(player, difference.request_id, names) or "not pending"
@@ -158,7 +159,7 @@
     return lines
 
 
-def difference_report(result: ReplayResult, names: Names, records: Records | None = None) -> list[str]:
+def difference_report(result: ReplayResult, names: LogIds, records: Records | None = None) -> list[str]:
     """Describe the differences of a replay: counts by kind, the first one, and one of each other kind."""
     if not result.differences:
         return ["no differences"]
@@ -186,7 +187,7 @@
     return lines
 
 
-def _actions_lines(difference: Difference, names: Names) -> list[str]:
+def _actions_lines(difference: Difference, names: LogIds) -> list[str]:
     return [
         f"  recorded: {names.actions_text(difference.recorded)}",
         f"  replayed: {names.actions_text(difference.replayed)}",
@@ -206,7 +207,7 @@
     raise LookupError(f"no request {request} in this capture")
 
 
-def _event_text(message: wire.Event, names: Names) -> str:
+def _event_text(message: wire.Event, names: LogIds) -> str:
     """Describe one event of a request."""
     name = str(message.WhichOneof("what"))
     found = getattr(message, name)
@@ -249,7 +250,7 @@
         ]
         if not events and not decided:
             return
-        names = Names(replay.names)
+        names = LogIds(replay.names)
         lines.append(f"{time_of_day(record.now_us)}  batch {number}, {len(record.events)} events")
         lines.extend(f"  event: {_event_text(event, names)}" for event in events)
         known = request_line(player, request_id, names)
--- a/magpieshift/capture/items.py
+++ b/magpieshift/capture/items.py
@@ -82,8 +82,8 @@
                 )
             )
         case Overrides():
-            acts = [_override(override) for override in item.overrides]
-            return wire.Record(heed=wire.Heed(now_us=item.now_us, acts=acts))
+            health_overrides = [_override(override) for override in item.overrides]
+            return wire.Record(heed=wire.Heed(now_us=item.now_us, acts=health_overrides))
         case Gap():
             return wire.Record(
                 gap=wire.Gap(batches=item.batches, from_us=item.from_us, to_us=item.to_us, reason=item.reason)
--- a/magpieshift/capture/segments.py
+++ b/magpieshift/capture/segments.py
@@ -35,7 +35,7 @@
 SEGMENT_NAME = "capture-{:08d}.seg"
 SEGMENT_PATTERN = "capture-*.seg"
 COMPRESSION_LEVEL = 3
-"""zstandard's default; higher levels save fewer bytes than the processor time they cost is worth."""
+"""zstandard's default; the bytes that a higher level saves are not worth its processor time."""
 MAX_SHOWN_BYTES = 40
 """Number of bytes of a file's first line that are shown in an error."""
 RECORDS_PER_BLOCK = 2000
--- a/magpieshift/capture/state.py
+++ b/magpieshift/capture/state.py
@@ -143,7 +143,7 @@
         self._rows = rows
         self._fields = fields
         self._is_strict = is_strict
-        self._made: list[Any] = [None] * len(rows)
+        self._restored: list[Any] = [None] * len(rows)
 
     def value(self, raw: Any) -> Any:
         """Restore one value of a snapshot."""
@@ -169,9 +169,9 @@
                 name, number = inner
                 return self._class(name)(number)
             case "g":
-                made = random.Random()
-                made.setstate((RANDOM_STATE_VERSION, tuple(inner), None))
-                return made
+                restored = random.Random()
+                restored.setstate((RANDOM_STATE_VERSION, tuple(inner), None))
+                return restored
         raise StateError(f"found the kind of value {kind!r}, expected one of r, t, l, d, s, e, g")
 
     def check_known(self, owner: str, found: Iterable[str], known: Iterable[str]) -> None:
@@ -192,21 +192,22 @@
         return cls
 
     def _record(self, number: int) -> Any:
-        if self._made[number] is not None:
-            return self._made[number]
+        if self._restored[number] is not None:
+            return self._restored[number]
         name, values = self._rows[number]
         cls = self._class(name)
-        made = self._made[number] = cls.__new__(cls)  # registered first, as its values may refer back to it
-        given = dict(zip(self._fields[name], values, strict=True))
+        # registered first, as its values may refer back to it
+        restored = self._restored[number] = cls.__new__(cls)
+        values_by_name = dict(zip(self._fields[name], values, strict=True))
         fields = dataclasses.fields(cls)
         recorded_names = self._policy.names.recorded_fields(cls.__name__, [field.name for field in fields])
-        self.check_known(name, given, recorded_names)
+        self.check_known(name, values_by_name, recorded_names)
         for field, recorded in zip(fields, recorded_names, strict=True):
-            if recorded in given:
-                setattr(made, field.name, self.value(given[recorded]))
+            if recorded in values_by_name:
+                setattr(restored, field.name, self.value(values_by_name[recorded]))
             else:
-                setattr(made, field.name, _default(name, recorded, field))
-        return made
+                setattr(restored, field.name, _default(name, recorded, field))
+        return restored
 
 
 def _default(class_name: str, recorded: str, field: dataclasses.Field[Any]) -> Any:
@@ -218,7 +219,7 @@
     raise StateError(f"{class_name} lacks {recorded}, which has no default")
 
 
-def _read(data: bytes, policy: Policy, is_strict: bool) -> tuple[dict[str, Any], _Restoration]:
+def _parse(data: bytes, policy: Policy, is_strict: bool) -> tuple[dict[str, Any], _Restoration]:
     try:
         root, rows, fields = json.loads(data)
         return root, _Restoration(policy, rows, fields, is_strict)
@@ -231,7 +232,7 @@
 
     ``is_strict``: names that the policy does not know are an error instead of being ignored.
     """
-    root, restoration = _read(data, policy, is_strict)
+    root, restoration = _parse(data, policy, is_strict)
     try:
         found = {recorded: restoration.value(raw) for recorded, raw in root.items()}
         router = policy.new_router(found["cfg"], 0)
@@ -249,7 +250,7 @@
 
 def restore_record(data: bytes, policy: Policy, is_strict: bool = False) -> Any:
     """Restore a record that was serialized with ``snapshot_record``."""
-    root, restoration = _read(data, policy, is_strict)
+    root, restoration = _parse(data, policy, is_strict)
     try:
         return restoration.value(root["record"])
     except (KeyError, IndexError, TypeError, ValueError, AttributeError) as err:
--- a/magpieshift/cli/captures.py
+++ b/magpieshift/cli/captures.py
@@ -193,12 +193,12 @@
     other = policy.load(against) if against else None
     differences = 0
     result = ReplayResult()
-    names = explanation.Names({})
+    names = explanation.LogIds({})
     started_s = time.process_time()
     for _ in range(times):
         run = Replay(own, other)
         result = run.run(_records(file))
-        names = explanation.Names(run.names)
+        names = explanation.LogIds(run.names)
         differences += result.differences
     cpu_s = time.process_time() - started_s
     figures = result.figures() | {
--- a/magpieshift/extensions/counters.py
+++ b/magpieshift/extensions/counters.py
@@ -45,7 +45,7 @@
     rejected: int = 0
     failed: int = 0
     disconnected: int = 0  # the client disconnected before the answer
-    # of served answers; histograms of several routers can be merged
+    # latencies of served answers; histograms of several routers can be merged
     latency_us: HdrHistogram = field(default_factory=_latency_histogram)
 
     def as_json(self) -> dict[str, object]:
--- a/magpieshift/extensions/overload_gossip.py
+++ b/magpieshift/extensions/overload_gossip.py
@@ -28,8 +28,11 @@
 # Mean lateness of ticks that counts as a pressure of 1: the processor is at its capacity. A smaller value
 # starts offloading at shorter queues in the event loop.
 FULL_LATENESS_US = 100_000
-LATENESS_WEIGHT = 0.2  # of the latest tick in the moving average; larger: reacts faster, oscillates more
-RATE_WEIGHT = 0.2  # of the latest gossip interval in the moving average of the request rate
+# Weight of the latest tick in the moving average of the lateness. A larger one reacts faster, but oscillates
+# more.
+LATENESS_WEIGHT = 0.2
+# Weight of the latest gossip interval in the moving average of the request rate.
+RATE_WEIGHT = 0.2
 SEED_SALT = 1  # gives gossip other random numbers than membership, which uses the same seed
 
 
--- a/magpieshift/extensions/relay_subscription.py
+++ b/magpieshift/extensions/relay_subscription.py
@@ -26,7 +26,8 @@
 
 log = logging.getLogger(__name__)
 
-MAX_REASON_CHARACTERS = 200  # of the reason of a rejection, in log lines and in the report to the relay
+# maximum length of a rejection reason in log lines and in the report to the relay
+MAX_REASON_CHARACTERS = 200
 INSTANCE_ID_BYTES = 4  # random at each start, so that relays can distinguish two processes of the same name
 
 
--- a/magpieshift/extensions/runner.py
+++ b/magpieshift/extensions/runner.py
@@ -74,7 +74,7 @@
         try:
             await serve(self.router, self.reload)
         finally:
-            if not self.router.is_shutting_down:  # it raised before its planned shutdown began
+            if not self.router.is_shutting_down:  # it failed before a planned shutdown began
                 manager_end.cancel()
                 await self.manager.stop()
             await asyncio.wait([manager_end])
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -368,7 +368,7 @@
         result = self.replayed(against=other)
         self.assertGreater(result.differences, 0)
         self.assertLess(result.differences, result.batches / 2)
-        lines = explanation.difference_report(result, explanation.Names({21: "hub-a"}), self.read)
+        lines = explanation.difference_report(result, explanation.LogIds({21: "hub-a"}), self.read)
         self.assertLess(len(lines), 60)
         self.assertIn("by kind", lines[0])
         self.assertTrue(any("what the policy knew right before" in line for line in lines), lines)
