--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -64,8 +64,8 @@
     checker = random_runs.PolicyChecker()
     router = checker.router
     checker.router = RecordedRouter(router, recorder)  # type: ignore[assignment]
-    for name, pick in script:
-        getattr(checker, name)(pick)
+    for operation, argument in script:
+        getattr(checker, operation)(argument)
     return router
 
 
@@ -101,12 +101,12 @@
 
     @given(st.binary(max_size=80), st.integers(0, 5000))
     @settings(max_examples=80, deadline=None)
-    def test_invalid_bytes_raise_no_other_error_than_state_errors(self, noise: bytes, at: int) -> None:
+    def test_invalid_bytes_raise_no_other_error_than_state_errors(self, random_bytes: bytes, at: int) -> None:
         whole = state.encode(state.snapshot(random_runs.PolicyChecker().router))
         for data in (
-            noise,
+            random_bytes,
             whole[: at % len(whole)],
-            whole[: at % len(whole)] + noise + whole[at % len(whole) :],
+            whole[: at % len(whole)] + random_bytes + whole[at % len(whole) :],
         ):
             try:
                 state.restore(data, OWN)
@@ -152,8 +152,8 @@
     def read(self) -> Iterator[wire.Record | Missing]:
         return segments.read(self.folder / "capture")
 
-    def replayed(self, **more: Any) -> ReplayResult:
-        return Replay(**more).run(self.read())
+    def replayed(self, **options: Any) -> ReplayResult:
+        return Replay(**options).run(self.read())
 
     @staticmethod
     def wait_until(condition: Callable[[], bool]) -> None:
@@ -197,10 +197,10 @@
         router = checker.router
         checker.router = RecordedRouter(router, recorder)  # type: ignore[assignment]
         checker.ask(1)
-        odd = RequestReceived(99, 77, 0, 5, 10**6, 0.0, 1, 0, False, False)  # class 77 does not exist
-        good = RequestReceived(98, 0, 0, 5, 10**6, 0.0, 1, 0, False, False)
+        invalid = RequestReceived(99, 77, 0, 5, 10**6, 0.0, 1, 0, False, False)  # class 77 does not exist
+        valid = RequestReceived(98, 0, 0, 5, 10**6, 0.0, 1, 0, False, False)
         with self.assertRaises(IndexError):
-            checker.router.handle(checker.now, [good, odd])
+            checker.router.handle(checker.now, [valid, invalid])
         checker.end(0)
         recorder.stop()
         result = self.replayed()
@@ -239,11 +239,11 @@
 
     def test_a_stuck_disk_costs_complete_batches_and_is_logged(self) -> None:
         """The event loop is not delayed, memory is bounded, and recording resumes with a keyframe."""
-        release, stuck = threading.Event(), threading.Event()
+        release, write_began = threading.Event(), threading.Event()
         real = os.write
 
         def write(file: int, data: bytes) -> int:
-            stuck.set()
+            write_began.set()
             release.wait(WAIT_TIMEOUT_S)
             return real(file, data)
 
@@ -255,7 +255,7 @@
             self.assertLogs("magpieshift.capture", "WARNING") as logs,
         ):
             checker.ask(0)
-            self.wait_until(stuck.is_set)
+            self.wait_until(write_began.is_set)
             for i in range(MAX_BACKLOG):
                 checker.purge(i)
                 self.assertLess(recorder.backlog, MAX_BACKLOG + 10)
@@ -304,7 +304,7 @@
         return result
 
     def test_a_torn_tail(self) -> None:
-        """As after SIGKILL: the complete blocks can be replayed."""
+        """The file ends in an incomplete block, as after SIGKILL; the complete blocks can be replayed."""
         result = self.damaged(lambda data: data[:-9])
         self.assertIn("torn off", result.missing[0])
 
@@ -322,12 +322,14 @@
 
     @given(st.binary(max_size=60), st.integers(0, 10_000))
     @settings(max_examples=80, deadline=None)
-    def test_damaged_files_raise_no_other_error_than_capture_errors(self, noise: bytes, at: int) -> None:
+    def test_damaged_files_raise_no_other_error_than_capture_errors(
+        self, random_bytes: bytes, at: int
+    ) -> None:
         whole = segments.FILE_HEADER % 1 + segments.encode_block([wire.Record(header=HEADER)] * 3)
         at %= len(whole)
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "x"
-            for data in (noise, whole[:at] + noise, whole[:at] + noise + whole[at:]):
+            for data in (random_bytes, whole[:at] + random_bytes, whole[:at] + random_bytes + whole[at:]):
                 path.write_bytes(data)
                 try:
                     found = list(segments.read(path))
@@ -347,13 +349,15 @@
 class Comparing(FolderCase):
     def altered(self, old: str, new: str, file: str = "router_policy.py") -> policy.Policy:
         """Load a copy of the policy with one text replaced, from a folder of its own."""
-        home = self.folder / "altered" / "magpieshift" / "policy"
-        home.parent.mkdir(parents=True)
-        shutil.copy(ROOT / "magpieshift" / "__init__.py", home.parent)
-        shutil.copytree(ROOT / "magpieshift" / "policy", home, ignore=shutil.ignore_patterns("__pycache__"))
-        text = (home / file).read_text()
+        policy_folder = self.folder / "altered" / "magpieshift" / "policy"
+        policy_folder.parent.mkdir(parents=True)
+        shutil.copy(ROOT / "magpieshift" / "__init__.py", policy_folder.parent)
+        shutil.copytree(
+            ROOT / "magpieshift" / "policy", policy_folder, ignore=shutil.ignore_patterns("__pycache__")
+        )
+        text = (policy_folder / file).read_text()
         self.assertEqual(text.count(old), 1)
-        (home / file).write_text(text.replace(old, new))
+        (policy_folder / file).write_text(text.replace(old, new))
         return policy.load(str(self.folder / "altered"))
 
     def test_the_same_policy_from_another_folder_differs_in_nothing(self) -> None:
@@ -426,16 +430,17 @@
 
 class Keyframes(FolderCase):
     def test_a_keyframe_with_another_state_is_a_difference(self) -> None:
-        """Shows that the check can fail: a state with one other running mean decides the same for a while."""
+        """A keyframe that differs from the replayed state must be reported. Here only a running
+        mean differs, which need not change a decision for a while."""
         batch_log = BatchLog()
         router = record_script(SCRIPT, batch_log)
-        frame = wire.Record(keyframe=wire.Keyframe(state=batch_log.batches[0][0]))
+        recorded_keyframe = wire.Record(keyframe=wire.Keyframe(state=batch_log.batches[0][0]))
         player = Player(OWN)
         player.restore_state(batch_log.batches[0][0])
         router = player.router
         router.fill_times_us[0] += 1.0
-        odd = wire.Record(keyframe=wire.Keyframe(state=player.state()))
-        result = Replay().run([frame, odd])
+        altered_keyframe = wire.Record(keyframe=wire.Keyframe(state=player.state()))
+        result = Replay().run([recorded_keyframe, altered_keyframe])
         self.assertEqual(dict(result.kinds), {"other state at a keyframe": 1})
 
 
--- a/tests/capture/test_process.py
+++ b/tests/capture/test_process.py
@@ -107,7 +107,8 @@
         self.assertGreater(result.batches, 10)
 
     async def test_a_version_that_comes_into_force_while_recording(self) -> None:
-        """Requests are sent before and after; the version removes a class and keeps others."""
+        """Requests are sent before and after a new version, which removes a class and adds one, so
+        that the others get new numbers. The capture must replay without differences."""
         world = LoopbackInstallation()
         await world.start()
         start, log = world.write_settings(self.folder), self.folder / "log"
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -260,12 +260,12 @@
 }
 
 
-def leaves(group: click.Group, before: str = "") -> Iterator[tuple[str, click.Command]]:
+def commands_below(group: click.Group, before: str = "") -> Iterator[tuple[str, click.Command]]:
     """All commands below a group, each with its full name on the command line."""
     for name, command in group.commands.items():
         words = f"{before} {name}".strip()
         if isinstance(command, click.Group):
-            yield from leaves(command, words)
+            yield from commands_below(command, words)
         else:
             yield words, command
 
@@ -289,7 +289,7 @@
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.home = Path(folder.name)
+        self.inputs_folder = Path(folder.name)
         self.inputs = self.create_inputs()
         handlers = logging.getLogger().handlers[:]
         self.addCleanup(lambda: logging.getLogger().handlers.__setitem__(slice(None), handlers))
@@ -304,24 +304,24 @@
     def create_inputs(self) -> dict[str, str]:
         """Create the files and servers that the placeholders of ``INVALID_CALLS`` stand for: their paths and
         addresses by placeholder."""
-        home = self.home
+        inputs_folder = self.inputs_folder
         for name in ("folder", "versions", "versions/2.sexp", "logs", "logs/r0.log", "state"):
-            (home / name).mkdir()
-        (home / "versions" / "1.sexp").write_text("(half")
-        (home / "text").write_text("so\n")
-        (home / "bytes").write_bytes(b"\xff\xfe\x00")
-        (home / "json").write_text(
+            (inputs_folder / name).mkdir()
+        (inputs_folder / "versions" / "1.sexp").write_text("(half")
+        (inputs_folder / "text").write_text("so\n")
+        (inputs_folder / "bytes").write_bytes(b"\xff\xfe\x00")
+        (inputs_folder / "json").write_text(
             '{"figures": {}, "slices": 3, "stores": {}, "examples": [], "failures": []}'
         )
-        rollout_journal = journal.Journal(home / "state")
+        rollout_journal = journal.Journal(inputs_folder / "state")
         rollout_journal.append({"what": "begin", "term": 1})
         rollout_journal.close()
-        (home / "state" / "status.json").write_text("[]")
-        places = {path.name: str(path) for path in home.iterdir()}
+        (inputs_folder / "state" / "status.json").write_text("[]")
+        places = {path.name: str(path) for path in inputs_folder.iterdir()}
         captures = ROOT / "tests" / "capture" / "captures"
         return places | {
-            "none": str(home / "none"),
-            "under": str(home / "text" / "x"),
+            "none": str(inputs_folder / "none"),
+            "under": str(inputs_folder / "text" / "x"),
             "good": str(EXAMPLE),
             "plan": str(ROOT / "deploy" / "rollout.sexp"),
             "capture": str(next(captures.iterdir())),
@@ -369,19 +369,22 @@
         self.assertIn(expected_text, text)
 
     def test_invalid_calls_are_listed_for_exactly_the_existing_commands(self) -> None:
-        self.assertEqual(sorted(INVALID_CALLS), sorted(words for words, _ in leaves(cli)))
+        self.assertEqual(sorted(INVALID_CALLS), sorted(words for words, _ in commands_below(cli)))
         self.assertEqual([words for words, rows in INVALID_CALLS.items() if not rows], [])
 
     def test_every_invalid_call_is_rejected_in_one_line(self) -> None:
         for words, rows in INVALID_CALLS.items():
-            for more, expected_text in rows:
-                with self.subTest(f"{words} {more}"):
-                    called = [*words.split(), *(word.format(**self.inputs) for word in more.split())]
-                    self.assert_rejected(called, expected_text.format(**self.inputs))
-        self.assertEqual({path.name for path in self.home.iterdir()} - set(self.inputs), set())
+            for arguments, expected_text in rows:
+                with self.subTest(f"{words} {arguments}"):
+                    command_line = [
+                        *words.split(),
+                        *(word.format(**self.inputs) for word in arguments.split()),
+                    ]
+                    self.assert_rejected(command_line, expected_text.format(**self.inputs))
+        self.assertEqual({path.name for path in self.inputs_folder.iterdir()} - set(self.inputs), set())
 
     def test_every_command_rejects_unknown_options_and_invalid_values(self) -> None:
-        for words, command in leaves(cli):
+        for words, command in commands_below(cli):
             with self.subTest(words):
                 self.assert_rejected([*words.split(), "--no-such-option"], "--no-such-option")
             for option in command.params:
--- a/tests/control/test_channel.py
+++ b/tests/control/test_channel.py
@@ -41,9 +41,9 @@
 START = load_text(TEXT)
 
 
-def version(number: int, **more: Any) -> PublishedVersion:
+def version(number: int, **entries: Any) -> PublishedVersion:
     return PublishedVersion.parse(
-        number, sexp.format_document(dict(START.data) | {"retry-after-ms": 100 + number} | more)
+        number, sexp.format_document(dict(START.data) | {"retry-after-ms": 100 + number} | entries)
     )
 
 
@@ -192,7 +192,7 @@
         await self.restart_service(older)
         self.stream.send(
             older.encode_version(self.stream.subscriber, version(4), full=True)
-        )  # sent all the same
+        )  # the publisher itself would not send an older version
         answer = await self.wait_for_answer(4)
         self.assertEqual((RejectionReason(answer.reason), answer.in_force), (RejectionReason.OUT_OF_ORDER, 5))
         self.service.publish(version(6))
@@ -247,8 +247,10 @@
             self.assertEqual(
                 RejectionReason((await self.wait_for_answer(0)).reason), RejectionReason.MALFORMED
             )
-        deep = PublishedVersion.parse(2, "(magpieshift " + "(a " * 9999 + ")" * 10000)
-        self.stream.send(self.service.publisher.encode_version(self.stream.subscriber, deep, full=True))
+        deeply_nested = PublishedVersion.parse(2, "(magpieshift " + "(a " * 9999 + ")" * 10000)
+        self.stream.send(
+            self.service.publisher.encode_version(self.stream.subscriber, deeply_nested, full=True)
+        )
         self.assertIn("deep nesting", (await self.wait_for_answer(2)).detail)
         self.service.publish(version(3))
         self.assertTrue((await self.wait_for_answer(3)).accepted)
@@ -261,8 +263,8 @@
         self.assertIn("RESOURCE_EXHAUSTED", self.received[0].hello.trouble)
 
     async def test_a_silent_service_is_disconnected_by_keepalive(self) -> None:
-        """Its machine fails without notice: the connection stays open and nothing arrives, until gRPC's
-        keepalive ends it."""
+        """The service's machine fails without notice: the connection stays open and nothing arrives, until
+        gRPC's keepalive ends it."""
         silent = await asyncio.start_server(self._read_and_ignore, "127.0.0.1", 0)
         other = ControlClient(
             f"127.0.0.1:{silent.sockets[0].getsockname()[1]}", self.manager, "r1", "b1", random.Random(1)
@@ -296,9 +298,9 @@
         self.assertGreater(len({Backoff(random.Random(seed)).next_delay_s(0) for seed in range(50)}), 45)
 
     @given(st.binary(max_size=200), st.integers(0, 400))
-    def test_any_bytes_are_an_offer_or_an_answer(self, noise: bytes, at: int) -> None:
+    def test_any_bytes_are_an_offer_or_an_answer(self, random_bytes: bytes, at: int) -> None:
         complete = Publisher().encode_version(mock.Mock(digest=""), version(1))
-        for data in (noise, complete[: at % len(complete)] + noise, noise + complete):
+        for data in (random_bytes, complete[: at % len(complete)] + random_bytes, random_bytes + complete):
             found = RouterSession().receive(data)
             self.assertIsInstance(found, VersionOffer | OfferOutcome)
 
--- a/tests/control/test_version_history.py
+++ b/tests/control/test_version_history.py
@@ -20,8 +20,8 @@
 START = VersionRecord(3, "c", "start", VersionState.IN_FORCE, 0)
 
 
-def offer(number: int, digest: str = "x", **more: Any) -> VersionOffer:
-    return VersionOffer(number, digest, "test", **more)
+def offer(number: int, digest: str = "x", **fields: Any) -> VersionOffer:
+    return VersionOffer(number, digest, "test", **fields)
 
 
 class Rules(unittest.TestCase):
--- a/tests/control/test_version_store.py
+++ b/tests/control/test_version_store.py
@@ -97,10 +97,15 @@
 
     @given(st.binary(max_size=300), st.integers(0, 600))
     @settings(max_examples=200, deadline=None)
-    def test_random_bytes_give_no_false_version(self, noise: bytes, at: int) -> None:
+    def test_random_bytes_give_no_false_version(self, random_bytes: bytes, at: int) -> None:
         data = FILE_HEADER + b"".join(encode_version(in_force(n)) for n in (1, 2))
         at = min(at, len(data))
-        for text in (noise, FILE_HEADER + noise, data[:at] + noise + data[at:], data[:at] + noise):
+        for text in (
+            random_bytes,
+            FILE_HEADER + random_bytes,
+            data[:at] + random_bytes + data[at:],
+            data[:at] + random_bytes,
+        ):
             try:
                 found = parse_store(text).versions
             except VersionStoreError:
