--- a/magpieshift/cli/captures.py
+++ b/magpieshift/cli/captures.py
@@ -129,10 +129,18 @@
 @click.argument("file")
 @click.argument("out", type=WritableFile())
 @click.option(
-    "--from", "from_s", type=FiniteNumber(), required=True, help="Seconds after the capture's first batch."
+    "--from",
+    "from_s",
+    type=FiniteNumber(),
+    required=True,
+    help="Start of the part, in seconds after the capture's first batch.",
 )
 @click.option(
-    "--to", "to_s", type=FiniteNumber(), required=True, help="Seconds after the capture's first batch."
+    "--to",
+    "to_s",
+    type=FiniteNumber(),
+    required=True,
+    help="End of the part, in seconds after the capture's first batch.",
 )
 @JSON_OPTION
 def cut(file: str, out: str, from_s: float, to_s: float, as_json: bool) -> None:
--- a/magpieshift/cli/lab_fleet.py
+++ b/magpieshift/cli/lab_fleet.py
@@ -251,7 +251,7 @@
     default=1,
     show_default=True,
     type=WholeNumber(),
-    help="Number of random histories; seeds count up.",
+    help="Number of random histories; the seed is one higher for each.",
 )
 @click.option("--seed", default=1, show_default=True, type=SEED_TYPE)
 @click.option("--routers", default=6, show_default=True, type=WholeNumber(2, 16))
--- a/magpieshift/cli/lab_rollout.py
+++ b/magpieshift/cli/lab_rollout.py
@@ -45,7 +45,7 @@
     default=1,
     show_default=True,
     type=WholeNumber(),
-    help="With --simulated: number of rollouts per scenario; seeds count up.",
+    help="With --simulated: number of rollouts per scenario; the seed is one higher for each.",
 )
 @click.option(
     "--before",
--- a/magpieshift/cli/lab_soak.py
+++ b/magpieshift/cli/lab_soak.py
@@ -25,7 +25,7 @@
     default=DEFAULT_SEEDS,
     show_default=True,
     type=WholeNumber(),
-    help="Number of runs; seeds count up.",
+    help="Number of runs; the seed is one higher for each.",
 )
 @click.option("--only", default=None, type=SEED_TYPE, help="Execute only the run with this seed.")
 @click.option(
--- a/magpieshift/cli/membership.py
+++ b/magpieshift/cli/membership.py
@@ -116,6 +116,7 @@
     output.print_rows(rows, as_json=False)
     isolated = ", isolated: receives no datagrams from other members" if answer["isolated"] else ""
     click.echo(
-        f"{answer['own']}: view {answer['view']} {answer['digest']}, {answer['here']} here{isolated}; "
+        f"{answer['own']}: view {answer['view']} {answer['digest']}, "
+        f"{answer['here']} members present{isolated}; "
         f"share {answer['share']:.4f} of all, {answer['zone_share']:.4f} of its zone"
     )
