--- a/magpieshift/config/platform_file.py
+++ b/magpieshift/config/platform_file.py
@@ -71,7 +71,7 @@
         change_log_address=parse_address(_get(data, "changelog", str), "changelog"),
         settings=settings,
         names=Names(
-            classes=tuple(str(_get(each, "Name", str)) for each in _get(nested, "Classes", list)),
+            classes=tuple(str(_get(row, "Name", str)) for row in _get(nested, "Classes", list)),
             zones=_words(nested, "Zones"),
             kinds=_words(nested, "MachineTypes"),
             report=settings.load_report_columns,
@@ -136,9 +136,11 @@
             raise ConfigError(f"configuration lacks {path}")
         value = value[key]
     if not isinstance(value, types) or (isinstance(value, bool) and types is not bool):
-        wanted = " or ".join(each.__name__ for each in (types if isinstance(types, tuple) else (types,)))
+        expected = " or ".join(
+            accepted.__name__ for accepted in (types if isinstance(types, tuple) else (types,))
+        )
         shown = f"{value!r:.{MAX_SHOWN_CHARACTERS}}"
-        raise ConfigError(f"configuration has a bad {path}: found {shown}, expected {wanted}")
+        raise ConfigError(f"configuration has a bad {path}: found {shown}, expected {expected}")
     return value
 
 
--- a/magpieshift/control/document_changes.py
+++ b/magpieshift/control/document_changes.py
@@ -39,16 +39,16 @@
         return f"{' '.join(self.path)}: {text}"
 
 
-def differences(old: Mapping[str, Any], new: Mapping[str, Any], above: EntryPath = ()) -> list[Change]:
+def differences(old: Mapping[str, Any], new: Mapping[str, Any], parent_path: EntryPath = ()) -> list[Change]:
     """The changes that turn ``old`` into ``new``, each at the deepest entry that differs; their paths begin
-    with ``above``."""
-    changes = [Change((*above, name), None) for name in old if name not in new]
+    with ``parent_path``."""
+    changes = [Change((*parent_path, name), None) for name in old if name not in new]
     for name, value in new.items():
-        path = (*above, name)
-        before = old.get(name)
-        if isinstance(value, Mapping) and isinstance(before, Mapping) and value and before:
-            changes += differences(before, value, path)
-        elif name not in old or not is_identical(before, value):
+        path = (*parent_path, name)
+        old_value = old.get(name)
+        if isinstance(value, Mapping) and isinstance(old_value, Mapping) and value and old_value:
+            changes += differences(old_value, value, path)
+        elif name not in old or not is_identical(old_value, value):
             changes.append(Change(path, value))
     return changes
 
@@ -76,8 +76,8 @@
     parent: Any = data
     for name in change.path[:-1]:
         parent = parent.get(name) if isinstance(parent, dict) else None
-    is_gone = change.value is None
-    if not change.path or not isinstance(parent, dict) or (is_gone and change.path[-1] not in parent):
+    is_removal = change.value is None
+    if not change.path or not isinstance(parent, dict) or (is_removal and change.path[-1] not in parent):
         expected = "one in the version it builds on"
         raise UnusableDocumentError([Problem(" ".join(change.path), 0, "no such entry", expected)])
     return parent
--- a/magpieshift/control/sexp.py
+++ b/magpieshift/control/sexp.py
@@ -145,13 +145,13 @@
         """Add a problem at a form."""
         self.problems.append(Problem(" ".join(path) or self._source, self.line(form), found, expected))
 
-    def name(self, form: list[Any], above: EntryPath) -> str:
+    def name(self, form: list[Any], parent_path: EntryPath) -> str:
         """A form's name, its first word; reports a problem and returns an empty string if it has none."""
         if form and isinstance(form[0], sexpdata.Symbol):
             return str(form[0].value())
         if form and isinstance(form[0], str):  # a name that looks like a number is written in quotes
             return form[0]
-        self.report(form, above, shorten(form[0]) if form else "()", "a name as the first word")
+        self.report(form, parent_path, shorten(form[0]) if form else "()", "a name as the first word")
         return ""
 
     def value(self, form: list[Any], path: EntryPath) -> Any:
--- a/magpieshift/extensions/overload_gossip.py
+++ b/magpieshift/extensions/overload_gossip.py
@@ -104,9 +104,9 @@
         self._router.engine.apply_overrides(actions.overrides)
         self._log_overrides(actions.overrides, health)
         self._log_offloading(actions)
-        by_name = {member.name: member for member in alive}
+        members_by_name = {member.name: member for member in alive}
         for receiver, digest in actions.sends:
-            self._membership.send_message(by_name[receiver], TOPIC, encode(digest))
+            self._membership.send_message(members_by_name[receiver], TOPIC, encode(digest))
 
     def _update_request_rate(self, elapsed_us: int) -> None:
         requests = self._router.engine.requests_taken
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -102,11 +102,11 @@
     @given(st.binary(max_size=80), st.integers(0, 5000))
     @settings(max_examples=80, deadline=None)
     def test_invalid_bytes_raise_no_other_error_than_state_errors(self, random_bytes: bytes, at: int) -> None:
-        whole = state.encode(state.snapshot(random_runs.PolicyChecker().router))
+        complete = state.encode(state.snapshot(random_runs.PolicyChecker().router))
         for data in (
             random_bytes,
-            whole[: at % len(whole)],
-            whole[: at % len(whole)] + random_bytes + whole[at % len(whole) :],
+            complete[: at % len(complete)],
+            complete[: at % len(complete)] + random_bytes + complete[at % len(complete) :],
         ):
             try:
                 state.restore(data, OWN)
@@ -125,8 +125,8 @@
                     reader.read_action(codec.write_action(action)), reader.convert_action(action)
                 )
 
-    def test_an_object_of_number_zero_has_more_than_64_bits(self) -> None:
-        event = PurgeReceived(1 << 64, 0, 5)
+    def test_an_object_number_may_exceed_64_bits(self) -> None:
+        event = PurgeReceived(1 << 64, 0, 5)  # the number of the object with key 0
         self.assertEqual(codec.Codec(OWN).read_event(codec.write_event(event)), event)
 
 
@@ -295,7 +295,7 @@
 
 
 class Files(FolderCase):
-    def damaged(self, change: Callable[[bytes], bytes]) -> ReplayResult:
+    def replay_damaged(self, change: Callable[[bytes], bytes]) -> ReplayResult:
         self.record(SCRIPT * 3, segment_s=0.0)
         (path, *_) = segments.files(self.folder / "capture")
         path.write_bytes(change(path.read_bytes()))
@@ -303,9 +303,9 @@
         self.assertEqual(result.differences, 0)
         return result
 
-    def test_a_torn_tail(self) -> None:
+    def test_an_incomplete_block_at_the_end_of_a_file(self) -> None:
         """The file ends in an incomplete block, as after SIGKILL; the complete blocks can be replayed."""
-        result = self.damaged(lambda data: data[:-9])
+        result = self.replay_damaged(lambda data: data[:-9])
         self.assertIn("torn off", result.missing[0])
 
     def test_a_damaged_block_is_named_and_what_follows_replays_from_the_next_keyframe(self) -> None:
@@ -325,11 +325,15 @@
     def test_damaged_files_raise_no_other_error_than_capture_errors(
         self, random_bytes: bytes, at: int
     ) -> None:
-        whole = segments.FILE_HEADER % 1 + segments.encode_block([wire.Record(header=HEADER)] * 3)
-        at %= len(whole)
+        complete = segments.FILE_HEADER % 1 + segments.encode_block([wire.Record(header=HEADER)] * 3)
+        at %= len(complete)
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "x"
-            for data in (random_bytes, whole[:at] + random_bytes, whole[:at] + random_bytes + whole[at:]):
+            for data in (
+                random_bytes,
+                complete[:at] + random_bytes,
+                complete[:at] + random_bytes + complete[at:],
+            ):
                 path.write_bytes(data)
                 try:
                     found = list(segments.read(path))
@@ -347,7 +351,7 @@
 
 
 class Comparing(FolderCase):
-    def altered(self, old: str, new: str, file: str = "router_policy.py") -> policy.Policy:
+    def load_altered_policy(self, old: str, new: str, file: str = "router_policy.py") -> policy.Policy:
         """Load a copy of the policy with one text replaced, from a folder of its own."""
         policy_folder = self.folder / "altered" / "magpieshift" / "policy"
         policy_folder.parent.mkdir(parents=True)
@@ -366,7 +370,7 @@
         self.assertEqual((result.differences, result.kinds), (0, {}))
 
     def test_a_policy_that_never_tries_the_second_parent_differs(self) -> None:
-        other = self.altered("PARENTS_TRIED = 2", "PARENTS_TRIED = 1", "placement.py")
+        other = self.load_altered_policy("PARENTS_TRIED = 2", "PARENTS_TRIED = 1", "placement.py")
         self.assertNotEqual(other.digest, OWN.digest)
         self.record([("ask", i) for i in range(0, 300, 3)] + [("end", i) for i in range(200)])
         result = self.replayed(against=other)
@@ -381,7 +385,7 @@
     def test_a_policy_that_diverges_continues_from_the_next_keyframe(self) -> None:
         self.record()
         self.record()
-        other = self.altered("INITIAL_LIMIT = 4", "INITIAL_LIMIT = 2", "admission.py")
+        other = self.load_altered_policy("INITIAL_LIMIT = 4", "INITIAL_LIMIT = 2", "admission.py")
         replay = Replay(other)
         result = replay.run(self.read())
         self.assertNotEqual(result.policy_digests, {other.digest})
@@ -406,9 +410,9 @@
 
     def test_a_part_cut_out_replays_like_the_whole(self) -> None:
         self.record(SCRIPT * 4)
-        whole = [r.batch for r in self.read() if isinstance(r, wire.Record) and r.HasField("batch")]
-        start, end = whole[len(whole) // 3].now_us, whole[2 * len(whole) // 3].now_us
-        wanted = sum(1 for batch in whole if start <= batch.now_us <= end)
+        all_batches = [r.batch for r in self.read() if isinstance(r, wire.Record) and r.HasField("batch")]
+        start, end = all_batches[len(all_batches) // 3].now_us, all_batches[2 * len(all_batches) // 3].now_us
+        wanted = sum(1 for batch in all_batches if start <= batch.now_us <= end)
         batches, size = cut.cut(self.read, self.folder / "part", start, end)
         result = Replay().run(segments.read(self.folder / "part"))
         self.assertEqual((batches, result.batches, result.differences), (wanted, wanted, 0))
