--- a/magpieshift/capture/explanation.py
+++ b/magpieshift/capture/explanation.py
@@ -175,7 +175,7 @@
     lines.append(f"the first, at {when}, batch {first.batch}, request {first.request_id}: {first.kind}")
     lines += _actions_lines(first, names)
     if records is not None and (known := state_lines_before(records, first)):
-        lines.append("what the policy knew right before:")
+        lines.append("the policy's state right before:")
         lines += [f"  {line}" for line in known]
     shown = {first.kind}
     for difference in result.examples[1:]:
@@ -255,7 +255,7 @@
         lines.extend(f"  event: {_event_text(event, names)}" for event in events)
         known = request_line(player, request_id, names)
         if known:
-            lines.append(f"  knew: {known}")
+            lines.append(f"  state: {known}")
         if decided and decided[0].name in ATTEMPT_AND_ANSWER_ACTIONS:
             lines.extend(f"    {line}" for line in endpoint_lines(player, names))
         lines.append(f"  decided: {names.actions_text(decided)}")
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -379,7 +379,7 @@
         lines = explanation.difference_report(result, explanation.LogIds({21: "hub-a"}), self.read)
         self.assertLess(len(lines), 60)
         self.assertIn("by kind", lines[0])
-        self.assertTrue(any("what the policy knew right before" in line for line in lines), lines)
+        self.assertTrue(any("the policy's state right before" in line for line in lines), lines)
         self.assertTrue(any("parent, ready" in line and "fills" in line for line in lines), lines)
 
     def test_a_policy_that_diverges_continues_from_the_next_keyframe(self) -> None:
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -85,7 +85,7 @@
         from magpieshift import parse
 
         data = to_data(parse(config(ports)).document)
-        (port,) = free_ports(1)  # no ephemeral port: it must still be free when the router restarts
+        (port,) = free_ports(1)  # not an ephemeral port, as it must still be free when the router restarts
         return data | {"listen": f"127.0.0.1:{port}"}
 
 
