--- a/magpieshift/config/platform_file.py
+++ b/magpieshift/config/platform_file.py
@@ -71,7 +71,7 @@
         change_log_address=parse_address(_get(data, "changelog", str), "changelog"),
         settings=settings,
         names=Names(
-            classes=tuple(str(_get(each, "Name", str)) for each in _get(nested, "Classes", list)),
+            classes=tuple(str(_get(row, "Name", str)) for row in _get(nested, "Classes", list)),
             zones=_words(nested, "Zones"),
             kinds=_words(nested, "MachineTypes"),
             report=settings.load_report_columns,
@@ -93,14 +93,15 @@
         for index, inner in enumerate(value):
             yield from flatten(inner, f"{path}.{index}")
     elif isinstance(value, list):
-        yield f"{path}=" + ",".join(_plain(inner) for inner in value)
-    elif isinstance(value, float) and not math.isfinite(value):  # would make comparisons with it wrong
+        yield f"{path}=" + ",".join(_line_value(inner) for inner in value)
+    elif isinstance(value, float) and not math.isfinite(value):
+        # comparisons with NaN or infinity would give wrong results
         raise ConfigError(f"settings.{path}: found {value}, expected a finite number")
     else:
-        yield f"{path}={_plain(value)}"
+        yield f"{path}={_line_value(value)}"
 
 
-def _plain(value: object) -> str:
+def _line_value(value: object) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     text = "" if value is None else str(value)
@@ -135,9 +136,11 @@
             raise ConfigError(f"configuration lacks {path}")
         value = value[key]
     if not isinstance(value, types) or (isinstance(value, bool) and types is not bool):
-        wanted = " or ".join(each.__name__ for each in (types if isinstance(types, tuple) else (types,)))
+        expected = " or ".join(
+            accepted.__name__ for accepted in (types if isinstance(types, tuple) else (types,))
+        )
         shown = f"{value!r:.{MAX_SHOWN_CHARACTERS}}"
-        raise ConfigError(f"configuration has a bad {path}: found {shown}, expected {wanted}")
+        raise ConfigError(f"configuration has a bad {path}: found {shown}, expected {expected}")
     return value
 
 
--- a/magpieshift/control/stored_versions.py
+++ b/magpieshift/control/stored_versions.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from magpieshift.control.checked_records import RECORD_HEADER, encode_record, payload_at
+from magpieshift.control.checksummed_records import RECORD_HEADER, encode_record, payload_at
 from magpieshift.control.errors import VersionStoreError
 from magpieshift.control.version_records import RejectionReason, VersionRecord, VersionState
 
@@ -154,7 +154,7 @@
         data = (Path(folder) / VERSIONS_FILE).read_bytes()
     except FileNotFoundError:
         if not Path(folder).is_dir():
-            raise VersionStoreError(f"{folder} is no folder") from None
+            raise VersionStoreError(f"{folder} is not a folder") from None
         return EMPTY
     except OSError as err:
         raise VersionStoreError(f"{folder}: {err.strerror or err}") from err
--- a/magpieshift/extensions/overload_gossip.py
+++ b/magpieshift/extensions/overload_gossip.py
@@ -28,8 +28,11 @@
 # Mean lateness of ticks that counts as a pressure of 1: the processor is at its capacity. A smaller value
 # starts offloading at shorter queues in the event loop.
 FULL_LATENESS_US = 100_000
-LATENESS_WEIGHT = 0.2  # of the latest tick in the moving average; larger: reacts faster, oscillates more
-RATE_WEIGHT = 0.2  # of the latest gossip interval in the moving average of the request rate
+# Weight of the latest tick in the moving average of the lateness. A larger one reacts faster, but oscillates
+# more.
+LATENESS_WEIGHT = 0.2
+# Weight of the latest gossip interval in the moving average of the request rate.
+RATE_WEIGHT = 0.2
 SEED_SALT = 1  # gives gossip other random numbers than membership, which uses the same seed
 
 
@@ -101,9 +104,9 @@
         self._router.engine.apply_overrides(actions.overrides)
         self._log_overrides(actions.overrides, health)
         self._log_offloading(actions)
-        by_name = {member.name: member for member in alive}
+        members_by_name = {member.name: member for member in alive}
         for receiver, digest in actions.sends:
-            self._membership.send_message(by_name[receiver], TOPIC, encode(digest))
+            self._membership.send_message(members_by_name[receiver], TOPIC, encode(digest))
 
     def _update_request_rate(self, elapsed_us: int) -> None:
         requests = self._router.engine.requests_taken
--- a/magpieshift/extensions/relay_subscription.py
+++ b/magpieshift/extensions/relay_subscription.py
@@ -26,7 +26,8 @@
 
 log = logging.getLogger(__name__)
 
-MAX_REASON_CHARACTERS = 200  # of the reason of a rejection, in log lines and in the report to the relay
+# maximum length of a rejection reason in log lines and in the report to the relay
+MAX_REASON_CHARACTERS = 200
 INSTANCE_ID_BYTES = 4  # random at each start, so that relays can distinguish two processes of the same name
 
 
@@ -188,7 +189,7 @@
                 follower.rejected_version = 0
                 follower.rejection_reason = ""
         elif answer.reason is not RejectionReason.SUPERSEDED:
-            reason = f"{answer.reason.word}: {answer.detail}"
+            reason = f"{answer.reason.shown_name}: {answer.detail}"
             self._report_rejection(answer.offer.number, reason, answer.wants_full)
 
     def _report_rejection(self, version: int, reason: str, wants_full: bool) -> None:
