--- a/tests/membership/test_admission.py
+++ b/tests/membership/test_admission.py
@@ -13,7 +13,7 @@
     Ping,
 )
 from magpieshift.membership.unknown_peers import MAX_UNKNOWN_PEERS
-from tests.membership.pieces import member
+from tests.membership.helpers import member
 
 
 class UntrustedDatagramsTest(unittest.TestCase):
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -18,7 +18,7 @@
     PingRequest,
     Sync,
 )
-from tests.membership.pieces import member
+from tests.membership.helpers import member
 
 
 class CodecTest(unittest.TestCase):
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -9,7 +9,7 @@
 from magpieshift.lab.experiments.membership_trial import false_removals
 from magpieshift.membership.member import MemberState
 from magpieshift.membership.suspicion import DetectorTuning
-from tests.membership.pieces import moved_address
+from tests.membership.helpers import moved_address
 
 
 class SimulatedFleetTest(unittest.TestCase):
--- a/tests/membership/test_member_table.py
+++ b/tests/membership/test_member_table.py
@@ -7,7 +7,7 @@
 
 from magpieshift.membership.member import MAX_MEMBERS, MemberState, SuspicionReport
 from magpieshift.membership.member_table import MemberTable
-from tests.membership.pieces import member
+from tests.membership.helpers import member
 
 
 class MemberTableTest(unittest.TestCase):
--- a/tests/overload/test_codec.py
+++ b/tests/overload/test_codec.py
@@ -11,7 +11,7 @@
 from magpieshift.overload import codec
 from magpieshift.overload.digest import Digest, FailureReport
 from magpieshift.overload.gossip import GOSSIP_INTERVAL_US, Gossip
-from tests.overload.pieces import FEW_EXAMPLES, NAMES, failure_report, health_view
+from tests.overload.helpers import FEW_EXAMPLES, NAMES, failure_report, health_view
 
 
 class CodecTest(unittest.TestCase):
--- a/tests/overload/test_failure_reports.py
+++ b/tests/overload/test_failure_reports.py
@@ -16,7 +16,7 @@
     FailureReports,
 )
 from magpieshift.overload.gossip import GOSSIP_INTERVAL_US
-from tests.overload.pieces import FEW_EXAMPLES, failure_report
+from tests.overload.helpers import FEW_EXAMPLES, failure_report
 
 
 class FailureReportsTest(unittest.TestCase):
--- a/tests/overload/test_gossip.py
+++ b/tests/overload/test_gossip.py
@@ -13,7 +13,7 @@
     HealthOverride,
     Readmit,
 )
-from tests.overload.pieces import NAMES, health_view
+from tests.overload.helpers import NAMES, health_view
 
 
 class GossipTest(unittest.TestCase):
--- a/tests/overload/test_offloading.py
+++ b/tests/overload/test_offloading.py
@@ -18,7 +18,7 @@
     NeighbourLoad,
     Offloading,
 )
-from tests.overload.pieces import FEW_EXAMPLES
+from tests.overload.helpers import FEW_EXAMPLES
 
 
 class OffloadingTest(unittest.TestCase):
--- a/tests/overload/test_probe_election.py
+++ b/tests/overload/test_probe_election.py
@@ -19,7 +19,7 @@
     HealthOverride,
     Readmit,
 )
-from tests.overload.pieces import FEW_EXAMPLES, NAMES, failure_report, health_view
+from tests.overload.helpers import FEW_EXAMPLES, NAMES, failure_report, health_view
 
 
 class ProbeElectionTest(unittest.TestCase):
--- a/tests/relay/test_drivers.py
+++ b/tests/relay/test_drivers.py
@@ -30,7 +30,7 @@
 from magpieshift.relay.messages import NO_EPOCH, Batch, ConfigurationChange, Epoch, Join, Progress
 from magpieshift.relay.node import RelayNode, RelayOptions, SourceNode
 from magpieshift.relay.service import MAX_UPSTREAM_BYTES, StreamDriver
-from tests.relay.rig import PATIENCE_S, RelayCase, Router, loopback_address
+from tests.relay.driver_fixtures import PATIENCE_S, RelayCase, Router, loopback_address
 
 
 class FailingRelay(RelayNode):
--- a/tests/relay/test_fanout.py
+++ b/tests/relay/test_fanout.py
@@ -29,7 +29,7 @@
     Progress,
     Snapshot,
 )
-from tests.relay.pieces import (
+from tests.relay.simulated_peers import (
     EPOCH,
     LATER,
     MS,
--- a/tests/relay/test_follower.py
+++ b/tests/relay/test_follower.py
@@ -30,7 +30,7 @@
     Snapshot,
 )
 from magpieshift.relay.report import DownstreamReport
-from tests.relay.pieces import EPOCH, LATER, MS, SECOND, purge
+from tests.relay.simulated_peers import EPOCH, LATER, MS, SECOND, purge
 
 
 def batch(first: int, count: int, epoch: Epoch = EPOCH, proof: FreshnessProof | None = None) -> Batch:
--- a/tests/relay/test_planted.py
+++ b/tests/relay/test_injected_defects.py
@@ -25,7 +25,7 @@
 from magpieshift.relay.messages import DownstreamMessage, Epoch, Progress
 from magpieshift.relay.staleness_bound import SourceStalenessBound, StalenessBound
 from magpieshift.relay.watermark import Watermark
-from tests.relay.test_explored import SCENARIOS, explore
+from tests.relay.test_exploration import SCENARIOS, explore
 
 DefectPatch = contextlib.AbstractContextManager[Any]
 
--- a/tests/relay/test_log.py
+++ b/tests/relay/test_log.py
@@ -9,7 +9,7 @@
 
 from magpieshift.relay.errors import DroppedEntriesError, MissingEntriesError
 from magpieshift.relay.log import SequencedLog
-from tests.relay.pieces import EPOCH, LATER, purge
+from tests.relay.simulated_peers import EPOCH, LATER, purge
 
 
 def filled(count: int, max_entries: int = 100) -> SequencedLog:
--- a/tests/relay/test_log_state.py
+++ b/tests/relay/test_log_state.py
@@ -9,7 +9,7 @@
 
 from magpieshift.relay.log_state import LogState, RecentPurges
 from magpieshift.relay.messages import ConfigurationChange, EndpointListChange, Purge
-from tests.relay.pieces import EPOCH, LATER, SECOND, full_versions_only, purge
+from tests.relay.simulated_peers import EPOCH, LATER, SECOND, full_versions_only, purge
 
 
 def fleet(*members: tuple[str, str], complete: bool = False) -> EndpointListChange:
--- a/tests/relay/test_selection.py
+++ b/tests/relay/test_selection.py
@@ -13,7 +13,7 @@
     MIN_RETURN_DELAY_S,
 )
 from magpieshift.relay.selection import RelayAddress, RelaySelection, rank_relays
-from tests.relay.pieces import SECOND
+from tests.relay.simulated_peers import SECOND
 
 RELAYS = [RelayAddress(f"relay-{number}", f"region-{number // 2}", "127.0.0.1:1") for number in range(20)]
 
--- a/tests/relay/test_staleness_bound.py
+++ b/tests/relay/test_staleness_bound.py
@@ -7,7 +7,7 @@
 from magpieshift.relay.limits import CLOCK_DRIFT, FRESHNESS_LEASE_US, MAX_PROBES
 from magpieshift.relay.messages import FreshnessProof
 from magpieshift.relay.staleness_bound import SourceStalenessBound, StalenessBound
-from tests.relay.pieces import EPOCH, LATER, SECOND
+from tests.relay.simulated_peers import EPOCH, LATER, SECOND
 
 
 class Lease(unittest.TestCase):
--- a/tests/rollout/test_canary_analysis.py
+++ b/tests/rollout/test_canary_analysis.py
@@ -17,7 +17,7 @@
 from magpieshift.rollout.process_losses import ALL_LOST_AFTER_US, UNREACHABLE_AFTER_US
 from magpieshift.rollout.verdict import Verdict
 from magpieshift.rollout.weighted_difference import WeightedDifference
-from tests.rollout.pieces import SECOND_US
+from tests.rollout.coordinator_harness import SECOND_US
 
 
 def make_counters(
--- a/tests/rollout/test_coordinator.py
+++ b/tests/rollout/test_coordinator.py
@@ -11,7 +11,7 @@
 from magpieshift.rollout.records import RolloutPhase, StagePassed
 from magpieshift.rollout.rollout_state import replay
 from magpieshift.rollout.verdict import Verdict
-from tests.rollout.pieces import CoordinatorHarness, make_plan
+from tests.rollout.coordinator_harness import CoordinatorHarness, make_plan
 
 
 class CoordinatorTest(unittest.TestCase):
--- a/tests/rollout/test_executor.py
+++ b/tests/rollout/test_executor.py
@@ -11,7 +11,7 @@
 from magpieshift.rollout.errors import StepFailedError, TermUnknownError
 from magpieshift.rollout.executor import Executor
 from magpieshift.rollout.plan import Build, Plan, RouterPlace
-from tests.rollout.pieces import make_plan
+from tests.rollout.coordinator_harness import make_plan
 
 ROUTERS = 3
 SERVERS_PER_ROUTER = 2
--- a/tests/rollout/test_journal.py
+++ b/tests/rollout/test_journal.py
@@ -15,7 +15,7 @@
 from magpieshift.rollout.journal import Journal
 from magpieshift.rollout.records import RolloutPhase, StepStarted, from_rows, to_row
 from magpieshift.rollout.rollout_state import replay
-from tests.rollout.pieces import CoordinatorHarness, make_plan
+from tests.rollout.coordinator_harness import CoordinatorHarness, make_plan
 
 OLD_JOURNALS = Path(__file__).resolve().parent / "journals"
 
@@ -74,7 +74,7 @@
 
 class EarlierVersion(unittest.TestCase):
     """Resumes rollouts whose coordinator, of version 723f792, was killed midway. That version wrote the
-    journals, for the plan in ``pieces``."""
+    journals, for the plan in ``coordinator_harness``."""
 
     def open_old_journal(self, name: str) -> Journal:
         folder = tempfile.TemporaryDirectory()
--- a/tests/rollout/test_plan_reader.py
+++ b/tests/rollout/test_plan_reader.py
@@ -11,7 +11,7 @@
 from magpieshift.rollout.plan import Tolerances
 from magpieshift.rollout.plan_form import PLAN_HEAD
 from magpieshift.rollout.plan_reader import load_plan, load_plan_file
-from tests.rollout.pieces import PLAN_TEXT, make_plan
+from tests.rollout.coordinator_harness import PLAN_TEXT, make_plan
 
 
 class PlanReaderTest(unittest.TestCase):
