--- a/magpieshift/membership/admission.py
+++ b/magpieshift/membership/admission.py
@@ -9,7 +9,7 @@
 from magpieshift.membership.messages import Address, Datagram
 
 REPLAY_WINDOW = 64  # sequence numbers within which a sender's datagrams may be reordered (as in RFC 4303)
-RATE_PER_S = 200.0  # datagrams admitted from one address: a peer sends far fewer, a flood far more
+RATE_PER_S = 200.0  # datagrams per second admitted from one address; a peer sends far fewer, a flood far more
 BURST_DATAGRAMS = 400.0  # two seconds at that rate, which may arrive at once after a pause of this process
 MAX_EXTRA_ENTRIES = 1024  # entries kept in addition to those of members, before idle entries are dropped
 
@@ -45,7 +45,7 @@
         self._replay_windows: dict[
             tuple[str, tuple[int, int]], _ReplayWindow
         ] = {}  # by sender's name and generation
-        self._rate_budgets: dict[Address, tuple[float, int]] = {}  # tokens left, and when computed
+        self._rate_budgets: dict[Address, tuple[float, int]] = {}  # tokens left, and when they were computed
 
     def admits(self, now_us: int, source: Address, datagram: Datagram) -> bool:
         """Return whether to process a datagram; if so, records its sequence number."""
--- a/magpieshift/membership/codec.py
+++ b/magpieshift/membership/codec.py
@@ -28,7 +28,7 @@
 MAX_DATAGRAM_BYTES = 1400  # fits the Ethernet MTU of 1500 with headers: larger ones would be fragmented
 MAX_RECORDS = 64  # records accepted of each kind in one datagram, far more than a router sends
 MAX_QUOTA_PARTS = 16  # scopes accepted in one lease message; a router sends two
-RECORD_CACHE_SIZE = 64  # encoded records: a sender's own is encoded many times between two heartbeats
+RECORD_CACHE_SIZE = 64  # cached encoded records; a sender's own is needed many times between two heartbeats
 
 _WIRE_KINDS = {
     LeaseMessageKind.NONE: wire.Claim.NONE,
--- a/magpieshift/membership/dissemination.py
+++ b/magpieshift/membership/dissemination.py
@@ -13,7 +13,7 @@
 # Limits for one datagram, which keep it under 1,400 bytes so that it is not fragmented.
 MAX_MEMBERS_SENT = 8  # member records
 MAX_SUSPICIONS_SENT = 12  # suspicion reports
-MAX_UPDATES_EXAMINED = 32  # per datagram; bounds its cost when many queued updates are stale
+MAX_UPDATES_EXAMINED = 32  # queued updates per datagram; bounds the time spent when many are stale
 RETRANSMIT_MULTIPLIER = 3  # SWIM's lambda: an update is sent lambda * log2(members) times
 
 
--- a/magpieshift/membership/name_conflict.py
+++ b/magpieshift/membership/name_conflict.py
@@ -6,7 +6,7 @@
 from magpieshift.membership.member import Member
 from magpieshift.membership.member_table import MemberTable
 
-MAX_UNANSWERED_PINGS = 4  # sent one per round, after which the other process counts as dead
+MAX_UNANSWERED_PINGS = 4  # after which the other process counts as dead; one ping is sent per round
 
 
 class NameConflict:
--- a/magpieshift/membership/quota_lease.py
+++ b/magpieshift/membership/quota_lease.py
@@ -38,7 +38,7 @@
 RENEW_INTERVAL_US = 2_000_000  # between two requests for votes and for a lease
 MAX_CLOCK_DRIFT = 0.02  # relative, between two clocks during a lease; far above that of working clocks
 PEAK_COUNT_MEMORY_US = 600_000_000  # how long the largest number of members seen reduces the solo quota
-TERM_BITS = 62  # length of a random term, so that the terms of two leaders differ
+TERM_BITS = 62  # bits of a random term, enough that the terms of two leaders differ
 RANDOM_REQUEST_BITS = 16  # random low bits of a request id, so that it cannot be guessed
 
 OutgoingMessages = list[tuple[Address, LeaseMessage]]
--- a/magpieshift/relay/fanout.py
+++ b/magpieshift/relay/fanout.py
@@ -218,7 +218,7 @@
     def _require_stream(self, stream: int) -> FollowerStream:
         found = self._streams.get(stream)
         if found is None:
-            raise UnknownStreamError(f"stream {stream}")
+            raise UnknownStreamError(f"stream {stream} has not joined, has ended or was replaced")
         return found
 
     def _forget_stream(self, stream: int) -> None:
--- a/magpieshift/relay/follower.py
+++ b/magpieshift/relay/follower.py
@@ -67,7 +67,8 @@
         self._boot = boot
         # epoch and sequence number up to which instructions have been handed out
         self._handed_out = (NO_EPOCH, 0)
-        # on the present stream: number and time of the last progress sent, time of the last message received
+        # on the present stream: number and time of the last progress message sent, time of the last message
+        # received
         self._last_probe = 0
         self._last_sent_us: int | None = None
         self._last_heard_us = 0
@@ -76,7 +77,7 @@
         self._last_synced_to_us: int | None = None
         # when newer data or a newer proof of the source last came, or when the process was last catching up
         self._last_advance_us = 0
-        # batches with entries, and snapshots, received since the last progress
+        # batches with entries, and snapshots, received since the last progress message was sent
         self._unacknowledged_batches = 0
         # whether a proof was received on this stream; none comes before an acknowledgement
         self._has_proof = False
@@ -85,7 +86,7 @@
     # --- the present stream
 
     def connect(self, now_us: int) -> Join:
-        """Begin a new stream; returns its first message. A progress is due at once."""
+        """Begin a new stream; returns its first message. A progress message is due at once."""
         self.staleness.begin_stream()
         self._last_probe = 0
         self._last_sent_us = None
@@ -112,7 +113,7 @@
 
     def acknowledge_applied(self, epoch: Epoch, sequence: int) -> None:
         """Record that the instruction with this last sequence number was carried out, so that the next
-        progress acknowledges it. ``ValueError`` if the number was not handed out."""
+        progress message acknowledges it. ``ValueError`` if the number was not handed out."""
         if (epoch, sequence) > self._handed_out:
             raise ValueError(f"entry {sequence} of term {epoch.term} was not handed out")
         if (epoch, sequence) > (self.epoch, self.applied):
@@ -121,7 +122,7 @@
             self.staleness.record_applied(epoch, sequence)
 
     def next_progress_us(self) -> int:
-        """When the next progress is due; may be in the past."""
+        """When the next progress message is due; may be in the past."""
         if self._last_sent_us is None:
             return self._last_heard_us
         threshold = MAX_UNACKNOWLEDGED_BATCHES // 2 if self._has_proof else 1
@@ -129,7 +130,7 @@
         return self._last_sent_us + (MIN_ACKNOWLEDGE_INTERVAL_US if must_hurry else PROBE_INTERVAL_US)
 
     def progress(self, now_us: int, report: DownstreamReport | None = None) -> Progress | None:
-        """The progress to send now; None if it is not due. A relay passes its current report."""
+        """The progress message to send now; None if it is not due. A relay passes its current report."""
         if self._lease_released or now_us < self.next_progress_us():
             return None
         return self._make_progress(now_us, report)
--- a/magpieshift/rollout/canary_analysis.py
+++ b/magpieshift/rollout/canary_analysis.py
@@ -122,7 +122,7 @@
         """Add a round to the differences of success rates, for each zone and request class."""
         requests_old = 0
         served_old = 0
-        for zone in sorted({zone for zone, _ in deltas}):  # sums of floats depend on the order
+        for zone in sorted({zone for zone, _ in deltas}):  # in a fixed order, on which float sums depend
             new_deltas = deltas.get((zone, self._new), ())
             old_deltas = deltas.get((zone, self._old), ())
             classes = {name for delta in (*new_deltas, *old_deltas) for name in delta.classes}
--- a/magpieshift/rollout/coordinator.py
+++ b/magpieshift/rollout/coordinator.py
@@ -87,7 +87,8 @@
         instructions: list[Instruction] = [RecordDecision(started), BeginStage(self.stage.name)]
         unfinished = self.state.unfinished_step
         if unfinished is not None:
-            # its outcome is unknown: the router is observed, and a new step is started if needed
+            # The outcome is unknown, so the step is recorded as failed. If the router is then observed not to
+            # run its target label, a new step is started.
             failed = StepFailed(unfinished.step, unfinished.router, unfinished.label, "broken off", self.term)
             instructions.append(RecordDecision(failed))
             self.state.unfinished_step = None
@@ -284,7 +285,7 @@
         if verdict is Verdict.NO_WORSE or (is_last and verdict is Verdict.UNDECIDED):
             return self._pass_stage(stage, reason)
         if self._baked_us >= stage.max_bake_s * 1e6:
-            # neither worse nor no worse has been shown: an operator has to decide
+            # the verdict is still open at the maximum bake time: an operator has to decide
             return self._change_phase(
                 RolloutPhase.HELD, f"stage {stage.name}: not known in {stage.max_bake_s:g} s: {reason}"
             )
--- a/magpieshift/rollout/executor.py
+++ b/magpieshift/rollout/executor.py
@@ -128,7 +128,7 @@
         """The highest term reported by a majority of the plan's routers. A term is in force once a majority
         holds it, and two majorities overlap, so this is at least the term in force. Raises
         ``TermUnknownError`` if fewer than a majority report their term."""
-        answers = await self._ask_all_routers("TERM")
+        answers = await self._send_to_all_routers("TERM")
         terms = {
             name: max(int(answer.text) for answer in reported)
             for name, all_answers in answers.items()
@@ -146,7 +146,7 @@
         the older of two concurrent coordinators is rejected by at least one router. Raises
         ``TermSupersededError`` if a router knows a later term, ``StepFailedError`` if fewer than a majority
         accept."""
-        answers = await self._ask_all_routers(f"AS {self._term} PING")
+        answers = await self._send_to_all_routers(f"AS {self._term} PING")
         accepted = sum(any(answer.succeeded for answer in each) for each in answers.values())
         if not self._is_majority(accepted):
             raise StepFailedError(
@@ -157,24 +157,24 @@
     def _is_majority(self, count: int) -> bool:
         return 2 * count > len(self._plan.routers)
 
-    async def _ask_all_routers(self, command: str) -> dict[str, list[AdminAnswer]]:
-        """Send a command to all admin addresses; the answers by router."""
+    async def _send_to_all_routers(self, command: str) -> dict[str, list[AdminAnswer]]:
+        """Send a command to all admin addresses; returns the answers by router."""
 
-        async def ask_router(router: RouterPlace) -> list[AdminAnswer]:
-            return await asyncio.gather(*(self._ask(server, command) for server in router.admin_addresses))
+        async def send_to_router(router: RouterPlace) -> list[AdminAnswer]:
+            return await asyncio.gather(*(self._send(server, command) for server in router.admin_addresses))
 
         routers = self._plan.routers
-        answers = await asyncio.gather(*(ask_router(router) for router in routers.values()))
+        answers = await asyncio.gather(*(send_to_router(router) for router in routers.values()))
         return dict(zip(routers, answers, strict=True))
 
-    async def _ask_in_term(self, server: Address, command: str) -> AdminAnswer:
-        """Send a command under this term; the answer."""
-        return await self._ask(server, f"AS {self._term} {command}")
+    async def _send_in_term(self, server: Address, command: str) -> AdminAnswer:
+        """Send a command under this term; returns the answer."""
+        return await self._send(server, f"AS {self._term} {command}")
 
     @staticmethod
-    async def _ask(server: Address, command: str) -> AdminAnswer:
-        """Send a command; the answer. A rejection is logged. Raises ``TermSupersededError`` if the router
-        knows a later term."""
+    async def _send(server: Address, command: str) -> AdminAnswer:
+        """Send a command; returns the answer. A rejection is logged. Raises ``TermSupersededError`` if the
+        router knows a later term."""
         answer = await send_admin_command(server, command)
         if answer.refused:
             where = "{}:{}".format(*server)
@@ -223,7 +223,7 @@
             for server, counters in (await self.read_processes(router)).items():
                 # end a process that was started but does not serve, so that it does not start serving later
                 if counters.label == label:
-                    answer = await self._ask_in_term(server, "END")
+                    answer = await self._send_in_term(server, "END")
                     failure += "" if answer.succeeded else f", and its end was not taken ({answer})"
             raise StepFailedError(failure) from None
 
@@ -237,7 +237,7 @@
         timeout_s = self._plan.step_timeout_s
         try:
             async with asyncio.timeout(timeout_s):
-                while not (answer := await self._ask_in_term(server, "END")).is_address_free:
+                while not (answer := await self._send_in_term(server, "END")).is_address_free:
                     if answer.refused:
                         raise StepFailedError(f"the process before refused to end: {answer.text}")
                     await asyncio.sleep(POLL_INTERVAL_S)
--- a/magpieshift/rollout/journal.py
+++ b/magpieshift/rollout/journal.py
@@ -47,7 +47,7 @@
     """
     if not data.startswith(JOURNAL_HEADER):
         if JOURNAL_HEADER.startswith(data):
-            return [], 0  # torn off when the file was created
+            return [], 0  # a crash interrupted the creation of the file
         raise JournalError(f"{JOURNAL_FILE} begins with {data[:12]!r}, expected {JOURNAL_HEADER!r}")
     rows: list[dict[str, Any]] = []
     end = len(JOURNAL_HEADER)
--- a/magpieshift/rollout/plan.py
+++ b/magpieshift/rollout/plan.py
@@ -11,7 +11,7 @@
 
 
 class OnFailure(Enum):
-    """What happens when the new side is worse or a step keeps failing; the value is the plan file's word."""
+    """What happens when the new side is worse or a step keeps failing; the value is written in plan files."""
 
     ROLL_BACK = "back"
     HOLD = "hold"
