--- a/magpieshift/relay/change_log_reader.py
+++ b/magpieshift/relay/change_log_reader.py
@@ -32,7 +32,7 @@
 SMALL_KEY_LENGTH = 64
 """Key length in characters up to which a purge fits a message for certain, so that its size is not
 checked."""
-RECENT_US = 1_000_000
+HISTORY_END_TOLERANCE_US = 1_000_000
 """A purge that was issued at most this long before the change log's first answer, or later, marks the end of
 the log's history."""
 
@@ -151,7 +151,7 @@
         now_unix_us = clock.source.unix_us()
         if self.history_read:
             self._delays.record(now_unix_us - issued_us, clock.source.steady_us())
-        elif self._answered_us is not None and issued_us >= self._answered_us - RECENT_US:
+        elif self._answered_us is not None and issued_us >= self._answered_us - HISTORY_END_TOLERANCE_US:
             self._mark_history_read()
 
     def _append_entry(self, entry: Entry) -> None:
--- a/magpieshift/relay/encoding.py
+++ b/magpieshift/relay/encoding.py
@@ -141,9 +141,9 @@
     """Encode purges of one kind. Their times are milliseconds before ``base_ms``, or microseconds if one of
     them is not a whole millisecond."""
     before_us = [base_ms * US_PER_MS - purge.issued_us for purge in purges]
-    micro = any(time_us % US_PER_MS for time_us in before_us)
-    before = before_us if micro else [time_us // US_PER_MS for time_us in before_us]
-    message = wire.Purges(micro=micro, before=before)
+    in_microseconds = any(time_us % US_PER_MS for time_us in before_us)
+    before = before_us if in_microseconds else [time_us // US_PER_MS for time_us in before_us]
+    message = wire.Purges(micro=in_microseconds, before=before)
     match _run_kind(purges[0]):
         case _RunKind.OBJECT_PURGES:
             message.objects.extend(int(purge.key, 16) for purge in purges)
--- a/magpieshift/relay/follower.py
+++ b/magpieshift/relay/follower.py
@@ -126,8 +126,10 @@
         if self._last_sent_us is None:
             return self._last_heard_us
         threshold = MAX_UNACKNOWLEDGED_BATCHES // 2 if self._has_proof else 1
-        must_hurry = self._unacknowledged_batches >= threshold
-        return self._last_sent_us + (MIN_ACKNOWLEDGE_INTERVAL_US if must_hurry else PROBE_INTERVAL_US)
+        is_acknowledgement_urgent = self._unacknowledged_batches >= threshold
+        return self._last_sent_us + (
+            MIN_ACKNOWLEDGE_INTERVAL_US if is_acknowledgement_urgent else PROBE_INTERVAL_US
+        )
 
     def progress(self, now_us: int, report: DownstreamReport | None = None) -> Progress | None:
         """The progress message to send now; None if it is not due. A relay passes its current report."""
--- a/magpieshift/relay/staleness_bound.py
+++ b/magpieshift/relay/staleness_bound.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Pending:
+class _PendingProof:
     """A proof that takes effect once everything up to ``head`` of its epoch has been applied."""
 
     epoch: Epoch
@@ -51,7 +51,7 @@
         self._epoch_synced_to_us: int | None = None
         # time at which each probe of this stream was sent, by number
         self._probes: dict[int, int] = {}
-        self._pending: deque[_Pending] = deque(maxlen=MAX_PROBES)
+        self._pending: deque[_PendingProof] = deque(maxlen=MAX_PROBES)
         self._released = False
 
     # --- events
@@ -78,7 +78,7 @@
             return
         current_to_us = sent_us - proof.age_us
         synced_to_us = current_to_us + proof.source_age_us
-        self._pending.append(_Pending(epoch, proof.head, current_to_us, synced_to_us))
+        self._pending.append(_PendingProof(epoch, proof.head, current_to_us, synced_to_us))
         self._apply_pending_proofs()
 
     def record_applied(self, epoch: Epoch, sequence: int) -> None:
@@ -165,6 +165,6 @@
     return other_us if known_us is None else max(known_us, other_us)
 
 
-def _age_us(moment_us: int | None, now_us: int) -> int | None:
+def _age_us(time_us: int | None, now_us: int) -> int | None:
     """The longest real time that may have passed since a time of this clock; None if that is None."""
-    return None if moment_us is None else max_elapsed_us(max(0, now_us - moment_us))
+    return None if time_us is None else max_elapsed_us(max(0, now_us - time_us))
