--- a/tests/relay/driver_fixtures.py
+++ b/tests/relay/driver_fixtures.py
@@ -144,7 +144,7 @@
         """Start a source; returns once it serves and has read the change log's history."""
         node = SourceNode(self.source_options("127.0.0.1:0", versions))
         port = await self.node(node)
-        await self.until(
+        await self.wait_until(
             lambda: node.age_us(clock.source.steady_us()) is not None, "the source has read the change log"
         )
         return node, port
@@ -175,19 +175,19 @@
     async def wait_for_leases(self, *routers: Router) -> None:
         """Wait until each router holds a lease."""
         for router in routers:
-            await self.until(lambda router=router: router.holds_lease, "a lease")  # type: ignore[misc]
+            await self.wait_until(lambda router=router: router.holds_lease, "a lease")  # type: ignore[misc]
 
     async def wait_for_purges(self, *routers: Router) -> None:
         """Wait until each router has applied all purges."""
         for router in routers:
-            await self.until(
+            await self.wait_until(
                 lambda router=router: self.keys[-1] in router.purged,  # type: ignore[misc]
                 f"{router.name} applies all purges",
             )
 
-    async def until(self, true: Callable[[], bool], what: str) -> None:
+    async def wait_until(self, condition: Callable[[], bool], description: str) -> None:
         """Wait until a condition is true; fails after ``PATIENCE_S``."""
         end = time.monotonic() + PATIENCE_S
-        while not true():
-            self.assertLess(time.monotonic(), end, f"not within {PATIENCE_S} s: {what}")
+        while not condition():
+            self.assertLess(time.monotonic(), end, f"not within {PATIENCE_S} s: {description}")
             await asyncio.sleep(0.01)
--- a/tests/relay/test_drivers.py
+++ b/tests/relay/test_drivers.py
@@ -87,7 +87,7 @@
         cache = first.service._messages
         counters = first.service.counters
         self.assertGreaterEqual(counters.batches, 2 * cache.serialized_count - 3)
-        await self.until(
+        await self.wait_until(
             lambda: source.report().followers_count == 5, "the relays have reported their followers"
         )
         self.assertEqual([each.name for each in source.report().followers], ["a", "b"])
@@ -133,7 +133,7 @@
         stream = await self.stream(source, "stuck")
 
         self.large_change()
-        await self.until(lambda: stream.writing, "a write is blocked")
+        await self.wait_until(lambda: stream.writing, "a write is blocked")
         for _ in range(5):
             await blocked.probe()
             self.large_change()
@@ -143,7 +143,7 @@
         self.assertTrue(stream.writing)
 
         # the follower sends nothing more: its stream is ended although a write is in flight
-        await self.until(lambda: stream not in source.service._streams.values(), "the stream is gone")
+        await self.wait_until(lambda: stream not in source.service._streams.values(), "the stream is gone")
         self.assertEqual(source.service.counters.silent_streams, 1)
         self.purge(3)
         await self.wait_for_purges(router)
@@ -154,7 +154,7 @@
 
     async def stream(self, source: SourceNode, name: str) -> StreamDriver:
         streams = source.service._streams
-        await self.until(lambda: any(s.name == name for s in streams.values()), f"{name} joins")
+        await self.wait_until(lambda: any(s.name == name for s in streams.values()), f"{name} joins")
         return next(s for s in streams.values() if s.name == name)
 
     async def test_a_slow_follower_receives_everything_once_it_reads(self) -> None:
@@ -166,7 +166,7 @@
         epoch = source.log.epoch
         await slow.probe()
         self.large_change()
-        await self.until(lambda: stream.writing, "a write is blocked")
+        await self.wait_until(lambda: stream.writing, "a write is blocked")
         for _ in range(20):
             self.large_change()
             self.purge(3)
@@ -197,7 +197,7 @@
         await self.wait_for_purges(router)
         wire.to_follower = wire.to_node = False
         missed = self.purge(60)
-        await self.until(
+        await self.wait_until(
             lambda: relay.follower.applied == source.log.head == 65, "the relay has applied all entries"
         )
         wire.to_follower = wire.to_node = True
@@ -217,9 +217,9 @@
         wire.to_node = False
         self.purge(5)
         head = 5
-        await self.until(lambda: source.log.head == head, "the purges are in the source's log")
-        await self.until(lambda: other.follower.applied == head, "the connected router has applied them")
-        await self.until(
+        await self.wait_until(lambda: source.log.head == head, "the purges are in the source's log")
+        await self.wait_until(lambda: other.follower.applied == head, "the connected router has applied them")
+        await self.wait_until(
             lambda: source.fanout.watermark(clock.source.steady_us()) == head,
             "the watermark reaches the head",
         )
@@ -236,11 +236,11 @@
         await self.wait_for_purges(router)
         before = router.follower.epoch
         first.stop()
-        await self.until(lambda: not first.service._streams, "the first source has ended all streams")
+        await self.wait_until(lambda: not first.service._streams, "the first source has ended all streams")
         self.purge(5)
         second = SourceNode(self.source_options(f"127.0.0.1:{port}"))
         await self.node(second)
-        await self.until(
+        await self.wait_until(
             lambda: router.follower.epoch == second.log.epoch, "the router follows the new epoch"
         )
         self.assertGreater(router.follower.epoch, before)
@@ -288,19 +288,19 @@
         better = RelayNode(options, random.Random(1))
         later_releases = RecordingFanout(better)
         await self.node(better)
-        await self.until(
+        await self.wait_until(
             lambda: router.client.relay == loopback_address(better_port),
             "the router returns to the better relay",
         )
-        await self.until(lambda: bool(better.service.counters.joins), "the better relay counts a join")
+        await self.wait_until(lambda: bool(better.service.counters.joins), "the better relay counts a join")
 
-        await self.until(lambda: releases.released, "the router releases its lease at the other relay")
+        await self.wait_until(lambda: releases.released, "the router releases its lease at the other relay")
         self.assertTrue(router.holds_lease)
         self.purge(5)
         await self.wait_for_purges(router)
         self.assertEqual(router.purged, self.keys)
         await router.client.stop()
-        await self.until(lambda: later_releases.released, "the router releases its lease when it stops")
+        await self.wait_until(lambda: later_releases.released, "the router releases its lease when it stops")
 
 
 class RecordingFanout:
@@ -366,7 +366,7 @@
         router.follower.rejection_reason = "x" * (4 << 20)
         router.client.start()
         self.addAsyncCleanup(router.client.stop)
-        await self.until(
+        await self.wait_until(
             lambda: router.follower.next_progress_us() > clock.source.steady_us(),
             "an acknowledgement is being written",
         )
@@ -467,7 +467,7 @@
             await self.wait_for_leases(*routers)
             self.publish(folder, 2, {"a": {"b": 2}, "c": [1, 2]})
             for router in routers:
-                await self.until(lambda router=router: bool(router.entries), "a version arrives")  # type: ignore[misc]
+                await self.wait_until(lambda router=router: bool(router.entries), "a version arrives")  # type: ignore[misc]
         for router in routers:
             full = router.snapshots[0].configuration
             assert full is not None
@@ -479,7 +479,7 @@
 
         # a router that could not apply the delta requests the complete version
         routers[0].follower.wants_full = True
-        await self.until(lambda: bool(routers[0].full_versions), "the complete version")
+        await self.wait_until(lambda: bool(routers[0].full_versions), "the complete version")
         found = routers[0].full_versions[0]
         data = sexp.parse(found.content.decode()).data
         self.assertEqual((found.number, found.digest, data["a"]), (2, document_digest(data), {"b": 2}))
@@ -501,20 +501,20 @@
         def age_us() -> int | None:
             return source.age_us(clock.source.steady_us())
 
-        await self.until(lambda: age_us() is not None, "the change log's history is read")
+        await self.wait_until(lambda: age_us() is not None, "the change log's history is read")
         cut_us = clock.source.steady_us()
         wire.to_follower = False
-        await self.until(lambda: (age_us() or 0) > 3_000_000, "the source's age grows")
+        await self.wait_until(lambda: (age_us() or 0) > 3_000_000, "the source's age grows")
         # the age covers the whole time since the cut, although the source tries to reconnect
         self.assertGreaterEqual(age_us() or 0, clock.source.steady_us() - cut_us)
         wire.to_follower = True
-        await self.until(lambda: (age_us() or 1 << 60) < 2_000_000, "the source is current again")
+        await self.wait_until(lambda: (age_us() or 1 << 60) < 2_000_000, "the source is current again")
 
     async def test_a_delayed_event_raises_the_age_of_the_source(self) -> None:
         source, _ = await self.source()
         late_ms = int(time.time() * 1000) - 60_000
         self.changes.publish(invalidate={"object": "0" * 15 + "1", "time": late_ms})
-        await self.until(lambda: source.log.head == 1, "the purge")
+        await self.wait_until(lambda: source.log.head == 1, "the purge")
         self.assertGreaterEqual(source.age_us(clock.source.steady_us()) or 0, 60_000_000)
 
     def test_delays_expire_with_their_window(self) -> None:
@@ -540,7 +540,7 @@
             for event in bad:
                 self.changes.publish(**event)
             self.purge(1)
-            await self.until(lambda: source.log.head >= 1, "the purge")
+            await self.wait_until(lambda: source.log.head >= 1, "the purge")
         self.assertEqual(len(logged.records), len(bad))
         self.assertEqual(source.log.head, 1)
 
--- a/tests/relay/test_encoding.py
+++ b/tests/relay/test_encoding.py
@@ -110,17 +110,26 @@
         """27 purges are a quarter of a second at 110 a second; they were issued up to half a second
         before."""
         now_us = 1_790_000_000_000_000
-        made = [Purge(f"{(1 << 63) + 77 * n:016x}", 0, now_us - 500_000 + n * 9_000 * 2) for n in range(27)]
+        recent_purges = [
+            Purge(f"{(1 << 63) + 77 * n:016x}", 0, now_us - 500_000 + n * 9_000 * 2) for n in range(27)
+        ]
         proof = FreshnessProof(1 << 20, 8_000_000, 1 << 34, 1 << 34, 2_000_000)
-        data = encoding.encode_downstream(Batch(Epoch(now_us // 1000, 1 << 63), 1 << 34, tuple(made), proof))
-        self.assertLessEqual(len(data) / len(made), 16)
+        data = encoding.encode_downstream(
+            Batch(Epoch(now_us // 1000, 1 << 63), 1 << 34, tuple(recent_purges), proof)
+        )
+        self.assertLessEqual(len(data) / len(recent_purges), 16)
 
     def test_a_group_and_an_unusual_key_do_not_enlarge_the_encoding_of_other_purges(self) -> None:
-        plain = [Purge(f"{n:016x}", 0, 5_000_000) for n in range(100)]
-        mixed = [*plain[:50], Purge("", 7, 5_000_000), Purge("ABC", 0, 5_000_000), *plain[50:]]
+        object_purges = [Purge(f"{n:016x}", 0, 5_000_000) for n in range(100)]
+        mixed_purges = [
+            *object_purges[:50],
+            Purge("", 7, 5_000_000),
+            Purge("ABC", 0, 5_000_000),
+            *object_purges[50:],
+        ]
         sizes = [
             len(encoding.encode_downstream(Batch(Epoch(1, 1), 1, tuple(each), None)))
-            for each in (plain, mixed)
+            for each in (object_purges, mixed_purges)
         ]
         self.assertLess(sizes[1] - sizes[0], 60)
 
@@ -131,9 +140,9 @@
         self, message: Batch | Snapshot, data: st.DataObject
     ) -> None:
         complete = encoding.encode_downstream(message)
-        cut = complete[: data.draw(st.integers(0, len(complete) - 1))]
+        truncated = complete[: data.draw(st.integers(0, len(complete) - 1))]
         try:
-            found = decoding.decode_downstream(cut)
+            found = decoding.decode_downstream(truncated)
         except MalformedMessageError as err:
             self.assertTrue(err.place and err.found and err.expected)
         else:
@@ -143,10 +152,10 @@
             )
 
     @given(st.binary(max_size=200))
-    def test_random_bytes_are_decoded_or_rejected_as_malformed(self, noise: bytes) -> None:
-        for read in (decoding.decode_downstream, decoding.decode_upstream):
+    def test_random_bytes_are_decoded_or_rejected_as_malformed(self, data: bytes) -> None:
+        for decode in (decoding.decode_downstream, decoding.decode_upstream):
             try:
-                read(noise)
+                decode(data)
             except MalformedMessageError as err:
                 self.assertNotIn("\n", str(err))
 
@@ -156,12 +165,12 @@
 
         batch = Batch(Epoch(1, 1), 1, (EndpointListChange("x" * MAX_MESSAGE_BYTES),), None)
         self.assertIsInstance(decoding.decode_downstream(snapshot(MAX_MESSAGE_BYTES)), Snapshot)
-        for data, place, most in (
+        for data, place, max_bytes in (
             (encoding.encode_downstream(batch), "batch", MAX_MESSAGE_BYTES),
             (snapshot(MAX_SNAPSHOT_BYTES), "message", MAX_SNAPSHOT_BYTES),
         ):
             err = decoding_error(data)
-            self.assertEqual((err.place, err.expected), (place, f"at most {most}"))
+            self.assertEqual((err.place, err.expected), (place, f"at most {max_bytes}"))
 
     def test_malformed_messages_are_reported_with_their_place(self) -> None:
         for data, place in (
@@ -190,13 +199,13 @@
 
     def test_malformed_messages_from_followers_are_rejected(self) -> None:
         hello = bytes(wire.FromRouter(hello=wire.Hello(router="r")).SerializeToString())
-        nameless = encoding.encode_upstream(Join("", "", NO_EPOCH, 0, ""))
-        long = encoding.encode_upstream(Join("n" * (decoding.MAX_NAME_LENGTH + 1), "", NO_EPOCH, 0, ""))
+        empty_name = encoding.encode_upstream(Join("", "", NO_EPOCH, 0, ""))
+        long_name = encoding.encode_upstream(Join("n" * (decoding.MAX_NAME_LENGTH + 1), "", NO_EPOCH, 0, ""))
         for data, found in (
             (hello, "hello"),
             (b"", "nothing"),
-            (nameless, "0 characters"),
-            (long, "257 characters"),
+            (empty_name, "0 characters"),
+            (long_name, "257 characters"),
         ):
             with self.assertRaises(MalformedMessageError) as caught:
                 decoding.decode_upstream(data)
--- a/tests/relay/test_exploration.py
+++ b/tests/relay/test_exploration.py
@@ -19,7 +19,7 @@
 from magpieshift.lab.simulated.fanout_tier_state import EventBudget, TierState
 
 MIN_STATES = 60_000
-QUIET = EventBudget(ticks=0, purges=0, disconnects=0)
+NO_EVENTS = EventBudget(ticks=0, purges=0, disconnects=0)
 Step = Callable[[MutableTier], None]
 
 
@@ -47,45 +47,54 @@
 def relay_resumes(explorer: Explorer) -> TierState:
     """``R1``, which has no follower that its watermark waits for, is paused. Meanwhile two batches arrive for
     it, and a restarted ``E1`` sends it probes before and after applying its snapshot."""
-    joins: list[Step] = [
+    join_steps: list[Step] = [
         partial(MutableTier.crash, name="E1"),
         *[MutableTier.run_round] * 16,
         connect("E1", "R1"),
     ]
-    joins += [
+    join_steps += [
         partial(MutableTier.deliver_to_server, follower="E1"),
         partial(MutableTier.acknowledge, follower="E1"),
     ]
-    snapshot: list[Step] = [
+    snapshot_steps: list[Step] = [
         partial(MutableTier.send, follower="E1"),
         partial(MutableTier.deliver_to_follower, follower="E1"),
     ]
-    snapshot += [
+    snapshot_steps += [
         partial(MutableTier.apply, router="E1"),
         round_without("R1"),
         partial(MutableTier.acknowledge, follower="E1"),
     ]
-    one_more: list[Step] = [
+    one_more_purge: list[Step] = [
         MutableTier.accept_purge,
         MutableTier.read_change_log,
         partial(MutableTier.send, follower="R1"),
         round_without("R1"),
     ]
     return explorer.after(
-        explorer.started(QUIET),
-        [*joins, *snapshot, *one_more, *one_more, round_without("R1"), round_without("R1")],
+        explorer.started(NO_EVENTS),
+        [
+            *join_steps,
+            *snapshot_steps,
+            *one_more_purge,
+            *one_more_purge,
+            round_without("R1"),
+            round_without("R1"),
+        ],
     )
 
 
 def router_behind(explorer: Explorer) -> TierState:
     """``E1`` has been disconnected for longer than its lease. Meanwhile two purges were applied everywhere
     else."""
-    away: list[Step] = [
+    disconnect_steps: list[Step] = [
         partial(MutableTier.disconnect, follower="E1"),
         partial(MutableTier.deliver_abandoned, follower="E1"),
     ]
     purges: list[Step] = [MutableTier.accept_purge, MutableTier.read_change_log, MutableTier.accept_purge]
-    return explorer.after(explorer.started(QUIET), [*away, *purges, *[MutableTier.run_round] * 20])
+    return explorer.after(
+        explorer.started(NO_EVENTS), [*disconnect_steps, *purges, *[MutableTier.run_round] * 20]
+    )
 
 
 def router_reconnected(explorer: Explorer) -> TierState:
@@ -98,12 +107,12 @@
 
 def router_ahead(explorer: Explorer) -> TierState:
     """``E1`` has an entry from ``R1`` that ``R2`` has not received, and has lost its stream."""
-    ahead: list[Step] = [
+    steps: list[Step] = [
         MutableTier.accept_purge,
         *[round_without("R2")] * 3,
         partial(MutableTier.disconnect, follower="E1"),
     ]
-    return explorer.after(explorer.started(QUIET), ahead)
+    return explorer.after(explorer.started(NO_EVENTS), steps)
 
 
 SCENARIOS = (
@@ -135,7 +144,7 @@
     return explorer.explore(scenario.start(explorer), scenario.depth, scenario.moves)
 
 
-class Explored(unittest.TestCase):
+class FanoutExploration(unittest.TestCase):
     def test_no_state_breaks_a_rule(self) -> None:
         states, explorer = 0, Explorer()
         for scenario in SCENARIOS:
--- a/tests/relay/test_processes.py
+++ b/tests/relay/test_processes.py
@@ -34,8 +34,8 @@
 class RecordingCache(peers.StubEndpoint):
     """A cache that records the time, key and copy age limit of each request."""
 
-    def __init__(self, ident: str, watch: peers.OverlapDetector) -> None:
-        super().__init__(ident, watch, is_origin=True)
+    def __init__(self, ident: str, overlaps: peers.OverlapDetector) -> None:
+        super().__init__(ident, overlaps, is_origin=True)
         self.requests: list[tuple[float, str, int | None]] = []  # Unix time, key, copy age limit in ms
 
     async def _answer(
@@ -100,12 +100,12 @@
         self.versions.mkdir()
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.addAsyncCleanup(self.kill_all)
-        self.world = LoopbackInstallation()
-        self.cache = RecordingCache("s-cache", self.world.overlaps)
-        self.world.cache = self.cache
-        await self.world.start()
-        self.addCleanup(self.world.stop)
-        self.ports = {name: free_port() for name in ("source", "a", "b", "door")}
+        self.installation = LoopbackInstallation()
+        self.cache = RecordingCache("s-cache", self.installation.overlaps)
+        self.installation.cache = self.cache
+        await self.installation.start()
+        self.addCleanup(self.installation.stop)
+        self.ports = {name: free_port() for name in ("source", "a", "b", "admin")}
         self.clients: list[RouterClient] = []
         self.published_versions = 0  # number of versions
         self.purged_at: dict[str, float] = {}  # Unix time of the purge by key
@@ -128,11 +128,11 @@
         return (self.folder / f"{name}.log").read_text()
 
     async def ready(self, name: str) -> None:
-        await self.until(lambda: " event=ready " in self.log_of(name), f"{name} is ready")
+        await self.wait_until(lambda: " event=ready " in self.log_of(name), f"{name} is ready")
 
     async def start_all(self) -> None:
         addresses = {name: f"127.0.0.1:{port}" for name, port in self.ports.items()}
-        changelog = f"127.0.0.1:{self.world.change_log.port}"
+        changelog = f"127.0.0.1:{self.installation.change_log.port}"
         await self.start(
             "source",
             "relay",
@@ -158,7 +158,7 @@
                 "--region",
                 "north",
             )
-        settings = self.world.write_settings(self.folder)
+        settings = self.installation.write_settings(self.folder)
         await self.start(
             "router",
             "run",
@@ -169,27 +169,27 @@
             "--region",
             "north",
             "--console",
-            addresses["door"],
+            addresses["admin"],
         )
         for name in ("source", "a", "b", "router"):
             await self.ready(name)
 
-    async def until(self, true: Callable[[], bool | Awaitable[bool]], what: str) -> None:
+    async def wait_until(self, condition: Callable[[], bool | Awaitable[bool]], description: str) -> None:
         end = time.monotonic() + PATIENCE_S
         while True:
-            found = true()
+            found = condition()
             if found if isinstance(found, bool) else await found:
                 return
             for name, process in self.processes.items():
                 expected = process.returncode in (None, -signal.SIGKILL)
                 self.assertTrue(expected, f"{name}: {self.log_of(name)[-2000:]}")
             logs = "\n".join(f"{name}: {self.log_of(name)[-600:]}" for name in self.processes)
-            self.assertLess(time.monotonic(), end, f"not within {PATIENCE_S} s: {what}\n{logs}")
+            self.assertLess(time.monotonic(), end, f"not within {PATIENCE_S} s: {description}\n{logs}")
             await asyncio.sleep(0.02)
 
     async def relay_status(self) -> dict[str, Any]:
         """The router's relay status, from its admin server."""
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.ports["door"])
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.ports["admin"])
         writer.write(b"RELAY\n")
         line = (await reader.readline()).decode()
         writer.close()
@@ -218,7 +218,7 @@
     def purge(self, count: int = 1) -> None:
         for _ in range(count):
             key, now = f"{len(self.purged_at) + 1:016x}", time.time()
-            self.world.change_log.publish(invalidate={"object": key, "time": int(now * 1000)})
+            self.installation.change_log.publish(invalidate={"object": key, "time": int(now * 1000)})
             self.purged_at[key] = now
 
     async def has_applied_all(self) -> bool:
@@ -235,36 +235,36 @@
         self.processes[name].send_signal(number)
 
     def client(self) -> RouterClient:
-        client = RouterClient(self.world.router_port)
+        client = RouterClient(self.installation.router_port)
         self.clients.append(client)
         return client
 
     async def copy_age_limit_ms(self, key: str) -> int | None:
         """The copy age limit in ms with which the router requests this object now; None for no limit."""
-        client, known = self.client(), len(self.cache.requests)
+        client, earlier_count = self.client(), len(self.cache.requests)
 
         async def requested() -> bool:
             if client.idle:  # no request in flight: the last one was rejected, or this is the first
                 await client.request(key)
-            return any(k == key for _, k, _ in self.cache.requests[known:])
+            return any(k == key for _, k, _ in self.cache.requests[earlier_count:])
 
-        await self.until(requested, "a request at the cache")
-        return next(bound for _, k, bound in self.cache.requests[known:] if k == key)
+        await self.wait_until(requested, "a request at the cache")
+        return next(bound for _, k, bound in self.cache.requests[earlier_count:] if k == key)
 
     def check_requests(self, requests: list[tuple[float, str, int | None]]) -> None:
         """Check that no copy from before a purge of its object is accepted."""
-        for at, key, bound in requests:
-            made = self.purged_at[key]
+        for requested_s, key, bound in requests:
+            purged_s = self.purged_at[key]
             assert bound is not None, (
-                f"{key}: requested without a copy age limit, {at - made} s after its purge"
+                f"{key}: requested without a copy age limit, {requested_s - purged_s} s after its purge"
             )
-            self.assertGreaterEqual(at - bound / 1000, made - 0.002)
+            self.assertGreaterEqual(requested_s - bound / 1000, purged_s - 0.002)
 
     async def test_versions_and_purges_while_relays_and_router_are_paused_and_killed(self) -> None:
         await self.start_all()
-        await self.until(self.leased, "a lease")
+        await self.wait_until(self.leased, "a lease")
         self.purge(5)
-        await self.until(self.has_applied_all, "all purges")
+        await self.wait_until(self.has_applied_all, "all purges")
         self.assertTrue(await self.no_follower_lags(), "no follower lags before the first version")
         await self.copy_age_limit_ms("0000000000000001")
         self.check_requests(self.cache.requests)
@@ -279,27 +279,27 @@
             while time.monotonic() < end:
                 self.purge()
                 await asyncio.sleep(0.1)
-            await self.until(self.has_applied_all, "all purges, from the other relay")
+            await self.wait_until(self.has_applied_all, "all purges, from the other relay")
             second = await self.followed_relay()
             self.assertNotEqual(first, second)
             await self.copy_age_limit_ms(max(self.purged_at))
             self.send_signal(first, signal.SIGCONT)
             self.purge(5)
-            await self.until(self.has_applied_all, "all purges")
+            await self.wait_until(self.has_applied_all, "all purges")
             await self.copy_age_limit_ms(max(self.purged_at))
             self.check_requests(self.cache.requests)
 
         with self.subTest("the followed relay is killed"):
             self.send_signal(second, signal.SIGKILL)
             self.purge(5)
-            await self.until(self.has_applied_all, "all purges, from the first relay again")
+            await self.wait_until(self.has_applied_all, "all purges, from the first relay again")
             self.assertEqual(await self.followed_relay(), first)
             await self.copy_age_limit_ms(max(self.purged_at))
             self.check_requests(self.cache.requests)
-            await self.until(lambda: self.watermark_at_head(), "the source's watermark reaches the head")
+            await self.wait_until(lambda: self.watermark_at_head(), "the source's watermark reaches the head")
 
         with self.subTest("the router is paused beyond its lease, with requests in flight"):
-            await self.until(self.leased, "a lease")
+            await self.wait_until(self.leased, "a lease")
             self.cache.requests.clear()
             client = self.client()
             for _ in range(20):
@@ -311,7 +311,7 @@
             # the followed relay is paused too, so that the router gets no proof when it resumes
             self.send_signal(first, signal.SIGSTOP)
             now_ms = int(paused * 1000)
-            self.world.change_log.publish(invalidate={"object": "00000000000000aa", "time": now_ms})
+            self.installation.change_log.publish(invalidate={"object": "00000000000000aa", "time": now_ms})
             await asyncio.sleep(LEASE_S + 0.5)
             await client.request("00000000000000aa")
             self.send_signal("router", signal.SIGCONT)
@@ -322,17 +322,17 @@
                 flight times out and the silent cache is ejected for a second or two: requests go to the
                 origin."""
                 await client.request("00000000000000aa")
-                return any(at >= resumed for at, _, _ in self.cache.requests)
+                return any(requested_s >= resumed for requested_s, _, _ in self.cache.requests)
 
-            await self.until(requested_after_resume, "a request at the cache after the router resumed")
+            await self.wait_until(requested_after_resume, "a request at the cache after the router resumed")
             later_requests = [request for request in self.cache.requests if request[0] >= resumed]
             self.check_requests(later_requests)
             self.assertLessEqual(
                 {bound for _, _, bound in later_requests}, set(range(1, FRESHNESS_LEASE_US // 1000 + 1))
             )
             self.send_signal(first, signal.SIGCONT)
-            await self.until(self.leased, "a lease again")
-            await self.until(self.has_applied_all, "the purge")
+            await self.wait_until(self.leased, "a lease again")
+            await self.wait_until(self.has_applied_all, "the purge")
 
         with self.subTest("planned shutdown"):
             for name in ("router", first, "source"):
@@ -356,7 +356,7 @@
     async def change_versions(self) -> None:
         """Versions come into force by delta. A follower that rejects one is reported, and gets the next one
         complete."""
-        data = self.world.settings()
+        data = self.installation.settings()
         for number in (1, 2):
             self.publish(number, sexp.format_document(data | {"retry-after-ms": 111 * number}))
             await self.in_force(number)
@@ -364,7 +364,7 @@
 
         self.publish(3, sexp.format_document(data | {"retry-after-ms": -1}))
         relay = await self.followed_relay()
-        await self.until(lambda: self.rejects(relay, 3), "the relay reports the rejection")
+        await self.wait_until(lambda: self.rejects(relay, 3), "the relay reports the rejection")
 
         async def only_router_lags() -> bool:
             """Whether only the router lags. The relays lag too until the source has their acknowledgements of
@@ -373,18 +373,18 @@
             self.assertLessEqual(set(source["behind"]), {"a", "b", "lab"})
             return bool(source["behind"] == ["lab"])
 
-        await self.until(only_router_lags, "the source reports only the router as lagging")
+        await self.wait_until(only_router_lags, "the source reports only the router as lagging")
         source = await self.command_status("source")
         self.assertEqual((source["version"], source["behind"]), (3, ["lab"]))
 
         # its delta applies to the rejected version, so the router requests the complete version
         self.publish(4, sexp.format_document(data | {"retry-after-ms": 444}))
         await self.in_force(4)
-        await self.until(self.no_follower_lags, "no follower lags")
+        await self.wait_until(self.no_follower_lags, "no follower lags")
 
     async def in_force(self, number: int) -> None:
         line = f'event="version in force" version={number} '
-        await self.until(lambda: line in self.log_of("router"), f"version {number} is in force")
+        await self.wait_until(lambda: line in self.log_of("router"), f"version {number} is in force")
 
     def publish(self, number: int, text: str) -> None:
         part = self.versions / f"{number}.new"
