--- a/tests/membership/test_exploration.py
+++ b/tests/membership/test_exploration.py
@@ -14,7 +14,7 @@
 import unittest
 from unittest import mock
 
-from magpieshift.lab.experiments import membership_exploration as explored
+from magpieshift.lab.experiments import membership_exploration as exploration
 from magpieshift.membership import quota_lease as quota_lease_module
 from magpieshift.membership.driver import MembershipDriver
 from magpieshift.membership.failure_detector import FailureDetector
@@ -28,7 +28,7 @@
 Message = tuple[str, str, LeaseMessage]
 
 
-def at(name: str) -> Address:
+def address_of(name: str) -> Address:
     return name, 1
 
 
@@ -45,39 +45,44 @@
             self.start(name)
 
     def start(self, name: str) -> None:
-        own = Member(name, *at(name), 1, self.boots[name])
+        own = Member(name, *address_of(name), 1, self.boots[name])
         self.leases[name] = QuotaLease(
             own, NAMES, {FLEET_SCOPE: 3}, 0.4, self.now, random.Random(self.boots[name])
         )
         view = MemberTable(own, self.now)
         for other in NAMES:
             if other != name:
-                view.merge(Member(other, *at(other), 1, self.boots[other]), self.now, "")
+                view.merge(Member(other, *address_of(other), 1, self.boots[other]), self.now, "")
         self.views[name] = view
 
     def key(self) -> bytes:
         """Equal for states with equal futures: times are relative to now, and request ids are left out."""
         rows = []
         for name in NAMES:
-            s = self.leases[name]
+            lease = self.leases[name]
             rows.append(
                 (
-                    s.no_vote_until_us - self.now if s.no_vote_until_us > self.now else 0,
-                    (s._vote_promise[0], max(0, s._vote_promise[1] - self.now)) if s._vote_promise else None,
-                    bool(s._term),
-                    sorted((n, max(0, u - self.now)) for n, u in s._votes.items()),
-                    s._elected_us is not None and min(self.now - s._elected_us, 2 * QUOTA_LEASE_US),
+                    lease.no_vote_until_us - self.now if lease.no_vote_until_us > self.now else 0,
+                    (lease._vote_promise[0], max(0, lease._vote_promise[1] - self.now))
+                    if lease._vote_promise
+                    else None,
+                    bool(lease._term),
                     sorted(
-                        (w, sorted(v.quotas.items()), max(0, v.expires_us - self.now))
-                        for w, v in s._grants.by_holder.items()
+                        (voter, max(0, expires_us - self.now)) for voter, expires_us in lease._votes.items()
                     ),
-                    sorted(s._lease.quotas.items()),
-                    max(0, s._lease.expires_us - self.now),
+                    lease._elected_us is not None and min(self.now - lease._elected_us, 2 * QUOTA_LEASE_US),
+                    sorted(
+                        (holder, sorted(grant.quotas.items()), max(0, grant.expires_us - self.now))
+                        for holder, grant in lease._grants.by_holder.items()
+                    ),
+                    sorted(lease._lease.quotas.items()),
+                    max(0, lease._lease.expires_us - self.now),
                     tuple(self.views[name].members[o].state.value for o in NAMES),
                 )
             )
         in_transit = sorted(
-            (f, t, c.kind.value, c.request_id, c.term != 0, c.quotas) for f, t, c in self.in_transit
+            (source, target, message.kind.value, message.request_id, message.term != 0, message.quotas)
+            for source, target, message in self.in_transit
         )
         return repr((rows, in_transit)).encode()
 
@@ -90,7 +95,10 @@
     def deliver(self, index: int) -> None:
         source, target, message = self.in_transit.pop(index)
         own = self.leases[source].own
-        self.send(target, self.leases[target].receive(self.now, message, own, at(source), self.views[target]))
+        self.send(
+            target,
+            self.leases[target].receive(self.now, message, own, address_of(source), self.views[target]),
+        )
 
     def deliver_all(self, index: int = 0) -> None:
         while self.in_transit:
@@ -100,12 +108,12 @@
 def successors(state: State) -> list[State]:
     """All states that can follow in one step."""
     found: list[State] = []
-    packed = pickle.dumps(state, pickle.HIGHEST_PROTOCOL)
+    pickled_state = pickle.dumps(state, pickle.HIGHEST_PROTOCOL)
 
-    def go(change: object) -> State:
-        new: State = pickle.loads(packed)
+    def after_event(event: object) -> State:
+        new: State = pickle.loads(pickled_state)
         new.now += STEP_US
-        change(new)  # type: ignore[operator]
+        event(new)  # type: ignore[operator]
         return new
 
     def tick(new: State, paused_members: tuple[str, ...] = ()) -> None:
@@ -121,7 +129,7 @@
         tick(new)
         new.deliver_all(-1)
 
-    found += [go(no_fault), go(newest_first)]
+    found += [after_event(no_fault), after_event(newest_first)]
     for name in NAMES:
 
         def paused(new: State, name: str = name) -> None:
@@ -133,8 +141,8 @@
 
         def all_sent_lost(new: State, name: str = name) -> None:
             tick(new)
-            while left := [m for m in new.in_transit if m[0] != name]:
-                new.deliver(new.in_transit.index(left[0]))
+            while remaining := [m for m in new.in_transit if m[0] != name]:
+                new.deliver(new.in_transit.index(remaining[0]))
             new.in_transit = []
 
         def restarted(new: State, name: str = name) -> None:
@@ -159,11 +167,11 @@
             new.in_transit += kept
 
         found += [
-            go(paused),
-            go(all_sent_lost),
-            go(restarted),
-            go(state_in_views_flipped),
-            go(incoming_delayed),
+            after_event(paused),
+            after_event(all_sent_lost),
+            after_event(restarted),
+            after_event(state_in_views_flipped),
+            after_event(incoming_delayed),
         ]
     return found
 
@@ -179,18 +187,18 @@
     """The full exploration, 4,616 states in 101,574 steps, takes minutes: ``lab members --explore``."""
 
     def test_views_agree_after_every_history_followed_by_no_faults(self) -> None:
-        found = explored.explore(300)
+        found = exploration.explore(300)
         self.assertGreaterEqual(found.states, 300)
         self.assertEqual(found.disagreements, [])
 
     def test_a_restart_with_the_incarnation_of_its_predecessor_is_found(self) -> None:
-        def start(fleet: explored.Fleet, name: str) -> None:
+        def start(fleet: exploration.Fleet, name: str) -> None:
             fleet.incarnations[name] = 1
-            own = Member(name, *at(name), 1, 1)
-            fleet.members[name] = FailureDetector(own, "f", explored.SEEDS, fleet.now_us, random.Random(1))
+            own = Member(name, *address_of(name), 1, 1)
+            fleet.members[name] = FailureDetector(own, "f", exploration.SEEDS, fleet.now_us, random.Random(1))
 
-        with mock.patch.object(explored.Fleet, "start", start):
-            self.assertIn("a restarted", explored.explore(20).disagreements)
+        with mock.patch.object(exploration.Fleet, "start", start):
+            self.assertIn("a restarted", exploration.explore(20).disagreements)
 
 
 class QuotaLeaseExplorationTest(unittest.TestCase):
@@ -229,19 +237,19 @@
             self.assertLessEqual(max_in_use, 1.0 + 1e-9)
 
     def test_a_grant_overtaken_by_a_smaller_one_is_not_held(self) -> None:
-        own, other = Member("a", *at("a"), 1, 1), Member("b", *at("b"), 1, 1)
+        own, other = Member("a", *address_of("a"), 1, 1), Member("b", *address_of("b"), 1, 1)
         view = MemberTable(own, 0)
         view.merge(other, 0, "")
         holder = QuotaLease(own, ("b",), {FLEET_SCOPE: 3}, 0.4, 0, random.Random(1))
         requests = [holder.tick(now, view)[0][1] for now in (2_000_000, 4_000_000)]
         for request, quota in ((requests[1], 0.25), (requests[0], 0.5)):
             grant = LeaseMessage(1, LeaseMessageKind.GRANT, request.request_id, ((FLEET_SCOPE, quota),))
-            holder.receive(4_100_000, grant, other, at("b"), view)
+            holder.receive(4_100_000, grant, other, address_of("b"), view)
         self.assertAlmostEqual(holder.quota(FLEET_SCOPE, 4_200_000), 0.4 / 3 + 0.6 * 0.25)
 
     def test_a_router_uses_less_before_it_accepts_a_smaller_grant(self) -> None:
         calls: list[str] = []
-        own, other = Member("a", *at("a"), 1, 1), Member("b", *at("b"), 1, 1)
+        own, other = Member("a", *address_of("a"), 1, 1), Member("b", *address_of("b"), 1, 1)
         detector = FailureDetector(own, "f", (), 0, random.Random(1))
         detector.view.merge(other, 0, "")
         holder = QuotaLease(own, ("b",), {FLEET_SCOPE: 3}, 0.4, 0, random.Random(1))
@@ -252,7 +260,7 @@
         detector.on_lease_message(
             LeaseMessage(1, LeaseMessageKind.GRANT, request.request_id, ((FLEET_SCOPE, 0.25),)),
             other,
-            at("b"),
+            address_of("b"),
         )
         confirmation = repr(
             LeaseMessage(0, LeaseMessageKind.GRANT_ACCEPTED, request.request_id, ((FLEET_SCOPE, 0.25),))
@@ -261,18 +269,21 @@
 
     def test_a_disabled_safety_rule_is_found(self) -> None:
         """Proves that the check can fail: one safety rule is disabled in each case."""
-        for what, broken in (
-            ("a new leader grants at once", {"_max_duration": staticmethod(lambda us=QUOTA_LEASE_US: 0)}),
+        for rule, replacements in (
+            (
+                "a new leader grants at once",
+                {"_max_duration": staticmethod(lambda us=QUOTA_LEASE_US: 0)},
+            ),
             ("a holder reads no clock", {"quota": quota_without_clock}),
         ):
-            with self.subTest(what):
-                kept = {name: quota_lease_module.QuotaLease.__dict__[name] for name in broken}
-                for name, value in broken.items():
+            with self.subTest(rule):
+                originals = {name: quota_lease_module.QuotaLease.__dict__[name] for name in replacements}
+                for name, value in replacements.items():
                     setattr(quota_lease_module.QuotaLease, name, value)
                 try:
                     _, max_in_use = self.explore(4_000, greedy=True)
                 finally:
-                    for name, value in kept.items():
+                    for name, value in originals.items():
                         setattr(quota_lease_module.QuotaLease, name, value)
                 self.assertGreater(max_in_use, 1.0 + 1e-9)
 
--- a/tests/membership/test_fault_injection.py
+++ b/tests/membership/test_fault_injection.py
@@ -171,17 +171,17 @@
     async def test_each_direction_is_cut_independently_and_no_data_is_lost(self) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.relay.port)
         self.addCleanup(writer.close)
-        self.network.add_fault("deaf", "box1", ANY_ROUTER, LinkFault(cut=True))
+        self.network.add_fault("cut from box1", "box1", ANY_ROUTER, LinkFault(cut=True))
         writer.write(b"one")
         await self.wait_until(lambda: self.received == b"one")
-        self.network.add_fault("mute", "r1", "box1", LinkFault(cut=True))
+        self.network.add_fault("cut to box1", "r1", "box1", LinkFault(cut=True))
         writer.write(b"two")
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(0.2):
                 await reader.readexactly(1)
         self.assertEqual(self.received, b"one")
-        self.network.remove_fault("deaf")
-        self.network.remove_fault("mute")
+        self.network.remove_fault("cut from box1")
+        self.network.remove_fault("cut to box1")
         async with asyncio.timeout(WAIT_LIMIT_S):
             self.assertEqual(await reader.readexactly(6), b"onetwo")
 
@@ -238,7 +238,7 @@
 
     async def test_faults_of_other_links_have_no_effect(self) -> None:
         for source, target in (("r2", "box1"), ("r1", "box2"), ("log", "r1"), (ANY_ROUTER, ANY_ROUTER)):
-            self.network.add_fault("elsewhere", source, target, LinkFault(cut=True, reset=True, silent=True))
+            self.network.add_fault("other link", source, target, LinkFault(cut=True, reset=True, silent=True))
         reader, writer = await asyncio.open_connection("127.0.0.1", self.relay.port)
         self.addCleanup(writer.close)
         writer.write(b"one")
@@ -251,7 +251,7 @@
 
     async def asyncSetUp(self) -> None:
         self.streams_by_connection: list[list[int]] = []  # stream ids of the requests on each connection
-        self.endings = ["tell", "drop"]  # on its first connections the router sends GO_AWAY, or closes
+        self.endings = ["go away", "close"]  # what the router does on its first connections, in order
         self.server = await asyncio.start_server(self.router, "127.0.0.1", 0)
         self.addCleanup(self.server.close)
         self.client = ClientConnection(self.server.sockets[0].getsockname()[1], resend_window_s=WAIT_LIMIT_S)
@@ -264,34 +264,34 @@
         while data := await reader.read(1024):
             for frame in parser.feed(data):
                 streams.append(frame.stream_id)
-                if ending == "drop":
+                if ending == "close":
                     writer.close()
                     return
-                go_away = frames.frame_head(FrameType.GO_AWAY, 0) if ending == "tell" else b""
+                go_away = frames.frame_head(FrameType.GO_AWAY, 0) if ending == "go away" else b""
                 writer.write(go_away + frames.response_head(frame.stream_id, ResponseCode.OK, {}, 0))
         writer.close()
 
-    async def ask(self) -> object:
+    async def request_code(self) -> object:
         answer = await self.client.request({"i": "0" * 16, "o": "1" * 16}, b"", WAIT_LIMIT_S)
         return answer if isinstance(answer, NoAnswer) else answer.code
 
     async def test_a_client_reconnects_after_go_away_and_resends_a_request_that_crossed_a_close(self) -> None:
-        self.assertEqual(await self.ask(), ResponseCode.OK)  # and receives GO_AWAY
+        self.assertEqual(await self.request_code(), ResponseCode.OK)  # and receives GO_AWAY
         # The router closes the second connection, and the client sends the request again on a third.
-        self.assertEqual(await self.ask(), ResponseCode.OK)
-        self.assertEqual(await self.ask(), ResponseCode.OK)
+        self.assertEqual(await self.request_code(), ResponseCode.OK)
+        self.assertEqual(await self.request_code(), ResponseCode.OK)
         self.assertEqual(self.streams_by_connection, [[1], [1], [1, 2]])
 
     async def test_a_request_dropped_twice_or_after_the_resend_window_is_lost(self) -> None:
-        self.endings = ["drop", "drop", "drop"]
-        self.assertEqual(await self.ask(), NoAnswer.RACED_WITH_CLOSE)
+        self.endings = ["close", "close", "close"]
+        self.assertEqual(await self.request_code(), NoAnswer.RACED_WITH_CLOSE)
         self.client = ClientConnection(self.server.sockets[0].getsockname()[1], resend_window_s=0.0)
-        self.assertEqual(await self.ask(), NoAnswer.DISCONNECTED)
+        self.assertEqual(await self.request_code(), NoAnswer.DISCONNECTED)
         self.assertEqual(self.streams_by_connection, [[1]] * 3)
 
     async def test_without_a_listener_no_request_is_sent(self) -> None:
         self.server.close()
-        self.assertEqual(await self.ask(), NoAnswer.NOT_CONNECTED)
+        self.assertEqual(await self.request_code(), NoAnswer.NOT_CONNECTED)
 
 
 class SkewedClockTest(unittest.TestCase):
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -122,21 +122,21 @@
             self.assertEqual(await self.declared_dead(), set())
 
         with self.subTest("one router's datagrams are all lost, while it receives those of the others"):
-            cluster.network.add_fault("mute", "r2", ANY_ROUTER, LinkFault(cut=True))
+            cluster.network.add_fault("r2 sends nothing", "r2", ANY_ROUTER, LinkFault(cut=True))
             await self.wait_for_state("r2", "gone")
             self.assertEqual(await self.declared_dead(), {"r2"})
-            cluster.network.remove_fault("mute")
+            cluster.network.remove_fault("r2 sends nothing")
             await self.wait_for_agreement()
 
         with self.subTest("one router receives no datagrams, while the others receive its datagrams"):
-            cluster.network.add_fault("deaf", ANY_ROUTER, "r3", LinkFault(cut=True))
+            cluster.network.add_fault("r3 receives nothing", ANY_ROUTER, "r3", LinkFault(cut=True))
 
             async def is_isolated() -> bool:
                 view = await cluster.membership_view("r3")
                 return view is not None and view["isolated"]
 
             await cluster.wait_until(is_isolated, "r3 reports that it is isolated")
-            cluster.network.remove_fault("deaf")
+            cluster.network.remove_fault("r3 receives nothing")
             await self.wait_for_agreement()
             self.assertEqual(await self.declared_dead(), {"r2"})
 
