--- a/tests/overload/test_gossip.py
+++ b/tests/overload/test_gossip.py
@@ -37,13 +37,13 @@
             count: int, start: int, own: dict[str, dict[str, EndpointHealth]]
         ) -> dict[str, list[HealthOverride]]:
             last: dict[str, list[HealthOverride]] = {}
-            for at in range(start, start + count * GOSSIP_INTERVAL_US, GOSSIP_INTERVAL_US):
+            for now_us in range(start, start + count * GOSSIP_INTERVAL_US, GOSSIP_INTERVAL_US):
                 for name, router in sorted(routers.items()):
-                    actions = router.tick(at, own.get(name, endpoints), NAMES)
+                    actions = router.tick(now_us, own.get(name, endpoints), NAMES)
                     last[name] = actions.overrides
-                    for to, digest in actions.sends:
+                    for receiver, digest in actions.sends:
                         if rand.random() > 0.3:  # 30% of the digests are lost
-                            routers[to].receive(at, name, codec.decode(codec.encode(digest)), False)
+                            routers[receiver].receive(now_us, name, codec.decode(codec.encode(digest)), False)
             return last
 
         failing_views = {
@@ -69,15 +69,15 @@
     def test_an_overloaded_router_receives_load_reports_of_its_neighbours(self) -> None:
         overloaded, neighbour, distant = (Gossip(name, random.Random(name)) for name in ("r0", "r1", "r2"))
         zone = ["r0", "r1"]
-        for at in range(0, 10 * GOSSIP_INTERVAL_US, GOSSIP_INTERVAL_US):
+        for now_us in range(0, 10 * GOSSIP_INTERVAL_US, GOSSIP_INTERVAL_US):
             for router, neighbours, pressure in (
                 (overloaded, zone, 2.0),
                 (neighbour, zone, 0.1),
                 (distant, ["r2"], 0.1),
             ):
-                for to, digest in router.tick(at, {}, NAMES, neighbours, pressure, 50.0).sends:
-                    {"r0": overloaded, "r1": neighbour, "r2": distant}[to].receive(
-                        at, router.own, digest, to in zone
+                for receiver, digest in router.tick(now_us, {}, NAMES, neighbours, pressure, 50.0).sends:
+                    {"r0": overloaded, "r1": neighbour, "r2": distant}[receiver].receive(
+                        now_us, router.own, digest, receiver in zone
                     )
         self.assertEqual(set(overloaded.offloading._neighbours), {"r1"})
         self.assertEqual(distant.sent_digests, 0)
--- a/tests/overload/test_processes.py
+++ b/tests/overload/test_processes.py
@@ -67,9 +67,9 @@
             self.assertLessEqual(max_ejecting, ROUTERS - PROBERS)
 
         with self.subTest("all digests are lost: each router decides alone, and the reports expire"):
-            cluster.network.add_fault("mute", ANY_ROUTER, ANY_ROUTER, LinkFault(cut=True))
+            cluster.network.add_fault("all datagrams lost", ANY_ROUTER, ANY_ROUTER, LinkFault(cut=True))
             await self.wait_until_none_ejected("no router has endpoints ejected because of old reports")
-            cluster.network.remove_fault("mute")
+            cluster.network.remove_fault("all datagrams lost")
             await asyncio.gather(late_list, crash)
 
         with self.subTest("the parent returns, and no endpoint is ejected because of reports"):
--- a/tests/rollout/test_coordinator.py
+++ b/tests/rollout/test_coordinator.py
@@ -108,7 +108,7 @@
             Coordinator(make_plan(name="other"), 2, 0, self.harness.records)
 
 
-class Explored(unittest.TestCase):
+class ShortHistories(unittest.TestCase):
     """All histories of five events with three routers and concurrent coordinators: crashes, takeovers, an
     unreachable router, older coordinators that resume."""
 
@@ -127,13 +127,13 @@
                 match event:
                     case "crash":
                         harness.start_coordinator()
-                    case "second":
+                    case "takeover":
                         # another coordinator takes over while the first is paused with a step in flight
                         older.append((harness.coordinator, harness.pending))
                         harness.start_coordinator()
-                    case "dark":
+                    case "unreachable":
                         harness.unreachable = {"r0"} if not harness.unreachable else set()
-                    case "wake":
+                    case "resume":
                         for coordinator, pending in older:
                             for step in pending:
                                 harness.carry_out(coordinator, step)
@@ -169,7 +169,9 @@
 
     @staticmethod
     def histories() -> Iterator[tuple[str, ...]]:
-        yield from itertools.product(("step", "crash", "second", "dark", "wake", "worse"), repeat=5)
+        yield from itertools.product(
+            ("step", "crash", "takeover", "unreachable", "resume", "worse"), repeat=5
+        )
 
 
 if __name__ == "__main__":
--- a/tests/rollout/test_plan_reader.py
+++ b/tests/rollout/test_plan_reader.py
@@ -18,8 +18,8 @@
     def test_stages_grow_and_zones_take_turns(self) -> None:
         plan = make_plan()
         self.assertEqual([len(stage.targets) for stage in plan.stages], [1, 2, 4])
-        for less, more in zip(plan.stages, plan.stages[1:], strict=False):
-            self.assertEqual(more.targets[: len(less.targets)], less.targets)
+        for earlier, later in zip(plan.stages, plan.stages[1:], strict=False):
+            self.assertEqual(later.targets[: len(earlier.targets)], earlier.targets)
         zones = {plan.routers[name].zone for name in plan.stages[1].targets}
         self.assertEqual(zones, {"a", "b"})
 
@@ -28,18 +28,23 @@
         self.assertEqual(plan.tolerances, Tolerances())
 
     def test_all_mistakes_are_reported_with_their_place(self) -> None:
-        wrong = PLAN_TEXT.replace("v7", "v6").replace("{console}", "{door}").replace("7007", "7000")
-        wrong = wrong.replace("(share 0.5)", "(routers 9)").replace("(share 1)", "(zone c)")
-        with self.assertRaises(UnusableDocumentError) as caught:
-            tree = parse(wrong, "plan", PLAN_HEAD)
+        text = PLAN_TEXT.replace("v7", "v6").replace("{console}", "{unknown}").replace("7007", "7000")
+        text = text.replace("(share 0.5)", "(routers 9)").replace("(share 1)", "(zone c)")
+        with self.assertRaises(UnusableDocumentError) as raised:
+            tree = parse(text, "plan", PLAN_HEAD)
             load_plan(tree.data, tree.lines)
-        places = {problem.where for problem in caught.exception.problems}
+        places = {problem.where for problem in raised.exception.problems}
         expected = {"routers r3 doors", "new label", "new start", "old start", "stages all"}
         expected.add("stages half routers")
         self.assertLessEqual(expected, places)
-        self.assertTrue(all(problem.line for problem in caught.exception.problems))
-        odd: list[dict[str, Any]] = [{"most-away": 4}, {"stages": {}}, {"new": {"label": "x"}}, {"odd": 1}]
-        for changes in odd:
+        self.assertTrue(all(problem.line for problem in raised.exception.problems))
+        invalid_changes: list[dict[str, Any]] = [
+            {"most-away": 4},
+            {"stages": {}},
+            {"new": {"label": "x"}},
+            {"unknown": 1},
+        ]
+        for changes in invalid_changes:
             with self.subTest(changes), self.assertRaises(UnusableDocumentError):
                 make_plan(**changes)
 
