--- a/tests/membership/test_admission.py
+++ b/tests/membership/test_admission.py
@@ -66,7 +66,7 @@
     def test_reports_by_unknown_reporters_remove_nobody(self) -> None:
         self.receive(member("a"))
         self.receive(member("a"), 3, Ack(next(iter(self.detector._pings))))
-        forged_reports = tuple(SuspicionReport("a", 5, 99, f"liar{i}") for i in range(9))
+        forged_reports = tuple(SuspicionReport("a", 5, 99, f"unknown{i}") for i in range(9))
         self.receive(member("a"), 4, None, suspicions=forged_reports)
         for round_number in range(200):
             self.now += 100_000
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -174,10 +174,10 @@
             any(c.new_state == MemberState.SUSPECT for c in (observed.change for observed in network.changes))
         )
 
-    def test_thirty_percent_of_datagrams_lost_and_eighty_at_one_member(self) -> None:
+    def test_thirty_percent_of_datagrams_lost_and_more_at_one_member(self) -> None:
         for seed in self.SEEDS:
             network = started_network(FleetSettings(8), seed)
-            network.loss, network.loss_at = 0.3, {"r2": 0.55}
+            network.loss, network.loss_at = 0.3, {"r2": 0.55}  # 69% from and to r2
             network.run(network.now_us + 60 * SECOND_US)
             self.assert_none_removed(network)
             network.loss, network.loss_at = 0.0, {}
--- a/tests/overload/test_offloading.py
+++ b/tests/overload/test_offloading.py
@@ -55,10 +55,10 @@
                 self.assertFalse(any(self.offloading.should_offload(key, False, False) for key in range(500)))
 
     def test_a_neighbour_that_claims_to_be_idle_receives_a_bounded_fraction(self) -> None:
-        self.neighbours = {"liar": None}
+        self.neighbours = {"idle": None}
         for _ in range(200):
             self.now += GOSSIP_INTERVAL_US
-            self.offloading.update_neighbour("liar", NeighbourLoad(0.0, 1e9, False, self.now))
+            self.offloading.update_neighbour("idle", NeighbourLoad(0.0, 1e9, False, self.now))
             self.offloading.tick(self.now, 3.0, 200.0, self.neighbours)
         self.assertLessEqual(self.offloading.fraction, MAX_NEIGHBOUR_FRACTION + 1e-9)
 
--- a/tests/overload/test_probe_election.py
+++ b/tests/overload/test_probe_election.py
@@ -74,7 +74,7 @@
     ) -> None:
         endpoints = {f"p{i}": health_view(i, failing=i in failing_here) for i in range(count)}
         reports_received = [
-            failure_report(f"p{i}", who) for i in falsely_reported for who in ("liar", "other")
+            failure_report(f"p{i}", who) for i in falsely_reported for who in ("false", "other")
         ]
         for own in NAMES:
             overrides = self.decide(own, reports_received, endpoints, NAMES)
--- a/tests/relay/test_histories.py
+++ b/tests/relay/test_histories.py
@@ -16,34 +16,34 @@
 SEEDS = range(1, 21)
 MANY_PURGES = 30
 # after any outage, a relay and then its routers may wait for a failover back-off
-RECOVERED_S = 40
+MAX_RECOVERY_S = 40
 
 
-def started_world(**size: int) -> SimulatedFanout:
+def started_tier(**size: int) -> SimulatedFanout:
     """A simulated tier that has started and distributed some entries."""
-    world = SimulatedFanout(FanoutSize(**size))
-    world.run(12 * SECOND_US)
-    issue_purges(world, 3)
-    assert not unsettled(world), unsettled(world)
-    return world
+    tier = SimulatedFanout(FanoutSize(**size))
+    tier.run(12 * SECOND_US)
+    issue_purges(tier, 3)
+    assert not unsettled(tier), unsettled(tier)
+    return tier
 
 
-def issue_purges(world: SimulatedFanout, seconds: int, per_s: int = 4) -> None:
+def issue_purges(tier: SimulatedFanout, seconds: int, per_s: int = 4) -> None:
     """Issue purges at a constant rate, then wait 4 s until they are done."""
     for _ in range(seconds * per_s):
-        world.purge()
-        world.run(SECOND_US // per_s)
-    world.run(4 * SECOND_US)
+        tier.purge()
+        tier.run(SECOND_US // per_s)
+    tier.run(4 * SECOND_US)
 
 
-def settling_time_s(world: SimulatedFanout, within_s: int) -> float:
+def settling_time_s(tier: SimulatedFanout, within_s: int) -> float:
     """Time in seconds until all followers are at the head and hold leases, and the watermark is at the
     head."""
     for tenths in range(10 * within_s):
-        if not unsettled(world):
+        if not unsettled(tier):
             return tenths / 10
-        world.run(SECOND_US // 10)
-    raise AssertionError(f"not settled after {within_s} s: {unsettled(world)}")
+        tier.run(SECOND_US // 10)
+    raise AssertionError(f"not settled after {within_s} s: {unsettled(tier)}")
 
 
 class Random(unittest.TestCase):
@@ -59,165 +59,165 @@
 
 class Relays(unittest.TestCase):
     def test_a_relay_killed_with_a_batch_it_has_not_forwarded(self) -> None:
-        world = started_world(regions=1)
+        tier = started_tier(regions=1)
         for _ in range(20):
-            world.purge()
-            world.run(SECOND_US // 7)  # at some of these times it holds a batch that it has not sent on
-            world.kill("R0.1", silently=True)
-            world.run(SECOND_US)
-            world.start("R0.1")
-            world.run(3 * SECOND_US)
-        settling_time_s(world, 30)
+            tier.purge()
+            tier.run(SECOND_US // 7)  # at some of these times it holds a batch that it has not sent on
+            tier.kill("R0.1", silently=True)
+            tier.run(SECOND_US)
+            tier.start("R0.1")
+            tier.run(3 * SECOND_US)
+        settling_time_s(tier, 30)
 
     def test_a_relay_paused_and_resumed_with_old_state(self) -> None:
-        world = started_world(regions=1)
-        world.pause("R0.1", 5 * SECOND_US)
-        issue_purges(world, 8)
-        world.pause("R0.1", 9 * SECOND_US)
-        issue_purges(world, 12)
-        settling_time_s(world, 20)
+        tier = started_tier(regions=1)
+        tier.pause("R0.1", 5 * SECOND_US)
+        issue_purges(tier, 8)
+        tier.pause("R0.1", 9 * SECOND_US)
+        issue_purges(tier, 12)
+        settling_time_s(tier, 20)
 
     def test_routers_leave_a_relay_that_is_disconnected_from_its_source(self) -> None:
-        world = started_world(regions=1)
-        world.network.cut("S1", "R0.1")
-        issue_purges(world, 12)
-        for host, router in world.routers():
+        tier = started_tier(regions=1)
+        tier.network.cut("S1", "R0.1")
+        issue_purges(tier, 12)
+        for host, router in tier.routers():
             self.assertEqual(router.copy_age_limit(host.now_us()), 0, host.name)
 
 
 class Routers(unittest.TestCase):
     def test_a_router_paused_beyond_its_lease_limits_the_copy_age_of_its_attempt(self) -> None:
-        world = started_world(regions=1)
-        host, router = world.routers()[0]
-        world.pause(host.name, limits.FRESHNESS_LEASE_US + 3 * SECOND_US)
-        issue_purges(world, 1)
+        tier = started_tier(regions=1)
+        host, router = tier.routers()[0]
+        tier.pause(host.name, limits.FRESHNESS_LEASE_US + 3 * SECOND_US)
+        issue_purges(tier, 1)
         self.assertEqual(router.copy_age_limit(host.now_us()), 0)
-        issue_purges(world, 1)
+        issue_purges(tier, 1)
         self.assertEqual(router.copy_age_limit(host.now_us()), limits.FRESHNESS_LEASE_US)
-        settling_time_s(world, 10)
+        settling_time_s(tier, 10)
 
     def test_one_way_cuts(self) -> None:
         for ends in (("E0.1", "*"), ("*", "E0.1")):
             with self.subTest(ends):
-                world = started_world(regions=1)
-                host, router = next(found for found in world.routers() if found[0].name == "E0.1")
-                world.network.cut(*ends)
-                issue_purges(world, 11)
+                tier = started_tier(regions=1)
+                host, router = next(found for found in tier.routers() if found[0].name == "E0.1")
+                tier.network.cut(*ends)
+                issue_purges(tier, 11)
                 self.assertEqual(router.copy_age_limit(host.now_us()), limits.FRESHNESS_LEASE_US)
-                source, process = world.sources()[0]
+                source, process = tier.sources()[0]
                 # the watermark no longer waits for E0.1
                 self.assertEqual(process.fanout.watermark(source.now_us()), process.log.head)
-                world.network.heal()
-                settling_time_s(world, 20)
+                tier.network.heal()
+                settling_time_s(tier, 20)
 
     def test_a_slow_reader_delays_only_itself(self) -> None:
-        world = started_world(regions=1, log_entries=40)
-        world.read_slowly("E0.1", 3 * SECOND_US)
-        issue_purges(world, 20)
-        check_bounds(world)
-        host, source = world.sources()[0]
-        others = [router for other, router in world.routers() if other.name != "E0.1"]
+        tier = started_tier(regions=1, log_entries=40)
+        tier.read_slowly("E0.1", 3 * SECOND_US)
+        issue_purges(tier, 20)
+        check_bounds(tier)
+        host, source = tier.sources()[0]
+        others = [router for other, router in tier.routers() if other.name != "E0.1"]
         self.assertEqual({router.follower.applied for router in others}, {source.log.head})
         self.assertEqual(source.fanout.watermark(host.now_us()), source.log.head)
-        world.read_slowly("E0.1", 0)
-        settling_time_s(world, 30)
+        tier.read_slowly("E0.1", 0)
+        settling_time_s(tier, 30)
 
 
 class Sources(unittest.TestCase):
     def test_a_paused_source_proves_nothing_it_has_not_read(self) -> None:
-        world = started_world(regions=1)
+        tier = started_tier(regions=1)
         for _ in range(3):
-            world.pause("S1", 5 * SECOND_US)
-            world.purge()
-            world.run(5 * SECOND_US)
-            world.network.cut("S1", "*")
-            issue_purges(world, 12)
-            world.network.heal()
-            settling_time_s(world, RECOVERED_S)
+            tier.pause("S1", 5 * SECOND_US)
+            tier.purge()
+            tier.run(5 * SECOND_US)
+            tier.network.cut("S1", "*")
+            issue_purges(tier, 12)
+            tier.network.heal()
+            settling_time_s(tier, MAX_RECOVERY_S)
 
     def test_a_new_source_begins_a_new_epoch_without_the_last_entries(self) -> None:
-        world = started_world(regions=1)
+        tier = started_tier(regions=1)
         for name in ("S1", "S2", "S1"):
             for _ in range(MANY_PURGES):
-                world.purge()
-            world.run(SECOND_US // 2)
-            world.kill("S1")
-            world.kill("S2")
-            world.run(SECOND_US)
-            world.start(name)
-            issue_purges(world, 4)
-            settling_time_s(world, 40)
-        self.assertEqual(len(world.checker.logs), 4)
+                tier.purge()
+            tier.run(SECOND_US // 2)
+            tier.kill("S1")
+            tier.kill("S2")
+            tier.run(SECOND_US)
+            tier.start(name)
+            issue_purges(tier, 4)
+            settling_time_s(tier, 40)
+        self.assertEqual(len(tier.checker.logs), 4)
 
     def test_of_two_concurrent_sources_only_one_remains(self) -> None:
-        world = started_world(regions=2)
+        tier = started_tier(regions=2)
         for ends in (("region/0", "region/1"), ("region/1", "region/0")):
-            world.network.cut(*ends)
-        world.start("S2")
-        issue_purges(world, 25)
-        self.assertEqual(len(world.sources()), 2)
-        epochs = {router.follower.epoch for _, router in world.routers()}
+            tier.network.cut(*ends)
+        tier.start("S2")
+        issue_purges(tier, 25)
+        self.assertEqual(len(tier.sources()), 2)
+        epochs = {router.follower.epoch for _, router in tier.routers()}
         self.assertEqual(len(epochs), 2, "each source has followers")
-        world.network.heal()
-        settling_time_s(world, 140)
+        tier.network.heal()
+        settling_time_s(tier, 140)
 
 
 class Load(unittest.TestCase):
     def test_ten_times_the_rate_while_a_tenth_restarts(self) -> None:
-        world = started_world(regions=1, routers_per_region=10, log_entries=400)
+        tier = started_tier(regions=1, routers_per_region=10, log_entries=400)
         for second in range(5):
             for _ in range(MANY_PURGES):
-                world.purge()
-                world.run(SECOND_US // MANY_PURGES)
-            world.kill("E0.1")
-            world.run(SECOND_US // 10 * second)
-            world.start("E0.1")
-        settling_time_s(world, 15)
-        (done_at_us,) = world.checker.done_at_us.values()
-        (log,) = world.checker.logs.values()
+                tier.purge()
+                tier.run(SECOND_US // MANY_PURGES)
+            tier.kill("E0.1")
+            tier.run(SECOND_US // 10 * second)
+            tier.start("E0.1")
+        settling_time_s(tier, 15)
+        (done_at_us,) = tier.checker.done_at_us.values()
+        (log,) = tier.checker.logs.values()
         self.assertEqual(len(done_at_us), len(log))
 
     def test_a_region_disconnected_for_an_hour_recovers_with_few_snapshots(self) -> None:
-        world = started_world(
+        tier = started_tier(
             turn_interval_us=400_000, relays_per_region=1, routers_per_region=2, log_entries=200
         )
-        disconnected = [name for name in world.network.hosts if name[1:].startswith("1.")]
+        disconnected = [name for name in tier.network.hosts if name[1:].startswith("1.")]
         for ends in (("region/0", "region/1"), ("region/1", "region/0")):
-            world.network.cut(*ends)
+            tier.network.cut(*ends)
         for _ in range(360):
-            world.run(9 * SECOND_US)
-            world.purge()
-            world.run(SECOND_US)
-        issue_purges(world, 40, per_s=20)
-        check_bounds(world)
-        before = {name: (world.bytes_sent[name], world.snapshots_sent[name]) for name in disconnected}
-        world.network.heal()
-        settled_s = settling_time_s(world, 20)
+            tier.run(9 * SECOND_US)
+            tier.purge()
+            tier.run(SECOND_US)
+        issue_purges(tier, 40, per_s=20)
+        check_bounds(tier)
+        before = {name: (tier.bytes_sent[name], tier.snapshots_sent[name]) for name in disconnected}
+        tier.network.heal()
+        settled_s = settling_time_s(tier, 20)
         for name in disconnected:
-            spent = world.bytes_sent[name] - before[name][0]
-            snapshots = world.snapshots_sent[name] - before[name][1]
+            spent = tier.bytes_sent[name] - before[name][0]
+            snapshots = tier.snapshots_sent[name] - before[name][1]
             self.assertLessEqual(snapshots, 2, name)
             full_size = MESSAGE_BYTES + PURGE_BYTES * 20 * limits.PURGE_RETENTION_US // SECOND_US
             self.assertLess(spent, (snapshots + 1) * full_size, f"{name} in {settled_s} s")
-        most_bytes = max(world.bytes_sent[name] - before[name][0] for name in disconnected)
-        print(f"an hour away: {settled_s} s and {most_bytes} bytes")
+        most_bytes = max(tier.bytes_sent[name] - before[name][0] for name in disconnected)
+        print(f"disconnected for an hour: settled in {settled_s} s, sent at most {most_bytes} bytes per host")
 
 
 class InvariantCheckerChecks(unittest.TestCase):
     def test_it_detects_a_watermark_ahead_of_a_leased_router(self) -> None:
-        world = started_world(regions=1)
-        (epoch,) = world.checker.watermarks
-        world.checker.watermarks[epoch] += 1
+        tier = started_tier(regions=1)
+        (epoch,) = tier.checker.watermarks
+        tier.checker.watermarks[epoch] += 1
         with self.assertRaisesRegex(RuleBrokenError, "watermark"):
-            world.run(SECOND_US)
+            tier.run(SECOND_US)
 
     def test_it_detects_a_purge_that_a_leased_router_lacks(self) -> None:
-        world = started_world(regions=1)
-        world.purge()
-        world.checker.purges.append(world.change_log.purge("never told"))
-        world.change_log.entries.pop()
+        tier = started_tier(regions=1)
+        tier.purge()
+        tier.checker.purges.append(tier.change_log.purge("not published"))
+        tier.change_log.entries.pop()
         with self.assertRaisesRegex(RuleBrokenError, "bound"):
-            world.run(10 * SECOND_US)
+            tier.run(10 * SECOND_US)
 
 
 if __name__ == "__main__":
--- a/tests/relay/test_injected_defects.py
+++ b/tests/relay/test_injected_defects.py
@@ -110,10 +110,10 @@
 def acknowledge_before_applying() -> DefectPatch:
     def make(progress: Any) -> Any:
         def defective(self: Any, now_us: int, report: Any) -> Any:
-            made, (epoch, handed_out) = progress(self, now_us, report), self._handed_out
+            message, (epoch, handed_out) = progress(self, now_us, report), self._handed_out
             if report is not None:
-                return made
-            return dataclasses.replace(made, epoch=epoch, applied=handed_out, watermark=handed_out)
+                return message
+            return dataclasses.replace(message, epoch=epoch, applied=handed_out, watermark=handed_out)
 
         return defective
 
--- a/tests/rollout/coordinator_harness.py
+++ b/tests/rollout/coordinator_harness.py
@@ -55,7 +55,7 @@
         """Announce a term to the reachable routers, as the executor does before each step."""
         reachable = [name for name in self.router_terms if name not in self.unreachable]
         if any(self.router_terms[name] > term for name in reachable):
-            return "over"
+            return "superseded"
         for name in reachable:
             self.router_terms[name] = term
         return "" if 2 * len(reachable) > len(self.router_terms) else "too few answer"
@@ -63,8 +63,8 @@
     def carry_out(self, coordinator: Coordinator, step: ReplaceProcess) -> list[Instruction]:
         """Carry out one step under its coordinator's term, and report the outcome to the coordinator."""
         rejection = self.announce_term(coordinator.term)
-        if rejection == "over":
-            coordinator.supersede("over")
+        if rejection == "superseded":
+            coordinator.supersede("superseded")
             return []
         failure = rejection or ("step failed" if step.router in self.failing | self.unreachable else "")
         if not failure:
