--- a/magpieshift/membership/probing.py
+++ b/magpieshift/membership/probing.py
@@ -40,9 +40,9 @@
     def tick(self, now_us: int, tick_in_round: int) -> None:
         """Ping the members that are scheduled for this tick, and retry those that have not answered."""
         self._choose_monitored(now_us)
-        for place, name in enumerate(self.monitored_since):
-            tick_of_ping = place % TICKS_PER_ROUND
-            if tick_of_ping == tick_in_round and not self._heard_this_round(now_us, name):
+        for index, name in enumerate(self.monitored_since):
+            tick_of_ping = index % TICKS_PER_ROUND
+            if tick_of_ping == tick_in_round and not self._heard_recently(now_us, name):
                 self.ping(now_us, self._view.members[name].member)
             elif tick_of_ping == (tick_in_round - RETRY_AFTER_TICKS) % TICKS_PER_ROUND:
                 self._retry(now_us, name)
@@ -68,7 +68,7 @@
                 break
         self.monitored_since = monitored
 
-    def _heard_this_round(self, now_us: int, name: str) -> bool:
+    def _heard_recently(self, now_us: int, name: str) -> bool:
         """Whether a new heartbeat arrived within the last half round, which makes a ping unnecessary."""
         return now_us - self._view.members[name].last_heartbeat_us < TICKS_PER_ROUND * TICK_INTERVAL_US // 2
 
@@ -79,7 +79,7 @@
 
     def _retry(self, now_us: int, name: str) -> None:
         """Ping a member again, directly and through another member, unless it has been heard."""
-        if self._heard_this_round(now_us, name):
+        if self._heard_recently(now_us, name):
             return
         self.ping(now_us, self._view.members[name].member)
         for helper in self.random_members(1, name):
--- a/magpieshift/membership/quota_lease.py
+++ b/magpieshift/membership/quota_lease.py
@@ -95,9 +95,9 @@
 
     def quota(self, scope: str, now_us: int) -> float:
         """The quota of a scope, from 0 to 1, that this router may use at this instant."""
-        own = self.solo_quota / max(self.router_counts[scope], self._peak_counts[scope][0], 1)
+        solo_share = self.solo_quota / max(self.router_counts[scope], self._peak_counts[scope][0], 1)
         leased = self._lease.quotas.get(scope, 0.0) if now_us < self._lease.expires_us else 0.0
-        return own + (1.0 - self.solo_quota) * leased
+        return solo_share + (1.0 - self.solo_quota) * leased
 
     @property
     def lease_expires_us(self) -> int:
@@ -209,8 +209,8 @@
         if message.term != self._term or sender.name not in self.voters or requested_us is None:
             return
         had_quorum = self._has_quorum(now_us)
-        good_until_us = requested_us + self._min_duration()
-        self._votes[sender.name] = max(self._votes.get(sender.name, 0), good_until_us)
+        valid_until_us = requested_us + self._min_duration()
+        self._votes[sender.name] = max(self._votes.get(sender.name, 0), valid_until_us)
         if not had_quorum and self._has_quorum(now_us):
             # This router's earlier majority may have expired unnoticed, and another leader may have made
             # grants since. Its table would lack those grants, so it starts empty and waits for all grants to
@@ -269,9 +269,9 @@
 
     def _has_quorum(self, now_us: int) -> bool:
         """Whether the votes of a majority of the voters are valid at this instant."""
-        good_until_us = sorted(self._votes.values(), reverse=True)
+        valid_until_us = sorted(self._votes.values(), reverse=True)
         majority = len(self.voters) // 2 + 1
-        return len(good_until_us) >= majority and now_us < good_until_us[majority - 1]
+        return len(valid_until_us) >= majority and now_us < valid_until_us[majority - 1]
 
     def _may_grant(self, now_us: int) -> bool:
         """Whether this router leads, and all earlier grants must have expired even by the slowest clocks."""
--- a/magpieshift/overload/failure_reports.py
+++ b/magpieshift/overload/failure_reports.py
@@ -48,14 +48,14 @@
         a report says that the endpoint fails; otherwise successes would be gossiped endlessly.
         """
         observations = self._by_endpoint.get(endpoint, {})
-        is_reported = any(each.failing for each in observations.values() if self._counts(each, now_us))
+        is_reported = any(each.failing for each in observations.values() if self._is_unexpired(each, now_us))
         if age_us is None or age_us >= REPORT_LIFETIME_US or not (failing or is_reported):
             return False
         before = observations.get(self.own)
         seen_us = now_us - age_us
         if before is not None and before.failing == failing and seen_us - before.seen_us < RENEW_INTERVAL_US:
             return False
-        return self._keep(endpoint, self.own, Observation(failing, seen_us))
+        return self._store(endpoint, self.own, Observation(failing, seen_us))
 
     def merge(self, reports: Iterable[FailureReport], now_us: int) -> bool:
         """Merge another router's reports; returns whether any of them was new.
@@ -72,7 +72,7 @@
             observation = Observation(report.failing, now_us - report.age_us)
             before = self._by_endpoint.get(report.endpoint, {}).get(report.witness)
             if before is None or self._is_newer(observation, before):
-                any_new = self._keep(report.endpoint, report.witness, observation) or any_new
+                any_new = self._store(report.endpoint, report.witness, observation) or any_new
         return any_new
 
     @staticmethod
@@ -86,7 +86,7 @@
             return True
         return observation.seen_us >= before.seen_us + MIN_AGE_CHANGE_US
 
-    def _keep(self, endpoint: str, witness: str, observation: Observation) -> bool:
+    def _store(self, endpoint: str, witness: str, observation: Observation) -> bool:
         """Store an observation; returns False if a limit on endpoints or witnesses excluded it."""
         observations = self._by_endpoint.get(endpoint)
         if observations is None:
@@ -103,7 +103,7 @@
     def expire(self, now_us: int) -> None:
         """Drop the observations older than ``REPORT_LIFETIME_US``."""
         for endpoint in list(self._by_endpoint):
-            current = self._current(endpoint, now_us)
+            current = self._unexpired(endpoint, now_us)
             if current:
                 self._by_endpoint[endpoint] = current
             else:
@@ -117,7 +117,7 @@
 
     def failing_witnesses(self, endpoint: str, now_us: int) -> frozenset[str]:
         """The routers whose report of a failure is later than every report that the endpoint works."""
-        observations = self._current(endpoint, now_us)
+        observations = self._unexpired(endpoint, now_us)
         recovered_us = max((each.seen_us for each in observations.values() if not each.failing), default=-1)
         return frozenset(
             witness for witness, each in observations.items() if each.failing and each.seen_us > recovered_us
@@ -125,23 +125,23 @@
 
     def is_recovered(self, endpoint: str, now_us: int) -> bool:
         """Whether the latest report on an endpoint says that it works."""
-        return bool(self._current(endpoint, now_us)) and not self.failing_witnesses(endpoint, now_us)
+        return bool(self._unexpired(endpoint, now_us)) and not self.failing_witnesses(endpoint, now_us)
 
     def youngest(self, now_us: int) -> tuple[FailureReport, ...]:
         """The most recent reports, as many as fit into one digest."""
         reports = [
             FailureReport(endpoint, witness, each.failing, max(0, now_us - each.seen_us))
             for endpoint in self._by_endpoint
-            for witness, each in self._current(endpoint, now_us).items()
+            for witness, each in self._unexpired(endpoint, now_us).items()
         ]
         reports.sort(key=lambda report: (report.age_us, report.endpoint, report.witness))
         return tuple(reports[:MAX_REPORTS_SENT])
 
-    def _current(self, endpoint: str, now_us: int) -> dict[str, Observation]:
+    def _unexpired(self, endpoint: str, now_us: int) -> dict[str, Observation]:
         """The unexpired observations of an endpoint, by witness."""
         observations: Mapping[str, Observation] = self._by_endpoint.get(endpoint, {})
-        return {witness: each for witness, each in observations.items() if self._counts(each, now_us)}
+        return {witness: each for witness, each in observations.items() if self._is_unexpired(each, now_us)}
 
     @staticmethod
-    def _counts(observation: Observation, now_us: int) -> bool:
+    def _is_unexpired(observation: Observation, now_us: int) -> bool:
         return now_us - observation.seen_us < REPORT_LIFETIME_US
--- a/magpieshift/relay/decoding.py
+++ b/magpieshift/relay/decoding.py
@@ -99,23 +99,23 @@
 
 def _decode_purges(purges: wire.Purges, base_ms: int, place: str) -> list[Purge]:
     times = _decode_times(purges, base_ms, f"{place} before")
-    given = [name for name in ("objects", "keys", "groups") if len(getattr(purges, name))]
-    if len(given) != 1:
+    given_fields = [name for name in ("objects", "keys", "groups") if len(getattr(purges, name))]
+    if len(given_fields) != 1:
         raise MalformedMessageError(
-            place, " and ".join(given) or "nothing", "one of objects, keys and groups"
+            place, " and ".join(given_fields) or "nothing", "one of objects, keys and groups"
         )
-    what = getattr(purges, given[0])
-    if len(what) != len(times):
+    ids = getattr(purges, given_fields[0])
+    if len(ids) != len(times):
         raise MalformedMessageError(
-            f"{place} before", f"{len(times)} times", f"{len(what)}, one for each purge"
+            f"{place} before", f"{len(times)} times", f"{len(ids)}, one for each purge"
         )
-    if given[0] == "objects":
-        return [Purge(f"{key:016x}", 0, purged_us) for key, purged_us in zip(what, times, strict=True)]
-    if given[0] == "groups":
-        return [Purge("", group, purged_us) for group, purged_us in zip(what, times, strict=True)]
-    for key in what:
+    if given_fields[0] == "objects":
+        return [Purge(f"{key:016x}", 0, purged_us) for key, purged_us in zip(ids, times, strict=True)]
+    if given_fields[0] == "groups":
+        return [Purge("", group, purged_us) for group, purged_us in zip(ids, times, strict=True)]
+    for key in ids:
         _check_key(key, f"{place} keys")
-    return [Purge(key, 0, purged_us) for key, purged_us in zip(what, times, strict=True)]
+    return [Purge(key, 0, purged_us) for key, purged_us in zip(ids, times, strict=True)]
 
 
 def _decode_times(purges: wire.Purges, base_ms: int, place: str) -> list[int]:
@@ -190,8 +190,8 @@
                 expected = f"{min_length} to {MAX_NAME_LENGTH}"
                 raise MalformedMessageError(f"join {part}", f"{len(text)} characters", expected)
         epoch = _decode_epoch(join.epoch)
-        heard = _decode_epoch(join.heard)
-        return Join(join.name, join.boot, epoch, join.applied, join.configuration, heard)
+        highest_epoch = _decode_epoch(join.heard)
+        return Join(join.name, join.boot, epoch, join.applied, join.configuration, highest_epoch)
     if content == "progress":
         progress = message.progress
         return Progress(
--- a/magpieshift/relay/fanout.py
+++ b/magpieshift/relay/fanout.py
@@ -259,14 +259,14 @@
 
     def _take_snapshot(self, receiver: FollowerStream, now_us: int) -> Snapshot:
         """A snapshot for the stream; followers that need one at about the same time share it."""
-        made = self._snapshots.get(now_us)
-        receiver.epoch = made.epoch
-        receiver.cursor = made.applied
-        receiver.required_acknowledgement = made.applied
-        receiver.unacknowledged.append(SentEntries(made.applied, now_us))
+        snapshot = self._snapshots.get(now_us)
+        receiver.epoch = snapshot.epoch
+        receiver.cursor = snapshot.applied
+        receiver.required_acknowledgement = snapshot.applied
+        receiver.unacknowledged.append(SentEntries(snapshot.applied, now_us))
         # if this process lacks the complete newest version, the follower is sent it later
         receiver.wants_full = receiver.wants_full or self._state.needs_full
-        return made
+        return snapshot
 
     def _take_batches(self, receiver: FollowerStream, cut: VisibleCut, now_us: int) -> list[Batch]:
         batches = []
--- a/magpieshift/relay/log.py
+++ b/magpieshift/relay/log.py
@@ -50,10 +50,10 @@
         if first > self.head + 1:
             raise MissingEntriesError(f"entry {self.head + 1} is missing before {first}")
         known = self.head + 1 - first
-        fresh = tuple(islice(entries, known, None))
-        self._entries.extend(fresh)
-        self.head += len(fresh)
-        return len(fresh)
+        new_entries = tuple(islice(entries, known, None))
+        self._entries.extend(new_entries)
+        self.head += len(new_entries)
+        return len(new_entries)
 
     def entries_after(self, sequence: int, up_to: int | None = None) -> tuple[Entry, ...]:
         """The entries with numbers above ``sequence``, up to and including ``up_to`` (the head by default);
--- a/magpieshift/relay/snapshot_schedule.py
+++ b/magpieshift/relay/snapshot_schedule.py
@@ -67,16 +67,16 @@
         self._log = log
         self._state = state
         self._snapshot: Snapshot | None = None
-        self._made_us = 0
+        self._created_us = 0
 
     def get(self, now_us: int) -> Snapshot:
         """A snapshot less than ``SNAPSHOT_REUSE_US`` old, whose following entries are all retained in the
         log."""
         log = self._log
-        made = self._snapshot
-        usable = made is not None and made.epoch == log.epoch and made.applied + 1 >= log.first
-        if made is None or not usable or now_us - self._made_us >= SNAPSHOT_REUSE_US:
-            made = self._state.snapshot(log.epoch, log.head, now_us)
-            self._snapshot = made
-            self._made_us = now_us
-        return made
+        snapshot = self._snapshot
+        usable = snapshot is not None and snapshot.epoch == log.epoch and snapshot.applied + 1 >= log.first
+        if snapshot is None or not usable or now_us - self._created_us >= SNAPSHOT_REUSE_US:
+            snapshot = self._state.snapshot(log.epoch, log.head, now_us)
+            self._snapshot = snapshot
+            self._created_us = now_us
+        return snapshot
--- a/magpieshift/rollout/canary_analysis.py
+++ b/magpieshift/rollout/canary_analysis.py
@@ -240,7 +240,7 @@
                 "new": [difference.served_new, difference.requests_new],
                 "old": [difference.served_old, difference.requests_old],
                 "between": [
-                    round(edge, 4) for edge in difference.confidence_interval(self._class_error_rate())
+                    round(bound, 4) for bound in difference.confidence_interval(self._class_error_rate())
                 ],
             }
             for name, difference in sorted(self.differences.items())
