--- a/tests/membership/test_fault_injection.py
+++ b/tests/membership/test_fault_injection.py
@@ -64,16 +64,16 @@
 
     def test_answer_check(self) -> None:
         self.assertEqual(checks.AnswerCheck().violations(self.fleet), [])
-        for wrong in ({"lost": 1}, {"doubles": 1}, {"served": 5}):
-            with self.subTest(wrong):
-                self.fleet.counts = {"sent": 100, "served": 90, "lost": 0, "doubles": 0} | wrong
+        for invalid_counts in ({"lost": 1}, {"doubles": 1}, {"served": 5}):
+            with self.subTest(invalid_counts):
+                self.fleet.counts = {"sent": 100, "served": 90, "lost": 0, "doubles": 0} | invalid_counts
                 self.assertEqual(len(checks.AnswerCheck().violations(self.fleet)), 1)
 
     def test_log_check(self) -> None:
         log = self.fleet.folder / "r0.1.log"
-        log.write_text("all well\n")
+        log.write_text("x event=ready\n")
         self.assertEqual(checks.LogCheck().violations(self.fleet), [])
-        log.write_text("oh\nTraceback (most recent call last)\n")
+        log.write_text("x event=ready\nTraceback (most recent call last)\n")
         self.assertEqual(len(checks.LogCheck().violations(self.fleet)), 1)
 
     def test_resource_limit_check(self) -> None:
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -142,14 +142,14 @@
 
         with self.subTest("one router receives no datagrams from three others, while another dies"):
             for name in names[:3]:
-                cluster.network.add_fault("half deaf", name, "r4", LinkFault(cut=True))
+                cluster.network.add_fault("r4 receives half", name, "r4", LinkFault(cut=True))
             cluster.kill("r6")
             await cluster.wait_for_exit("r6")
             await self.wait_for_state("r6", "gone")
             self.assertEqual(await self.declared_dead(), {"r2", "r6"})
 
         with self.subTest("a partition into halves while quotas grow, with a leave in one half"):
-            cluster.network.remove_fault("half deaf")
+            cluster.network.remove_fault("r4 receives half")
             half = names[:4]
             for a in names:
                 for b in names:
@@ -213,11 +213,13 @@
 
                 await cluster.wait_until(joining, "the last router has begun to join", 60.0)
                 cluster.pause(rest[-1])
-                awake = [first, *rest[:-1]]
+                running_routers = [first, *rest[:-1]]
 
                 async def others_see_each_other() -> bool:
-                    views = await cluster.membership_views(awake)
-                    return all(set(awake) <= set(cluster.present_members(view)) for view in views.values())
+                    views = await cluster.membership_views(running_routers)
+                    return all(
+                        set(running_routers) <= set(cluster.present_members(view)) for view in views.values()
+                    )
 
                 await cluster.wait_until(others_see_each_other, "the other routers see each other", 60.0)
                 cluster.resume(rest[-1])
@@ -247,9 +249,9 @@
 class FleetRunCommandTest(unittest.TestCase):
     def test_a_short_fleet_run_writes_the_files_to_repeat_it(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            words = ["lab", "fleet-run", "quiet", "--routers", "2", "--seed", "3", "--folder", folder]
+            arguments = ["lab", "fleet-run", "quiet", "--routers", "2", "--seed", "3", "--folder", folder]
             done = subprocess.run(
-                [sys.executable, "-m", "magpieshift", *words, "--json"],
+                [sys.executable, "-m", "magpieshift", *arguments, "--json"],
                 capture_output=True,
                 text=True,
                 timeout=120,
@@ -259,10 +261,10 @@
             for key in ("routers", "asked", "served", "lost", "rules_broken", "faults", "left_running"):
                 self.assertIn(key, verdict)
             self.assertEqual((verdict["routers"], verdict["lost"], verdict["left_running"]), (2, 0, 0))
-            left = {path.name for path in Path(folder).iterdir()}
-            again = scenario.load_file(str(Path(folder) / "scenario.sexp"))
-            self.assertEqual((again.duration_s, again.routers, again.seed), (10, 2, 3))
-            self.assertLessEqual({"scenario.json", "verdict.json", "r0.sexp", "r0.1.log"}, left)
+            file_names = {path.name for path in Path(folder).iterdir()}
+            repeated = scenario.load_file(str(Path(folder) / "scenario.sexp"))
+            self.assertEqual((repeated.duration_s, repeated.routers, repeated.seed), (10, 2, 3))
+            self.assertLessEqual({"scenario.json", "verdict.json", "r0.sexp", "r0.1.log"}, file_names)
 
     def test_every_built_in_scenario_is_unchanged_after_writing_and_reading(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -273,7 +275,7 @@
                     self.assertEqual(scenario.load_file(str(path)), run)
 
     def test_all_mistakes_of_a_scenario_are_reported(self) -> None:
-        with self.assertRaises(UnusableDocumentError) as caught:
+        with self.assertRaises(UnusableDocumentError) as raised:
             scenario.load(
                 {
                     "seconds": 5,
@@ -284,7 +286,7 @@
                     },
                 }
             )
-        self.assertEqual(len(caught.exception.problems), 2)
+        self.assertEqual(len(raised.exception.problems), 2)
         with self.assertRaises(UnusableDocumentError):
             scenario.load({"seconds": 5, "faults": {"a": {"what": "burn", "at-s": 1}}})
 
--- a/tests/relay/driver_fixtures.py
+++ b/tests/relay/driver_fixtures.py
@@ -166,11 +166,11 @@
         self.addAsyncCleanup(router.client.stop)
         return router
 
-    async def wire(self, target: int) -> CuttableProxy:
-        wire = CuttableProxy(target)
-        await wire.start()
-        self.addCleanup(wire.stop)
-        return wire
+    async def proxy(self, target: int) -> CuttableProxy:
+        proxy = CuttableProxy(target)
+        await proxy.start()
+        self.addCleanup(proxy.stop)
+        return proxy
 
     async def wait_for_leases(self, *routers: Router) -> None:
         """Wait until each router holds a lease."""
--- a/tests/relay/test_drivers.py
+++ b/tests/relay/test_drivers.py
@@ -128,9 +128,9 @@
         blocked = RawFollower(port)
         self.addAsyncCleanup(blocked.close)
         await self.wait_for_leases(router)
-        await blocked.join("stuck")
+        await blocked.join("blocked")
         await blocked.probe()
-        stream = await self.stream(source, "stuck")
+        stream = await self.stream(source, "blocked")
 
         self.large_change()
         await self.wait_until(lambda: stream.writing, "a write is blocked")
@@ -190,17 +190,17 @@
     async def test_a_cut_longer_than_the_log_ends_with_a_snapshot(self) -> None:
         source, source_port = await self.source()
         relay, relay_port = await self.relay("a", source_port, log_entries=20)
-        wire = await self.wire(relay_port)
-        router = self.router("r1", wire.port)
+        proxy = await self.proxy(relay_port)
+        router = self.router("r1", proxy.port)
         await self.wait_for_leases(router)
         self.purge(5)
         await self.wait_for_purges(router)
-        wire.to_follower = wire.to_node = False
+        proxy.to_follower = proxy.to_node = False
         missed = self.purge(60)
         await self.wait_until(
             lambda: relay.follower.applied == source.log.head == 65, "the relay has applied all entries"
         )
-        wire.to_follower = wire.to_node = True
+        proxy.to_follower = proxy.to_node = True
         await self.wait_for_purges(router)
         self.assertEqual(len(router.snapshots), 2)  # the initial one, and one after the cut
         self.assertLessEqual(set(missed), {purge.key for purge in router.snapshots[1].purges})
@@ -211,10 +211,10 @@
 
     async def test_lost_acknowledgements_hold_back_the_watermark_until_the_lease_lapses(self) -> None:
         source, port = await self.source()
-        wire = await self.wire(port)
-        router, other = self.router("deaf", wire.port), self.router("well", port)
+        proxy = await self.proxy(port)
+        router, other = self.router("cut", proxy.port), self.router("connected", port)
         await self.wait_for_leases(router, other)
-        wire.to_node = False
+        proxy.to_node = False
         self.purge(5)
         head = 5
         await self.wait_until(lambda: source.log.head == head, "the purges are in the source's log")
@@ -494,8 +494,8 @@
     """The age of a source's knowledge, as derived from its reads of the change log."""
 
     async def test_a_source_ages_while_its_change_log_is_unreachable(self) -> None:
-        wire = await self.wire(self.changes.port)
-        source = SourceNode(self.source_options("127.0.0.1:0", log_port=wire.port))
+        proxy = await self.proxy(self.changes.port)
+        source = SourceNode(self.source_options("127.0.0.1:0", log_port=proxy.port))
         await self.node(source)
 
         def age_us() -> int | None:
@@ -503,11 +503,11 @@
 
         await self.wait_until(lambda: age_us() is not None, "the change log's history is read")
         cut_us = clock.source.steady_us()
-        wire.to_follower = False
+        proxy.to_follower = False
         await self.wait_until(lambda: (age_us() or 0) > 3_000_000, "the source's age grows")
         # the age covers the whole time since the cut, although the source tries to reconnect
         self.assertGreaterEqual(age_us() or 0, clock.source.steady_us() - cut_us)
-        wire.to_follower = True
+        proxy.to_follower = True
         await self.wait_until(lambda: (age_us() or 1 << 60) < 2_000_000, "the source is current again")
 
     async def test_a_delayed_event_raises_the_age_of_the_source(self) -> None:
