--- a/tests/relay/test_planted.py
+++ b/tests/relay/test_injected_defects.py
@@ -25,7 +25,7 @@
 from magpieshift.relay.messages import DownstreamMessage, Epoch, Progress
 from magpieshift.relay.staleness_bound import SourceStalenessBound, StalenessBound
 from magpieshift.relay.watermark import Watermark
-from tests.relay.test_explored import SCENARIOS, explore
+from tests.relay.test_exploration import SCENARIOS, explore
 
 DefectPatch = contextlib.AbstractContextManager[Any]
 
@@ -110,10 +110,10 @@
 def acknowledge_before_applying() -> DefectPatch:
     def make(progress: Any) -> Any:
         def defective(self: Any, now_us: int, report: Any) -> Any:
-            made, (epoch, handed_out) = progress(self, now_us, report), self._handed_out
+            message, (epoch, handed_out) = progress(self, now_us, report), self._handed_out
             if report is not None:
-                return made
-            return dataclasses.replace(made, epoch=epoch, applied=handed_out, watermark=handed_out)
+                return message
+            return dataclasses.replace(message, epoch=epoch, applied=handed_out, watermark=handed_out)
 
         return defective
 
