--- a/magpieshift/engine/actions.py
+++ b/magpieshift/engine/actions.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable, Iterable
 
 from magpieshift.clock import Clock
+from magpieshift.engine.attempt_checks import is_rejection_permitted
 from magpieshift.engine.attempts import Attempts
 from magpieshift.engine.endpoint_table import EndpointTable
-from magpieshift.engine.guards import is_rejection_permitted
 from magpieshift.engine.interfaces import Upstream
 from magpieshift.engine.model import AttemptResult, Response, Verdict
 from magpieshift.engine.request_table import RequestTable
--- a/magpieshift/engine/guards.py
+++ b/magpieshift/engine/attempt_checks.py
@@ -7,9 +7,9 @@
 from __future__ import annotations
 
 from magpieshift.clock import Clock
+from magpieshift.engine.effective_settings import SettingsInForce
 from magpieshift.engine.endpoint_table import EndpointTable
 from magpieshift.engine.open_request import Attempt, OpenRequest
-from magpieshift.engine.settings_in_force import SettingsInForce
 from magpieshift.policy.events import EndpointState
 from magpieshift.policy.outcomes import Outcome
 from magpieshift.policy.rejection import may_reject
--- a/magpieshift/engine/attempts.py
+++ b/magpieshift/engine/attempts.py
@@ -7,13 +7,13 @@
 from functools import partial
 
 from magpieshift.clock import Clock
+from magpieshift.engine.attempt_checks import AttemptGuard
+from magpieshift.engine.effective_settings import SettingsInForce
 from magpieshift.engine.endpoint_table import EndpointTable
-from magpieshift.engine.guards import AttemptGuard
 from magpieshift.engine.interfaces import EngineHooks, Upstream
 from magpieshift.engine.model import AttemptResult, Response, UpstreamExchange, UpstreamRequest, Verdict
 from magpieshift.engine.open_request import Attempt, CancelledAttempt, FirstExecution, OpenRequest
 from magpieshift.engine.request_table import RequestTable
-from magpieshift.engine.settings_in_force import SettingsInForce
 from magpieshift.log import fields
 from magpieshift.policy.actions import SendCacheRequest
 from magpieshift.policy.events import AttemptEnded, Event
--- a/magpieshift/engine/engine.py
+++ b/magpieshift/engine/engine.py
@@ -16,13 +16,13 @@
 from magpieshift.config import NO_NAMES, Document, Names
 from magpieshift.engine.actions import PolicyActions
 from magpieshift.engine.attempts import Attempts
+from magpieshift.engine.effective_settings import RouterCounts, SettingsInForce
 from magpieshift.engine.endpoint_table import EndpointTable
 from magpieshift.engine.interfaces import EngineHooks, Reply, Upstream
 from magpieshift.engine.model import ClientRequest, ListedEndpoint, Response, Verdict, object_number
 from magpieshift.engine.policy_calls import PolicyCalls
 from magpieshift.engine.reconfiguration import Reconfiguration
 from magpieshift.engine.request_table import RequestTable
-from magpieshift.engine.settings_in_force import RouterCounts, SettingsInForce
 from magpieshift.policy.events import EndpointListKind, PurgeReceived
 from magpieshift.policy.health_override import HealthOverride, endpoint_health
 from magpieshift.policy.router_policy import RouterPolicy
--- a/magpieshift/engine/reconfiguration.py
+++ b/magpieshift/engine/reconfiguration.py
@@ -8,10 +8,10 @@
 from magpieshift.config import Document
 from magpieshift.config_transaction import SettingsRejectedError
 from magpieshift.engine.class_numbers import renumber_classes
+from magpieshift.engine.effective_settings import SettingsInForce
 from magpieshift.engine.endpoint_table import EndpointTable
 from magpieshift.engine.policy_calls import PolicyCalls
 from magpieshift.engine.request_table import RequestTable
-from magpieshift.engine.settings_in_force import SettingsInForce
 from magpieshift.policy.settings import Settings
 
 
--- a/magpieshift/engine/request_table.py
+++ b/magpieshift/engine/request_table.py
@@ -7,11 +7,11 @@
 from dataclasses import replace
 
 from magpieshift.clock import Clock
-from magpieshift.engine.guards import is_rejection_permitted
+from magpieshift.engine.attempt_checks import is_rejection_permitted
+from magpieshift.engine.effective_settings import SettingsInForce
 from magpieshift.engine.interfaces import EngineHooks, Reply
 from magpieshift.engine.model import ClientRequest, Response, Verdict
 from magpieshift.engine.open_request import OpenRequest
-from magpieshift.engine.settings_in_force import SettingsInForce
 from magpieshift.log import fields
 from magpieshift.policy.events import ClientDisconnected, Event, RequestReceived
 
--- a/tests/held_start.py
+++ b/tests/blocked_start.py
@@ -1,6 +1,6 @@
 """Starts the program and blocks it at one step of its start until a line is read from standard input.
 
-usage: python -m tests.held_start EVENT NAME [PROGRAM_ARGUMENT ...]
+usage: python -m tests.blocked_start EVENT NAME [PROGRAM_ARGUMENT ...]
 
 A step is an audit event of the interpreter (``import``, ``open``, ``socket.bind``); for ``import`` and
 ``open`` NAME is the end of the module or file name. ``held`` is printed when the step is reached; signals are
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -25,7 +25,7 @@
 from magpieshift.policy.events import PurgeReceived, RequestReceived
 from tests.policy import test_properties as random_runs
 from tests.policy.helpers import settings as make_settings
-from tests.real.exchange import ROOT, WAIT_TIMEOUT_S
+from tests.recorded.exchange import ROOT, WAIT_TIMEOUT_S
 
 OWN = policy.own_policy()
 HEADER = wire.Header(format=1, router="t", policy_digest=OWN.digest)
--- a/tests/capture/test_former_layout.py
+++ b/tests/capture/test_former_layout.py
@@ -17,7 +17,7 @@
 from magpieshift.capture.replay import Player, Replay
 from magpieshift.policy import actions, events, outcomes, settings
 from magpieshift.policy import state as policy_state
-from tests.real.exchange import ROOT
+from tests.recorded.exchange import ROOT
 
 FORMER_CAPTURE = ROOT / "tests" / "capture" / "captures" / "queued-ejected-warming-written-by-723f792.seg"
 INACTIVE_POLICY = """
--- a/tests/capture/test_process.py
+++ b/tests/capture/test_process.py
@@ -22,7 +22,7 @@
 from magpieshift.lab.emulators.world import LoopbackInstallation
 from magpieshift.lab.experiments import episode, episode_report, scenario
 from tests.control.test_program import program
-from tests.real.exchange import ROOT, WAIT_TIMEOUT_S
+from tests.recorded.exchange import ROOT, WAIT_TIMEOUT_S
 
 SELF_KILLING_PROGRAM = """
 import os, signal, sys, types
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -26,7 +26,7 @@
 from magpieshift.cli.main import cli, run
 from magpieshift.rollout import journal
 from tests.control.test_schema import EXAMPLE
-from tests.real.exchange import ROOT
+from tests.recorded.exchange import ROOT
 
 REJECTION_TIMEOUT_S = 30  # a command that runs longer has accepted the input and started
 INVALID_VALUE = "?"  # not a number, an address or a valid name
--- a/tests/cli/test_rollouts.py
+++ b/tests/cli/test_rollouts.py
@@ -6,7 +6,7 @@
 import unittest
 
 from magpieshift.cli.main import run
-from tests.real.exchange import ROOT
+from tests.recorded.exchange import ROOT
 
 
 class RolloutCheck(unittest.TestCase):
--- a/tests/control/test_channel.py
+++ b/tests/control/test_channel.py
@@ -35,7 +35,7 @@
 from magpieshift.control.version_startup import first_version
 from magpieshift.control.version_store import VersionStore
 from magpieshift.control.wire import control_pb2 as wire
-from tests.real.exchange import ROOT, WAIT_TIMEOUT_S
+from tests.recorded.exchange import ROOT, WAIT_TIMEOUT_S
 
 TEXT = (ROOT / "deploy" / "magpieshift.sexp").read_text()
 START = load_text(TEXT)
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -23,7 +23,7 @@
 from magpieshift.lab.experiments.versions import Plan, play
 from magpieshift.lab.fault_injection.ports import free_ports
 from tests.control.test_schema import EXAMPLE
-from tests.real.exchange import ROOT, WAIT_TIMEOUT_S, config
+from tests.recorded.exchange import ROOT, WAIT_TIMEOUT_S, config
 
 STEPS = ("received", "started", "read", "prepared", "stored", "committed", "answered")
 KILL_AT_STEP = """
--- a/tests/control/test_schema.py
+++ b/tests/control/test_schema.py
@@ -12,7 +12,7 @@
 from magpieshift.control import schema, sexp
 from magpieshift.control.document_changes import apply_changes, differences, document_digest, is_identical
 from magpieshift.control.errors import UnusableDocumentError
-from tests.real.exchange import ROOT, config
+from tests.recorded.exchange import ROOT, config
 
 PORTS = {"cache": "127.0.0.1:1", "origin": "127.0.0.1:2", "log": "127.0.0.1:3"}
 EXAMPLE = ROOT / "deploy" / "magpieshift.sexp"
--- a/tests/discovery/test_changes.py
+++ b/tests/discovery/test_changes.py
@@ -7,7 +7,7 @@
 from magpieshift import parse
 from magpieshift.discovery.changes import ChangeLog
 from magpieshift.discovery.errors import MissingChangesError
-from tests.real.exchange import config
+from tests.recorded.exchange import config
 from tests.test_config import PORTS
 
 PURGE = '{"seq":%d,"invalidate":{"bucket":7,"time":1764576000480}}'
--- a/tests/engine/engine_case.py
+++ b/tests/engine/engine_case.py
@@ -25,7 +25,7 @@
     Event,
 )
 from magpieshift.policy.outcomes import Outcome
-from tests.real.exchange import config
+from tests.recorded.exchange import config
 
 SECOND = 1_000_000
 READ_REQUEST = ClientRequest(
--- a/tests/engine/test_class_numbers.py
+++ b/tests/engine/test_class_numbers.py
@@ -9,7 +9,7 @@
 from magpieshift import parse
 from magpieshift.engine.class_numbers import initial_class_numbers, renumber_classes
 from magpieshift.engine.name_numbers import renumber
-from tests.real.exchange import config
+from tests.recorded.exchange import config
 
 PORTS = {"cache": "127.0.0.1:1", "origin": "127.0.0.1:2", "log": "127.0.0.1:3"}
 DOCUMENT = parse(config(PORTS)).document
--- a/tests/engine/test_settings_in_force.py
+++ b/tests/engine/test_effective_settings.py
@@ -7,7 +7,7 @@
 from magpieshift.policy.events import EndpointListKind
 from magpieshift.policy.slow_start import permitted_rate
 from tests.engine.engine_case import SECOND, EngineCase
-from tests.real.exchange import config
+from tests.recorded.exchange import config
 from tests.test_config import PORTS
 
 
--- a/tests/engine/test_reconfiguration.py
+++ b/tests/engine/test_reconfiguration.py
@@ -14,7 +14,7 @@
 from magpieshift.policy.outcomes import Outcome
 from magpieshift.policy.settings import Idempotency
 from tests.engine.engine_case import READ_REQUEST, SECOND, WRITE_REQUEST, EngineCase
-from tests.real.exchange import config
+from tests.recorded.exchange import config
 
 PORTS = {"cache": "127.0.0.1:1", "origin": "127.0.0.1:2", "log": "127.0.0.1:3"}
 DOCUMENT = parse(config(PORTS)).document
--- a/tests/real/test_exchanges.py
+++ b/tests/recorded/test_exchanges.py
@@ -5,7 +5,7 @@
 import unittest
 from typing import Any
 
-from tests.real.exchange import HERE, ROOT, Program, initial_settings
+from tests.recorded.exchange import HERE, ROOT, Program, initial_settings
 
 
 class Exchanges(unittest.TestCase):
--- a/tests/test_change_source.py
+++ b/tests/test_change_source.py
@@ -13,7 +13,7 @@
 from magpieshift.lab.fault_injection.ports import free_port
 from magpieshift.policy.events import EndpointListKind, EndpointState
 from magpieshift.process_lock import ProcessLock
-from tests.real.exchange import RouterHarness
+from tests.recorded.exchange import RouterHarness
 from tests.test_edge_router import CACHE_ANSWERS, READ, READINESS, READINESS_REQUEST, SERVED
 
 KEY = "7f3a9c21e0b4d655"
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from magpieshift import ConfigError, parse
-from tests.real.exchange import changed, config
+from tests.recorded.exchange import changed, config
 
 PORTS = {"cache": "127.0.0.1:1", "origin": "127.0.0.1:2", "log": "127.0.0.1:3"}
 
--- a/tests/test_config_transaction.py
+++ b/tests/test_config_transaction.py
@@ -8,7 +8,7 @@
 
 from magpieshift import Document, parse
 from magpieshift.config_transaction import Commit, PreparationError, SettingsRejectedError, prepare
-from tests.real.exchange import config
+from tests.recorded.exchange import config
 
 PORTS = {"cache": "127.0.0.1:1", "origin": "127.0.0.1:2", "log": "127.0.0.1:3"}
 DOCUMENT = parse(config(PORTS)).document
--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -14,14 +14,14 @@
 from magpieshift.control import sexp
 from magpieshift.early_signals import is_serving_command
 from magpieshift.lab.fault_injection.ports import free_ports
+from tests.blocked_start import ANY_NAME
 from tests.control.test_program import FolderCase
-from tests.held_start import ANY_NAME
-from tests.real.exchange import ROOT, WAIT_TIMEOUT_S
+from tests.recorded.exchange import ROOT, WAIT_TIMEOUT_S
 
 POLL_INTERVAL_S = 0.01
 """Interval for polling a process's log."""
 Step = tuple[str, str]
-"""An audit event and the module or file that it concerns (``tests.held_start``)."""
+"""An audit event and the module or file that it concerns (``tests.blocked_start``)."""
 
 CLICK: Step = ("import", "click")
 GRPC: Step = ("import", "grpc")
@@ -44,7 +44,7 @@
         self.log = folder / f"{'-'.join(arguments[:2])}-{step[1]}.log".replace("/", "_")
         with self.log.open("wb") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "tests.held_start", *step, *arguments],
+                [sys.executable, "-m", "tests.blocked_start", *step, *arguments],
                 stdin=subprocess.PIPE,
                 stdout=subprocess.PIPE,
                 stderr=log,
--- a/tests/test_edge_router.py
+++ b/tests/test_edge_router.py
@@ -21,7 +21,7 @@
 from magpieshift.policy.events import PurgeReceived, RequestReceived
 from magpieshift.sockets import MAX_LINGERING
 from tests.downstream.server_case import request
-from tests.real.exchange import ROOT, WAIT_TIMEOUT_S, Program, RouterHarness, config
+from tests.recorded.exchange import ROOT, WAIT_TIMEOUT_S, Program, RouterHarness, config
 
 ANSWER_FIELDS = "tag=4b,minted=1764576000000,how=warm,stats=inflight:7;util:0.61;x1:0.2"
 READ = {stream: request(stream, i=f"{stream:016x}", d="30000").hex() for stream in range(1, 40)}
--- a/tests/test_process_lock.py
+++ b/tests/test_process_lock.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from magpieshift.process_lock import ProcessLock
-from tests.real.exchange import ROOT
+from tests.recorded.exchange import ROOT
 
 
 class ProcessLockTest(unittest.TestCase):
--- a/tests/test_public_names.py
+++ b/tests/test_public_names.py
@@ -81,7 +81,7 @@
 
 def platform_settings() -> dict[str, Any]:
     """A complete configuration in the platform's JSON format."""
-    data: dict[str, Any] = json.loads((ROOT / "tests/real/config.json").read_text())
+    data: dict[str, Any] = json.loads((ROOT / "tests/recorded/config.json").read_text())
     return data | {"changelog": "127.0.0.1:9"}
 
 
@@ -146,7 +146,7 @@
 def test_environment_variable_names_are_unchanged() -> None:
     data = platform_settings()
     variables = {"EDGE_LISTEN": "127.0.0.1:2", "EDGE_NAME": "other", "EDGE_CONSOLE": "127.0.0.1:3"}
-    path = ROOT / "tests/real/config.json"
+    path = ROOT / "tests/recorded/config.json"
     try:
         magpieshift.load({})
     except magpieshift.ConfigError as err:
--- a/tests/test_resource_limits.py
+++ b/tests/test_resource_limits.py
@@ -9,7 +9,7 @@
 from magpieshift.config import Limits
 from magpieshift.limits import ResourceBudget
 from magpieshift.process_lock import ProcessLock
-from tests.real.exchange import config
+from tests.recorded.exchange import config
 from tests.test_config import PORTS
 
 
--- a/tests/upstream/test_cancel_barrier.py
+++ b/tests/upstream/test_cancel_barrier.py
@@ -14,7 +14,7 @@
 from magpieshift.upstream import cancel_barrier
 from magpieshift.upstream.connection import PendingExchange
 from magpieshift.upstream.pool import ConnectionPool
-from tests.real.exchange import WAIT_TIMEOUT_S
+from tests.recorded.exchange import WAIT_TIMEOUT_S
 from tests.upstream.test_exchange_table import ENDPOINT, upstream_request
 
 REQUEST_ID = "00000000000000a1"
--- a/tests/upstream/test_codec.py
+++ b/tests/upstream/test_codec.py
@@ -11,7 +11,7 @@
     encode_probe,
     encode_request,
 )
-from tests.real.exchange import parse_bytes
+from tests.recorded.exchange import parse_bytes
 from tests.upstream.test_exchange_table import CLIENT_REQUEST, ENDPOINT, upstream_request
 
 
