--- a/tests/blocked_start.py
+++ b/tests/blocked_start.py
@@ -16,26 +16,26 @@
 """Matches an event whatever its first argument is."""
 
 
-class HoldAtEvent:
+class BlockAtEvent:
     """Audit hook that blocks at the first matching event."""
 
     def __init__(self, event: str, name: str) -> None:
         self._event = event
         self._name = name
-        self._has_held = False
+        self._has_blocked = False
 
     def __call__(self, event: str, arguments: tuple[object, ...]) -> None:
         """Handle one audit event."""
-        if self._has_held or event != self._event:
+        if self._has_blocked or event != self._event:
             return
         if self._name != ANY_NAME and not str(arguments[0]).endswith(self._name):
             return
-        self._has_held = True
+        self._has_blocked = True
         print("held", flush=True)
         sys.stdin.readline()
 
 
 if __name__ == "__main__":
-    sys.addaudithook(HoldAtEvent(sys.argv[1], sys.argv[2]))
+    sys.addaudithook(BlockAtEvent(sys.argv[1], sys.argv[2]))
     del sys.argv[1:3]
     runpy.run_module("magpieshift", run_name="__main__", alter_sys=True)
--- a/tests/downstream/test_connection.py
+++ b/tests/downstream/test_connection.py
@@ -97,7 +97,7 @@
         await self.run_event_loop()
         self.assertEqual((self.server.held_bytes, self.server.has_unsent), (0, False))
 
-    async def test_a_write_that_finds_the_client_gone_does_not_raise(self) -> None:
+    async def test_a_write_to_a_disconnected_client_does_not_raise(self) -> None:
         """Guards against an exception in the callback of an endpoint's response.
 
         It would close the endpoint's connection, with all exchanges that are open on it.
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -163,7 +163,7 @@
         self.clock.run()
         self.assertEqual((self.answers[1].body, len(self.upstream.started)), (b"copy", 2))
 
-    def test_the_policy_does_not_see_what_was_withdrawn_at_once(self) -> None:
+    def test_a_request_cancelled_at_once_is_not_passed_to_the_policy(self) -> None:
         """Guards against an attempt started for each request cancelled before the policy saw it; a client
         cancelled hundreds at a time (scenario with misbehaving clients)."""
         self.engine.cancel(self.engine.submit(READ_REQUEST, self.answers.append))
@@ -294,7 +294,7 @@
         self.submit(replace(WRITE_REQUEST, body=b"x" * 90))
         self.assertEqual((len(self.upstream.started), len(self.answers)), (2, 2))
 
-    def test_a_policy_that_raises_sees_drains_and_purges_all_the_same(self) -> None:
+    def test_drains_and_purges_are_passed_again_after_the_policy_raises(self) -> None:
         """Guards against a lost batch after a policy error: the policy went on choosing a draining
         endpoint."""
         draining = self.listed_endpoint("s-cache", 0, 1, 1, EndpointState.DRAINING)
--- a/tests/engine/test_reconfiguration.py
+++ b/tests/engine/test_reconfiguration.py
@@ -67,7 +67,7 @@
         self.clock.run(SECOND)
         self.assertEqual(len(self.answers), 2)
 
-    def test_a_class_goes_and_another_comes_while_its_requests_are_open(self) -> None:
+    def test_a_class_is_replaced_while_its_requests_are_open(self) -> None:
         picture, basket = DOCUMENT.settings.classes
         self.submit(WRITE_REQUEST)
         self.apply(
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -189,7 +189,7 @@
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(steps)
-def test_promises_hold_under_any_valid_events(script: list[tuple[str, int]]) -> None:
+def test_guarantees_hold_under_any_valid_events(script: list[tuple[str, int]]) -> None:
     checker = play(script)
     assert not checker.unanswered, "a request got no final answer"
     assert not checker.router.requests and not checker.router.attempts
--- a/tests/test_config_transaction.py
+++ b/tests/test_config_transaction.py
@@ -59,7 +59,7 @@
                 self.assertEqual(caught.exception.kind, kinds[first])
                 self.assertEqual({part.settings_in_force for part in parts}, {"old"})
 
-    async def test_a_part_that_fails_to_commit_does_not_keep_the_others_back(self) -> None:
+    async def test_a_part_that_fails_to_commit_does_not_stop_the_others(self) -> None:
         parts = [FakePart("a", "at once"), FakePart("b", "fails to commit"), FakePart("c", "at once")]
         with self.assertLogs("magpieshift.config_transaction", "ERROR"):
             (await prepare(parts, DOCUMENT, DOCUMENT)).commit()
--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -37,7 +37,7 @@
 SERVICE_STEPS: tuple[Step, ...] = (CLICK, GRPC)
 
 
-class HeldProcess:
+class BlockedProcess:
     """A process that is blocked at a step of its start."""
 
     def __init__(self, step: Step, arguments: list[str], folder: Path) -> None:
@@ -53,7 +53,7 @@
         self._watchdog = threading.Timer(WAIT_TIMEOUT_S, self.process.kill)
         self._watchdog.start()
 
-    def wait_until_held(self) -> None:
+    def wait_until_blocked(self) -> None:
         """Wait until the step is reached; raises ``AssertionError`` if the process ends before that."""
         assert self.process.stdout is not None
         assert self.process.stdout.readline() == b"held\n", self.log.read_text()
@@ -77,11 +77,11 @@
 
 
 class EarlySignals(FolderCase):
-    def start_held(self, step: Step, arguments: list[str]) -> HeldProcess:
-        held = HeldProcess(step, arguments, self.folder)
-        self.addCleanup(held.close)
-        held.wait_until_held()
-        return held
+    def start_blocked(self, step: Step, arguments: list[str]) -> BlockedProcess:
+        blocked = BlockedProcess(step, arguments, self.folder)
+        self.addCleanup(blocked.close)
+        blocked.wait_until_blocked()
+        return blocked
 
     def router_arguments(self) -> list[str]:
         start = self.folder / "start.sexp"
@@ -106,13 +106,13 @@
             ["control", "serve", str(versions), "--listen", listen],
         ]
 
-    def wait_for_log(self, held: HeldProcess, text: str) -> None:
+    def wait_for_log(self, blocked: BlockedProcess, text: str) -> None:
         """Wait until the process has logged this text; fail if it ends before that."""
-        with held.log.open() as log:
+        with blocked.log.open() as log:
             written = ""
             while text not in written:
                 time.sleep(POLL_INTERVAL_S)
-                ended = held.process.poll() is not None  # the watchdog kills it after a timeout
+                ended = blocked.process.poll() is not None  # the watchdog kills it after a timeout
                 written += log.read()
                 self.assertFalse(ended and text not in written, written)
 
@@ -123,11 +123,11 @@
         for arguments, steps in forms:
             for step in steps:
                 with self.subTest(arguments=arguments[:2], step=step):
-                    held = self.start_held(step, arguments)
-                    held.process.send_signal(signal.SIGHUP)  # must not end the process
-                    held.process.terminate()
-                    held.release()  # the event loop handles signals in its next iteration
-                    self.assertEqual(held.process.wait(WAIT_TIMEOUT_S), 0, held.log.read_text())
+                    blocked = self.start_blocked(step, arguments)
+                    blocked.process.send_signal(signal.SIGHUP)  # must not end the process
+                    blocked.process.terminate()
+                    blocked.release()  # the event loop handles signals in its next iteration
+                    self.assertEqual(blocked.process.wait(WAIT_TIMEOUT_S), 0, blocked.log.read_text())
 
     def test_sighup_at_any_step_of_a_routers_start_reloads_once_it_serves(self) -> None:
         """Guards against a router that SIGHUP kills (exit code -1) while it starts, when all routers are
@@ -135,28 +135,28 @@
         arguments = self.router_arguments()
         for step in ROUTER_STEPS:
             with self.subTest(step=step):
-                held = self.start_held(step, arguments)
+                blocked = self.start_blocked(step, arguments)
                 for _ in range(2):  # one after the other
-                    held.process.send_signal(signal.SIGHUP)
-                held.release()
-                self.wait_for_log(held, "event=ready")
-                self.wait_for_log(held, 'event="configuration unchanged"')
+                    blocked.process.send_signal(signal.SIGHUP)
+                blocked.release()
+                self.wait_for_log(blocked, "event=ready")
+                self.wait_for_log(blocked, 'event="configuration unchanged"')
                 for _ in range(2):
-                    held.process.terminate()
-                self.assertEqual(held.process.wait(WAIT_TIMEOUT_S), 0, held.log.read_text())
+                    blocked.process.terminate()
+                self.assertEqual(blocked.process.wait(WAIT_TIMEOUT_S), 0, blocked.log.read_text())
 
     def test_sighup_never_ends_a_relay_or_a_control_service(self) -> None:
         """Guards against a relay or control service that SIGHUP kills while it starts or serves."""
         for arguments in self.service_arguments():
             with self.subTest(arguments=arguments[:2]):
-                held = self.start_held(GRPC, arguments)
-                held.process.send_signal(signal.SIGHUP)
-                held.release()
-                self.wait_for_log(held, 'event="reload ignored"')
-                held.process.send_signal(signal.SIGHUP)
+                blocked = self.start_blocked(GRPC, arguments)
+                blocked.process.send_signal(signal.SIGHUP)
+                blocked.release()
+                self.wait_for_log(blocked, 'event="reload ignored"')
+                blocked.process.send_signal(signal.SIGHUP)
                 for _ in range(2):
-                    held.process.terminate()
-                self.assertEqual(held.process.wait(WAIT_TIMEOUT_S), 0, held.log.read_text())
+                    blocked.process.terminate()
+                self.assertEqual(blocked.process.wait(WAIT_TIMEOUT_S), 0, blocked.log.read_text())
 
 
 class ServingCommands(unittest.TestCase):
--- a/tests/test_edge_router.py
+++ b/tests/test_edge_router.py
@@ -201,7 +201,7 @@
 
 
 class Endpoints(unittest.IsolatedAsyncioTestCase):
-    async def test_an_attempt_that_waited_is_written_with_the_max_age_of_the_moment(self) -> None:
+    async def test_an_attempt_that_waited_is_written_with_the_current_max_age(self) -> None:
         """Guards against a stale copy after a pause: a router was paused past the end of its lease, with an
         attempt decided but not written."""
         limit = mock.Mock(return_value=0)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""A lower layer of the program imports nothing from a higher one."""
+"""The layers of the program: a lower one imports nothing from a higher one."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
 )
 
 
-def rank(module: str) -> tuple[int, str]:
-    """The layer of a module, and the part of it by its longest known name."""
+def layer_and_package(module: str) -> tuple[int, str]:
+    """The layer of a module, and the name in ``LAYERS`` that it belongs to: the longest that matches."""
     known = [
         (len(part), level, part)
         for level, parts in enumerate(LAYERS)
@@ -47,39 +47,39 @@
         if module == part or module.startswith(part + ".")
     ]
     if not known:
-        raise AssertionError(f"{module} stands in no layer")
+        raise AssertionError(f"{module} belongs to no layer")
     _, level, part = max(known)
     if part == "magpieshift" and module != part:
-        raise AssertionError(f"{module} stands in no layer")
+        raise AssertionError(f"{module} belongs to no layer")
     return level, part
 
 
-def named(source: str, folders: frozenset[str]) -> list[str]:
-    """The project's modules that a source imports, wherever in it."""
+def imported_modules(source: str, folders: frozenset[str]) -> list[str]:
+    """The project's modules that a source imports, at module level or inside functions."""
     found = []
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Import):
             found += [alias.name for alias in node.names]
         elif isinstance(node, ast.ImportFrom) and node.module and not node.level:
-            # ``from package import module`` names the module, not what is in the package itself
+            # ``from package import module`` imports the module; any other name is from the package itself
             whole = [f"{node.module}.{alias.name}" for alias in node.names]
             found += [name if name in folders else node.module for name in whole]
     return [name for name in found if name.split(".")[0] == "magpieshift"]
 
 
-def upward(sources: dict[str, str]) -> list[str]:
-    """The imports that run upwards, or across, in modules given by name."""
+def forbidden_imports(sources: dict[str, str]) -> list[str]:
+    """The imports from a higher layer, or from another package of the same one; sources by module name."""
     wrong = []
     for module, source in sorted(sources.items()):
-        level, part = rank(module)
-        for name in named(source, frozenset(sources)):
-            other, its = rank(name)
+        level, part = layer_and_package(module)
+        for name in imported_modules(source, frozenset(sources)):
+            other, its = layer_and_package(name)
             if other > level or (other == level and its != part):
                 wrong.append(f"{module} imports {name}")
     return wrong
 
 
-def project() -> dict[str, str]:
+def project_sources() -> dict[str, str]:
     found = {}
     for path in (ROOT / "magpieshift").rglob("*.py"):
         name = ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__")
@@ -88,11 +88,11 @@
 
 
 class Layers(unittest.TestCase):
-    def test_no_import_runs_upwards(self) -> None:
-        self.assertEqual(upward(project()), [])
+    def test_no_module_imports_from_a_higher_layer(self) -> None:
+        self.assertEqual(forbidden_imports(project_sources()), [])
 
-    def test_one_that_does_is_seen_wherever_it_stands(self) -> None:
-        sources = project()
+    def test_a_forbidden_import_is_detected_in_every_form(self) -> None:
+        sources = project_sources()
         for line in (
             "import magpieshift.app",
             "from magpieshift.app import EdgeRouter",
@@ -100,12 +100,17 @@
             "def late():\n    from magpieshift.control import version_manager",
         ):
             with self.subTest(line):
-                self.assertEqual(len(upward(sources | {"magpieshift.engine.odd": line})), 1)
+                self.assertEqual(len(forbidden_imports(sources | {"magpieshift.engine.odd": line})), 1)
         self.assertEqual(
-            len(upward(sources | {"magpieshift.downstream.odd": "import magpieshift.upstream.pool"})), 1
+            len(
+                forbidden_imports(
+                    sources | {"magpieshift.downstream.odd": "import magpieshift.upstream.pool"}
+                )
+            ),
+            1,
         )
         with self.assertRaisesRegex(AssertionError, "no layer"):
-            upward({"magpieshift.unheard_of": ""})
+            forbidden_imports({"magpieshift.unheard_of": ""})
 
 
 if __name__ == "__main__":
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -57,7 +57,7 @@
         self.now += CUT_INCOMPLETE_US
         self.assertTrue(self.lifecycle.cuts_incomplete_requests)
 
-    def test_a_shutdown_before_the_start_is_complete_stays_one(self) -> None:
+    def test_a_shutdown_before_the_start_is_complete_is_final(self) -> None:
         self.lifecycle.begin_shutdown()
         self.lifecycle.start_completed()
         self.assertEqual((self.lifecycle.state, self.lifecycle.is_ready), (State.ENDING, False))
--- a/tests/test_resource_limits.py
+++ b/tests/test_resource_limits.py
@@ -23,8 +23,8 @@
             self.assertEqual(alone.bytes_per_purpose, int(memory * (1 << 20) / 4))
 
 
-class Ended(unittest.IsolatedAsyncioTestCase):
-    async def test_a_closed_router_beside_its_replacement_keeps_to_its_part(self) -> None:
+class ClosedRouter(unittest.IsolatedAsyncioTestCase):
+    async def test_a_closed_router_beside_its_replacement_keeps_to_its_share(self) -> None:
         """A closed process lock always reports that no other process is alive. So after its close the old
         process went back to its full share. With four routers, one of them being replaced, the shares then
         added up to 1.125 times the limits: 3 x 0.25, 0.25 of the old process, 0.125 of its replacement."""
