--- a/magpieshift/engine/engine.py
+++ b/magpieshift/engine/engine.py
@@ -136,7 +136,7 @@
         return self.in_force.settings.classes[class_number].is_write
 
     @property
-    def requests_taken(self) -> int:
+    def requests_submitted(self) -> int:
         """Number of requests submitted since the start."""
         return self.requests.received
 
@@ -219,9 +219,9 @@
         def since_us(event_us: int) -> int | None:
             return None if event_us < 0 else max(0, now_us - event_us)
 
-        for number, is_failing, failed_us, good_us in endpoint_health(self.policy_calls.policy):
+        for number, is_failing, failed_us, success_us in endpoint_health(self.policy_calls.policy):
             if (listed := self.endpoints.get(number)) is not None:
-                yield EndpointHealth(listed, is_failing, since_us(failed_us), since_us(good_us))
+                yield EndpointHealth(listed, is_failing, since_us(failed_us), since_us(success_us))
 
     def apply_overrides(self, overrides: Sequence[HealthOverride]) -> None:
         """Have the policy eject or readmit endpoints on the reports of other routers."""
--- a/magpieshift/extensions/overload_gossip.py
+++ b/magpieshift/extensions/overload_gossip.py
@@ -106,7 +106,7 @@
             self._membership.send_message(by_name[receiver], TOPIC, encode(digest))
 
     def _update_request_rate(self, elapsed_us: int) -> None:
-        requests = self._router.engine.requests_taken
+        requests = self._router.engine.requests_submitted
         rate = 1e6 * (requests - self._requests_counted) / elapsed_us
         self._request_rate += RATE_WEIGHT * (rate - self._request_rate)
         self._requests_counted = requests
--- a/magpieshift/policy/health_override.py
+++ b/magpieshift/policy/health_override.py
@@ -45,9 +45,9 @@
     settings = router.settings
     for number, endpoint in router.endpoints.items():
         is_source = endpoint.entry.kind in (settings.parent_kind, settings.origin_kind)
-        last_good_us = max(endpoint.last_hit_us or -1, endpoint.last_heard_us if is_source else -1)
+        last_success_us = max(endpoint.last_hit_us or -1, endpoint.last_heard_us if is_source else -1)
         is_failing = endpoint.failure_rate > EJECTION_FAILURE_RATE
-        yield number, is_failing, endpoint.last_failure_us, last_good_us
+        yield number, is_failing, endpoint.last_failure_us, last_success_us
 
 
 def apply_overrides(router: RouterState, now_us: int, overrides: Iterable[HealthOverride]) -> None:
--- a/magpieshift/sockets.py
+++ b/magpieshift/sockets.py
@@ -27,7 +27,7 @@
 larger one costs time."""
 LISTEN_BACKLOG = 512
 """Maximum number of connections waiting to be accepted; the kernel refuses further ones."""
-MAX_ACCEPTS_PER_TURN = 64
+MAX_ACCEPTS_PER_ITERATION = 64
 """Maximum connections accepted per event loop iteration, since everything else waits meanwhile."""
 ACCEPT_PAUSE_S = 0.05
 """Pause before accepting again after descriptors ran out. A shorter one busy-loops, a longer one leaves
@@ -223,4 +223,4 @@
 
     def _resume(self) -> None:
         self._pause = None
-        asyncio.get_running_loop().add_reader(self._sock.fileno(), self.accept, MAX_ACCEPTS_PER_TURN)
+        asyncio.get_running_loop().add_reader(self._sock.fileno(), self.accept, MAX_ACCEPTS_PER_ITERATION)
--- a/tests/engine/engine_case.py
+++ b/tests/engine/engine_case.py
@@ -120,7 +120,7 @@
 
     def submit(self, request: ClientRequest = READ_REQUEST) -> int:
         """Submit a request under a unique id; returns its number."""
-        request = replace(request, request_id=f"{self.engine.requests_taken + 1:016x}")
+        request = replace(request, request_id=f"{self.engine.requests_submitted + 1:016x}")
         number = self.engine.submit(request, self.answers.append)
         self.clock.run()
         return number
--- a/tests/test_edge_router.py
+++ b/tests/test_edge_router.py
@@ -75,7 +75,7 @@
                 router.run_step(f"client> {READ[stream]}")
             await asyncio.sleep(0)
             await router.play(f"client< {GO_AWAY}\nclient.")
-            self.assertEqual(router.router.engine.requests_taken, 0)
+            self.assertEqual(router.router.engine.requests_submitted, 0)
 
     async def test_more_connections_than_may_linger_at_other_times_linger_at_the_end(self) -> None:
         async with RouterHarness() as router:
@@ -164,8 +164,8 @@
             router.run_step(f"client2> {READ[1]}")
             await router.play(f"cache< {CACHE_RECEIVES}")  # and no attempt for the two before it
 
-    def is_finished(self, engine: Engine, taken: int) -> bool:
-        return engine.requests_taken == taken and engine.open_requests == 0
+    def is_finished(self, engine: Engine, submitted: int) -> bool:
+        return engine.requests_submitted == submitted and engine.open_requests == 0
 
     async def test_nothing_is_written_for_a_client_that_disconnects_right_before(self) -> None:
         """Guards against a request forwarded for a disconnected client, if a busy event loop reads the
@@ -182,7 +182,7 @@
                     return original_handle(now_us, events)
 
                 engine = router.router.engine
-                wanted = engine.requests_taken + 1
+                wanted = engine.requests_submitted + 1
                 with mock.patch.object(policy, "handle", disconnect_first):
                     router.run_step(f"client> {READ[1]}")
                     await router.until(partial(self.is_finished, engine, wanted))
