--- a/magpieshift/admin/client.py
+++ b/magpieshift/admin/client.py
@@ -8,7 +8,7 @@
 from magpieshift.config import Address
 
 COMMAND_TIMEOUT_S = 2.0
-"""Time-out of a whole exchange, from connecting to the answer; a server must answer within one second."""
+"""Timeout of a whole exchange, from connecting to the answer; a server must answer within one second."""
 MAX_ANSWER_BYTES = 1 << 21
 """Maximum size of an answer; the longest lists the members of a whole fleet."""
 
--- a/magpieshift/admin/command.py
+++ b/magpieshift/admin/command.py
@@ -51,7 +51,7 @@
         return self._execute(bytes(line).removesuffix(b"\r")) if end else None
 
     def timed_out(self, timeout_s: float) -> bytes:
-        """Return the answer to a line that was not completed within the time-out."""
+        """Return the answer to a line that was not completed within the timeout."""
         found = f"{len(self._received)} bytes" if self._received else "nothing"
         return error_answer(f"line: found {found} and no end after {timeout_s} s, {self._expected}")
 
--- a/magpieshift/admin/server.py
+++ b/magpieshift/admin/server.py
@@ -22,7 +22,7 @@
 MAX_LINGERING = 4
 """Maximum number of connections in lingering close; their descriptors are part of the same reserve."""
 LINE_TIMEOUT_S = 2.0
-"""Time-out for a client to send a complete line, and for the answer to be sent to it. Longer lets silent
+"""Timeout for a client to send a complete line, and for the answer to be sent to it. Longer lets silent
 clients hold connections, shorter fails slow ones."""
 READ_CHUNK_BYTES = 512
 """Maximum size of one read; more than a complete line, see ``command.MAX_LINE_BYTES``."""
--- a/magpieshift/downstream/connection.py
+++ b/magpieshift/downstream/connection.py
@@ -27,8 +27,9 @@
 log = logging.getLogger(__name__)
 
 MAX_READS_IN_A_ROW = 8
-"""Maximum number of reads of one connection, while its data is there at once, before other connections are
-read. Larger lets a flood on one connection delay the others, smaller costs turns of the event loop."""
+"""Maximum number of reads of one connection in a row, while data is available without waiting, before other
+connections are read. Larger lets a flood on one connection delay the others, smaller costs iterations of the
+event loop."""
 HIGH_WATER_BYTES = 1 << 20
 """Number of unsent bytes of one connection above which its new requests are paused; four times the largest
 response."""
--- a/magpieshift/downstream/session.py
+++ b/magpieshift/downstream/session.py
@@ -25,8 +25,8 @@
 rejected."""
 MAX_INVALID_REQUESTS = 64
 """Maximum number of invalid requests on one connection; a client that sends more is disconnected. Smaller
-disconnects clients with a single wrong class too soon, larger lets a client waste more of the router's
-time."""
+disconnects a client too soon that has only one of its classes wrong, larger lets a client waste more of the
+router's time."""
 MAX_STREAM_ID_GAP = 4096
 """Maximum number of used stream ids above the lowest unused one, which are stored as ids may arrive out of
 order. Larger costs memory, smaller disconnects clients that skip ids."""
--- a/magpieshift/engine/attempt_checks.py
+++ b/magpieshift/engine/attempt_checks.py
@@ -1,7 +1,7 @@
 """Safety checks on attempts and rejections, applied independently of the policy's decisions.
 
-The rules are those of ``policy.retry`` and ``policy.rejection``; the guards apply them to the engine's own
-record of the attempts sent.
+The rules are those of ``policy.retry`` and ``policy.rejection``, applied here to the engine's own record of
+the attempts sent.
 """
 
 from __future__ import annotations
--- a/magpieshift/limits.py
+++ b/magpieshift/limits.py
@@ -45,8 +45,8 @@
         # Each process needs a full quarter for the program itself; only the rest is divided between
         # processes.
         part = int(quarter * (MEMORY_PURPOSES - processes) / (MEMORY_PURPOSES - 1) / processes)
-        # Both processes serve the same clients, so that third is not halved. The rest is for endpoints, as
-        # far as there is memory for their answers.
+        # A third of the sockets is for clients. It is not halved, as both processes serve the same clients.
+        # The rest is for endpoints, limited by the memory for their answers.
         clients = limits.sockets // 3 + EXTRA_CLIENT_CONNECTIONS
         upstream = (limits.sockets - clients - RESERVED_DESCRIPTORS) // processes
         return cls(clients, min(upstream, max(MIN_UPSTREAM_CONNECTIONS, part // MAX_BODY_BYTES)), part)
--- a/magpieshift/upstream/connection.py
+++ b/magpieshift/upstream/connection.py
@@ -130,7 +130,7 @@
         """Whether responses are due and nothing was received for ``max_silence_us``.
 
         A machine that fails sends nothing, not even a reset, so an exchange written here might be lost and
-        end only by its time-out.
+        end only by its timeout.
         """
         responses_due = self._is_connected and len(self.exchanges) > 0
         return responses_due and now_us - self._last_received_us > self._settings.max_silence_us
--- a/magpieshift/upstream/pool.py
+++ b/magpieshift/upstream/pool.py
@@ -22,7 +22,7 @@
 """Time without a received byte, while responses are due, after which a connection accepts no new exchange.
 Shorter avoids endpoints that are only slow, longer sends more requests to machines that have failed."""
 PROBE_TIMEOUT_US = 250_000
-"""Time-out of a health check. Longer detects a failed endpoint later."""
+"""Timeout of a health check. Longer detects a failed endpoint later."""
 IDLE_CLOSE_FRACTION = 0.8
 """Fraction of the settings' idle time after which the router closes an idle connection: if the endpoint
 closed it first, a request just written could be reset."""
--- a/tests/policy/differential/record.py
+++ b/tests/policy/differential/record.py
@@ -308,7 +308,7 @@
             request, action.store, source, is_get and bool(action.mode & 2)
         )
         if outcome == TIMEOUT or latency_us >= action.timeout_us:
-            # now and then the timeout is late, so that the policy's own timer fires first
+            # sometimes the timeout is late, so that the policy's own timer fires first
             late_us = 8000 if self.random.random() < 0.1 else 0
             outcome, note, latency_us = TIMEOUT, 0, action.timeout_us + late_us
         stream = self.classes[request.cls]["Stream"] == "true"
--- a/tests/policy/test_deployments.py
+++ b/tests/policy/test_deployments.py
@@ -173,7 +173,7 @@
             self.assertGreater(len(endpoints), 1)
 
     def test_no_second_attempt_is_sent_while_one_is_in_flight(self) -> None:
-        """Not even if the settings allow hedged requests: they brought no gain (findings)."""
+        """Not even if the settings allow hedged requests: they brought no gain (docs/findings.md)."""
         for harness in self.each():
             (first,) = harness.request()
             for _ in range(30):
@@ -192,7 +192,7 @@
                 assert isinstance(again, RejectRequest)
                 times.add(again.retry_after_us)
             self.assertGreater(len(times), 4)
-            # half of the time that a request of mean size has
+            # half of the objective of a request of mean size, which is at most twice the fixed part
             self.assertLessEqual(max(times), harness.router.settings.classes[0].latency_objective_us)
 
     def test_a_drained_endpoint_gets_nothing_as_cache_or_source(self) -> None:
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -48,8 +48,8 @@
 
 def test_clients_rejected_by_all_routers_at_once_retry_at_spread_times_and_in_time() -> None:
     """Retries are spread over half of the time in which they can meet the objective, so that a client
-    rejected twice can retry once more (overload scenarios of the Kayal site: using all of that time cost
-    0.017)."""
+    rejected twice can retry once more (Kayal site: with all of that time the score in overload scenarios was
+    0.764 instead of 0.780)."""
     for request_class in (
         make_class(latency_objective_us=2 * SECOND, latency_objective_stretch=0.0),
         make_class(latency_objective_us=SECOND, latency_objective_stretch=10.0),
--- a/tests/policy/test_path.py
+++ b/tests/policy/test_path.py
@@ -170,8 +170,8 @@
 
 
 def test_nothing_is_queued_for_a_warming_source() -> None:
-    """A warming source is sent so few attempts that queued requests would wait in vain (scenario big-1,
-    parents that restarted after the loss of a hub)."""
+    """A warming source is sent so few attempts that queued requests would not be sent in time (scenario
+    big-1, parents that restarted after the loss of a hub)."""
     harness = PolicyHarness()
     first_fill = harness.fill(9)
     assert isinstance(first_fill, SendCacheRequest)
--- a/tests/policy/test_scale.py
+++ b/tests/policy/test_scale.py
@@ -42,7 +42,7 @@
 
 
 def test_caches_of_other_zones_are_not_stored() -> None:
-    """So the work per request does not depend on the number of caches in other zones."""
+    """The work per request must not depend on the number of caches in other zones."""
     harness = PolicyHarness(settings(zone_router_counts=(0, 2, 2)))
     harness.receive(delta(*(entry(1000 + i, CACHE, zone=2) for i in range(500))))
     assert len(harness.router.endpoints) == len(CACHES + PARENTS) + 1
--- a/tests/upstream/test_cancel_barrier.py
+++ b/tests/upstream/test_cancel_barrier.py
@@ -79,7 +79,7 @@
             pool = self.new_pool()
             first, connection = await self.start_and_cancel(pool)
             pool.start(self.request(first), self.results.append)
-            for _ in range(10):  # enough turns of the event loop to connect
+            for _ in range(10):  # enough event loop iterations to connect
                 await asyncio.sleep(0)
             self.assert_no_connection()
             await self.read_until(connection, f"QUIT {REQUEST_ID}\r\nNOOP p1\r\n".encode())
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -15,7 +15,7 @@
 class Connections(unittest.IsolatedAsyncioTestCase):
     async def test_a_write_to_a_closed_stream_does_not_raise(self) -> None:
         """Guards against an exception of the first write in the engine, whose attempt would end only by its
-        time-out."""
+        timeout."""
         pool = ConnectionPool(LoopClock(), (), 400_000, 15_000_000, 32, max_connections=8)
         results = list[AttemptResult]()
         with mock.patch("magpieshift.upstream.connection.IOStream") as stream:
