--- a/magpieshift/engine/engine.py
+++ b/magpieshift/engine/engine.py
@@ -29,8 +29,8 @@
 from magpieshift.policy.settings import Settings
 
 DEFAULT_MAX_BODY_BYTES = 32 << 20
-"""Default limit on the bodies of open requests, for embedders that set none (the simulator, the laboratory).
-A smaller limit rejects writes earlier, a larger one lets them use more memory."""
+"""Default limit on the total size of the bodies of open requests, for embedders that set none (the simulator,
+the laboratory). A smaller limit rejects writes earlier, a larger one lets them use more memory."""
 MIN_DRAINING_RETRY_FRACTION = 0.05
 MAX_DRAINING_RETRY_FRACTION = 0.3
 """Bounds of a draining router's Retry-After, as fractions of the settings' ``max_retry_after_us``. It is
--- a/magpieshift/policy/retry.py
+++ b/magpieshift/policy/retry.py
@@ -43,5 +43,5 @@
 def is_exhausted(
     attempts_started: int, max_attempts: int, now_us: int, needed_us: float, answer_by_us: int
 ) -> bool:
-    """Whether all permitted attempts were started, or at most ``needed_us`` is left until ``answer_by_us``."""
+    """Whether the attempts are used up, or at most ``needed_us`` is left until ``answer_by_us``."""
     return attempts_started >= max_attempts or now_us + needed_us >= answer_by_us
--- a/magpieshift/policy/settings.py
+++ b/magpieshift/policy/settings.py
@@ -36,17 +36,17 @@
     deduplication_us: int
     """Deduplication window: how long after the first attempt a repeat is still discarded."""
     latency_objective_us: int
-    """Fixed part of the latency objective, within which an answer earns its full weight."""
+    """Fixed part of the latency objective, within which an answer counts with its full priority weight."""
     latency_objective_stretch: float
     """Variable part of the latency objective, as a multiple of the time to send the answer without other
     load."""
     deadline_us: int
     """Time after which the client gives up."""
     priority_weight: float
-    """What an answer within the objective earns. No rule uses this, ``late_priority_weight`` or
-    ``stale_priority_weight``."""
+    """Weight of an answer within the objective, relative to other classes. No rule uses this,
+    ``late_priority_weight`` or ``stale_priority_weight``."""
     late_priority_weight: float
-    """What an answer between objective and deadline earns, as a fraction of ``priority_weight``."""
+    """Weight of an answer between objective and deadline, as a fraction of ``priority_weight``."""
     is_stream: bool
     """Whether its answers may be streamed, so that they begin long before they end. No rule uses it."""
     is_write: bool
@@ -59,7 +59,7 @@
     """Time after ``max_age_us`` for which a stale copy may still be served. Caches apply it; no rule uses
     it."""
     stale_priority_weight: float
-    """What a stale copy earns, as a fraction of ``priority_weight``."""
+    """Weight of an answer with a stale copy, as a fraction of ``priority_weight``."""
 
 
 @dataclass(slots=True)
--- a/tests/interoperability.py
+++ b/tests/interoperability.py
@@ -118,21 +118,21 @@
     assert done.returncode == 0
 
 
-def relay_tier(other: Sequence[str], of_other: frozenset[str]) -> None:
-    """Run the relay tests with the processes named in ``of_other`` started from the other version."""
+def relay_tier(other: Sequence[str], other_processes: frozenset[str]) -> None:
+    """Run the relay tests with the processes named in ``other_processes`` started from the other version."""
 
-    class Mixed(relay_processes.Processes):
+    class MixedVersions(relay_processes.Processes):
         async def start(self, name: str, *words: str) -> None:
-            program = other if name in of_other else OWN
+            program = other if name in other_processes else OWN
             with (self.folder / f"{name}.log").open("ab") as log:
                 self.processes[name] = await asyncio.create_subprocess_exec(
                     *program, *words, stderr=log, env=os.environ
                 )
 
-    Mixed.__name__ = f"Mixed, {', '.join(sorted(of_other))} of the other version"
-    suite = unittest.defaultTestLoader.loadTestsFromTestCase(Mixed)
+    MixedVersions.__name__ = f"MixedVersions, {', '.join(sorted(other_processes))} of the other version"
+    suite = unittest.defaultTestLoader.loadTestsFromTestCase(MixedVersions)
     result = unittest.TextTestRunner().run(suite)
-    print("relays:", sorted(of_other), result)
+    print("relays:", sorted(other_processes), result)
     assert result.wasSuccessful()
 
 
