--- a/magpieshift/policy/admission.py
+++ b/magpieshift/policy/admission.py
@@ -111,7 +111,7 @@
 ) -> bool:
     """Whether the request may be sent to the source and be answered in time. A ready origin is the last
     resort and is used even while ejected."""
-    # always called, before the other conditions, because it also skips a warming source's unused intervals
+    # always called, before the other conditions, because it also skips unused turns of a warming source
     has_turn = may_send_now(state, source)
     if (
         not has_turn
