--- a/magpieshift/policy/slow_start.py
+++ b/magpieshift/policy/slow_start.py
@@ -62,9 +62,9 @@
 def may_send_now(state: RouterState, endpoint: EndpointRecord) -> bool:
     """Whether the endpoint may be sent an attempt now.
 
-    At a warming endpoint this router has one turn, an attempt that it may send, per interval. Unused turns are
-    skipped once they are older than the overload window, so that routers do not save them up and send a burst
-    together.
+    At a warming endpoint this router has one turn (an attempt that it may send) per interval. Unused turns
+    are skipped once they are older than the overload window, so that routers do not save them up and send a
+    burst together.
     """
     interval_us = max(state.service_times_us) / permitted_rate(state, endpoint)  # 0 once it is warm
     if interval_us:
