--- a/magpieshift/engine/guards.py
+++ b/magpieshift/engine/attempt_checks.py
@@ -1,15 +1,15 @@
 """Safety checks on attempts and rejections, applied independently of the policy's decisions.
 
-The rules are those of ``policy.retry`` and ``policy.rejection``; the guards apply them to the engine's own
-record of the attempts sent.
+The rules are those of ``policy.retry`` and ``policy.rejection``, applied here to the engine's own record of
+the attempts sent.
 """
 
 from __future__ import annotations
 
 from magpieshift.clock import Clock
+from magpieshift.engine.effective_settings import SettingsInForce
 from magpieshift.engine.endpoint_table import EndpointTable
 from magpieshift.engine.open_request import Attempt, OpenRequest
-from magpieshift.engine.settings_in_force import SettingsInForce
 from magpieshift.policy.events import EndpointState
 from magpieshift.policy.outcomes import Outcome
 from magpieshift.policy.rejection import may_reject
--- a/magpieshift/engine/engine.py
+++ b/magpieshift/engine/engine.py
@@ -16,21 +16,21 @@
 from magpieshift.config import NO_NAMES, Document, Names
 from magpieshift.engine.actions import PolicyActions
 from magpieshift.engine.attempts import Attempts
+from magpieshift.engine.effective_settings import RouterCounts, SettingsInForce
 from magpieshift.engine.endpoint_table import EndpointTable
 from magpieshift.engine.interfaces import EngineHooks, Reply, Upstream
 from magpieshift.engine.model import ClientRequest, ListedEndpoint, Response, Verdict, object_number
 from magpieshift.engine.policy_calls import PolicyCalls
 from magpieshift.engine.reconfiguration import Reconfiguration
 from magpieshift.engine.request_table import RequestTable
-from magpieshift.engine.settings_in_force import RouterCounts, SettingsInForce
 from magpieshift.policy.events import EndpointListKind, PurgeReceived
 from magpieshift.policy.health_override import HealthOverride, endpoint_health
 from magpieshift.policy.router_policy import RouterPolicy
 from magpieshift.policy.settings import Settings
 
 DEFAULT_MAX_BODY_BYTES = 32 << 20
-"""Default limit on the bodies of open requests, for embedders that set none (the simulator, the laboratory).
-A smaller limit rejects writes earlier, a larger one lets them use more memory."""
+"""Default limit on the total size of the bodies of open requests, for embedders that set none (the simulator,
+the laboratory). A smaller limit rejects writes earlier, a larger one lets them use more memory."""
 MIN_DRAINING_RETRY_FRACTION = 0.05
 MAX_DRAINING_RETRY_FRACTION = 0.3
 """Bounds of a draining router's Retry-After, as fractions of the settings' ``max_retry_after_us``. It is
@@ -136,7 +136,7 @@
         return self.in_force.settings.classes[class_number].is_write
 
     @property
-    def requests_taken(self) -> int:
+    def requests_submitted(self) -> int:
         """Number of requests submitted since the start."""
         return self.requests.received
 
@@ -219,9 +219,9 @@
         def since_us(event_us: int) -> int | None:
             return None if event_us < 0 else max(0, now_us - event_us)
 
-        for number, is_failing, failed_us, good_us in endpoint_health(self.policy_calls.policy):
+        for number, is_failing, failed_us, success_us in endpoint_health(self.policy_calls.policy):
             if (listed := self.endpoints.get(number)) is not None:
-                yield EndpointHealth(listed, is_failing, since_us(failed_us), since_us(good_us))
+                yield EndpointHealth(listed, is_failing, since_us(failed_us), since_us(success_us))
 
     def apply_overrides(self, overrides: Sequence[HealthOverride]) -> None:
         """Have the policy eject or readmit endpoints on the reports of other routers."""
--- a/tests/engine/engine_case.py
+++ b/tests/engine/engine_case.py
@@ -25,7 +25,7 @@
     Event,
 )
 from magpieshift.policy.outcomes import Outcome
-from tests.real.exchange import config
+from tests.recorded.exchange import config
 
 SECOND = 1_000_000
 READ_REQUEST = ClientRequest(
@@ -120,7 +120,7 @@
 
     def submit(self, request: ClientRequest = READ_REQUEST) -> int:
         """Submit a request under a unique id; returns its number."""
-        request = replace(request, request_id=f"{self.engine.requests_taken + 1:016x}")
+        request = replace(request, request_id=f"{self.engine.requests_submitted + 1:016x}")
         number = self.engine.submit(request, self.answers.append)
         self.clock.run()
         return number
--- a/tests/test_edge_router.py
+++ b/tests/test_edge_router.py
@@ -21,7 +21,7 @@
 from magpieshift.policy.events import PurgeReceived, RequestReceived
 from magpieshift.sockets import MAX_LINGERING
 from tests.downstream.server_case import request
-from tests.real.exchange import ROOT, WAIT_TIMEOUT_S, Program, RouterHarness, config
+from tests.recorded.exchange import ROOT, WAIT_TIMEOUT_S, Program, RouterHarness, config
 
 ANSWER_FIELDS = "tag=4b,minted=1764576000000,how=warm,stats=inflight:7;util:0.61;x1:0.2"
 READ = {stream: request(stream, i=f"{stream:016x}", d="30000").hex() for stream in range(1, 40)}
@@ -75,7 +75,7 @@
                 router.run_step(f"client> {READ[stream]}")
             await asyncio.sleep(0)
             await router.play(f"client< {GO_AWAY}\nclient.")
-            self.assertEqual(router.router.engine.requests_taken, 0)
+            self.assertEqual(router.router.engine.requests_submitted, 0)
 
     async def test_more_connections_than_may_linger_at_other_times_linger_at_the_end(self) -> None:
         async with RouterHarness() as router:
@@ -164,8 +164,8 @@
             router.run_step(f"client2> {READ[1]}")
             await router.play(f"cache< {CACHE_RECEIVES}")  # and no attempt for the two before it
 
-    def is_finished(self, engine: Engine, taken: int) -> bool:
-        return engine.requests_taken == taken and engine.open_requests == 0
+    def is_finished(self, engine: Engine, submitted: int) -> bool:
+        return engine.requests_submitted == submitted and engine.open_requests == 0
 
     async def test_nothing_is_written_for_a_client_that_disconnects_right_before(self) -> None:
         """Guards against a request forwarded for a disconnected client, if a busy event loop reads the
@@ -182,7 +182,7 @@
                     return original_handle(now_us, events)
 
                 engine = router.router.engine
-                wanted = engine.requests_taken + 1
+                wanted = engine.requests_submitted + 1
                 with mock.patch.object(policy, "handle", disconnect_first):
                     router.run_step(f"client> {READ[1]}")
                     await router.until(partial(self.is_finished, engine, wanted))
@@ -201,7 +201,7 @@
 
 
 class Endpoints(unittest.IsolatedAsyncioTestCase):
-    async def test_an_attempt_that_waited_is_written_with_the_max_age_of_the_moment(self) -> None:
+    async def test_an_attempt_that_waited_is_written_with_the_current_max_age(self) -> None:
         """Guards against a stale copy after a pause: a router was paused past the end of its lease, with an
         attempt decided but not written."""
         limit = mock.Mock(return_value=0)
--- a/tests/upstream/test_cancel_barrier.py
+++ b/tests/upstream/test_cancel_barrier.py
@@ -14,7 +14,7 @@
 from magpieshift.upstream import cancel_barrier
 from magpieshift.upstream.connection import PendingExchange
 from magpieshift.upstream.pool import ConnectionPool
-from tests.real.exchange import WAIT_TIMEOUT_S
+from tests.recorded.exchange import WAIT_TIMEOUT_S
 from tests.upstream.test_exchange_table import ENDPOINT, upstream_request
 
 REQUEST_ID = "00000000000000a1"
@@ -79,7 +79,7 @@
             pool = self.new_pool()
             first, connection = await self.start_and_cancel(pool)
             pool.start(self.request(first), self.results.append)
-            for _ in range(10):  # enough turns of the event loop to connect
+            for _ in range(10):  # enough event loop iterations to connect
                 await asyncio.sleep(0)
             self.assert_no_connection()
             await self.read_until(connection, f"QUIT {REQUEST_ID}\r\nNOOP p1\r\n".encode())
