--- a/tests/recorded/exchange.py
+++ b/tests/recorded/exchange.py
@@ -15,7 +15,7 @@
     term               SIGTERM         exit 0           the program must exit with this code
     replace            start a second process and wait until it is ready; steps for the first one then begin
                        with "old", as in "old term"
-    admin+             connect to the admin server, which is enabled in recordings that contain this step
+    door+              connect to the admin server, which is enabled in recordings that contain this step
     hup LISTENER       SIGHUP after a change of the configuration file: this listener is the change log, or
                        with '-' the file is unreadable; settings may follow, as PATH=JSON without spaces
     says /PATTERN/     wait until the program's log matches
@@ -194,7 +194,7 @@
                 self.listeners[kind].settimeout(WAIT_TIMEOUT_S)
                 self.peers[peer_name] = Peer(self.listeners[kind].accept()[0])
             else:
-                port = self.admin_port if kind == "admin" else self.port
+                port = self.admin_port if kind == "door" else self.port
                 self.peers[peer_name] = Peer(socket.create_connection(("127.0.0.1", port)))
         elif operation == "-":
             (self.peers.pop(peer_name).sock if peer_name in self.peers else self.listeners[kind]).close()
--- a/tests/recorded/test_exchanges.py
+++ b/tests/recorded/test_exchanges.py
@@ -15,7 +15,7 @@
         for name in names:
             text = (HERE / "exchanges" / f"{name}.txt").read_text()
             start: dict[str, Any] = {
-                "has_admin": "\nadmin" in text,
+                "has_admin": "\ndoor" in text,
                 "long_timeouts": not name.startswith("silent_"),
             }
             with self.subTest(name), Program(**start, changes=initial_settings(text)) as program:
